--- a/nickelscale/rules.py
+++ b/nickelscale/rules.py
@@ -642,9 +642,13 @@
             elif self.now >= route.wait_until and (ep.silent or sent >= route.sick_since):
                 self._returned(ep.dest, route)
         elif outcome is Outcome.FULL:
+            known = sent < route.cut_at
             self._refused(ep.dest, route, sent, wait)
-            if route.room >= ROOM_LOW if route.limit > 0 else route.born is not None or not ep.dest.rating:
-                self._doubt(ep.dest, route, "refuses all")  # hardly for its limit
+            # Warming up, what follows a delivery or was sent before the latest cut is the edge of its limit.
+            edge = route.cold_since is not None and (known or route.full_run == 1)
+            unlikely = route.born is not None or not ep.dest.rating  # that it is for its limit
+            if not edge and (route.room >= ROOM_LOW if route.limit > 0 else unlikely):
+                self._doubt(ep.dest, route, "refuses all")
         elif outcome is Outcome.CONNECT_FAILED and (
                 crowded or ep.last_ok > self.now - self.set.dial_timeout - 1.0):
             # Others get through: its connection table is full. Use the open ones, open no more for a while.
@@ -780,6 +784,8 @@
                 route.pace = None
                 self._join(d)
                 return
+            if self.many and route.pace < part <= route.pace + step:
+                step, route.cut_at = part - route.pace, self.now  # at its share: slowly from here
             route.pace += step
         route.step_at = self.now + 1.0
         self._at(route.step_at, self._step_pace, d, route)
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -9,7 +9,7 @@
 import pytest
 
 from nickelscale.interface import Endpoint, Outcome, Send
-from tests.helpers import SAFE, Node, sends, settings
+from tests.helpers import KEYED, SAFE, Node, sends, settings
 
 NODES, RATING, SPAN = 300, 6.0, 2.0
 COLD, MULTIPLE, WARM = 0.25, 1.5, 10.0
@@ -187,3 +187,73 @@
         node.arrive()
         late += len(sends(node.run(WARM)))
     assert early <= 4 and late >= 30
+
+
+def warming(rating: float = 80.0) -> Node:
+    """One of 40 senders, each with a share of two calls a second, whose destination has just come back."""
+    config = settings(KEYED, slots=6, instances=40, rated=True, max_attempts=100)
+    node = Node(config, (Endpoint(10, 1, rating=rating),))
+    node.arrive()
+    node.sender.dests[1].shared.sick = True
+    node.settle(node.serial)
+    assert node.sender.dests[1].shared.cold_since == node.now
+    return node
+
+
+def test_a_refusal_behind_a_delivery_while_a_destination_warms_up_is_no_outage() -> None:
+    # Guards a destination at its limit: each first refusal of its ten seconds held it to trials anew.
+    node = warming()
+    route = node.sender.dests[1].shared
+    for _ in range(2):
+        node.arrive()
+        node.run(4.0)
+        node.settle(node.serial, Outcome.FULL)
+        assert not route.sick and route.pace is not None
+        node.run(4.0)
+        assert out(node) == [node.serial]
+        node.settle(node.serial)
+    assert not route.sick
+
+
+def test_a_second_refusal_in_a_row_while_a_destination_warms_up_is_one() -> None:
+    node = warming()
+    node.arrive()
+    node.run(4.0)
+    node.settle(node.serial, Outcome.FULL)
+    node.run(4.0)
+    assert out(node) == [node.serial]
+    node.settle(node.serial, Outcome.FULL)
+    assert node.sender.dests[1].shared.sick
+
+
+def test_a_refusal_sent_before_the_pace_was_cut_tells_nothing_new_of_a_warming_destination() -> None:
+    node = warming()
+    node.sender.dests[1].shared.cold_since = node.now - 9.0  # nearly warm
+    node.arrive(count=2)
+    node.run(0.9)
+    first, second = out(node)
+    node.settle(first, Outcome.FULL)
+    node.run(0.05)
+    node.settle(second, Outcome.FULL)
+    assert not node.sender.dests[1].shared.sick
+
+
+def test_a_pace_grows_slowly_again_from_its_share_of_the_listed_rate() -> None:
+    # Guards the limit: growth that had doubled for seconds went past the share at its fastest, and all at once.
+    config = settings(KEYED, slots=6, instances=40, rated=True, max_attempts=100)
+    node = Node(config, (Endpoint(10, 1, rating=80.0),))
+    node.arrive(count=60)
+    route = node.sender.dests[1].shared
+    for message in out(node)[:2]:
+        node.run(0.5)
+        node.settle(message, Outcome.FULL)
+    assert route.pace is not None and route.pace < 2.0
+    paces = []
+    for _ in range(12):
+        node.run(1.0)
+        for message in out(node):
+            node.settle(message)
+        paces.append(route.pace)
+    assert 2.0 in paces
+    after = paces[paces.index(2.0) + 1 :][:2]
+    assert after == [pytest.approx(2.0 + 0.04 * 2), pytest.approx(2.0 + 0.04 * 2 + 0.04 * 4)]
