--- a/juniperward/forwarder/registry.py
+++ b/juniperward/forwarder/registry.py
@@ -18,8 +18,9 @@
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head, read_response
 
-# Seconds after which a watch is dead on which nothing has come, or nothing whole: a line comes every 2.
-SILENT = 3.5
+# Seconds after which a watch is dead on which nothing has come, or nothing whole: a line comes every 2. A call has as
+# long for its dial and the head of its answer together: docs/design/discovery-deadline.md adds up the worst cases.
+SILENT = 3.0
 DIAL = 1.0
 # Seconds for a connection for notices, and for their answer, which comes straight away. Beyond that they go again by
 # another connection: twice this fits between a message's last moment and 0.3 s after its time.
@@ -93,10 +94,10 @@
     def _watch(self, version: int, epoch: int) -> None:
         sock, address = self._socket("watch", epoch)
         with sock:
+            alive = sockets.Timed(sock, SILENT)  # from here, so that the dial's time counts too
             sockets.connect(*address, DIAL, sock)
             if epoch != self.epoch:
                 raise Broken("the registry has moved")
-            alive = sockets.Timed(sock, SILENT)
             target = f"/registry/instances?follow=1&since={version}"
             sock.sendall(encode_call("GET", target, f"{address[0]}:{address[1]}", {}, None))
             stream = Stream(alive.receive)
@@ -105,6 +106,7 @@
                 raise Broken(f"it was answered {status}")
             count("watches_begun")
             self.begun = time.monotonic()
+            alive.begin()  # after `begun`: a watch that falls silent right behind its head has lived
             objects = Objects()
             for chunk in chunks(stream):
                 between, found = not objects.begun, objects.feed(chunk)
