--- a/juniperward/lab/world.py
+++ b/juniperward/lab/world.py
@@ -16,6 +16,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from juniperward.lab.cold_budget import ColdBudget
 from juniperward.lab.scenario import Scenario, Trouble
 from nickelscale import interface as i
 
@@ -117,13 +118,18 @@
         s = self.spec
         return float(s.rate or s.workers * s.at_once / s.latency)
 
+    @property
+    def budget(self) -> ColdBudget:
+        """What it bears while it is cold."""
+        return ColdBudget(self.capacity(), COLD, WARM, FALL_TIMES, FALL_SPAN)
+
     def present(self, now: float) -> float:
         """Calls a second now."""
         if self.fallen:
             return 0.0
         if self.back_at is None:
             return self.capacity()
-        return self.capacity() * min(1.0, COLD + (1 - COLD) * (now - self.back_at) / WARM)
+        return self.budget.present_capacity(now - self.back_at)
 
 
 # Of settings and a seed, and of the world for one that `sees` it; makes what has handle(now, events) -> actions.
@@ -410,7 +416,7 @@
             pushes.popleft()
         pushes.append(now)
         if p.back_at is not None and now - p.back_at < WARM:
-            p.fallen |= len(pushes) > FALL_TIMES * p.present(now) * FALL_SPAN + 10
+            p.fallen |= len(pushes) > p.budget.most(now - p.back_at)
         if p.fallen:
             return 0.0
         if p.mode == "SHUT":
