--- /dev/null
+++ b/juniperward/rigs/cold.py
@@ -0,0 +1,107 @@
+"""How many calls a fleet sends to a destination that comes back cold, against what that bears (rule 4).
+
+`juniperward measure cold` plays `lab/cold_return.py` over cases, sizes of the fleet and seeds, and writes down every
+seed on which a span went over the bound, with who sent it. Its page: docs/measurements/cold-return.md.
+"""
+
+from __future__ import annotations
+
+import concurrent.futures
+from pathlib import Path
+
+from juniperward.lab.cold_return import CASES, ColdCase, ColdReturn, ColdReturnResult
+from juniperward.rigs.measure import Report
+
+FLEET_SIZES = (1, 3, 20, 30, 200, 230)
+PROCESSES = 2
+TERMS = (
+    "N = FallMultiple x FallMs x capacity x (ColdShare + (1 - ColdShare) x min(1, time since the return / "
+    "WarmWithinMs)), at the end of the span; a span is over the bound with more than N + 2 x root of N + 2 calls "
+    "since the return in FallMs. It is put down to forwarders that had been told if over two thirds of its calls "
+    "are theirs. Told: an attempt that was sent in the outage has failed, been refused, reset or given up."
+)
+
+
+def play(case: ColdCase, forwarders: int, seed: int) -> ColdReturnResult:
+    """One run, for a process of its own."""
+    return ColdReturn(case, forwarders, seed).run()
+
+
+def play_all(
+    cases: tuple[ColdCase, ...], sizes: tuple[int, ...], seeds: range, processes: int = PROCESSES
+) -> list[ColdReturnResult]:
+    """All cases at all sizes over all seeds, in that order."""
+    jobs = [(case, size, seed) for case in cases for size in sizes for seed in seeds]
+    with concurrent.futures.ProcessPoolExecutor(processes) as pool:
+        return list(pool.map(play, *zip(*jobs, strict=True), chunksize=20))
+
+
+def cold(seed: int, out: Path, rounds: int = 100) -> bool:
+    """The calls of all forwarders to a destination that returns; `rounds` seeds. True if no fall is the told's."""
+    report = Report(
+        "Calls to a destination that comes back cold", f"juniperward measure cold --rounds {rounds}", seed
+    )
+    report.say(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {TERMS}")
+    results = play_all(CASES, FLEET_SIZES, range(seed, seed + rounds))
+    _sums(report, results)
+    _by_case(report, results)
+    _every_fall(report, results)
+    report.write(out / "cold-return.md")
+    return not any(result.breaks_the_rule for result in results)
+
+
+def _sums(report: Report, results: list[ColdReturnResult]) -> None:
+    """What each size of the fleet came to."""
+    rows = []
+    for size in FLEET_SIZES:
+        played = [r for r in results if r.forwarders == size]
+        ramp = sum(r.delivered for r in played) / len(played)
+        rows.append([
+            f"{size}", f"{len(played):,}", f"{sum(r.first_over is not None for r in played)}",
+            f"{sum(r.breaks_the_rule for r in played)}", f"{sum(r.told_alone_over for r in played)}",
+            f"{sum(r.over_by_mean for r in played)}", f"{sum(r.over_with_outage for r in played)}",
+            f"{sum(r.worth for r in played) / len(played):.4f}", f"{ramp:.1f}",
+        ])  # fmt: skip
+    report.table(
+        ["forwarders", "runs", "over the bound", "put down to the told", "told calls alone over it",
+         "over it by the span's mean capacity", "over it with the outage's last calls",
+         "share of worth since the outage began", "delivered in the ramp, mean"], rows,
+    )  # fmt: skip
+
+
+def _by_case(report: Report, results: list[ColdReturnResult]) -> None:
+    """Runs over the bound, those put down to the told, and the fullest span as a share of the bound."""
+    report.say(
+        "By case: runs over the bound / put down to the told; the fullest span as a share of the bound; worth kept."
+    )
+    rows = []
+    for case in CASES:
+        row = [case.name]
+        for size in FLEET_SIZES:
+            played = [r for r in results if r.case == case and r.forwarders == size]
+            over = sum(r.first_over is not None for r in played)
+            broken = sum(r.breaks_the_rule for r in played)
+            fullest = max((r.fullest.share for r in played if r.fullest is not None), default=0.0)
+            worth = sum(r.worth for r in played) / len(played)
+            row.append(f"{over} / {broken}; {fullest:.2f}; {worth:.3f}")
+        rows.append(row)
+    report.table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
+
+
+def _every_fall(report: Report, results: list[ColdReturnResult]) -> None:
+    """Each seed over the bound, and who sent it."""
+    report.say(
+        "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them told."
+    )
+    rows = []
+    for case in CASES:
+        for size in FLEET_SIZES:
+            falls = [
+                f"{r.seed}: {r.first_over.calls} of {r.first_over.most:.1f}, {r.first_over.from_told}"
+                + (" **broken**" if r.breaks_the_rule else "")
+                for r in results
+                if r.case == case and r.forwarders == size and r.first_over is not None
+            ]
+            if falls:
+                rows.append([case.name, f"{size}", "; ".join(falls)])
+    report.table(["case", "forwarders", "seeds"], rows)
--- /dev/null
+++ b/tests/test_cold_return.py
@@ -0,0 +1,186 @@
+"""A destination that comes back cold: the sum of all forwarders' calls, in the lab and with real processes."""
+
+from __future__ import annotations
+
+import tempfile
+import time
+import unittest
+from collections import deque
+from collections.abc import Iterator, Sequence
+from pathlib import Path
+
+from juniperward.lab.cold_budget import ColdBudget, with_chance
+from juniperward.lab.cold_return import CASES, ColdCase, ColdReturn, Outage, Span
+from juniperward.lab.scenario import parse
+from juniperward.lab.world import FALL_SPAN, World
+from juniperward.rigs.cold import cold, play_all
+from juniperward.rigs.yard import ACCOUNTS, Yard
+from juniperward.standins.clients import Clients, Traffic
+from juniperward.standins.partners import PartnerSpec
+from juniperward.standins.records import Called, Handed, Record
+from nickelscale import Sender
+from nickelscale.state import Destination, Route
+
+BUDGET = ColdBudget(capacity=10.0, cold_share=0.18, warm_within=10.0, fall_multiple=2.0, fall_span=3.0)
+FALLING = """
+shows: "one destination that falls"
+seconds: 5 forwarders: 1 slots: 8 max_open: 50
+partners { count: 1 share: 1 workers: 1 latency: 0.05 rate: 10 }
+traffic { rate: 1 }
+"""
+
+
+class BudgetTest(unittest.TestCase):
+    def test_the_budget_is_multiple_times_present_capacity_times_span(self) -> None:
+        self.assertAlmostEqual(BUDGET.calls(0.0), 2.0 * 0.18 * 10.0 * 3.0)
+        self.assertAlmostEqual(BUDGET.calls(5.0), 2.0 * (0.18 + 0.82 / 2) * 10.0 * 3.0)
+        self.assertAlmostEqual(BUDGET.calls(10.0), 60.0)
+        self.assertAlmostEqual(BUDGET.calls(99.0), 60.0)
+
+    def test_two_roots_and_two_calls_are_put_down_to_chance(self) -> None:
+        self.assertAlmostEqual(with_chance(16.0), 16.0 + 8.0 + 2.0)
+        self.assertAlmostEqual(BUDGET.most(10.0), with_chance(60.0))
+
+    def test_the_mean_over_the_span_is_never_above_the_capacity_at_its_end(self) -> None:
+        for tenths in range(100):
+            since = tenths / 10.0
+            self.assertLessEqual(BUDGET.most_by_mean(since), BUDGET.most(since) + 1e-9)
+        steps = [BUDGET.present_capacity(7.0 + n / 1000.0) for n in range(-3000, 1)]
+        mean = sum(steps) / len(steps)
+        self.assertAlmostEqual(BUDGET.most_by_mean(7.0), with_chance(2.0 * mean * 3.0), places=3)
+
+    def test_a_fall_is_put_down_to_the_told_beyond_two_thirds(self) -> None:
+        self.assertFalse(Span(1.0, 30, 20, 29.0).breaks_the_rule)
+        self.assertTrue(Span(1.0, 30, 21, 29.0).breaks_the_rule)
+        self.assertFalse(Span(1.0, 29, 29, 29.0).breaks_the_rule)
+
+    def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
+        world = World(parse(FALLING, "falling.textproto"), Sender, 1)
+        partner = world.partners[0]
+        partner.back_at, world.now = 0.0, 1.0
+        borne = int(partner.budget.most(1.0))
+        for n in range(borne):
+            world._full(partner, partner.workers[0])
+            self.assertFalse(partner.fallen, n)
+        self.assertLess(borne, 10 + 2 * FALL_SPAN * partner.present(1.0))  # not the ten calls of before
+        world._full(partner, partner.workers[0])
+        self.assertTrue(partner.fallen)
+
+
+class Heedless(Sender):
+    """Planted fault: what is told of an outage changes nothing."""
+
+    def _doubt(self, d: Destination, route: Route, why: str, unreached: bool = False) -> None:
+        pass
+
+    def _turn_sick(self, d: Destination, route: Route, why: str) -> None:
+        pass
+
+
+class FleetTest(unittest.TestCase):
+    def test_the_same_seed_gives_the_same_run(self) -> None:
+        case = ColdCase(Outage.SILENT, listed=True, batch=20, half_see=True)
+        self.assertEqual(ColdReturn(case, 30, 5).run(), ColdReturn(case, 30, 5).run())
+        self.assertNotEqual(ColdReturn(case, 30, 5).run(), ColdReturn(case, 30, 6).run())
+
+    def test_no_fleet_that_was_told_pushes_a_cold_destination_over(self) -> None:
+        """A subset of `juniperward measure cold`, which has the sizes and seeds that are over the bound."""
+        results = play_all(CASES, (1, 3, 30, 230), range(1, 3))
+        broken = [(r.case.name, r.forwarders, r.seed, r.first_over) for r in results if r.breaks_the_rule]
+        self.assertEqual(broken, [])
+        told = [r for r in results if r.forwarders == 230 and r.case.outage is not Outage.SILENT]
+        self.assertTrue(all(r.told >= 5 for r in told), min(r.told for r in told))
+        self.assertTrue(all(r.delivered for r in results))
+
+    def test_refused_connections_are_told_of_at_200_forwarders_as_failures_are(self) -> None:
+        """Each forwarder has hardly a call on its way: four in a row at an endpoint never come together."""
+        for listed in (False, True):
+            for seed in range(1, 9):
+                result = ColdReturn(ColdCase(Outage.DOWN, listed), 200, seed).run()
+                self.assertFalse(result.breaks_the_rule, (listed, seed, result.first_over))
+
+    def test_a_pace_that_messages_wait_for_outlasts_a_short_shut(self) -> None:
+        """Twenty forwarders, shut for under 6 s: none of them held to trials, and each flushed all that it held."""
+        for seed in (15, 19, 36):
+            result = ColdReturn(ColdCase(Outage.SHUT), 20, seed).run()
+            self.assertIsNone(result.first_over, seed)
+
+    def test_a_fleet_that_heeds_nothing_is_found_out(self) -> None:
+        for outage in (Outage.FAILING, Outage.SILENT, Outage.SHUT, Outage.SHUT_WITH_WAIT, Outage.DOWN):
+            results = [ColdReturn(ColdCase(outage), 200, seed, Heedless).run() for seed in range(1, 7)]
+            self.assertGreater(sum(result.breaks_the_rule for result in results), 2, outage)
+
+    def test_the_measurement_writes_its_page_and_says_whether_the_rule_held(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            held = cold(1, Path(folder), 1)
+            page = (Path(folder) / "cold-return.md").read_text()
+        self.assertIn("juniperward measure cold --rounds 1", page)
+        self.assertEqual(held, "**broken**" not in page)
+
+
+def calls_since(records: Sequence[Record], returned: float) -> list[float]:
+    """When calls came after the return."""
+    return sorted(r.at for r in records if isinstance(r, Called) and r.at >= returned)
+
+
+def overfull(calls: list[float], returned: float, budget: ColdBudget) -> Iterator[tuple[float, int, float]]:
+    """Spans over the bound: when they end after the return, their calls, and the most that is borne."""
+    lately: deque[float] = deque()
+    for at in calls:
+        lately.append(at)
+        while lately[0] <= at - budget.fall_span:
+            lately.popleft()
+        most = budget.most(at - returned)
+        if len(lately) > most and at - returned < budget.warm_within:
+            yield at - returned, len(lately), most
+
+
+class ProcessesTest(unittest.TestCase):
+    """Real forwarders on loopback, one destination that is away for 5 s."""
+
+    FORWARDERS = 8
+    SPEC = PartnerSpec(1, latency=0.03, rate=20.0)
+    RATE = 14.0
+
+    def away(self, mode: str) -> None:
+        folder = tempfile.TemporaryDirectory(prefix="jw-")
+        self.addCleanup(folder.cleanup)
+        yard = Yard(Path(folder.name), self.FORWARDERS, [self.SPEC])
+        self.addCleanup(yard.close)
+        yard.base["settings"]["Instances"] = self.FORWARDERS
+        yard.base["settings"]["Invariants"] |= {
+            "ColdShare": self.SPEC.cold,
+            "WarmWithinMs": self.SPEC.warm * 1e3,
+        }
+        yard.start()
+        partner = yard.partners[1]
+        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=6.0)
+        clients = Clients(traffic, yard.front, yard.recorder, yard.seed, 48)
+        clients.start(14.0)
+        time.sleep(3.0)  # the load before, then the outage: the times are the case itself
+        partner.trouble(mode)
+        time.sleep(5.0)
+        partner.trouble("well")
+        assert partner.back_at is not None
+        self.assertTrue(clients.done.wait(40.0))
+        yard.settle(40.0)
+        verdict = yard.verdict()
+        self.assertTrue(verdict.good, "\n".join(verdict.lines()))
+        records = list(yard.recorder.records)
+        senders = {r.forwarder for r in records if isinstance(r, Handed)}
+        self.assertEqual(len(senders), self.FORWARDERS)
+        calls = calls_since(records, partner.back_at)
+        self.assertGreater(len(calls), 20)
+        budget = ColdBudget(self.SPEC.capacity, self.SPEC.cold, self.SPEC.warm, 2.0, 3.0)
+        self.assertEqual(list(overfull(calls, partner.back_at, budget)), [])
+        self.assertFalse(partner.fallen)
+
+    def test_eight_processes_keep_the_bound_after_failures(self) -> None:
+        self.away("failing")
+
+    def test_eight_processes_keep_the_bound_after_refused_connections(self) -> None:
+        self.away("down")
+
+
+if __name__ == "__main__":
+    unittest.main()
