--- a/juniperward/cli/lab.py
+++ b/juniperward/cli/lab.py
@@ -184,8 +184,9 @@
     raise typer.Exit(REFUSED if differs else 0)
 
 
+@app.command("hunt", hidden=True, deprecated=True)  # its name of before, read for one release
 @app.command()
-def hunt(
+def search(
     rounds: Annotated[int, typer.Option(help="Days to play.")] = 200,
     policy: Annotated[str, typer.Option("--policy", "-p")] = "nickelscale",
     seed: Annotated[int, typer.Option()] = 1,
@@ -194,13 +195,13 @@
     processes: ProcessesOption = None,
 ) -> None:
     """Look for days on which a policy keeps much less than the oracle; make the worst small, and keep them."""
-    from juniperward.lab.hunt import hunt as search
-    from juniperward.lab.hunt import keep, shrink
+    from juniperward.lab.search import keep, shrink
+    from juniperward.lab.search import search as search_days
 
     (chosen,) = _policies([policy])
     with Progress(console=errors, transient=True) as progress:
         task = progress.add_task("days", total=rounds)
-        worst = search(
+        worst = search_days(
             chosen, rounds, seed, processes,
             lambda done, found: progress.update(task, completed=done, description=f"regret {found.regret:.3f}"),
         )  # fmt: skip
--- a/juniperward/lab/sight.py
+++ b/juniperward/lab/observation.py
@@ -9,7 +9,7 @@
 CLOSED = ("DOWN", "SILENT", "SHUT", "FAILING")
 
 
-class Sight:
+class Observation:
     """One for each world: all forwarders' oracles share it, as they would have to agree on who calls."""
 
     def __init__(self, world: World) -> None:
--- a/juniperward/lab/policies.py
+++ b/juniperward/lab/policies.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from juniperward.lab.sight import Sight
+from juniperward.lab.observation import Observation
 from nickelscale import Sender
 from nickelscale import interface as i
 
@@ -275,13 +275,13 @@
     messages that can still be on time. A policy that `sees` is made with what it sees.
     """
 
-    sees = Sight
+    sees = Observation
     tries = 1000
     poll = 0.02  # seconds between its looks at partners that something waits for
 
-    def __init__(self, settings: i.Settings, seed: int, sight: Sight) -> None:
+    def __init__(self, settings: i.Settings, seed: int, observation: Observation) -> None:
         super().__init__(settings, seed)
-        self.sight = sight
+        self.observation = observation
         self.shared: dict[int, tuple[float, int]] = {}  # the call that others may join: its moment, its room
 
     def _release(self, partner: int, lane: Lane, actions: list[i.Action]) -> None:
@@ -302,8 +302,8 @@
                 self.shared[endpoint] = (at, room - 1)
                 return endpoint
         for endpoint in sorted(lane.endpoints, key=lambda x: (lane.out.get(x, 0), x)):
-            if self.sight.might_serve(endpoint):
-                self.shared[endpoint] = (self.now, self.sight.batch(endpoint) - 1)
+            if self.observation.might_serve(endpoint):
+                self.shared[endpoint] = (self.now, self.observation.batch(endpoint) - 1)
                 return endpoint
         return None
 
--- a/juniperward/lab/hunt.py
+++ b/juniperward/lab/search.py
@@ -1,4 +1,4 @@
-"""The hunt for bad days: random scenarios, guided by what they lose, made small, and kept as regressions.
+"""The search for failures: random scenarios, guided by what they lose, made small, and kept as regressions.
 
 What counts is regret: how much less worth a policy keeps than the oracle does on the same day and seed. A day on
 which nobody could do better is a hard day, not a bad one. A broken rule counts for more than any worth.
@@ -53,7 +53,7 @@
 def invent(dice: random.Random) -> Any:
     """A day from nothing."""
     m = scenario_pb2.Scenario(
-        shows="made by the hunt", seconds=dice.choice([15, 20, 30]), forwarders=dice.choice([1, 2, 3, 5, 8]),
+        shows="made by the search", seconds=dice.choice([15, 20, 30]), forwarders=dice.choice([1, 2, 3, 5, 8]),
         slots=dice.choice([8, 16, 24, 48]), max_open=dice.choice([60, 150, 400]),
     )  # fmt: skip
     m.traffic.rate, m.traffic.again = dice.choice([20.0, 50.0, 90.0, 140.0]), 0.7
@@ -165,7 +165,7 @@
     return best
 
 
-def hunt(
+def search(
     policy: str, rounds: int, seed: int, processes: int | None = None,
     told: Callable[[int, Found], None] = lambda done, worst: None,
 ) -> list[Found]:  # fmt: skip
@@ -196,7 +196,7 @@
     """Store a day as a scenario, named by what it says; raises OSError."""
     m = text_format.Parse(found.text, scenario_pb2.Scenario())
     m.shows = (
-        f"found by the hunt: {policy} keeps {found.worth:.3f} with seed {found.seed}, the oracle {found.top:.3f}"
+        f"found by the search: {policy} keeps {found.worth:.3f} with seed {found.seed}, the oracle {found.top:.3f}"
         + (f"; {found.broken} rules broken" if found.broken else "")
     )
     text = str(text_format.MessageToString(m))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -26,10 +26,10 @@
     sweep,
     write_parquet,
 )
-from juniperward.lab.hunt import Found, hunt, invent, judge, keep, mutate, shrink, sound
 from juniperward.lab.policies import POLICIES, Baseline, Lane, OneTry
 from juniperward.lab.report import write
 from juniperward.lab.scenario import FOLDER, load, parse
+from juniperward.lab.search import Found, invent, judge, keep, mutate, search, shrink, sound
 from juniperward.lab.world import World
 from juniperward.settings.load import SettingsError
 from nickelscale import interface as i
@@ -154,7 +154,7 @@
                 self.assertLess(one(text, "small", policy, 1).worth, top.worth + 0.005, (kind, policy))
 
 
-class HuntTest(unittest.TestCase):
+class SearchTest(unittest.TestCase):
     def test_the_same_seed_finds_the_same_days_and_all_are_sound(self) -> None:
         def days(seed: int) -> list[str | None]:
             dice = random.Random(seed)
@@ -166,7 +166,7 @@
         self.assertGreater(len([d for d in days(1) if d]), 50)
 
     def test_a_policy_with_a_planted_fault_is_found_out_and_its_day_made_small(self) -> None:
-        found = hunt("one-try", 3, 7, 1)
+        found = search("one-try", 3, 7, 1)
         self.assertEqual([f.regret for f in found], sorted((f.regret for f in found), reverse=True))
         text = SMALL + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
         text += "trouble { kind: HOT at: 2 seconds: 2 partner: 3 }"
@@ -177,9 +177,17 @@
         self.assertLess(small.text.count("trouble"), 3)
         with tempfile.TemporaryDirectory() as folder:
             file = keep(small, "one-try", Path(folder))
-            self.assertIn("found by the hunt", load(file).shows)
+            self.assertIn("found by the search", load(file).shows)
             self.assertNotEqual(keep(small, "one-try", Path(folder)), file)
 
+    def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
+        runner = CliRunner()
+        new, old = (runner.invoke(app, ["lab", verb, "--rounds", "0", "--keep", "0"]) for verb in ("search", "hunt"))
+        self.assertEqual((new.exit_code, old.exit_code), (0, 0), old.output)
+        self.assertIn("deprecated", old.output)
+        self.assertNotIn("deprecated", new.output)
+        self.assertNotIn("hunt", runner.invoke(app, ["lab", "--help"]).output)
+
     def test_a_broken_rule_counts_for_more_than_any_worth(self) -> None:
         self.assertGreater(Found("", 1, 1.0, 1.0, 1).regret, Found("", 1, 0.0, 1.0, 0).regret)
 
