--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -140,7 +140,7 @@
 
     FORWARDERS = 8
     SPEC = PartnerSpec(1, latency=0.03, rate=20.0)
-    RATE = 14.0
+    RATE = 18.0
 
     def away(self, mode: str) -> None:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
@@ -154,7 +154,7 @@
         }
         yard.start()
         partner = yard.partners[1]
-        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=6.0)
+        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=8.0)
         clients = Clients(traffic, yard.front, yard.recorder, yard.seed, 48)
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
