--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -10,11 +10,10 @@
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.messages import Call
 from juniperward.kept.spool import PREFIX
-from juniperward.net.http import HttpCall, encode_response
+from juniperward.net.http import DECIMAL, HttpCall, encode_response
 
 PATH = "/api"
 ID = re.compile(r"[!-+\--~]{1,200}")  # printable, and no comma: that is how repeated headers are joined
-SECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,9})?")  # float() takes far more
 DESTINATION = re.compile(r"(?:^|[;,\s])dest\s*=\s*([0-9]{1,15})(?=$|[;,\s])")
 
 
@@ -39,7 +38,7 @@
         except ValueError:
             raise BadCall("X-Account: no such account") from None
     text = headers.get("x-time-left", "")
-    if not SECONDS.fullmatch(text):
+    if not DECIMAL.fullmatch(text):
         raise BadCall("X-Time-Left: seconds are needed")
     left = min(float(text), names.deadlines[cls])
     found = DESTINATION.search(headers.get("x-addressing", ""))
@@ -47,7 +46,7 @@
         raise BadCall("X-Addressing: dest=NUMBER is needed")
     key = headers.get("idempotency-key")
     ran = headers.get("x-kept-ran")
-    if ran is not None and (not SECONDS.fullmatch(ran) or not name.startswith(PREFIX)):
+    if ran is not None and (not DECIMAL.fullmatch(ran) or not name.startswith(PREFIX)):
         raise BadCall("X-Kept-Ran: seconds are needed, and the id of a resend")
     return Call(name, cls, tenant, int(found[1]), left, key, asked.body, float(ran) if ran is not None else None)
 
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -6,7 +6,6 @@
 import json
 import math
 import queue
-import re
 import socket
 import threading
 import time
@@ -30,7 +29,7 @@
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
+from juniperward.net.http import DECIMAL, Broken, Malformed, Response, Stream, encode_call, read_response
 from nickelscale.interface import Outcome
 
 KEEP_PART = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
@@ -39,7 +38,6 @@
 REST = 0.01  # seconds after an answer before its connection is used again: what is behind it shows by then
 MOST_WAIT = 3600.0  # seconds; what tells a longer wait than this tells none
 MOST_REPORT = 1024  # bytes of a load report
-SECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,9})?")
 STATES = {
     "ok": (Outcome.OK, False),
     "error": (Outcome.ERROR, False),
@@ -441,7 +439,7 @@
 def read_wait(headers: dict[str, str]) -> float:
     """The wait that an answer tells, in seconds."""
     text = headers.get("retry-after", "0")
-    wait = float(text) if SECONDS.fullmatch(text) else 0.0
+    wait = float(text) if DECIMAL.fullmatch(text) else 0.0
     return wait if wait <= MOST_WAIT else 0.0
 
 
--- a/juniperward/net/http.py
+++ b/juniperward/net/http.py
@@ -16,6 +16,8 @@
     505: "HTTP Version Not Supported",
 }  # fmt: skip
 STATUS, HEX = re.compile(rb"[1-9][0-9]{2}"), re.compile(rb"[0-9A-Fa-f]{1,8}")  # int() takes far more
+# Seconds as a header gives them, with as many decimals as a program may print of a double; float() takes far more.
+DECIMAL = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,60})?|\.[0-9]{1,60}")
 ONCE = ("content-length", "transfer-encoding", "host", "x-correlation-id", "x-time-left", "retry-after")
 VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
