--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -66,6 +66,7 @@
         self.stream = Stream(self._receive)
         self.used = time.monotonic()
         self.until: float | None = None  # when the answer that has begun must be whole
+        self.latest: float | None = None  # when an answer must be whole, whether it has begun or not
         self.limited = False
 
     def begun(self, begun: bool) -> None:
@@ -73,8 +74,9 @@
         self.until = time.monotonic() + ANSWER if begun else None
 
     def _receive(self, size: int) -> bytes:
-        if self.until is not None:
-            left = self.until - time.monotonic()
+        bounds = [bound for bound in (self.until, self.latest) if bound is not None]
+        if bounds:
+            left = min(bounds) - time.monotonic()
             if left <= 0:
                 raise TimeoutError
             sockets.limit(self.sock, socket.SO_RCVTIMEO, left)
@@ -251,12 +253,11 @@
             count("probes_withheld")
             self._put_back(what.worker, kept)
             return ended(Outcome.MOOT)
-        left = max(what.deadline - time.monotonic(), 0.001)
+        kept.latest = what.deadline
         try:
-            sockets.limit(kept.sock, socket.SO_RCVTIMEO, left)
             kept.sock.sendall(encode_call("GET", "/health/live", f"{what.host}:{what.port}", {}, None))
             answer = read_response(kept.stream, kept.begun)
-            sockets.limit(kept.sock, socket.SO_RCVTIMEO, self.longest)
+            kept.latest = None
         except (Broken, Malformed, OSError) as error:
             kept.sock.close()
             if time.monotonic() >= what.deadline:  # the stream tells a read that took too long as broken
