--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -339,6 +339,8 @@
             if job.abandoned or left <= 0:
                 raise TimeoutError
             sockets.connect(*address, left, sock)
+            # What was left for this dial must not bound what is written on the connection later.
+            sockets.limit(sock, socket.SO_SNDTIMEO, self.dial_timeout)
             sockets.limit(sock, socket.SO_RCVTIMEO, self.longest)
         except OSError as error:
             sock.close()
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+import os
 import queue
 import socket
+import threading
 import time
+from dataclasses import replace
 from unittest import mock
 
 from juniperward.forwarder import workers as workers_module
@@ -101,3 +104,130 @@
             self.events.get(timeout=0.4)  # past the probe's deadline
         sock.sendall(OK)
         self.assertEqual(self.outcomes(), {Outcome.OK})
+
+
+class SlowDialTest(EndpointRig):
+    __test__ = True
+
+    def test_a_connection_dialled_with_little_time_left_keeps_no_limit_of_that(self) -> None:
+        # Guards large calls: the time that its first message had left for the dial went on to bound each later
+        # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
+        self.workers.dial_timeout = 5.0
+        self.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        self.workers.delegate(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
+        sock = self.accept()
+        sock.recv(1000)
+        sock.sendall(OK)
+        self.assertEqual(self.outcomes(), {Outcome.OK})
+        ((kept,),) = self.workers.idle.values()
+        kept.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        self.workers.delegate(delegate(2, self.port, 4, b"x" * 65_536))
+        with self.assertRaises(queue.Empty):
+            self.events.get(timeout=1.5)  # it is not read, and not over either
+        stream, length = Stream(sock.recv), 0
+        while line := stream.line(1000, 400):
+            if line.startswith(b"Content-Length: "):
+                length = int(line.split()[1])
+        self.assertGreater(len(stream.exactly(length)), 4 * 65_536)
+        states = ",".join(f'{{"id":"m{n}","state":"ok"}}' for n in range(4))
+        sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(states) + 2}\r\n\r\n[{states}]".encode())
+        self.assertEqual(self.outcomes(), {Outcome.OK})
+
+    def test_hundreds_of_dials_that_never_come_up_leave_nothing_behind(self) -> None:
+        # Guards soak: one in fifty connections never comes up; no thread, descriptor or place for a call may leak.
+        silent = socket.socket()
+        self.addCleanup(silent.close)
+        silent.bind(("127.0.0.1", 0))
+        silent.listen(0)
+        line = [socket.socket() for _ in range(4)]  # they fill its line, so that no other comes up
+        for sock in line:
+            self.addCleanup(sock.close)
+            sock.setblocking(False)
+            sock.connect_ex(silent.getsockname())
+        self.workers.dial_timeout = 0.01
+        port = silent.getsockname()[1]
+        self.workers.delegate(delegate(0, port))
+        self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
+        before = len(os.listdir("/proc/self/fd"))
+        for number in range(1, 301):
+            self.workers.delegate(delegate(number, port))
+            if number % 4 == 0:
+                # Those that come up late come up in vain, and one is given up while it is dialled.
+                self.workers.abandon(number)
+            else:
+                self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
+        self.workers.delegate(delegate(301, self.port))
+        sock = self.accept()
+        sock.recv(1000)
+        sock.sendall(OK)
+        self.assertEqual(self.outcomes(), {Outcome.OK})
+        until = time.monotonic() + 5.0
+        while self.workers.free != self.workers.threads and time.monotonic() < until:
+            time.sleep(0)
+        self.assertEqual(self.workers.free, self.workers.threads)
+        self.assertLessEqual(self.workers.threads, 4)
+        self.assertEqual((self.workers.active, self.workers.jobs.qsize()), ({}, 0))
+        # The one connection that is kept, its other end and nothing else.
+        self.assertLessEqual(len(os.listdir("/proc/self/fd")), before + 2)
+
+
+class EndlessAnswerTest(EndpointRig):
+    __test__ = True
+
+    def test_no_answer_goes_on_for_ever(self) -> None:
+        # Guards slots and memory: heads, bodies, chunks and interim answers that never end.
+        one, many = 1, 2
+        head = b"HTTP/1.1 500 X\r\n"
+        chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
+        several = b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[" + b'{"id":"m0","state":"ok"},'
+        cases: list[tuple[str, int, bytes, bytes, Outcome]] = [
+            ("a status line", one, b"HTTP/1.1 500 ", b"x" * 1000, Outcome.RESET),
+            ("header lines", one, head, b"A: b\r\n" * 100, Outcome.RESET),
+            ("one header", one, head + b"A: ", b"x" * 1000, Outcome.RESET),
+            ("a body up to the end", one, head + b"\r\n", b"x" * 1000, Outcome.RESET),
+            ("a body up to the end, delivered", one, b"HTTP/1.1 200 OK\r\n\r\n", b"x" * 1000, Outcome.OK),
+            ("chunks", one, chunked, b"10\r\n" + b"x" * 16 + b"\r\n", Outcome.RESET),
+            ("a chunk's size", one, chunked, b"0" * 100, Outcome.RESET),
+            ("trailers", one, chunked + b"0\r\n", b"A: b\r\n" * 100, Outcome.RESET),
+            ("interim answers", one, b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 5, Outcome.RESET),
+            ("several messages, more", many, several, b'{"id":"m1","state":"ok"},' * 10, Outcome.ERROR),
+            ("several messages, no more", many, several, b"", Outcome.RESET),
+            ("several messages, in chunks", many, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+             b"1\r\n \r\n", Outcome.RESET),
+        ]  # fmt: skip
+        for number, (name, count, first, rest, outcome) in enumerate(cases):
+            with self.subTest(name):
+                self.workers.delegate(delegate(number, self.port, count))
+                sock = self.accept()
+                sock.recv(65536)
+                sock.sendall(first)
+                writer = threading.Thread(target=write_on, args=(sock, rest), daemon=True)
+                writer.start()
+                self.assertEqual(self.outcomes(), {outcome})
+                writer.join(5.0)
+                self.assertFalse(writer.is_alive(), "its connection goes on")
+                self.assertEqual(self.workers.idle.get(WORKER, []), [])
+
+
+class NoDelayTest(EndpointRig):
+    __test__ = True
+
+    def test_nothing_is_held_back_on_a_connection_to_an_endpoint(self) -> None:
+        # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
+        self.workers.delegate(delegate(1, self.port))
+        sock = self.accept()
+        sock.recv(1000)
+        sock.sendall(OK)
+        self.assertEqual(self.outcomes(), {Outcome.OK})
+        ((kept,),) = self.workers.idle.values()
+        self.assertTrue(kept.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+
+
+def write_on(sock: socket.socket, text: bytes) -> None:
+    """Write this over and over until the other side ends the connection; nothing to write: until it ends."""
+    try:
+        while text:
+            sock.sendall(text)
+        sock.recv(1)
+    except OSError:
+        pass
