--- a/juniperward/net/http.py
+++ b/juniperward/net/http.py
@@ -19,6 +19,7 @@
 # Seconds as a header gives them, with as many decimals as a program may print of a double; float() takes far more.
 DECIMAL = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,60})?|\.[0-9]{1,60}")
 ONCE = ("content-length", "transfer-encoding", "host", "x-correlation-id", "x-time-left", "retry-after")
+TARGET = re.compile(rb"(?:[Hh][Tt][Tt][Pp]://[^/?#]+)?/")  # of a request: a path, or the absolute form of it
 VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
@@ -169,7 +170,7 @@
                 raise Closed from error
         first = stream.line(MOST_HEAD, 431)
     parts = first.split(b" ")
-    if len(parts) != 3 or not parts[0] or not TOKEN.issuperset(parts[0]) or not parts[1].startswith(b"/"):
+    if len(parts) != 3 or not parts[0] or not TOKEN.issuperset(parts[0]) or not TARGET.match(parts[1]):
         raise Malformed(400, "the request line is malformed")
     method, target, version = parts
     if version not in VERSIONS:
@@ -183,7 +184,7 @@
     if headers.get("expect", "").lower() == "100-continue" and len(stream.buffer) < length:
         go_on()
     body = stream.exactly(length)
-    path = target.decode("latin-1").split("?", 1)[0]
+    path = TARGET.sub(b"/", target, count=1).decode("latin-1").split("?", 1)[0]
     return HttpCall(method.decode(), path, headers, body, _closes(version, headers))
 
 
