--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -24,8 +24,8 @@
     read_call,
 )
 
-FIRST = 2.0  # seconds from connecting in which the first call must be whole
-CALL = 2.0  # seconds from its first byte in which a later call must be whole
+FIRST = 2.0  # seconds from connecting in which the first call must begin, and during a stop be whole
+CALL = 2.0  # seconds from its first byte in which a call must be whole
 IDLE = 10.0  # seconds after which a connection that nothing comes on is closed
 SPARE_IDLE, SPARE_SILENT = 0.1, 0.25  # the same where the table is full: after a call, before the first
 LEAVING = 16  # connections that may be on their way out beside a full table
@@ -268,6 +268,8 @@
                 data = client.receive(16384)
             except (BlockingIOError, TimeoutError):
                 count("clients_idle" if client.served else "clients_silent")
+                # A request may cross this: a close over it would reset the connection.
+                self._linger(client)
                 raise Closed from None
             except ConnectionError as error:
                 raise Closed from error
@@ -276,7 +278,7 @@
             stream.buffer += data
         with client.lock:
             client.idle = False
-        if client.served:
+        if client.served or not self.stopping:
             client.until = time.monotonic() + CALL
 
     def _hand_in(self, client: Client, asked: HttpCall, at: float) -> None:
