--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -11,8 +11,14 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
+from juniperward.forwarder.answers import (
+    ends_of_all,
+    read_ends,
+    read_look,
+    read_report,
+    read_wait,
+)
 from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.messages import (
     Answered,
@@ -29,22 +35,13 @@
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
-from juniperward.net.http import DECIMAL, Broken, Malformed, Response, Stream, encode_call, read_response
+from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
 from nickelscale.interface import Outcome
 
 KEEP_PART = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
 LONGEST = 60.0  # seconds after which a read ends whatever the reducer forgot; a class with more time has more
 ANSWER = 0.5  # seconds that an answer may take from its first byte to its last
 REST = 0.01  # seconds after an answer before its connection is used again: what is behind it shows by then
-MOST_WAIT = 3600.0  # seconds; what tells a longer wait than this tells none
-MOST_REPORT = 1024  # bytes of a load report
-STATES = {
-    "ok": (Outcome.OK, False),
-    "error": (Outcome.ERROR, False),
-    "later": (Outcome.FULL, False),
-    "gone": (Outcome.MOOT, True),
-    "exhausted": (Outcome.MOOT, False),
-}
 
 
 class Job:
@@ -225,7 +222,7 @@
                 result = (
                     Looked(what.number, what.worker, Outcome.RESET, time.monotonic() - begun)
                     if isinstance(what, Look)
-                    else Answered(what.number, _all(what, Outcome.RESET))
+                    else Answered(what.number, ends_of_all(what, Outcome.RESET))
                 )
             with self.lock:
                 self.free += 1
@@ -238,9 +235,13 @@
         address = (what.host, what.port)
 
         def ended(outcome: Outcome, answer: Response | None = None) -> Looked:
-            more = read_report(answer.headers) if answer is not None else {}
-            wait = read_wait(answer.headers) if answer is not None else 0.0
-            return Looked(what.number, what.worker, outcome, time.monotonic() - begun, wait=wait, **more)
+            latency = time.monotonic() - begun
+            if answer is None:
+                return Looked(what.number, what.worker, outcome, latency)
+            wait, report = read_wait(answer.headers), read_report(answer.headers)
+            return Looked(
+                what.number, what.worker, outcome, latency, wait=wait, room=report.room, limit=report.limit
+            )
 
         kept = self._take_idle(what.worker, address)
         fresh = kept is None
@@ -280,7 +281,7 @@
         if kept is None:
             kept = self._dial(job, address)
             if kept is None:
-                return _all(what, Outcome.CONNECT_FAILED, begun=False)
+                return ends_of_all(what, Outcome.CONNECT_FAILED, begun=False)
         else:
             job.sock = kept.sock
             count("connections_reused")
@@ -289,12 +290,12 @@
             # It waited behind a dial: what came meanwhile from the registry or the worker binds it.
             count("delegations_withheld")
             self._put_back(what.worker, kept)
-            return _all(what, Outcome.MOOT, begun=False)
+            return ends_of_all(what, Outcome.MOOT, begun=False)
         # What ended meanwhile was told its end: sent on now it would run, and be brought a second time.
         if len(parcels) == len(what.parcels):
             return self._exchange(job, what, kept, fresh)
         count("messages_left_out", len(what.parcels) - len(parcels))
-        ends = {end.message: end for end in _all(what, Outcome.MOOT, begun=False)}
+        ends = {end.message: end for end in ends_of_all(what, Outcome.MOOT, begun=False)}
         ends |= {end.message: end for end in self._exchange(job, replace(what, parcels=parcels), kept, fresh)}
         return tuple(ends.values())
 
@@ -304,7 +305,7 @@
             kept.sock.sendall(_request(what, time.monotonic()))
         except OSError:
             kept.sock.close()
-            return _all(what, Outcome.CONNECT_FAILED)
+            return ends_of_all(what, Outcome.CONNECT_FAILED)
         with self.lock:
             job.progress = Progress.WRITTEN
         try:
@@ -316,7 +317,7 @@
                 log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
             # A first line with 200 has delivered a single message, whatever becomes of the rest.
             whole = len(what.parcels) == 1 and getattr(error, "status", None) == 200
-            return _all(what, Outcome.OK if whole else Outcome.RESET)
+            return ends_of_all(what, Outcome.OK if whole else Outcome.RESET)
         if self.trace is not None:
             headers = f"{answer.headers}"
             self.trace.answered(what.number, fresh, answer.status, answer.close, headers)
@@ -414,10 +415,6 @@
     return what.destination if what.route is None else what.route
 
 
-def _all(what: Delegate, outcome: Outcome, wait: float = 0.0, **more: Any) -> tuple[End, ...]:
-    return tuple(End(p.message, outcome, wait, **more) for p in what.parcels)
-
-
 def _request(what: Delegate, now: float) -> bytes:
     """A call as it is written: a single message, or several in one body."""
     headers = {"X-Time-Left": f"{max(what.deadline - now, 0.001):.3f}"}
@@ -437,105 +434,3 @@
     headers["Content-Type"] = "application/json"
     body = json.dumps(rows, separators=(",", ":")).encode()
     return encode_call("POST", "/receive-many", host, headers, body)
-
-
-def read_wait(headers: dict[str, str]) -> float:
-    """The wait that an answer tells, in seconds."""
-    text = headers.get("retry-after", "0")
-    wait = float(text) if DECIMAL.fullmatch(text) else 0.0
-    return wait if wait <= MOST_WAIT else 0.0
-
-
-def read_json(text: bytes, most_open: int) -> Any:
-    """Decode JSON of so many arrays and objects at most; raises ValueError.
-
-    The decoder goes down in C with each that opens: 128 KiB of stack end before its own limit does.
-    """
-    if text.count(b"{") + text.count(b"[") > most_open:
-        raise ValueError("too many arrays and objects")
-    return json.loads(text)
-
-
-def read_report(headers: dict[str, str]) -> dict[str, Any]:
-    """The load report of an answer, where there is one that makes sense."""
-    text = headers.get("x-backend-load", "").encode("latin-1")
-    if not text:
-        return {}
-    try:
-        given = read_json(text, 1)
-        found = {name: float(given[x]) for name, x in (("room", "x0"), ("limit", "x1")) if x in given}
-        # `x0` is a share of the limit, so within 0 and 1; a limit is a rate.
-        if len(text) <= MOST_REPORT and all(0 <= x < math.inf for x in found.values()) and found.get("room", 0) <= 1:
-            return found
-    except (ValueError, TypeError, OverflowError):
-        pass
-    count("reports_unread")
-    return {}
-
-
-def read_look(answer: Response, fresh: bool = False) -> Outcome:
-    """What a probe's answer says of its worker ('Forwarders to endpoints': 200 or 503)."""
-    match answer.status:
-        case 200:
-            return Outcome.OK
-        case 503 if fresh and answer.close and not read_wait(answer.headers):
-            count("tables_full")
-            return Outcome.CONNECT_FAILED  # no place in its table, as for a call
-        case 503 | 429:
-            return Outcome.FULL
-        case status:
-            count("probes_unknown")
-            log("probe", f"a probe was answered {status}, which is taken as an error")
-            return Outcome.ERROR
-
-
-def read_ends(what: Delegate, answer: Response, fresh: bool = False) -> tuple[End, ...]:
-    """What an answer says of each message of a call ('Forwarders to endpoints'); `fresh`: on a new connection."""
-    wait, more = read_wait(answer.headers), read_report(answer.headers)
-    many = len(what.parcels) > 1
-    match answer.status:
-        case 200 if many:
-            return _each(what, answer, wait, more)
-        case 200:
-            return _all(what, Outcome.OK, wait, **more)
-        case 429:
-            return _all(what, Outcome.FULL, wait, **more)
-        case 503 if answer.headers.get("x-over-slots") == "1":
-            return _all(what, Outcome.MOOT, wait, slots_taken=True, **more)
-        case 503 if fresh and answer.close and wait <= 0:
-            # Over its limit a worker keeps the connection; one that it ends at once had no place in its table.
-            count("tables_full")
-            return _all(what, Outcome.CONNECT_FAILED, table_full=True, **more)
-        case 503:
-            return _all(what, Outcome.FULL, wait, **more)
-        case 504:
-            return _all(what, Outcome.MOOT, wait, **more)
-        case 410:
-            return _all(what, Outcome.MOOT, wait, over=True, **more)
-        case 400 | 413 if many:
-            count("batches_unread")
-            log("worker", f"{what.host}:{what.port} does not take a call of {len(what.parcels)} messages")
-            return _all(what, Outcome.MOOT, wait, **more)
-        case 500:
-            return _all(what, Outcome.ERROR, wait, **more)
-        case status:
-            count("answers_unknown")
-            log("worker", f"{what.host}:{what.port} answered {status}, which is taken as an error")
-            return _all(what, Outcome.ERROR, wait, **more)
-
-
-def _each(what: Delegate, answer: Response, wait: float, more: dict[str, Any]) -> tuple[End, ...]:
-    """The ends of several messages; one that is not named, or not in words we know, may have run."""
-    states: dict[str, tuple[Outcome, bool]] = {}
-    try:
-        for row in read_json(answer.body, 1 + len(what.parcels)):
-            states[row["id"]] = STATES.get(row["state"], (Outcome.ERROR, False))
-    except (ValueError, TypeError, KeyError):
-        states = {}
-        count("answers_unread")
-        log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
-    ends = []
-    for p in what.parcels:
-        outcome, over = states.get(p.call.id, (Outcome.ERROR, False))
-        ends.append(End(p.message, outcome, wait, over=over, **more))
-    return tuple(ends)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,11 +15,12 @@
 
 from juniperward.forwarder import server as server_module
 from juniperward.forwarder import workers as workers_module
+from juniperward.forwarder.answers import read_ends, read_wait
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.messages import Answered, Call, Delegate, End, Event, Handed, Parcel, Progress
 from juniperward.forwarder.server import Client, Server
-from juniperward.forwarder.workers import Job, Kept, Workers, read_ends, read_wait
+from juniperward.forwarder.workers import Job, Kept, Workers
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
 from nickelscale.interface import Outcome
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,11 +13,11 @@
 from unittest import mock
 
 from juniperward.forwarder import registry as registry_module
+from juniperward.forwarder.answers import Report, read_report
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.messages import Event, Heard, Hold, Look, Looked, Wake, WatchFrom, WatchLost
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
-from juniperward.forwarder.workers import read_report
 from nickelscale.benchlink import settings_from
 from nickelscale.interface import Outcome, Phase, Settings
 from tests.helpers import ONCE, settings
@@ -292,10 +292,11 @@
                      '{"x0":NaN,"x1":20}', '{"x0":0.5,"x1":-3}', "[1]", "{"):  # fmt: skip
             with self.subTest(text=text):
                 found = read_report({"x-backend-load": text})
-                self.assertLessEqual(found.get("room", 0.0), 1.0)
-                self.assertGreaterEqual(min(found.values(), default=0.0), 0.0)
-        self.assertEqual(read_report({"x-backend-load": '{"x1":20}'}), {"limit": 20.0})
-        self.assertEqual(read_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), {})
+                told = [x for x in (found.room, found.limit) if x is not None]
+                self.assertLessEqual(found.room or 0.0, 1.0)
+                self.assertGreaterEqual(min(told, default=0.0), 0.0)
+        self.assertEqual(read_report({"x-backend-load": '{"x1":20}'}), Report(limit=20.0))
+        self.assertEqual(read_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), Report())
 
 
 if __name__ == "__main__":
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -11,8 +11,9 @@
 from unittest import mock
 
 from juniperward.forwarder import workers as workers_module
+from juniperward.forwarder.answers import read_wait
 from juniperward.forwarder.messages import Answered, Call, Delegate, Look, Looked, Parcel
-from juniperward.forwarder.workers import Kept, read_wait
+from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from nickelscale.interface import Outcome
 from tests.rigs import WorkerRig
