--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -191,7 +191,7 @@
         if self.size + len(line) > min(max(SLACK, 2 * live), room) and (
             self.size - live >= LEAST_GAIN and self.size + live <= self.disk
         ):
-            self._rewrite()
+            self._rewrite_if_possible()
         if self.size + len(line) > self.disk:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         # A record must not be written on to the rest of one that failed, or both would be lost.
@@ -255,6 +255,15 @@
                 self._note(record, line + b"\n")
         return tuple(ledger.open.values())
 
+    def _rewrite_if_possible(self) -> None:
+        """Rewrite; where that fails the old file stays in use, and the next record may still fit there."""
+        try:
+            self._rewrite()
+        except OSError as error:
+            count("journal_rewrites_failed")
+            log("journal", f"cannot be rewritten, the old file stays in use: {error}")
+            self.fresh.unlink(missing_ok=True)  # it would take the old file's room on the disk
+
     def _rewrite(self) -> None:
         """Write what is not over to a new file and put it in the old one's place."""
         data = b"".join([line for lines in self.live.values() for line in lines])
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -11,6 +11,7 @@
 from juniperward.forwarder.codec import PATH, BadCall, decode_call, encode_reply
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.counters import count, holds, log, trouble
+from juniperward.forwarder.descriptors import MOST_LEAVING
 from juniperward.forwarder.messages import Event, Handed
 from juniperward.net import sockets
 from juniperward.net.http import (
@@ -28,7 +29,6 @@
 CALL = 2.0  # seconds from its first byte in which a later call must be whole
 IDLE = 10.0  # seconds after which a connection that nothing comes on is closed
 SPARE_IDLE, SPARE_SILENT = 0.1, 0.25  # the same where the table is full: after a call, before the first
-LEAVING = 16  # connections that may be on their way out beside a full table
 PATIENCE = 0.35  # seconds for the reducer's answer; the client waits for 0.4
 LINGER = 0.2  # seconds to read on after a refusal, or a reset could overtake it
 LINGER_BYTES = 262144  # nor further than this: some send 60 MB
@@ -69,9 +69,15 @@
     """Owns the listener and every client connection."""
 
     def __init__(
-        self, listen: tuple[str, int], names: Names, most: int, post: Callable[[Event], None]
+        self,
+        listen: tuple[str, int],
+        names: Names,
+        most: int,
+        post: Callable[[Event], None],
+        most_leaving: int = MOST_LEAVING,
     ) -> None:
         self.names, self.most, self.post = names, most, post
+        self.most_leaving = most_leaving  # connections that may be on their way out beside a full table
         self.clients: dict[int, Client] = {}
         self.lock = threading.Lock()
         self.last = 0
@@ -108,7 +114,7 @@
         self.listener.setblocking(False)
         with contextlib.suppress(OSError):
             while True:
-                self._admit(self.listener.accept()[0])
+                self._admit_or_close(self.listener.accept()[0])
         sockets.shut(self.listener)
         self.listener.close()
         if self.accepting.is_alive():
@@ -164,11 +170,14 @@
                     self._spare()  # mostly for want of descriptors
                 time.sleep(0.05)
                 continue
-            try:
-                self._admit(sock)
-            except Exception as error:
-                trouble("listener", error)
-                sock.close()
+            self._admit_or_close(sock)
+
+    def _admit_or_close(self, sock: socket.socket) -> None:
+        try:
+            self._admit(sock)
+        except Exception as error:
+            trouble("listener", error)
+            sock.close()
 
     def _admit(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -176,7 +185,7 @@
             self.last += 1
             client = Client(self.last, sock)
             here = len(self.clients)
-            full = here >= self.most and (here >= self.most + LEAVING or not self._spare())
+            full = here >= self.most and (here >= self.most + self.most_leaving or not self._spare())
             if not full:
                 self.clients[client.number] = client
         count("clients_accepted")
@@ -225,9 +234,9 @@
             trouble("client", error)
             self._write(client, encode_reply(500, 0.0, True, "internal error"))
         finally:
+            client.sock.close()  # before its place is given to another, or both would hold a descriptor
             with self.lock:
                 self.clients.pop(client.number, None)
-            client.sock.close()
 
     def _next(self, client: Client, stream: Stream) -> bool:
         """Read one call and see it answered; whether the connection goes on."""
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -12,6 +12,7 @@
 from juniperward.control.protocol import ControlError
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.counters import count, log, report, trouble
+from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
 from juniperward.forwarder.journal import Journal, take_folder
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.loop import Loop
@@ -19,7 +20,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.reload import Reloader
-from juniperward.forwarder.server import LEAVING, Server
+from juniperward.forwarder.server import Server
 from juniperward.forwarder.trace import Trace
 from juniperward.forwarder.workers import Workers
 from juniperward.kept.spool import Spool
@@ -46,13 +47,15 @@
     loop = Loop(reducer, journal)
     loop.keeper = keeper
     loop.name, loop.started = config.name, loop_started
-    slots = config.settings.slots
-    loop.server = Server(config.listen, config.names, max(config.sockets // 2 - LEAVING, 16), loop.post)
+    if config.sockets < LEAST_SOCKETS:
+        log("start", f"limits: sockets: {config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need")
+    bounds = share_out(config.sockets, config.settings.slots)
+    loop.server = Server(config.listen, config.names, bounds.clients, loop.post, bounds.leaving_clients)
     loop.workers = Workers(
         config.settings.dial_timeout,
         config.settings.keepalive,
-        most_threads=min(2 * slots + 8, max(config.sockets // 4, 8)),
-        most_idle=max(config.sockets // 8, 8),
+        most_threads=bounds.calls,
+        most_idle=bounds.idle_to_endpoints,
         post=loop.post,
         note=journal.append,
         longest=max(c.deadline for c in config.settings.classes),
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -333,7 +333,12 @@
         return read_ends(what, answer, fresh)
 
     def _dial(self, job: Job, address: tuple[str, int]) -> Kept | None:
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        try:
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        except OSError as error:  # for want of descriptors: nothing of the call was written, so it has not run
+            count("dials_failed")
+            log("dial", f"no socket for worker {address[0]}:{address[1]}: {error}")
+            return None
         job.sock = sock
         left = min(self.dial_timeout, job.what.deadline - time.monotonic())
         try:
--- /dev/null
+++ b/tests/test_descriptors.py
@@ -0,0 +1,282 @@
+"""Idle clients may fill their share of the file descriptors; the watch, notices, journal and calls keep theirs."""
+
+from __future__ import annotations
+
+import os
+import queue
+import re
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import threading
+import time
+import unittest
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from juniperward.forwarder.counters import counters
+from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
+from juniperward.forwarder.journal import FRESH, Journal
+from juniperward.forwarder.messages import Answered, Call, Delegate, End, Over, Parcel, Taken
+from juniperward.net import sockets
+from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
+from juniperward.standins.partners import Partner, PartnerSpec
+from juniperward.standins.records import Called, Noticed, Recorder, Told
+from juniperward.standins.registry import Registry
+from nickelscale.interface import Outcome
+from tests.player import ROOT, Program
+from tests.rigs import WorkerRig
+
+WAIT = 20.0
+NO_DESCRIPTOR = OSError(24, "Too many open files")
+
+
+class ShareTest(unittest.TestCase):
+    def test_all_uses_together_fit_into_any_limit(self) -> None:
+        # Guards settings other than the site's: of 64 sockets, clients, calls and idle connections were given 56.
+        for limit in range(LEAST_SOCKETS, 4096):
+            for slots in (1, 4, 1000):
+                b = share_out(limit, slots)
+                shared = b.clients + b.leaving_clients + b.calls + b.idle_to_endpoints
+                self.assertLessEqual(shared + RESERVED, limit, f"{limit}: {b}")
+                self.assertGreaterEqual(min(b.clients, b.leaving_clients, b.calls, b.idle_to_endpoints), 1)
+
+    def test_the_usual_limits_are_shared_out_in_eighths(self) -> None:
+        for limit in (256, 1024):
+            b = share_out(limit, 1000)
+            self.assertEqual((b.clients, b.leaving_clients), (limit // 2 - 16, 16))
+            self.assertEqual((b.calls, b.idle_to_endpoints), (limit // 4, limit // 8))
+        self.assertEqual(share_out(256, 4).calls, 16)  # twice the slots and 8
+
+
+class DialTest(WorkerRig):
+    __test__ = True
+
+    def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
+        # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
+        message = Call("m0", 0, 0, 7, 9.0, None, b"")
+        with mock.patch("juniperward.forwarder.workers.socket.socket", side_effect=NO_DESCRIPTOR):
+            self.workers.delegate(Delegate(1, 3, "127.0.0.1", self.port, 7, (Parcel(0, message),), 1e12, "s-3"))
+            event = self.events.get(timeout=5.0)
+        assert isinstance(event, Answered)
+        self.assertEqual(event.ends, (End(0, Outcome.CONNECT_FAILED, begun=False),))
+
+
+class RewriteTest(unittest.TestCase):
+    def test_a_record_is_written_where_a_rewrite_fails(self) -> None:
+        # Guards a moment without descriptors: the record that asked for a rewrite was lost with it, though it fitted.
+        with tempfile.TemporaryDirectory() as name:
+            folder = Path(name)
+            journal = Journal(folder, 1_000_000, 0.0)
+            self.addCleanup(journal.close)
+            before = counters().get("journal_rewrites_failed", 0)
+            with mock.patch.object(Journal, "_rewrite", side_effect=NO_DESCRIPTOR):
+                (folder / FRESH).write_bytes(b"a part of it")
+                for n in range(60):
+                    journal.append(Taken(Call(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
+                    if n:
+                        journal.append(Over(f"m{n}"))
+            self.assertGreater(counters().get("journal_rewrites_failed", 0), before)
+            self.assertFalse((folder / FRESH).exists())
+            again = Journal(folder, 1_000_000, 0.0)
+            self.addCleanup(again.close)
+            self.assertEqual([r.call.id for r in again.restored()], ["m0"])
+
+
+class LimitedProgram(Program):
+    """The forwarder under a limit on its descriptors."""
+
+    def __init__(self, folder: Path, descriptors: int, sockets_setting: int) -> None:
+        super().__init__(folder)
+        self.descriptors = descriptors
+        self.config["limits"]["sockets"] = sockets_setting
+        self.output = folder / "output"
+
+    def spawn(self) -> subprocess.Popen[bytes]:
+        limited = [sys.executable, "-c", LIMIT_AND_RUN, str(self.descriptors)]
+        with mock.patch("tests.player.subprocess.Popen", self._popen_of(limited)):
+            return super().spawn()
+
+    @staticmethod
+    def _popen_of(first: list[str]) -> Callable[..., subprocess.Popen[bytes]]:
+        popen = subprocess.Popen
+
+        def start(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
+            return popen([*first, *command], **options)
+
+        return start
+
+
+LIMIT_AND_RUN = """
+import os, resource, sys
+limit = int(sys.argv[1])
+resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+os.execv(sys.argv[2], sys.argv[2:])
+"""
+
+
+class RestingClients:
+    """Clients that connect, and rest until they are shut; then they come again, until `close`."""
+
+    def __init__(self, address: tuple[str, int], count: int) -> None:
+        self.address, self.count = address, count
+        self.socks: list[socket.socket] = []
+        self.shut = 0  # how many were ended by the forwarder
+        self.full = threading.Event()  # so many have been open at once
+        self.closing = threading.Event()
+        self.thread = threading.Thread(target=self._run)
+        self.thread.start()
+
+    def _run(self) -> None:
+        while not self.closing.is_set():
+            resting = [s for s in self.socks if sockets.quiet(s)]
+            for sock in set(self.socks) - set(resting):
+                self.shut += 1
+                sock.close()
+            self.socks = resting
+            while len(self.socks) < self.count and not self.closing.is_set():
+                try:
+                    sock = socket.create_connection(self.address, 1.0)
+                except OSError:
+                    break
+                sock.setblocking(False)
+                self.socks.append(sock)
+            if len(self.socks) >= self.count:
+                self.full.set()
+            self.closing.wait(0.02)
+
+    def close(self) -> None:
+        self.closing.set()
+        self.thread.join(WAIT)
+        for sock in self.socks:
+            sock.close()
+
+
+class IdleClientsTest(unittest.TestCase):
+    """A real process, its descriptors limited, with clients that fill them while discovery is down."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
+        self.recorder = Recorder()
+        self.registry = Registry(self.recorder)
+        self.addCleanup(self.registry.close)
+        self.partner = Partner(PartnerSpec(7, latency=0.01), self.recorder, 1)
+        self.addCleanup(self.partner.close)
+        self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
+        self.output: list[str] = []
+        self.serial = 0
+
+    def start(self, descriptors: int, sockets_setting: int = 256) -> LimitedProgram:
+        program = LimitedProgram(self.folder, descriptors, sockets_setting)
+        self.addCleanup(program.close)
+        program.config["discovery"] = self.registry.door("n0")
+        self.registry.put(*self.partner.start())
+        program.start()
+        assert program.process is not None and program.process.stderr is not None
+        self.reader = threading.Thread(target=self._read, args=(program.process.stderr,))
+        self.reader.start()
+        self.until(lambda: any(isinstance(r, Told) for r in self.recorder.records), "the list is told")
+        return program
+
+    def _read(self, stream: Any) -> None:
+        for line in stream:
+            self.output.append(line.decode())
+            self.lines.put(line.decode())
+
+    def until(self, holds: Callable[[], bool], what: str) -> None:
+        end = time.monotonic() + WAIT
+        while not holds():
+            self.assertLess(time.monotonic(), end, f"{what}: not within {WAIT} s; {self.output[-5:]}")
+            time.sleep(0.01)
+
+    def counters(self, program: Program) -> dict[str, int]:
+        assert program.process is not None
+        program.process.send_signal(signal.SIGUSR1)
+        while "counters:" not in (line := self.lines.get(timeout=WAIT)):
+            pass
+        return {name: int(value) for name, value in re.findall(r"(\w+)=(\d+)", line)}
+
+    def hand_in(self, program: Program, left: float = 10.0, size: int = 100) -> str:
+        """One message, handed in on new connections until it is accepted; its id."""
+        end = time.monotonic() + WAIT
+        while time.monotonic() < end:
+            self.serial += 1
+            name = f"{self.serial:016x}"
+            headers = {
+                "X-Correlation-Id": name, "X-Service-Class": "booking-update", "X-Account": "acme",
+                "X-Addressing": "dest=7", "X-Time-Left": f"{left}", "Idempotency-Key": f"k{name}",
+            }  # fmt: skip
+            try:
+                with socket.create_connection(program.address, 1.0) as sock:
+                    sock.sendall(encode_call("POST", "/api", "n0", headers, b"x" * size))
+                    status = read_response(Stream(sock.recv)).status
+            except (OSError, Broken, Closed, Malformed):
+                continue  # shut unread: it comes again
+            if status == 202:
+                return name
+            self.assertEqual(status, 503)
+        raise AssertionError(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
+
+    def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
+        program = self.start(256)
+        before = self.counters(program)
+        self.registry.outage(True)
+        clients = RestingClients(program.address, 300)
+        self.addCleanup(clients.close)
+        self.assertTrue(clients.full.wait(WAIT))
+        self.until(lambda: clients.shut > 0, "the table is full")
+        delivered = [self.hand_in(program, size=6000) for _ in range(16)]
+        self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
+        self.partner.trouble("down")
+        undelivered = self.hand_in(program, left=1.5)
+        self.registry.outage(False)
+        back_at = time.monotonic()
+        self.until(lambda: undelivered in self.noticed(), "the notice is handed over")
+        watches = before["watches_begun"]
+        self.until(lambda: self.counters(program)["watches_begun"] > watches, "the watch is opened again")
+        self.assertLess(time.monotonic() - back_at, WAIT)
+        after = self.counters(program)
+        self.assertGreater(after["journal_rewrites"], before["journal_rewrites"])
+        for fault in ("accepts_failed", "journal_failures", "journal_rewrites_failed", "unexpected_errors"):
+            self.assertNotIn(fault, after)
+        self.assertNotIn("Too many open files", "".join(self.output))
+        assert program.process is not None
+        self.assertLessEqual(len(os.listdir(f"/proc/{program.process.pid}/fd")), 256)
+
+    def test_a_listener_without_descriptors_goes_on(self) -> None:
+        # The process is given fewer than its settings say: accepting fails, costs little, and comes back.
+        program = self.start(48)
+        clients = RestingClients(program.address, 100)
+        self.addCleanup(clients.close)
+        self.until(lambda: self.counters(program).get("accepts_failed", 0) >= 3, "accepting fails")
+        began, failed = time.monotonic(), self.counters(program)["accepts_failed"]
+        self.until(lambda: self.counters(program)["accepts_failed"] >= failed + 10, "accepting goes on")
+        more = self.counters(program)["accepts_failed"] - failed
+        self.assertLessEqual(more, (time.monotonic() - began) / 0.05 + 1, "it spins")
+        clients.close()
+        name = self.hand_in(program)
+        self.until(lambda: name in self.called(), "the endpoint is called")
+
+    def called(self) -> set[str]:
+        return {name for r in self.recorder.records if isinstance(r, Called) for name in r.ids}
+
+    def noticed(self) -> set[str]:
+        return {r.id for r in self.recorder.records if isinstance(r, Noticed)}
+
+
+class LimitTest(unittest.TestCase):
+    def test_the_rig_limits_the_process(self) -> None:
+        code = "import resource; print(resource.getrlimit(resource.RLIMIT_NOFILE)[0])"
+        self.assertNotEqual(resource.getrlimit(resource.RLIMIT_NOFILE)[0], 77)
+        done = subprocess.run(
+            [sys.executable, "-c", LIMIT_AND_RUN, "77", sys.executable, "-c", code],
+            cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=WAIT, check=True,
+        )  # fmt: skip
+        self.assertEqual(done.stdout.strip(), "77")
