--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -10,9 +10,11 @@
 from typing import TYPE_CHECKING
 
 from juniperward.control.protocol import ControlError
+from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.counters import count, log, report, trouble
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
+from juniperward.forwarder.journal import NAME as JOURNAL_NAME
 from juniperward.forwarder.journal import Journal, take_folder
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.loop import Loop
@@ -37,11 +39,13 @@
 def build(config: Config) -> Loop:
     """Put the parts together; the journal is replayed and nothing runs yet."""
     loop_started = time.time()
-    journal = Journal(config.state, config.disk_bytes, time.time() - time.monotonic())
+    to_unix = time.time() - time.monotonic()
+    journal_to_unix = carry_over(config.state, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
+    journal = Journal(config.state, config.disk_bytes, journal_to_unix)
     keeper = None
     if config.spool is not None:
         spool = Spool(config.spool, config.spool_bytes)
-        keeper = Keeper(spool, config.settings, config.names, journal.to_unix)
+        keeper = Keeper(spool, config.settings, config.names, to_unix)
     kept = frozenset(keeper.spool.ids) if keeper is not None else frozenset()
     reducer = Reducer(config.settings, config.seed, keeper is not None, kept)
     loop = Loop(reducer, journal)
--- /dev/null
+++ b/tests/test_repeat_window.py
@@ -0,0 +1,248 @@
+"""Repeat windows and deadlines across a kill, with wall clocks a second apart: no repeat after its window."""
+
+from __future__ import annotations
+
+import copy
+import json
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+import unittest
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from juniperward.forwarder.clock import (
+    CLOCK_ERROR_S,
+    LARGEST_STEP_S,
+    REFERENCE_NAME,
+    carry_over,
+    read_boot_id,
+)
+from juniperward.forwarder.journal import NAME, Journal
+from juniperward.forwarder.messages import Began, Call, Delegate, Heard, Notify, Replayed, Restored, Taken
+from juniperward.forwarder.reducer import Reducer
+from juniperward.net.http import Stream, encode_call, read_response
+from juniperward.standins.partners import Partner, PartnerSpec
+from juniperward.standins.records import Called, Noticed, Recorder
+from juniperward.standins.registry import Registry
+from nickelscale.interface import Effect, MessageClass
+from tests.helpers import settings
+from tests.player import SETTINGS, Program
+from tests.test_reducer import ReducerRig, worker
+
+WAIT = 20.0
+BOOT, OTHER_BOOT = "8b6c", "90f1"
+OFFSET = 1000.0  # from the monotonic clock to Unix time, as the first process sees it
+WINDOW = 1.0
+SHORT_WINDOW = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=WINDOW)
+
+
+class FolderTest(unittest.TestCase):
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
+
+    def carry(self, to_unix: float, boot: str = BOOT) -> float:
+        return carry_over(self.folder, to_unix, boot, NAME)
+
+    def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
+        """The journal as the process opens it at its start."""
+        journal = Journal(self.folder, 100_000, self.carry(to_unix, boot))
+        self.addCleanup(journal.close)
+        return journal
+
+
+class ReferenceTest(FolderTest):
+    def test_an_empty_folder_counts_by_the_clock_as_it_is(self) -> None:
+        self.assertEqual(self.carry(OFFSET), OFFSET)
+
+    def test_a_clock_that_stepped_back_goes_on_as_before(self) -> None:
+        self.journal(OFFSET)
+        self.assertEqual(self.carry(OFFSET - 1.0), OFFSET)
+        self.assertEqual(self.carry(OFFSET - 1.0), OFFSET)  # also for what the third process finds
+
+    def test_a_clock_that_stepped_ahead_counts(self) -> None:
+        self.journal(OFFSET)
+        self.assertEqual(self.carry(OFFSET + 1.0), OFFSET + 1.0)
+        self.assertEqual(self.carry(OFFSET), OFFSET + 1.0)
+
+    def test_a_journal_without_a_reference_of_this_boot_counts_as_older(self) -> None:
+        self.journal(OFFSET)
+        whole = (self.folder / REFERENCE_NAME).read_text()
+        cases = {
+            "of another boot": json.dumps([OTHER_BOOT, OFFSET]),
+            "cut off": whole[:-3],
+            "not a pair": "17",
+            "no number": json.dumps([BOOT, "soon"]),
+            "not finite": json.dumps([BOOT, float("nan")]),
+            "of another clock": json.dumps([BOOT, OFFSET + LARGEST_STEP_S + 1.0]),
+        }
+        for name, text in cases.items():
+            with self.subTest(name):
+                (self.folder / REFERENCE_NAME).write_text(text)
+                self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)
+        (self.folder / REFERENCE_NAME).unlink()  # an older version wrote none
+        self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)
+        self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)  # what is still there keeps its age
+
+    def test_a_boot_without_an_id_tells_nothing(self) -> None:
+        self.journal(OFFSET, boot="")
+        self.assertEqual(self.carry(OFFSET, boot=""), OFFSET + CLOCK_ERROR_S)
+
+    def test_a_reference_that_cannot_be_written_is_no_reason_not_to_start(self) -> None:
+        with mock.patch("juniperward.forwarder.clock.os.replace", side_effect=OSError(28, "No space left")):
+            self.assertEqual(self.carry(OFFSET), OFFSET)
+
+    def test_the_machine_has_a_boot_id(self) -> None:
+        self.assertRegex(read_boot_id(), r"[0-9a-f-]{36}")
+        with mock.patch("juniperward.forwarder.clock.BOOT_ID", self.folder / "none"):
+            self.assertEqual(read_boot_id(), "")
+
+
+class KillTest(FolderTest, ReducerRig):
+    """What the next process decides on the journal of a killed one; times are of the monotonic clock."""
+
+    def restart(self, now: float, to_unix: float, boot: str = BOOT) -> list[Any]:
+        """The effects of a start at `now` over the folder."""
+        restored = self.journal(to_unix, boot).restored()
+        self.assertEqual(len(restored), 1)
+        return self.replay(now, restored)
+
+    def replay(self, now: float, restored: tuple[Restored, ...]) -> list[Any]:
+        self.reducer = Reducer(settings(SHORT_WINDOW), 1)
+        self.now = now
+        self.do(Heard(41, True, (worker(),), known=True))
+        return self.do(Replayed(restored))
+
+    def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
+        """A process that accepted a message, maybe began a call, and was killed."""
+        journal = self.journal(to_unix)
+        journal.append(Taken(Call("a", 0, 0, 1, 20.0, "k", b""), expires))
+        if began_at is not None:
+            journal.append(Began("a", began_at, "s-1"))
+
+    def test_no_repeat_once_the_window_is_over(self) -> None:
+        for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
+            with self.subTest(step):
+                (self.folder / NAME).unlink(missing_ok=True)
+                self.leave(began_at=100.0)
+                effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
+                self.assertEqual(self.only(effects, Delegate), [])
+                self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
+
+    def test_a_repeat_within_the_window_still_goes(self) -> None:
+        for step in (-1.0, 0.0):
+            with self.subTest(step):
+                (self.folder / NAME).unlink(missing_ok=True)
+                self.leave(began_at=100.0)
+                (sent,) = self.only(self.restart(100.6, OFFSET + step), Delegate)
+                (parcel,) = sent.parcels
+                self.assertLess(parcel.until, 100.0 + WINDOW)
+
+    def test_no_repeat_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
+        # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
+        self.leave(began_at=1500.0, expires=1600.0)
+        effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
+        self.assertEqual(self.only(effects, Delegate), [])
+
+    def test_no_repeat_two_kills_later(self) -> None:
+        # The second process saw the clock a second behind, and left the first one's records as they were.
+        self.leave(began_at=100.0)
+        self.journal(OFFSET - 1.0)
+        effects = self.restart(100.0 + WINDOW + 0.001, OFFSET - 1.0)
+        self.assertEqual(self.only(effects, Delegate), [])
+
+    def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
+        self.leave(began_at=None, expires=105.0)
+        (sent,) = self.only(self.restart(101.0, OFFSET - 1.0), Delegate)
+        self.assertAlmostEqual(sent.deadline, 105.0)
+        effects = self.restart(105.5, OFFSET - 1.0)
+        self.assertEqual(self.only(effects, Delegate), [])
+        self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
+
+
+class SteppedProgram(Program):
+    """The forwarder as a process whose wall clock is so many seconds off."""
+
+    step = 0.0
+
+    def spawn(self) -> subprocess.Popen[bytes]:
+        popen = subprocess.Popen
+
+        def start(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
+            return popen([sys.executable, "-c", STEP_AND_RUN, str(self.step)], **options)
+
+        with mock.patch("tests.player.subprocess.Popen", start):
+            return super().spawn()
+
+
+STEP_AND_RUN = """
+import runpy, sys, time
+wall, step = time.time, float(sys.argv.pop(1))
+time.time = lambda: wall() + step
+runpy.run_module("juniperward", run_name="__main__")
+"""
+
+
+class ProcessTest(unittest.TestCase):
+    def test_no_repeat_after_its_window_across_a_kill(self) -> None:
+        for step in (-1.0, 1.0):
+            with self.subTest(step):
+                self.play(step)
+
+    def play(self, step: float) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        recorder = Recorder()
+        registry = Registry(recorder)
+        self.addCleanup(registry.close)
+        partner = Partner(PartnerSpec(7, workers=1), recorder, 1)
+        self.addCleanup(partner.close)
+        entries = partner.start()
+        registry.put(*entries)
+        partner.trouble("silent")
+        short = copy.deepcopy(SETTINGS)
+        short["Services"][0]["WindowMs"] = WINDOW * 1000
+        program = SteppedProgram(Path(folder.name), short)
+        self.addCleanup(program.close)
+        program.config["discovery"] = registry.door("n0")
+        known = program.config["known"]["servers"]
+        known[:] = [{**known[0], "id": entries[0].id, "addr": entries[0].address}]
+        program.start()
+        self.hand_in(program)
+        calls = [r for r in self.wait_for(recorder, Called) if isinstance(r, Called)]
+        assert program.process is not None
+        program.process.send_signal(signal.SIGKILL)
+        program.process.wait(WAIT)
+        while (left := calls[0].at + WINDOW - time.monotonic()) > 0:  # real time has to pass: the window's end
+            time.sleep(left)
+        program.end()
+        program.step = step
+        program.start()
+        self.wait_for(recorder, Noticed)
+        self.assertEqual(sum(isinstance(r, Called) for r in recorder.records), 1)
+
+    def hand_in(self, program: Program) -> None:
+        headers = {
+            "X-Correlation-Id": "m0", "X-Service-Class": "booking-update", "X-Account": "acme",
+            "X-Addressing": "dest=7", "X-Time-Left": "20", "Idempotency-Key": "k0",
+        }  # fmt: skip
+        with socket.create_connection(program.address, WAIT) as sock:
+            sock.sendall(encode_call("POST", "/api", "n0", headers, b"body"))
+            self.assertEqual(read_response(Stream(sock.recv)).status, 202)
+
+    def wait_for(self, recorder: Recorder, kind: type[Any]) -> list[Any]:
+        return self._until(lambda: [r for r in recorder.records if isinstance(r, kind)])
+
+    def _until(self, found: Callable[[], list[Any]]) -> list[Any]:
+        end = time.monotonic() + WAIT
+        while not (records := found()):
+            self.assertLess(time.monotonic(), end, "nothing comes")
+            time.sleep(0.01)
+        return records
