--- a/juniperward/rigs/all.py
+++ b/juniperward/rigs/all.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from juniperward.rigs import agreement, capacity, cost, measure, measure_kept, sizes
+from juniperward.rigs import agreement, capacity, cost, measure, measure_kept, sizes, starts
 
 ALL: dict[str, Callable[..., bool]] = {
     "rolls": measure.rolls, "chaos": measure.chaos, "status": measure.status, "flood": measure.flood,
-    "starts": measure.starts, "kept": measure_kept.acceptance, "keeping": measure_kept.keeping,
+    "starts": starts.starts, "kept": measure_kept.acceptance, "keeping": measure_kept.keeping,
     "store": measure_kept.store, "capacity": capacity.capacity,
     "agreement": agreement.agreement, "cost": cost.cost, "sizes": sizes.sizes,
 }  # fmt: skip
--- a/juniperward/rigs/measure.py
+++ b/juniperward/rigs/measure.py
@@ -27,7 +27,6 @@
 from juniperward.fleet.model import Process
 from juniperward.rigs.yard import ROOT, Yard, machine
 from juniperward.standins.checker import Verdict
-from juniperward.standins.clients import ready
 from juniperward.standins.partners import PartnerSpec
 
 PARTNERS = [
@@ -366,45 +365,3 @@
             sock.sendall(encode_request(Request(1, Verb.COUNTERS)))
 
     _attack(path, end, act)
-
-
-def starts(seed: int, out: Path, times: int = 15) -> bool:
-    """From a forwarder's start to its ready page, and its memory then, without and with a control channel."""
-    report = Report("A forwarder's start", f"juniperward measure starts --seed {seed}", seed)
-    rows: list[Row] = []
-    with tempfile.TemporaryDirectory(prefix="jw-") as name, Yard(Path(name), 1, PARTNERS[:2], seed) as yard:
-        import json
-
-        door = yard.registry.door("n0")
-        listen = "{}:{}".format(*yard.addresses["n0"])
-        results: dict[str, tuple[list[float], list[float]]] = {"without": ([], []), "with": ([], [])}
-        for n in range(times):
-            for kind, (taken, memory) in results.items():
-                state = Path(name) / f"s{kind}{n}"
-                state.mkdir()
-                config = {**yard.base, "name": "n0", "listen": listen, "discovery": door, "seed": "1",
-                          "state": str(state), "known": {"version": 0, "full": True, "servers": []}}  # fmt: skip
-                if kind == "with":
-                    config["control"] = str(Path(name) / "ctl" / "n0")
-                file = Path(name) / "one.json"
-                file.write_text(json.dumps(config))
-                began = time.monotonic()
-                child = subprocess.Popen(
-                    [sys.executable, "-O", "-m", "juniperward"], cwd=ROOT, stderr=subprocess.DEVNULL,
-                    env={**os.environ, "ROUTER_CONFIG": str(file)},
-                )  # fmt: skip
-                while not ready(yard.addresses["n0"]):
-                    time.sleep(0.002)
-                taken.append(time.monotonic() - began)
-                memory.append(processes.usage(child.pid)[1] / 2**20)
-                child.kill()
-                child.wait()
-        for kind, (taken, memory) in results.items():
-            rows.append([
-                f"{kind} a control channel", f"{statistics.median(taken):.3f}", f"{max(taken):.3f}",
-                f"{statistics.median(memory):.1f}",
-            ])  # fmt: skip
-    report.table(["forwarder", "ready after, median s", "worst s", "resident MiB"], rows)
-    report.write(out / "starts.md")
-    return True
-
--- /dev/null
+++ b/tests/test_mass_restart.py
@@ -0,0 +1,81 @@
+"""Forty forwarders restarted at once over full folders while discovery is away: ready in time, no message lost."""
+
+from __future__ import annotations
+
+import json
+import tempfile
+import time
+import unittest
+from pathlib import Path
+
+from juniperward.rigs.start_parts import Parts
+from juniperward.rigs.starts import Fleet, dead_address, start_all
+from juniperward.rigs.yard import BASE
+from juniperward.standins.partners import Partner, PartnerSpec
+from juniperward.standins.records import Effect, Noticed, Recorder
+from juniperward.standins.registry import Registry
+
+FORWARDERS = 40
+READY_WITHIN_S = 10.0
+OVER_WITHIN_S = 40.0
+DISK_MB = 0.06  # some thirty messages fill it
+
+
+class MassRestartTest(unittest.TestCase):
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
+        self.recorder = Recorder()
+
+    def test_forty_at_once_are_ready_in_time_and_lose_nothing(self) -> None:
+        partner = Partner(PartnerSpec(1, "booking-sites", workers=4, latency=0.005, batch=20), self.recorder, 1)
+        self.addCleanup(partner.close)
+        registry = Registry(self.recorder)
+        self.addCleanup(registry.close)
+        discovery = registry.door("fleet")
+        registry.outage(True)
+        servers = [
+            {"id": e.id, "addr": e.address, "zone": "aluva", "kind": e.kind, "cell": 1, "state": "Ready",
+             "weight": 0.0, "started_ms": 0}
+            for e in partner.start()
+        ]  # fmt: skip
+        registry.put(*partner.entries())
+        base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB, "sockets": 128}}
+        fleet = Fleet(self.folder, base, discovery, servers)
+        self.addCleanup(fleet.close)
+        names = [f"n{n}" for n in range(FORWARDERS)]
+        accepted = {message for name in names for message in fleet.fill(name)}
+        self.assertGreater(len(accepted), 20 * FORWARDERS)
+        taken = sorted(t for t, _ in start_all(fleet, names))
+        self.assertLess(taken[-1], READY_WITHIN_S, f"median {taken[len(taken) // 2]:.2f} s")
+        registry.outage(False)
+        end = time.monotonic() + OVER_WITHIN_S
+        while (left := accepted - self.over()) and time.monotonic() < end:
+            time.sleep(0.05)
+        self.assertEqual(left, set())
+        effects = [r.id for r in self.recorder.records if isinstance(r, Effect)]
+        self.assertEqual(len(effects), len(set(effects)))
+        self.assertGreater(len(effects), len(accepted) // 2)
+
+    def over(self) -> set[str]:
+        return {r.id for r in self.recorder.records if isinstance(r, Effect | Noticed)}
+
+    def test_the_parts_of_a_start_are_told_and_sum_up_to_it(self) -> None:
+        # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
+        base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB}}
+        fleet = Fleet(self.folder, base, dead_address(), command=("-m", "juniperward.rigs.start_parts"))
+        self.addCleanup(fleet.close)
+        fleet.fill("n0")
+        ((taken, parts),) = start_all(fleet, ["n0"])
+        order = ["interpreter", "imports", "signals", "configuration", "folder", "journal read", "messages restored"]
+        self.assertEqual(list(parts), [*order, "listening"])
+        self.assertLess(sum(wall for wall, _ in parts.values()), taken)
+        self.assertGreater(sum(cpu for _, cpu in parts.values()), 0.0)
+
+    def test_a_mark_takes_all_since_the_one_before(self) -> None:
+        parts = Parts(time.monotonic() - 1.0)
+        parts.mark("first")
+        parts.marked(json.loads, "second", "third")("1")
+        self.assertEqual(list(parts.parts), ["interpreter", "first", "second", "third"])
+        self.assertGreaterEqual(min(wall for wall, _ in parts.parts.values()), 0.0)
