--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -10,8 +10,11 @@
 from typing import TYPE_CHECKING
 
 from juniperward.control.protocol import ControlError
+from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.counters import count, log, report, trouble
+from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
+from juniperward.forwarder.journal import NAME as JOURNAL_NAME
 from juniperward.forwarder.journal import Journal, take_folder
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.loop import Loop
@@ -19,7 +22,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.reload import Reloader
-from juniperward.forwarder.server import LEAVING, Server
+from juniperward.forwarder.server import Server
 from juniperward.forwarder.trace import Trace
 from juniperward.forwarder.workers import Workers
 from juniperward.kept.spool import Spool
@@ -36,23 +39,27 @@
 def build(config: Config) -> Loop:
     """Put the parts together; the journal is replayed and nothing runs yet."""
     loop_started = time.time()
-    journal = Journal(config.state, config.disk_bytes, time.time() - time.monotonic())
+    to_unix = time.time() - time.monotonic()
+    journal_to_unix = carry_over(config.state, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
+    journal = Journal(config.state, config.disk_bytes, journal_to_unix)
     keeper = None
     if config.spool is not None:
         spool = Spool(config.spool, config.spool_bytes)
-        keeper = Keeper(spool, config.settings, config.names, journal.to_unix)
+        keeper = Keeper(spool, config.settings, config.names, to_unix)
     kept = frozenset(keeper.spool.ids) if keeper is not None else frozenset()
     reducer = Reducer(config.settings, config.seed, keeper is not None, kept)
     loop = Loop(reducer, journal)
     loop.keeper = keeper
     loop.name, loop.started = config.name, loop_started
-    slots = config.settings.slots
-    loop.server = Server(config.listen, config.names, max(config.sockets // 2 - LEAVING, 16), loop.post)
+    if config.sockets < LEAST_SOCKETS:
+        log("start", f"limits: sockets: {config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need")
+    bounds = share_out(config.sockets, config.settings.slots)
+    loop.server = Server(config.listen, config.names, bounds.clients, loop.post, bounds.leaving_clients)
     loop.workers = Workers(
         config.settings.dial_timeout,
         config.settings.keepalive,
-        most_threads=min(2 * slots + 8, max(config.sockets // 4, 8)),
-        most_idle=max(config.sockets // 8, 8),
+        most_threads=bounds.calls,
+        most_idle=bounds.idle_to_endpoints,
         post=loop.post,
         note=journal.append,
         longest=max(c.deadline for c in config.settings.classes),
