--- a/nickelscale/rules.py
+++ b/nickelscale/rules.py
@@ -44,8 +44,9 @@
 HEALTHY_CAP, SICK_CAP = 0.75, 0.5  # share of the slots that one destination may fill (design)
 PACE_CUT, PACE_FLOOR, PACE_STEP = 0.5, 1.0, 1.0  # pace: cut, floor (calls/s), growth a second (design)
 PACE_LISTED, PACE_RISE = 0.9, 0.2  # x this sender's share of the listed rate: least pace, growth a second
-PACE_SLOW = 0.02  # of many: first growth a second x the share, doubling with each second
+PACE_SLOW = 0.02  # of many: first growth a second x the share, doubling with each second of RATE_MEMORY
 PACE_LEAST = 2.0  # calls within a message's time that the pace leaves at least
+ROOM_AGE = 2.0  # seconds of refusals after which a told room is surely not from before them
 ROOM_LOW = 0.2  # share of a told limit left under which it counts as used up
 FEW_NODES = 5  # up to so many nodes each takes the design's figures whole
 IDLE_DROP = 60.0  # state idle for so long is dropped (design)
@@ -66,7 +67,7 @@
 LOST_TIMES = 2.0  # x the overdue limit after which a call that later ones overtook is called off
 LAST_TIMES = 3.0  # x the overdue limit before a call is given up whose message must then fail
 RETRY_FIRST, RETRY_MOST = 0.2, 2.0  # seconds before a message's next attempt, doubling
-ASK_FIRST, ASK_MOST = 0.5, 4.0  # seconds before the list is asked for again, doubling
+ASK_FIRST, ASK_MOST = 0.5, 1.4  # seconds from ask to ask for the list, doubling; first: at least between two
 EARLY = 0.7  # part of its time before which a message that surely has not run is not given up
 FULL_SHARE = 0.95  # share of max_open held at which the least worth is refused
 KEEP_CUT, KEEP_RISE = 0.5, 1.1  # an idle connection's time: at a full table, with each call answered
@@ -96,7 +97,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.set = settings
         self.random = random.Random(seed)
-        self.now = 0.0
+        self.now = self.asked_at = 0.0
         self.out: list[Action] = []
         self.messages: dict[int, Message] = {}
         self.held = self.came = 0
@@ -111,6 +112,7 @@
         self.seq = self.token = self.calls = 0  # calls: serial of the latest
         self.due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self.ask_wait = ASK_FIRST
+        self.least_deadline = min(c.deadline for c in settings.classes)
         self.quantum = QUANTUM * min(c.aim for c in settings.classes)
         self.most = max(c.aim for c in settings.classes)  # of a deficit, and of a time that shows silence
         if settings.on_request:
@@ -147,8 +149,7 @@
         value = cls.worth
         if self._over_share(e.tenant):
             value *= self.set.over_share_worth
-        self.seq += 1
-        self.came += 1
+        self.seq, self.came = self.seq + 1, self.came + 1
         key = e.key if cls.in_order else None
         m = Message(e.message, cls, e.cls, dest, key, self.now + e.budget, value, self.seq)
         m.aim_at = m.expires - cls.deadline + cls.aim
@@ -217,17 +218,16 @@
 
     def _listed(self, e: Listed) -> None:
         if e.scope is ListScope.FAILED:
-            # A broken watch or a failed call: ask again, spaced, or list news would stop for good.
-            self._at(self.now + self.ask_wait * self.random.uniform(0.75, 1.25), self._watch)
+            # A broken watch or a failed call: ask again, spaced from begin to begin; its time was a wait too.
+            wait = max(ASK_FIRST, self.asked_at + self.ask_wait - self.now)
+            self._at(self.now + wait * self.random.uniform(0.75, 1.25), self._watch)
             self.ask_wait = min(2 * self.ask_wait, ASK_MOST)
             return
-        if e.scope is not ListScope.CACHED:
-            self.ask_wait = ASK_FIRST
+        self.ask_wait = self.ask_wait if e.scope is ListScope.CACHED else ASK_FIRST
         if e.scope is not ListScope.DELTA:
             named = {x.endpoint for x in e.entries}
-            for ep in self.endpoints.values():
-                if ep.id not in named:
-                    ep.phase = Phase.GONE
+            for ep in [x for x in self.endpoints.values() if x.id not in named]:
+                ep.phase = Phase.GONE
         for x in e.entries:
             self._entry(x)
         self._prune()
@@ -255,12 +255,9 @@
         if self.set.rated and 0 < x.rating < math.inf:
             self.listed += x.rating - dest.rating
             dest.rating = x.rating
-            if self.set.kind(x.kind).batch > 1:
-                # The limit counts calls: what comes meanwhile travels in one, and is not refused in many.
-                spaced = GATHER * (1 + self.set.rating_off) * self.set.instances / x.rating
-                dest.gather = min(spaced, GATHER_MOST * min(c.aim for c in self.set.classes))
 
     def _watch(self) -> None:
+        self.asked_at = self.now
         self.out.append(Watch())
 
     # --- messages -------------------------------------------------------------------------------------
@@ -460,7 +457,7 @@
         if self.many and route.sick and route.next_at < self.now - self.set.warm_within:
             # Its trial fell due while nothing was held: messages of a clump must not all be trials at once.
             route.next_at = self.now + self.random.random() * self.set.warm_within
-        at = max(route.wait_until, route.called + ep.dest.gather)  # rule 6; gathering
+        at = max(route.wait_until, route.called + self._spacing(ep))  # rule 6; gathering
         if route.sick or route.cold_since is not None or route.pace is not None or route.spread:
             at = max(at, route.next_at)
         if route.sick and any(c.sent >= route.sick_since and not c.overdue for c in ep.calls.values()):
@@ -472,6 +469,17 @@
             return math.inf  # one overdue call is no proof of silence, but more must not be risked with it
         return at
 
+    def _spacing(self, ep: Endpoint) -> float:
+        """A limit counts calls, refused ones too: what comes meanwhile travels in one."""
+        share, listed = self._share(ep.dest, ep.route), ep.dest.rating > 0
+        single = listed and self.set.kind(ep.kind).batch <= 1
+        most = GATHER_MOST * self.quantum / QUANTUM if listed else self.least_deadline / PACE_LEAST
+        if share <= 0 or (single and (not self.many or share * most < GATHER)):
+            return 0.0  # too small a share to keep to
+        if single and self.now - ep.route.cut_at > RATE_MEMORY:
+            share = max(share, self._usual(ep.dest, ep.route))  # it may have more of the traffic than others
+        return min(GATHER / share, most)
+
     def _connected(self, ep: Endpoint) -> bool:
         """Whether a call fits on a connection that is thought open."""
         if self.now - ep.used > self.set.keepalive:
@@ -542,7 +550,7 @@
             lately = route.lately(route.rate_at, RATE_MEMORY) - 0.5 / RATE_MEMORY
             route.known = max(lately, route.known * 0.5)
         known = self._usual(d, route) if self.many else max(
-            route.known, PACE_FLOOR / self.set.instances, self._listed_share(d))
+            route.known, PACE_FLOOR / self.set.instances, self._share(d, route))
         if trial and self.many:
             known *= cold * self.set.fall_multiple * TRIAL_PART
             return max(min(span, TRIAL_LEAST), self.random.uniform(0.5, 1.5) * weight / known)
@@ -625,7 +633,7 @@
         """Outcomes of calls and probes: refusals cut the pace, failures and silence tell of an outage."""
         route, outcome = ep.route, e.outcome
         if e.limit is not None and e.room is not None and 0 < e.limit < math.inf:
-            route.limit, route.room = e.limit, min(max(e.room, 0.0), 1.0)
+            route.told(e.limit, e.room, MEAN_WEIGHT)
         if outcome is Outcome.OK:
             ep.keep = min(ep.keep * KEEP_RISE, 1.0)
             ep.last_ok = self.now
@@ -642,12 +650,11 @@
             elif self.now >= route.wait_until and (ep.silent or sent >= route.sick_since):
                 self._returned(ep.dest, route)
         elif outcome is Outcome.FULL:
-            known = sent < route.cut_at
-            self._refused(ep.dest, route, sent, wait)
             # Warming up, what follows a delivery or was sent before the latest cut is the edge of its limit.
-            edge = route.cold_since is not None and (known or route.full_run == 1)
+            edge = route.cold_since is not None and (sent < route.cut_at or not route.full_run)
+            self._refused(ep.dest, route, sent, wait)
             unlikely = route.born is not None or not ep.dest.rating  # that it is for its limit
-            if not edge and (route.room >= ROOM_LOW if route.limit > 0 else unlikely):
+            if not edge and (route.has_room(self.now, ROOM_LOW, ROOM_AGE) if route.limit > 0 else unlikely):
                 self._doubt(ep.dest, route, "refuses all")
         elif outcome is Outcome.CONNECT_FAILED and (
                 crowded or ep.last_ok > self.now - self.set.dial_timeout - 1.0):
@@ -662,10 +669,9 @@
             cold = route.cold_since is not None and run[-2:] == (False, False)
             if row or cold or ep.recent.count(False) >= RECENT_BAD:
                 self._turn_bad(ep, "failing")
-            if outcome is not Outcome.CONNECT_FAILED:
-                self._doubt(ep.dest, route, "failing")
+            self._doubt(ep.dest, route, "failing", outcome is Outcome.CONNECT_FAILED)
 
-    def _doubt(self, d: Destination, route: Route, why: str) -> None:
+    def _doubt(self, d: Destination, route: Route, why: str, unreached: bool = False) -> None:
         """Rule 4 binds each of many nodes from the first failure that it is told of.
 
         With a delivery within CONTACT, but for a return, the design goes on. Else the second failure turns to
@@ -676,7 +682,10 @@
         route.doubts += 1
         ago = self.now - route.rate_at if route.born is not None else math.inf
         cold = route.cold_since is not None
-        if not self.many or route.sick or (ago <= CONTACT * self.set.fall_span and not cold):
+        # One failed connection tells of no outage, nor do a few where there are calls enough to tell by.
+        enough = self._usual(d, route) * self.set.fall_span >= FAIL_RUN
+        chance = unreached and route.doubts < (FAIL_RUN if enough else 2)
+        if not self.many or route.sick or chance or (ago <= CONTACT * self.set.fall_span and not cold):
             return
         part = 1.0 if ago <= self.set.warm_within else self.set.cold_share * self.set.fall_multiple
         if route.doubts > 1 or cold or route.wait_until > self.now or self.random.random() > part:
@@ -713,8 +722,7 @@
         route.sick, route.spread, route.doubts = False, False, 0  # warming began where a told wait ended
         route.cold_since = route.wait_until if self.many and route.wait_until > route.sick_since else self.now
         for ep in route.endpoints:
-            ep.bad = ep.silent = False
-            ep.recent = ()
+            ep.bad, ep.silent, ep.recent = False, False, ()
         route.next_at = self.now + (0.0 if self.many else self._cold_gap(d, route, 1.0, False))
         self.out.append(Log(f"destination {d.id}: answers again, warming up"))
 
@@ -723,17 +731,15 @@
         if wait > 0:
             route.wait_until = max(route.wait_until, self.now + wait)
         if self.now - route.cut_at >= (d.mean if d.mean is not None else self.quantum):
-            part, least = self._listed_share(d), PACE_LEAST / min(c.deadline for c in self.set.classes)
-            if self.many and part > 0:
+            part, least = self._share(d, route), PACE_LEAST / self.least_deadline
+            if not route.has_room(self.now, ROOM_LOW, ROOM_AGE) if route.limit else self.many and part > 0:
                 # A first may be chance at the limit's edge; the next in a row tells of a lower limit.
                 # Refusals use it up: nothing is delivered before what all send has fallen below it.
-                base = min(part, route.pace or part)
-                route.pace = max((PACE_CUT if route.full_run else PACE_LISTED) * base, least)
-            else:
+                cut = PACE_CUT if route.full_run else PACE_LISTED if d.rating > 0 else 1.0
+                route.pace = max(cut * min(part, route.pace or part), least)
+            else:  # for other reasons than its limit
                 base = sum(t >= self.now - 1.0 for t in route.sends) if route.pace is None else route.pace
-                share = self._share(d, route) if route.room < ROOM_LOW else math.inf
-                least = max(least, PACE_LISTED * part)  # other reasons than its limit
-                route.pace = max(PACE_FLOOR * self._part(), min(PACE_CUT * base, share), least)
+                route.pace = max(PACE_FLOOR * self._part(), PACE_CUT * base, PACE_LISTED * part, least)
             route.cut_at = self.now
             # At a phase of its own: nodes told to wait until one moment must not all call at its end.
             route.next_at = max(route.next_at, self.now + self.random.uniform(0.75, 1.25) / route.pace,
@@ -753,39 +759,35 @@
         even, seen = RATE_MEMORY / self.set.instances, self.now - self.began
         return min(1.0, (self.came / self.listed + even) / (seen + RATE_MEMORY))
 
-    def _listed_share(self, d: Destination) -> float:
-        """This sender's part of the rate that the list gives, in calls a second; 0 where it gives none."""
-        return d.rating / (1 + self.set.rating_off) / self.set.instances
+    def _share(self, d: Destination, route: Route) -> float:
+        """This sender's part of the rate listed, or else told with answers, in calls a second; or 0."""
+        return (d.rating / (1 + self.set.rating_off) or route.limit) / self.set.instances
 
     def _usual(self, d: Destination, route: Route) -> float:
         """Part of what a destination takes a second; latest rates would add up to more after bursts."""
-        if d.rating > 0:
-            return max(d.rating / (1 + self.set.rating_off), PACE_FLOOR) * self._part()
+        if (share := self._share(d, route)) > 0:
+            return max(share * self.set.instances, PACE_FLOOR) * self._part()
         even = RATE_MEMORY * PACE_FLOOR / self.set.instances
         return (route.count + even) / (self.now - self.began + RATE_MEMORY)
 
-    def _share(self, d: Destination, route: Route) -> float:
-        """This node's part of the limit that was told, or what it lately got of it where that is more."""
-        lately = route.lately(self.now, RATE_MEMORY) - 0.5 / RATE_MEMORY
-        return max(route.limit * self._part(), lately) if route.limit > 0 else math.inf
-
     def _step_pace(self, d: Destination, route: Route) -> None:
         if route.pace is None or self.now < route.step_at - EPS:
             return
         if not route.full_run:
-            part, span = self._listed_share(d), 1.0 if route.pace >= 1.0 else RATE_MEMORY
-            if self.many and part > 0:  # slow near what was too much, faster with each second that it is not
-                step = PACE_SLOW * part * 2 ** (self.now - route.cut_at)
+            part, span = self._share(d, route), 1.0 if route.pace >= 1.0 else RATE_MEMORY
+            if part > 0 and (self.many or route.limit > 0):  # slow near what was too much, then ever faster
+                step = PACE_SLOW * part * 2 ** min(self.now - route.cut_at, RATE_MEMORY)
                 over = route.pace > part and not d.waiting
+                if route.pace < part <= route.pace + step:
+                    step, route.cut_at = part - route.pace, self.now  # at its share: slowly from here
             else:  # a second tells nothing of fewer calls
                 step = max(PACE_STEP * min(1.0, FEW_NODES * self._part()), PACE_RISE * part)
-                over = route.pace > sum(t >= self.now - span for t in route.sends) / span + step
+                lately = sum(t >= self.now - span for t in route.sends) / span
+                over = not d.waiting and route.pace > lately + step
             if over:
                 route.pace = None
                 self._join(d)
                 return
-            if self.many and route.pace < part <= route.pace + step:
-                step, route.cut_at = part - route.pace, self.now  # at its share: slowly from here
             route.pace += step
         route.step_at = self.now + 1.0
         self._at(route.step_at, self._step_pace, d, route)
--- a/nickelscale/state.py
+++ b/nickelscale/state.py
@@ -117,6 +117,19 @@
         self.rate = self.rate * math.exp((self.rate_at - now) / memory) + 1 / memory
         self.rate_at = now
 
+    def told(self, limit: float, room: float, weight: float) -> None:
+        """Take in a report: noise of the limit is evened out, the room is the newest."""
+        self.limit += (weight if self.limit > 0 else 1.0) * (limit - self.limit)
+        self.room = min(max(room, 0.0), 1.0)
+
+    def has_room(self, now: float, low: float, age: float) -> bool:
+        """Whether it refuses for another reason than its limit.
+
+        Reports are late: after a delivery, a room counts once refusals have gone on for longer than its age.
+        """
+        refused_for_long = self.full_run > 0 and now - self.full_since > age
+        return self.room >= low and (self.born is None or refused_for_long)
+
     def lately(self, now: float, memory: float) -> float:
         """Calls a second that were delivered lately, by a memory that fades within so many seconds."""
         if self.born is None:
@@ -187,7 +200,6 @@
     mean: float | None = None
     usual: float = 0.0
     wake_at: float = -math.inf
-    gather: float = 0.0  # seconds between calls that carry many messages
     rating: float = 0.0  # calls a second that all senders together may make, as listed
     used: float = 0.0
     idle_due: bool = False  # a look at whether it is idle is due
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -230,6 +230,38 @@
     assert sends(single.arrive()) == [2]
 
 
+def spaced(instances: int, rating: float) -> Node:
+    """One of many senders; its destination takes one message in a call."""
+    return Node(settings(KEYED, instances=instances, rated=True), (Endpoint(10, 1, rating=rating),))
+
+
+def test_many_space_single_calls_by_their_share_of_the_listed_rate() -> None:
+    # Guards the limit, which refused calls use up as well: bursts of all senders were refused 15 times in 100.
+    node = spaced(10, 20.0)  # its share is two calls a second
+    assert sends(node.arrive(count=3)) == [1]
+    assert sends(node.run(0.35)) == []
+    assert sends(node.run(0.1)) == [2]
+
+
+def test_a_share_of_less_than_a_call_in_half_an_aim_is_not_kept_to() -> None:
+    # Guards large fleets: chance, not a share, decides there who calls; a clump must not go call by call.
+    node = spaced(200, 20.0)  # a call in 10 s; the aim is 4 s
+    assert sends(node.arrive(count=3)) == [1, 2, 3]
+
+
+def test_a_sender_with_more_of_the_traffic_spaces_by_its_part_until_it_is_refused() -> None:
+    node = spaced(10, 20.0)
+    for _ in range(200):  # half of what the destination takes came here
+        node.arrive()
+        node.run(0.1)
+        for message in [m.id for m in node.sender.messages.values() if m.out]:
+            node.settle(message)
+    endpoint = node.sender.endpoints[10]
+    assert node.sender._spacing(endpoint) < 0.2
+    node.sender.dests[1].shared.cut_at = node.now
+    assert node.sender._spacing(endpoint) == pytest.approx(0.4)
+
+
 def test_messages_that_may_have_run_travel_together() -> None:
     # Guards the repeat window: after a spoilt answer to many, one call each lasted longer than that.
     node = gathering()
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -257,3 +257,23 @@
     assert 2.0 in paces
     after = paces[paces.index(2.0) + 1 :][:2]
     assert after == [pytest.approx(2.0 + 0.04 * 2), pytest.approx(2.0 + 0.04 * 2 + 0.04 * 4)]
+
+
+@pytest.mark.parametrize(("rating", "needed"), [(2.0, 2), (400.0, 4)])
+def test_as_many_refused_connections_tell_of_an_outage_as_a_sender_has_calls_to_make(
+    rating: float, needed: int
+) -> None:
+    # Guards large fleets: four in a row at one endpoint never came together, and nobody was told of the outage.
+    config = settings(KEYED, slots=8, instances=40, rated=True, max_attempts=100)
+    node = Node(config, tuple(Endpoint(n, 1, rating=rating) for n in (10, 11, 12, 13, 14)))
+    route = node.sender.dests[1].shared
+    failed_connections = 0
+    while not route.sick:
+        node.arrive()
+        node.run(3.0)
+        for message in out(node):
+            node.settle(message, Outcome.CONNECT_FAILED, ended=True)
+            failed_connections += 1
+        assert failed_connections <= 8
+    assert failed_connections >= needed
+    assert failed_connections < 4 or needed == 4
--- /dev/null
+++ b/tests/test_told_limits.py
@@ -0,0 +1,93 @@
+"""Limits that only answers tell (no listed rate): what a forwarder makes of them, and of late reports."""
+
+from __future__ import annotations
+
+import pytest
+
+from nickelscale.interface import Endpoint, Kind, Outcome
+from nickelscale.state import Route
+from tests.helpers import SAFE, Node, sends, settings
+
+APART = (Kind(batch=1, routes_apart=True), Kind(batch=10, routes_apart=True))
+ENDPOINTS = (Endpoint(10, 1), Endpoint(20, 2, kind=1))
+
+
+def node_of(instances: int) -> Node:
+    """One of several forwarders, each endpoint with a limit of its own."""
+    return Node(settings(SAFE, slots=20, kinds=APART, instances=instances), ENDPOINTS)
+
+
+def answered(node: Node, destination: int, outcome: Outcome = Outcome.OK, **told: float) -> Route:
+    """A message that is called at once and ends with this report; its destination's route."""
+    sent = sends(node.arrive(destination=destination))
+    assert sent, "the destination may be called"
+    node.run(0.05)
+    node.settle(sent[0], outcome, **told)
+    return node.sender.dests[destination].order[0].route
+
+
+@pytest.mark.parametrize("instances", [3, 10])
+@pytest.mark.parametrize("destination", [1, 2])
+def test_calls_are_spaced_by_the_part_of_a_told_limit(instances: int, destination: int) -> None:
+    # head-campus roll+brink: calls beyond a limit are refused and use it up, for all forwarders.
+    node = node_of(instances)
+    answered(node, destination, room=1.0, limit=float(instances))
+    node.arrive(destination=destination, count=2)
+    assert sends(node.run(0.7)) == []  # 0.8 of a call a second each
+    assert len(sends(node.run(0.2))) == destination  # the second kind takes both in one call
+
+
+def test_no_limit_told_spaces_nothing() -> None:
+    node = node_of(10)
+    answered(node, 1)
+    assert len(sends(node.arrive(destination=1, count=3))) == 3
+
+
+@pytest.mark.parametrize("instances", [3, 10])
+def test_a_refusal_starts_the_pace_at_the_part_of_a_told_limit(instances: int) -> None:
+    node = node_of(instances)
+    answered(node, 1, room=1.0, limit=2.0 * instances)
+    node.run(1.0)
+    route = answered(node, 1, Outcome.FULL, room=0.0, limit=2.0 * instances)
+    assert route.pace == pytest.approx(2.0)
+
+
+def test_the_noise_of_told_limits_is_evened_out() -> None:
+    route = Route()
+    for limit in (10.0, *([9.0, 11.0] * 20)):
+        route.told(limit, 0.5, 0.2)
+    assert 9.5 < route.limit < 10.5
+
+
+def test_room_told_before_the_refusals_is_no_reason_to_doubt_a_destination() -> None:
+    # head-campus roll+brink: x0 of 0.98 came with a refusal, a sample of up to 1.3 s ago.
+    node = node_of(10)
+    answered(node, 1, room=1.0, limit=10.0)
+    node.run(30.0)  # no contact for long: a doubt would turn it to trials
+    route = answered(node, 1, Outcome.FULL, room=0.98, limit=10.0)
+    assert route.doubts == 0 and not route.sick
+
+
+def test_room_that_is_told_all_the_while_is() -> None:
+    node = node_of(10)
+    route = answered(node, 1, room=1.0, limit=10.0)
+    node.run(30.0)
+    for _ in range(4):
+        node.arrive(destination=1)
+        node.run(3.0)
+        for m in [m.id for m in node.sender.messages.values() if m.out]:
+            node.settle(m, Outcome.FULL, room=0.98, limit=10.0)
+    assert route.sick
+
+
+def test_a_pace_long_after_a_cut_grows_without_overflow() -> None:
+    # 2 ** seconds since the cut raises OverflowError after 1024 s.
+    node = node_of(10)
+    route = answered(node, 1, room=1.0, limit=10.0)
+    node.run(1.0)
+    answered(node, 1, Outcome.FULL, room=0.0, limit=10.0)
+    node.now += 2000.0
+    route.pace, route.full_run, route.step_at = 0.5, 0, node.now
+    node.sender.now = node.now
+    node.sender._step_pace(node.sender.dests[1], route)
+    assert route.pace is None or 0.5 < route.pace < 100.0
