--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -12,7 +12,7 @@
 from juniperward.lab.cold_budget import ColdBudget, with_chance
 from juniperward.lab.cold_return import CASES, ColdCase, ColdReturn, Outage, Span
 from juniperward.lab.scenario import parse
-from juniperward.lab.world import FALL_SPAN, World
+from juniperward.lab.world import World
 from juniperward.rigs.cold import cold, play_all
 from juniperward.rigs.yard import ACCOUNTS, Yard
 from juniperward.standins.clients import Clients, Traffic
@@ -25,7 +25,7 @@
 FALLING = """
 shows: "one destination that falls"
 seconds: 5 forwarders: 1 slots: 8 max_open: 50
-partners { count: 1 share: 1 workers: 1 latency: 0.05 rate: 10 }
+partners { count: 1 share: 1 workers: 1 latency: 0.05 rate: 2 }
 traffic { rate: 1 }
 """
 
@@ -62,7 +62,7 @@
         for n in range(borne):
             world._full(partner, partner.workers[0])
             self.assertFalse(partner.fallen, n)
-        self.assertLess(borne, 10 + 2 * FALL_SPAN * partner.present(1.0))  # not the ten calls of before
+        self.assertEqual(borne, 8)  # N = 2 x 3 x 2 x 0.262
         world._full(partner, partner.workers[0])
         self.assertTrue(partner.fallen)
 
