--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from juniperward.forwarder.counters import count, log
-from juniperward.forwarder.messages import Delegate, End
+from juniperward.forwarder.messages import End, StartAttempt
 from juniperward.net.http import DECIMAL, Response
 from nickelscale.interface import Outcome
 
@@ -49,7 +49,7 @@
 
 
 def ends_of_all(
-    what: Delegate,
+    what: StartAttempt,
     outcome: Outcome,
     wait: float = 0.0,
     report: Report = NO_REPORT,
@@ -123,7 +123,7 @@
             return Outcome.ERROR
 
 
-def read_ends(what: Delegate, answer: Response, fresh: bool = False) -> tuple[End, ...]:
+def read_ends(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[End, ...]:
     """What an answer says of each message of a call ('Forwarders to endpoints'); `fresh`: on a new connection."""
     wait, report = read_wait(answer.headers), read_report(answer.headers)
     many = len(what.parcels) > 1
@@ -158,7 +158,7 @@
             return ends_of_all(what, Outcome.ERROR, wait, report)
 
 
-def _each(what: Delegate, answer: Response, wait: float, report: Report) -> tuple[End, ...]:
+def _each(what: StartAttempt, answer: Response, wait: float, report: Report) -> tuple[End, ...]:
     """The ends of several messages; one that is not named, or not in words we know, may have run."""
     states: dict[str, State] = {}
     try:
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -20,10 +20,10 @@
 
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import (
+    AttemptRecord,
     Began,
     Call,
     Decided,
-    Delegated,
     Ended,
     Notice,
     Over,
@@ -38,7 +38,7 @@
 SLACK = 65536  # a file is not rewritten for less than this
 LEAST_GAIN = 16384  # nor for less than this of what is over
 PATIENCE = 0.5  # seconds in which the process before may still let go of the folder
-NOTES = 400  # bytes kept free for each message not over: three delegations with their ends, and its own end
+NOTES = 400  # bytes kept free for each message not over: three attempts with their ends, and its own end
 
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -102,7 +102,7 @@
         match record:
             case Taken(call=call, expires=expires, ran_at=ran_at):
                 # A resend's earlier life comes first in its history: the window of repeats counts from there.
-                before = (Delegated("", ran_at),) if ran_at is not None else ()
+                before = (AttemptRecord("", ran_at),) if ran_at is not None else ()
                 self.open[call.id] = Restored(call, expires, before)
             case Over(id=name):
                 self.open.pop(name, None)
@@ -112,12 +112,12 @@
                 self.open[notice.id] = Restored(call, 0.0, (), notice)
             case Began(id=name, at=at, worker=worker):
                 if (r := self.open.get(name)) is not None:
-                    history = (*r.history, Delegated(worker, at))
+                    history = (*r.history, AttemptRecord(worker, at))
                     self.open[name] = Restored(r.call, r.expires, history, r.notice)
             case Ended(id=name, may_have_run=may):
                 if (r := self.open.get(name)) is not None and r.history:
                     last = r.history[-1]
-                    history = (*r.history[:-1], Delegated(last.worker, last.at, may))
+                    history = (*r.history[:-1], AttemptRecord(last.worker, last.at, may))
                     self.open[name] = Restored(r.call, r.expires, history, r.notice)
 
 
@@ -183,7 +183,7 @@
             if self.planned + len(line) + NOTES > LIVE_PART * self.disk:
                 raise JournalFull
         elif name not in self.live or (isinstance(record, Ended) and record.may_have_run):
-            return  # of a message that is over already; or what a delegation without an end says anyway
+            return  # of a message that is over already; or what an attempt without an end says anyway
         else:
             line = encode(record, self.to_unix)
         live = self.live_bytes
--- a/juniperward/forwarder/listing.py
+++ b/juniperward/forwarder/listing.py
@@ -70,7 +70,7 @@
     def _forget_workers(self, now: float) -> None:
         """Workers come and go for months: keep nothing of those that are gone, nor of their destinations."""
         s = self.state
-        busy = {out.worker for out in s.outs.values()}
+        busy = {attempt.worker for attempt in s.in_flight.values()}
         listed = {w.destination for number, w in s.workers.items() if number not in s.gone}
         for number in sorted(s.gone - busy):
             s.gone.discard(number)
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -17,7 +17,6 @@
     Append,
     Bar,
     CloseIdle,
-    Delegate,
     Doors,
     Due,
     Effect,
@@ -34,6 +33,7 @@
     Remember,
     Reply,
     Say,
+    StartAttempt,
     Strike,
     Struck,
     TakeOn,
@@ -137,11 +137,11 @@
                 self.server.answer(client, status, wait)
             case Append(record=record):
                 self._note(record)
-            case Delegate() | Look():
-                self.workers.delegate(effect)
-            case Abandon(delegation=number):
+            case StartAttempt() | Look():
+                self.workers.start_attempt(effect)
+            case Abandon(attempt_number=number):
                 self.follow.append(Left(number, self.workers.abandon(number)))
-            case Strike(delegation=number, message=message):
+            case Strike(attempt_number=number, message=message):
                 self.follow.append(Struck(number, message, self.workers.strike(number, message)))
             case CloseIdle(worker=worker):
                 self.workers.close_idle(worker)
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How one message of a delegation ended."""
+    """How one message of an attempt ended."""
 
     message: int
     outcome: Outcome
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The latest delegation of a message ended."""
+    """The latest attempt of a message ended."""
 
     id: str
     may_have_run: bool
@@ -117,8 +117,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delegated:
-    """A delegation of an earlier life, as the journal has it; one without an end may have run."""
+class AttemptRecord:
+    """An attempt of an earlier life, as the journal has it; one without an end may have run."""
 
     worker: str
     at: float
@@ -131,7 +131,7 @@
 
     call: Call
     expires: float
-    history: tuple[Delegated, ...] = ()
+    history: tuple[AttemptRecord, ...] = ()
     notice: Notice | None = None
 
 
@@ -164,9 +164,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A delegation ended; all its messages in one event."""
+    """An attempt ended; all its messages in one event."""
 
-    delegation: int
+    attempt_number: int
     ends: tuple[End, ...]
 
 
@@ -225,17 +225,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeUp:
-    """The time of one message in a delegation is up."""
+    """The time of one message in an attempt is up."""
 
-    delegation: int
+    attempt_number: int
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class CalledOff:
-    """A delegation is to be abandoned now: the client's time of one of its messages is up."""
+    """An attempt is to be abandoned now: the client's time of one of its messages is up."""
 
-    delegation: int
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,7 +255,7 @@
 
 
 class Progress(Enum):
-    """How far a delegation's call has come."""
+    """How far an attempt's call has come."""
 
     WAITS = "waits"  # nothing of it is written: its connection is not up, or it stands in line for a thread
     WRITES = "writes"
@@ -267,7 +267,7 @@
 class Struck:
     """What became of a `Strike`: `progress` is that of the call when it came."""
 
-    delegation: int
+    attempt_number: int
     message: int
     progress: Progress
 
@@ -276,7 +276,7 @@
 class Left:
     """What became of an `Abandon`: `progress` is that of the call when its connection was closed."""
 
-    delegation: int
+    attempt_number: int
     progress: Progress
 
 
@@ -315,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parcel:
-    """One message of a delegation; `until`: monotonic seconds after which it must not be written any more."""
+    """One message of an attempt; `until`: monotonic seconds after which it must not be written any more."""
 
     message: int
     call: Call
@@ -323,7 +323,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delegate:
+class StartAttempt:
     """Call a worker with one or more messages; `Answered` reports back exactly once, unless abandoned."""
 
     number: int
@@ -352,16 +352,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """Close the connection of a delegation; `Left` reports back in the same round, and nothing after it."""
+    """Close the connection of an attempt; `Left` reports back in the same round, and nothing after it."""
 
-    delegation: int
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Strike:
-    """Leave a message out of a delegation that is not written yet; `Struck` reports back in the same round."""
+    """Leave a message out of an attempt that is not written yet; `Struck` reports back in the same round."""
 
-    delegation: int
+    attempt_number: int
     message: int
 
 
@@ -484,6 +484,25 @@
 
 
 Effect = (
-    TakeOn | Reply | Append | Delegate | Look | Abandon | Strike | CloseIdle | Bar | ForgetWorker | Hold | WatchFrom
-    | MoveTo | Notify | Wake | Say | Tell | Doors | EndProcess | Keep | Remember
+    TakeOn
+    | Reply
+    | Append
+    | StartAttempt
+    | Look
+    | Abandon
+    | Strike
+    | CloseIdle
+    | Bar
+    | ForgetWorker
+    | Hold
+    | WatchFrom
+    | MoveTo
+    | Notify
+    | Wake
+    | Say
+    | Tell
+    | Doors
+    | EndProcess
+    | Keep
+    | Remember
 )
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -2,7 +2,7 @@
 
 `reduce(now, events)` takes in what happened and returns what to do. It knows no clock, no thread and no
 I/O. Which message goes where and when is decided by nickelscale's `Sender`; the reducer keeps what the
-sockets need beside it: texts for the module's numbers, what is journalled, and which delegation carries
+sockets need beside it: texts for the module's numbers, what is journalled, and which attempt carries
 which messages.
 """
 
@@ -23,7 +23,6 @@
     CalledOff,
     CloseIdle,
     Decided,
-    Delegate,
     Doors,
     Effect,
     End,
@@ -51,6 +50,7 @@
     Restored,
     Route,
     Say,
+    StartAttempt,
     Stop,
     Strike,
     Struck,
@@ -64,7 +64,7 @@
     WatchLost,
     Worker,
 )
-from juniperward.forwarder.state import Held, Out, State
+from juniperward.forwarder.state import Attempt, Held, State
 from juniperward.kept.decisions import custody
 from juniperward.kept.spool import PREFIX
 from nickelscale import Sender
@@ -82,7 +82,7 @@
 AGAIN_AFTER = 0.05  # seconds after which the module is asked again where it failed
 # Seconds after a restart in which no notice is overdue (1.5 after being ready), less what one may take.
 RETURN = 1.5 - SPARE
-LAST_START = 0.9  # seconds before the process must end after which no delegation is started
+LAST_START = 0.9  # seconds before the process must end after which no attempt is started
 
 
 def _spare(call: Call) -> float:
@@ -128,7 +128,7 @@
         if s.stop_at is None:
             return False
         waiting = bool(s.held) and now <= s.stop_at - LAST_START
-        busy = s.outs or s.owed or s.offered or waiting or now < s.open_until or not alone
+        busy = s.in_flight or s.owed or s.offered or waiting or now < s.open_until or not alone
         return now >= s.stop_at or not busy
 
     def _take(self, now: float, event: Event) -> None:
@@ -141,11 +141,11 @@
                 self._answered(now, event)
             case ModuleTimer(token=token):
                 self.news.append(i.TimerFired(token))
-            case TimeUp(delegation=number, message=message):
+            case TimeUp(attempt_number=number, message=message):
                 self._time_up(number, message)
             case Struck():
                 self._struck(now, event)
-            case CalledOff(delegation=number):
+            case CalledOff(attempt_number=number):
                 self._call_off(number)
             case Left():
                 self._left(now, event)
@@ -293,26 +293,26 @@
     # --- ends ----------------------------------------------------------------------------------------
 
     def _answered(self, now: float, e: Answered) -> None:
-        out = self.state.outs.get(e.delegation)
-        if out is None:
+        attempt = self.state.in_flight.get(e.attempt_number)
+        if attempt is None:
             return  # abandoned meanwhile
         # What the module learns from is the first end it hears of: the refusals among them, if any.
         for end in sorted(e.ends, key=lambda x: (x.outcome is not i.Outcome.FULL, x.message)):
-            if end.message in out.waiting:
-                self._settle(now, out, end)
-        for message in list(out.waiting):
+            if end.message in attempt.waiting:
+                self._settle(now, attempt, end)
+        for message in list(attempt.waiting):
             holds(False, "every_message_of_a_delegation_ends")
-            self._settle(now, out, End(message, i.Outcome.RESET))
-        self.state.outs.pop(e.delegation, None)
+            self._settle(now, attempt, End(message, i.Outcome.RESET))
+        self.state.in_flight.pop(e.attempt_number, None)
 
-    def _settle(self, now: float, out: Out, end: End) -> None:
-        attempt = out.waiting.pop(end.message)
+    def _settle(self, now: float, attempt: Attempt, end: End) -> None:
+        ordinal = attempt.waiting.pop(end.message)
         held = self.state.held.get(end.message)
-        worker = self.state.workers[out.worker]
+        worker = self.state.workers[attempt.worker]
         count(f"delegations_{end.outcome.name.lower()}")
         over = end.over or end.outcome is i.Outcome.OK
         if held is not None:
-            held.out = None
+            held.attempt_number = None
             if held.owed and end.begun:
                 held.owed = False
                 count("restored_tried")
@@ -335,52 +335,59 @@
             self.effects.append(Hold(self._route(worker), now + end.wait))
         self.news.append(
             i.Settled(
-                end.message, attempt, out.worker, end.outcome, now - out.began, over, end.wait,
+                end.message, ordinal, attempt.worker, end.outcome, now - attempt.began, over, end.wait,
                 end.slots_taken, end.room, end.limit, end.table_full,
             )
         )
 
-    def _time_up(self, delegation: int, message: int) -> None:
+    def _time_up(self, attempt_number: int, message: int) -> None:
         """The module's time-out is the message's own end: others of the same call may still wait.
 
         It is struck off the call first, or a connection that comes up late would carry it after its end.
         """
-        out = self.state.outs.get(delegation)
-        if out is not None and message in out.waiting:
-            self.effects.append(Strike(delegation, message))
+        attempt = self.state.in_flight.get(attempt_number)
+        if attempt is not None and message in attempt.waiting:
+            self.effects.append(Strike(attempt_number, message))
 
     def _struck(self, now: float, e: Struck) -> None:
-        out = self.state.outs.get(e.delegation)
-        if out is None or e.message not in out.waiting or e.progress is Progress.OVER:
+        attempt = self.state.in_flight.get(e.attempt_number)
+        if attempt is None or e.message not in attempt.waiting or e.progress is Progress.OVER:
             return  # what was answered before its time was up counts as answered
         never = e.progress is Progress.WAITS
         held = self.state.held.get(e.message)
         due = held.due if held is not None else now
-        self._settle(now, out, End(e.message, i.Outcome.MOOT if never else i.Outcome.TIMEOUT, begun=not never))
-        if not out.waiting:
-            del self.state.outs[e.delegation]
-            self.effects.append(Abandon(e.delegation))
+        self._settle(
+            now, attempt, End(e.message, i.Outcome.MOOT if never else i.Outcome.TIMEOUT, begun=not never)
+        )
+        if not attempt.waiting:
+            del self.state.in_flight[e.attempt_number]
+            self.effects.append(Abandon(e.attempt_number))
         elif e.progress is Progress.WRITES:
             # Half a call cannot lose one of its messages: what is not written whole yet is called off whole.
-            self._call_off(e.delegation)
+            self._call_off(e.attempt_number)
         elif not never:
             # A call has one fate: past the time of one of its messages an answer was seen to count for none of them.
-            self.effects.append(Wake(due, CalledOff(e.delegation)))
+            self.effects.append(Wake(due, CalledOff(e.attempt_number)))
 
-    def _call_off(self, delegation: int) -> None:
+    def _call_off(self, attempt_number: int) -> None:
         """Close its connection first; how far it had come says what that means for its messages."""
-        out = self.state.outs.get(delegation)
-        if out is not None and not out.called_off:
-            out.called_off = True
-            self.effects.append(Abandon(delegation))
+        attempt = self.state.in_flight.get(attempt_number)
+        if attempt is not None and not attempt.called_off:
+            attempt.called_off = True
+            self.effects.append(Abandon(attempt_number))
 
     def _left(self, now: float, e: Left) -> None:
         """A call that was not begun has not run, and one whose end is on its way ends so."""
-        if e.progress is Progress.OVER or (out := self.state.outs.pop(e.delegation, None)) is None:
+        if (
+            e.progress is Progress.OVER
+            or (attempt := self.state.in_flight.pop(e.attempt_number, None)) is None
+        ):
             return
         never = e.progress is Progress.WAITS
-        for message in list(out.waiting):
-            self._settle(now, out, End(message, i.Outcome.MOOT if never else i.Outcome.CANCELLED, begun=not never))
+        for message in list(attempt.waiting):
+            self._settle(
+                now, attempt, End(message, i.Outcome.MOOT if never else i.Outcome.CANCELLED, begun=not never)
+            )
 
     def _forget(self, held: Held, now: float) -> None:
         s = self.state
@@ -450,12 +457,12 @@
                     self.effects.append(Say(text))
                 case i.Probe(endpoint=worker):
                     self._look(now, worker)
-        # Delegations come last: what a round gives up or closes must not be met by what it starts.
+        # Attempts come last: what a round gives up or closes must not be met by what it starts.
         for worker, asked in sends.items():
-            self._delegate(now, worker, asked)
+            self._start_attempts(now, worker, asked)
 
     def _final(self, now: float, number: int, again: float | None) -> None:
-        """The message is over. A delegation that is still out goes on to its own end."""
+        """The message is over. An attempt that is still out goes on to its own end."""
         held = self.state.held.get(number)
         if held is not None:
             if held.owed:
@@ -468,8 +475,8 @@
     def _cancel(self, number: int) -> None:
         """One connection, one fate: the others of the same call are called off with it."""
         held = self.state.held.get(number)
-        if held is not None and held.out is not None:
-            self._call_off(held.out)
+        if held is not None and held.attempt_number is not None:
+            self._call_off(held.attempt_number)
 
     def _look(self, now: float, worker: int) -> None:
         """Probe a worker; one that is not listed any more is answered at once as not probed."""
@@ -478,11 +485,13 @@
         if w is None or worker in s.gone:
             self.news.append(i.Probed(worker, i.Outcome.MOOT, 0.0))
             return
-        s.last_delegation += 1
-        s.looks[s.last_delegation] = worker
+        s.last_attempt_number += 1
+        s.looks[s.last_attempt_number] = worker
         count("probes")
         deadline = now + PROBE_WAIT * self.settings.dial_timeout
-        self.effects.append(Look(s.last_delegation, worker, w.host, w.port, w.destination, deadline, self._route(w)))
+        self.effects.append(
+            Look(s.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w))
+        )
 
     def _looked(self, now: float, e: Looked) -> None:
         s = self.state
@@ -493,41 +502,49 @@
             self.effects.append(Hold(self._route(w), now + e.wait))
         self.news.append(i.Probed(e.worker, e.outcome, e.latency, e.room, e.limit))
 
-    def _delegate(self, now: float, worker: int, asked: list[i.Send]) -> None:
+    def _start_attempts(self, now: float, worker: int, asked: list[i.Send]) -> None:
         s = self.state
         if s.stop_at is not None and now > s.stop_at - LAST_START:
             return  # it could not end in this life; the journal has the message for the next one
         w = s.workers[worker]
         batch = self.settings.kind(w.kind).batch
         for first in range(0, len(asked), batch):
-            s.last_delegation += 1
-            out = s.outs[s.last_delegation] = Out(s.last_delegation, worker, now)
+            s.last_attempt_number += 1
+            attempt = s.in_flight[s.last_attempt_number] = Attempt(s.last_attempt_number, worker, now)
             try:
-                self._start(now, out, w, asked[first : first + batch])
+                self._start_attempt(now, attempt, w, asked[first : first + batch])
             except Exception as error:
                 if __debug__:
                     raise
                 trouble("delegation", error)
-                self.effects.append(Wake(now, Left(out.number, Progress.WAITS)))
+                self.effects.append(Wake(now, Left(attempt.number, Progress.WAITS)))
 
-    def _start(self, now: float, out: Out, w: Worker, asked: list[i.Send]) -> None:
+    def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[i.Send]) -> None:
         """Make a call; its thread journals the attempts right before their first byte."""
         parcels = []
         for a in asked:
             held = self.state.held[a.message]
-            holds(held.out is None, "one_attempt_at_a_time")
+            holds(held.attempt_number is None, "one_attempt_at_a_time")
             holds(held.call.destination == w.destination, "only_to_its_destination")
-            out.waiting[a.message] = held.attempts
+            attempt.waiting[a.message] = held.attempts
             held.attempts += 1
-            held.out, held.began_at = out.number, now
+            held.attempt_number, held.began_at = attempt.number, now
             parcels.append(Parcel(a.message, held.call, now + a.within))
-            self.effects.append(Wake(now + a.timeout, TimeUp(out.number, a.message)))
-        holds(len(self.state.outs) <= self.settings.slots, "no_more_calls_than_slots")
+            self.effects.append(Wake(now + a.timeout, TimeUp(attempt.number, a.message)))
+        holds(len(self.state.in_flight) <= self.settings.slots, "no_more_calls_than_slots")
         count("delegations")
         deadline = now + max(a.timeout for a in asked)
         self.effects.append(
-            Delegate(
-                out.number, out.worker, w.host, w.port, w.destination, tuple(parcels), deadline, w.id, self._route(w)
+            StartAttempt(
+                attempt.number,
+                attempt.worker,
+                w.host,
+                w.port,
+                w.destination,
+                tuple(parcels),
+                deadline,
+                w.id,
+                self._route(w),
             )
         )
 
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -1,4 +1,4 @@
-"""What the forwarder knows beside the module: messages held, delegations out, workers listed."""
+"""What the forwarder knows beside the module: messages held, attempts out, workers listed."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     due: float = 0.0  # the end of its client's time; `expires` is before it by what its notice may take
     owed: bool = False  # an earlier life took it on, and no byte of a call was written for it so far
     attempts: int = 0
-    out: int | None = None  # number of the delegation that carries it
+    attempt_number: int | None = None  # number of the attempt that carries it
     began_at: float = 0.0  # of the latest attempt
     ran_at: float | None = None  # when it first may have run
     story: list[Tried] = field(default_factory=list)  # its attempts, where messages are kept
 
 
 @dataclass(slots=True, eq=False)
-class Out:
-    """A delegation out: its worker and the messages that are still waited for."""
+class Attempt:
+    """An attempt out: its worker and the messages that are still waited for."""
 
     number: int
     worker: int
@@ -43,7 +43,7 @@
     numbers: dict[str, int] = field(default_factory=dict)  # of held messages, by id
     offered: dict[int, Held] = field(default_factory=dict)  # journalled, their clients not yet told
     owed: dict[str, Notice] = field(default_factory=dict)
-    outs: dict[int, Out] = field(default_factory=dict)
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
     workers: dict[int, Worker] = field(default_factory=dict)
     worker_numbers: dict[str, int] = field(default_factory=dict)
     gone: set[int] = field(default_factory=set)  # workers that are, and not yet forgotten
@@ -55,7 +55,7 @@
     looks: dict[int, int] = field(default_factory=dict)  # probes under way: worker, by number
     last_worker: int = 0
     last_message: int = 0
-    last_delegation: int = 0
+    last_attempt_number: int = 0
     open_until: float = 0.0
     stop_at: float | None = None
     draining: bool = False
--- a/juniperward/forwarder/telling.py
+++ b/juniperward/forwarder/telling.py
@@ -38,7 +38,7 @@
         return "stopping"
     if not state.draining:
         return "serving"
-    return "draining" if state.held or state.offered or state.outs or state.owed else "drained"
+    return "draining" if state.held or state.offered or state.in_flight or state.owed else "drained"
 
 
 def status(state: State, settings: Settings, sender: Sender, now: float) -> Status:
@@ -50,7 +50,7 @@
         name="", version=VERSION, pid=os.getpid(), started=0.0, phase=now_phase,
         ready=now_phase == "serving",
         held=len(state.held), offered=len(state.offered), owed=len(state.owed),
-        calls_out=len(state.outs), slots=settings.slots, max_open=settings.max_open,
+        calls_out=len(state.in_flight), slots=settings.slots, max_open=settings.max_open,
         oldest_held=max(0.0, now - oldest.since) if oldest is not None else 0.0,
         journal_bytes=0, journal_live=0,
         registry_version=state.version,
@@ -67,13 +67,13 @@
 
 
 def _workers(state: State) -> tuple[WorkerRow, ...]:
-    out: dict[int, int] = {}
-    for o in state.outs.values():
-        out[o.worker] = out.get(o.worker, 0) + 1
+    calls: dict[int, int] = {}
+    for attempt in state.in_flight.values():
+        calls[attempt.worker] = calls.get(attempt.worker, 0) + 1
     rows = []
     for number, w in sorted(state.workers.items()):
         word = "gone" if number in state.gone else w.phase.name.lower()
         rows.append(
-            WorkerRow(w.id, f"{w.host}:{w.port}", w.destination, word, w.kind, out.get(number, 0))
+            WorkerRow(w.id, f"{w.host}:{w.port}", w.destination, word, w.kind, calls.get(number, 0))
         )
     return tuple(rows)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -15,7 +15,6 @@
 from juniperward.forwarder.messages import (
     Answered,
     CloseIdle,
-    Delegate,
     Effect,
     Event,
     Handed,
@@ -25,6 +24,7 @@
     Notify,
     Reply,
     Say,
+    StartAttempt,
     Struck,
     TakeOn,
     TimeUp,
@@ -51,13 +51,13 @@
                     lines.append(f"handed {self.asked[e.client]} {e.call.time_left:.3f}")
                 case Answered():
                     for x in e.ends:
-                        lines.append(f"ended {e.delegation} {x.outcome.name.lower()} {x.wait:.3f}")
+                        lines.append(f"ended {e.attempt_number} {x.outcome.name.lower()} {x.wait:.3f}")
                 case TimeUp():
-                    lines.append(f"up {e.delegation}")
+                    lines.append(f"up {e.attempt_number}")
                 case Struck():
-                    lines.append(f"struck {e.delegation} {e.progress.value}")
+                    lines.append(f"struck {e.attempt_number} {e.progress.value}")
                 case Left():
-                    lines.append(f"off {e.delegation} {e.progress.value}")
+                    lines.append(f"off {e.attempt_number} {e.progress.value}")
                 case TookOn(told=False):
                     lines.append(f"untold {e.message}")
                 case Noticed():
@@ -76,7 +76,7 @@
                     lines.append(f"taken {self.asked.pop(e.client, '? ?')}")
                 case Reply():
                     lines.append(f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after:.3f}")
-                case Delegate():
+                case StartAttempt():
                     ids = ",".join(p.call.id for p in e.parcels)
                     lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.parcels)} {ids}")
                 case Notify():
@@ -89,10 +89,10 @@
                     lines.append(f"say {e.text}")
         self._write(now, lines)
 
-    def answered(self, delegation: int, fresh: bool, status: int, close: bool, headers: str) -> None:
+    def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
         """An answer as it was read; `fresh` on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
-        self._write(time.monotonic(), [f"answer {delegation} {how}"])
+        self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
     def _write(self, now: float, lines: list[str]) -> None:
         if lines:
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -23,7 +23,6 @@
 from juniperward.forwarder.messages import (
     Answered,
     Began,
-    Delegate,
     End,
     Event,
     Look,
@@ -32,6 +31,7 @@
     Progress,
     Record,
     Route,
+    StartAttempt,
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
@@ -44,10 +44,10 @@
 REST = 0.01  # seconds after an answer before its connection is used again: what is behind it shows by then
 
 
-class Job:
-    """A delegation in the hands of a thread."""
+class ActiveAttempt:
+    """An attempt in the hands of a thread."""
 
-    def __init__(self, what: Delegate | Look) -> None:
+    def __init__(self, what: StartAttempt | Look) -> None:
         self.what = what
         self.sock: socket.socket | None = None
         self.abandoned = False
@@ -97,8 +97,8 @@
         self.most_threads, self.most_idle, self.post, self.note = most_threads, most_idle, post, note
         self.ended = False  # nothing is begun any more
         self.lock = threading.Lock()
-        self.jobs: queue.SimpleQueue[Job] = queue.SimpleQueue()
-        self.active: dict[int, Job] = {}
+        self.submitted: queue.SimpleQueue[ActiveAttempt] = queue.SimpleQueue()
+        self.active: dict[int, ActiveAttempt] = {}
         self.idle: dict[int, list[Kept]] = {}
         self.barred: set[int] = set()
         self.held: dict[Route, float] = {}
@@ -107,11 +107,11 @@
 
     # --- effects, called by the loop ----------------------------------------------------------------
 
-    def delegate(self, what: Delegate | Look) -> None:
+    def start_attempt(self, what: StartAttempt | Look) -> None:
         """Have a thread make this call, or this probe."""
-        job = Job(what)
+        attempt = ActiveAttempt(what)
         with self.lock:
-            self.active[what.number] = job
+            self.active[what.number] = attempt
             grow = self.free <= 0 and self.threads < self.most_threads
             self.free += grow - 1
             self.threads += grow
@@ -123,16 +123,16 @@
                 with self.lock:
                     self.threads -= 1
                     self.free -= 1
-        self.jobs.put(job)
+        self.submitted.put(attempt)
 
     def abandon(self, number: int) -> Progress:
         """Close the connection of a call, whose end is not reported any more; how far it had come."""
         with self.lock:
-            job = self.active.pop(number, None)
-            if job is None:
+            attempt = self.active.pop(number, None)
+            if attempt is None:
                 return Progress.OVER
-            job.abandoned = True
-            sock, progress = job.sock, job.progress
+            attempt.abandoned = True
+            sock, progress = attempt.sock, attempt.progress
         if sock is not None:
             sockets.shut(sock)
         return progress
@@ -143,12 +143,12 @@
         The others of the call may wait for seconds behind a dial; this one is over meanwhile.
         """
         with self.lock:
-            job = self.active.get(number)
-            if job is None:
+            attempt = self.active.get(number)
+            if attempt is None:
                 return Progress.OVER
-            if job.progress is Progress.WAITS:
-                job.struck.add(message)
-            return job.progress
+            if attempt.progress is Progress.WAITS:
+                attempt.struck.add(message)
+            return attempt.progress
 
     def close_idle(self, worker: int) -> None:
         """Close the connections to a worker that no call is on."""
@@ -175,7 +175,7 @@
         with self.lock:
             self.held[route] = max(until, self.held.get(route, until))
 
-    def _heed(self, what: Delegate | Look, wait: float) -> None:
+    def _heed(self, what: StartAttempt | Look, wait: float) -> None:
         """Hold a route from the moment its wait is read, not from when the loop gets to the answer.
 
         Between the two, other threads write what the module decided before it knew: on a busy process that
@@ -209,14 +209,14 @@
 
     def _work(self) -> None:
         while True:
-            job = self.jobs.get()
-            what, begun = job.what, time.monotonic()
+            attempt = self.submitted.get()
+            what, begun = attempt.what, time.monotonic()
             result: Event
             try:
                 if isinstance(what, Look):
-                    result = self._look(job, what, begun)
+                    result = self._look(attempt, what, begun)
                 else:
-                    result = Answered(what.number, self._call(job, what))
+                    result = Answered(what.number, self._call(attempt, what))
             except Exception as error:
                 trouble("worker", error)
                 result = (
@@ -227,10 +227,10 @@
             with self.lock:
                 self.free += 1
                 known = self.active.pop(what.number, None) is not None
-            if known and not job.abandoned:
+            if known and not attempt.abandoned:
                 self.post(result)
 
-    def _look(self, job: Job, what: Look, begun: float) -> Looked:
+    def _look(self, attempt: ActiveAttempt, what: Look, begun: float) -> Looked:
         """A probe: it counts as a call, so it heeds drains and waits as calls do, and it uses a kept connection."""
         address = (what.host, what.port)
 
@@ -246,11 +246,11 @@
         kept = self._take_idle(what.worker, address)
         fresh = kept is None
         if kept is None:
-            kept = self._dial(job, address)
+            kept = self._dial(attempt, address)
             if kept is None:
                 return ended(Outcome.CONNECT_FAILED)
-        job.sock = kept.sock
-        if self._begin(job) is None:
+        attempt.sock = kept.sock
+        if self._begin(attempt) is None:
             count("probes_withheld")
             self._put_back(what.worker, kept)
             return ended(Outcome.MOOT)
@@ -268,24 +268,24 @@
             return ended(Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET)
         count("probes_answered")
         self._heed(what, read_wait(answer.headers))
-        if answer.close or job.abandoned or kept.stream.buffer:
+        if answer.close or attempt.abandoned or kept.stream.buffer:
             kept.sock.close()
         else:
             self._put_back(what.worker, kept)
         return ended(read_look(answer, fresh), answer)
 
-    def _call(self, job: Job, what: Delegate) -> tuple[End, ...]:
+    def _call(self, attempt: ActiveAttempt, what: StartAttempt) -> tuple[End, ...]:
         address = (what.host, what.port)
         kept = self._take_idle(what.worker, address)
         fresh = kept is None
         if kept is None:
-            kept = self._dial(job, address)
+            kept = self._dial(attempt, address)
             if kept is None:
                 return ends_of_all(what, Outcome.CONNECT_FAILED, begun=False)
         else:
-            job.sock = kept.sock
+            attempt.sock = kept.sock
             count("connections_reused")
-        parcels = self._begin(job)
+        parcels = self._begin(attempt)
         if not parcels:
             # It waited behind a dial: what came meanwhile from the registry or the worker binds it.
             count("delegations_withheld")
@@ -293,13 +293,17 @@
             return ends_of_all(what, Outcome.MOOT, begun=False)
         # What ended meanwhile was told its end: sent on now it would run, and be brought a second time.
         if len(parcels) == len(what.parcels):
-            return self._exchange(job, what, kept, fresh)
+            return self._exchange(attempt, what, kept, fresh)
         count("messages_left_out", len(what.parcels) - len(parcels))
         ends = {end.message: end for end in ends_of_all(what, Outcome.MOOT, begun=False)}
-        ends |= {end.message: end for end in self._exchange(job, replace(what, parcels=parcels), kept, fresh)}
+        ends |= {
+            end.message: end for end in self._exchange(attempt, replace(what, parcels=parcels), kept, fresh)
+        }
         return tuple(ends.values())
 
-    def _exchange(self, job: Job, what: Delegate, kept: Kept, fresh: bool) -> tuple[End, ...]:
+    def _exchange(
+        self, attempt: ActiveAttempt, what: StartAttempt, kept: Kept, fresh: bool
+    ) -> tuple[End, ...]:
         """Write a call and read its answer; the connection is put back, or closed."""
         try:
             kept.sock.sendall(_request(what, time.monotonic()))
@@ -307,12 +311,12 @@
             kept.sock.close()
             return ends_of_all(what, Outcome.CONNECT_FAILED)
         with self.lock:
-            job.progress = Progress.WRITTEN
+            attempt.progress = Progress.WRITTEN
         try:
             answer = read_response(kept.stream, kept.begun)
         except (Broken, Malformed, OSError) as error:
             kept.sock.close()
-            if not job.abandoned:
+            if not attempt.abandoned:
                 count("answers_spoilt")
                 log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
             # A first line with 200 has delivered a single message, whatever becomes of the rest.
@@ -325,24 +329,24 @@
         behind = bool(kept.stream.buffer)
         if behind:
             count("answers_with_more")
-        if answer.close or job.abandoned or behind:
+        if answer.close or attempt.abandoned or behind:
             kept.sock.close()
         else:
             self._put_back(what.worker, kept)
         self._heed(what, read_wait(answer.headers))
         return read_ends(what, answer, fresh)
 
-    def _dial(self, job: Job, address: tuple[str, int]) -> Kept | None:
+    def _dial(self, attempt: ActiveAttempt, address: tuple[str, int]) -> Kept | None:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:  # for want of descriptors: nothing of the call was written, so it has not run
             count("dials_failed")
             log("dial", f"no socket for worker {address[0]}:{address[1]}: {error}")
             return None
-        job.sock = sock
-        left = min(self.dial_timeout, job.what.deadline - time.monotonic())
+        attempt.sock = sock
+        left = min(self.dial_timeout, attempt.what.deadline - time.monotonic())
         try:
-            if job.abandoned or left <= 0:
+            if attempt.abandoned or left <= 0:
                 raise TimeoutError
             sockets.connect(*address, left, sock)
             # What was left for this dial must not bound what is written on the connection later.
@@ -356,22 +360,22 @@
         count("connections_opened")
         return Kept(sock, address, self.longest)
 
-    def _begin(self, job: Job) -> tuple[Parcel, ...] | None:
+    def _begin(self, attempt: ActiveAttempt) -> tuple[Parcel, ...] | None:
         """Begin to write, unless that is barred by now (None); the messages that may still be written.
 
         They are journalled here, before their first byte and not when the module decided: a process killed while
         a call waits for its connection leaves its messages untried.
         """
-        what, now = job.what, time.monotonic()
+        what, now = attempt.what, time.monotonic()
         with self.lock:
             free = what.worker not in self.barred and now >= self.held.get(_route(what), -math.inf)
-            if not free or job.abandoned or self.ended or now >= what.deadline:
+            if not free or attempt.abandoned or self.ended or now >= what.deadline:
                 return None
             if isinstance(what, Look):
                 return ()
             parcels = []
             for p in what.parcels:
-                if p.message not in job.struck and now < p.until:
+                if p.message not in attempt.struck and now < p.until:
                     try:
                         self.note(Began(p.call.id, now, what.name))
                     except OSError as error:  # written without its record it would come back as untried
@@ -380,7 +384,7 @@
                         break
                     parcels.append(p)
             if parcels:
-                job.progress = Progress.WRITES
+                attempt.progress = Progress.WRITES
             return tuple(parcels)
 
     def _take_idle(self, worker: int, address: tuple[str, int]) -> Kept | None:
@@ -416,11 +420,11 @@
             k.sock.close()
 
 
-def _route(what: Delegate | Look) -> Route:
+def _route(what: StartAttempt | Look) -> Route:
     return what.destination if what.route is None else what.route
 
 
-def _request(what: Delegate, now: float) -> bytes:
+def _request(what: StartAttempt, now: float) -> bytes:
     """A call as it is written: a single message, or several in one body."""
     headers = {"X-Time-Left": f"{max(what.deadline - now, 0.001):.3f}"}
     host = f"{what.host}:{what.port}"
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -21,12 +21,12 @@
 from juniperward.forwarder.messages import (
     Answered,
     Call,
-    Delegate,
     Due,
     End,
     Event,
     Handed,
     Heard,
+    StartAttempt,
     TakeOn,
     TookOn,
     Wake,
@@ -85,7 +85,7 @@
         (asked,) = self.do(Handed(1, Call(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now))
         assert isinstance(asked, TakeOn)
         for e in self.do(TookOn(asked.message, True)):
-            if isinstance(e, Delegate):
+            if isinstance(e, StartAttempt):
                 self.now += 0.01
                 self.do(Answered(e.number, tuple(End(p.message, i.Outcome.OK) for p in e.parcels)))
         self.run(self.now + 0.1)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from juniperward.forwarder.journal import BLOCK, FRESH, NAME, Journal, JournalFull
-from juniperward.forwarder.messages import Began, Call, Decided, Delegated, Ended, Notice, Over, Taken
+from juniperward.forwarder.messages import AttemptRecord, Began, Call, Decided, Ended, Notice, Over, Taken
 
 DISK = 200_000
 
@@ -50,7 +50,7 @@
             j.append(record)
         a, b = self.open().restored()
         self.assertEqual((a.call, a.expires), (call("a"), 20.0))
-        self.assertEqual(a.history, (Delegated("s-1", 1.5, False), Delegated("s-2", 2.5, True)))
+        self.assertEqual(a.history, (AttemptRecord("s-1", 1.5, False), AttemptRecord("s-2", 2.5, True)))
         self.assertIsNone(a.notice)
         self.assertEqual((b.call.id, b.notice), ("b", Notice("b", 0.25)))
         again = {r.call.id: r for r in self.open().restored()}  # what a rewrite kept says the same
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -45,9 +45,9 @@
             written.append(self.path.read_bytes())
             return True
 
-        self.parts.server.answer.side_effect = self.parts.workers.delegate.side_effect = note
+        self.parts.server.answer.side_effect = self.parts.workers.start_attempt.side_effect = note
         self.hand_in()
-        self.assertEqual(self.asked(), ["server.answer", "workers.delegate"])
+        self.assertEqual(self.asked(), ["server.answer", "workers.start_attempt"])
         self.assertEqual([text.count(b"taken") for text in written], [1, 1])
         self.assertEqual([text.count(b"began") for text in written], [0, 0])  # only with its first byte
         self.journal.append(Began("a", 1.0, "s-1"))
@@ -64,7 +64,7 @@
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
         self.hand_in()
         self.parts.reset_mock()
-        (number,) = self.loop.reducer.state.outs
+        (number,) = self.loop.reducer.state.in_flight
         self.loop.post(Answered(number, (End(1, Outcome.OK),)))
         self.loop.post(Stop(0.0, 0.0))
         self.loop.post(Handed(6, Call("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,9 +18,9 @@
 from juniperward.forwarder.answers import read_ends, read_wait
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Answered, Call, Delegate, End, Event, Handed, Parcel, Progress
+from juniperward.forwarder.messages import Answered, Call, End, Event, Handed, Parcel, Progress, StartAttempt
 from juniperward.forwarder.server import Client, Server
-from juniperward.forwarder.workers import Job, Kept, Workers
+from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
 from nickelscale.interface import Outcome
@@ -29,17 +29,17 @@
 NAMES = Names(("c",), (12.0,), (), (), ())
 
 
-def delegate(number: int, port: int, count: int = 1, deadline: float = 1e12) -> Delegate:
+def start_attempt(number: int, port: int, count: int = 1, deadline: float = 1e12) -> StartAttempt:
     parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, 7, 1.0, None, b"")) for n in range(count))
-    return Delegate(number, 3, "127.0.0.1", port, 7, parcels, deadline)
+    return StartAttempt(number, 3, "127.0.0.1", port, 7, parcels, deadline)
 
 
 class AnswersTest(unittest.TestCase):
     def test_each_answer_has_its_meaning(self) -> None:
         # Guards the table of PROTOCOL, and that what we cannot read counts as what may have run.
-        one, two = delegate(1, 1), delegate(1, 1, 2)
+        one, two = start_attempt(1, 1), start_attempt(1, 1, 2)
         told = {"retry-after": "0.25"}
-        cases: list[tuple[Delegate, int, dict[str, str], bytes, list[End]]] = [
+        cases: list[tuple[StartAttempt, int, dict[str, str], bytes, list[End]]] = [
             (one, 200, {}, b"", [End(0, Outcome.OK)]),
             (one, 500, {}, b"", [End(0, Outcome.ERROR)]),
             (one, 429, told, b"", [End(0, Outcome.FULL, 0.25)]),
@@ -69,11 +69,11 @@
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = End(0, Outcome.CONNECT_FAILED, table_full=True)
         full, ends = End(0, Outcome.FULL), Response(503, {}, b"", True)
-        self.assertEqual(read_ends(delegate(1, 1), ends, fresh=True), (end,))
-        self.assertEqual(read_ends(delegate(1, 1), ends, fresh=False), (full,))
-        self.assertEqual(read_ends(delegate(1, 1), Response(503, {}, b"", False), fresh=True), (full,))
+        self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=True), (end,))
+        self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=False), (full,))
+        self.assertEqual(read_ends(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,))
         told = Response(503, {"retry-after": "0.5"}, b"", True)
-        self.assertEqual(read_ends(delegate(1, 1), told, fresh=True), (End(0, Outcome.FULL, 0.5),))
+        self.assertEqual(read_ends(start_attempt(1, 1), told, fresh=True), (End(0, Outcome.FULL, 0.5),))
 
 
 class SpoiltTest(unittest.TestCase):
@@ -103,8 +103,8 @@
             huge = '{"x0":' + "9" * 400 + "}"
             for text in ("[" * 16000, '{"x0":' * 2600, '{"x0":NaN}', huge, '{"x1":-1}', "7"):
                 answer = Response(200, {"x-backend-load": text}, b"", False)
-                ends.append(read_ends(delegate(1, 1), answer))
-            ends.append(read_ends(delegate(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
+                ends.append(read_ends(start_attempt(1, 1), answer))
+            ends.append(read_ends(start_attempt(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
 
         ends: list[tuple[End, ...]] = []
         threading.stack_size(128 * 1024)
@@ -290,34 +290,34 @@
     def test_where_routes_are_apart_a_told_wait_holds_its_worker_alone(self) -> None:
         # Guards a customer whose partners' endpoints have limits of their own: one that told a wait held the others
         # of its destination, and what the module sent to those came back as not sent, a try used up.
-        def ask(number: int, worker: int, name: str) -> Delegate:
-            return replace(delegate(number, self.port), worker=worker, name=name, route=name)
+        def ask(number: int, worker: int, name: str) -> StartAttempt:
+            return replace(start_attempt(number, self.port), worker=worker, name=name, route=name)
 
-        self.workers.delegate(ask(1, 3, "s-3"))
+        self.workers.start_attempt(ask(1, 3, "s-3"))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.FULL)
-        self.workers.delegate(ask(2, 4, "s-4"))
+        self.workers.start_attempt(ask(2, 4, "s-4"))
         other, _ = self.door.accept()
         other.settimeout(5.0)
         self.addCleanup(other.close)
         self.assertIn(b"m0", other.recv(1000))
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OK)
-        self.workers.delegate(ask(3, 3, "s-3"))
+        self.workers.start_attempt(ask(3, 3, "s-3"))
         self.assertIs(self.outcome(), Outcome.MOOT)
 
     def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
         self.workers.bar(3, True)
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.MOOT)
         self.workers.bar(3, False)
         self.workers.hold(7, 1e12)
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.MOOT)
         for _ in range(2):
             sock, _ = self.door.accept()
@@ -334,7 +334,7 @@
     def test_a_first_line_with_200_delivers(self) -> None:
         # Guards against a second delivery: the worker counts the message as done from that line on.
         for text, outcome in ((b"HTTP/1.1 200 OK\r\n", Outcome.OK), (b"HTTP/1.1 2", Outcome.RESET)):
-            self.workers.delegate(delegate(1, self.port))
+            self.workers.start_attempt(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.sendall(text)
@@ -343,20 +343,20 @@
 
     def test_a_told_wait_binds_before_the_loop_has_its_answer(self) -> None:
         # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.FULL)  # nothing of this reaches a reducer, nor a Hold
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.MOOT)
 
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
-        what = delegate(1, self.port, 2)
+        what = start_attempt(1, self.port, 2)
         late = replace(what, parcels=(replace(what.parcels[0], until=time.monotonic()), what.parcels[1]))
-        self.workers.delegate(late)
+        self.workers.start_attempt(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertEqual(read_call(Stream(sock.recv)).headers["x-correlation-id"], "m1")
@@ -375,7 +375,7 @@
                 dial(*args)
 
             with self.subTest(struck), mock.patch("juniperward.net.sockets.connect", late):
-                self.workers.delegate(delegate(1, self.port, 3))
+                self.workers.start_attempt(start_attempt(1, self.port, 3))
                 self.assertEqual({self.workers.strike(1, n) for n in struck}, {Progress.WAITS})
                 up.set()
                 sock, _ = self.door.accept()
@@ -410,7 +410,7 @@
             dial(*args)
 
         with mock.patch("juniperward.net.sockets.connect", late):
-            self.workers.delegate(delegate(1, self.port))
+            self.workers.start_attempt(start_attempt(1, self.port))
             self.assertTrue(begun.wait(5.0))
             self.assertIs(self.workers.abandon(1), Progress.WAITS)
             up.set()
@@ -419,7 +419,7 @@
         sock.settimeout(5.0)
         while not self.workers.idle:  # it came up after all
             time.sleep(0)
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(start_attempt(2, self.port))
         self.assertEqual(sock.recv(1000), b"")  # nothing was written on it, and it was not fit for the next one
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
@@ -429,7 +429,7 @@
             time.sleep(0)
         self.assertIs(self.workers.abandon(2), Progress.WRITTEN)
         self.assertEqual(sock.recv(1), b"")
-        self.workers.delegate(delegate(3, self.port))
+        self.workers.start_attempt(start_attempt(3, self.port))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
@@ -444,12 +444,12 @@
         head = b"HTTP/1.1 200 OK\r\nX-Backend-Load: {}\r\nContent-Length: %d\r\n\r\n" % len(body)
         text, first = head + body, head.index(b"\n") + 1
         for count in (1, 2):
-            what = delegate(1, self.port, count)
+            what = start_attempt(1, self.port, count)
             for cut in range(len(text)):
                 ours, theirs = socket.socketpair()
                 theirs.sendall(text[:cut])
                 theirs.shutdown(socket.SHUT_WR)
-                ends = self.workers._exchange(Job(what), what, Kept(ours, ("w", 1)), True)
+                ends = self.workers._exchange(ActiveAttempt(what), what, Kept(ours, ("w", 1)), True)
                 theirs.close()
                 self.assertEqual([e.message for e in ends], list(range(count)))
                 # Of one message a first line with 200 is its delivery; of several, what is not whole may have run.
@@ -460,7 +460,7 @@
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
         for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
             self.workers = Workers(1.0, 10.0, 4, 4, self.events.put, longest=deadline)
-            self.workers.delegate(delegate(1, self.port))
+            self.workers.start_attempt(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
             sock.recv(1000)
@@ -471,18 +471,18 @@
 
     def test_a_refused_dial_never_ran(self) -> None:
         self.door.close()
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.CONNECT_FAILED)
 
     def test_an_abandoned_call_reports_nothing_and_ends_its_connection(self) -> None:
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertTrue(sock.recv(1000).startswith(b"POST /receive"))
         self.workers.abandon(1)
         self.assertEqual(sock.recv(1000), b"")
         sock.close()
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(start_attempt(2, self.port))
         sock, _ = self.door.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -509,7 +509,7 @@
     def test_an_idle_connection_that_its_worker_ended_is_not_used(self) -> None:
         # Guards against a reset that costs an attempt: the close is seen before the call is written.
         for number in (1, 2):
-            self.workers.delegate(delegate(number, self.port))
+            self.workers.start_attempt(start_attempt(number, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -517,7 +517,7 @@
             sock.close()
 
     def test_idle_connections_are_dropped_before_their_worker_does(self) -> None:
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.addCleanup(sock.close)
@@ -538,7 +538,7 @@
                 (b"HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\n", Outcome.RESET),
                 (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Outcome.OK),
             ):
-                self.workers.delegate(delegate(1, self.port))
+                self.workers.start_attempt(start_attempt(1, self.port))
                 sock, _ = self.door.accept()
                 self.addCleanup(sock.close)
                 sock.settimeout(5.0)
@@ -551,7 +551,7 @@
         # Guards against a delivery that was none: a copy of one answer, taken for the next.
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         for late in (False, True):
-            self.workers.delegate(delegate(1, self.port))
+            self.workers.start_attempt(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
             sock.recv(1000)
@@ -559,7 +559,7 @@
             self.assertIs(self.outcome(), Outcome.OK)
             if late:
                 sock.sendall(good)
-            self.workers.delegate(delegate(2, self.port))
+            self.workers.start_attempt(start_attempt(2, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.close()
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -9,12 +9,11 @@
     Abandon,
     Answered,
     Append,
+    AttemptRecord,
     Bar,
     Call,
     CalledOff,
     Decided,
-    Delegate,
-    Delegated,
     Effect,
     End,
     Ended,
@@ -34,6 +33,7 @@
     Replayed,
     Reply,
     Restored,
+    StartAttempt,
     Stop,
     Strike,
     Struck,
@@ -81,16 +81,16 @@
         return [e for e in effects if isinstance(e, kind)]
 
     def sent(self, effects: list[Effect]) -> list[list[str]]:
-        return [[p.call.id for p in d.parcels] for d in self.only(effects, Delegate)]
+        return [[p.call.id for p in d.parcels] for d in self.only(effects, StartAttempt)]
 
     def end(self, effects: list[Effect], *ends: tuple[Outcome, float]) -> list[Effect]:
-        """The ends of the only delegation among some effects."""
-        (d,) = self.only(effects, Delegate)
+        """The ends of the only attempt among some effects."""
+        (d,) = self.only(effects, StartAttempt)
         told = [End(p.message, o, w) for p, (o, w) in zip(d.parcels, ends, strict=True)]
         return self.do(Answered(d.number, tuple(told)))
 
-    def up(self, d: Delegate, progress: Progress = Progress.WRITTEN) -> list[Effect]:
-        """The time of a delegation's first message is up, its call having come so far."""
+    def up(self, d: StartAttempt, progress: Progress = Progress.WRITTEN) -> list[Effect]:
+        """The time of an attempt's first message is up, its call having come so far."""
         message = d.parcels[0].message
         self.assertEqual(self.do(TimeUp(d.number, message)), [Strike(d.number, message)])
         return self.do(Struck(d.number, message, progress))
@@ -111,7 +111,7 @@
         self.start()
         effects = self.take("a")
         self.assertEqual(self.only(effects, Append), [])
-        self.assertEqual([d.name for d in self.only(effects, Delegate)], ["s-1"])
+        self.assertEqual([d.name for d in self.only(effects, StartAttempt)], ["s-1"])
 
     def test_a_message_whose_client_was_not_told_is_withdrawn(self) -> None:
         self.start()
@@ -199,7 +199,7 @@
             with self.subTest(apart):
                 self.start(kinds=(Kind(routes_apart=apart),))
                 effects = self.take("a")
-                self.assertEqual([d.route for d in self.only(effects, Delegate)], [told])
+                self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
                 effects = self.end(effects, (Outcome.FULL, 5.0))
                 self.assertEqual(self.only(effects, Hold), [Hold(told, 105.0)])
                 self.do(Heard(42, False, (worker("s-2"),)))
@@ -212,7 +212,7 @@
     def test_a_message_out_to_its_end_is_failed_at_once(self) -> None:
         self.start()
         effects = self.take("a", cls=1, left=2.0)
-        (d,) = self.only(effects, Delegate)
+        (d,) = self.only(effects, StartAttempt)
         wake = next(w for w in self.only(effects, Wake) if w.due == TimeUp(d.number, d.parcels[0].message))
         self.assertEqual((wake.at, d.deadline), (101.7, 101.7))  # 0.3 s are spared for the notice
         self.now = wake.at
@@ -228,7 +228,7 @@
         for progress, again in ((Progress.WAITS, True), (Progress.WRITTEN, False)):
             with self.subTest(progress):
                 self.start()
-                (d,) = self.only(self.take("a", cls=1, left=2.0), Delegate)
+                (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
                 self.now += 1.7
                 effects = self.up(d, progress)
                 (told,) = self.only(effects, Notify)
@@ -244,7 +244,7 @@
                 self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
                 self.take("b")
                 self.now += 2.0
-                (d,) = self.only(self.do(Heard(43, False, ())), Delegate)
+                (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
                 self.assertEqual([p.call.id for p in d.parcels], ["a", "b"])
                 self.now = 103.7
                 effects = self.up(d, progress)
@@ -263,7 +263,7 @@
                 self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
                 self.take("b")
                 self.now += 2.0
-                (d,) = self.only(self.do(Heard(43, False, ())), Delegate)
+                (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
                 self.now = 103.7
                 (wake,) = [w for w in self.only(self.up(d), Wake) if isinstance(w.due, CalledOff)]
                 self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
@@ -278,7 +278,7 @@
 
     def test_a_notice_is_owed_until_it_is_accepted(self) -> None:
         self.start()
-        (d,) = self.only(self.take("a", cls=1, left=2.0), Delegate)
+        (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
         self.now += 2.0
         self.up(d)
         self.assertIn("a", self.reducer.state.owed)
@@ -303,7 +303,7 @@
         _, effects = self.call_off()
         (gone,) = self.only(effects, Abandon)
         self.assertEqual(self.sent(effects), [])
-        effects = self.do(Left(gone.delegation, Progress.WRITTEN))
+        effects = self.do(Left(gone.attempt_number, Progress.WRITTEN))
         self.assertEqual(self.only(effects, Append)[0].record, Ended("a", True))
         self.assertEqual(self.sent(effects), [["c"]])
 
@@ -313,7 +313,7 @@
             with self.subTest(progress):
                 _, effects = self.call_off(cls=1)
                 (gone,) = self.only(effects, Abandon)
-                effects = self.do(Left(gone.delegation, progress))
+                effects = self.do(Left(gone.attempt_number, progress))
                 self.assertEqual([n for t in self.only(effects, Notify) for n in t.notices], told)
                 ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, Ended)]
                 self.assertEqual(ends, [Ended("a", True)] if told else [])  # the journal never heard that it began
@@ -322,14 +322,14 @@
         # Guards a delivery that was read and not yet told: it counted as called off, and its message went again.
         first, effects = self.call_off()
         (gone,) = self.only(effects, Abandon)
-        self.assertEqual(self.do(Left(gone.delegation, Progress.OVER)), [])
+        self.assertEqual(self.do(Left(gone.attempt_number, Progress.OVER)), [])
         effects = self.end(first, (Outcome.OK, 0.0))
         self.assertIn(Append(Over("a")), effects)
         self.assertEqual(self.sent(effects), [["c"]])
         # The same where the message's time is up just then.
         self.start()
         effects = self.take("a", left=2.0)
-        (d,) = self.only(effects, Delegate)
+        (d,) = self.only(effects, StartAttempt)
         self.now += 1.7
         self.assertEqual(self.up(d, Progress.OVER), [])
         self.assertIn(Append(Over("a")), self.end(effects, (Outcome.OK, 0.0)))
@@ -337,7 +337,7 @@
     def test_restored_attempts_count(self) -> None:
         # Guards `MaxAttempts` over all lives: the sixth of six attempts is the last.
         self.start()
-        history = tuple(Delegated("s-1", 90.0 + n, False) for n in range(6))
+        history = tuple(AttemptRecord("s-1", 90.0 + n, False) for n in range(6))
         effects = self.do(Replayed((Restored(call("a"), 115.0, history),)))
         self.assertEqual(self.sent(effects), [])
         self.assertEqual(len(self.only(effects, Notify)), 1)
@@ -349,10 +349,10 @@
     def test_the_window_of_repeats_holds_over_a_restart(self) -> None:
         # Guards rule 2: KEYED has a window of 5 s from the first attempt that may have run.
         self.start()
-        history = (Delegated("s-1", 94.0, True),)
+        history = (AttemptRecord("s-1", 94.0, True),)
         effects = self.do(Replayed((Restored(call("late"), 115.0, history),)))
         self.assertEqual(self.only(effects, Notify), [Notify((Notice("late"),))])
-        history = (Delegated("s-1", 97.0, True),)
+        history = (AttemptRecord("s-1", 97.0, True),)
         effects = self.do(Replayed((Restored(call("soon"), 115.0, history),)))
         self.assertEqual(self.sent(effects), [["soon"]])
         effects = self.end(effects, (Outcome.FULL, 3.0))
@@ -361,8 +361,8 @@
 
     def test_a_message_that_bears_no_repeat_is_not_sent_by_the_next_life(self) -> None:
         self.start()
-        ran = Restored(call("ran", cls=1), 115.0, (Delegated("s-1", 99.0, True),))
-        fresh = Restored(call("fresh", cls=1), 115.0, (Delegated("s-1", 99.0, False),))
+        ran = Restored(call("ran", cls=1), 115.0, (AttemptRecord("s-1", 99.0, True),))
+        fresh = Restored(call("fresh", cls=1), 115.0, (AttemptRecord("s-1", 99.0, False),))
         effects = self.do(Replayed((ran, fresh)))
         self.assertEqual(self.only(effects, Notify), [Notify((Notice("ran"),))])
         self.assertEqual(self.sent(effects), [["fresh"]])
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -24,7 +24,7 @@
     read_boot_id,
 )
 from juniperward.forwarder.journal import NAME, Journal
-from juniperward.forwarder.messages import Began, Call, Delegate, Heard, Notify, Replayed, Restored, Taken
+from juniperward.forwarder.messages import Began, Call, Heard, Notify, Replayed, Restored, StartAttempt, Taken
 from juniperward.forwarder.reducer import Reducer
 from juniperward.net.http import Stream, encode_call, read_response
 from juniperward.standins.partners import Partner, PartnerSpec
@@ -133,7 +133,7 @@
                 (self.folder / NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
-                self.assertEqual(self.only(effects, Delegate), [])
+                self.assertEqual(self.only(effects, StartAttempt), [])
                 self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
 
     def test_a_repeat_within_the_window_still_goes(self) -> None:
@@ -141,7 +141,7 @@
             with self.subTest(step):
                 (self.folder / NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
-                (sent,) = self.only(self.restart(100.6, OFFSET + step), Delegate)
+                (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
                 (parcel,) = sent.parcels
                 self.assertLess(parcel.until, 100.0 + WINDOW)
 
@@ -149,21 +149,21 @@
         # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
         self.leave(began_at=1500.0, expires=1600.0)
         effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
-        self.assertEqual(self.only(effects, Delegate), [])
+        self.assertEqual(self.only(effects, StartAttempt), [])
 
     def test_no_repeat_two_kills_later(self) -> None:
         # The second process saw the clock a second behind, and left the first one's records as they were.
         self.leave(began_at=100.0)
         self.journal(OFFSET - 1.0)
         effects = self.restart(100.0 + WINDOW + 0.001, OFFSET - 1.0)
-        self.assertEqual(self.only(effects, Delegate), [])
+        self.assertEqual(self.only(effects, StartAttempt), [])
 
     def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
         self.leave(began_at=None, expires=105.0)
-        (sent,) = self.only(self.restart(101.0, OFFSET - 1.0), Delegate)
+        (sent,) = self.only(self.restart(101.0, OFFSET - 1.0), StartAttempt)
         self.assertAlmostEqual(sent.deadline, 105.0)
         effects = self.restart(105.5, OFFSET - 1.0)
-        self.assertEqual(self.only(effects, Delegate), [])
+        self.assertEqual(self.only(effects, StartAttempt), [])
         self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -17,10 +17,9 @@
 from juniperward.forwarder.journal import NAME, Journal
 from juniperward.forwarder.messages import (
     Answered,
+    AttemptRecord,
     Began,
     Call,
-    Delegate,
-    Delegated,
     Effect,
     End,
     Event,
@@ -31,6 +30,7 @@
     Replayed,
     Reply,
     Restored,
+    StartAttempt,
     Taken,
     Wake,
 )
@@ -72,9 +72,9 @@
             journal.close()
         return [r.call.id for r in journal.restored() if r.history]
 
-    def delegate(self, count: int = 2) -> Delegate:
+    def start_attempt(self, count: int = 2) -> StartAttempt:
         parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
-        return Delegate(1, 3, "127.0.0.1", self.port, 7, parcels, 1e12, "s-3")
+        return StartAttempt(1, 3, "127.0.0.1", self.port, 7, parcels, 1e12, "s-3")
 
     def test_a_kill_while_a_call_waits_for_its_connection_leaves_its_messages_untried(self) -> None:
         # Guards a restart amid dials: what never went out counted as what may have run, and was failed untried.
@@ -85,7 +85,7 @@
             dial(*args)
 
         with mock.patch("juniperward.net.sockets.connect", late):
-            self.workers.delegate(self.delegate())
+            self.workers.start_attempt(self.start_attempt())
             self.assertEqual(self.tried(), [])
             self.workers.strike(1, 1)
             up.set()
@@ -96,20 +96,20 @@
 
     def test_a_call_that_is_not_begun_leaves_an_earlier_try_as_it_was(self) -> None:
         # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
-        self.workers.delegate(self.delegate(1))
+        self.workers.start_attempt(self.start_attempt(1))
         sock, _ = self.door.accept()
         sock.recv(1)
         self.door.close()
         sock.close()
         self.assertEqual(self.answered(), [End(0, Outcome.RESET)])
-        self.workers.delegate(self.delegate(1))
+        self.workers.start_attempt(self.start_attempt(1))
         self.assertEqual(self.answered(), [End(0, Outcome.CONNECT_FAILED, begun=False)])
         self.assertEqual(self.tried(), ["m0"])
 
     def test_nothing_is_begun_once_the_process_ends(self) -> None:
         # Guards the last moment: the next life may have read the journal already.
         self.workers.end()
-        self.workers.delegate(self.delegate())
+        self.workers.start_attempt(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         self.assertEqual({e.outcome for e in self.answered()}, {Outcome.MOOT})
@@ -120,7 +120,7 @@
         # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
         failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
         self.workers.note = failing
-        self.workers.delegate(self.delegate())
+        self.workers.start_attempt(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
@@ -129,7 +129,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual({e.message: e.outcome for e in self.answered()}, {0: Outcome.OK, 1: Outcome.MOOT})
         failing.side_effect = OSError(28, "No space left on device")
-        self.workers.delegate(self.delegate())
+        self.workers.start_attempt(self.start_attempt())
         self.assertEqual({(e.outcome, e.begun) for e in self.answered()}, {(Outcome.MOOT, False)})
         self.workers.close_idle(3)
         self.assertEqual(sock.recv(1), b"")
@@ -201,7 +201,7 @@
         # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
         fresh = MessageClass(aim=4.0, deadline=20.0, worth=50.0, late_worth=1.0)
         late = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
-        tried = Restored(call("t", cls=1), 115.0, (Delegated("s-1", 95.0, False),))
+        tried = Restored(call("t", cls=1), 115.0, (AttemptRecord("s-1", 95.0, False),))
         effects = self.begin(tried, *late, first=fresh, slots=1)
         before = counters()
         for n in range(3):
@@ -223,11 +223,11 @@
         effects = self.begin(over, soon)
         self.assertEqual(self.sent(effects), [["soon"]])
         self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notices], ["over"])
-        (d,) = self.only(effects, Delegate)
+        (d,) = self.only(effects, StartAttempt)
         self.assertAlmostEqual(d.deadline, 100.2)
         self.assertAlmostEqual(RETURN, 1.2)  # no notice is overdue for 1.5 s after a restart
         effects = self.begin(Restored(call("later", left=8.0), 105.0))  # after that the spare is needed again
-        self.assertAlmostEqual(self.only(effects, Delegate)[0].deadline, 105.0)
+        self.assertAlmostEqual(self.only(effects, StartAttempt)[0].deadline, 105.0)
 
     def test_what_is_untried_keeps_its_place_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
@@ -247,7 +247,7 @@
         effects = self.begin(Restored(call("a", destination=5, left=8.0), 105.0))
         self.assertEqual(self.sent(effects), [])
         effects = self.do(Heard(42, False, (worker("s-1", phase=Phase.GONE), worker("s-5", 5))))
-        self.assertEqual([d.name for d in self.only(effects, Delegate)], ["s-5"])
+        self.assertEqual([d.name for d in self.only(effects, StartAttempt)], ["s-5"])
 
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -272,7 +272,7 @@
         for reply, outcome in cases:
             with self.subTest(outcome=outcome.name):
                 self.answer(reply)
-                self.workers.delegate(look(self.port))
+                self.workers.start_attempt(look(self.port))
                 told = self.looked()
                 self.assertEqual(self.asked, b"GET /health/live HTTP/1.1")
                 self.assertIs(told.outcome, outcome)
@@ -280,12 +280,12 @@
                 if outcome is Outcome.OK:
                     self.assertEqual((told.room, told.limit), (0.25, 12.0))
         # The wait of a probe binds the next probe as it does a call.
-        self.workers.delegate(look(self.port))
+        self.workers.start_attempt(look(self.port))
         self.assertIs(self.looked().outcome, Outcome.MOOT)
 
     def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
         self.answer(b"")
-        self.workers.delegate(look(self.port, time.monotonic() + 0.2))
+        self.workers.start_attempt(look(self.port, time.monotonic() + 0.2))
         self.assertIs(self.looked().outcome, Outcome.TIMEOUT)
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -32,7 +32,7 @@
             with self.subTest(destination):
                 self.assertIn(destination, state.destinations)
         drive.message()
-        self.assertEqual((state.held, state.outs), ({}, {}))
+        self.assertEqual((state.held, state.in_flight), ({}, {}))
 
     def test_an_entry_that_cannot_be_used_costs_no_other(self) -> None:
         value = listed(1024)
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -12,7 +12,7 @@
 
 from juniperward.forwarder import workers as workers_module
 from juniperward.forwarder.answers import read_wait
-from juniperward.forwarder.messages import Answered, Call, Delegate, Look, Looked, Parcel
+from juniperward.forwarder.messages import Answered, Call, Look, Looked, Parcel, StartAttempt
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from nickelscale.interface import Outcome
@@ -23,10 +23,10 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-def delegate(number: int, port: int, count: int = 1, body: bytes = b"") -> Delegate:
+def delegate(number: int, port: int, count: int = 1, body: bytes = b"") -> StartAttempt:
     """A call with so many messages, each with this body."""
     parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
-    return Delegate(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
+    return StartAttempt(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
 
 
 class EndpointRig(WorkerRig):
@@ -55,12 +55,12 @@
         for text, seconds in cases:
             with self.subTest(text):
                 self.assertAlmostEqual(read_wait({"retry-after": text}), seconds, 2)
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 30.000000000000004\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(self.outcomes(), {Outcome.FULL})
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(delegate(2, self.port))
         self.assertEqual(self.outcomes(), {Outcome.MOOT})
 
 
@@ -83,7 +83,7 @@
                 kept.used -= 1.0
                 kept.stream = Stream(lambda _, kept=kept: kept._receive(1))  # type: ignore[misc]
                 self.workers.idle[WORKER] = [kept]
-                self.workers.delegate(self.probe(number, 0.3))
+                self.workers.start_attempt(self.probe(number, 0.3))
                 theirs.recv(1000)
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
@@ -92,14 +92,14 @@
 
     def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
         # Guards calls: the probe's deadline must not go on to the next call on its connection.
-        self.workers.delegate(self.probe(1, 0.2))
+        self.workers.start_attempt(self.probe(1, 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
         assert isinstance(event, Looked)
         self.assertIs(event.outcome, Outcome.OK)
-        self.workers.delegate(delegate(2, self.port))
+        self.workers.start_attempt(delegate(2, self.port))
         self.assertIn(b"m0", sock.recv(1000))
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=0.4)  # past the probe's deadline
@@ -115,14 +115,14 @@
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
         self.workers.dial_timeout = 5.0
         self.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.workers.delegate(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
+        self.workers.start_attempt(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         self.assertEqual(self.outcomes(), {Outcome.OK})
         ((kept,),) = self.workers.idle.values()
         kept.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.workers.delegate(delegate(2, self.port, 4, b"x" * 65_536))
+        self.workers.start_attempt(delegate(2, self.port, 4, b"x" * 65_536))
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=1.5)  # it is not read, and not over either
         stream, length = Stream(sock.recv), 0
@@ -147,17 +147,17 @@
             sock.connect_ex(silent.getsockname())
         self.workers.dial_timeout = 0.01
         port = silent.getsockname()[1]
-        self.workers.delegate(delegate(0, port))
+        self.workers.start_attempt(delegate(0, port))
         self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
         before = len(os.listdir("/proc/self/fd"))
         for number in range(1, 301):
-            self.workers.delegate(delegate(number, port))
+            self.workers.start_attempt(delegate(number, port))
             if number % 4 == 0:
                 # Those that come up late come up in vain, and one is given up while it is dialled.
                 self.workers.abandon(number)
             else:
                 self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
-        self.workers.delegate(delegate(301, self.port))
+        self.workers.start_attempt(delegate(301, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
@@ -198,7 +198,7 @@
         ]  # fmt: skip
         for number, (name, count, first, rest, outcome) in enumerate(cases):
             with self.subTest(name):
-                self.workers.delegate(delegate(number, self.port, count))
+                self.workers.start_attempt(delegate(number, self.port, count))
                 sock = self.accept()
                 sock.recv(65536)
                 sock.sendall(first)
@@ -215,7 +215,7 @@
 
     def test_nothing_is_held_back_on_a_connection_to_an_endpoint(self) -> None:
         # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
-        self.workers.delegate(delegate(1, self.port))
+        self.workers.start_attempt(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
