--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -64,7 +64,7 @@
         End(
             p.message, outcome, wait, slots_taken, over, report.room, report.limit, begun=begun, table_full=table_full
         )
-        for p in what.parcels
+        for p in what.items
     )
 
 
@@ -126,7 +126,7 @@
 def read_ends(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[End, ...]:
     """What an answer says of each message of a call ('Forwarders to endpoints'); `fresh`: on a new connection."""
     wait, report = read_wait(answer.headers), read_report(answer.headers)
-    many = len(what.parcels) > 1
+    many = len(what.items) > 1
     match answer.status:
         case 200 if many:
             return _each(what, answer, wait, report)
@@ -148,7 +148,7 @@
             return ends_of_all(what, Outcome.MOOT, wait, report, over=True)
         case 400 | 413 if many:
             count("batches_unread")
-            log("worker", f"{what.host}:{what.port} does not take a call of {len(what.parcels)} messages")
+            log("worker", f"{what.host}:{what.port} does not take a call of {len(what.items)} messages")
             return ends_of_all(what, Outcome.MOOT, wait, report)
         case 500:
             return ends_of_all(what, Outcome.ERROR, wait, report)
@@ -162,7 +162,7 @@
     """The ends of several messages; one that is not named, or not in words we know, may have run."""
     states: dict[str, State] = {}
     try:
-        rows = read_json(answer.body, 1 + len(what.parcels))
+        rows = read_json(answer.body, 1 + len(what.items))
         if not isinstance(rows, list):
             raise TypeError("no list of ends")
         for row in rows:
@@ -172,7 +172,7 @@
         count("answers_unread")
         log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
     ends = []
-    for p in what.parcels:
+    for p in what.items:
         state = states.get(p.call.id, UNKNOWN)
         ends.append(
             End(p.message, state.outcome, wait, over=state.over, room=report.room, limit=report.limit)
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -314,7 +314,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parcel:
+class BatchItem:
     """One message of an attempt; `until`: monotonic seconds after which it must not be written any more."""
 
     message: int
@@ -331,7 +331,7 @@
     host: str
     port: int
     destination: int
-    parcels: tuple[Parcel, ...]
+    items: tuple[BatchItem, ...]
     deadline: float
     name: str = ""  # the registry's of the worker, for the journal
     route: Route | None = None  # what a told wait binds; its destination where it is not said
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -19,6 +19,7 @@
     Answered,
     Append,
     Asked,
+    BatchItem,
     Call,
     CalledOff,
     CloseIdle,
@@ -42,7 +43,6 @@
     Noticed,
     Notify,
     Over,
-    Parcel,
     Progress,
     Remember,
     Replayed,
@@ -521,7 +521,7 @@
 
     def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[i.Send]) -> None:
         """Make a call; its thread journals the attempts right before their first byte."""
-        parcels = []
+        items = []
         for a in asked:
             held = self.state.held[a.message]
             holds(held.attempt_number is None, "one_attempt_at_a_time")
@@ -529,7 +529,7 @@
             attempt.waiting[a.message] = held.attempts
             held.attempts += 1
             held.attempt_number, held.began_at = attempt.number, now
-            parcels.append(Parcel(a.message, held.call, now + a.within))
+            items.append(BatchItem(a.message, held.call, now + a.within))
             self.effects.append(Wake(now + a.timeout, TimeUp(attempt.number, a.message)))
         holds(len(self.state.in_flight) <= self.settings.slots, "no_more_calls_than_slots")
         count("delegations")
@@ -541,7 +541,7 @@
                 w.host,
                 w.port,
                 w.destination,
-                tuple(parcels),
+                tuple(items),
                 deadline,
                 w.id,
                 self._route(w),
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -77,8 +77,8 @@
                 case Reply():
                     lines.append(f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after:.3f}")
                 case StartAttempt():
-                    ids = ",".join(p.call.id for p in e.parcels)
-                    lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.parcels)} {ids}")
+                    ids = ",".join(p.call.id for p in e.items)
+                    lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.items)} {ids}")
                 case Notify():
                     for n in e.notices:
                         again = "never" if n.again is None else f"{n.again:.3f}"
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -22,12 +22,12 @@
 from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.messages import (
     Answered,
+    BatchItem,
     Began,
     End,
     Event,
     Look,
     Looked,
-    Parcel,
     Progress,
     Record,
     Route,
@@ -285,19 +285,19 @@
         else:
             attempt.sock = kept.sock
             count("connections_reused")
-        parcels = self._begin(attempt)
-        if not parcels:
+        items = self._begin(attempt)
+        if not items:
             # It waited behind a dial: what came meanwhile from the registry or the worker binds it.
             count("delegations_withheld")
             self._put_back(what.worker, kept)
             return ends_of_all(what, Outcome.MOOT, begun=False)
         # What ended meanwhile was told its end: sent on now it would run, and be brought a second time.
-        if len(parcels) == len(what.parcels):
+        if len(items) == len(what.items):
             return self._exchange(attempt, what, kept, fresh)
-        count("messages_left_out", len(what.parcels) - len(parcels))
+        count("messages_left_out", len(what.items) - len(items))
         ends = {end.message: end for end in ends_of_all(what, Outcome.MOOT, begun=False)}
         ends |= {
-            end.message: end for end in self._exchange(attempt, replace(what, parcels=parcels), kept, fresh)
+            end.message: end for end in self._exchange(attempt, replace(what, items=items), kept, fresh)
         }
         return tuple(ends.values())
 
@@ -320,7 +320,7 @@
                 count("answers_spoilt")
                 log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
             # A first line with 200 has delivered a single message, whatever becomes of the rest.
-            whole = len(what.parcels) == 1 and getattr(error, "status", None) == 200
+            whole = len(what.items) == 1 and getattr(error, "status", None) == 200
             return ends_of_all(what, Outcome.OK if whole else Outcome.RESET)
         if self.trace is not None:
             headers = f"{answer.headers}"
@@ -360,7 +360,7 @@
         count("connections_opened")
         return Kept(sock, address, self.longest)
 
-    def _begin(self, attempt: ActiveAttempt) -> tuple[Parcel, ...] | None:
+    def _begin(self, attempt: ActiveAttempt) -> tuple[BatchItem, ...] | None:
         """Begin to write, unless that is barred by now (None); the messages that may still be written.
 
         They are journalled here, before their first byte and not when the module decided: a process killed while
@@ -373,8 +373,8 @@
                 return None
             if isinstance(what, Look):
                 return ()
-            parcels = []
-            for p in what.parcels:
+            items = []
+            for p in what.items:
                 if p.message not in attempt.struck and now < p.until:
                     try:
                         self.note(Began(p.call.id, now, what.name))
@@ -382,10 +382,10 @@
                         count("journal_failures")
                         log("journal", f"cannot write: {error}; its message is not sent")
                         break
-                    parcels.append(p)
-            if parcels:
+                    items.append(p)
+            if items:
                 attempt.progress = Progress.WRITES
-            return tuple(parcels)
+            return tuple(items)
 
     def _take_idle(self, worker: int, address: tuple[str, int]) -> Kept | None:
         """The connection used most recently that has rested and is still good; where none has, the eldest."""
@@ -428,14 +428,14 @@
     """A call as it is written: a single message, or several in one body."""
     headers = {"X-Time-Left": f"{max(what.deadline - now, 0.001):.3f}"}
     host = f"{what.host}:{what.port}"
-    if len(what.parcels) == 1:
-        call = what.parcels[0].call
+    if len(what.items) == 1:
+        call = what.items[0].call
         headers["X-Correlation-Id"] = call.id
         if call.key is not None:
             headers["Idempotency-Key"] = call.key
         return encode_call("POST", "/receive", host, headers, call.body)
     rows = []
-    for p in what.parcels:
+    for p in what.items:
         row = {"id": p.call.id, "body": base64.b64encode(p.call.body).decode()}
         if p.call.key is not None:
             row["key"] = p.call.key
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -87,7 +87,7 @@
         for e in self.do(TookOn(asked.message, True)):
             if isinstance(e, StartAttempt):
                 self.now += 0.01
-                self.do(Answered(e.number, tuple(End(p.message, i.Outcome.OK) for p in e.parcels)))
+                self.do(Answered(e.number, tuple(End(p.message, i.Outcome.OK) for p in e.items)))
         self.run(self.now + 0.1)
 
     def rest(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,7 +22,7 @@
 from juniperward.forwarder.counters import counters
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.journal import FRESH, Journal
-from juniperward.forwarder.messages import Answered, Call, End, Over, Parcel, StartAttempt, Taken
+from juniperward.forwarder.messages import Answered, BatchItem, Call, End, Over, StartAttempt, Taken
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
 from juniperward.standins.partners import Partner, PartnerSpec
@@ -62,7 +62,7 @@
         message = Call("m0", 0, 0, 7, 9.0, None, b"")
         with mock.patch("juniperward.forwarder.workers.socket.socket", side_effect=NO_DESCRIPTOR):
             self.workers.start_attempt(
-                StartAttempt(1, 3, "127.0.0.1", self.port, 7, (Parcel(0, message),), 1e12, "s-3")
+                StartAttempt(1, 3, "127.0.0.1", self.port, 7, (BatchItem(0, message),), 1e12, "s-3")
             )
             event = self.events.get(timeout=5.0)
         assert isinstance(event, Answered)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,7 +18,16 @@
 from juniperward.forwarder.answers import read_ends, read_wait
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Answered, Call, End, Event, Handed, Parcel, Progress, StartAttempt
+from juniperward.forwarder.messages import (
+    Answered,
+    BatchItem,
+    Call,
+    End,
+    Event,
+    Handed,
+    Progress,
+    StartAttempt,
+)
 from juniperward.forwarder.server import Client, Server
 from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
@@ -30,8 +39,8 @@
 
 
 def start_attempt(number: int, port: int, count: int = 1, deadline: float = 1e12) -> StartAttempt:
-    parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, 7, 1.0, None, b"")) for n in range(count))
-    return StartAttempt(number, 3, "127.0.0.1", port, 7, parcels, deadline)
+    items = tuple(BatchItem(n, Call(f"m{n}", 0, 0, 7, 1.0, None, b"")) for n in range(count))
+    return StartAttempt(number, 3, "127.0.0.1", port, 7, items, deadline)
 
 
 class AnswersTest(unittest.TestCase):
@@ -355,7 +364,7 @@
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
         what = start_attempt(1, self.port, 2)
-        late = replace(what, parcels=(replace(what.parcels[0], until=time.monotonic()), what.parcels[1]))
+        late = replace(what, items=(replace(what.items[0], until=time.monotonic()), what.items[1]))
         self.workers.start_attempt(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -81,17 +81,17 @@
         return [e for e in effects if isinstance(e, kind)]
 
     def sent(self, effects: list[Effect]) -> list[list[str]]:
-        return [[p.call.id for p in d.parcels] for d in self.only(effects, StartAttempt)]
+        return [[p.call.id for p in d.items] for d in self.only(effects, StartAttempt)]
 
     def end(self, effects: list[Effect], *ends: tuple[Outcome, float]) -> list[Effect]:
         """The ends of the only attempt among some effects."""
         (d,) = self.only(effects, StartAttempt)
-        told = [End(p.message, o, w) for p, (o, w) in zip(d.parcels, ends, strict=True)]
+        told = [End(p.message, o, w) for p, (o, w) in zip(d.items, ends, strict=True)]
         return self.do(Answered(d.number, tuple(told)))
 
     def up(self, d: StartAttempt, progress: Progress = Progress.WRITTEN) -> list[Effect]:
         """The time of an attempt's first message is up, its call having come so far."""
-        message = d.parcels[0].message
+        message = d.items[0].message
         self.assertEqual(self.do(TimeUp(d.number, message)), [Strike(d.number, message)])
         return self.do(Struck(d.number, message, progress))
 
@@ -213,7 +213,7 @@
         self.start()
         effects = self.take("a", cls=1, left=2.0)
         (d,) = self.only(effects, StartAttempt)
-        wake = next(w for w in self.only(effects, Wake) if w.due == TimeUp(d.number, d.parcels[0].message))
+        wake = next(w for w in self.only(effects, Wake) if w.due == TimeUp(d.number, d.items[0].message))
         self.assertEqual((wake.at, d.deadline), (101.7, 101.7))  # 0.3 s are spared for the notice
         self.now = wake.at
         effects = self.up(d)
@@ -221,7 +221,7 @@
         self.assertEqual(self.only(effects, Notify), [Notify((Notice("a"),))])
         self.assertIn(Append(Decided(Notice("a"))), effects)
         # An answer that crossed it changes nothing.
-        self.assertEqual(self.do(Answered(d.number, (End(d.parcels[0].message, Outcome.OK),))), [])
+        self.assertEqual(self.do(Answered(d.number, (End(d.items[0].message, Outcome.OK),))), [])
 
     def test_a_message_whose_call_is_not_written_yet_surely_has_not_run(self) -> None:
         # Guards a late connection: a message that must not run twice may be handed back, and was failed.
@@ -245,7 +245,7 @@
                 self.take("b")
                 self.now += 2.0
                 (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
-                self.assertEqual([p.call.id for p in d.parcels], ["a", "b"])
+                self.assertEqual([p.call.id for p in d.items], ["a", "b"])
                 self.now = 103.7
                 effects = self.up(d, progress)
                 self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notices], ["a"])
@@ -268,7 +268,7 @@
                 (wake,) = [w for w in self.only(self.up(d), Wake) if isinstance(w.due, CalledOff)]
                 self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
                 if answered:
-                    self.do(Answered(d.number, tuple(End(p.message, Outcome.OK) for p in d.parcels)))
+                    self.do(Answered(d.number, tuple(End(p.message, Outcome.OK) for p in d.items)))
                 self.now = wake.at
                 effects = self.do(wake.due)
                 gone = [] if answered else [Abandon(d.number)]
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -142,7 +142,7 @@
                 (self.folder / NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
-                (parcel,) = sent.parcels
+                (parcel,) = sent.items
                 self.assertLess(parcel.until, 100.0 + WINDOW)
 
     def test_no_repeat_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -18,6 +18,7 @@
 from juniperward.forwarder.messages import (
     Answered,
     AttemptRecord,
+    BatchItem,
     Began,
     Call,
     Effect,
@@ -26,7 +27,6 @@
     Handed,
     Heard,
     Notify,
-    Parcel,
     Replayed,
     Reply,
     Restored,
@@ -73,8 +73,8 @@
         return [r.call.id for r in journal.restored() if r.history]
 
     def start_attempt(self, count: int = 2) -> StartAttempt:
-        parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
-        return StartAttempt(1, 3, "127.0.0.1", self.port, 7, parcels, 1e12, "s-3")
+        items = tuple(BatchItem(n, Call(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
+        return StartAttempt(1, 3, "127.0.0.1", self.port, 7, items, 1e12, "s-3")
 
     def test_a_kill_while_a_call_waits_for_its_connection_leaves_its_messages_untried(self) -> None:
         # Guards a restart amid dials: what never went out counted as what may have run, and was failed untried.
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -12,7 +12,7 @@
 
 from juniperward.forwarder import workers as workers_module
 from juniperward.forwarder.answers import read_wait
-from juniperward.forwarder.messages import Answered, Call, Look, Looked, Parcel, StartAttempt
+from juniperward.forwarder.messages import Answered, BatchItem, Call, Look, Looked, StartAttempt
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from nickelscale.interface import Outcome
@@ -25,7 +25,7 @@
 
 def delegate(number: int, port: int, count: int = 1, body: bytes = b"") -> StartAttempt:
     """A call with so many messages, each with this body."""
-    parcels = tuple(Parcel(n, Call(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
+    parcels = tuple(BatchItem(n, Call(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
     return StartAttempt(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -8,13 +8,13 @@
 
 from juniperward.forwarder.messages import (
     Answered,
+    BatchItem,
     Call,
     End,
     Handed,
     Left,
     Notice,
     Notify,
-    Parcel,
     Progress,
     Reply,
     Say,
@@ -42,11 +42,11 @@
         a, b, c = call("a"), call("b"), call("c")
         trace.events(0.0, [Handed(1, a, 0.0), Handed(2, b, 0.0), Handed(3, c, 0.0)])
         trace.effects(0.0, [TakeOn(1, 1, Taken(a, 12.0)), Reply(2, 503, 1.0), TakeOn(3, 2, Taken(c, 12.0))])
-        trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (Parcel(1, a),), 12.0)])
+        trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(0.15, [Struck(1, 9, Progress.WAITS), Left(9, Progress.WRITTEN)])
         trace.events(0.2, [Answered(1, (End(1, Outcome.FULL, 0.5),))])
         trace.effects(0.3, [Say("destination 7: refuses all, held to trials")])
-        trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (Parcel(1, a),), 12.0)])
+        trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(2.5, [Answered(2, (End(1, Outcome.OK),))])
         trace.effects(2.6, [Say("destination 7: answers again, warming up"), Notify((Notice("c", 0.5),))])
     return [SETTINGS, *out.getvalue().splitlines()]
