--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -1,4 +1,4 @@
-"""The journal in the folder that lasts: what was taken on, what was tried, what is over.
+"""The journal in the folder that lasts: what was accepted, what was tried, what is over.
 
 One record a line: the CRC-32 of the text in hex, a space, a JSON array. A line that does not match its sum is
 left out: a torn tail is the trace of a killed process. Plain writes outlast the process; nothing is synced.
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -14,6 +14,7 @@
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.messages import (
     Abandon,
+    AcceptMessage,
     Append,
     Bar,
     CloseIdle,
@@ -27,6 +28,7 @@
     Keep,
     Left,
     Look,
+    MessageAccepted,
     MoveTo,
     Notify,
     Record,
@@ -36,9 +38,7 @@
     StartAttempt,
     Strike,
     Struck,
-    TakeOn,
     Tell,
-    TookOn,
     Wake,
     WatchFrom,
 )
@@ -131,8 +131,8 @@
 
     def _perform(self, effect: Effect) -> None:
         match effect:
-            case TakeOn(client=client, message=message, record=record):
-                self.follow.append(TookOn(message, self._take_on(client, record)))
+            case AcceptMessage(client=client, message=message, record=record):
+                self.follow.append(MessageAccepted(message, self._accept_message(client, record)))
             case Reply(client=client, status=status, retry_after=wait):
                 self.server.answer(client, status, wait)
             case Append(record=record):
@@ -187,7 +187,7 @@
         )
         return replace(answer, body=body)
 
-    def _take_on(self, client: int, record: Record) -> bool:
+    def _accept_message(self, client: int, record: Record) -> bool:
         """The journal first, then the client: what a client was told outlasts this process."""
         try:
             self.journal.append(record)
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of a message that was taken on and not delivered; `again` None is a failure."""
+    """The end of a message that was accepted and not delivered; `again` None is a failure."""
 
     id: str
     again: float | None = None
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """A message was taken on."""
+    """A message was accepted."""
 
     call: Call
     expires: float
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
+class MessageReceived:
     """A client handed in a message; its last byte came at `at`."""
 
     client: int
@@ -155,8 +155,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TookOn:
-    """What became of a `TakeOn`: whether the client was told."""
+class MessageAccepted:
+    """What became of an `AcceptMessage`: whether the client was told."""
 
     message: int
     told: bool
@@ -282,15 +282,27 @@
 
 Due = ModuleTimer | TimeUp | CalledOff | Left
 Event = (
-    Replayed | Handed | TookOn | Answered | Struck | Looked | Heard | WatchLost | Moved | Noticed | Due | Stop | Asked
+    Replayed
+    | MessageReceived
+    | MessageAccepted
+    | Answered
+    | Struck
+    | Looked
+    | Heard
+    | WatchLost
+    | Moved
+    | Noticed
+    | Due
+    | Stop
+    | Asked
 )
 
 # --- effects -----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOn:
-    """Journal the message, then tell its client 202; `TookOn` reports back."""
+class AcceptMessage:
+    """Journal the message, then tell its client 202; `MessageAccepted` reports back."""
 
     client: int
     message: int
@@ -299,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer a client without taking its message on (or again, where it is held already)."""
+    """Answer a client without accepting its message (or again, where it is held already)."""
 
     client: int
     status: int
@@ -484,7 +496,7 @@
 
 
 Effect = (
-    TakeOn
+    AcceptMessage
     | Reply
     | Append
     | StartAttempt
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -16,6 +16,7 @@
 from juniperward.forwarder.listing import Listing
 from juniperward.forwarder.messages import (
     Abandon,
+    AcceptMessage,
     Answered,
     Append,
     Asked,
@@ -30,13 +31,14 @@
     Ended,
     EndProcess,
     Event,
-    Handed,
     Heard,
     Hold,
     Keep,
     Left,
     Look,
     Looked,
+    MessageAccepted,
+    MessageReceived,
     ModuleTimer,
     Moved,
     Notice,
@@ -55,10 +57,8 @@
     Strike,
     Struck,
     Taken,
-    TakeOn,
     Tell,
     TimeUp,
-    TookOn,
     Tried,
     Wake,
     WatchLost,
@@ -133,10 +133,10 @@
 
     def _take(self, now: float, event: Event) -> None:
         match event:
-            case Handed():
-                self._handed(now, event)
-            case TookOn(message=number, told=told):
-                self._took_on(now, number, told)
+            case MessageReceived():
+                self._message_received(now, event)
+            case MessageAccepted(message=number, told=told):
+                self._message_accepted(now, number, told)
             case Answered():
                 self._answered(now, event)
             case ModuleTimer(token=token):
@@ -203,7 +203,7 @@
 
     # --- messages coming in ------------------------------------------------------------------------
 
-    def _handed(self, now: float, e: Handed) -> None:
+    def _message_received(self, now: float, e: MessageReceived) -> None:
         s = self.state
         self._forget_ended(now)
         if e.call.id in s.numbers or e.call.id in s.owed or e.call.id in s.ended:
@@ -233,9 +233,9 @@
             held.ran_at, held.attempts = e.at - e.call.ran, 1
         s.offered[held.number] = held
         s.numbers[e.call.id] = held.number
-        self.effects.append(TakeOn(e.client, held.number, Taken(e.call, held.expires, held.ran_at)))
+        self.effects.append(AcceptMessage(e.client, held.number, Taken(e.call, held.expires, held.ran_at)))
 
-    def _took_on(self, now: float, number: int, told: bool) -> None:
+    def _message_accepted(self, now: float, number: int, told: bool) -> None:
         s = self.state
         held = s.offered.pop(number)
         if not told:
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.counters import count, holds, log, trouble
 from juniperward.forwarder.descriptors import MOST_LEAVING
-from juniperward.forwarder.messages import Event, Handed
+from juniperward.forwarder.messages import Event, MessageReceived
 from juniperward.net import sockets
 from juniperward.net.http import (
     Broken,
@@ -138,7 +138,7 @@
             client.pending = False
             left = client.leaving or sockets.ended(client.sock)
             if left:
-                # Its sending has ended, by it or by us: nothing is taken on for one that may be gone.
+                # Its sending has ended, by it or by us: nothing is accepted for one that may be gone.
                 status, retry_after = 503, BACK
                 count("clients_left")
             client.close = client.close or client.leaving or self.leave or self.stopping
@@ -300,7 +300,7 @@
         with client.lock:
             client.answered.clear()
             client.pending = True
-        self.post(Handed(client.number, call, at))
+        self.post(MessageReceived(client.number, call, at))
         if client.answered.wait(PATIENCE):
             return
         with client.lock:
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -100,7 +100,7 @@
         except BaseException as error:
             trouble("loop", error)
             report()
-            os._exit(70)  # nothing can be taken on or ended without it; the journal has what is owed
+            os._exit(70)  # nothing can be accepted or ended without it; the journal has what is owed
 
     known = config.known
     loop.registry.start()
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, eq=False)
 class Held:
-    """A message taken on and not over for the module."""
+    """A message accepted and not over for the module."""
 
     number: int
     call: Call
     expires: float
     since: float  # when it came into this process
     due: float = 0.0  # the end of its client's time; `expires` is before it by what its notice may take
-    owed: bool = False  # an earlier life took it on, and no byte of a call was written for it so far
+    owed: bool = False  # an earlier life accepted it, and no byte of a call was written for it so far
     attempts: int = 0
     attempt_number: int | None = None  # number of the attempt that carries it
     began_at: float = 0.0  # of the latest attempt
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -13,22 +13,22 @@
 from collections.abc import Iterable
 
 from juniperward.forwarder.messages import (
+    AcceptMessage,
     Answered,
     CloseIdle,
     Effect,
     Event,
-    Handed,
     Heard,
     Left,
+    MessageAccepted,
+    MessageReceived,
     Noticed,
     Notify,
     Reply,
     Say,
     StartAttempt,
     Struck,
-    TakeOn,
     TimeUp,
-    TookOn,
 )
 
 PREFIX = "juniperward: trace:"
@@ -46,7 +46,7 @@
         lines = []
         for e in events:
             match e:
-                case Handed():
+                case MessageReceived():
                     self.asked[e.client] = f"{e.call.destination} {e.call.id}"
                     lines.append(f"handed {self.asked[e.client]} {e.call.time_left:.3f}")
                 case Answered():
@@ -58,7 +58,7 @@
                     lines.append(f"struck {e.attempt_number} {e.progress.value}")
                 case Left():
                     lines.append(f"off {e.attempt_number} {e.progress.value}")
-                case TookOn(told=False):
+                case MessageAccepted(told=False):
                     lines.append(f"untold {e.message}")
                 case Noticed():
                     lines += [f"noticed {name}" for name in e.ids]
@@ -72,7 +72,7 @@
         lines = []
         for e in effects:
             match e:
-                case TakeOn():
+                case AcceptMessage():
                     lines.append(f"taken {self.asked.pop(e.client, '? ?')}")
                 case Reply():
                     lines.append(f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after:.3f}")
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -19,16 +19,16 @@
 
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.messages import (
+    AcceptMessage,
     Answered,
     Call,
     Due,
     End,
     Event,
-    Handed,
     Heard,
+    MessageAccepted,
+    MessageReceived,
     StartAttempt,
-    TakeOn,
-    TookOn,
     Wake,
 )
 from juniperward.forwarder.news import Objects
@@ -82,9 +82,11 @@
     def message(self) -> None:
         """A message handed in, taken on, sent and delivered 10 ms later."""
         self.number += 1
-        (asked,) = self.do(Handed(1, Call(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now))
-        assert isinstance(asked, TakeOn)
-        for e in self.do(TookOn(asked.message, True)):
+        (asked,) = self.do(
+            MessageReceived(1, Call(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now)
+        )
+        assert isinstance(asked, AcceptMessage)
+        for e in self.do(MessageAccepted(asked.message, True)):
             if isinstance(e, StartAttempt):
                 self.now += 0.01
                 self.do(Answered(e.number, tuple(End(p.message, i.Outcome.OK) for p in e.items)))
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -16,22 +16,22 @@
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.messages import (
+    AcceptMessage,
     Append,
     Asked,
     Call,
     Decided,
     Effect,
-    Handed,
     Heard,
     Keep,
+    MessageAccepted,
+    MessageReceived,
     Notify,
     Remember,
     Replayed,
     Reply,
     Taken,
-    TakeOn,
     Tell,
-    TookOn,
     Tried,
     Worker,
 )
@@ -57,9 +57,11 @@
         return made
 
     def take(self, reducer: Reducer, name: str = "a", ran: float | None = None) -> list[Effect]:
-        effects = reducer.reduce(100.0, [Handed(5, Call(name, 0, 0, 7, 20.0, "k", b"x", ran), 100.0)])
-        (take_on,) = [e for e in effects if isinstance(e, TakeOn)]
-        return reducer.reduce(100.0, [TookOn(take_on.message, True)])
+        effects = reducer.reduce(
+            100.0, [MessageReceived(5, Call(name, 0, 0, 7, 20.0, "k", b"x", ran), 100.0)]
+        )
+        (accept_message,) = [e for e in effects if isinstance(e, AcceptMessage)]
+        return reducer.reduce(100.0, [MessageAccepted(accept_message.message, True)])
 
     def give_up(self, reducer: Reducer) -> list[Effect]:
         reducer.effects = []
@@ -110,7 +112,9 @@
         (tell,) = reducer.reduce(100.0, [Asked(1, Request(3, Verb.FATE, ("kept-a-1",)))])
         assert isinstance(tell, Tell) and isinstance(tell.answer.body, Fates)
         self.assertEqual([r.end for r in tell.answer.body.fates], ["unknown"])
-        (reply,) = reducer.reduce(100.0, [Handed(5, Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)])
+        (reply,) = reducer.reduce(
+            100.0, [MessageReceived(5, Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
+        )
         assert isinstance(reply, Reply)
         self.assertEqual(reply.status, 503)
         self.take(reducer, "kept-b-1")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -10,7 +10,7 @@
 
 from juniperward.forwarder.journal import NAME, Journal, JournalFull
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import Answered, Began, Call, End, Handed, Heard, Stop, Worker
+from juniperward.forwarder.messages import Answered, Began, Call, End, Heard, MessageReceived, Stop, Worker
 from juniperward.forwarder.reducer import Reducer
 from nickelscale.interface import Outcome, Phase
 from tests.helpers import KEYED, settings
@@ -32,7 +32,7 @@
         self.parts.reset_mock()
 
     def hand_in(self) -> None:
-        self.loop.round([Handed(5, Call("a", 0, 0, 1, 20.0, "k", b"x"), 1e12)])
+        self.loop.round([MessageReceived(5, Call("a", 0, 0, 1, 20.0, "k", b"x"), 1e12)])
 
     def asked(self) -> list[str]:
         calls = cast("list[tuple[str, object, object]]", self.parts.mock_calls)
@@ -67,7 +67,7 @@
         (number,) = self.loop.reducer.state.in_flight
         self.loop.post(Answered(number, (End(1, Outcome.OK),)))
         self.loop.post(Stop(0.0, 0.0))
-        self.loop.post(Handed(6, Call("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
+        self.loop.post(MessageReceived(6, Call("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
         self.assertEqual(self.asked(), ["workers.end", "server.answer"])
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,7 +24,7 @@
     Call,
     End,
     Event,
-    Handed,
+    MessageReceived,
     Progress,
     StartAttempt,
 )
@@ -219,7 +219,7 @@
     def test_who_stands_in_the_kernels_line_at_the_close_is_answered(self) -> None:
         # Guards the end of a stop: a connection that nobody had accepted yet was reset with its call unread.
         def refuse(event: Event) -> None:
-            assert isinstance(event, Handed)
+            assert isinstance(event, MessageReceived)
             server.answer(event.client, 503)
 
         server = Server(("127.0.0.1", 0), NAMES, 10, refuse)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -7,6 +7,7 @@
 
 from juniperward.forwarder.messages import (
     Abandon,
+    AcceptMessage,
     Answered,
     Append,
     AttemptRecord,
@@ -19,10 +20,11 @@
     Ended,
     Event,
     ForgetWorker,
-    Handed,
     Heard,
     Hold,
     Left,
+    MessageAccepted,
+    MessageReceived,
     Moved,
     MoveTo,
     Notice,
@@ -37,9 +39,7 @@
     Stop,
     Strike,
     Struck,
-    TakeOn,
     TimeUp,
-    TookOn,
     Wake,
     WatchFrom,
     WatchLost,
@@ -73,9 +73,9 @@
 
     def take(self, name: str, told: bool = True, **fields: Any) -> list[Effect]:
         """Hand a message in and tell its client; what follows that."""
-        (asked,) = self.do(Handed(5, call(name, **fields), self.now))
-        assert isinstance(asked, TakeOn)
-        return self.do(TookOn(asked.message, told))
+        (asked,) = self.do(MessageReceived(5, call(name, **fields), self.now))
+        assert isinstance(asked, AcceptMessage)
+        return self.do(MessageAccepted(asked.message, told))
 
     def only(self, effects: list[Effect], kind: type) -> list[Any]:
         return [e for e in effects if isinstance(e, kind)]
@@ -102,8 +102,8 @@
         self.start()
         for name, left in (("a", 12.0), ("b", 0.5)):
             with self.subTest(left=left):
-                (asked,) = self.do(Handed(5, call(name, left=left), self.now))
-                assert isinstance(asked, TakeOn)
+                (asked,) = self.do(MessageReceived(5, call(name, left=left), self.now))
+                assert isinstance(asked, AcceptMessage)
                 self.assertAlmostEqual(asked.record.expires - self.now, left - min(0.3, 0.2 * left))
 
     def test_a_delegation_names_its_worker_for_the_journal_which_hears_of_it_at_its_first_byte(self) -> None:
@@ -123,18 +123,18 @@
         # Guards the case that our close crosses a request: the client sends it once more.
         self.start()
         self.take("a")
-        self.assertEqual(self.do(Handed(6, call("a"), self.now)), [Reply(6, 202)])
+        self.assertEqual(self.do(MessageReceived(6, call("a"), self.now)), [Reply(6, 202)])
 
     def test_a_message_that_is_over_is_not_taken_on_again_for_its_time(self) -> None:
         # Guards join+mass: a client's copy of a delivered message went out to eight attempts, each a 400.
         self.start()
         self.end(self.take("a"), (Outcome.OK, 0.0))
         self.now += 19.9
-        self.assertEqual(self.do(Handed(6, call("a"), self.now)), [Reply(6, 202)])
+        self.assertEqual(self.do(MessageReceived(6, call("a"), self.now)), [Reply(6, 202)])
         self.now += 0.2
-        self.assertIsInstance(self.do(Handed(6, call("a"), self.now))[0], TakeOn)
+        self.assertIsInstance(self.do(MessageReceived(6, call("a"), self.now))[0], AcceptMessage)
         self.reducer.state.ended = {f"x{n}": self.now for n in range(MOST_ENDED + 2)}
-        self.do(Handed(7, call("b"), self.now))
+        self.do(MessageReceived(7, call("b"), self.now))
         self.assertEqual(len(self.reducer.state.ended), MOST_ENDED)
 
     def test_what_has_not_run_is_not_given_up_before_seven_tenths_of_its_clients_time(self) -> None:
@@ -157,14 +157,14 @@
 
     def test_the_door_counts_what_is_held_and_what_is_offered(self) -> None:
         self.start(max_open=2, slots=8)
-        effects = self.do(*(Handed(n, call(f"m{n}"), self.now) for n in range(3)))
-        self.assertEqual([type(e) for e in effects], [TakeOn, TakeOn, Reply])
+        effects = self.do(*(MessageReceived(n, call(f"m{n}"), self.now) for n in range(3)))
+        self.assertEqual([type(e) for e in effects], [AcceptMessage, AcceptMessage, Reply])
         self.assertEqual(self.only(effects, Reply)[0].status, 503)
         self.assertGreater(self.only(effects, Reply)[0].retry_after, 0)
 
     def test_a_message_whose_time_is_up_already_is_turned_away(self) -> None:
         self.start()
-        self.assertIsInstance(self.do(Handed(1, call("a", left=0.0), self.now))[0], Reply)
+        self.assertIsInstance(self.do(MessageReceived(1, call("a", left=0.0), self.now))[0], Reply)
 
     def test_a_delivery_ends_all(self) -> None:
         self.start()
@@ -378,7 +378,7 @@
         # Guards against calls cut off by our own exit: each could then not be told from one that ran.
         self.start()
         self.do(Stop(100.8, 103.3))
-        self.assertEqual([type(e) for e in self.do(Handed(1, call("new"), self.now))], [Reply])
+        self.assertEqual([type(e) for e in self.do(MessageReceived(1, call("new"), self.now))], [Reply])
         held = (Restored(call("a"), 115.0),)
         effects = self.do(Replayed(held))
         self.assertEqual(self.sent(effects), [["a"]])
@@ -416,7 +416,7 @@
     def test_a_destination_that_nobody_serves_is_turned_away(self) -> None:
         # Guards against a 202 for a message that cannot be sent anywhere.
         self.start()
-        (told,) = self.do(Handed(5, call("a", destination=9), self.now))
+        (told,) = self.do(MessageReceived(5, call("a", destination=9), self.now))
         self.assertEqual(told, Reply(5, 503, 1.0))
 
     def test_workers_that_are_gone_are_forgotten_once_nothing_of_theirs_is_out(self) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -24,8 +24,8 @@
     Effect,
     End,
     Event,
-    Handed,
     Heard,
+    MessageReceived,
     Notify,
     Replayed,
     Reply,
@@ -234,7 +234,7 @@
         found = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(4)]
         before = counters().get("restored_given_up_untried", 0)
         effects = self.begin(*found, slots=1, max_open=4)
-        self.assertEqual(self.do(Handed(5, call("new"), self.now)), [Reply(5, 503, DOOR_WAIT)])
+        self.assertEqual(self.do(MessageReceived(5, call("new"), self.now)), [Reply(5, 503, DOOR_WAIT)])
         order = []
         while sent := self.sent(effects):
             order += sent[0]
--- a/tests/test_standing_terms_clients.py
+++ b/tests/test_standing_terms_clients.py
@@ -19,7 +19,7 @@
 from juniperward.forwarder import server as server_module
 from juniperward.forwarder.codec import decode_call
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, Handed
+from juniperward.forwarder.messages import Event, MessageReceived
 from juniperward.forwarder.server import Client, Server
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call, read_response
@@ -99,7 +99,7 @@
         self.addCleanup(self.server.close)
 
     def take(self, event: Event) -> None:
-        assert isinstance(event, Handed)
+        assert isinstance(event, MessageReceived)
         self.handed.put(event.call.id)
         self.server.answer(event.client, 503 if self.server.stopping else 202)
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -7,12 +7,13 @@
 import unittest
 
 from juniperward.forwarder.messages import (
+    AcceptMessage,
     Answered,
     BatchItem,
     Call,
     End,
-    Handed,
     Left,
+    MessageReceived,
     Notice,
     Notify,
     Progress,
@@ -21,7 +22,6 @@
     StartAttempt,
     Struck,
     Taken,
-    TakeOn,
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
@@ -40,8 +40,13 @@
     with contextlib.redirect_stderr(out):
         trace = Trace(start)
         a, b, c = call("a"), call("b"), call("c")
-        trace.events(0.0, [Handed(1, a, 0.0), Handed(2, b, 0.0), Handed(3, c, 0.0)])
-        trace.effects(0.0, [TakeOn(1, 1, Taken(a, 12.0)), Reply(2, 503, 1.0), TakeOn(3, 2, Taken(c, 12.0))])
+        trace.events(
+            0.0, [MessageReceived(1, a, 0.0), MessageReceived(2, b, 0.0), MessageReceived(3, c, 0.0)]
+        )
+        trace.effects(
+            0.0,
+            [AcceptMessage(1, 1, Taken(a, 12.0)), Reply(2, 503, 1.0), AcceptMessage(3, 2, Taken(c, 12.0))],
+        )
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(0.15, [Struck(1, 9, Progress.WAITS), Left(9, Progress.WRITTEN)])
         trace.events(0.2, [Answered(1, (End(1, Outcome.FULL, 0.5),))])
