--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -20,16 +20,16 @@
 
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import (
+    Accepted,
+    AttemptFinished,
     AttemptRecord,
-    Began,
+    AttemptStarted,
     Call,
-    Decided,
-    Ended,
+    Completed,
     Notice,
-    Over,
+    OutcomeDecided,
     Record,
     Restored,
-    Taken,
 )
 
 NAME, FRESH = "journal", "journal.new"
@@ -50,18 +50,18 @@
 def encode(record: Record, to_unix: float) -> bytes:
     """One line of the journal."""
     match record:
-        case Taken(call=c, expires=expires, ran_at=ran_at):
+        case Accepted(call=c, expires=expires, ran_at=ran_at):
             body = base64.b64encode(c.body).decode()
             ran = ran_at + to_unix if ran_at is not None else None
             row: list[Any] = ["taken", c.id, c.cls, c.tenant, c.destination, c.key, expires + to_unix, body]
             row += [ran, c.time_left]
-        case Began(id=name, at=at, worker=worker):
+        case AttemptStarted(id=name, at=at, worker=worker):
             row = ["began", name, at + to_unix, worker]
-        case Ended(id=name, may_have_run=may):
+        case AttemptFinished(id=name, may_have_run=may):
             row = ["ended", name, may]
-        case Decided(notice=n):
+        case OutcomeDecided(notice=n):
             row = ["decided", n.id, n.again]
-        case Over(id=name):
+        case Completed(id=name):
             row = ["over", name]
     text = _encode(row).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
@@ -78,15 +78,15 @@
             case "taken", [cls, tenant, destination, key, expires, body, *more]:
                 ran, left = (*more, None, None)[:2]  # an older version wrote neither, or the first alone
                 call = Call(name, cls, tenant, destination, left or 0.0, key, base64.b64decode(body))
-                return Taken(call, expires - to_unix, ran - to_unix if ran is not None else None)
+                return Accepted(call, expires - to_unix, ran - to_unix if ran is not None else None)
             case "began", [at, worker]:
-                return Began(name, at - to_unix, worker)
+                return AttemptStarted(name, at - to_unix, worker)
             case "ended", [may]:
-                return Ended(name, may)
+                return AttemptFinished(name, may)
             case "decided", [again]:
-                return Decided(Notice(name, again))
+                return OutcomeDecided(Notice(name, again))
             case "over", []:
-                return Over(name)
+                return Completed(name)
     except (ValueError, TypeError):
         pass
     return None
@@ -100,21 +100,21 @@
 
     def apply(self, record: Record) -> None:
         match record:
-            case Taken(call=call, expires=expires, ran_at=ran_at):
+            case Accepted(call=call, expires=expires, ran_at=ran_at):
                 # A resend's earlier life comes first in its history: the window of repeats counts from there.
                 before = (AttemptRecord("", ran_at),) if ran_at is not None else ()
                 self.open[call.id] = Restored(call, expires, before)
-            case Over(id=name):
+            case Completed(id=name):
                 self.open.pop(name, None)
-            case Decided(notice=notice):
+            case OutcomeDecided(notice=notice):
                 # What it was is not kept any more: only its end is still owed.
                 call = Call(notice.id, 0, 0, 0, 0.0, None, b"")
                 self.open[notice.id] = Restored(call, 0.0, (), notice)
-            case Began(id=name, at=at, worker=worker):
+            case AttemptStarted(id=name, at=at, worker=worker):
                 if (r := self.open.get(name)) is not None:
                     history = (*r.history, AttemptRecord(worker, at))
                     self.open[name] = Restored(r.call, r.expires, history, r.notice)
-            case Ended(id=name, may_have_run=may):
+            case AttemptFinished(id=name, may_have_run=may):
                 if (r := self.open.get(name)) is not None and r.history:
                     last = r.history[-1]
                     history = (*r.history[:-1], AttemptRecord(last.worker, last.at, may))
@@ -178,11 +178,11 @@
 
     def _append(self, record: Record) -> None:
         name = self._name(record)
-        if isinstance(record, Taken):
+        if isinstance(record, Accepted):
             line = encode(record, self.to_unix)
             if self.planned + len(line) + NOTES > LIVE_PART * self.disk:
                 raise JournalFull
-        elif name not in self.live or (isinstance(record, Ended) and record.may_have_run):
+        elif name not in self.live or (isinstance(record, AttemptFinished) and record.may_have_run):
             return  # of a message that is over already; or what an attempt without an end says anyway
         else:
             line = encode(record, self.to_unix)
@@ -210,9 +210,9 @@
     @staticmethod
     def _name(record: Record) -> str:
         match record:
-            case Taken(call=call):
+            case Accepted(call=call):
                 return call.id
-            case Decided(notice=notice):
+            case OutcomeDecided(notice=notice):
                 return notice.id
             case _:
                 return record.id
@@ -220,11 +220,15 @@
     def _note(self, record: Record, line: bytes) -> None:
         """Keep the lines that still say something: a rewrite copies them as they are."""
         name = self._name(record)
-        lines = self.live.pop(name, []) if isinstance(record, Taken | Decided | Over) else self.live[name]
+        lines = (
+            self.live.pop(name, [])
+            if isinstance(record, Accepted | OutcomeDecided | Completed)
+            else self.live[name]
+        )
         self._plan(lines, -1)
-        if isinstance(record, Over):
+        if isinstance(record, Completed):
             return
-        if isinstance(record, Taken | Decided):
+        if isinstance(record, Accepted | OutcomeDecided):
             lines = self.live[name] = []
         lines.append(line)
         self._plan(lines, 1)
@@ -251,7 +255,7 @@
                 log("journal", f"line {number} of {len(lines)} is damaged and left out")
                 continue
             ledger.apply(record)
-            if self._name(record) in self.live or isinstance(record, Taken | Decided):
+            if self._name(record) in self.live or isinstance(record, Accepted | OutcomeDecided):
                 self._note(record, line + b"\n")
         return tuple(ledger.open.values())
 
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Accepted:
     """A message was accepted."""
 
     call: Call
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class AttemptStarted:
     """The first byte of a message's call is about to be written."""
 
     id: str
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptFinished:
     """The latest attempt of a message ended."""
 
     id: str
@@ -100,20 +100,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class OutcomeDecided:
     """The message is given up; its notice is owed from now on, and nothing else."""
 
     notice: Notice
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class Completed:
     """Nothing more is owed."""
 
     id: str
 
 
-Record = Taken | Began | Ended | Decided | Over
+Record = Accepted | AttemptStarted | AttemptFinished | OutcomeDecided | Completed
 
 
 @dataclass(frozen=True, slots=True)
@@ -306,7 +306,7 @@
 
     client: int
     message: int
-    record: Taken
+    record: Accepted
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -16,19 +16,20 @@
 from juniperward.forwarder.listing import Listing
 from juniperward.forwarder.messages import (
     Abandon,
+    Accepted,
     AcceptMessage,
     Answered,
     Append,
     Asked,
+    AttemptFinished,
     BatchItem,
     Call,
     CalledOff,
     CloseIdle,
-    Decided,
+    Completed,
     Doors,
     Effect,
     End,
-    Ended,
     EndProcess,
     Event,
     Heard,
@@ -44,7 +45,7 @@
     Notice,
     Noticed,
     Notify,
-    Over,
+    OutcomeDecided,
     Progress,
     Remember,
     Replayed,
@@ -56,7 +57,6 @@
     Stop,
     Strike,
     Struck,
-    Taken,
     Tell,
     TimeUp,
     Tried,
@@ -169,7 +169,7 @@
             case Noticed(ids=ids):
                 for name in ids:
                     if self.state.owed.pop(name, None) is not None:
-                        self.effects.append(Append(Over(name)))
+                        self.effects.append(Append(Completed(name)))
             case Replayed(messages=messages):
                 for restored in messages:
                     self._restore(now, restored)
@@ -233,7 +233,7 @@
             held.ran_at, held.attempts = e.at - e.call.ran, 1
         s.offered[held.number] = held
         s.numbers[e.call.id] = held.number
-        self.effects.append(AcceptMessage(e.client, held.number, Taken(e.call, held.expires, held.ran_at)))
+        self.effects.append(AcceptMessage(e.client, held.number, Accepted(e.call, held.expires, held.ran_at)))
 
     def _message_accepted(self, now: float, number: int, told: bool) -> None:
         s = self.state
@@ -241,7 +241,7 @@
         if not told:
             del s.numbers[held.call.id]
             count("withdrawn")
-            self.effects.append(Append(Over(held.call.id)))
+            self.effects.append(Append(Completed(held.call.id)))
             return
         count("taken_on")
         s.held[number] = held
@@ -328,9 +328,9 @@
                 if self.keeps and held.call.id.startswith(PREFIX):
                     name = "delivered" if end.outcome is i.Outcome.OK else "undeliverable"
                     self.effects.append(Remember(held.call.id, name, held.ran_at))
-                self.effects.append(Append(Over(held.call.id)))
+                self.effects.append(Append(Completed(held.call.id)))
             elif end.begun:
-                self.effects.append(Append(Ended(held.call.id, not end.outcome.never_ran)))
+                self.effects.append(Append(AttemptFinished(held.call.id, not end.outcome.never_ran)))
         if end.wait > 0:
             self.effects.append(Hold(self._route(worker), now + end.wait))
         self.news.append(
@@ -418,7 +418,7 @@
             s, c = self.state, held.call
             workers = sorted(w.id for w in s.workers.values() if w.destination == c.destination)
             self.effects.append(Keep(c, held.since, now, tuple(held.story), tuple(workers)))
-        self.effects.append(Append(Decided(notice)))
+        self.effects.append(Append(OutcomeDecided(notice)))
         self._owe(notice)
 
     def _owe(self, notice: Notice) -> None:
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -22,8 +22,8 @@
 from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.messages import (
     Answered,
+    AttemptStarted,
     BatchItem,
-    Began,
     End,
     Event,
     Look,
@@ -377,7 +377,7 @@
             for p in what.items:
                 if p.message not in attempt.struck and now < p.until:
                     try:
-                        self.note(Began(p.call.id, now, what.name))
+                        self.note(AttemptStarted(p.call.id, now, what.name))
                     except OSError as error:  # written without its record it would come back as untried
                         count("journal_failures")
                         log("journal", f"cannot write: {error}; its message is not sent")
--- a/juniperward/rigs/starts.py
+++ b/juniperward/rigs/starts.py
@@ -20,7 +20,7 @@
 from juniperward.agent import processes
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.journal import NAME, Journal, JournalFull
-from juniperward.forwarder.messages import Call, Taken
+from juniperward.forwarder.messages import Accepted, Call
 from juniperward.rigs.measure import PARTNERS, Report, quantile
 from juniperward.rigs.yard import BASE, ROOT, Yard
 from juniperward.standins.clients import ready
@@ -62,7 +62,7 @@
             while True:
                 message = f"{name}-{len(ids):05d}"
                 call = Call(message, 0, 0, destination, DEADLINE_S, f"k{message}", body)
-                journal.append(Taken(call, expires))
+                journal.append(Accepted(call, expires))
                 ids.append(message)
         except JournalFull:
             return ids
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,7 +22,7 @@
 from juniperward.forwarder.counters import counters
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.journal import FRESH, Journal
-from juniperward.forwarder.messages import Answered, BatchItem, Call, End, Over, StartAttempt, Taken
+from juniperward.forwarder.messages import Accepted, Answered, BatchItem, Call, Completed, End, StartAttempt
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
 from juniperward.standins.partners import Partner, PartnerSpec
@@ -80,9 +80,9 @@
             with mock.patch.object(Journal, "_rewrite", side_effect=NO_DESCRIPTOR):
                 (folder / FRESH).write_bytes(b"a part of it")
                 for n in range(60):
-                    journal.append(Taken(Call(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
+                    journal.append(Accepted(Call(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
                     if n:
-                        journal.append(Over(f"m{n}"))
+                        journal.append(Completed(f"m{n}"))
             self.assertGreater(counters().get("journal_rewrites_failed", 0), before)
             self.assertFalse((folder / FRESH).exists())
             again = Journal(folder, 1_000_000, 0.0)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -9,7 +9,16 @@
 from unittest import mock
 
 from juniperward.forwarder.journal import BLOCK, FRESH, NAME, Journal, JournalFull
-from juniperward.forwarder.messages import AttemptRecord, Began, Call, Decided, Ended, Notice, Over, Taken
+from juniperward.forwarder.messages import (
+    Accepted,
+    AttemptFinished,
+    AttemptRecord,
+    AttemptStarted,
+    Call,
+    Completed,
+    Notice,
+    OutcomeDecided,
+)
 
 DISK = 200_000
 
@@ -36,16 +45,16 @@
         # Guards the fields that rule 2 needs after a restart: which attempt may have run, where and when.
         j = self.open()
         for record in (
-            Taken(call("a"), 20.0),
-            Began("a", 1.5, "s-1"),
-            Ended("a", False),
-            Began("a", 2.5, "s-2"),
-            Taken(call("b"), 21.0),
-            Began("b", 3.0, "s-1"),
-            Ended("b", True),
-            Decided(Notice("b", 0.25)),
-            Taken(call("c"), 22.0),
-            Over("c"),
+            Accepted(call("a"), 20.0),
+            AttemptStarted("a", 1.5, "s-1"),
+            AttemptFinished("a", False),
+            AttemptStarted("a", 2.5, "s-2"),
+            Accepted(call("b"), 21.0),
+            AttemptStarted("b", 3.0, "s-1"),
+            AttemptFinished("b", True),
+            OutcomeDecided(Notice("b", 0.25)),
+            Accepted(call("c"), 22.0),
+            Completed("c"),
         ):
             j.append(record)
         a, b = self.open().restored()
@@ -59,29 +68,29 @@
     def test_times_move_with_the_clock_of_the_new_process(self) -> None:
         # Guards the 12 s window over a reboot: monotonic clocks start anew, Unix time goes on.
         j = self.open(to_unix=1000.0)
-        j.append(Taken(call("a"), 20.0))
-        j.append(Began("a", 1.0, "s-1"))
+        j.append(Accepted(call("a"), 20.0))
+        j.append(AttemptStarted("a", 1.0, "s-1"))
         (a,) = self.open(to_unix=1015.0).restored()
         self.assertEqual((a.expires, a.history[0].at), (5.0, -14.0))
 
     def test_a_torn_tail_costs_only_itself(self) -> None:
         # Guards against a process killed within a write, at every byte of it.
         j = self.open()
-        j.append(Taken(call("a"), 20.0))
+        j.append(Accepted(call("a"), 20.0))
         whole = (self.folder / NAME).read_bytes()
-        j.append(Taken(call("b"), 20.0))
+        j.append(Accepted(call("b"), 20.0))
         both = (self.folder / NAME).read_bytes()
         for cut in range(len(whole), len(both) - 1, 7):
             (self.folder / NAME).write_bytes(both[:cut])
             again = self.open()
             self.assertEqual([r.call.id for r in again.restored()], ["a"])
-            again.append(Taken(call("c"), 20.0))
+            again.append(Accepted(call("c"), 20.0))
             self.assertEqual([r.call.id for r in self.open().restored()], ["a", "c"])
 
     def test_a_damaged_line_costs_only_itself(self) -> None:
         j = self.open()
         for name in "abc":
-            j.append(Taken(call(name), 20.0))
+            j.append(Accepted(call(name), 20.0))
         lines = (self.folder / NAME).read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b'"b"', b'"x"')  # still a record, but not the one that was written
         (self.folder / NAME).write_bytes(b"\n".join(lines))
@@ -97,12 +106,12 @@
             raise OSError(28, "No space left on device")
 
         with mock.patch("juniperward.forwarder.journal.os.write", short), self.assertRaises(OSError):
-            j.append(Taken(call("a"), 20.0))
-        j.append(Taken(call("b"), 20.0))
+            j.append(Accepted(call("a"), 20.0))
+        j.append(Accepted(call("b"), 20.0))
         self.assertEqual([r.call.id for r in self.open().restored()], ["b"])
 
     def test_a_rewrite_that_was_cut_off_leaves_the_old_file_in_force(self) -> None:
-        self.open().append(Taken(call("a"), 20.0))
+        self.open().append(Accepted(call("a"), 20.0))
         (self.folder / FRESH).write_bytes(b"half a")
         self.assertEqual([r.call.id for r in self.open().restored()], ["a"])
         self.assertFalse((self.folder / FRESH).exists())
@@ -122,15 +131,15 @@
         with mock.patch("juniperward.forwarder.journal.os.rename", look):
             for n in range(1500):
                 try:
-                    j.append(Taken(call(f"m{n}", 1500), 20.0))
+                    j.append(Accepted(call(f"m{n}", 1500), 20.0))
                     open_now.append(f"m{n}")
                 except JournalFull:
                     turned_away += 1
                     name = open_now.pop(0)
                     for _ in range(8):
-                        j.append(Began(name, 1.0, "s-1"))
-                        j.append(Ended(name, False))
-                    j.append(Over(name))
+                        j.append(AttemptStarted(name, 1.0, "s-1"))
+                        j.append(AttemptFinished(name, False))
+                    j.append(Completed(name))
                 most = max(most, self.used())
         self.assertGreater(turned_away, 500)
         self.assertGreater(most, disk // 4)
@@ -138,17 +147,17 @@
 
     def test_records_of_what_is_over_are_not_written(self) -> None:
         j = self.open()
-        j.append(Over("nobody"))
+        j.append(Completed("nobody"))
         self.assertEqual((self.folder / NAME).read_bytes(), b"")
 
     def test_messages_of_the_usual_size_fill_all_places(self) -> None:
         # Guards the places of a day: reserving for nine attempts each, 3 MB took 355 messages of 1,000.
         j = self.open(disk=3_000_000)
         for n in range(1000):
-            j.append(Taken(call(f"{n:016x}", 400), 20.0))
+            j.append(Accepted(call(f"{n:016x}", 400), 20.0))
             for _ in range(2):
-                j.append(Began(f"{n:016x}", 1796123738.73, "s-04f5390c"))
-                j.append(Ended(f"{n:016x}", False))
+                j.append(AttemptStarted(f"{n:016x}", 1796123738.73, "s-04f5390c"))
+                j.append(AttemptFinished(f"{n:016x}", False))
         self.assertEqual(len(self.open(disk=3_000_000).restored()), 1000)
         self.assertLessEqual(self.used(), 3_000_000)
 
@@ -157,7 +166,7 @@
         j = self.open(disk=300_000)
         for n in range(1000):
             try:
-                j.append(Taken(call(f"m{n}"), 20.0))
+                j.append(Accepted(call(f"m{n}"), 20.0))
             except JournalFull:
                 break
         taken = len(j.live)
@@ -165,7 +174,7 @@
         for _ in range(100):
             for n in range(taken):
                 try:
-                    j.append(Began(f"m{n}", 1.0, "s-1"))
+                    j.append(AttemptStarted(f"m{n}", 1.0, "s-1"))
                 except OSError:
                     failed += 1
                 self.assertLessEqual(self.used(), 300_000)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -16,21 +16,21 @@
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.messages import (
+    Accepted,
     AcceptMessage,
     Append,
     Asked,
     Call,
-    Decided,
     Effect,
     Heard,
     Keep,
     MessageAccepted,
     MessageReceived,
     Notify,
+    OutcomeDecided,
     Remember,
     Replayed,
     Reply,
-    Taken,
     Tell,
     Tried,
     Worker,
@@ -74,7 +74,7 @@
         keep, decided, notify = self.give_up(reducer)
         assert isinstance(keep, Keep) and isinstance(decided, Append) and isinstance(notify, Notify)
         self.assertEqual((keep.call.id, keep.since, keep.at, keep.workers), ("a", 100.0, 110.0, ("s-1",)))
-        self.assertIsInstance(decided.record, Decided)
+        self.assertIsInstance(decided.record, OutcomeDecided)
 
     def test_nothing_is_kept_where_it_is_off_or_the_client_may_come_again(self) -> None:
         reducer = self.reducer(keeps=False)
@@ -94,13 +94,13 @@
         reducer._final(119.8, 1, 0.5)
         keep, decided, _ = reducer.effects
         self.assertIsInstance(keep, Keep)
-        assert isinstance(decided, Append) and isinstance(decided.record, Decided)
+        assert isinstance(decided, Append) and isinstance(decided.record, OutcomeDecided)
         self.assertIsNone(decided.record.notice.again)
 
     def test_one_that_was_kept_before_a_kill_ends_without_being_kept_again(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
-            journal.append(Taken(Call("a", 0, 0, 7, 20.0, "k", b"x"), 1e9))
+            journal.append(Accepted(Call("a", 0, 0, 7, 20.0, "k", b"x"), 1e9))
             journal.close()
             again = Journal(Path(name), 100_000, 0.0)
             effects = self.reducer(kept=frozenset({"a"})).reduce(100.0, [Replayed(again.restored())])
@@ -140,7 +140,7 @@
         self.assertIsInstance(decided, Append)
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
-            journal.append(Taken(Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 1e9, 97.0))
+            journal.append(Accepted(Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 1e9, 97.0))
             journal.close()
             again = Journal(Path(name), 100_000, 0.0)
             (restored,) = again.restored()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -10,7 +10,16 @@
 
 from juniperward.forwarder.journal import NAME, Journal, JournalFull
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import Answered, Began, Call, End, Heard, MessageReceived, Stop, Worker
+from juniperward.forwarder.messages import (
+    Answered,
+    AttemptStarted,
+    Call,
+    End,
+    Heard,
+    MessageReceived,
+    Stop,
+    Worker,
+)
 from juniperward.forwarder.reducer import Reducer
 from nickelscale.interface import Outcome, Phase
 from tests.helpers import KEYED, settings
@@ -50,7 +59,7 @@
         self.assertEqual(self.asked(), ["server.answer", "workers.start_attempt"])
         self.assertEqual([text.count(b"taken") for text in written], [1, 1])
         self.assertEqual([text.count(b"began") for text in written], [0, 0])  # only with its first byte
-        self.journal.append(Began("a", 1.0, "s-1"))
+        self.journal.append(AttemptStarted("a", 1.0, "s-1"))
         self.assertEqual(self.path.read_bytes().count(b"began"), 1)
 
     def test_nothing_is_sent_for_a_client_that_was_not_told(self) -> None:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -10,14 +10,14 @@
     AcceptMessage,
     Answered,
     Append,
+    AttemptFinished,
     AttemptRecord,
     Bar,
     Call,
     CalledOff,
-    Decided,
+    Completed,
     Effect,
     End,
-    Ended,
     Event,
     ForgetWorker,
     Heard,
@@ -30,7 +30,7 @@
     Notice,
     Noticed,
     Notify,
-    Over,
+    OutcomeDecided,
     Progress,
     Replayed,
     Reply,
@@ -116,7 +116,7 @@
     def test_a_message_whose_client_was_not_told_is_withdrawn(self) -> None:
         self.start()
         effects = self.take("a", told=False)
-        self.assertEqual(effects, [Append(Over("a"))])
+        self.assertEqual(effects, [Append(Completed("a"))])
         self.assertEqual(self.sent(self.take("a")), [["a"]])
 
     def test_the_same_message_on_a_second_connection_is_ours_already(self) -> None:
@@ -169,7 +169,7 @@
     def test_a_delivery_ends_all(self) -> None:
         self.start()
         effects = self.end(self.take("a"), (Outcome.OK, 0.0))
-        self.assertEqual(self.only(effects, Append), [Append(Over("a"))])
+        self.assertEqual(self.only(effects, Append), [Append(Completed("a"))])
         self.assertFalse(self.only(effects, Notify))
 
     def test_sends_of_a_round_to_one_worker_are_one_call(self) -> None:
@@ -184,7 +184,7 @@
         # What never ran is told first: the module learns from the first end of a call that it hears.
         effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.FULL, 3.0), (Outcome.OK, 3.0))
         records = [e.record for e in self.only(effects, Append)]
-        self.assertEqual(records, [Ended("b", False), Ended("a", True), Over("c")])
+        self.assertEqual(records, [AttemptFinished("b", False), AttemptFinished("a", True), Completed("c")])
         self.assertEqual(self.only(effects, Hold)[0], Hold(1, 105.0))
 
     def test_a_wait_told_with_a_delivery_binds(self) -> None:
@@ -219,7 +219,7 @@
         effects = self.up(d)
         self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)])
         self.assertEqual(self.only(effects, Notify), [Notify((Notice("a"),))])
-        self.assertIn(Append(Decided(Notice("a"))), effects)
+        self.assertIn(Append(OutcomeDecided(Notice("a"))), effects)
         # An answer that crossed it changes nothing.
         self.assertEqual(self.do(Answered(d.number, (End(d.items[0].message, Outcome.OK),))), [])
 
@@ -234,8 +234,8 @@
                 (told,) = self.only(effects, Notify)
                 self.assertEqual(told.notices[0].again is not None, again)
                 # The journal has not heard of a call that is not begun, so neither of its end.
-                ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, Ended)]
-                self.assertEqual(ends, [] if again else [Ended("a", True)])
+                ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, AttemptFinished)]
+                self.assertEqual(ends, [] if again else [AttemptFinished("a", True)])
 
     def test_a_time_up_in_a_call_of_several_leaves_the_others_in_it(self) -> None:
         for progress, gone in ((Progress.WAITS, False), (Progress.WRITTEN, False), (Progress.WRITES, True)):
@@ -252,7 +252,7 @@
                 # A call that is being written cannot lose one: it is called off, the other may go again.
                 self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)] if gone else [])
                 effects = self.do(Left(d.number, progress)) if gone else effects
-                self.assertEqual(Append(Ended("b", True)) in effects, gone)
+                self.assertEqual(Append(AttemptFinished("b", True)) in effects, gone)
 
     def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(self) -> None:
         # Guards roll+brink (settings of a short deadline): an answer within 0.3 s after the time of one message was
@@ -274,7 +274,7 @@
                 gone = [] if answered else [Abandon(d.number)]
                 self.assertEqual([e for e in effects if isinstance(e, Abandon)], gone)
                 effects = self.do(Left(d.number, Progress.WRITTEN))
-                self.assertEqual(Append(Ended("b", True)) in effects, not answered)
+                self.assertEqual(Append(AttemptFinished("b", True)) in effects, not answered)
 
     def test_a_notice_is_owed_until_it_is_accepted(self) -> None:
         self.start()
@@ -282,7 +282,7 @@
         self.now += 2.0
         self.up(d)
         self.assertIn("a", self.reducer.state.owed)
-        self.assertEqual(self.do(Noticed(("a",))), [Append(Over("a"))])
+        self.assertEqual(self.do(Noticed(("a",))), [Append(Completed("a"))])
         self.assertEqual(self.do(Noticed(("a",))), [])
 
     def call_off(self, cls: int = 0) -> tuple[list[Effect], list[Effect]]:
@@ -304,7 +304,7 @@
         (gone,) = self.only(effects, Abandon)
         self.assertEqual(self.sent(effects), [])
         effects = self.do(Left(gone.attempt_number, Progress.WRITTEN))
-        self.assertEqual(self.only(effects, Append)[0].record, Ended("a", True))
+        self.assertEqual(self.only(effects, Append)[0].record, AttemptFinished("a", True))
         self.assertEqual(self.sent(effects), [["c"]])
 
     def test_a_call_that_is_called_off_before_its_first_byte_has_not_run(self) -> None:
@@ -315,8 +315,10 @@
                 (gone,) = self.only(effects, Abandon)
                 effects = self.do(Left(gone.attempt_number, progress))
                 self.assertEqual([n for t in self.only(effects, Notify) for n in t.notices], told)
-                ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, Ended)]
-                self.assertEqual(ends, [Ended("a", True)] if told else [])  # the journal never heard that it began
+                ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, AttemptFinished)]
+                self.assertEqual(
+                    ends, [AttemptFinished("a", True)] if told else []
+                )  # the journal never heard that it began
 
     def test_an_answer_that_was_read_before_its_call_was_called_off_counts(self) -> None:
         # Guards a delivery that was read and not yet told: it counted as called off, and its message went again.
@@ -324,7 +326,7 @@
         (gone,) = self.only(effects, Abandon)
         self.assertEqual(self.do(Left(gone.attempt_number, Progress.OVER)), [])
         effects = self.end(first, (Outcome.OK, 0.0))
-        self.assertIn(Append(Over("a")), effects)
+        self.assertIn(Append(Completed("a")), effects)
         self.assertEqual(self.sent(effects), [["c"]])
         # The same where the message's time is up just then.
         self.start()
@@ -332,7 +334,7 @@
         (d,) = self.only(effects, StartAttempt)
         self.now += 1.7
         self.assertEqual(self.up(d, Progress.OVER), [])
-        self.assertIn(Append(Over("a")), self.end(effects, (Outcome.OK, 0.0)))
+        self.assertIn(Append(Completed("a")), self.end(effects, (Outcome.OK, 0.0)))
 
     def test_restored_attempts_count(self) -> None:
         # Guards `MaxAttempts` over all lives: the sixth of six attempts is the last.
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -24,7 +24,16 @@
     read_boot_id,
 )
 from juniperward.forwarder.journal import NAME, Journal
-from juniperward.forwarder.messages import Began, Call, Heard, Notify, Replayed, Restored, StartAttempt, Taken
+from juniperward.forwarder.messages import (
+    Accepted,
+    AttemptStarted,
+    Call,
+    Heard,
+    Notify,
+    Replayed,
+    Restored,
+    StartAttempt,
+)
 from juniperward.forwarder.reducer import Reducer
 from juniperward.net.http import Stream, encode_call, read_response
 from juniperward.standins.partners import Partner, PartnerSpec
@@ -123,9 +132,9 @@
     def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
         """A process that accepted a message, maybe began a call, and was killed."""
         journal = self.journal(to_unix)
-        journal.append(Taken(Call("a", 0, 0, 1, 20.0, "k", b""), expires))
+        journal.append(Accepted(Call("a", 0, 0, 1, 20.0, "k", b""), expires))
         if began_at is not None:
-            journal.append(Began("a", began_at, "s-1"))
+            journal.append(AttemptStarted("a", began_at, "s-1"))
 
     def test_no_repeat_once_the_window_is_over(self) -> None:
         for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,10 +16,11 @@
 from juniperward.forwarder.counters import counters
 from juniperward.forwarder.journal import NAME, Journal
 from juniperward.forwarder.messages import (
+    Accepted,
     Answered,
     AttemptRecord,
+    AttemptStarted,
     BatchItem,
-    Began,
     Call,
     Effect,
     End,
@@ -31,7 +32,6 @@
     Reply,
     Restored,
     StartAttempt,
-    Taken,
     Wake,
 )
 from juniperward.forwarder.reducer import DOOR_WAIT, RETURN, Reducer
@@ -56,7 +56,7 @@
         self.folder = Path(folder.name)
         self.journal = self.open()
         for n in range(2):
-            self.journal.append(Taken(Call(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
+            self.journal.append(Accepted(Call(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
         self.workers = Workers(1.0, 10.0, 4, 4, self.events.put, self.journal.append)
 
     def open(self) -> Journal:
@@ -145,7 +145,7 @@
         def write() -> None:
             try:
                 for _ in range(200):
-                    self.journal.append(Taken(Call("m9", 0, 0, 7, 9.0, None, b"x" * 200), 1e6))
+                    self.journal.append(Accepted(Call("m9", 0, 0, 7, 9.0, None, b"x" * 200), 1e6))
             except Exception as error:
                 failed.append(error)
 
@@ -171,9 +171,9 @@
             loop = build(load({"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(program.state)}))
             self.addCleanup(loop.server.listener.close)
             self.addCleanup(loop.journal.close)
-            loop.journal.append(Taken(Call("m0", 0, 0, 7, 9.0, None, b""), 1e6))
+            loop.journal.append(Accepted(Call("m0", 0, 0, 7, 9.0, None, b""), 1e6))
             with mock.patch.object(Journal, "_write", side_effect=OSError(28, "No space left on device")):
-                self.assertRaises(OSError, loop.workers.note, Began("m0", 1.0, "s-7"))
+                self.assertRaises(OSError, loop.workers.note, AttemptStarted("m0", 1.0, "s-7"))
 
 
 class UntriedTest(ReducerRig):
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -7,6 +7,7 @@
 import unittest
 
 from juniperward.forwarder.messages import (
+    Accepted,
     AcceptMessage,
     Answered,
     BatchItem,
@@ -21,7 +22,6 @@
     Say,
     StartAttempt,
     Struck,
-    Taken,
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
@@ -45,7 +45,11 @@
         )
         trace.effects(
             0.0,
-            [AcceptMessage(1, 1, Taken(a, 12.0)), Reply(2, 503, 1.0), AcceptMessage(3, 2, Taken(c, 12.0))],
+            [
+                AcceptMessage(1, 1, Accepted(a, 12.0)),
+                Reply(2, 503, 1.0),
+                AcceptMessage(3, 2, Accepted(c, 12.0)),
+            ],
         )
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(0.15, [Struck(1, 9, Progress.WAITS), Left(9, Progress.WRITTEN)])
