--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -26,8 +26,8 @@
     AttemptStarted,
     Call,
     Completed,
-    Notice,
     OutcomeDecided,
+    OutcomeNotification,
     Record,
     Restored,
 )
@@ -59,7 +59,7 @@
             row = ["began", name, at + to_unix, worker]
         case AttemptFinished(id=name, may_have_run=may):
             row = ["ended", name, may]
-        case OutcomeDecided(notice=n):
+        case OutcomeDecided(notification=n):
             row = ["decided", n.id, n.again]
         case Completed(id=name):
             row = ["over", name]
@@ -84,7 +84,7 @@
             case "ended", [may]:
                 return AttemptFinished(name, may)
             case "decided", [again]:
-                return OutcomeDecided(Notice(name, again))
+                return OutcomeDecided(OutcomeNotification(name, again))
             case "over", []:
                 return Completed(name)
     except (ValueError, TypeError):
@@ -106,19 +106,19 @@
                 self.open[call.id] = Restored(call, expires, before)
             case Completed(id=name):
                 self.open.pop(name, None)
-            case OutcomeDecided(notice=notice):
+            case OutcomeDecided(notification=notification):
                 # What it was is not kept any more: only its end is still owed.
-                call = Call(notice.id, 0, 0, 0, 0.0, None, b"")
-                self.open[notice.id] = Restored(call, 0.0, (), notice)
+                call = Call(notification.id, 0, 0, 0, 0.0, None, b"")
+                self.open[notification.id] = Restored(call, 0.0, (), notification)
             case AttemptStarted(id=name, at=at, worker=worker):
                 if (r := self.open.get(name)) is not None:
                     history = (*r.history, AttemptRecord(worker, at))
-                    self.open[name] = Restored(r.call, r.expires, history, r.notice)
+                    self.open[name] = Restored(r.call, r.expires, history, r.notification)
             case AttemptFinished(id=name, may_have_run=may):
                 if (r := self.open.get(name)) is not None and r.history:
                     last = r.history[-1]
                     history = (*r.history[:-1], AttemptRecord(last.worker, last.at, may))
-                    self.open[name] = Restored(r.call, r.expires, history, r.notice)
+                    self.open[name] = Restored(r.call, r.expires, history, r.notification)
 
 
 class FolderTaken(OSError):
@@ -212,8 +212,8 @@
         match record:
             case Accepted(call=call):
                 return call.id
-            case OutcomeDecided(notice=notice):
-                return notice.id
+            case OutcomeDecided(notification=notification):
+                return notification.id
             case _:
                 return record.id
 
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -155,8 +155,8 @@
                 self.registry.watch(version, epoch)
             case MoveTo(registry=address, epoch=epoch):
                 self.registry.move(address, epoch)
-            case Notify(notices=notices):
-                self.registry.notify(notices)
+            case Notify(notifications=notifications):
+                self.registry.notify(notifications)
             case Wake(at=at, due=due):
                 self.serial += 1
                 heapq.heappush(self.timers, (at, self.serial, due))
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class OutcomeNotification:
     """The end of a message that was accepted and not delivered; `again` None is a failure."""
 
     id: str
@@ -101,9 +101,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeDecided:
-    """The message is given up; its notice is owed from now on, and nothing else."""
+    """The message is given up; its notification is unacknowledged from now on, and nothing else."""
 
-    notice: Notice
+    notification: OutcomeNotification
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,7 +132,7 @@
     call: Call
     expires: float
     history: tuple[AttemptRecord, ...] = ()
-    notice: Notice | None = None
+    notification: OutcomeNotification | None = None
 
 
 # --- events ------------------------------------------------------------------------------------------
@@ -210,8 +210,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noticed:
-    """The platform accepted these notices."""
+class NotificationAcknowledged:
+    """The platform accepted these notifications."""
 
     ids: tuple[str, ...]
 
@@ -291,7 +291,7 @@
     | Heard
     | WatchLost
     | Moved
-    | Noticed
+    | NotificationAcknowledged
     | Due
     | Stop
     | Asked
@@ -410,7 +410,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveTo:
-    """Leave the registry's old address, with the watch and the notices; go on at the new one."""
+    """Leave the registry's old address, with the watch and the notifications; go on at the new one."""
 
     registry: tuple[str, int]
     epoch: int
@@ -425,9 +425,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify:
-    """Hand notices to the platform until they are accepted."""
+    """Hand notifications to the platform until they are accepted."""
 
-    notices: tuple[Notice, ...]
+    notifications: tuple[OutcomeNotification, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -42,10 +42,10 @@
     MessageReceived,
     ModuleTimer,
     Moved,
-    Notice,
-    Noticed,
+    NotificationAcknowledged,
     Notify,
     OutcomeDecided,
+    OutcomeNotification,
     Progress,
     Remember,
     Replayed,
@@ -80,7 +80,7 @@
 SPARE, SPARE_PART = 0.3, 0.2
 PROBE_WAIT = 1.5  # of the dial timeout: a dial, then an answer that is work of milliseconds at a live worker
 AGAIN_AFTER = 0.05  # seconds after which the module is asked again where it failed
-# Seconds after a restart in which no notice is overdue (1.5 after being ready), less what one may take.
+# Seconds after a restart in which no notification is overdue (1.5 after being ready), less what one may take.
 RETURN = 1.5 - SPARE
 LAST_START = 0.9  # seconds before the process must end after which no attempt is started
 
@@ -128,7 +128,7 @@
         if s.stop_at is None:
             return False
         waiting = bool(s.held) and now <= s.stop_at - LAST_START
-        busy = s.in_flight or s.owed or s.offered or waiting or now < s.open_until or not alone
+        busy = s.in_flight or s.unacknowledged or s.offered or waiting or now < s.open_until or not alone
         return now >= s.stop_at or not busy
 
     def _take(self, now: float, event: Event) -> None:
@@ -166,9 +166,9 @@
                     self.news.append(i.Listed(i.ListScope.FAILED))
             case Moved(registry=address):
                 self._move(address)
-            case Noticed(ids=ids):
+            case NotificationAcknowledged(ids=ids):
                 for name in ids:
-                    if self.state.owed.pop(name, None) is not None:
+                    if self.state.unacknowledged.pop(name, None) is not None:
                         self.effects.append(Append(Completed(name)))
             case Replayed(messages=messages):
                 for restored in messages:
@@ -206,7 +206,7 @@
     def _message_received(self, now: float, e: MessageReceived) -> None:
         s = self.state
         self._forget_ended(now)
-        if e.call.id in s.numbers or e.call.id in s.owed or e.call.id in s.ended:
+        if e.call.id in s.numbers or e.call.id in s.unacknowledged or e.call.id in s.ended:
             # A client whose connection crossed with our close sends the same once more: it is ours already, or was.
             count("handed_in_twice")
             self.effects.append(Reply(e.client, 202))
@@ -258,8 +258,8 @@
     def _restore(self, now: float, r: Restored) -> None:
         s = self.state
         count("restored")
-        if r.notice is not None:
-            self._owe(r.notice)
+        if r.notification is not None:
+            self._send_notification(r.notification)
             return
         s.last_message += 1
         # Right after a restart its notice may come later, so that all of its client's time is there to try it.
@@ -410,7 +410,7 @@
         if self.keeps and not resend and custody(held.expires - now, again):
             again = None  # it is kept: its client must not bring it a second time
         count("given_up_failed" if again is None else "given_up_refused")
-        notice = Notice(held.call.id, again)
+        notification = OutcomeNotification(held.call.id, again)
         if self.keeps and resend:
             end = "undeliverable" if again is None else "deferred"
             self.effects.append(Remember(held.call.id, end, held.ran_at))
@@ -418,12 +418,12 @@
             s, c = self.state, held.call
             workers = sorted(w.id for w in s.workers.values() if w.destination == c.destination)
             self.effects.append(Keep(c, held.since, now, tuple(held.story), tuple(workers)))
-        self.effects.append(Append(OutcomeDecided(notice)))
-        self._owe(notice)
+        self.effects.append(Append(OutcomeDecided(notification)))
+        self._send_notification(notification)
 
-    def _owe(self, notice: Notice) -> None:
-        self.state.owed[notice.id] = notice
-        self.effects.append(Notify((notice,)))
+    def _send_notification(self, notification: OutcomeNotification) -> None:
+        self.state.unacknowledged[notification.id] = notification
+        self.effects.append(Notify((notification,)))
 
     # --- the module's actions --------------------------------------------------------------------------
 
--- a/juniperward/forwarder/registry.py
+++ b/juniperward/forwarder/registry.py
@@ -1,4 +1,4 @@
-"""The registry: one watch on its list, and the notices that go to the platform at the same address."""
+"""The registry: one watch on its list, and the notifications that go to the platform at the same address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.counters import count, log, trouble
-from juniperward.forwarder.messages import Event, Heard, Notice, Noticed, WatchLost
+from juniperward.forwarder.messages import (
+    Event,
+    Heard,
+    NotificationAcknowledged,
+    OutcomeNotification,
+    WatchLost,
+)
 from juniperward.forwarder.news import Objects
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head, read_response
@@ -25,23 +31,23 @@
 # Seconds for a connection for notices, and for their answer, which comes straight away. Beyond that they go again by
 # another connection: twice this fits between a message's last moment and 0.3 s after its time.
 NOTICE_WAIT = 0.3
-NOTICE_AGAIN = (0.05, 0.4)  # seconds before notices are handed over again: first, most
+NOTICE_AGAIN = (0.05, 0.4)  # seconds before notifications are handed over again: first, most
 NOTICES_AT_ONCE = 200
 
 Link = tuple[sockets.Timed, Stream, str]
 
 
 class Registry:
-    """Owns the watch and the notices' connection, a thread for each; `lock` guards where they go."""
+    """Owns the watch and the notifications' connection, a thread for each; `lock` guards where they go."""
 
     def __init__(self, address: tuple[str, int], names: Names, post: Callable[[Event], None]) -> None:
         self.address, self.names, self.post = address, names, post
         self.epoch = 0  # how often the address has changed
         self.begun = math.inf  # when the watch was answered
         self.lock = threading.Lock()
-        self.open: dict[str, socket.socket] = {}  # of the watch, of the notices
+        self.open: dict[str, socket.socket] = {}  # of the watch, of the notifications
         self.wanted: queue.SimpleQueue[tuple[int, int]] = queue.SimpleQueue()
-        self.notices: queue.SimpleQueue[Notice] = queue.SimpleQueue()
+        self.notifications: queue.SimpleQueue[OutcomeNotification] = queue.SimpleQueue()
 
     def start(self) -> None:
         """Begin to work off what is asked for."""
@@ -59,10 +65,10 @@
             for sock in self.open.values():
                 sockets.shut(sock)
 
-    def notify(self, notices: tuple[Notice, ...]) -> None:
-        """Hand notices over until they are accepted."""
-        for notice in notices:
-            self.notices.put(notice)
+    def notify(self, notifications: tuple[OutcomeNotification, ...]) -> None:
+        """Hand notifications over until they are accepted."""
+        for notification in notifications:
+            self.notifications.put(notification)
 
     def _socket(self, use: str, epoch: int | None = None) -> tuple[socket.socket, tuple[str, int]]:
         """A fresh socket that `move` knows of, and the address it is for."""
@@ -122,10 +128,10 @@
     def _notify(self) -> None:
         connection: Link | None = None
         while True:
-            batch = [self.notices.get()]
+            batch = [self.notifications.get()]
             try:
                 while len(batch) < NOTICES_AT_ONCE:
-                    batch.append(self.notices.get_nowait())
+                    batch.append(self.notifications.get_nowait())
             except queue.Empty:
                 pass
             again = NOTICE_AGAIN[0]
@@ -145,9 +151,9 @@
                 again = min(2 * again, NOTICE_AGAIN[1])
 
     def _hand_over(
-        self, connection: Link | None, batch: list[Notice]
-    ) -> tuple[Link | None, list[Notice]]:
-        """Post notices; the connection to go on with, and the notices that are left."""
+        self, connection: Link | None, batch: list[OutcomeNotification]
+    ) -> tuple[Link | None, list[OutcomeNotification]]:
+        """Post notifications; the connection to go on with, and the notifications that are left."""
         if connection is None or not sockets.quiet(connection[0].sock):
             if connection is not None:
                 connection[0].sock.close()
@@ -177,27 +183,27 @@
             kept = None
         if answer.status == 204:
             count("notices_accepted", len(batch))
-            self.post(Noticed(tuple(n.id for n in batch)))
+            self.post(NotificationAcknowledged(tuple(n.id for n in batch)))
             return kept, []
         if answer.status == 400 and len(batch) > 1:
             # One that cannot be read must not hold up the others.
-            left: list[Notice] = []
-            for notice in batch:
-                kept, more = self._hand_over(kept, [notice])
+            left: list[OutcomeNotification] = []
+            for notification in batch:
+                kept, more = self._hand_over(kept, [notification])
                 left += more
             return kept, left
         if answer.status == 400:
             count("notices_dropped")
             log("notices", f"the platform cannot read the notice of {batch[0].id}; it is dropped")
-            self.post(Noticed((batch[0].id,)))
+            self.post(NotificationAcknowledged((batch[0].id,)))
             return kept, []
         raise Broken(f"answered {answer.status}")
 
 
-def _line(notice: Notice) -> bytes:
-    row: dict[str, Any] = {"id": notice.id, "status": "undeliverable"}
-    if notice.again is not None:
+def _line(notification: OutcomeNotification) -> bytes:
+    row: dict[str, Any] = {"id": notification.id, "status": "undeliverable"}
+    if notification.again is not None:
         row["status"] = "deferred"
-        if notice.again > 0:
-            row["again_ms"] = round(notice.again * 1000)
+        if notification.again > 0:
+            row["again_ms"] = round(notification.again * 1000)
     return json.dumps(row, separators=(",", ":")).encode() + b"\n"
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from juniperward.forwarder.messages import Call, Notice, Tried, Worker
+from juniperward.forwarder.messages import Call, OutcomeNotification, Tried, Worker
 
 
 @dataclass(slots=True, eq=False)
@@ -15,7 +15,7 @@
     call: Call
     expires: float
     since: float  # when it came into this process
-    due: float = 0.0  # the end of its client's time; `expires` is before it by what its notice may take
+    due: float = 0.0  # the end of its client's time; `expires` is before it by what its notification may take
     owed: bool = False  # an earlier life accepted it, and no byte of a call was written for it so far
     attempts: int = 0
     attempt_number: int | None = None  # number of the attempt that carries it
@@ -42,7 +42,7 @@
     held: dict[int, Held] = field(default_factory=dict)
     numbers: dict[str, int] = field(default_factory=dict)  # of held messages, by id
     offered: dict[int, Held] = field(default_factory=dict)  # journalled, their clients not yet told
-    owed: dict[str, Notice] = field(default_factory=dict)
+    unacknowledged: dict[str, OutcomeNotification] = field(default_factory=dict)
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     workers: dict[int, Worker] = field(default_factory=dict)
     worker_numbers: dict[str, int] = field(default_factory=dict)
--- a/juniperward/forwarder/telling.py
+++ b/juniperward/forwarder/telling.py
@@ -38,7 +38,7 @@
         return "stopping"
     if not state.draining:
         return "serving"
-    return "draining" if state.held or state.offered or state.in_flight or state.owed else "drained"
+    return "draining" if state.held or state.offered or state.in_flight or state.unacknowledged else "drained"
 
 
 def status(state: State, settings: Settings, sender: Sender, now: float) -> Status:
@@ -49,7 +49,7 @@
     return Status(
         name="", version=VERSION, pid=os.getpid(), started=0.0, phase=now_phase,
         ready=now_phase == "serving",
-        held=len(state.held), offered=len(state.offered), owed=len(state.owed),
+        held=len(state.held), offered=len(state.offered), owed=len(state.unacknowledged),
         calls_out=len(state.in_flight), slots=settings.slots, max_open=settings.max_open,
         oldest_held=max(0.0, now - oldest.since) if oldest is not None else 0.0,
         journal_bytes=0, journal_live=0,
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -22,7 +22,7 @@
     Left,
     MessageAccepted,
     MessageReceived,
-    Noticed,
+    NotificationAcknowledged,
     Notify,
     Reply,
     Say,
@@ -60,7 +60,7 @@
                     lines.append(f"off {e.attempt_number} {e.progress.value}")
                 case MessageAccepted(told=False):
                     lines.append(f"untold {e.message}")
-                case Noticed():
+                case NotificationAcknowledged():
                     lines += [f"noticed {name}" for name in e.ids]
                 case Heard():
                     for w in e.workers:
@@ -80,7 +80,7 @@
                     ids = ",".join(p.call.id for p in e.items)
                     lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.items)} {ids}")
                 case Notify():
-                    for n in e.notices:
+                    for n in e.notifications:
                         again = "never" if n.again is None else f"{n.again:.3f}"
                         lines.append(f"given_up {n.id} {again}")
                 case CloseIdle():
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,8 +16,8 @@
     AttemptStarted,
     Call,
     Completed,
-    Notice,
     OutcomeDecided,
+    OutcomeNotification,
 )
 
 DISK = 200_000
@@ -52,7 +52,7 @@
             Accepted(call("b"), 21.0),
             AttemptStarted("b", 3.0, "s-1"),
             AttemptFinished("b", True),
-            OutcomeDecided(Notice("b", 0.25)),
+            OutcomeDecided(OutcomeNotification("b", 0.25)),
             Accepted(call("c"), 22.0),
             Completed("c"),
         ):
@@ -60,8 +60,8 @@
         a, b = self.open().restored()
         self.assertEqual((a.call, a.expires), (call("a"), 20.0))
         self.assertEqual(a.history, (AttemptRecord("s-1", 1.5, False), AttemptRecord("s-2", 2.5, True)))
-        self.assertIsNone(a.notice)
-        self.assertEqual((b.call.id, b.notice), ("b", Notice("b", 0.25)))
+        self.assertIsNone(a.notification)
+        self.assertEqual((b.call.id, b.notification), ("b", OutcomeNotification("b", 0.25)))
         again = {r.call.id: r for r in self.open().restored()}  # what a rewrite kept says the same
         self.assertEqual((again["a"], again["b"]), (a, b))
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -95,7 +95,7 @@
         keep, decided, _ = reducer.effects
         self.assertIsInstance(keep, Keep)
         assert isinstance(decided, Append) and isinstance(decided.record, OutcomeDecided)
-        self.assertIsNone(decided.record.notice.again)
+        self.assertIsNone(decided.record.notification.again)
 
     def test_one_that_was_kept_before_a_kill_ends_without_being_kept_again(self) -> None:
         with tempfile.TemporaryDirectory() as name:
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -11,7 +11,7 @@
 import unittest
 
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, Notice, Noticed
+from juniperward.forwarder.messages import Event, NotificationAcknowledged, OutcomeNotification
 from juniperward.forwarder.registry import NOTICE_WAIT, Registry
 from juniperward.net.http import Broken, Closed, Stream, read_call
 
@@ -67,7 +67,7 @@
         events: queue.Queue[Event] = queue.Queue()
         registry = Registry(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
         registry.start()
-        registry.notify((Notice("m0"),))
+        registry.notify((OutcomeNotification("m0"),))
 
         def drip() -> None:
             with contextlib.suppress(OSError):
@@ -76,7 +76,7 @@
                         sock.sendall(b"0")
 
         threading.Thread(target=drip, daemon=True).start()
-        self.assertEqual(events.get(timeout=5.0), Noticed(("m0",)))
+        self.assertEqual(events.get(timeout=5.0), NotificationAcknowledged(("m0",)))
 
     def test_every_end_arrives_over_connections_that_fail(self) -> None:
         # Guards rule 1: reset after writing, never answered, half answered, refused; many ends at once.
@@ -86,11 +86,11 @@
         registry = Registry(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
         registry.start()
         began = time.monotonic()
-        registry.notify(tuple(Notice(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
+        registry.notify(tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
         told: set[str] = set()
         while len(told) < COUNT:
             event = events.get(timeout=10.0)
-            assert isinstance(event, Noticed)
+            assert isinstance(event, NotificationAcknowledged)
             told |= set(event.ids)
         self.assertEqual(platform.taken, {f"m{n}" for n in range(COUNT)})
         # Two of the four cost a wait for an answer, each of them a pause of 0.4 s at most.
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -27,10 +27,10 @@
     MessageReceived,
     Moved,
     MoveTo,
-    Notice,
-    Noticed,
+    NotificationAcknowledged,
     Notify,
     OutcomeDecided,
+    OutcomeNotification,
     Progress,
     Replayed,
     Reply,
@@ -218,8 +218,8 @@
         self.now = wake.at
         effects = self.up(d)
         self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)])
-        self.assertEqual(self.only(effects, Notify), [Notify((Notice("a"),))])
-        self.assertIn(Append(OutcomeDecided(Notice("a"))), effects)
+        self.assertEqual(self.only(effects, Notify), [Notify((OutcomeNotification("a"),))])
+        self.assertIn(Append(OutcomeDecided(OutcomeNotification("a"))), effects)
         # An answer that crossed it changes nothing.
         self.assertEqual(self.do(Answered(d.number, (End(d.items[0].message, Outcome.OK),))), [])
 
@@ -232,7 +232,7 @@
                 self.now += 1.7
                 effects = self.up(d, progress)
                 (told,) = self.only(effects, Notify)
-                self.assertEqual(told.notices[0].again is not None, again)
+                self.assertEqual(told.notifications[0].again is not None, again)
                 # The journal has not heard of a call that is not begun, so neither of its end.
                 ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, AttemptFinished)]
                 self.assertEqual(ends, [] if again else [AttemptFinished("a", True)])
@@ -248,7 +248,7 @@
                 self.assertEqual([p.call.id for p in d.items], ["a", "b"])
                 self.now = 103.7
                 effects = self.up(d, progress)
-                self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notices], ["a"])
+                self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notifications], ["a"])
                 # A call that is being written cannot lose one: it is called off, the other may go again.
                 self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)] if gone else [])
                 effects = self.do(Left(d.number, progress)) if gone else effects
@@ -281,9 +281,9 @@
         (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
         self.now += 2.0
         self.up(d)
-        self.assertIn("a", self.reducer.state.owed)
-        self.assertEqual(self.do(Noticed(("a",))), [Append(Completed("a"))])
-        self.assertEqual(self.do(Noticed(("a",))), [])
+        self.assertIn("a", self.reducer.state.unacknowledged)
+        self.assertEqual(self.do(NotificationAcknowledged(("a",))), [Append(Completed("a"))])
+        self.assertEqual(self.do(NotificationAcknowledged(("a",))), [])
 
     def call_off(self, cls: int = 0) -> tuple[list[Effect], list[Effect]]:
         """Two calls that fill the slots, and a message behind them; what is asked for when one is called off."""
@@ -309,12 +309,12 @@
 
     def test_a_call_that_is_called_off_before_its_first_byte_has_not_run(self) -> None:
         # Guards a class that may not be repeated: its message, behind a dial, was failed as one that may have run.
-        for progress, told in ((Progress.WAITS, []), (Progress.WRITTEN, [Notice("a")])):
+        for progress, told in ((Progress.WAITS, []), (Progress.WRITTEN, [OutcomeNotification("a")])):
             with self.subTest(progress):
                 _, effects = self.call_off(cls=1)
                 (gone,) = self.only(effects, Abandon)
                 effects = self.do(Left(gone.attempt_number, progress))
-                self.assertEqual([n for t in self.only(effects, Notify) for n in t.notices], told)
+                self.assertEqual([n for t in self.only(effects, Notify) for n in t.notifications], told)
                 ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, AttemptFinished)]
                 self.assertEqual(
                     ends, [AttemptFinished("a", True)] if told else []
@@ -353,27 +353,32 @@
         self.start()
         history = (AttemptRecord("s-1", 94.0, True),)
         effects = self.do(Replayed((Restored(call("late"), 115.0, history),)))
-        self.assertEqual(self.only(effects, Notify), [Notify((Notice("late"),))])
+        self.assertEqual(self.only(effects, Notify), [Notify((OutcomeNotification("late"),))])
         history = (AttemptRecord("s-1", 97.0, True),)
         effects = self.do(Replayed((Restored(call("soon"), 115.0, history),)))
         self.assertEqual(self.sent(effects), [["soon"]])
         effects = self.end(effects, (Outcome.FULL, 3.0))
         self.now = 102.1
-        self.assertEqual(self.only(self.do(Heard(42, False, ())), Notify), [Notify((Notice("soon"),))])
+        self.assertEqual(
+            self.only(self.do(Heard(42, False, ())), Notify), [Notify((OutcomeNotification("soon"),))]
+        )
 
     def test_a_message_that_bears_no_repeat_is_not_sent_by_the_next_life(self) -> None:
         self.start()
         ran = Restored(call("ran", cls=1), 115.0, (AttemptRecord("s-1", 99.0, True),))
         fresh = Restored(call("fresh", cls=1), 115.0, (AttemptRecord("s-1", 99.0, False),))
         effects = self.do(Replayed((ran, fresh)))
-        self.assertEqual(self.only(effects, Notify), [Notify((Notice("ran"),))])
+        self.assertEqual(self.only(effects, Notify), [Notify((OutcomeNotification("ran"),))])
         self.assertEqual(self.sent(effects), [["fresh"]])
 
     def test_what_expired_while_nothing_ran_gets_its_notice(self) -> None:
         self.start()
-        owed = Restored(call("b"), 200.0, (), Notice("b", 0.5))
+        owed = Restored(call("b"), 200.0, (), OutcomeNotification("b", 0.5))
         effects = self.do(Replayed((Restored(call("a"), 99.0), owed)))
-        self.assertEqual(self.only(effects, Notify), [Notify((Notice("a"),)), Notify((Notice("b", 0.5),))])
+        self.assertEqual(
+            self.only(effects, Notify),
+            [Notify((OutcomeNotification("a"),)), Notify((OutcomeNotification("b", 0.5),))],
+        )
         self.assertEqual(self.sent(effects), [])
 
     def test_nothing_is_started_that_cannot_end_before_the_process(self) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -222,7 +222,7 @@
         over = Restored(call("over", left=2.0), 99.6)
         effects = self.begin(over, soon)
         self.assertEqual(self.sent(effects), [["soon"]])
-        self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notices], ["over"])
+        self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notifications], ["over"])
         (d,) = self.only(effects, StartAttempt)
         self.assertAlmostEqual(d.deadline, 100.2)
         self.assertAlmostEqual(RETURN, 1.2)  # no notice is overdue for 1.5 s after a restart
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -15,8 +15,8 @@
     End,
     Left,
     MessageReceived,
-    Notice,
     Notify,
+    OutcomeNotification,
     Progress,
     Reply,
     Say,
@@ -57,7 +57,9 @@
         trace.effects(0.3, [Say("destination 7: refuses all, held to trials")])
         trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(2.5, [Answered(2, (End(1, Outcome.OK),))])
-        trace.effects(2.6, [Say("destination 7: answers again, warming up"), Notify((Notice("c", 0.5),))])
+        trace.effects(
+            2.6, [Say("destination 7: answers again, warming up"), Notify((OutcomeNotification("c", 0.5),))]
+        )
     return [SETTINGS, *out.getvalue().splitlines()]
 
 
