--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -13,10 +13,11 @@
 from juniperward.forwarder.journal import Journal, JournalFull
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.messages import (
-    Abandon,
     AcceptMessage,
     Append,
+    AttemptCancelled,
     Bar,
+    CancelAttempt,
     CloseIdle,
     Doors,
     Due,
@@ -26,7 +27,6 @@
     ForgetWorker,
     Hold,
     Keep,
-    Left,
     Look,
     MessageAccepted,
     MoveTo,
@@ -36,11 +36,11 @@
     Reply,
     Say,
     StartAttempt,
-    Strike,
-    Struck,
     Tell,
     Wake,
     WatchFrom,
+    WithdrawFromBatch,
+    WithdrawResult,
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
@@ -139,10 +139,10 @@
                 self._note(record)
             case StartAttempt() | Look():
                 self.workers.start_attempt(effect)
-            case Abandon(attempt_number=number):
-                self.follow.append(Left(number, self.workers.abandon(number)))
-            case Strike(attempt_number=number, message=message):
-                self.follow.append(Struck(number, message, self.workers.strike(number, message)))
+            case CancelAttempt(attempt_number=number):
+                self.follow.append(AttemptCancelled(number, self.workers.cancel_attempt(number)))
+            case WithdrawFromBatch(attempt_number=number, message=message):
+                self.follow.append(WithdrawResult(number, message, self.workers.withdraw(number, message)))
             case CloseIdle(worker=worker):
                 self.workers.close_idle(worker)
             case Bar(worker=worker, barred=barred):
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -232,8 +232,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CalledOff:
-    """An attempt is to be abandoned now: the client's time of one of its messages is up."""
+class CancelDue:
+    """An attempt is to be cancelled now: the client's time of one of its messages is up."""
 
     attempt_number: int
 
@@ -264,8 +264,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Struck:
-    """What became of a `Strike`: `progress` is that of the call when it came."""
+class WithdrawResult:
+    """What became of a `WithdrawFromBatch`: `progress` is that of the call when it came."""
 
     attempt_number: int
     message: int
@@ -273,20 +273,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """What became of an `Abandon`: `progress` is that of the call when its connection was closed."""
+class AttemptCancelled:
+    """What became of a `CancelAttempt`: `progress` is that of the call when its connection was closed."""
 
     attempt_number: int
     progress: Progress
 
 
-Due = ModuleTimer | TimeUp | CalledOff | Left
+Due = ModuleTimer | TimeUp | CancelDue | AttemptCancelled
 Event = (
     Replayed
     | MessageReceived
     | MessageAccepted
     | Answered
-    | Struck
+    | WithdrawResult
     | Looked
     | Heard
     | WatchLost
@@ -336,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Call a worker with one or more messages; `Answered` reports back exactly once, unless abandoned."""
+    """Call a worker with one or more messages; `Answered` reports back exactly once, unless cancelled."""
 
     number: int
     worker: int
@@ -363,15 +363,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Abandon:
-    """Close the connection of an attempt; `Left` reports back in the same round, and nothing after it."""
+class CancelAttempt:
+    """Close the connection of an attempt; `AttemptCancelled` reports in the same round, nothing after it."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
-    """Leave a message out of an attempt that is not written yet; `Struck` reports back in the same round."""
+class WithdrawFromBatch:
+    """Leave a message out of an attempt not written yet; `WithdrawResult` reports in the same round."""
 
     attempt_number: int
     message: int
@@ -501,8 +501,8 @@
     | Append
     | StartAttempt
     | Look
-    | Abandon
-    | Strike
+    | CancelAttempt
+    | WithdrawFromBatch
     | CloseIdle
     | Bar
     | ForgetWorker
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -15,16 +15,17 @@
 from juniperward.forwarder.counters import count, holds, trouble
 from juniperward.forwarder.listing import Listing
 from juniperward.forwarder.messages import (
-    Abandon,
     Accepted,
     AcceptMessage,
     Answered,
     Append,
     Asked,
+    AttemptCancelled,
     AttemptFinished,
     BatchItem,
     Call,
-    CalledOff,
+    CancelAttempt,
+    CancelDue,
     CloseIdle,
     Completed,
     Doors,
@@ -35,7 +36,6 @@
     Heard,
     Hold,
     Keep,
-    Left,
     Look,
     Looked,
     MessageAccepted,
@@ -55,13 +55,13 @@
     Say,
     StartAttempt,
     Stop,
-    Strike,
-    Struck,
     Tell,
     TimeUp,
     Tried,
     Wake,
     WatchLost,
+    WithdrawFromBatch,
+    WithdrawResult,
     Worker,
 )
 from juniperward.forwarder.state import Attempt, Held, State
@@ -143,12 +143,12 @@
                 self.news.append(i.TimerFired(token))
             case TimeUp(attempt_number=number, message=message):
                 self._time_up(number, message)
-            case Struck():
-                self._struck(now, event)
-            case CalledOff(attempt_number=number):
-                self._call_off(number)
-            case Left():
-                self._left(now, event)
+            case WithdrawResult():
+                self._withdraw_result(now, event)
+            case CancelDue(attempt_number=number):
+                self._cancel_attempt(number)
+            case AttemptCancelled():
+                self._attempt_cancelled(now, event)
             case Looked():
                 self._looked(now, event)
             case Heard():
@@ -295,7 +295,7 @@
     def _answered(self, now: float, e: Answered) -> None:
         attempt = self.state.in_flight.get(e.attempt_number)
         if attempt is None:
-            return  # abandoned meanwhile
+            return  # cancelled meanwhile
         # What the module learns from is the first end it hears of: the refusals among them, if any.
         for end in sorted(e.ends, key=lambda x: (x.outcome is not i.Outcome.FULL, x.message)):
             if end.message in attempt.waiting:
@@ -343,13 +343,13 @@
     def _time_up(self, attempt_number: int, message: int) -> None:
         """The module's time-out is the message's own end: others of the same call may still wait.
 
-        It is struck off the call first, or a connection that comes up late would carry it after its end.
+        It is withdrawn from the call first, or a connection that comes up late would carry it after its end.
         """
         attempt = self.state.in_flight.get(attempt_number)
         if attempt is not None and message in attempt.waiting:
-            self.effects.append(Strike(attempt_number, message))
+            self.effects.append(WithdrawFromBatch(attempt_number, message))
 
-    def _struck(self, now: float, e: Struck) -> None:
+    def _withdraw_result(self, now: float, e: WithdrawResult) -> None:
         attempt = self.state.in_flight.get(e.attempt_number)
         if attempt is None or e.message not in attempt.waiting or e.progress is Progress.OVER:
             return  # what was answered before its time was up counts as answered
@@ -361,22 +361,22 @@
         )
         if not attempt.waiting:
             del self.state.in_flight[e.attempt_number]
-            self.effects.append(Abandon(e.attempt_number))
+            self.effects.append(CancelAttempt(e.attempt_number))
         elif e.progress is Progress.WRITES:
-            # Half a call cannot lose one of its messages: what is not written whole yet is called off whole.
-            self._call_off(e.attempt_number)
+            # Half a call cannot lose one of its messages: what is not written whole yet is cancelled whole.
+            self._cancel_attempt(e.attempt_number)
         elif not never:
             # A call has one fate: past the time of one of its messages an answer was seen to count for none of them.
-            self.effects.append(Wake(due, CalledOff(e.attempt_number)))
+            self.effects.append(Wake(due, CancelDue(e.attempt_number)))
 
-    def _call_off(self, attempt_number: int) -> None:
+    def _cancel_attempt(self, attempt_number: int) -> None:
         """Close its connection first; how far it had come says what that means for its messages."""
         attempt = self.state.in_flight.get(attempt_number)
-        if attempt is not None and not attempt.called_off:
-            attempt.called_off = True
-            self.effects.append(Abandon(attempt_number))
+        if attempt is not None and not attempt.cancelled:
+            attempt.cancelled = True
+            self.effects.append(CancelAttempt(attempt_number))
 
-    def _left(self, now: float, e: Left) -> None:
+    def _attempt_cancelled(self, now: float, e: AttemptCancelled) -> None:
         """A call that was not begun has not run, and one whose end is on its way ends so."""
         if (
             e.progress is Progress.OVER
@@ -473,10 +473,10 @@
             holds(False, "one_final_answer")
 
     def _cancel(self, number: int) -> None:
-        """One connection, one fate: the others of the same call are called off with it."""
+        """One connection, one fate: the others of the same call are cancelled with it."""
         held = self.state.held.get(number)
         if held is not None and held.attempt_number is not None:
-            self._call_off(held.attempt_number)
+            self._cancel_attempt(held.attempt_number)
 
     def _look(self, now: float, worker: int) -> None:
         """Probe a worker; one that is not listed any more is answered at once as not probed."""
@@ -517,7 +517,7 @@
                 if __debug__:
                     raise
                 trouble("delegation", error)
-                self.effects.append(Wake(now, Left(attempt.number, Progress.WAITS)))
+                self.effects.append(Wake(now, AttemptCancelled(attempt.number, Progress.WAITS)))
 
     def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[i.Send]) -> None:
         """Make a call; its thread journals the attempts right before their first byte."""
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -32,7 +32,7 @@
     worker: int
     began: float
     waiting: dict[int, int] = field(default_factory=dict)  # message to attempt
-    called_off: bool = False
+    cancelled: bool = False
 
 
 @dataclass(slots=True)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -15,11 +15,11 @@
 from juniperward.forwarder.messages import (
     AcceptMessage,
     Answered,
+    AttemptCancelled,
     CloseIdle,
     Effect,
     Event,
     Heard,
-    Left,
     MessageAccepted,
     MessageReceived,
     NotificationAcknowledged,
@@ -27,8 +27,8 @@
     Reply,
     Say,
     StartAttempt,
-    Struck,
     TimeUp,
+    WithdrawResult,
 )
 
 PREFIX = "juniperward: trace:"
@@ -54,9 +54,9 @@
                         lines.append(f"ended {e.attempt_number} {x.outcome.name.lower()} {x.wait:.3f}")
                 case TimeUp():
                     lines.append(f"up {e.attempt_number}")
-                case Struck():
+                case WithdrawResult():
                     lines.append(f"struck {e.attempt_number} {e.progress.value}")
-                case Left():
+                case AttemptCancelled():
                     lines.append(f"off {e.attempt_number} {e.progress.value}")
                 case MessageAccepted(told=False):
                     lines.append(f"untold {e.message}")
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -50,9 +50,9 @@
     def __init__(self, what: StartAttempt | Look) -> None:
         self.what = what
         self.sock: socket.socket | None = None
-        self.abandoned = False
+        self.cancelled = False
         self.progress = Progress.WAITS
-        self.struck: set[int] = set()  # messages that are over and must not be written
+        self.withdrawn: set[int] = set()  # messages that are over and must not be written
 
 
 class Kept:
@@ -125,19 +125,19 @@
                     self.free -= 1
         self.submitted.put(attempt)
 
-    def abandon(self, number: int) -> Progress:
+    def cancel_attempt(self, number: int) -> Progress:
         """Close the connection of a call, whose end is not reported any more; how far it had come."""
         with self.lock:
             attempt = self.active.pop(number, None)
             if attempt is None:
                 return Progress.OVER
-            attempt.abandoned = True
+            attempt.cancelled = True
             sock, progress = attempt.sock, attempt.progress
         if sock is not None:
             sockets.shut(sock)
         return progress
 
-    def strike(self, number: int, message: int) -> Progress:
+    def withdraw(self, number: int, message: int) -> Progress:
         """Leave a message out of a call, if nothing of the call is written yet; how far it has come.
 
         The others of the call may wait for seconds behind a dial; this one is over meanwhile.
@@ -147,7 +147,7 @@
             if attempt is None:
                 return Progress.OVER
             if attempt.progress is Progress.WAITS:
-                attempt.struck.add(message)
+                attempt.withdrawn.add(message)
             return attempt.progress
 
     def close_idle(self, worker: int) -> None:
@@ -227,7 +227,7 @@
             with self.lock:
                 self.free += 1
                 known = self.active.pop(what.number, None) is not None
-            if known and not attempt.abandoned:
+            if known and not attempt.cancelled:
                 self.post(result)
 
     def _look(self, attempt: ActiveAttempt, what: Look, begun: float) -> Looked:
@@ -268,7 +268,7 @@
             return ended(Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET)
         count("probes_answered")
         self._heed(what, read_wait(answer.headers))
-        if answer.close or attempt.abandoned or kept.stream.buffer:
+        if answer.close or attempt.cancelled or kept.stream.buffer:
             kept.sock.close()
         else:
             self._put_back(what.worker, kept)
@@ -316,7 +316,7 @@
             answer = read_response(kept.stream, kept.begun)
         except (Broken, Malformed, OSError) as error:
             kept.sock.close()
-            if not attempt.abandoned:
+            if not attempt.cancelled:
                 count("answers_spoilt")
                 log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
             # A first line with 200 has delivered a single message, whatever becomes of the rest.
@@ -329,7 +329,7 @@
         behind = bool(kept.stream.buffer)
         if behind:
             count("answers_with_more")
-        if answer.close or attempt.abandoned or behind:
+        if answer.close or attempt.cancelled or behind:
             kept.sock.close()
         else:
             self._put_back(what.worker, kept)
@@ -346,7 +346,7 @@
         attempt.sock = sock
         left = min(self.dial_timeout, attempt.what.deadline - time.monotonic())
         try:
-            if attempt.abandoned or left <= 0:
+            if attempt.cancelled or left <= 0:
                 raise TimeoutError
             sockets.connect(*address, left, sock)
             # What was left for this dial must not bound what is written on the connection later.
@@ -369,13 +369,13 @@
         what, now = attempt.what, time.monotonic()
         with self.lock:
             free = what.worker not in self.barred and now >= self.held.get(_route(what), -math.inf)
-            if not free or attempt.abandoned or self.ended or now >= what.deadline:
+            if not free or attempt.cancelled or self.ended or now >= what.deadline:
                 return None
             if isinstance(what, Look):
                 return ()
             items = []
             for p in what.items:
-                if p.message not in attempt.struck and now < p.until:
+                if p.message not in attempt.withdrawn and now < p.until:
                     try:
                         self.note(AttemptStarted(p.call.id, now, what.name))
                     except OSError as error:  # written without its record it would come back as untried
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -385,7 +385,7 @@
 
             with self.subTest(struck), mock.patch("juniperward.net.sockets.connect", late):
                 self.workers.start_attempt(start_attempt(1, self.port, 3))
-                self.assertEqual({self.workers.strike(1, n) for n in struck}, {Progress.WAITS})
+                self.assertEqual({self.workers.withdraw(1, n) for n in struck}, {Progress.WAITS})
                 up.set()
                 sock, _ = self.door.accept()
                 self.addCleanup(sock.close)
@@ -401,13 +401,13 @@
                 else:
                     written = [call.headers["x-correlation-id"]]
                 self.assertEqual(written, [f"m{n}" for n in range(3) if n not in struck])
-                self.assertIsNot(self.workers.strike(1, 1), Progress.WAITS)
+                self.assertIsNot(self.workers.withdraw(1, 1), Progress.WAITS)
                 sock.close()
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, Answered)
                 left = {e.message for e in event.ends if e.outcome is Outcome.MOOT}
                 self.assertEqual(left, set(struck))  # the reducer has settled them
-                self.assertIs(self.workers.strike(1, 1), Progress.OVER)
+                self.assertIs(self.workers.withdraw(1, 1), Progress.OVER)
 
     def test_a_call_that_is_called_off_says_how_far_it_had_come(self) -> None:
         # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
@@ -421,7 +421,7 @@
         with mock.patch("juniperward.net.sockets.connect", late):
             self.workers.start_attempt(start_attempt(1, self.port))
             self.assertTrue(begun.wait(5.0))
-            self.assertIs(self.workers.abandon(1), Progress.WAITS)
+            self.assertIs(self.workers.cancel_attempt(1), Progress.WAITS)
             up.set()
             sock, _ = self.door.accept()
         self.addCleanup(sock.close)
@@ -436,7 +436,7 @@
         self.assertIn(b"m0", sock.recv(1000))
         while self.workers.active[2].progress is not Progress.WRITTEN:
             time.sleep(0)
-        self.assertIs(self.workers.abandon(2), Progress.WRITTEN)
+        self.assertIs(self.workers.cancel_attempt(2), Progress.WRITTEN)
         self.assertEqual(sock.recv(1), b"")
         self.workers.start_attempt(start_attempt(3, self.port))
         sock, _ = self.door.accept()
@@ -446,7 +446,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
         self.assertEqual(event, Answered(3, (End(0, Outcome.OK),)))  # and nothing of the two before it
-        self.assertIs(self.workers.abandon(3), Progress.OVER)
+        self.assertIs(self.workers.cancel_attempt(3), Progress.OVER)
 
     def test_an_answer_cut_at_any_byte_leaves_no_message_without_its_end(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
@@ -488,7 +488,7 @@
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertTrue(sock.recv(1000).startswith(b"POST /receive"))
-        self.workers.abandon(1)
+        self.workers.cancel_attempt(1)
         self.assertEqual(sock.recv(1000), b"")
         sock.close()
         self.workers.start_attempt(start_attempt(2, self.port))
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -6,15 +6,16 @@
 from typing import Any
 
 from juniperward.forwarder.messages import (
-    Abandon,
     AcceptMessage,
     Answered,
     Append,
+    AttemptCancelled,
     AttemptFinished,
     AttemptRecord,
     Bar,
     Call,
-    CalledOff,
+    CancelAttempt,
+    CancelDue,
     Completed,
     Effect,
     End,
@@ -22,7 +23,6 @@
     ForgetWorker,
     Heard,
     Hold,
-    Left,
     MessageAccepted,
     MessageReceived,
     Moved,
@@ -37,12 +37,12 @@
     Restored,
     StartAttempt,
     Stop,
-    Strike,
-    Struck,
     TimeUp,
     Wake,
     WatchFrom,
     WatchLost,
+    WithdrawFromBatch,
+    WithdrawResult,
     Worker,
 )
 from juniperward.forwarder.reducer import MOST_ENDED, Reducer
@@ -92,8 +92,8 @@
     def up(self, d: StartAttempt, progress: Progress = Progress.WRITTEN) -> list[Effect]:
         """The time of an attempt's first message is up, its call having come so far."""
         message = d.items[0].message
-        self.assertEqual(self.do(TimeUp(d.number, message)), [Strike(d.number, message)])
-        return self.do(Struck(d.number, message, progress))
+        self.assertEqual(self.do(TimeUp(d.number, message)), [WithdrawFromBatch(d.number, message)])
+        return self.do(WithdrawResult(d.number, message, progress))
 
 
 class ReducerTest(ReducerRig):
@@ -217,7 +217,7 @@
         self.assertEqual((wake.at, d.deadline), (101.7, 101.7))  # 0.3 s are spared for the notice
         self.now = wake.at
         effects = self.up(d)
-        self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)])
+        self.assertEqual(self.only(effects, CancelAttempt), [CancelAttempt(d.number)])
         self.assertEqual(self.only(effects, Notify), [Notify((OutcomeNotification("a"),))])
         self.assertIn(Append(OutcomeDecided(OutcomeNotification("a"))), effects)
         # An answer that crossed it changes nothing.
@@ -250,8 +250,8 @@
                 effects = self.up(d, progress)
                 self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notifications], ["a"])
                 # A call that is being written cannot lose one: it is called off, the other may go again.
-                self.assertEqual(self.only(effects, Abandon), [Abandon(d.number)] if gone else [])
-                effects = self.do(Left(d.number, progress)) if gone else effects
+                self.assertEqual(self.only(effects, CancelAttempt), [CancelAttempt(d.number)] if gone else [])
+                effects = self.do(AttemptCancelled(d.number, progress)) if gone else effects
                 self.assertEqual(Append(AttemptFinished("b", True)) in effects, gone)
 
     def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(self) -> None:
@@ -265,15 +265,15 @@
                 self.now += 2.0
                 (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
                 self.now = 103.7
-                (wake,) = [w for w in self.only(self.up(d), Wake) if isinstance(w.due, CalledOff)]
+                (wake,) = [w for w in self.only(self.up(d), Wake) if isinstance(w.due, CancelDue)]
                 self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
                 if answered:
                     self.do(Answered(d.number, tuple(End(p.message, Outcome.OK) for p in d.items)))
                 self.now = wake.at
                 effects = self.do(wake.due)
-                gone = [] if answered else [Abandon(d.number)]
-                self.assertEqual([e for e in effects if isinstance(e, Abandon)], gone)
-                effects = self.do(Left(d.number, Progress.WRITTEN))
+                gone = [] if answered else [CancelAttempt(d.number)]
+                self.assertEqual([e for e in effects if isinstance(e, CancelAttempt)], gone)
+                effects = self.do(AttemptCancelled(d.number, Progress.WRITTEN))
                 self.assertEqual(Append(AttemptFinished("b", True)) in effects, not answered)
 
     def test_a_notice_is_owed_until_it_is_accepted(self) -> None:
@@ -292,7 +292,7 @@
         first = self.take("a", cls=cls)
         self.take("b", destination=2, cls=cls)
         effects = self.take("c", destination=3)
-        while not self.only(effects, Abandon):
+        while not self.only(effects, CancelAttempt):
             self.assertLess(self.now, 115.0, "nothing was called off")
             self.now += 0.25
             effects = self.do(Heard(43, False, ()))
@@ -301,9 +301,9 @@
     def test_calling_off_closes_first_and_reports_then(self) -> None:
         # Guards against a second copy: the connection must have ended before the message may go again.
         _, effects = self.call_off()
-        (gone,) = self.only(effects, Abandon)
+        (gone,) = self.only(effects, CancelAttempt)
         self.assertEqual(self.sent(effects), [])
-        effects = self.do(Left(gone.attempt_number, Progress.WRITTEN))
+        effects = self.do(AttemptCancelled(gone.attempt_number, Progress.WRITTEN))
         self.assertEqual(self.only(effects, Append)[0].record, AttemptFinished("a", True))
         self.assertEqual(self.sent(effects), [["c"]])
 
@@ -312,8 +312,8 @@
         for progress, told in ((Progress.WAITS, []), (Progress.WRITTEN, [OutcomeNotification("a")])):
             with self.subTest(progress):
                 _, effects = self.call_off(cls=1)
-                (gone,) = self.only(effects, Abandon)
-                effects = self.do(Left(gone.attempt_number, progress))
+                (gone,) = self.only(effects, CancelAttempt)
+                effects = self.do(AttemptCancelled(gone.attempt_number, progress))
                 self.assertEqual([n for t in self.only(effects, Notify) for n in t.notifications], told)
                 ends = [e.record for e in self.only(effects, Append) if isinstance(e.record, AttemptFinished)]
                 self.assertEqual(
@@ -323,8 +323,8 @@
     def test_an_answer_that_was_read_before_its_call_was_called_off_counts(self) -> None:
         # Guards a delivery that was read and not yet told: it counted as called off, and its message went again.
         first, effects = self.call_off()
-        (gone,) = self.only(effects, Abandon)
-        self.assertEqual(self.do(Left(gone.attempt_number, Progress.OVER)), [])
+        (gone,) = self.only(effects, CancelAttempt)
+        self.assertEqual(self.do(AttemptCancelled(gone.attempt_number, Progress.OVER)), [])
         effects = self.end(first, (Outcome.OK, 0.0))
         self.assertIn(Append(Completed("a")), effects)
         self.assertEqual(self.sent(effects), [["c"]])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -87,7 +87,7 @@
         with mock.patch("juniperward.net.sockets.connect", late):
             self.workers.start_attempt(self.start_attempt())
             self.assertEqual(self.tried(), [])
-            self.workers.strike(1, 1)
+            self.workers.withdraw(1, 1)
             up.set()
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -154,7 +154,7 @@
             self.workers.start_attempt(delegate(number, port))
             if number % 4 == 0:
                 # Those that come up late come up in vain, and one is given up while it is dialled.
-                self.workers.abandon(number)
+                self.workers.cancel_attempt(number)
             else:
                 self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
         self.workers.start_attempt(delegate(301, self.port))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -10,10 +10,10 @@
     Accepted,
     AcceptMessage,
     Answered,
+    AttemptCancelled,
     BatchItem,
     Call,
     End,
-    Left,
     MessageReceived,
     Notify,
     OutcomeNotification,
@@ -21,7 +21,7 @@
     Reply,
     Say,
     StartAttempt,
-    Struck,
+    WithdrawResult,
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
@@ -52,7 +52,7 @@
             ],
         )
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
-        trace.events(0.15, [Struck(1, 9, Progress.WAITS), Left(9, Progress.WRITTEN)])
+        trace.events(0.15, [WithdrawResult(1, 9, Progress.WAITS), AttemptCancelled(9, Progress.WRITTEN)])
         trace.events(0.2, [Answered(1, (End(1, Outcome.FULL, 0.5),))])
         trace.effects(0.3, [Say("destination 7: refuses all, held to trials")])
         trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
