--- a/juniperward/forwarder/listing.py
+++ b/juniperward/forwarder/listing.py
@@ -8,7 +8,7 @@
 import math
 
 from juniperward.forwarder.counters import count
-from juniperward.forwarder.messages import Bar, Effect, ForgetWorker, Heard, MoveTo, WatchFrom
+from juniperward.forwarder.messages import Effect, ForgetWorker, Heard, MoveTo, SetDraining, WatchFrom
 from juniperward.forwarder.state import State
 from nickelscale import interface as i
 
@@ -57,12 +57,12 @@
             named.add(number)
             s.workers[number] = w
             (s.gone.add if w.phase is i.Phase.GONE else s.gone.discard)(number)
-            self.effects.append(Bar(number, w.phase is not i.Phase.READY))
+            self.effects.append(SetDraining(number, w.phase is not i.Phase.READY))
             entries.append(i.Endpoint(number, w.destination, w.phase, w.kind, w.zone, w.weight))
         if e.full:
             missing = [number for number in s.workers if number not in named]
             s.gone.update(missing)
-            self.effects += [Bar(number, True) for number in missing]
+            self.effects += [SetDraining(number, True) for number in missing]
         scope = i.ListScope.FULL if e.full else i.ListScope.DELTA
         self.news.append(i.Listed(i.ListScope.CACHED if e.known else scope, tuple(entries)))
         self._forget_workers(now)
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -16,7 +16,6 @@
     AcceptMessage,
     Append,
     AttemptCancelled,
-    Bar,
     CancelAttempt,
     CloseIdle,
     Doors,
@@ -25,7 +24,7 @@
     EndProcess,
     Event,
     ForgetWorker,
-    Hold,
+    HoldUntil,
     Keep,
     Look,
     MessageAccepted,
@@ -35,6 +34,7 @@
     Remember,
     Reply,
     Say,
+    SetDraining,
     StartAttempt,
     Tell,
     Wake,
@@ -145,10 +145,10 @@
                 self.follow.append(WithdrawResult(number, message, self.workers.withdraw(number, message)))
             case CloseIdle(worker=worker):
                 self.workers.close_idle(worker)
-            case Bar(worker=worker, barred=barred):
-                self.workers.bar(worker, barred)
-            case Hold(route=route, until=until):
-                self.workers.hold(route, until)
+            case SetDraining(worker=worker, draining=draining):
+                self.workers.set_draining(worker, draining)
+            case HoldUntil(route=route, until=until):
+                self.workers.hold_until(route, until)
             case ForgetWorker(worker=worker):
                 self.workers.forget(worker)
             case WatchFrom(version=version, epoch=epoch):
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -385,15 +385,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bar:
+class SetDraining:
     """Write nothing new to a worker, or do so again."""
 
     worker: int
-    barred: bool
+    draining: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class HoldUntil:
     """Write nothing to a route's workers before `until`."""
 
     route: Route
@@ -504,9 +504,9 @@
     | CancelAttempt
     | WithdrawFromBatch
     | CloseIdle
-    | Bar
+    | SetDraining
     | ForgetWorker
-    | Hold
+    | HoldUntil
     | WatchFrom
     | MoveTo
     | Notify
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -34,7 +34,7 @@
     EndProcess,
     Event,
     Heard,
-    Hold,
+    HoldUntil,
     Keep,
     Look,
     Looked,
@@ -332,7 +332,7 @@
             elif end.begun:
                 self.effects.append(Append(AttemptFinished(held.call.id, not end.outcome.never_ran)))
         if end.wait > 0:
-            self.effects.append(Hold(self._route(worker), now + end.wait))
+            self.effects.append(HoldUntil(self._route(worker), now + end.wait))
         self.news.append(
             i.Settled(
                 end.message, ordinal, attempt.worker, end.outcome, now - attempt.began, over, end.wait,
@@ -499,7 +499,7 @@
             return
         w = s.workers.get(e.worker)
         if e.wait > 0 and w is not None:
-            self.effects.append(Hold(self._route(w), now + e.wait))
+            self.effects.append(HoldUntil(self._route(w), now + e.wait))
         self.news.append(i.Probed(e.worker, e.outcome, e.latency, e.room, e.limit))
 
     def _start_attempts(self, now: float, worker: int, asked: list[i.Send]) -> None:
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -100,8 +100,8 @@
         self.submitted: queue.SimpleQueue[ActiveAttempt] = queue.SimpleQueue()
         self.active: dict[int, ActiveAttempt] = {}
         self.idle: dict[int, list[Kept]] = {}
-        self.barred: set[int] = set()
-        self.held: dict[Route, float] = {}
+        self.draining: set[int] = set()
+        self.held_until: dict[Route, float] = {}
         self.threads = self.free = 0
         self.trace: Trace | None = None
 
@@ -157,23 +157,23 @@
         for k in kept:
             k.sock.close()
 
-    def bar(self, worker: int, barred: bool) -> None:
+    def set_draining(self, worker: int, draining: bool) -> None:
         """Write nothing new to a worker that drains or is gone."""
         with self.lock:
-            (self.barred.add if barred else self.barred.discard)(worker)
-        if barred:
+            (self.draining.add if draining else self.draining.discard)(worker)
+        if draining:
             self.close_idle(worker)
 
     def forget(self, worker: int) -> None:
         """Keep nothing of a worker that is gone and that no call is out to."""
         self.close_idle(worker)
         with self.lock:
-            self.barred.discard(worker)
+            self.draining.discard(worker)
 
-    def hold(self, route: Route, until: float) -> None:
+    def hold_until(self, route: Route, until: float) -> None:
         """Write nothing to a route that told a wait."""
         with self.lock:
-            self.held[route] = max(until, self.held.get(route, until))
+            self.held_until[route] = max(until, self.held_until.get(route, until))
 
     def _heed(self, what: StartAttempt | Look, wait: float) -> None:
         """Hold a route from the moment its wait is read, not from when the loop gets to the answer.
@@ -182,7 +182,7 @@
         was longer than the 100 ms that the rule lets through.
         """
         if wait > 0:
-            self.hold(_route(what), time.monotonic() + wait)
+            self.hold_until(_route(what), time.monotonic() + wait)
 
     def sweep(self, now: float) -> None:
         """Drop connections before their workers do, and waits that are over."""
@@ -195,8 +195,8 @@
                     self.idle[worker] = fresh
                 else:
                     del self.idle[worker]
-            for route in [r for r, until in self.held.items() if until <= now]:
-                del self.held[route]
+            for route in [r for r, until in self.held_until.items() if until <= now]:
+                del self.held_until[route]
         for k in old:
             k.sock.close()
 
@@ -368,7 +368,7 @@
         """
         what, now = attempt.what, time.monotonic()
         with self.lock:
-            free = what.worker not in self.barred and now >= self.held.get(_route(what), -math.inf)
+            free = what.worker not in self.draining and now >= self.held_until.get(_route(what), -math.inf)
             if not free or attempt.cancelled or self.ended or now >= what.deadline:
                 return None
             if isinstance(what, Look):
@@ -410,7 +410,7 @@
         kept.used = time.monotonic()
         drop: list[Kept] = [kept]
         with self.lock:
-            if worker not in self.barred:
+            if worker not in self.draining:
                 self.idle.setdefault(worker, []).append(kept)
                 drop = []
             if sum(map(len, self.idle.values())) > self.most_idle:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -321,11 +321,11 @@
 
     def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
-        self.workers.bar(3, True)
+        self.workers.set_draining(3, True)
         self.workers.start_attempt(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.MOOT)
-        self.workers.bar(3, False)
-        self.workers.hold(7, 1e12)
+        self.workers.set_draining(3, False)
+        self.workers.hold_until(7, 1e12)
         self.workers.start_attempt(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.MOOT)
         for _ in range(2):
@@ -576,8 +576,8 @@
 
     def test_nothing_is_kept_of_a_worker_that_is_gone(self) -> None:
         # Guards memory over months, and who comes at its address: it must not inherit a bar.
-        self.workers.bar(3, True)
-        self.workers.hold(7, time.monotonic() + 1.0)
+        self.workers.set_draining(3, True)
+        self.workers.hold_until(7, time.monotonic() + 1.0)
         self.workers.forget(3)
         self.workers.sweep(time.monotonic() + 2.0)
-        self.assertEqual((self.workers.barred, self.workers.held, self.workers.idle), (set(), {}, {}))
+        self.assertEqual((self.workers.draining, self.workers.held_until, self.workers.idle), (set(), {}, {}))
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -12,7 +12,6 @@
     AttemptCancelled,
     AttemptFinished,
     AttemptRecord,
-    Bar,
     Call,
     CancelAttempt,
     CancelDue,
@@ -22,7 +21,7 @@
     Event,
     ForgetWorker,
     Heard,
-    Hold,
+    HoldUntil,
     MessageAccepted,
     MessageReceived,
     Moved,
@@ -35,6 +34,7 @@
     Replayed,
     Reply,
     Restored,
+    SetDraining,
     StartAttempt,
     Stop,
     TimeUp,
@@ -185,7 +185,7 @@
         effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.FULL, 3.0), (Outcome.OK, 3.0))
         records = [e.record for e in self.only(effects, Append)]
         self.assertEqual(records, [AttemptFinished("b", False), AttemptFinished("a", True), Completed("c")])
-        self.assertEqual(self.only(effects, Hold)[0], Hold(1, 105.0))
+        self.assertEqual(self.only(effects, HoldUntil)[0], HoldUntil(1, 105.0))
 
     def test_a_wait_told_with_a_delivery_binds(self) -> None:
         # Guards the wait that a 200 carries: the module must hear of it though nothing was refused.
@@ -201,7 +201,7 @@
                 effects = self.take("a")
                 self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
                 effects = self.end(effects, (Outcome.FULL, 5.0))
-                self.assertEqual(self.only(effects, Hold), [Hold(told, 105.0)])
+                self.assertEqual(self.only(effects, HoldUntil), [HoldUntil(told, 105.0)])
                 self.do(Heard(42, False, (worker("s-2"),)))
                 self.now += 0.5
                 # The other worker is called by the module, and the sockets let it.
@@ -398,7 +398,7 @@
     def test_what_the_list_no_longer_has_gets_nothing(self) -> None:
         self.start(worker("s-1"), worker("s-2", 2))
         effects = self.do(Heard(42, True, (worker("s-2", 2),)))
-        self.assertIn(Bar(1, True), effects)
+        self.assertIn(SetDraining(1, True), effects)
         self.assertEqual(self.sent(self.take("a", destination=1)), [])
         self.assertEqual(self.sent(self.take("b", destination=2)), [["b"]])
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder import registry as registry_module
 from juniperward.forwarder.answers import Report, read_report
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, Heard, Hold, Look, Looked, Wake, WatchFrom, WatchLost
+from juniperward.forwarder.messages import Event, Heard, HoldUntil, Look, Looked, Wake, WatchFrom, WatchLost
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from nickelscale.benchlink import settings_from
@@ -223,7 +223,7 @@
         self.assertAlmostEqual(asked.deadline, 101.5)
         told = Looked(asked.number, 1, Outcome.FULL, 0.01, wait=0.8)
         effects = self.reducer.reduce(100.5, [told])
-        self.assertIn(Hold(1, 101.3), effects)
+        self.assertIn(HoldUntil(1, 101.3), effects)
         # A second word of the same probe is nothing.
         self.assertEqual(self.reducer.reduce(100.6, [told]), [])
 
