--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -107,7 +107,7 @@
     return float(given[field]) if field in given else None
 
 
-def read_look(answer: Response, fresh: bool = False) -> Outcome:
+def read_probe(answer: Response, fresh: bool = False) -> Outcome:
     """What a probe's answer says of its worker ('Forwarders to endpoints': 200 or 503)."""
     match answer.status:
         case 200:
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -26,7 +26,6 @@
     ForgetWorker,
     HoldUntil,
     Keep,
-    Look,
     MessageAccepted,
     MoveTo,
     Notify,
@@ -36,6 +35,7 @@
     Say,
     SetDraining,
     StartAttempt,
+    StartProbe,
     Tell,
     Wake,
     WatchFrom,
@@ -137,7 +137,7 @@
                 self.server.answer(client, status, wait)
             case Append(record=record):
                 self._note(record)
-            case StartAttempt() | Look():
+            case StartAttempt() | StartProbe():
                 self.workers.start_attempt(effect)
             case CancelAttempt(attempt_number=number):
                 self.follow.append(AttemptCancelled(number, self.workers.cancel_attempt(number)))
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -171,7 +171,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Looked:
+class ProbeFinished:
     """A probe ended: `latency` in seconds; `room` and `limit` as the worker's report has them."""
 
     probe: int
@@ -287,7 +287,7 @@
     | MessageAccepted
     | Answered
     | WithdrawResult
-    | Looked
+    | ProbeFinished
     | Heard
     | WatchLost
     | Moved
@@ -350,8 +350,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Probe a worker (`GET /health/live`); `Looked` reports back exactly once. `deadline`: monotonic seconds."""
+class StartProbe:
+    """Probe a worker (`GET /health/live`); `ProbeFinished` reports once. `deadline`: monotonic seconds."""
 
     number: int
     worker: int
@@ -500,7 +500,7 @@
     | Reply
     | Append
     | StartAttempt
-    | Look
+    | StartProbe
     | CancelAttempt
     | WithdrawFromBatch
     | CloseIdle
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -36,8 +36,6 @@
     Heard,
     HoldUntil,
     Keep,
-    Look,
-    Looked,
     MessageAccepted,
     MessageReceived,
     ModuleTimer,
@@ -46,6 +44,7 @@
     Notify,
     OutcomeDecided,
     OutcomeNotification,
+    ProbeFinished,
     Progress,
     Remember,
     Replayed,
@@ -54,6 +53,7 @@
     Route,
     Say,
     StartAttempt,
+    StartProbe,
     Stop,
     Tell,
     TimeUp,
@@ -149,8 +149,8 @@
                 self._cancel_attempt(number)
             case AttemptCancelled():
                 self._attempt_cancelled(now, event)
-            case Looked():
-                self._looked(now, event)
+            case ProbeFinished():
+                self._probe_finished(now, event)
             case Heard():
                 if event.epoch == self.state.epoch or event.known:
                     self._heard(now, event)
@@ -456,7 +456,7 @@
                 case i.Log(text=text):
                     self.effects.append(Say(text))
                 case i.Probe(endpoint=worker):
-                    self._look(now, worker)
+                    self._start_probe(now, worker)
         # Attempts come last: what a round gives up or closes must not be met by what it starts.
         for worker, asked in sends.items():
             self._start_attempts(now, worker, asked)
@@ -478,7 +478,7 @@
         if held is not None and held.attempt_number is not None:
             self._cancel_attempt(held.attempt_number)
 
-    def _look(self, now: float, worker: int) -> None:
+    def _start_probe(self, now: float, worker: int) -> None:
         """Probe a worker; one that is not listed any more is answered at once as not probed."""
         s = self.state
         w = s.workers.get(worker)
@@ -486,16 +486,16 @@
             self.news.append(i.Probed(worker, i.Outcome.MOOT, 0.0))
             return
         s.last_attempt_number += 1
-        s.looks[s.last_attempt_number] = worker
+        s.probes[s.last_attempt_number] = worker
         count("probes")
         deadline = now + PROBE_WAIT * self.settings.dial_timeout
         self.effects.append(
-            Look(s.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w))
+            StartProbe(s.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w))
         )
 
-    def _looked(self, now: float, e: Looked) -> None:
+    def _probe_finished(self, now: float, e: ProbeFinished) -> None:
         s = self.state
-        if s.looks.pop(e.probe, None) is None:
+        if s.probes.pop(e.probe, None) is None:
             return
         w = s.workers.get(e.worker)
         if e.wait > 0 and w is not None:
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -52,7 +52,7 @@
     heard_at: float | None = None  # when the registry last told something
     epoch: int = 0  # how often the registry has moved
     watching: bool = False  # a watch is asked for, or under way
-    looks: dict[int, int] = field(default_factory=dict)  # probes under way: worker, by number
+    probes: dict[int, int] = field(default_factory=dict)  # probes under way: worker, by number
     last_worker: int = 0
     last_message: int = 0
     last_attempt_number: int = 0
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.answers import (
     ends_of_all,
     read_ends,
-    read_look,
+    read_probe,
     read_report,
     read_wait,
 )
@@ -26,12 +26,12 @@
     BatchItem,
     End,
     Event,
-    Look,
-    Looked,
+    ProbeFinished,
     Progress,
     Record,
     Route,
     StartAttempt,
+    StartProbe,
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
@@ -47,7 +47,7 @@
 class ActiveAttempt:
     """An attempt in the hands of a thread."""
 
-    def __init__(self, what: StartAttempt | Look) -> None:
+    def __init__(self, what: StartAttempt | StartProbe) -> None:
         self.what = what
         self.sock: socket.socket | None = None
         self.cancelled = False
@@ -107,7 +107,7 @@
 
     # --- effects, called by the loop ----------------------------------------------------------------
 
-    def start_attempt(self, what: StartAttempt | Look) -> None:
+    def start_attempt(self, what: StartAttempt | StartProbe) -> None:
         """Have a thread make this call, or this probe."""
         attempt = ActiveAttempt(what)
         with self.lock:
@@ -175,7 +175,7 @@
         with self.lock:
             self.held_until[route] = max(until, self.held_until.get(route, until))
 
-    def _heed(self, what: StartAttempt | Look, wait: float) -> None:
+    def _heed(self, what: StartAttempt | StartProbe, wait: float) -> None:
         """Hold a route from the moment its wait is read, not from when the loop gets to the answer.
 
         Between the two, other threads write what the module decided before it knew: on a busy process that
@@ -213,15 +213,15 @@
             what, begun = attempt.what, time.monotonic()
             result: Event
             try:
-                if isinstance(what, Look):
-                    result = self._look(attempt, what, begun)
+                if isinstance(what, StartProbe):
+                    result = self._probe(attempt, what, begun)
                 else:
                     result = Answered(what.number, self._call(attempt, what))
             except Exception as error:
                 trouble("worker", error)
                 result = (
-                    Looked(what.number, what.worker, Outcome.RESET, time.monotonic() - begun)
-                    if isinstance(what, Look)
+                    ProbeFinished(what.number, what.worker, Outcome.RESET, time.monotonic() - begun)
+                    if isinstance(what, StartProbe)
                     else Answered(what.number, ends_of_all(what, Outcome.RESET))
                 )
             with self.lock:
@@ -230,16 +230,16 @@
             if known and not attempt.cancelled:
                 self.post(result)
 
-    def _look(self, attempt: ActiveAttempt, what: Look, begun: float) -> Looked:
+    def _probe(self, attempt: ActiveAttempt, what: StartProbe, begun: float) -> ProbeFinished:
         """A probe: it counts as a call, so it heeds drains and waits as calls do, and it uses a kept connection."""
         address = (what.host, what.port)
 
-        def ended(outcome: Outcome, answer: Response | None = None) -> Looked:
+        def ended(outcome: Outcome, answer: Response | None = None) -> ProbeFinished:
             latency = time.monotonic() - begun
             if answer is None:
-                return Looked(what.number, what.worker, outcome, latency)
+                return ProbeFinished(what.number, what.worker, outcome, latency)
             wait, report = read_wait(answer.headers), read_report(answer.headers)
-            return Looked(
+            return ProbeFinished(
                 what.number, what.worker, outcome, latency, wait=wait, room=report.room, limit=report.limit
             )
 
@@ -272,7 +272,7 @@
             kept.sock.close()
         else:
             self._put_back(what.worker, kept)
-        return ended(read_look(answer, fresh), answer)
+        return ended(read_probe(answer, fresh), answer)
 
     def _call(self, attempt: ActiveAttempt, what: StartAttempt) -> tuple[End, ...]:
         address = (what.host, what.port)
@@ -371,7 +371,7 @@
             free = what.worker not in self.draining and now >= self.held_until.get(_route(what), -math.inf)
             if not free or attempt.cancelled or self.ended or now >= what.deadline:
                 return None
-            if isinstance(what, Look):
+            if isinstance(what, StartProbe):
                 return ()
             items = []
             for p in what.items:
@@ -420,7 +420,7 @@
             k.sock.close()
 
 
-def _route(what: StartAttempt | Look) -> Route:
+def _route(what: StartAttempt | StartProbe) -> Route:
     return what.destination if what.route is None else what.route
 
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -15,7 +15,16 @@
 from juniperward.forwarder import registry as registry_module
 from juniperward.forwarder.answers import Report, read_report
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, Heard, HoldUntil, Look, Looked, Wake, WatchFrom, WatchLost
+from juniperward.forwarder.messages import (
+    Event,
+    Heard,
+    HoldUntil,
+    ProbeFinished,
+    StartProbe,
+    Wake,
+    WatchFrom,
+    WatchLost,
+)
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from nickelscale.benchlink import settings_from
@@ -25,8 +34,8 @@
 from tests.test_reducer import worker
 
 
-def look(port: int, deadline: float = 1e12) -> Look:
-    return Look(1, 3, "127.0.0.1", port, 7, deadline)
+def start_probe(port: int, deadline: float = 1e12) -> StartProbe:
+    return StartProbe(1, 3, "127.0.0.1", port, 7, deadline)
 
 
 class PushedListTest(unittest.TestCase):
@@ -216,12 +225,12 @@
 
     def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
         self.reducer.effects, self.reducer.news = [], []
-        self.reducer._look(100.0, 1)
+        self.reducer._start_probe(100.0, 1)
         (asked,) = self.reducer.effects
-        assert isinstance(asked, Look)
+        assert isinstance(asked, StartProbe)
         self.assertEqual((asked.worker, asked.destination, asked.port), (1, 1, 81))
         self.assertAlmostEqual(asked.deadline, 101.5)
-        told = Looked(asked.number, 1, Outcome.FULL, 0.01, wait=0.8)
+        told = ProbeFinished(asked.number, 1, Outcome.FULL, 0.01, wait=0.8)
         effects = self.reducer.reduce(100.5, [told])
         self.assertIn(HoldUntil(1, 101.3), effects)
         # A second word of the same probe is nothing.
@@ -229,7 +238,7 @@
 
     def test_a_worker_that_is_not_listed_is_not_probed(self) -> None:
         self.reducer.effects, self.reducer.news = [], []
-        self.reducer._look(100.0, 99)
+        self.reducer._start_probe(100.0, 99)
         self.assertEqual(self.reducer.effects, [])
         self.assertEqual([n.outcome for n in self.reducer.news], [Outcome.MOOT])  # type: ignore[union-attr]
 
@@ -253,9 +262,9 @@
         thread.start()
         return thread
 
-    def looked(self) -> Looked:
+    def looked(self) -> ProbeFinished:
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, Looked)
+        assert isinstance(event, ProbeFinished)
         return event
 
     def test_a_probe_of_503_is_a_refusal_and_200_brings_the_report(self) -> None:
@@ -272,7 +281,7 @@
         for reply, outcome in cases:
             with self.subTest(outcome=outcome.name):
                 self.answer(reply)
-                self.workers.start_attempt(look(self.port))
+                self.workers.start_attempt(start_probe(self.port))
                 told = self.looked()
                 self.assertEqual(self.asked, b"GET /health/live HTTP/1.1")
                 self.assertIs(told.outcome, outcome)
@@ -280,12 +289,12 @@
                 if outcome is Outcome.OK:
                     self.assertEqual((told.room, told.limit), (0.25, 12.0))
         # The wait of a probe binds the next probe as it does a call.
-        self.workers.start_attempt(look(self.port))
+        self.workers.start_attempt(start_probe(self.port))
         self.assertIs(self.looked().outcome, Outcome.MOOT)
 
     def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
         self.answer(b"")
-        self.workers.start_attempt(look(self.port, time.monotonic() + 0.2))
+        self.workers.start_attempt(start_probe(self.port, time.monotonic() + 0.2))
         self.assertIs(self.looked().outcome, Outcome.TIMEOUT)
 
 
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -12,7 +12,7 @@
 
 from juniperward.forwarder import workers as workers_module
 from juniperward.forwarder.answers import read_wait
-from juniperward.forwarder.messages import Answered, BatchItem, Call, Look, Looked, StartAttempt
+from juniperward.forwarder.messages import Answered, BatchItem, Call, ProbeFinished, StartAttempt, StartProbe
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from nickelscale.interface import Outcome
@@ -67,9 +67,9 @@
 class ProbeTest(EndpointRig):
     __test__ = True
 
-    def probe(self, number: int, seconds: float) -> Look:
+    def probe(self, number: int, seconds: float) -> StartProbe:
         deadline = time.monotonic() + seconds
-        return Look(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
+        return StartProbe(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
 
     def test_a_probe_ends_at_its_deadline_whatever_has_come(self) -> None:
         # Guards a probe that was answered by half a line or by an interim answer: behind the latter it waited for
@@ -87,7 +87,7 @@
                 theirs.recv(1000)
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
-                assert isinstance(event, Looked)
+                assert isinstance(event, ProbeFinished)
                 self.assertIs(event.outcome, Outcome.TIMEOUT)
 
     def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
@@ -97,7 +97,7 @@
         sock.recv(1000)
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, Looked)
+        assert isinstance(event, ProbeFinished)
         self.assertIs(event.outcome, Outcome.OK)
         self.workers.start_attempt(delegate(2, self.port))
         self.assertIn(b"m0", sock.recv(1000))
