--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -17,8 +17,8 @@
     Append,
     AttemptCancelled,
     CancelAttempt,
+    CloseConnections,
     CloseIdle,
-    Doors,
     Due,
     Effect,
     EndProcess,
@@ -26,17 +26,17 @@
     ForgetWorker,
     HoldUntil,
     Keep,
+    LogLine,
     MessageAccepted,
     MoveTo,
     Notify,
     Record,
     Remember,
     Reply,
-    Say,
+    SendControlReply,
     SetDraining,
     StartAttempt,
     StartProbe,
-    Tell,
     Wake,
     WatchFrom,
     WithdrawFromBatch,
@@ -160,9 +160,9 @@
             case Wake(at=at, due=due):
                 self.serial += 1
                 heapq.heappush(self.timers, (at, self.serial, due))
-            case Say(text=text):
+            case LogLine(text=text):
                 log("module", text)
-            case Tell(client=client, answer=answer):
+            case SendControlReply(client=client, answer=answer):
                 self.tell(client, self._complete(answer))
             case Keep():
                 if self.keeper is not None:
@@ -170,8 +170,8 @@
             case Remember():
                 if self.keeper is not None:
                     self.keeper.remember(effect)
-            case Doors(open=is_open):
-                self.server.doors(is_open)
+            case CloseConnections(closing=closing):
+                self.server.close_connections(closing)
             case EndProcess():
                 self.end_process()
 
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -247,7 +247,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ControlRequested:
     """A client of the control channel asks something of this forwarder."""
 
     client: int
@@ -294,7 +294,7 @@
     | NotificationAcknowledged
     | Due
     | Stop
-    | Asked
+    | ControlRequested
 )
 
 # --- effects -----------------------------------------------------------------------------------------
@@ -439,7 +439,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     """A line for the people on call."""
 
     text: str
@@ -476,7 +476,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendControlReply:
     """Answer a client of the control channel."""
 
     client: int
@@ -484,10 +484,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doors:
-    """Have the ready page say yes or no; while it says no, answers to clients end their connections."""
+class CloseConnections:
+    """Have the ready page say no and answers to clients end their connections, or neither any more."""
 
-    open: bool
+    closing: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -511,9 +511,9 @@
     | MoveTo
     | Notify
     | Wake
-    | Say
-    | Tell
-    | Doors
+    | LogLine
+    | SendControlReply
+    | CloseConnections
     | EndProcess
     | Keep
     | Remember
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -19,16 +19,16 @@
     AcceptMessage,
     Answered,
     Append,
-    Asked,
     AttemptCancelled,
     AttemptFinished,
     BatchItem,
     Call,
     CancelAttempt,
     CancelDue,
+    CloseConnections,
     CloseIdle,
     Completed,
-    Doors,
+    ControlRequested,
     Effect,
     End,
     EndProcess,
@@ -36,6 +36,7 @@
     Heard,
     HoldUntil,
     Keep,
+    LogLine,
     MessageAccepted,
     MessageReceived,
     ModuleTimer,
@@ -51,11 +52,10 @@
     Reply,
     Restored,
     Route,
-    Say,
+    SendControlReply,
     StartAttempt,
     StartProbe,
     Stop,
-    Tell,
     TimeUp,
     Tried,
     Wake,
@@ -176,19 +176,19 @@
             case Stop(open_until=open_until, until=until):
                 if self.state.stop_at is None:
                     self.state.open_until, self.state.stop_at = open_until, until
-            case Asked():
-                self._asked(now, event)
+            case ControlRequested():
+                self._control_requested(now, event)
 
     # --- the control channel --------------------------------------------------------------------------
 
-    def _asked(self, now: float, e: Asked) -> None:
+    def _control_requested(self, now: float, e: ControlRequested) -> None:
         """Look, or take an order; an order that changes nothing is no error: it may have been sent twice."""
         s = self.state
         verb = e.request.verb
         if verb in (Verb.DRAIN, Verb.RESUME) and s.stop_at is None and s.draining != (verb is Verb.DRAIN):
             s.draining = verb is Verb.DRAIN
             count("drains" if s.draining else "resumes")
-            self.effects += [Doors(not s.draining), Say(f"control: {verb.value}")]
+            self.effects += [CloseConnections(s.draining), LogLine(f"control: {verb.value}")]
         elif verb is Verb.STOP and s.stop_at is None:
             self.effects.append(EndProcess())
         if verb is Verb.FATE:
@@ -196,10 +196,10 @@
             # What its sender had under way when it asked has come, or has ended with its connection, by then.
             s.fenced = {x: at for x, at in s.fenced.items() if now - at < FENCED}
             s.fenced.update((r.id, now) for r in rows if r.end == "unknown")
-            self.effects.append(Tell(e.client, Answer(e.request.id, Fates(0.0, rows))))
+            self.effects.append(SendControlReply(e.client, Answer(e.request.id, Fates(0.0, rows))))
             return
         body = telling.answer(verb, self.state, self.settings, self.sender, now)
-        self.effects.append(Tell(e.client, Answer(e.request.id, body)))
+        self.effects.append(SendControlReply(e.client, Answer(e.request.id, body)))
 
     # --- messages coming in ------------------------------------------------------------------------
 
@@ -454,7 +454,7 @@
                 case i.Watch():
                     self._watch()
                 case i.Log(text=text):
-                    self.effects.append(Say(text))
+                    self.effects.append(LogLine(text))
                 case i.Probe(endpoint=worker):
                     self._start_probe(now, worker)
         # Attempts come last: what a round gives up or closes must not be met by what it starts.
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -94,9 +94,9 @@
         self.ready = True
         self.accepting.start()
 
-    def doors(self, is_open: bool) -> None:
-        """Have the ready page say yes or no; clients that come all the same are sent elsewhere."""
-        self.ready, self.leave = is_open, not is_open
+    def close_connections(self, closing: bool) -> None:
+        """Have the ready page say no (or yes again); clients that come all the same are sent elsewhere."""
+        self.ready, self.leave = not closing, closing
 
     def stop(self) -> None:
         """Close kept connections once idle; new ones are still answered until `close`."""
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -18,7 +18,7 @@
 from juniperward.forwarder.journal import Journal, take_folder
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import Asked, Heard, Replayed, Stop
+from juniperward.forwarder.messages import ControlRequested, Heard, Replayed, Stop
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.reload import Reloader
@@ -75,7 +75,7 @@
     from juniperward.control.server import ControlServer  # not loaded where it is not used
 
     control = ControlServer(
-        config.control, lambda client, request: loop.post(Asked(client, request)), count, trouble
+        config.control, lambda client, request: loop.post(ControlRequested(client, request)), count, trouble
     )
     loop.tell = control.tell
     loop.end_process = lambda: os.kill(os.getpid(), signal.SIGTERM)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -20,12 +20,12 @@
     Effect,
     Event,
     Heard,
+    LogLine,
     MessageAccepted,
     MessageReceived,
     NotificationAcknowledged,
     Notify,
     Reply,
-    Say,
     StartAttempt,
     TimeUp,
     WithdrawResult,
@@ -85,7 +85,7 @@
                         lines.append(f"given_up {n.id} {again}")
                 case CloseIdle():
                     lines.append(f"close {e.worker}")
-                case Say():
+                case LogLine():
                     lines.append(f"say {e.text}")
         self._write(now, lines)
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -19,8 +19,8 @@
     Accepted,
     AcceptMessage,
     Append,
-    Asked,
     Call,
+    ControlRequested,
     Effect,
     Heard,
     Keep,
@@ -31,7 +31,7 @@
     Remember,
     Replayed,
     Reply,
-    Tell,
+    SendControlReply,
     Tried,
     Worker,
 )
@@ -109,8 +109,8 @@
 
     def test_what_is_not_known_is_never_taken_later(self) -> None:
         reducer = self.reducer()
-        (tell,) = reducer.reduce(100.0, [Asked(1, Request(3, Verb.FATE, ("kept-a-1",)))])
-        assert isinstance(tell, Tell) and isinstance(tell.answer.body, Fates)
+        (tell,) = reducer.reduce(100.0, [ControlRequested(1, Request(3, Verb.FATE, ("kept-a-1",)))])
+        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, Fates)
         self.assertEqual([r.end for r in tell.answer.body.fates], ["unknown"])
         (reply,) = reducer.reduce(
             100.0, [MessageReceived(5, Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
@@ -118,8 +118,8 @@
         assert isinstance(reply, Reply)
         self.assertEqual(reply.status, 503)
         self.take(reducer, "kept-b-1")
-        (tell,) = reducer.reduce(100.0, [Asked(1, Request(3, Verb.FATE, ("kept-b-1",)))])
-        assert isinstance(tell, Tell) and isinstance(tell.answer.body, Fates)
+        (tell,) = reducer.reduce(100.0, [ControlRequested(1, Request(3, Verb.FATE, ("kept-b-1",)))])
+        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, Fates)
         self.assertEqual([r.end for r in tell.answer.body.fates], ["held"])
 
     def test_a_resend_carries_when_it_may_have_run_to_module_and_journal(self) -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -14,12 +14,12 @@
     BatchItem,
     Call,
     End,
+    LogLine,
     MessageReceived,
     Notify,
     OutcomeNotification,
     Progress,
     Reply,
-    Say,
     StartAttempt,
     WithdrawResult,
 )
@@ -54,11 +54,12 @@
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(0.15, [WithdrawResult(1, 9, Progress.WAITS), AttemptCancelled(9, Progress.WRITTEN)])
         trace.events(0.2, [Answered(1, (End(1, Outcome.FULL, 0.5),))])
-        trace.effects(0.3, [Say("destination 7: refuses all, held to trials")])
+        trace.effects(0.3, [LogLine("destination 7: refuses all, held to trials")])
         trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(2.5, [Answered(2, (End(1, Outcome.OK),))])
         trace.effects(
-            2.6, [Say("destination 7: answers again, warming up"), Notify((OutcomeNotification("c", 0.5),))]
+            2.6,
+            [LogLine("destination 7: answers again, warming up"), Notify((OutcomeNotification("c", 0.5),))],
         )
     return [SETTINGS, *out.getvalue().splitlines()]
 
