--- a/juniperward/forwarder/listing.py
+++ b/juniperward/forwarder/listing.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.state import State
 from nickelscale import interface as i
 
-EMPTY = 60.0  # seconds for which a destination without workers is still one
+EMPTY_DESTINATION_KEPT_S = 60.0  # seconds for which a destination without workers is still one
 
 
 class Listing:
@@ -83,4 +83,4 @@
                 if until <= now:
                     del s.destinations[destination]
                 elif until == math.inf:
-                    s.destinations[destination] = now + EMPTY
+                    s.destinations[destination] = now + EMPTY_DESTINATION_KEPT_S
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -48,10 +48,10 @@
 from juniperward.forwarder.trace import Trace
 from juniperward.forwarder.workers import Workers
 
-AT_ONCE = 500  # events of one round at most
-SWEEP = 1.0  # seconds between looks at idle connections
-STOPPING = 0.05  # seconds between looks at whether the process may end
-BACK = 1.0  # seconds after which a client may come again that the journal had no room for
+MAX_EVENTS_PER_ROUND = 500  # events of one round at most
+IDLE_SWEEP_INTERVAL_S = 1.0  # seconds between looks at idle connections
+STOP_CHECK_INTERVAL_S = 0.05  # seconds between looks at whether the process may end
+JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
 
 
 class Loop:
@@ -105,13 +105,15 @@
     def run(self, stopped: Callable[[], bool]) -> None:
         """Go on until the reducer has finished, or `stopped` says so."""
         while not stopped() and not self.reducer.finished(time.monotonic(), self.server.alone()):
-            events = self._wait(STOPPING if self.reducer.state.stop_at is not None else SWEEP)
+            events = self._wait(
+                STOP_CHECK_INTERVAL_S if self.reducer.state.stop_at is not None else IDLE_SWEEP_INTERVAL_S
+            )
             now = time.monotonic()
             while self.timers and self.timers[0][0] <= now:
                 events.append(heapq.heappop(self.timers)[2])
             self.round(events)
             if now >= self.sweep_at:
-                self.sweep_at = now + SWEEP
+                self.sweep_at = now + IDLE_SWEEP_INTERVAL_S
                 self.workers.sweep(now)
         # What has come by now is journalled and answered; what threads find out later, the next life finds out.
         self.workers.end()
@@ -123,7 +125,7 @@
         events: list[Event] = []
         try:
             events.append(self.events.get(timeout=max(until - now, 0.0)))
-            while len(events) < AT_ONCE:
+            while len(events) < MAX_EVENTS_PER_ROUND:
                 events.append(self.events.get_nowait())
         except queue.Empty:
             pass
@@ -199,7 +201,7 @@
             log("journal", f"cannot write: {error}; clients are turned away")
         else:
             return self.server.answer(client, 202)
-        self.server.answer(client, 503, BACK)
+        self.server.answer(client, 503, JOURNAL_FULL_RETRY_AFTER_S)
         return False
 
     def _note(self, record: Record) -> None:
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -69,29 +69,29 @@
 from juniperward.kept.spool import PREFIX
 from nickelscale import Sender
 from nickelscale import interface as i
-from nickelscale.rules import EARLY
+from nickelscale.rules import MINIMUM_ATTEMPT_SHARE
 
-MOST_ENDED = 8192  # ids of messages that are over: 1.5 MiB
-FENCED = 120.0  # seconds for which a resend that was told unknown is turned away
-DOOR_WAIT = 1.0  # seconds after which a client that was turned away at the door may come again
+MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
+FENCE_DURATION_S = 120.0  # seconds for which a resend that was told unknown is turned away
+ADMISSION_RETRY_AFTER_S = 1.0  # seconds after which a client that was turned away at the door may come again
 # Seconds, and part of a message's time, by which its end comes before that time is up: the notice has to arrive, and
 # the clock of a process that has just begun was seen to run 0.2 to 1.1 s ahead and then to wait for the others'.
-# Of a short time it is less than the three tenths in which a message may be given up at all (the module's EARLY).
-SPARE, SPARE_PART = 0.3, 0.2
-PROBE_WAIT = 1.5  # of the dial timeout: a dial, then an answer that is work of milliseconds at a live worker
-AGAIN_AFTER = 0.05  # seconds after which the module is asked again where it failed
+# Of a short time it is less than the three tenths in which a message may be given up (MINIMUM_ATTEMPT_SHARE).
+NOTIFICATION_MARGIN_S, NOTIFICATION_MARGIN_SHARE = 0.3, 0.2
+PROBE_TIMEOUT_PER_DIAL_TIMEOUT = 1.5  # a dial, then an answer that is work of milliseconds at a live worker
+MODULE_RETRY_AFTER_S = 0.05  # seconds after which the module is asked again where it failed
 # Seconds after a restart in which no notification is overdue (1.5 after being ready), less what one may take.
-RETURN = 1.5 - SPARE
-LAST_START = 0.9  # seconds before the process must end after which no attempt is started
+NOTIFICATION_GRACE_AFTER_RESTART_S = 1.5 - NOTIFICATION_MARGIN_S
+LAST_ATTEMPT_BEFORE_EXIT_S = 0.9  # seconds before the process must end after which no attempt is started
 
 
-def _spare(call: Call) -> float:
-    return min(SPARE, SPARE_PART * call.time_left)
+def _notification_margin(call: Call) -> float:
+    return min(NOTIFICATION_MARGIN_S, NOTIFICATION_MARGIN_SHARE * call.time_left)
 
 
 def _early(held: Held) -> float:
     """Until when it is too early to end a message undelivered; its time is that which its client gave it."""
-    return held.due - (1 - EARLY) * held.call.time_left
+    return held.due - (1 - MINIMUM_ATTEMPT_SHARE) * held.call.time_left
 
 
 class Reducer(Listing):
@@ -127,7 +127,7 @@
         s = self.state
         if s.stop_at is None:
             return False
-        waiting = bool(s.held) and now <= s.stop_at - LAST_START
+        waiting = bool(s.held) and now <= s.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S
         busy = s.in_flight or s.unacknowledged or s.offered or waiting or now < s.open_until or not alone
         return now >= s.stop_at or not busy
 
@@ -194,7 +194,7 @@
         if verb is Verb.FATE:
             rows = tuple(FateRow(x, "held" if x in s.numbers else "unknown") for x in e.request.ids)
             # What its sender had under way when it asked has come, or has ended with its connection, by then.
-            s.fenced = {x: at for x, at in s.fenced.items() if now - at < FENCED}
+            s.fenced = {x: at for x, at in s.fenced.items() if now - at < FENCE_DURATION_S}
             s.fenced.update((r.id, now) for r in rows if r.end == "unknown")
             self.effects.append(SendControlReply(e.client, Answer(e.request.id, Fates(0.0, rows))))
             return
@@ -213,22 +213,22 @@
             return
         if e.call.id in s.fenced:
             count("overload_replies_fenced")
-            self.effects.append(Reply(e.client, 503, DOOR_WAIT))
+            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
             return
         if e.call.destination not in s.destinations:
             # The list is seconds old: one that it will name shortly must not be final for its client.
             count("overload_replies_unknown")
-            self.effects.append(Reply(e.client, 503, DOOR_WAIT))
+            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
             return
         left = e.at + e.call.time_left - now
         leaving = s.stop_at is not None or s.draining
         if leaving or left <= 0 or len(s.held) + len(s.offered) >= self.settings.max_open:
             count("overload_replies_stopping" if leaving else "overload_replies_full")
-            self.effects.append(Reply(e.client, 503, DOOR_WAIT))
+            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
             return
         s.last_message += 1
         due = e.at + e.call.time_left
-        held = Held(s.last_message, e.call, due - _spare(e.call), now, due)
+        held = Held(s.last_message, e.call, due - _notification_margin(e.call), now, due)
         if e.call.ran is not None:
             held.ran_at, held.attempts = e.at - e.call.ran, 1
         s.offered[held.number] = held
@@ -263,8 +263,8 @@
             return
         s.last_message += 1
         # Right after a restart its notice may come later, so that all of its client's time is there to try it.
-        due = r.expires + _spare(r.call)
-        expires = max(r.expires, min(due, now + RETURN))
+        due = r.expires + _notification_margin(r.call)
+        expires = max(r.expires, min(due, now + NOTIFICATION_GRACE_AFTER_RESTART_S))
         held = Held(s.last_message, r.call, expires, now, due, not r.history, len(r.history))
         held.ran_at = min((d.at for d in r.history if d.may_have_run), default=None)
         if self.keeps:
@@ -401,7 +401,7 @@
         ended, longest = self.state.ended, max(c.deadline for c in self.settings.classes)
         while ended:
             name, at = next(iter(ended.items()))
-            if len(ended) <= MOST_ENDED and now < at + longest:
+            if len(ended) <= MAX_COMPLETED_IDS and now < at + longest:
                 return
             del ended[name]
 
@@ -435,7 +435,7 @@
             if __debug__:
                 raise
             trouble("module", error)
-            actions = [*self.sender.out, i.SetTimer(AGAIN_AFTER, self.sender.token)]
+            actions = [*self.sender.out, i.SetTimer(MODULE_RETRY_AFTER_S, self.sender.token)]
         sends: dict[int, list[i.Send]] = {}
         for a in actions:
             match a:
@@ -488,7 +488,7 @@
         s.last_attempt_number += 1
         s.probes[s.last_attempt_number] = worker
         count("probes")
-        deadline = now + PROBE_WAIT * self.settings.dial_timeout
+        deadline = now + PROBE_TIMEOUT_PER_DIAL_TIMEOUT * self.settings.dial_timeout
         self.effects.append(
             StartProbe(s.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w))
         )
@@ -504,7 +504,7 @@
 
     def _start_attempts(self, now: float, worker: int, asked: list[i.Send]) -> None:
         s = self.state
-        if s.stop_at is not None and now > s.stop_at - LAST_START:
+        if s.stop_at is not None and now > s.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S:
             return  # it could not end in this life; the journal has the message for the next one
         w = s.workers[worker]
         batch = self.settings.kind(w.kind).batch
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -38,10 +38,10 @@
 from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
 from nickelscale.interface import Outcome
 
-KEEP_PART = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
-LONGEST = 60.0  # seconds after which a read ends whatever the reducer forgot; a class with more time has more
-ANSWER = 0.5  # seconds that an answer may take from its first byte to its last
-REST = 0.01  # seconds after an answer before its connection is used again: what is behind it shows by then
+KEEPALIVE_SHARE = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
+LONGEST_READ_S = 60.0  # after it a read ends whatever the reducer forgot; a class with more time has more
+ANSWER_TRANSFER_S = 0.5  # seconds that an answer may take from its first byte to its last
+CONNECTION_REST_S = 0.01  # after an answer, before its connection is used again: what is behind it shows
 
 
 class ActiveAttempt:
@@ -58,7 +58,9 @@
 class Kept:
     """A connection to a worker."""
 
-    def __init__(self, sock: socket.socket, address: tuple[str, int], longest: float = LONGEST) -> None:
+    def __init__(
+        self, sock: socket.socket, address: tuple[str, int], longest: float = LONGEST_READ_S
+    ) -> None:
         self.sock, self.address, self.longest = sock, address, longest
         self.stream = Stream(self._receive)
         self.used = time.monotonic()
@@ -68,7 +70,7 @@
 
     def begun(self, begun: bool) -> None:
         """An answer may be long in coming, but not in arriving."""
-        self.until = time.monotonic() + ANSWER if begun else None
+        self.until = time.monotonic() + ANSWER_TRANSFER_S if begun else None
 
     def _receive(self, size: int) -> bytes:
         bounds = [bound for bound in (self.until, self.latest) if bound is not None]
@@ -90,10 +92,10 @@
     def __init__(
         self, dial_timeout: float, keepalive: float, most_threads: int, most_idle: int,
         post: Callable[[Event], None], note: Callable[[Record], None] = lambda record: None,
-        longest: float = LONGEST,
+        longest: float = LONGEST_READ_S,
     ) -> None:  # fmt: skip
-        self.longest = max(longest, LONGEST)
-        self.dial_timeout, self.keep = dial_timeout, keepalive * KEEP_PART
+        self.longest = max(longest, LONGEST_READ_S)
+        self.dial_timeout, self.keep = dial_timeout, keepalive * KEEPALIVE_SHARE
         self.most_threads, self.most_idle, self.post, self.note = most_threads, most_idle, post, note
         self.ended = False  # nothing is begun any more
         self.lock = threading.Lock()
@@ -396,11 +398,13 @@
                 if not kept:
                     return None
                 # They stand in the order of their use: only the latest few can still be resting.
-                place = next((n for n in range(len(kept) - 1, -1, -1) if now - kept[n].used >= REST), 0)
+                place = next(
+                    (n for n in range(len(kept) - 1, -1, -1) if now - kept[n].used >= CONNECTION_REST_S), 0
+                )
                 k = kept.pop(place)
             rested = now - k.used
-            if rested < REST:
-                time.sleep(REST - rested)
+            if rested < CONNECTION_REST_S:
+                time.sleep(CONNECTION_REST_S - rested)
             good = k.address == address and rested < self.keep
             if good and not k.stream.buffer and sockets.quiet(k.sock):
                 return k
--- a/nickelscale/rules.py
+++ b/nickelscale/rules.py
@@ -68,7 +68,7 @@
 LAST_TIMES = 3.0  # x the overdue limit before a call is given up whose message must then fail
 RETRY_FIRST, RETRY_MOST = 0.2, 2.0  # seconds before a message's next attempt, doubling
 ASK_FIRST, ASK_MOST = 0.5, 1.4  # seconds from ask to ask for the list, doubling; first: at least between two
-EARLY = 0.7  # part of its time before which a message that surely has not run is not given up
+MINIMUM_ATTEMPT_SHARE = 0.7  # part of its time before which a message that surely has not run is not given up
 FULL_SHARE = 0.95  # share of max_open held at which the least worth is refused
 KEEP_CUT, KEEP_RISE = 0.5, 1.1  # an idle connection's time: at a full table, with each call answered
 MARGIN = 0.02  # seconds kept clear of a repeat window's end
@@ -153,7 +153,7 @@
         key = e.key if cls.in_order else None
         m = Message(e.message, cls, e.cls, dest, key, self.now + e.budget, value, self.seq)
         m.aim_at = m.expires - cls.deadline + cls.aim
-        m.owed, m.early_until = e.owed, self.now + (EARLY * e.budget if e.early is None else e.early)
+        m.owed, m.early_until = e.owed, self.now + (MINIMUM_ATTEMPT_SHARE * e.budget if e.early is None else e.early)
         self.messages[m.id] = m
         self.held += 1
         if m.key is not None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -541,7 +541,7 @@
 
     def test_an_answer_that_does_not_end_does_not_hold_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
-        with mock.patch.object(workers_module, "ANSWER", 0.05):
+        with mock.patch.object(workers_module, "ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
                 (b"HTTP/1.1 500 Internal", Outcome.RESET),
                 (b"HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\n", Outcome.RESET),
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -45,7 +45,7 @@
     WithdrawResult,
     Worker,
 )
-from juniperward.forwarder.reducer import MOST_ENDED, Reducer
+from juniperward.forwarder.reducer import MAX_COMPLETED_IDS, Reducer
 from nickelscale.interface import Kind, Outcome, Phase
 from tests.helpers import KEYED, ONCE, settings
 
@@ -133,9 +133,9 @@
         self.assertEqual(self.do(MessageReceived(6, call("a"), self.now)), [Reply(6, 202)])
         self.now += 0.2
         self.assertIsInstance(self.do(MessageReceived(6, call("a"), self.now))[0], AcceptMessage)
-        self.reducer.state.ended = {f"x{n}": self.now for n in range(MOST_ENDED + 2)}
+        self.reducer.state.ended = {f"x{n}": self.now for n in range(MAX_COMPLETED_IDS + 2)}
         self.do(MessageReceived(7, call("b"), self.now))
-        self.assertEqual(len(self.reducer.state.ended), MOST_ENDED)
+        self.assertEqual(len(self.reducer.state.ended), MAX_COMPLETED_IDS)
 
     def test_what_has_not_run_is_not_given_up_before_seven_tenths_of_its_clients_time(self) -> None:
         for left in (20.0, 0.96):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -34,7 +34,7 @@
     StartAttempt,
     Wake,
 )
-from juniperward.forwarder.reducer import DOOR_WAIT, RETURN, Reducer
+from juniperward.forwarder.reducer import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S, Reducer
 from juniperward.forwarder.start import build
 from juniperward.forwarder.workers import Workers
 from juniperward.net import sockets
@@ -225,7 +225,7 @@
         self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notifications], ["over"])
         (d,) = self.only(effects, StartAttempt)
         self.assertAlmostEqual(d.deadline, 100.2)
-        self.assertAlmostEqual(RETURN, 1.2)  # no notice is overdue for 1.5 s after a restart
+        self.assertAlmostEqual(NOTIFICATION_GRACE_AFTER_RESTART_S, 1.2)  # no notice is overdue for 1.5 s
         effects = self.begin(Restored(call("later", left=8.0), 105.0))  # after that the spare is needed again
         self.assertAlmostEqual(self.only(effects, StartAttempt)[0].deadline, 105.0)
 
@@ -234,7 +234,9 @@
         found = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(4)]
         before = counters().get("restored_given_up_untried", 0)
         effects = self.begin(*found, slots=1, max_open=4)
-        self.assertEqual(self.do(MessageReceived(5, call("new"), self.now)), [Reply(5, 503, DOOR_WAIT)])
+        self.assertEqual(
+            self.do(MessageReceived(5, call("new"), self.now)), [Reply(5, 503, ADMISSION_RETRY_AFTER_S)]
+        )
         order = []
         while sent := self.sent(effects):
             order += sent[0]
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -76,7 +76,7 @@
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
-            with self.subTest(text), mock.patch.object(workers_module, "ANSWER", 60.0):
+            with self.subTest(text), mock.patch.object(workers_module, "ANSWER_TRANSFER_S", 60.0):
                 ours, theirs = socket.socketpair()
                 self.addCleanup(theirs.close)
                 kept = Kept(ours, ("127.0.0.1", self.port))
