--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -67,8 +67,7 @@
 from juniperward.forwarder.state import Attempt, Held, State
 from juniperward.kept.decisions import custody
 from juniperward.kept.spool import PREFIX
-from nickelscale import Sender
-from nickelscale import interface as i
+from nickelscale import Sender, interface
 from nickelscale.rules import MINIMUM_ATTEMPT_SHARE
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
@@ -98,7 +97,7 @@
     """Drives the module; the only place where the forwarder's state changes."""
 
     def __init__(
-        self, settings: i.Settings, seed: int, keeps: bool = False, kept: frozenset[str] = frozenset()
+        self, settings: interface.Settings, seed: int, keeps: bool = False, kept: frozenset[str] = frozenset()
     ) -> None:
         self.settings = settings
         self.keeps = keeps  # what is given up is kept
@@ -106,7 +105,7 @@
         self.sender = Sender(settings, seed)
         self.state = State()
         self.effects: list[Effect] = []
-        self.news: list[i.Event] = []
+        self.news: list[interface.Event] = []
 
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
         """Take in all events of a round; the effects are to be carried out in their order."""
@@ -124,12 +123,19 @@
 
     def finished(self, now: float, alone: bool = True) -> bool:
         """Whether a forwarder that was told to stop has nothing left to bring to an end, and no client (`alone`)."""
-        s = self.state
-        if s.stop_at is None:
+        state = self.state
+        if state.stop_at is None:
             return False
-        waiting = bool(s.held) and now <= s.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S
-        busy = s.in_flight or s.unacknowledged or s.offered or waiting or now < s.open_until or not alone
-        return now >= s.stop_at or not busy
+        waiting = bool(state.held) and now <= state.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S
+        busy = (
+            state.in_flight
+            or state.unacknowledged
+            or state.offered
+            or waiting
+            or now < state.open_until
+            or not alone
+        )
+        return now >= state.stop_at or not busy
 
     def _take(self, now: float, event: Event) -> None:
         match event:
@@ -140,7 +146,7 @@
             case Answered():
                 self._answered(now, event)
             case ModuleTimer(token=token):
-                self.news.append(i.TimerFired(token))
+                self.news.append(interface.TimerFired(token))
             case TimeUp(attempt_number=number, message=message):
                 self._time_up(number, message)
             case WithdrawResult():
@@ -162,8 +168,8 @@
                     count("watches_lost")
                     self.state.watching = False
                     if lived:  # the module asks again soon: it is no call that failed, one after another
-                        self.news.append(i.Listed(i.ListScope.DELTA))
-                    self.news.append(i.Listed(i.ListScope.FAILED))
+                        self.news.append(interface.Listed(interface.ListScope.DELTA))
+                    self.news.append(interface.Listed(interface.ListScope.FAILED))
             case Moved(registry=address):
                 self._move(address)
             case NotificationAcknowledged(ids=ids):
@@ -181,91 +187,101 @@
 
     # --- the control channel --------------------------------------------------------------------------
 
-    def _control_requested(self, now: float, e: ControlRequested) -> None:
+    def _control_requested(self, now: float, event: ControlRequested) -> None:
         """Look, or take an order; an order that changes nothing is no error: it may have been sent twice."""
-        s = self.state
-        verb = e.request.verb
-        if verb in (Verb.DRAIN, Verb.RESUME) and s.stop_at is None and s.draining != (verb is Verb.DRAIN):
-            s.draining = verb is Verb.DRAIN
-            count("drains" if s.draining else "resumes")
-            self.effects += [CloseConnections(s.draining), LogLine(f"control: {verb.value}")]
-        elif verb is Verb.STOP and s.stop_at is None:
+        state = self.state
+        verb = event.request.verb
+        if (
+            verb in (Verb.DRAIN, Verb.RESUME)
+            and state.stop_at is None
+            and state.draining != (verb is Verb.DRAIN)
+        ):
+            state.draining = verb is Verb.DRAIN
+            count("drains" if state.draining else "resumes")
+            self.effects += [CloseConnections(state.draining), LogLine(f"control: {verb.value}")]
+        elif verb is Verb.STOP and state.stop_at is None:
             self.effects.append(EndProcess())
         if verb is Verb.FATE:
-            rows = tuple(FateRow(x, "held" if x in s.numbers else "unknown") for x in e.request.ids)
+            rows = tuple(FateRow(x, "held" if x in state.numbers else "unknown") for x in event.request.ids)
             # What its sender had under way when it asked has come, or has ended with its connection, by then.
-            s.fenced = {x: at for x, at in s.fenced.items() if now - at < FENCE_DURATION_S}
-            s.fenced.update((r.id, now) for r in rows if r.end == "unknown")
-            self.effects.append(SendControlReply(e.client, Answer(e.request.id, Fates(0.0, rows))))
+            state.fenced = {x: at for x, at in state.fenced.items() if now - at < FENCE_DURATION_S}
+            state.fenced.update((r.id, now) for r in rows if r.end == "unknown")
+            self.effects.append(SendControlReply(event.client, Answer(event.request.id, Fates(0.0, rows))))
             return
         body = telling.answer(verb, self.state, self.settings, self.sender, now)
-        self.effects.append(SendControlReply(e.client, Answer(e.request.id, body)))
+        self.effects.append(SendControlReply(event.client, Answer(event.request.id, body)))
 
     # --- messages coming in ------------------------------------------------------------------------
 
-    def _message_received(self, now: float, e: MessageReceived) -> None:
-        s = self.state
+    def _message_received(self, now: float, event: MessageReceived) -> None:
+        state = self.state
         self._forget_ended(now)
-        if e.call.id in s.numbers or e.call.id in s.unacknowledged or e.call.id in s.ended:
+        if (
+            event.call.id in state.numbers
+            or event.call.id in state.unacknowledged
+            or event.call.id in state.ended
+        ):
             # A client whose connection crossed with our close sends the same once more: it is ours already, or was.
             count("handed_in_twice")
-            self.effects.append(Reply(e.client, 202))
+            self.effects.append(Reply(event.client, 202))
             return
-        if e.call.id in s.fenced:
+        if event.call.id in state.fenced:
             count("overload_replies_fenced")
-            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
+            self.effects.append(Reply(event.client, 503, ADMISSION_RETRY_AFTER_S))
             return
-        if e.call.destination not in s.destinations:
+        if event.call.destination not in state.destinations:
             # The list is seconds old: one that it will name shortly must not be final for its client.
             count("overload_replies_unknown")
-            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
+            self.effects.append(Reply(event.client, 503, ADMISSION_RETRY_AFTER_S))
             return
-        left = e.at + e.call.time_left - now
-        leaving = s.stop_at is not None or s.draining
-        if leaving or left <= 0 or len(s.held) + len(s.offered) >= self.settings.max_open:
+        left = event.at + event.call.time_left - now
+        leaving = state.stop_at is not None or state.draining
+        if leaving or left <= 0 or len(state.held) + len(state.offered) >= self.settings.max_open:
             count("overload_replies_stopping" if leaving else "overload_replies_full")
-            self.effects.append(Reply(e.client, 503, ADMISSION_RETRY_AFTER_S))
+            self.effects.append(Reply(event.client, 503, ADMISSION_RETRY_AFTER_S))
             return
-        s.last_message += 1
-        due = e.at + e.call.time_left
-        held = Held(s.last_message, e.call, due - _notification_margin(e.call), now, due)
-        if e.call.ran is not None:
-            held.ran_at, held.attempts = e.at - e.call.ran, 1
-        s.offered[held.number] = held
-        s.numbers[e.call.id] = held.number
-        self.effects.append(AcceptMessage(e.client, held.number, Accepted(e.call, held.expires, held.ran_at)))
+        state.last_message += 1
+        due = event.at + event.call.time_left
+        held = Held(state.last_message, event.call, due - _notification_margin(event.call), now, due)
+        if event.call.ran is not None:
+            held.ran_at, held.attempts = event.at - event.call.ran, 1
+        state.offered[held.number] = held
+        state.numbers[event.call.id] = held.number
+        self.effects.append(
+            AcceptMessage(event.client, held.number, Accepted(event.call, held.expires, held.ran_at))
+        )
 
     def _message_accepted(self, now: float, number: int, told: bool) -> None:
-        s = self.state
-        held = s.offered.pop(number)
+        state = self.state
+        held = state.offered.pop(number)
         if not told:
-            del s.numbers[held.call.id]
+            del state.numbers[held.call.id]
             count("withdrawn")
             self.effects.append(Append(Completed(held.call.id)))
             return
         count("taken_on")
-        s.held[number] = held
-        holds(len(s.held) <= self.settings.max_open, "no_more_held_than_max_open")
+        state.held[number] = held
+        holds(len(state.held) <= self.settings.max_open, "no_more_held_than_max_open")
         c = held.call
         left = max(held.expires - now, 0.0)
-        history = (i.Tried(0, held.ran_at),) if held.ran_at is not None else ()
+        history = (interface.Tried(0, held.ran_at),) if held.ran_at is not None else ()
         self.news.append(
-            i.Arrived(
+            interface.Arrived(
                 number, c.cls, c.destination, left, c.tenant, c.key, history=history, early=_early(held) - now
             )
         )
 
     def _restore(self, now: float, r: Restored) -> None:
-        s = self.state
+        state = self.state
         count("restored")
         if r.notification is not None:
             self._send_notification(r.notification)
             return
-        s.last_message += 1
+        state.last_message += 1
         # Right after a restart its notice may come later, so that all of its client's time is there to try it.
         due = r.expires + _notification_margin(r.call)
         expires = max(r.expires, min(due, now + NOTIFICATION_GRACE_AFTER_RESTART_S))
-        held = Held(s.last_message, r.call, expires, now, due, not r.history, len(r.history))
+        held = Held(state.last_message, r.call, expires, now, due, not r.history, len(r.history))
         held.ran_at = min((d.at for d in r.history if d.may_have_run), default=None)
         if self.keeps:
             held.story = [
@@ -277,14 +293,15 @@
             count("restored_overdue" if expires <= now else "restored_kept")
             self._give_up(held, now, None)
             return
-        s.held[held.number] = held
-        s.numbers[r.call.id] = held.number
+        state.held[held.number] = held
+        state.numbers[r.call.id] = held.number
         history = tuple(
-            i.Tried(s.worker_numbers.get(d.worker, 0), d.at if d.may_have_run else None) for d in r.history
+            interface.Tried(state.worker_numbers.get(d.worker, 0), d.at if d.may_have_run else None)
+            for d in r.history
         )
         c = r.call
         self.news.append(
-            i.Arrived(
+            interface.Arrived(
                 held.number, c.cls, c.destination, expires - now, c.tenant, c.key, history=history,
                 early=expires - now, owed=held.owed,
             )
@@ -292,25 +309,25 @@
 
     # --- ends ----------------------------------------------------------------------------------------
 
-    def _answered(self, now: float, e: Answered) -> None:
-        attempt = self.state.in_flight.get(e.attempt_number)
+    def _answered(self, now: float, event: Answered) -> None:
+        attempt = self.state.in_flight.get(event.attempt_number)
         if attempt is None:
             return  # cancelled meanwhile
         # What the module learns from is the first end it hears of: the refusals among them, if any.
-        for end in sorted(e.ends, key=lambda x: (x.outcome is not i.Outcome.FULL, x.message)):
+        for end in sorted(event.ends, key=lambda x: (x.outcome is not interface.Outcome.FULL, x.message)):
             if end.message in attempt.waiting:
                 self._settle(now, attempt, end)
         for message in list(attempt.waiting):
             holds(False, "every_message_of_a_delegation_ends")
-            self._settle(now, attempt, End(message, i.Outcome.RESET))
-        self.state.in_flight.pop(e.attempt_number, None)
+            self._settle(now, attempt, End(message, interface.Outcome.RESET))
+        self.state.in_flight.pop(event.attempt_number, None)
 
     def _settle(self, now: float, attempt: Attempt, end: End) -> None:
         ordinal = attempt.waiting.pop(end.message)
         held = self.state.held.get(end.message)
         worker = self.state.workers[attempt.worker]
         count(f"delegations_{end.outcome.name.lower()}")
-        over = end.over or end.outcome is i.Outcome.OK
+        over = end.over or end.outcome is interface.Outcome.OK
         if held is not None:
             held.attempt_number = None
             if held.owed and end.begun:
@@ -321,12 +338,12 @@
             if self.keeps:
                 may = not end.outcome.never_ran
                 held.story.append(Tried(worker.id, held.began_at, end.outcome.name.lower(), may))
-            if end.outcome is i.Outcome.OK:
+            if end.outcome is interface.Outcome.OK:
                 count("delivered")
             if over:
                 self._forget(held, now)
                 if self.keeps and held.call.id.startswith(PREFIX):
-                    name = "delivered" if end.outcome is i.Outcome.OK else "undeliverable"
+                    name = "delivered" if end.outcome is interface.Outcome.OK else "undeliverable"
                     self.effects.append(Remember(held.call.id, name, held.ran_at))
                 self.effects.append(Append(Completed(held.call.id)))
             elif end.begun:
@@ -334,7 +351,7 @@
         if end.wait > 0:
             self.effects.append(HoldUntil(self._route(worker), now + end.wait))
         self.news.append(
-            i.Settled(
+            interface.Settled(
                 end.message, ordinal, attempt.worker, end.outcome, now - attempt.began, over, end.wait,
                 end.slots_taken, end.room, end.limit, end.table_full,
             )
@@ -349,25 +366,29 @@
         if attempt is not None and message in attempt.waiting:
             self.effects.append(WithdrawFromBatch(attempt_number, message))
 
-    def _withdraw_result(self, now: float, e: WithdrawResult) -> None:
-        attempt = self.state.in_flight.get(e.attempt_number)
-        if attempt is None or e.message not in attempt.waiting or e.progress is Progress.OVER:
+    def _withdraw_result(self, now: float, event: WithdrawResult) -> None:
+        attempt = self.state.in_flight.get(event.attempt_number)
+        if attempt is None or event.message not in attempt.waiting or event.progress is Progress.OVER:
             return  # what was answered before its time was up counts as answered
-        never = e.progress is Progress.WAITS
-        held = self.state.held.get(e.message)
+        never = event.progress is Progress.WAITS
+        held = self.state.held.get(event.message)
         due = held.due if held is not None else now
         self._settle(
-            now, attempt, End(e.message, i.Outcome.MOOT if never else i.Outcome.TIMEOUT, begun=not never)
+            now,
+            attempt,
+            End(
+                event.message, interface.Outcome.MOOT if never else interface.Outcome.TIMEOUT, begun=not never
+            ),
         )
         if not attempt.waiting:
-            del self.state.in_flight[e.attempt_number]
-            self.effects.append(CancelAttempt(e.attempt_number))
-        elif e.progress is Progress.WRITES:
+            del self.state.in_flight[event.attempt_number]
+            self.effects.append(CancelAttempt(event.attempt_number))
+        elif event.progress is Progress.WRITES:
             # Half a call cannot lose one of its messages: what is not written whole yet is cancelled whole.
-            self._cancel_attempt(e.attempt_number)
+            self._cancel_attempt(event.attempt_number)
         elif not never:
             # A call has one fate: past the time of one of its messages an answer was seen to count for none of them.
-            self.effects.append(Wake(due, CancelDue(e.attempt_number)))
+            self.effects.append(Wake(due, CancelDue(event.attempt_number)))
 
     def _cancel_attempt(self, attempt_number: int) -> None:
         """Close its connection first; how far it had come says what that means for its messages."""
@@ -376,25 +397,29 @@
             attempt.cancelled = True
             self.effects.append(CancelAttempt(attempt_number))
 
-    def _attempt_cancelled(self, now: float, e: AttemptCancelled) -> None:
+    def _attempt_cancelled(self, now: float, event: AttemptCancelled) -> None:
         """A call that was not begun has not run, and one whose end is on its way ends so."""
         if (
-            e.progress is Progress.OVER
-            or (attempt := self.state.in_flight.pop(e.attempt_number, None)) is None
+            event.progress is Progress.OVER
+            or (attempt := self.state.in_flight.pop(event.attempt_number, None)) is None
         ):
             return
-        never = e.progress is Progress.WAITS
+        never = event.progress is Progress.WAITS
         for message in list(attempt.waiting):
             self._settle(
-                now, attempt, End(message, i.Outcome.MOOT if never else i.Outcome.CANCELLED, begun=not never)
+                now,
+                attempt,
+                End(
+                    message, interface.Outcome.MOOT if never else interface.Outcome.CANCELLED, begun=not never
+                ),
             )
 
     def _forget(self, held: Held, now: float) -> None:
-        s = self.state
-        del s.held[held.number]
-        del s.numbers[held.call.id]
+        state = self.state
+        del state.held[held.number]
+        del state.numbers[held.call.id]
         if not held.call.id.startswith(PREFIX):  # a resend that was handed back comes again under its id
-            s.ended[held.call.id] = now
+            state.ended[held.call.id] = now
 
     def _forget_ended(self, now: float) -> None:
         """The ids of messages that are over are known for as long as a copy of theirs could still be in time."""
@@ -415,8 +440,8 @@
             end = "undeliverable" if again is None else "deferred"
             self.effects.append(Remember(held.call.id, end, held.ran_at))
         elif self.keeps and again is None and held.call.id not in self.kept:
-            s, c = self.state, held.call
-            workers = sorted(w.id for w in s.workers.values() if w.destination == c.destination)
+            state, c = self.state, held.call
+            workers = sorted(w.id for w in state.workers.values() if w.destination == c.destination)
             self.effects.append(Keep(c, held.since, now, tuple(held.story), tuple(workers)))
         self.effects.append(Append(OutcomeDecided(notification)))
         self._send_notification(notification)
@@ -435,27 +460,27 @@
             if __debug__:
                 raise
             trouble("module", error)
-            actions = [*self.sender.out, i.SetTimer(MODULE_RETRY_AFTER_S, self.sender.token)]
-        sends: dict[int, list[i.Send]] = {}
+            actions = [*self.sender.out, interface.SetTimer(MODULE_RETRY_AFTER_S, self.sender.token)]
+        sends: dict[int, list[interface.Send]] = {}
         for a in actions:
             match a:
-                case i.Send():
+                case interface.Send():
                     sends.setdefault(a.endpoint, []).append(a)
-                case i.Refuse(message=number, retry_after=again):
+                case interface.Refuse(message=number, retry_after=again):
                     self._final(now, number, again)
-                case i.Fail(message=number):
+                case interface.Fail(message=number):
                     self._final(now, number, None)
-                case i.Cancel(message=number):
+                case interface.Cancel(message=number):
                     self._cancel(number)
-                case i.SetTimer(delay=delay, token=token):
+                case interface.SetTimer(delay=delay, token=token):
                     self.effects.append(Wake(now + delay, ModuleTimer(token)))
-                case i.Close(endpoint=worker):
+                case interface.Close(endpoint=worker):
                     self.effects.append(CloseIdle(worker))
-                case i.Watch():
+                case interface.Watch():
                     self._watch()
-                case i.Log(text=text):
+                case interface.Log(text=text):
                     self.effects.append(LogLine(text))
-                case i.Probe(endpoint=worker):
+                case interface.Probe(endpoint=worker):
                     self._start_probe(now, worker)
         # Attempts come last: what a round gives up or closes must not be met by what it starts.
         for worker, asked in sends.items():
@@ -480,37 +505,43 @@
 
     def _start_probe(self, now: float, worker: int) -> None:
         """Probe a worker; one that is not listed any more is answered at once as not probed."""
-        s = self.state
-        w = s.workers.get(worker)
-        if w is None or worker in s.gone:
-            self.news.append(i.Probed(worker, i.Outcome.MOOT, 0.0))
+        state = self.state
+        w = state.workers.get(worker)
+        if w is None or worker in state.gone:
+            self.news.append(interface.Probed(worker, interface.Outcome.MOOT, 0.0))
             return
-        s.last_attempt_number += 1
-        s.probes[s.last_attempt_number] = worker
+        state.last_attempt_number += 1
+        state.probes[state.last_attempt_number] = worker
         count("probes")
         deadline = now + PROBE_TIMEOUT_PER_DIAL_TIMEOUT * self.settings.dial_timeout
         self.effects.append(
-            StartProbe(s.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w))
+            StartProbe(
+                state.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w)
+            )
         )
 
-    def _probe_finished(self, now: float, e: ProbeFinished) -> None:
-        s = self.state
-        if s.probes.pop(e.probe, None) is None:
+    def _probe_finished(self, now: float, event: ProbeFinished) -> None:
+        state = self.state
+        if state.probes.pop(event.probe, None) is None:
             return
-        w = s.workers.get(e.worker)
-        if e.wait > 0 and w is not None:
-            self.effects.append(HoldUntil(self._route(w), now + e.wait))
-        self.news.append(i.Probed(e.worker, e.outcome, e.latency, e.room, e.limit))
-
-    def _start_attempts(self, now: float, worker: int, asked: list[i.Send]) -> None:
-        s = self.state
-        if s.stop_at is not None and now > s.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S:
+        w = state.workers.get(event.worker)
+        if event.wait > 0 and w is not None:
+            self.effects.append(HoldUntil(self._route(w), now + event.wait))
+        self.news.append(
+            interface.Probed(event.worker, event.outcome, event.latency, event.room, event.limit)
+        )
+
+    def _start_attempts(self, now: float, worker: int, asked: list[interface.Send]) -> None:
+        state = self.state
+        if state.stop_at is not None and now > state.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S:
             return  # it could not end in this life; the journal has the message for the next one
-        w = s.workers[worker]
+        w = state.workers[worker]
         batch = self.settings.kind(w.kind).batch
         for first in range(0, len(asked), batch):
-            s.last_attempt_number += 1
-            attempt = s.in_flight[s.last_attempt_number] = Attempt(s.last_attempt_number, worker, now)
+            state.last_attempt_number += 1
+            attempt = state.in_flight[state.last_attempt_number] = Attempt(
+                state.last_attempt_number, worker, now
+            )
             try:
                 self._start_attempt(now, attempt, w, asked[first : first + batch])
             except Exception as error:
@@ -519,7 +550,7 @@
                 trouble("delegation", error)
                 self.effects.append(Wake(now, AttemptCancelled(attempt.number, Progress.WAITS)))
 
-    def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[i.Send]) -> None:
+    def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[interface.Send]) -> None:
         """Make a call; its thread journals the attempts right before their first byte."""
         items = []
         for a in asked:
