--- a/juniperward/forwarder/news.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -1,4 +1,4 @@
-"""The registry's news as they come over a watch: JSON objects in whatever layout, cut at any byte. No I/O."""
+"""Discovery's stream of changes: JSON objects in whatever layout, cut at any byte. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 DECODER = json.JSONDecoder()
 
 
-class Objects:
+class JsonObjects:
     """Collects objects of one line or of several; an empty line is a sign of life between two of them."""
 
     def __init__(self) -> None:
--- a/juniperward/forwarder/listing.py
+++ b/juniperward/forwarder/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The registry's part of the reducer: the watch, and what news of the list does to the workers known.
+"""Discovery's part of the reducer: the watch, and what updates of the list do to the workers known.
 
 A part of `Reducer`, apart for its size; it changes `state` and adds effects and news as the rest does.
 """
@@ -8,14 +8,21 @@
 import math
 
 from juniperward.forwarder.counters import count
-from juniperward.forwarder.messages import Effect, ForgetWorker, Heard, MoveTo, SetDraining, WatchFrom
+from juniperward.forwarder.messages import (
+    Effect,
+    EndpointsUpdated,
+    ForgetWorker,
+    MoveTo,
+    SetDraining,
+    WatchFrom,
+)
 from juniperward.forwarder.state import State
 from nickelscale import interface
 
 EMPTY_DESTINATION_KEPT_S = 60.0  # seconds for which a destination without workers is still one
 
 
-class Listing:
+class EndpointList:
     """Methods of `Reducer` on the registry's list."""
 
     state: State
@@ -44,11 +51,11 @@
             state.worker_numbers[name] = state.last_worker
         return state.worker_numbers[name]
 
-    def _heard(self, now: float, event: Heard) -> None:
+    def _endpoints_updated(self, now: float, event: EndpointsUpdated) -> None:
         state = self.state
         state.version = event.version
         if not event.known:
-            state.heard_at = now
+            state.endpoints_updated_at = now
         count("registry_news")
         entries = []
         named = set()
--- a/juniperward/forwarder/telling.py
+++ b/juniperward/forwarder/introspection.py
@@ -1,4 +1,4 @@
-"""What a forwarder tells of itself on the control channel, made from the reducer's state; changes nothing."""
+"""Introspection on the control channel: status and tables made from the reducer's state; changes nothing."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         oldest_held=max(0.0, now - oldest.since) if oldest is not None else 0.0,
         journal_bytes=0, journal_live=0,
         registry_version=state.version,
-        registry_age=now - state.heard_at if state.heard_at is not None else -1.0,
+        registry_age=now - state.endpoints_updated_at if state.endpoints_updated_at is not None else -1.0,
         destinations=len(state.destinations), destinations_sick=sick(sender),
         taken_on=c.get("taken_on", 0), restored=c.get("restored", 0), delivered=c.get("delivered", 0),
         given_up=c.get("given_up_failed", 0) + c.get("given_up_refused", 0),
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -184,8 +184,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """News from the registry."""
+class EndpointsUpdated:
+    """Endpoints that discovery has told, changed or as a whole list."""
 
     version: int
     full: bool
@@ -288,7 +288,7 @@
     | Answered
     | WithdrawResult
     | ProbeFinished
-    | Heard
+    | EndpointsUpdated
     | WatchLost
     | Moved
     | NotificationAcknowledged
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 
 from juniperward.control.protocol import Answer, FateRow, Fates, Verb
-from juniperward.forwarder import telling
+from juniperward.forwarder import introspection
 from juniperward.forwarder.counters import count, holds, trouble
-from juniperward.forwarder.listing import Listing
+from juniperward.forwarder.endpoint_list import EndpointList
 from juniperward.forwarder.messages import (
     Accepted,
     AcceptMessage,
@@ -31,9 +31,9 @@
     ControlRequested,
     Effect,
     End,
+    EndpointsUpdated,
     EndProcess,
     Event,
-    Heard,
     HoldUntil,
     Keep,
     LogLine,
@@ -93,7 +93,7 @@
     return held.due - (1 - MINIMUM_ATTEMPT_SHARE) * held.call.time_left
 
 
-class Reducer(Listing):
+class Reducer(EndpointList):
     """Drives the module; the only place where the forwarder's state changes."""
 
     def __init__(
@@ -157,9 +157,9 @@
                 self._attempt_cancelled(now, event)
             case ProbeFinished():
                 self._probe_finished(now, event)
-            case Heard():
+            case EndpointsUpdated():
                 if event.epoch == self.state.epoch or event.known:
-                    self._heard(now, event)
+                    self._endpoints_updated(now, event)
                 if event.known:
                     # Where lists are pushed they come only over a watch, whatever the module asks for.
                     self._watch()
@@ -208,7 +208,7 @@
             state.fenced.update((r.id, now) for r in rows if r.end == "unknown")
             self.effects.append(SendControlReply(event.client, Answer(event.request.id, Fates(0.0, rows))))
             return
-        body = telling.answer(verb, self.state, self.settings, self.sender, now)
+        body = introspection.answer(verb, self.state, self.settings, self.sender, now)
         self.effects.append(SendControlReply(event.client, Answer(event.request.id, body)))
 
     # --- messages coming in ------------------------------------------------------------------------
--- a/juniperward/forwarder/registry.py
+++ b/juniperward/forwarder/registry.py
@@ -13,14 +13,14 @@
 
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.counters import count, log, trouble
+from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.messages import (
+    EndpointsUpdated,
     Event,
-    Heard,
     NotificationAcknowledged,
     OutcomeNotification,
     WatchLost,
 )
-from juniperward.forwarder.news import Objects
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head, read_response
 
@@ -113,14 +113,14 @@
             count("watches_begun")
             self.begun = time.monotonic()
             alive.begin()  # after `begun`: a watch that falls silent right behind its head has lived
-            objects = Objects()
+            objects = JsonObjects()
             for chunk in chunks(stream):
                 between, found = not objects.begun, objects.feed(chunk)
                 if between or found:
                     alive.begin()
                 for value in found:
                     news = read_news(value, self.names)
-                    self.post(Heard(news.version, news.full, news.workers, epoch=epoch))
+                    self.post(EndpointsUpdated(news.version, news.full, news.workers, epoch=epoch))
             raise Broken("it came to its end")
 
     # --- notices -----------------------------------------------------------------------------------------
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -18,7 +18,7 @@
 from juniperward.forwarder.journal import Journal, take_folder
 from juniperward.forwarder.keeping import Keeper
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import ControlRequested, Heard, Replayed, Stop
+from juniperward.forwarder.messages import ControlRequested, EndpointsUpdated, Replayed, Stop
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.reload import Reloader
@@ -104,7 +104,7 @@
 
     known = config.known
     loop.registry.start()
-    loop.round([Heard(known.version, known.full, known.workers, known=True)])
+    loop.round([EndpointsUpdated(known.version, known.full, known.workers, known=True)])
     restored = loop.journal.restored()
     loop.round([Replayed(restored)])
     thread = threading.Thread(target=work, name="loop")
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -49,7 +49,7 @@
     gone: set[int] = field(default_factory=set)  # workers that are, and not yet forgotten
     destinations: dict[int, float] = field(default_factory=dict)  # until when each is known
     version: int = 0
-    heard_at: float | None = None  # when the registry last told something
+    endpoints_updated_at: float | None = None  # when the registry last told something
     epoch: int = 0  # how often the registry has moved
     watching: bool = False  # a watch is asked for, or under way
     probes: dict[int, int] = field(default_factory=dict)  # probes under way: worker, by number
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -18,8 +18,8 @@
     AttemptCancelled,
     CloseIdle,
     Effect,
+    EndpointsUpdated,
     Event,
-    Heard,
     LogLine,
     MessageAccepted,
     MessageReceived,
@@ -62,7 +62,7 @@
                     lines.append(f"untold {e.message}")
                 case NotificationAcknowledged():
                     lines += [f"noticed {name}" for name in e.ids]
-                case Heard():
+                case EndpointsUpdated():
                     for w in e.workers:
                         lines.append(f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.weight}")
         self._write(now, lines)
--- a/juniperward/net/http.py
+++ b/juniperward/net/http.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-MOST_HEAD, MOST_BODY, MOST_CHUNK = 16 * 1024, 64 * 1024, 4 * 1024 * 1024  # a chunk: a whole list (news.MOST)
+MOST_HEAD, MOST_BODY, MOST_CHUNK = 16 * 1024, 64 * 1024, 4 * 1024 * 1024  # a chunk holds a whole list
 MOST_INTERIM = 16  # 1xx answers ahead of one that counts
 REASONS = {
     200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -18,20 +18,20 @@
 from typing import Any
 
 from juniperward.forwarder.config import Names, read_news
+from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.messages import (
     AcceptMessage,
     Answered,
     Call,
     Due,
     End,
+    EndpointsUpdated,
     Event,
-    Heard,
     MessageAccepted,
     MessageReceived,
     StartAttempt,
     Wake,
 )
-from juniperward.forwarder.news import Objects
 from juniperward.forwarder.reducer import Reducer
 from juniperward.rigs.measure import Report
 from nickelscale import interface as i
@@ -73,11 +73,11 @@
 
     def list(self) -> None:
         """The whole list, as it comes over a watch."""
-        objects = Objects()
+        objects = JsonObjects()
         for first in range(0, len(self.text), 16384):
             for value in objects.feed(self.text[first : first + 16384]):
                 news = read_news(value, NAMES)
-                self.do(Heard(news.version, news.full, news.workers))
+                self.do(EndpointsUpdated(news.version, news.full, news.workers))
 
     def message(self) -> None:
         """A message handed in, taken on, sent and delivered 10 ms later."""
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -22,7 +22,7 @@
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import Effect, Event, Heard, Moved, WatchLost, Worker
+from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Moved, WatchLost, Worker
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from nickelscale.interface import Phase
@@ -216,7 +216,7 @@
             Worker("s-2", "127.0.0.1", 9, 1, Phase.READY, 0, 0, 0.0),
         )
         self.registry.start()
-        self.loop.round([Heard(41, True, known, known=True)])
+        self.loop.round([EndpointsUpdated(41, True, known, known=True)])
         thread = threading.Thread(target=self.loop.run, args=(self.over.is_set,), daemon=True)
         thread.start()
         found = self.reducer.drain_known.wait(seconds)
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -20,7 +20,7 @@
 import pytest
 
 from juniperward.forwarder import registry as registry_module
-from juniperward.forwarder.messages import Effect, Event, Heard, Wake, WatchFrom, WatchLost
+from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Wake, WatchFrom, WatchLost
 from juniperward.forwarder.registry import DIAL, SILENT, Registry
 from juniperward.net import sockets
 from nickelscale.rules import ASK_FIRST, ASK_MOST
@@ -161,7 +161,9 @@
     def __init__(self, seed: int, longest_waits: bool) -> None:
         self.reducer = RecordingReducer(seed, longest_waits)
         self.now = 100.0
-        self.effects: list[Effect] = self.reducer.reduce(self.now, [Heard(41, True, (worker(),), known=True)])
+        self.effects: list[Effect] = self.reducer.reduce(
+            self.now, [EndpointsUpdated(41, True, (worker(),), known=True)]
+        )
 
     def until_next(self, took: float, lived: bool = False) -> float:
         """Seconds from the begin of a call that fails after so long to the begin of the next."""
--- a/tests/test_news.py
+++ b/tests/test_discovery_stream.py
@@ -1,4 +1,4 @@
-"""What comes over a watch, in any layout and cut at any byte."""
+"""The stream of a watch, in any layout and cut at any byte."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from juniperward.forwarder.news import MOST, Objects
+from juniperward.forwarder.discovery_stream import MOST, JsonObjects
 
 ROWS: list[Any] = [
     {"version": 43, "full": True, "servers": [{"id": 's-"{1', "state": "Ready", "note": "a}\\"}, {"id": "s-2"}]},
@@ -17,7 +17,7 @@
 
 
 def feed(text: bytes, *cuts: int) -> list[Any]:
-    objects, found = Objects(), []
+    objects, found = JsonObjects(), []
     for first, last in zip((0, *cuts), (*cuts, len(text)), strict=True):
         found += objects.feed(text[first:last])
     return found
@@ -45,7 +45,7 @@
 
 
 def test_an_object_without_an_end_is_not_kept() -> None:
-    objects = Objects()
+    objects = JsonObjects()
     with pytest.raises(ValueError):
         for _ in range(MOST // 65536 + 2):
             objects.feed(b'"' + b"x" * 65536)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -22,7 +22,7 @@
     Call,
     ControlRequested,
     Effect,
-    Heard,
+    EndpointsUpdated,
     Keep,
     MessageAccepted,
     MessageReceived,
@@ -53,7 +53,7 @@
 class ReducerTest(unittest.TestCase):
     def reducer(self, keeps: bool = True, kept: frozenset[str] = frozenset()) -> Reducer:
         made = Reducer(settings(KEYED), 1, keeps, kept)
-        made.reduce(100.0, [Heard(1, True, (WORKER,), known=True)])
+        made.reduce(100.0, [EndpointsUpdated(1, True, (WORKER,), known=True)])
         return made
 
     def take(self, reducer: Reducer, name: str = "a", ran: float | None = None) -> list[Effect]:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -15,7 +15,7 @@
     AttemptStarted,
     Call,
     End,
-    Heard,
+    EndpointsUpdated,
     MessageReceived,
     Stop,
     Worker,
@@ -37,7 +37,7 @@
         self.loop.server, self.loop.workers = self.parts.server, self.parts.workers
         self.loop.registry = self.parts.registry
         worker = Worker("s-1", "127.0.0.1", 81, 1, Phase.READY, 0, 0, 0.0)
-        self.loop.round([Heard(1, True, (worker,), known=True)])
+        self.loop.round([EndpointsUpdated(1, True, (worker,), known=True)])
         self.parts.reset_mock()
 
     def hand_in(self) -> None:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -18,9 +18,9 @@
     Completed,
     Effect,
     End,
+    EndpointsUpdated,
     Event,
     ForgetWorker,
-    Heard,
     HoldUntil,
     MessageAccepted,
     MessageReceived,
@@ -65,7 +65,7 @@
         kinds = {"kinds": (Kind(), Kind(batch=20)), "slots": 8}
         self.reducer = Reducer(settings(KEYED, ONCE, **{**kinds, **changes}), 1)
         self.now = 100.0
-        self.do(Heard(41, True, workers or (worker(),), known=True))
+        self.do(EndpointsUpdated(41, True, workers or (worker(),), known=True))
         return self.reducer
 
     def do(self, *events: Event) -> list[Effect]:
@@ -143,7 +143,7 @@
                 self.start(worker("s-1", 2))
                 began, effects = self.now, self.take("a", left=left, destination=2)
                 timers = self.only(effects, Wake)
-                self.do(Heard(42, False, (worker("s-1", 2, Phase.GONE),)))
+                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, Phase.GONE),)))
                 effects = self.end(effects, (Outcome.FULL, 0.0))
                 timers += self.only(effects, Wake)
                 while not self.only(effects, Notify):
@@ -179,7 +179,7 @@
         for name in "bc":
             self.assertFalse(self.sent(self.take(name)))
         self.now += 2.0
-        effects = self.do(Heard(42, False, ()))
+        effects = self.do(EndpointsUpdated(42, False, ()))
         self.assertEqual(self.sent(effects), [["a", "b", "c"]])
         # What never ran is told first: the module learns from the first end of a call that it hears.
         effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.FULL, 3.0), (Outcome.OK, 3.0))
@@ -202,10 +202,10 @@
                 self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
                 effects = self.end(effects, (Outcome.FULL, 5.0))
                 self.assertEqual(self.only(effects, HoldUntil), [HoldUntil(told, 105.0)])
-                self.do(Heard(42, False, (worker("s-2"),)))
+                self.do(EndpointsUpdated(42, False, (worker("s-2"),)))
                 self.now += 0.5
                 # The other worker is called by the module, and the sockets let it.
-                later = self.do(Heard(43, False, ()))
+                later = self.do(EndpointsUpdated(43, False, ()))
                 sent = self.sent(later) + self.sent(self.take("b"))
                 self.assertEqual(sent[-1:], more)
 
@@ -244,7 +244,7 @@
                 self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
                 self.take("b")
                 self.now += 2.0
-                (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
+                (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
                 self.assertEqual([p.call.id for p in d.items], ["a", "b"])
                 self.now = 103.7
                 effects = self.up(d, progress)
@@ -263,7 +263,7 @@
                 self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
                 self.take("b")
                 self.now += 2.0
-                (d,) = self.only(self.do(Heard(43, False, ())), StartAttempt)
+                (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
                 self.now = 103.7
                 (wake,) = [w for w in self.only(self.up(d), Wake) if isinstance(w.due, CancelDue)]
                 self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
@@ -288,14 +288,14 @@
     def call_off(self, cls: int = 0) -> tuple[list[Effect], list[Effect]]:
         """Two calls that fill the slots, and a message behind them; what is asked for when one is called off."""
         self.start(slots=2)
-        self.do(Heard(42, False, (worker("s-2", 2), worker("s-3", 3))))
+        self.do(EndpointsUpdated(42, False, (worker("s-2", 2), worker("s-3", 3))))
         first = self.take("a", cls=cls)
         self.take("b", destination=2, cls=cls)
         effects = self.take("c", destination=3)
         while not self.only(effects, CancelAttempt):
             self.assertLess(self.now, 115.0, "nothing was called off")
             self.now += 0.25
-            effects = self.do(Heard(43, False, ()))
+            effects = self.do(EndpointsUpdated(43, False, ()))
         return first, effects
 
     def test_calling_off_closes_first_and_reports_then(self) -> None:
@@ -360,7 +360,8 @@
         effects = self.end(effects, (Outcome.FULL, 3.0))
         self.now = 102.1
         self.assertEqual(
-            self.only(self.do(Heard(42, False, ())), Notify), [Notify((OutcomeNotification("soon"),))]
+            self.only(self.do(EndpointsUpdated(42, False, ())), Notify),
+            [Notify((OutcomeNotification("soon"),))],
         )
 
     def test_a_message_that_bears_no_repeat_is_not_sent_by_the_next_life(self) -> None:
@@ -397,7 +398,7 @@
 
     def test_what_the_list_no_longer_has_gets_nothing(self) -> None:
         self.start(worker("s-1"), worker("s-2", 2))
-        effects = self.do(Heard(42, True, (worker("s-2", 2),)))
+        effects = self.do(EndpointsUpdated(42, True, (worker("s-2", 2),)))
         self.assertIn(SetDraining(1, True), effects)
         self.assertEqual(self.sent(self.take("a", destination=1)), [])
         self.assertEqual(self.sent(self.take("b", destination=2)), [["b"]])
@@ -405,11 +406,11 @@
     def test_a_moved_registry_is_watched_from_the_version_held(self) -> None:
         # Guards reloading: what the old watch still tells must not come after what the new one has told.
         self.start(on_request=True)
-        self.do(Heard(43, False, ()))
+        self.do(EndpointsUpdated(43, False, ()))
         self.assertEqual(self.do(Moved(("127.0.0.1", 9))), [MoveTo(("127.0.0.1", 9), 1), WatchFrom(43, 1)])
-        self.assertEqual(self.do(Heard(44, False, (worker(phase=Phase.DRAINING),))), [])
+        self.assertEqual(self.do(EndpointsUpdated(44, False, (worker(phase=Phase.DRAINING),))), [])
         self.assertEqual(self.do(WatchLost()), [])
-        self.do(Heard(45, False, (), epoch=1))
+        self.do(EndpointsUpdated(45, False, (), epoch=1))
         self.assertEqual(self.reducer.state.version, 45)
 
     def test_a_move_while_the_watch_is_down_leaves_one_watch(self) -> None:
@@ -418,7 +419,7 @@
         self.do(WatchLost())
         self.assertEqual(len(self.only(self.do(Moved(("127.0.0.1", 9))), WatchFrom)), 1)
         self.now += 10.0
-        self.assertEqual(self.only(self.do(Heard(44, False, (), epoch=1)), WatchFrom), [])
+        self.assertEqual(self.only(self.do(EndpointsUpdated(44, False, (), epoch=1)), WatchFrom), [])
 
     def test_a_destination_that_nobody_serves_is_turned_away(self) -> None:
         # Guards against a 202 for a message that cannot be sent anywhere.
@@ -432,16 +433,16 @@
         effects = self.take("a")
         for n in range(2, 50):
             old, new = worker(f"s-{n - 1}", phase=Phase.GONE), worker(f"s-{n}")
-            told = self.do(Heard(41 + n, False, (old, new)))
+            told = self.do(EndpointsUpdated(41 + n, False, (old, new)))
             self.assertEqual(self.only(told, ForgetWorker), [] if n == 2 else [ForgetWorker(n - 1)])
         state, sender = self.reducer.state, self.reducer.sender
         self.assertEqual((len(state.workers), len(state.worker_numbers), state.gone), (2, 2, {1}))
         self.assertEqual(len(sender.endpoints), 2)
         self.end(effects, (Outcome.OK, 0.0))
-        self.do(Heard(99, True, (worker("s-49"),)))
+        self.do(EndpointsUpdated(99, True, (worker("s-49"),)))
         self.assertEqual((len(state.workers), list(state.worker_numbers), state.gone), (1, ["s-49"], set()))
         self.assertEqual([len(sender.endpoints), len(sender.dests[1].shared.endpoints)], [1, 1])
-        self.do(Heard(100, True, ()))
+        self.do(EndpointsUpdated(100, True, ()))
         self.now += 61.0
-        self.do(Heard(101, True, ()))
+        self.do(EndpointsUpdated(101, True, ()))
         self.assertEqual((state.destinations, sender.dests), ({}, {}))
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -28,7 +28,7 @@
     Accepted,
     AttemptStarted,
     Call,
-    Heard,
+    EndpointsUpdated,
     Notify,
     Replayed,
     Restored,
@@ -126,7 +126,7 @@
     def replay(self, now: float, restored: tuple[Restored, ...]) -> list[Any]:
         self.reducer = Reducer(settings(SHORT_WINDOW), 1)
         self.now = now
-        self.do(Heard(41, True, (worker(),), known=True))
+        self.do(EndpointsUpdated(41, True, (worker(),), known=True))
         return self.do(Replayed(restored))
 
     def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -24,8 +24,8 @@
     Call,
     Effect,
     End,
+    EndpointsUpdated,
     Event,
-    Heard,
     MessageReceived,
     Notify,
     Replayed,
@@ -182,7 +182,7 @@
     def begin(self, *restored: Restored, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
         self.reducer = Reducer(settings(first, SAFE, **more), 1)
         self.now = 100.0
-        self.do(Heard(41, True, (worker(),), known=True))
+        self.do(EndpointsUpdated(41, True, (worker(),), known=True))
         return self.do(Replayed(restored))
 
     def run_to(self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]) -> list[Effect]:
@@ -248,7 +248,7 @@
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
         effects = self.begin(Restored(call("a", destination=5, left=8.0), 105.0))
         self.assertEqual(self.sent(effects), [])
-        effects = self.do(Heard(42, False, (worker("s-1", phase=Phase.GONE), worker("s-5", 5))))
+        effects = self.do(EndpointsUpdated(42, False, (worker("s-1", phase=Phase.GONE), worker("s-5", 5))))
         self.assertEqual([d.name for d in self.only(effects, StartAttempt)], ["s-5"])
 
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -16,8 +16,8 @@
 from juniperward.forwarder.answers import Report, read_report
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.messages import (
+    EndpointsUpdated,
     Event,
-    Heard,
     HoldUntil,
     ProbeFinished,
     StartProbe,
@@ -44,7 +44,7 @@
         for on_request in (False, True):
             with self.subTest(on_request=on_request):
                 reducer = Reducer(settings(ONCE, on_request=on_request), 1)
-                effects = reducer.reduce(100.0, [Heard(41, True, (worker(),), known=True)])
+                effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), known=True)])
                 self.assertEqual([e for e in effects if isinstance(e, WatchFrom)], [WatchFrom(41, 0)])
 
     def test_watches_that_fall_silent_one_after_another_are_each_opened_anew_in_time(self) -> None:
@@ -53,7 +53,7 @@
         for lived, took, widest in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with self.subTest(lived=lived, took=took):
                 reducer, now, waits = Reducer(settings(ONCE, on_request=True), 1), 100.0, []
-                effects = reducer.reduce(now, [Heard(41, True, (worker(),), known=True)])
+                effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), known=True)])
                 for _ in range(6):
                     now += took
                     began, effects = now, reducer.reduce(now, [WatchLost(0, lived)])
@@ -124,13 +124,13 @@
             for piece in (b"\n", b"\n", b'{"version":42,', b'\n"full":false,"servers":[]}\n', b"\n", b"\n"):
                 pause.wait(0.3)
                 sock.sendall(b"%x\r\n%s\r\n" % (len(piece), piece))
-            self.assertEqual(events.get(timeout=5.0), Heard(42, False, ()))
+            self.assertEqual(events.get(timeout=5.0), EndpointsUpdated(42, False, ()))
             self.assertTrue(events.empty())
 
     def test_news_of_a_watch_does_not_ask_for_a_second_one(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [Heard(41, True, (worker(),), known=True)])
-        effects = reducer.reduce(101.0, [Heard(42, False, (worker("s-2"),))])
+        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), known=True)])
+        effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker("s-2"),))])
         self.assertEqual([e for e in effects if isinstance(e, WatchFrom)], [])
 
 
@@ -174,7 +174,7 @@
         registry.start()
         registry.watch(41, 0)
         got = [events.get(timeout=5.0) for _ in range(4)]
-        heard = [h for h in got if isinstance(h, Heard)]
+        heard = [h for h in got if isinstance(h, EndpointsUpdated)]
         self.assertEqual(asked, [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"])
         self.assertEqual([(h.version, h.full) for h in heard], [(43, False), (44, False), (50, True)])
         phases = [w.phase for h in heard for w in h.workers]
@@ -199,7 +199,7 @@
             lost = events.get(timeout=5.0)
             self.assertEqual(lost, WatchLost(0, lived=True))
         now = 100.0
-        effects = reducer.reduce(now, [Heard(41, True, (worker(),), known=True)])
+        effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), known=True)])
         effects = reducer.reduce(now, [lost])
         while not (again := [e for e in effects if isinstance(e, WatchFrom)]):
             wake = next(e for e in effects if isinstance(e, Wake))
@@ -210,10 +210,10 @@
 
     def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [Heard(41, True, (worker(), worker("s-2")), known=True)])
-        reducer.reduce(101.0, [Heard(42, False, (worker(phase=Phase.GONE),))])
+        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), known=True)])
+        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=Phase.GONE),))])
         self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-2"])
-        reducer.reduce(102.0, [Heard(50, True, (worker("s-3"),))])
+        reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
         self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-3"])
         self.assertEqual(reducer.state.version, 50)
 
@@ -221,7 +221,9 @@
 class ProbeInReducerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.reducer = Reducer(settings(ONCE, probing=True), 1)
-        self.reducer.reduce(100.0, [Heard(41, True, (worker(), worker("s-2", phase=Phase.GONE)), known=True)])
+        self.reducer.reduce(
+            100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=Phase.GONE)), known=True)]
+        )
 
     def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
         self.reducer.effects, self.reducer.news = [], []
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 
 from juniperward.forwarder.config import read_news
 from juniperward.forwarder.counters import counters
-from juniperward.forwarder.messages import Heard
+from juniperward.forwarder.messages import EndpointsUpdated
 from juniperward.rigs.sizes import NAMES, Drive, listed
 from juniperward.settings.load import load
 
@@ -45,5 +45,5 @@
         self.assertEqual(len(news.workers), 1024)
         self.assertEqual(counters()["registry_entries_unread"], before + len(bad))
         drive = Drive(1, 40, 1)
-        drive.do(Heard(9, True, news.workers))
+        drive.do(EndpointsUpdated(9, True, news.workers))
         self.assertEqual(len(drive.reducer.sender.endpoints), 1024)
