--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -143,7 +143,7 @@
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
                 self.assertEqual(self.only(effects, StartAttempt), [])
-                self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
+                self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notifications], ["a"])
 
     def test_a_repeat_within_the_window_still_goes(self) -> None:
         for step in (-1.0, 0.0):
@@ -173,7 +173,7 @@
         self.assertAlmostEqual(sent.deadline, 105.0)
         effects = self.restart(105.5, OFFSET - 1.0)
         self.assertEqual(self.only(effects, StartAttempt), [])
-        self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notices], ["a"])
+        self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notifications], ["a"])
 
 
 class SteppedProgram(Program):
