--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -12,6 +12,7 @@
 
 from juniperward.control.protocol import Answer, FateRow, Fates, Verb
 from juniperward.forwarder import introspection
+from juniperward.forwarder.batch import item_bytes
 from juniperward.forwarder.counters import count, holds, trouble
 from juniperward.forwarder.endpoint_list import EndpointList
 from juniperward.forwarder.messages import (
@@ -267,10 +268,15 @@
         history = (interface.Tried(0, held.ran_at),) if held.ran_at is not None else ()
         self.news.append(
             interface.Arrived(
-                number, c.cls, c.destination, left, c.tenant, c.key, history=history, early=_early(held) - now
+                number, c.cls, c.destination, left, c.tenant, c.key, history=history, early=_early(held) - now,
+                batch_bytes=self._batch_bytes(c),
             )
         )
 
+    def _batch_bytes(self, message: Call) -> int:
+        """What the module has to know of a message's size; nothing where no call carries several."""
+        return item_bytes(message) if any(kind.batch > 1 for kind in self.settings.kinds) else 0
+
     def _restore(self, now: float, r: Restored) -> None:
         state = self.state
         count("restored")
@@ -303,7 +309,7 @@
         self.news.append(
             interface.Arrived(
                 held.number, c.cls, c.destination, expires - now, c.tenant, c.key, history=history,
-                early=expires - now, owed=held.owed,
+                early=expires - now, owed=held.owed, batch_bytes=self._batch_bytes(c),
             )
         )
 
@@ -461,11 +467,11 @@
                 raise
             trouble("module", error)
             actions = [*self.sender.out, interface.SetTimer(MODULE_RETRY_AFTER_S, self.sender.token)]
-        sends: dict[int, list[interface.Send]] = {}
+        sends: dict[tuple[int, int], list[interface.Send]] = {}  # by endpoint and call
         for a in actions:
             match a:
                 case interface.Send():
-                    sends.setdefault(a.endpoint, []).append(a)
+                    sends.setdefault((a.endpoint, a.call), []).append(a)
                 case interface.Refuse(message=number, retry_after=again):
                     self._final(now, number, again)
                 case interface.Fail(message=number):
@@ -483,7 +489,7 @@
                 case interface.Probe(endpoint=worker):
                     self._start_probe(now, worker)
         # Attempts come last: what a round gives up or closes must not be met by what it starts.
-        for worker, asked in sends.items():
+        for (worker, _), asked in sends.items():
             self._start_attempts(now, worker, asked)
 
     def _final(self, now: float, number: int, again: float | None) -> None:
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import base64
-import json
 import math
 import queue
 import socket
@@ -19,6 +17,7 @@
     read_report,
     read_wait,
 )
+from juniperward.forwarder.batch import encode_batch
 from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.messages import (
     Answered,
@@ -438,12 +437,5 @@
         if call.key is not None:
             headers["Idempotency-Key"] = call.key
         return encode_call("POST", "/receive", host, headers, call.body)
-    rows = []
-    for p in what.items:
-        row = {"id": p.call.id, "body": base64.b64encode(p.call.body).decode()}
-        if p.call.key is not None:
-            row["key"] = p.call.key
-        rows.append(row)
     headers["Content-Type"] = "application/json"
-    body = json.dumps(rows, separators=(",", ":")).encode()
-    return encode_call("POST", "/receive-many", host, headers, body)
+    return encode_call("POST", "/receive-many", host, headers, encode_batch(item.call for item in what.items))
--- a/nickelscale/interface.py
+++ b/nickelscale/interface.py
@@ -148,6 +148,7 @@
     second_copies: bool = False
     refused_price: float = 0.0
     tolls: tuple[float, ...] = ()
+    batch_bytes: int = 65_535  # that all messages of one call may take together (protocol: no body over 64 KiB)
 
     def kind(self, number: int) -> Kind:
         """A kind of destination by its number; one that is not named is as any."""
@@ -165,6 +166,7 @@
             "fall_multiple",
             "fall_span",
             "streams",
+            "batch_bytes",
         ):
             _positive(name, getattr(self, name))
         for name in (
@@ -243,6 +245,7 @@
     history: tuple[Tried, ...] = ()
     early: float | None = None  # seconds for which it is too early to end it undelivered; None: a part of the budget
     owed: bool = False  # an earlier life took it on and never tried it: its first attempt goes before the others'
+    batch_bytes: int = 0  # that it takes in a call of several messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -304,12 +307,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call an endpoint with a message; its attempts count from 0. `within`: seconds after which it must not begin."""
+    """Call an endpoint with a message; its attempts count from 0.
+
+    `within`: seconds after which it must not begin. `call`: messages with the same number travel in one call.
+    """
 
     message: int
     endpoint: int
     timeout: float
     within: float = math.inf
+    call: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/nickelscale/rules.py
+++ b/nickelscale/rules.py
@@ -154,7 +154,7 @@
         m = Message(e.message, cls, e.cls, dest, key, self.now + e.budget, value, self.seq)
         m.aim_at = m.expires - cls.deadline + cls.aim
         early = MINIMUM_ATTEMPT_SHARE * e.budget if e.early is None else e.early
-        m.owed, m.early_until = e.owed, self.now + early
+        m.owed, m.early_until, m.batch_bytes = e.owed, self.now + early, e.batch_bytes
         self.messages[m.id] = m
         self.held += 1
         if m.key is not None:
@@ -497,9 +497,9 @@
             if not m.maybe:
                 m.zone = ep.zone
             within = repeat_until(m) - self.now if m.cls.effect is Effect.BY_KEY else math.inf
-            if len(members) > 1:
-                within = min(within, m.expires - self._patience(d) - self.now)
-            self.out.append(Send(m.id, ep.id, max(m.expires - self.now, self.set.resolution), within))
+            within = min(within, m.expires - self._patience(d) - self.now) if len(members) > 1 else within
+            left = max(m.expires - self.now, self.set.resolution)
+            self.out.append(Send(m.id, ep.id, left, within, self.calls))
             m.out[m.sends] = call
             m.maybe[m.sends] = self.now
             m.sends += 1
@@ -517,8 +517,8 @@
         latest = self.now + self._patience(d)
         if ep.route.sick or head.expires <= latest:
             return []
-        batch = self.set.kind(ep.kind).batch
-        return d.queue.draw(batch - 1, lambda m: m.expires > latest and self._may_join(m, ep))
+        most, room = self.set.kind(ep.kind).batch - 1, self.set.batch_bytes - head.batch_bytes
+        return d.queue.draw(most, room, lambda m: m.expires > latest and self._may_join(m, ep))
 
     def _may_join(self, m: Message, ep: Endpoint) -> bool:
         """Whether a message may travel with others: nothing of it may have run, or a repeat is harmless."""
--- a/nickelscale/state.py
+++ b/nickelscale/state.py
@@ -39,6 +39,7 @@
     last: int | None = None  # endpoint of the latest attempt
     early_until: float = 0.0  # before it, what surely has not run is not given up
     owed: bool = False  # an earlier life took it on and never tried it
+    batch_bytes: int = 0  # that it takes in a call of several messages
 
 
 @dataclass(slots=True, eq=False)
@@ -172,13 +173,17 @@
             heapq.heappop(self.entries)
         return None
 
-    def draw(self, most: int, fits: Callable[[Message], bool]) -> list[Message]:
-        """Take out up to `most` messages that fit, in their order; at most as many others are passed over."""
+    def draw(self, most: int, room_bytes: int, fits: Callable[[Message], bool]) -> list[Message]:
+        """Take out up to `most` messages that fit, also together, in their order; at most as many are passed over."""
         drawn: list[Message] = []
         passed: list[Message] = []
         while len(drawn) < most and len(passed) < most and (message := self.head()) is not None:
             self.remove(message)
-            (drawn if fits(message) else passed).append(message)
+            if message.batch_bytes <= room_bytes and fits(message):
+                room_bytes -= message.batch_bytes
+                drawn.append(message)
+            else:
+                passed.append(message)
         for message in passed:
             assert message.rank is not None
             self.put(message, message.rank)
--- /dev/null
+++ b/tests/test_batch.py
@@ -0,0 +1,39 @@
+"""The body of a call of several messages, and what one message takes of it."""
+
+from __future__ import annotations
+
+import base64
+import json
+import unittest
+
+from juniperward.forwarder.batch import encode_batch, item_bytes
+from juniperward.forwarder.messages import Call
+from juniperward.net.http import MOST_BODY
+from nickelscale.interface import MessageClass, Settings
+
+
+def message(name: str, key: str | None, body: bytes) -> Call:
+    return Call(name, 0, 0, 1, 5.0, key, body)
+
+
+MESSAGES = [
+    message("a1", None, b""),
+    message("b2", "k", b"x"),
+    message('c"\\3', 'key "quoted"', bytes(range(256))),
+    message("d4", "k\xe9y", b"y" * 1000),
+]
+
+
+class BatchTest(unittest.TestCase):
+    def test_what_each_message_takes_adds_up_to_the_body(self) -> None:
+        for count in range(1, len(MESSAGES) + 1):
+            chosen = MESSAGES[:count]
+            self.assertEqual(len(encode_batch(chosen)), 1 + sum(map(item_bytes, chosen)))
+
+    def test_the_body_reads_back_as_what_went_in(self) -> None:
+        rows = json.loads(encode_batch(MESSAGES))
+        self.assertEqual([(row["id"], row.get("key")) for row in rows], [(m.id, m.key) for m in MESSAGES])
+        self.assertEqual([base64.b64decode(row["body"]) for row in rows], [m.body for m in MESSAGES])
+
+    def test_what_the_module_fills_is_what_the_protocol_allows(self) -> None:
+        self.assertEqual(Settings((MessageClass(1.0, 2.0),), 1, 1).batch_bytes + 1, MOST_BODY)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -183,6 +183,17 @@
     assert [a.within for a in shared] == [pytest.approx(9.0)] * 2
 
 
+def test_messages_share_a_call_as_far_as_its_body_holds_them() -> None:
+    # Guards large messages: a call is refused whole whose body is over what the protocol allows.
+    node = Node(settings(SAFE, slots=1, kinds=(Kind(batch=5),), batch_bytes=100), (Endpoint(10, 1),))
+    node.arrive()
+    for size in (60, 50, 40, 120, 10):
+        node.arrive(batch_bytes=size)
+    assert sends(node.settle(1)) == [2, 4]  # the next that fits, also behind one that does not
+    assert [sends(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
+    assert [sends(node.settle(m)) for m in (3, 6)] == [[], [5]]  # one that is too large for any goes alone
+
+
 def test_a_message_that_goes_alone_does_not_hold_up_those_that_share() -> None:
     node = Node(settings(SAFE, slots=1, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
     node.arrive()
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -54,8 +54,8 @@
     return Worker(name, "127.0.0.1", 81, destination, phase, kind, 0, 0.0)
 
 
-def call(name: str, destination: int = 1, cls: int = 0, left: float = 20.0) -> Call:
-    return Call(name, cls, 0, destination, left, "k", b"body")
+def call(name: str, destination: int = 1, cls: int = 0, left: float = 20.0, body: bytes = b"body") -> Call:
+    return Call(name, cls, 0, destination, left, "k", body)
 
 
 class ReducerRig(unittest.TestCase):
@@ -254,6 +254,26 @@
                 effects = self.do(AttemptCancelled(d.number, progress)) if gone else effects
                 self.assertEqual(Append(AttemptFinished("b", True)) in effects, gone)
 
+    def test_large_messages_share_a_call_only_as_far_as_a_body_may_go(self) -> None:
+        # Guards the protocol's 64 KiB: twenty bodies of 2.4 KB made a call that is refused whole.
+        self.start(worker(kind=1))
+        self.end(self.take("a"), (Outcome.ERROR, 0.5))
+        for name in ("b", "c", "d"):
+            self.take(name, body=b"x" * 24_000)
+        self.now += 2.0
+        effects = self.do(EndpointsUpdated(43, False, ()))
+        self.assertEqual(self.sent(effects), [["a", "b", "c"], ["d"]])
+
+    def test_a_message_that_the_module_sends_alone_travels_alone(self) -> None:
+        # Guards the others: two calls of one round to one endpoint were made one, which ended with its first.
+        self.start(worker(kind=1))
+        self.end(self.take("a"), (Outcome.ERROR, 0.5))
+        self.take("b", left=2.9)
+        self.take("c")
+        self.now += 2.0
+        effects = self.do(EndpointsUpdated(43, False, ()))
+        self.assertEqual(sorted(self.sent(effects)), [["a", "c"], ["b"]])
+
     def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(self) -> None:
         # Guards roll+brink (settings of a short deadline): an answer within 0.3 s after the time of one message was
         # whole, but counted for none: the others, delivered as we had it, got no final answer.
