--- a/nickelscale/rules.py
+++ b/nickelscale/rules.py
@@ -776,7 +776,7 @@
             return
         if not route.full_run:
             part, span = self._share(d, route), 1.0 if route.pace >= 1.0 else RATE_MEMORY
-            if part > 0 and (self.many or route.limit > 0):  # slow near what was too much, then ever faster
+            if part > 0 and self.many:  # slow near what was too much, then ever faster
                 step = PACE_SLOW * part * 2 ** min(self.now - route.cut_at, RATE_MEMORY)
                 over = route.pace > part and not d.waiting
                 if route.pace < part <= route.pace + step:
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -91,3 +91,21 @@
     node.sender.now = node.now
     node.sender._step_pace(node.sender.dests[1], route)
     assert route.pace is None or 0.5 < route.pace < 100.0
+
+
+@pytest.mark.parametrize(("instances", "quickly"), [(3, True), (10, False)])
+def test_a_pace_of_a_few_grows_by_the_second_and_that_of_many_slowly(instances: int, quickly: bool) -> None:
+    # Guards the second deployment (rough-1 of two forwarders, 0.59 to 0.50): a few are their own traffic's limit.
+    node = node_of(instances)
+    answered(node, 1, room=1.0, limit=2.0 * instances)
+    node.run(1.0)
+    route = answered(node, 1, Outcome.FULL, room=0.0, limit=2.0 * instances)
+    node.arrive(destination=1, count=40)
+    began, start = node.now, route.pace
+    assert start is not None
+    while route.pace is not None and route.pace < 1.15 * start:
+        node.run(0.5)
+        for message in [m.id for m in node.sender.messages.values() if m.out]:
+            node.settle(message, room=0.5, limit=2.0 * instances)
+        assert node.now < began + 20.0
+    assert (node.now - began <= 2.0) == quickly
