--- a/tests/decision_days.py
+++ b/tests/decision_days.py
@@ -1,4 +1,4 @@
-"""Small simulated days for the scheduler: what it is told, as lines of the simulator's wire, with its answers fed back.
+"""Small simulated days for the scheduler: events as lines of the simulator's wire, with the answers fed back.
 
 A `Day` plays clients, endpoints and discovery against schedulers behind the simulator's adapter, from a seed.
 `SITUATIONS` names the days whose inputs are stored in `tests/recorded_decisions/`; `python -m
@@ -334,7 +334,8 @@
     "faults": Situation(12, _config(*ALL_EFFECTS, **ASKED), fault_share=0.2, list_changes=True),
     "hang": Situation(13, _config(*ALL_EFFECTS), 2400, outages=((3000.0, 9000.0, TIMEOUT),)),
     "connect_failures": Situation(
-        14, _config(*ALL_EFFECTS, **ASKED), 2100, outages=((2000.0, 12000.0, CONNECT_FAILED), (16000.0, 18000.0, TIMEOUT))
+        14, _config(*ALL_EFFECTS, **ASKED), 2100,
+        outages=((2000.0, 12000.0, CONNECT_FAILED), (16000.0, 18000.0, TIMEOUT)),
     ),
     "cold_return_of_many": Situation(
         15, _config(*ALL_EFFECTS, Instances=40, Weights="nominal"), 2700, 3, limit_per_s=30.0, rated=30.0,
@@ -388,8 +389,8 @@
         rated=30.0, arrivals_per_s=12.0,
     ),
     "wide_destination": Situation(
-        29, _config(*ALL_EFFECTS, Specifics=APART), 1800, destinations=1, endpoints=60, arrivals_per_s=40.0, latency_ms=20.0,
-        fault_share=0.03,
+        29, _config(*ALL_EFFECTS, Specifics=APART), 1800, destinations=1, endpoints=60, arrivals_per_s=40.0,
+        latency_ms=20.0, fault_share=0.03,
     ),
 }  # fmt: skip
 
--- /dev/null
+++ b/tests/stored_data_writer.py
@@ -0,0 +1,169 @@
+"""Writes the state folders of `tests/stored_data/`: what a version leaves on disk, for later versions to read.
+
+`python -m tests.stored_data_writer FOLDER` writes one folder a kind: `forwarder` (journal and clock), `spool`,
+`store`, `agent`. The committed ones were written by the version before its code was made readable; they are not
+written again, as what they hold is what the disks of operators hold. Times are fixed.
+"""
+
+from __future__ import annotations
+
+import json
+import sqlite3
+import sys
+from pathlib import Path
+from unittest import mock
+
+from juniperward.agent.messages import Durable
+from juniperward.agent.store import Store
+from juniperward.fleet.model import Crashes, Instance, Process, RollRules, Wanted
+from juniperward.fleet.roll import Mode, Roll, Stage, Step
+from juniperward.forwarder.journal import Journal
+from juniperward.forwarder.messages import (
+    Accepted,
+    AttemptFinished,
+    AttemptStarted,
+    Call,
+    Completed,
+    OutcomeDecided,
+    OutcomeNotification,
+)
+from juniperward.kept.decisions import Clock
+from juniperward.kept.spool import Attempt, Fate, Kept, Spool, ack
+from juniperward.kept.store import KeptStore
+from juniperward.settings.editions import Editions
+from juniperward.settings.load import load
+
+WRITTEN_AT = 1_700_000_000.0  # Unix time at which the folders are said to be written
+BOOT_ID = "boot-of-the-writer"
+REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # classes of the journal's messages
+
+
+def message(name: str, cls: int) -> Call:
+    """A message of a class; its body holds each byte once."""
+    return Call(name, cls, 1, 7, 20.0, f"key-{name}" if cls == BY_KEY else None, bytes(range(256)))
+
+
+def write_forwarder(folder: Path) -> None:
+    """A journal with each kind of record, a message of each class at each stage, and damage; and its clock."""
+    folder.mkdir()
+    journal = Journal(folder, 1_000_000, WRITTEN_AT)  # monotonic time 0 is WRITTEN_AT
+    for cls, effect in ((REPEATABLE, "repeatable"), (BY_KEY, "by-key"), (ONCE, "once")):
+        for stage in ("accepted", "started", "not-run", "second", "failed", "rejected", "completed"):
+            name = f"{effect}-{stage}"
+            journal.append(Accepted(message(name, cls), 20.0))
+            if stage == "accepted":
+                continue
+            journal.append(AttemptStarted(name, 1.0, "s-1"))
+            if stage in ("not-run", "second"):
+                journal.append(AttemptFinished(name, False))
+            if stage == "second":
+                journal.append(AttemptStarted(name, 2.5, "s-2"))
+            if stage in ("failed", "rejected"):
+                journal.append(OutcomeDecided(OutcomeNotification(name, 0.25 if stage == "rejected" else None)))
+            if stage == "completed":
+                journal.append(Completed(name))
+    journal.append(Accepted(message("kept-0123456789abcdef0123-1", BY_KEY), 20.0, -3.0))
+    journal.append(Accepted(message("overdue", REPEATABLE), 0.5))
+    journal.close()
+    with open(folder / "journal", "ab") as file:
+        file.write(b"00000000 [\"over\",\"by-key-started\"]\n")  # damaged: its sum does not match
+        file.write(b"c0ffee")  # a torn tail
+    (folder / "clock").write_text(json.dumps([BOOT_ID, WRITTEN_AT]), encoding="ascii")
+
+
+def undelivered(name: str, effect: str, may_have_run: bool) -> Kept:
+    """A message that was given up."""
+    attempts = (Attempt("s-1", WRITTEN_AT - 5.0, "timeout" if may_have_run else "full", may_have_run),)
+    return Kept(
+        name, "booking", "acme", 7, f"key-{name}", bytes(range(256)), WRITTEN_AT - 20.0, WRITTEN_AT, attempts,
+        effect, 12.0, ("s-1", "s-2"),
+    )  # fmt: skip
+
+
+def write_spool(folder: Path) -> None:
+    """Two segments, the first acknowledged; the ends of resends; a damaged line and a torn tail."""
+    with mock.patch("juniperward.kept.spool.time.time", return_value=WRITTEN_AT):
+        spool = Spool(folder, 1_000_000)
+        spool.keep(undelivered("m-repeatable", "repeatable", True))
+        spool.keep(undelivered("m-by-key", "by_key", True))
+        spool._next()
+        spool.keep(undelivered("m-once", "once", False))
+        spool.remember("kept-a-1", Fate("delivered", WRITTEN_AT - 4.0))
+        spool.remember("kept-b-1", Fate("undeliverable", None))
+        spool.remember("kept-c-2", Fate("deferred", WRITTEN_AT - 3.0))
+        spool.close()
+    ack(folder, 1)
+    with open(folder / "00000002.kept", "ab") as file:
+        file.write(b"00000000 {}\n")
+        file.write(b"1234")
+    with open(folder / "fates", "ab") as file:
+        file.write(b"00000000 [\"kept-d-1\",\"delivered\",null]\n")
+
+
+def write_store(folder: Path) -> None:
+    """Undelivered messages at each stage, with resends, wishes and the audit trail."""
+    folder.mkdir()
+    with mock.patch("juniperward.kept.store.time.time", return_value=WRITTEN_AT):
+        store = KeptStore(folder / "store.db", "OFF")
+        names = ("waiting", "wished", "claimed", "delivered", "deferred", "discarded", "settled")
+        messages = [undelivered(f"m-{name}", "by_key", name != "waiting") for name in names]
+        store.take_in("n1", messages, 2, 345)
+        store.wish(["m-wished"], "anna", partner_sure=True)
+        store.claim("m-claimed", None, "n1", WRITTEN_AT + 1.0, "rule")
+        for name, end in (("delivered", "delivered"), ("deferred", "deferred")):
+            claim = store.claim(f"m-{name}", None, "n1", WRITTEN_AT + 2.0, "anna")
+            store.settle_resend(claim, end, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
+        store.discard(["m-discarded"], "anna")
+        store.claim("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
+        store.settle("m-settled", True, "anna", "seen at the partner", WRITTEN_AT + 9.0)
+        store.see(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
+        store.close()
+    with sqlite3.connect(folder / "store.db") as db:  # one file, without the write-ahead log beside it
+        db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        db.execute("PRAGMA journal_mode=DELETE")
+    db.close()
+
+
+FLEET = """name: "fleet"
+base: "base.json"
+registry: "127.0.0.1:8500"
+instance { name: "n1" listen: "127.0.0.1:8081" }
+instance { name: "n2" listen: "127.0.0.1:8082" }
+"""
+
+
+def write_agent(folder: Path) -> None:
+    """The agent's state of two generations, and the saved versions of its settings."""
+    folder.mkdir()
+    (folder / "base.json").write_text(json.dumps({"settings": {}}))
+    (folder / "fleet.textproto").write_text(FLEET)
+    edition = Editions(folder / "editions").keep(load(folder / "fleet.textproto"), set())
+    steps = (
+        Step("n1", "older", Stage.DONE, 11.0, "ready"),
+        Step("n2", "older", Stage.SOAKING, 12.0),
+        Step("n3", "older", Stage.WAITING),
+        Step("n4", "older", Stage.LEFT_OUT),
+    )
+    roll = Roll("r3", edition, RollRules(at_once=2, floor=1), steps, Mode.PAUSED, "n2 does not deliver", 0.95, 10.0)
+    instances = (
+        Instance("n1", Wanted.RUNNING, Process(4242, 777), 11.0, edition, was_ready=True),
+        Instance("n2", Wanted.RUNNING, Process(4243, 778), 12.0, edition, drain=True, stopping_since=13.0),
+        Instance("n3", Wanted.STOPPED, exit="exit 0", edition="older"),
+        Instance("n4", Wanted.RUNNING, crashes=Crashes((1.0, 2.0), 2, 3.5, "5 crashes within 60 s")),
+    )
+    with mock.patch("juniperward.agent.store.boot_id", return_value=BOOT_ID):
+        Store(folder).save(Durable((), None, 2, "older"))
+        Store(folder).save(Durable(instances, roll, 3, edition))
+
+
+def main(folder: Path) -> None:
+    """Write all folders."""
+    folder.mkdir(exist_ok=True)
+    write_forwarder(folder / "forwarder")
+    write_spool(folder / "spool")
+    write_store(folder / "store")
+    write_agent(folder / "agent")
+
+
+if __name__ == "__main__":
+    main(Path(sys.argv[1]))
--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,240 @@
+"""State folders written by the version before its code was made readable are read, and every message gets its end.
+
+The folders in `tests/stored_data/` are committed as that version left them (`tests/stored_data_writer.py`). Words
+on disk stay as they are: what is read is written again as the same bytes.
+"""
+
+from __future__ import annotations
+
+import heapq
+import json
+import shutil
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+import msgspec
+import pytest
+
+from juniperward.agent.messages import Durable
+from juniperward.agent.store import Store
+from juniperward.fleet.model import Wanted
+from juniperward.fleet.roll import Mode, Stage
+from juniperward.forwarder import clock, journal
+from juniperward.forwarder.counters import counters
+from juniperward.forwarder.journal import Journal
+from juniperward.forwarder.messages import (
+    Answered,
+    Append,
+    Completed,
+    Effect,
+    End,
+    EndpointsUpdated,
+    Event,
+    Notify,
+    Replayed,
+    Restored,
+    StartAttempt,
+    Wake,
+    Worker,
+)
+from juniperward.forwarder.reducer import Reducer
+from juniperward.kept import spool as spools
+from juniperward.kept.spool import Spool
+from juniperward.kept.store import Filter, KeptStore
+from juniperward.settings.editions import Editions
+from nickelscale.interface import DedupScope, MessageClass, Outcome, Phase
+from nickelscale.interface import Effect as MessageEffect
+from tests.helpers import settings
+from tests.stored_data_writer import BOOT_ID, WRITTEN_AT
+
+FOLDER = Path(__file__).parent / "stored_data"
+CLASSES = (
+    MessageClass(aim=4.0, deadline=20.0, late_worth=0.5),
+    MessageClass(aim=4.0, deadline=20.0, effect=MessageEffect.BY_KEY, window=12.0, dedup_scope=DedupScope.ALL),
+    MessageClass(aim=4.0, deadline=20.0, effect=MessageEffect.ONCE),
+)
+NOW = 5.0  # of the new process, by the clock of which the writer's time 0 is 0
+NOT_OVER = {
+    f"{effect}-{stage}"
+    for effect in ("repeatable", "by-key", "once")
+    for stage in ("accepted", "started", "not-run", "second", "failed", "rejected")
+} | {"kept-0123456789abcdef0123-1", "overdue"}
+
+
+@pytest.fixture
+def folder(tmp_path: Path) -> Path:
+    """A copy of the stored folders."""
+    shutil.copytree(FOLDER, tmp_path / "data")
+    return tmp_path / "data"
+
+
+def restored(folder: Path) -> dict[str, Restored]:
+    read = Journal(folder / "forwarder", 1_000_000, WRITTEN_AT)
+    read.close()
+    return {message.call.id: message for message in read.restored()}
+
+
+def test_the_journal_gives_back_each_message_that_is_not_over(folder: Path) -> None:
+    before = counters().get("journal_damaged", 0)
+    messages = restored(folder)
+    assert set(messages) == NOT_OVER
+    assert counters()["journal_damaged"] == before + 2  # the damaged line and the torn tail
+    for name, message in messages.items():
+        if name.endswith(("-failed", "-rejected")):
+            assert message.notification is not None
+            assert message.notification.again == (0.25 if name.endswith("-rejected") else None)
+            continue
+        assert (message.call.body, message.call.destination) == (bytes(range(256)), 7)
+        assert message.expires == (0.5 if name == "overdue" else 20.0)
+        assert message.call.time_left == 20.0
+    history = [(a.worker, a.at, a.may_have_run) for a in messages["by-key-second"].history]
+    assert history == [("s-1", 1.0, False), ("s-2", 2.5, True)]
+    resend = messages["kept-0123456789abcdef0123-1"]
+    assert [(a.at, a.may_have_run) for a in resend.history] == [(-3.0, True)]
+
+
+def test_the_journal_writes_the_same_lines_as_it_reads(folder: Path) -> None:
+    lines = (folder / "forwarder" / "journal").read_bytes().split(b"\n")
+    records = [journal.decode(line, WRITTEN_AT) for line in lines]
+    assert [journal.encode(r, WRITTEN_AT) for r in records if r is not None] == [
+        line + b"\n" for line, r in zip(lines, records, strict=True) if r is not None
+    ]
+    assert sum(r is None for r in records) == 2
+
+
+class Machine:
+    """Runs the reducer over time: timers fire, and each attempt is answered as delivered."""
+
+    def __init__(self) -> None:
+        self.reducer = Reducer(settings(*CLASSES, slots=8, max_open=100), 1)
+        self.due: list[tuple[float, int, Event]] = []
+        self.ends: dict[str, list[str]] = {}
+        self.serial = 0
+
+    def do(self, now: float, *events: Event) -> None:
+        for effect in self.reducer.reduce(now, events):
+            self._carry_out(now, effect)
+
+    def run(self, until: float) -> None:
+        while self.due and self.due[0][0] <= until:
+            at, _, event = heapq.heappop(self.due)
+            self.do(at, event)
+
+    def _later(self, at: float, event: Event) -> None:
+        self.serial += 1
+        heapq.heappush(self.due, (at, self.serial, event))
+
+    def _carry_out(self, now: float, effect: Effect) -> None:
+        match effect:
+            case Wake(at=at, due=due):
+                self._later(max(at, now), due)
+            case StartAttempt(number=number, items=items):
+                ends = tuple(End(item.message, Outcome.OK) for item in items)
+                self._later(now + 0.05, Answered(number, ends))
+            case Append(record=Completed(id=name)):
+                self.ends.setdefault(name, []).append("delivered")
+            case Notify(notifications=notifications):
+                for n in notifications:
+                    self.ends.setdefault(n.id, []).append("failed" if n.again is None else "rejected")
+
+
+@pytest.mark.parametrize("reachable", [True, False])
+def test_every_message_of_an_old_journal_gets_one_end(folder: Path, reachable: bool) -> None:
+    machine = Machine()
+    workers = tuple(Worker(f"s-{n}", "127.0.0.1", 80 + n, 7, Phase.READY, 0, 0, 0.0) for n in (1, 2))
+    machine.do(NOW, EndpointsUpdated(1, True, workers if reachable else (), known=True))
+    machine.do(NOW, Replayed(tuple(restored(folder).values())))
+    machine.run(60.0)
+    assert set(machine.ends) == NOT_OVER
+    assert all(len(ends) == 1 for ends in machine.ends.values()), machine.ends
+    ends = {name: ends[0] for name, ends in machine.ends.items()}
+    assert ends["once-started"] == ends["once-second"] == "failed"  # it may have run, and must not run twice
+    for effect in ("repeatable", "by-key", "once"):
+        assert ends[f"{effect}-failed"] == "failed"
+        assert ends[f"{effect}-rejected"] == "rejected"
+        assert ends[f"{effect}-accepted"] == ends[f"{effect}-not-run"] == ("delivered" if reachable else "rejected")
+    assert ends["by-key-started"] == ends["by-key-second"] == ("delivered" if reachable else "failed")
+
+
+def test_the_clock_of_the_same_boot_is_carried_over(folder: Path) -> None:
+    assert clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, BOOT_ID, "journal") == WRITTEN_AT
+    assert clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, "another boot", "journal") == WRITTEN_AT + 0.5
+
+
+def test_the_spool_gives_back_undelivered_messages_and_the_ends_of_resends(folder: Path) -> None:
+    path = folder / "spool"
+    found = [(message, data) for _, file in spools.segments(path) for message, data in read_lines(file)]
+    messages = {message.id: message for message, _ in found if message is not None}
+    assert set(messages) == {"m-repeatable", "m-by-key", "m-once"}
+    assert all(spools.encode(message) == data for message, data in found if message is not None)
+    assert sum(message is None for message, _ in found) == 1
+    assert messages["m-once"].body == bytes(range(256)) and not messages["m-once"].attempts[0].may_have_run
+    spool = Spool(path, 1_000_000)
+    spool.close()
+    assert spool.ids == set(messages)
+    assert [n for n, _ in spools.segments(path)] == [2]  # the first was acknowledged
+    assert {name: (fate.end, fate.ran_at) for name, fate in spool.fates.items()} == {
+        "kept-a-1": ("delivered", WRITTEN_AT - 4.0),
+        "kept-b-1": ("undeliverable", None),
+        "kept-c-2": ("deferred", WRITTEN_AT - 3.0),
+    }
+    assert spool.complete_since == WRITTEN_AT
+    good = (FOLDER / "spool" / "fates").read_bytes().split(b"\n")[:4]
+    assert (path / "fates").read_bytes() == b"\n".join(good) + b"\n"
+
+
+def read_lines(file: Path) -> list[tuple[Any, bytes]]:
+    """Each line of a segment as a message, and as its bytes."""
+    return [(spools.decode(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"]
+
+
+def test_the_store_gives_back_each_message_with_its_story(folder: Path) -> None:
+    store = KeptStore(folder / "store" / "store.db", "OFF")
+    assert store.check() == []
+    stands = {str(f.id): str(f.stand.value) for f in store.facts(Filter())}
+    assert stands == {
+        "m-waiting": "kept", "m-wished": "kept", "m-claimed": "claimed", "m-delivered": "delivered",
+        "m-deferred": "kept", "m-discarded": "discarded", "m-settled": "delivered",
+    }  # fmt: skip
+    story = {name: store.whole(name) for name in sorted(stands)}
+    expected = json.loads((FOLDER / "store" / "expected.json").read_text())
+    assert story == expected["messages"]
+    assert store.stats() == expected["stats"]
+    assert store.audit() == expected["audit"]
+    (claim,) = store.open_resends()
+    assert (claim.message, claim.fence, claim.forwarder, claim.claimed_at) == ("m-claimed", 1, "n1", WRITTEN_AT + 1)
+    assert store.place("n1") == (2, 345)
+    seen = store.seen()
+    assert seen is not None and (seen.wall, seen.boot, seen.boot_id) == (WRITTEN_AT + 10.0, 500.0, BOOT_ID)
+    store.settle_resend(claim, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
+    assert {f.id for f in store.facts(Filter(stand="claimed"))} == set()
+    store.close()
+
+
+def test_the_agent_goes_on_from_an_old_state(folder: Path) -> None:
+    with mock.patch("juniperward.agent.store.boot_id", return_value=BOOT_ID):
+        durable, told = Store(folder / "agent").load()
+    assert told == []
+    instances = {i.name: i for i in durable.instances}
+    assert set(instances) == {"n1", "n2", "n3", "n4"}
+    assert instances["n1"].process is not None and instances["n1"].process.pid == 4242
+    assert instances["n3"].wanted is Wanted.STOPPED and instances["n4"].crashes.times == (1.0, 2.0)
+    assert durable.roll is not None and durable.roll.mode is Mode.PAUSED
+    assert [s.stage for s in durable.roll.steps] == [Stage.DONE, Stage.SOAKING, Stage.WAITING, Stage.LEFT_OUT]
+    body = (folder / "agent" / "state.json").read_bytes().partition(b"\n")[2]
+    assert msgspec.json.encode(durable) == body
+
+
+def test_the_agent_falls_back_to_the_older_state(folder: Path) -> None:
+    (folder / "agent" / "state.json").write_bytes(b"torn")
+    durable, told = Store(folder / "agent").load()
+    assert durable == Durable((), None, 2, "older") and len(told) == 1
+
+
+def test_saved_versions_of_the_settings_are_read(folder: Path) -> None:
+    editions = Editions(folder / "agent" / "editions")
+    (edition,) = [p.name for p in editions.folder.iterdir()]
+    for name in ("n1", "n2"):
+        config = editions.read(edition, name)
+        assert config == json.loads((editions.folder / edition / f"{name}.json").read_text()) and config
