--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -21,7 +21,9 @@
 LIST_VARIABLE, SEEN_VARIABLE = "KNOWN_RED_LIST", "KNOWN_RED_SEEN"  # paths that the plugin is told
 PLUGIN = "known_red_plugin"
 # A pytest id (its parameters may hold commas and spaces), the cause (may hold commas), the issue.
-LINE = re.compile(r"(?P<test>[^\s,\[]+::[^\s,\[]+(?:\[.*?\])?)\s*,\s*(?P<cause>\S.*?)\s*,\s*(?P<issue>[^\s,][^,]*)")
+LINE = re.compile(
+    r"(?P<test>[^\s,\[]+::[^\s,\[]+(?:\[.*?\])?)\s*,\s*(?P<cause>\S.*?)\s*,\s*(?P<issue>[^\s,][^,]*)"
+)
 
 
 class ListError(Exception):
@@ -87,7 +89,9 @@
         failed = set(seen.read_text(encoding="utf-8").splitlines())
     missing = [entry.test for entry in known if entry.test not in failed]
     for test in missing:
-        print(f"{LIST_NAME}: {test} was not seen to fail: it passed, was skipped, was not run or does not exist")
+        print(
+            f"{LIST_NAME}: {test} was not seen to fail: it passed, was skipped, was not run or does not exist"
+        )
     for entry in known:
         print(f"known red: {entry.test}: {entry.cause} ({entry.issue})")
     return code or (1 if missing else 0)
--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -74,7 +74,11 @@
     """Owns the socket; a thread a client. `reload` and `shutdown` are the program's own."""
 
     def __init__(
-        self, path: Path, loop: Loop, reload: Callable[[int], dict[str, Any]], shutdown: Callable[[bool], None]
+        self,
+        path: Path,
+        loop: Loop,
+        reload: Callable[[int], dict[str, Any]],
+        shutdown: Callable[[bool], None],
     ) -> None:
         self.loop, self.reload, self.shutdown = loop, reload, shutdown
         self.listener = open_socket(path)
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -38,7 +38,9 @@
         sockets.limit(sock, socket.SO_SNDTIMEO, patience)
         sock.connect(str(path))
         body = msgspec.json.encode({"names": names or [], "options": options})
-        with contextlib.suppress(BrokenPipeError):  # one that is turned away is answered before it has written
+        with contextlib.suppress(
+            BrokenPipeError
+        ):  # one that is turned away is answered before it has written
             sock.sendall(encode_call("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body))
 
         def receive(size: int) -> bytes:
--- a/juniperward/agent/kept.py
+++ b/juniperward/agent/kept.py
@@ -139,7 +139,9 @@
 class KeptService:
     """The store, the resender's thread, and the answers to `POST /v1/kept`."""
 
-    def __init__(self, folder: Path, rules: ResendRules, names: Callable[[], list[str]], ready: Ready) -> None:
+    def __init__(
+        self, folder: Path, rules: ResendRules, names: Callable[[], list[str]], ready: Ready
+    ) -> None:
         self.store = KeptStore(folder / "kept.db")
         self.world = FleetWorld(folder, names, ready)
         self.resender = Resender(self.store, self.world, rules)
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -64,7 +64,10 @@
 
     def durable(self) -> Durable:
         return Durable(
-            tuple(strip(self.instances[n]) for n in sorted(self.instances)), self.roll, self.rolls, self.edition
+            tuple(strip(self.instances[n]) for n in sorted(self.instances)),
+            self.roll,
+            self.rolls,
+            self.edition,
         )
 
 
--- a/juniperward/agent/reducer.py
+++ b/juniperward/agent/reducer.py
@@ -164,7 +164,8 @@
                 i = replace(i, stopping_since=None)
             edition = i.edition if same else self._goal(d.roll, name) or i.edition
             instances = instances.set(
-                name, replace(i, process=process, started_at=at, edition=edition, was_ready=same and i.was_ready)
+                name,
+                replace(i, process=process, started_at=at, edition=edition, was_ready=same and i.was_ready),
             )
             if same and i.stopping_since is not None:
                 # Told to end: told again, as that may not have reached it, and killed at the time set before.
@@ -288,7 +289,9 @@
         crashed = bool(self.state.instances[name].crashes.in_row)
         for s in roll.steps:
             if s.name == name:
-                return s.stage in (Stage.DRAINING, Stage.STOPPING) or (s.stage is Stage.STARTING and not crashed)
+                return s.stage in (Stage.DRAINING, Stage.STOPPING) or (
+                    s.stage is Stage.STARTING and not crashed
+                )
         return False
 
     def _roll(self) -> None:
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -79,7 +79,9 @@
         if header.boot != boot_id():
             # The machine was started anew: no process of before runs, and no time of before means anything.
             instances = tuple(
-                replace(i, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes())
+                replace(
+                    i, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes()
+                )
                 for i in durable.instances
             )
             roll = durable.roll
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -49,7 +49,9 @@
             try:
                 self._round()
             except Exception as error:
-                structlog.get_logger().error("unexpected", where="watcher", instance=self.name, error=repr(error))
+                structlog.get_logger().error(
+                    "unexpected", where="watcher", instance=self.name, error=repr(error)
+                )
                 time.sleep(self.every)
 
     def _round(self) -> None:
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -73,7 +73,9 @@
         for t in told:
             roll = t.body.get("roll")
             if roll is not None and not roll["over"]:
-                console.print(f"roll {roll['id']} is {roll['mode']}: {roll['why'] or 'under way'}", markup=False)
+                console.print(
+                    f"roll {roll['id']} is {roll['mode']}: {roll['why'] or 'under way'}", markup=False
+                )
     raise typer.Exit(code_of(told))
 
 
@@ -248,7 +250,9 @@
 def roll_table(found: dict[str, Any]) -> Table:
     """The steps of a roll."""
     why = f": {found['why']}" if found["why"] else ""
-    made = table("instance", "stage", "ran before", "note", title=f"roll {found['id']} is {found['mode']}{why}")
+    made = table(
+        "instance", "stage", "ran before", "note", title=f"roll {found['id']} is {found['mode']}{why}"
+    )
     for s in found["steps"]:
         made.add_row(s["instance"], s["stage"], s["before"], s["note"])
     return made
@@ -330,7 +334,9 @@
         for e, name in sorted(rows, key=lambda x: x[0]["at"]):
             clock = time.strftime("%H:%M:%S", time.localtime(e["at"])) + f"{e['at'] % 1:.3f}"[1:]
             more = " ".join(f"{k}={v}" for k, v in e.items() if k not in ("seq", "at", "event", "level"))
-            console.print(f"{clock} {name} {e['event']} {more}", markup=False, highlight=False, soft_wrap=True)
+            console.print(
+                f"{clock} {name} {e['event']} {more}", markup=False, highlight=False, soft_wrap=True
+            )
         for t in told:
             if t.error:
                 console.print(f"{short(t.agent)}: {t.error}", style="red", markup=False)
@@ -338,9 +344,7 @@
 
 
 @app.command()
-def reload(
-    agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0
-) -> None:
+def reload(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
     """Have the agents read their settings again; a roll brings the instances to them."""
     told = ask_all(sockets_of(agent), "reload", None, timeout)
     if output is Output.JSON:
--- a/juniperward/cli/kept.py
+++ b/juniperward/cli/kept.py
@@ -76,7 +76,13 @@
     stand: str | None, destination: int | None, cls: str | None, account: str | None, key: str | None,
     since: float | None,
 ) -> dict[str, Any]:  # fmt: skip
-    chosen: dict[str, Any] = {"stand": stand, "destination": destination, "cls": cls, "account": account, "key": key}
+    chosen: dict[str, Any] = {
+        "stand": stand,
+        "destination": destination,
+        "cls": cls,
+        "account": account,
+        "key": key,
+    }
     if since is not None:
         chosen["since"] = time.time() - since
     return {k: v for k, v in chosen.items() if v is not None}
@@ -139,7 +145,9 @@
 ) -> None:  # fmt: skip
     """An order for many, in parts: what was done stays done when it is interrupted, and may be asked for again."""
     if not ids and not chosen:
-        errors.print("name messages, or choose them with filters (--destination, --class, --account, --since, --all)")
+        errors.print(
+            "name messages, or choose them with filters (--destination, --class, --account, --since, --all)"
+        )
         raise typer.Exit(USAGE)
     chosen.pop("all", None)
     rows: list[Any] = []
@@ -201,7 +209,10 @@
 
 @app.command()
 def undo(
-    ids: IdsArgument = None, agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0
+    ids: IdsArgument = None,
+    agent: AgentOption = None,
+    output: OutputOption = Output.TABLE,
+    timeout: TimeOption = 5.0,
 ) -> None:
     """Take back a discard, or a resend that has not begun."""
     _bulk("undo", "undone", ids, {}, agent, timeout, False, output)
@@ -277,7 +288,9 @@
     count = 0
     with open(file, "w") as out:
         for row in pages(agent, timeout, **_chosen(stand, destination, None, None, None, since)):
-            out.write(json.dumps(call(agent, timeout, "show", id=row["id"], body=True), sort_keys=True) + "\n")
+            out.write(
+                json.dumps(call(agent, timeout, "show", id=row["id"], body=True), sort_keys=True) + "\n"
+            )
             count += 1
     console.print(f"{file}: {count} messages", markup=False)
 
--- a/juniperward/cli/lab.py
+++ b/juniperward/cli/lab.py
@@ -14,8 +14,12 @@
 
 app = typer.Typer(help="Experiments on a model of the world, in simulated time.", no_args_is_help=True)
 
-ScenariosArgument = Annotated[list[Path] | None, typer.Argument(help="Scenario files; all of scenarios/ if none.")]
-PoliciesOption = Annotated[list[str] | None, typer.Option("--policy", "-p", help="May be repeated; all if none.")]
+ScenariosArgument = Annotated[
+    list[Path] | None, typer.Argument(help="Scenario files; all of scenarios/ if none.")
+]
+PoliciesOption = Annotated[
+    list[str] | None, typer.Option("--policy", "-p", help="May be repeated; all if none.")
+]
 SeedsOption = Annotated[int, typer.Option(help="How many seeds, from 1.")]
 OutOption = Annotated[Path, typer.Option(help="The experiment's folder.")]
 ProcessesOption = Annotated[int | None, typer.Option(help="Runs at once; default: one a core.")]
@@ -36,7 +40,9 @@
 
     unknown = [n for n in names or [] if n not in POLICIES]
     if unknown:
-        raise typer.BadParameter(f"{', '.join(unknown)}: none of {', '.join(POLICIES)}", param_hint="--policy")
+        raise typer.BadParameter(
+            f"{', '.join(unknown)}: none of {', '.join(POLICIES)}", param_hint="--policy"
+        )
     return names or list(POLICIES)
 
 
@@ -108,7 +114,9 @@
 
     results = _sweep(files, policy, seeds, out, processes)
     if output is Output.JSON:
-        print_json([{"scenario": r.scenario, "policy": r.policy, "seed": r.seed, "worth": r.worth} for r in results])
+        print_json(
+            [{"scenario": r.scenario, "policy": r.policy, "seed": r.seed, "worth": r.worth} for r in results]
+        )
         return
     policies, rows = worth_table(results)
     made = table("scenario", *(f">{p}" for p in policies))
@@ -209,13 +217,16 @@
         small = shrink(found, chosen)
         file = keep(small, chosen, folder)
         console.print(
-            f"{file}: regret {found.regret:.3f}, made small {small.regret:.3f}; seed {small.seed}", markup=False
+            f"{file}: regret {found.regret:.3f}, made small {small.regret:.3f}; seed {small.seed}",
+            markup=False,
         )
 
 
 @app.command()
 def traces(
-    folder: Annotated[Path, typer.Argument(help="Logs, a NAME.log of each forwarder, with ROUTER_TRACE set.")],
+    folder: Annotated[
+        Path, typer.Argument(help="Logs, a NAME.log of each forwarder, with ROUTER_TRACE set.")
+    ],
     partner: Annotated[int | None, typer.Option(help="Only this partner, by second.")] = None,
 ) -> None:
     """Count what a whole fleet did, by second and by partner, from the traces of its forwarders."""
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -50,7 +50,9 @@
     name: Annotated[str, typer.Argument(help="Which; a wrong one is answered with all names.")],
     seed: Annotated[int, typer.Option(help="Of the load and of the faults.")] = 1,
     out: Annotated[Path, typer.Option(help="Folder of the results.")] = Path("docs/measurements"),
-    rounds: Annotated[int | None, typer.Option(help="chaos: kills; kept, cold: seeds; store: messages.")] = None,
+    rounds: Annotated[
+        int | None, typer.Option(help="chaos: kills; kept, cold: seeds; store: messages.")
+    ] = None,
     rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None,
     away: Annotated[float | None, typer.Option(help="kept: seconds for which the partner is away.")] = None,
 ) -> None:
--- a/juniperward/cli/shared.py
+++ b/juniperward/cli/shared.py
@@ -32,7 +32,9 @@
 AgentOption = Annotated[
     list[Path] | None,
     typer.Option(
-        "--agent", "-a", envvar="JUNIPERWARD_AGENT",
+        "--agent",
+        "-a",
+        envvar="JUNIPERWARD_AGENT",
         help="An agent's socket, or its settings file; may be repeated.",
     ),
 ]
@@ -77,7 +79,9 @@
     """A table in the tool's one style; numbers stand right."""
     made = Table(title=title, box=None, pad_edge=False, header_style="bold")
     for name in columns:
-        made.add_column(name.lstrip(">"), justify="right" if name.startswith(">") else "left", overflow="fold")
+        made.add_column(
+            name.lstrip(">"), justify="right" if name.startswith(">") else "left", overflow="fold"
+        )
     return made
 
 
--- a/juniperward/fleet/roll.py
+++ b/juniperward/fleet/roll.py
@@ -226,7 +226,9 @@
     active = {s.name for s in roll.steps if s.stage in ACTIVE}
     why = ""
     waiting = [s for s in roll.steps if s.stage is Stage.WAITING]
-    waiting.sort(key=lambda s: s.name in up)  # what is away by now costs nothing, and may be what holds the floor
+    waiting.sort(
+        key=lambda s: s.name in up
+    )  # what is away by now costs nothing, and may be what holds the floor
     for s in waiting:
         if len(active) >= roll.rules.at_once:
             break
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -62,7 +62,15 @@
     """The same end for every message of a call."""
     return tuple(
         End(
-            p.message, outcome, wait, slots_taken, over, report.room, report.limit, begun=begun, table_full=table_full
+            p.message,
+            outcome,
+            wait,
+            slots_taken,
+            over,
+            report.room,
+            report.limit,
+            begun=begun,
+            table_full=table_full,
         )
         for p in what.items
     )
--- a/juniperward/forwarder/clock.py
+++ b/juniperward/forwarder/clock.py
@@ -38,7 +38,10 @@
         before = _read_reference(folder, boot_id)
         if before is None or before - to_unix > LARGEST_STEP_S:
             count("clock_references_missing")
-            log("start", f"nothing tells how the clocks ran since: times count as {CLOCK_ERROR_S:g} s further back")
+            log(
+                "start",
+                f"nothing tells how the clocks ran since: times count as {CLOCK_ERROR_S:g} s further back",
+            )
             carried = to_unix + CLOCK_ERROR_S
         else:
             carried = max(before, to_unix)
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -48,7 +48,9 @@
     ran = headers.get("x-kept-ran")
     if ran is not None and (not DECIMAL.fullmatch(ran) or not name.startswith(PREFIX)):
         raise BadCall("X-Kept-Ran: seconds are needed, and the id of a resend")
-    return Call(name, cls, tenant, int(found[1]), left, key, asked.body, float(ran) if ran is not None else None)
+    return Call(
+        name, cls, tenant, int(found[1]), left, key, asked.body, float(ran) if ran is not None else None
+    )
 
 
 def encode_reply(status: int, retry_after: float, close: bool, text: str = "") -> bytes:
--- a/juniperward/forwarder/introspection.py
+++ b/juniperward/forwarder/introspection.py
@@ -73,7 +73,5 @@
     rows = []
     for number, w in sorted(state.workers.items()):
         word = "gone" if number in state.gone else w.phase.name.lower()
-        rows.append(
-            WorkerRow(w.id, f"{w.host}:{w.port}", w.destination, word, w.kind, calls.get(number, 0))
-        )
+        rows.append(WorkerRow(w.id, f"{w.host}:{w.port}", w.destination, word, w.kind, calls.get(number, 0)))
     return tuple(rows)
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -44,7 +44,9 @@
     weight: float
 
 
-Route = int | str  # what shares a limit: a destination, or where its workers are routes apart one of them, by its id
+Route = (
+    int | str
+)  # what shares a limit: a destination, or where its workers are routes apart one of them, by its id
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -118,7 +118,9 @@
         sockets.shut(self.listener)
         self.listener.close()
         if self.accepting.is_alive():
-            self.accepting.join(ADMITTED)  # whom it has accepted is not in `clients` yet, and would seem to be nobody
+            self.accepting.join(
+                ADMITTED
+            )  # whom it has accepted is not in `clients` yet, and would seem to be nobody
         self.closed = True
 
     def alone(self) -> bool:
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -52,7 +52,10 @@
     loop.keeper = keeper
     loop.name, loop.started = config.name, loop_started
     if config.sockets < LEAST_SOCKETS:
-        log("start", f"limits: sockets: {config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need")
+        log(
+            "start",
+            f"limits: sockets: {config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need",
+        )
     bounds = share_out(config.sockets, config.settings.slots)
     loop.server = Server(config.listen, config.names, bounds.clients, loop.post, bounds.leaving_clients)
     loop.workers = Workers(
@@ -154,4 +157,3 @@
     except (OSError, ControlError) as error:
         print(f"juniperward: cannot start: {error}", file=sys.stderr)
         return 1
-
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -60,4 +60,6 @@
     stop_at: float | None = None
     draining: bool = False
     ended: dict[str, float] = field(default_factory=dict)  # ids of messages that are over, and since when
-    fenced: dict[str, float] = field(default_factory=dict)  # resends told unknown, and when: never to be taken
+    fenced: dict[str, float] = field(
+        default_factory=dict
+    )  # resends told unknown, and when: never to be taken
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -64,7 +64,9 @@
                     lines += [f"noticed {name}" for name in e.ids]
                 case EndpointsUpdated():
                     for w in e.workers:
-                        lines.append(f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.weight}")
+                        lines.append(
+                            f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.weight}"
+                        )
         self._write(now, lines)
 
     def effects(self, now: float, effects: Iterable[Effect]) -> None:
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -266,7 +266,9 @@
                 return ended(Outcome.TIMEOUT)
             count("probes_spoilt")
             log("probe", f"{what.host}:{what.port} gave no whole answer: {error}")
-            return ended(Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET)
+            return ended(
+                Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET
+            )
         count("probes_answered")
         self._heed(what, read_wait(answer.headers))
         if answer.close or attempt.cancelled or kept.stream.buffer:
@@ -297,9 +299,7 @@
             return self._exchange(attempt, what, kept, fresh)
         count("messages_left_out", len(what.items) - len(items))
         ends = {end.message: end for end in ends_of_all(what, Outcome.MOOT, begun=False)}
-        ends |= {
-            end.message: end for end in self._exchange(attempt, replace(what, items=items), kept, fresh)
-        }
+        ends |= {end.message: end for end in self._exchange(attempt, replace(what, items=items), kept, fresh)}
         return tuple(ends.values())
 
     def _exchange(
@@ -340,7 +340,9 @@
     def _dial(self, attempt: ActiveAttempt, address: tuple[str, int]) -> Kept | None:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # for want of descriptors: nothing of the call was written, so it has not run
+        except (
+            OSError
+        ) as error:  # for want of descriptors: nothing of the call was written, so it has not run
             count("dials_failed")
             log("dial", f"no socket for worker {address[0]}:{address[1]}: {error}")
             return None
--- a/juniperward/kept/decisions.py
+++ b/juniperward/kept/decisions.py
@@ -129,7 +129,11 @@
     if now < m.ran_at - allowance:
         return Kind.UNCERTAIN, 0.0, "an attempt may have run, at a time that this clock has not reached"
     if now + LEAST_LEFT >= until:
-        return Kind.UNCERTAIN, until, "an attempt may have run, and its partner may not drop a repeat any more"
+        return (
+            Kind.UNCERTAIN,
+            until,
+            "an attempt may have run, and its partner may not drop a repeat any more",
+        )
     return Kind.IN_WINDOW, until, f"an attempt may have run; a repeat is dropped for {until - now:.1f} s more"
 
 
--- a/juniperward/kept/resender.py
+++ b/juniperward/kept/resender.py
@@ -96,7 +96,9 @@
     begun: int = 0
     settled: int = 0
     open: int = 0
-    lost_memory: list[str] = field(default_factory=list)  # resends whose forwarder does not remember so far back
+    lost_memory: list[str] = field(
+        default_factory=list
+    )  # resends whose forwarder does not remember so far back
 
 
 class Resender:
--- a/juniperward/kept/store.py
+++ b/juniperward/kept/store.py
@@ -149,7 +149,9 @@
         try:
             self._migrate()
         except sqlite3.DatabaseError as error:
-            raise StoreError(f"{file}: {error}; restore a backup, or move the file away to begin anew") from error
+            raise StoreError(
+                f"{file}: {error}; restore a backup, or move the file away to begin anew"
+            ) from error
 
     # --- the file -------------------------------------------------------------------------------------------
 
@@ -220,13 +222,17 @@
         if not math.isfinite(clock.wall):
             return
         with self.change() as db:
-            db.execute("INSERT OR REPLACE INTO clock VALUES (1, ?, ?, ?)", (clock.wall, clock.boot, clock.boot_id))
+            db.execute(
+                "INSERT OR REPLACE INTO clock VALUES (1, ?, ?, ?)", (clock.wall, clock.boot, clock.boot_id)
+            )
 
     # --- taking in ------------------------------------------------------------------------------------------
 
     def place(self, forwarder: str) -> tuple[int, int]:
         """Segment and offset up to which a forwarder's spool is in the store."""
-        row = self.db.execute("SELECT segment, offset FROM spool WHERE forwarder = ?", (forwarder,)).fetchone()
+        row = self.db.execute(
+            "SELECT segment, offset FROM spool WHERE forwarder = ?", (forwarder,)
+        ).fetchone()
         return (row[0], row[1]) if row is not None else (0, 0)
 
     def take_in(self, forwarder: str, messages: Iterable[Kept], segment: int, offset: int) -> int:
@@ -245,7 +251,10 @@
                     new += 1
                     db.executemany(
                         "INSERT INTO attempt VALUES (?,?,?,?,?,?)",
-                        [(m.id, n, a.worker, a.at, a.outcome, a.may_have_run) for n, a in enumerate(m.attempts)],
+                        [
+                            (m.id, n, a.worker, a.at, a.outcome, a.may_have_run)
+                            for n, a in enumerate(m.attempts)
+                        ],
                     )
             db.execute("INSERT OR REPLACE INTO spool VALUES (?, ?, ?)", (forwarder, segment, offset))
         return new
@@ -296,7 +305,9 @@
     def stats(self) -> dict[str, Any]:
         """Counts by stand, the bytes, and the oldest."""
         stands = {r[0]: r[1] for r in self.db.execute("SELECT stand, count(*) FROM message GROUP BY stand")}
-        row = self.db.execute("SELECT count(*), coalesce(sum(bytes), 0), min(given_up_at) FROM message").fetchone()
+        row = self.db.execute(
+            "SELECT count(*), coalesce(sum(bytes), 0), min(given_up_at) FROM message"
+        ).fetchone()
         wished = self.db.execute("SELECT count(*) FROM message WHERE wished IS NOT NULL").fetchone()[0]
         return {"messages": row[0], "bytes": row[1], "oldest": row[2], "stands": stands, "wished": wished}
 
@@ -310,7 +321,9 @@
     def claim(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Claim:
         """Take the right to send a message again; durable when this returns. Raises Lost."""
         with self.change() as db:
-            row = db.execute("SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)).fetchone()
+            row = db.execute(
+                "SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)
+            ).fetchone()
             if row is None or row["stand"] != Stand.KEPT or (fence is not None and row["fence"] != fence):
                 raise Lost(f"{message} is {row['stand'] if row is not None else 'not here'}")
             new = row["fence"] + 1
@@ -344,8 +357,15 @@
                 "UPDATE resend SET end = ?, ended_at = ?, ran_at = ? WHERE id = ? AND end IS NULL",
                 (end, now, ran_at, claim.resend),
             )
-            row = db.execute("SELECT stand, fence, ran_at FROM message WHERE id = ?", (claim.message,)).fetchone()
-            if not done.rowcount or row is None or row["fence"] != claim.fence or row["stand"] != Stand.CLAIMED:
+            row = db.execute(
+                "SELECT stand, fence, ran_at FROM message WHERE id = ?", (claim.message,)
+            ).fetchone()
+            if (
+                not done.rowcount
+                or row is None
+                or row["fence"] != claim.fence
+                or row["stand"] != Stand.CLAIMED
+            ):
                 raise Lost(f"{claim.resend} is settled already")
             stand = Stand.DELIVERED if end == "delivered" else Stand.KEPT
             ran = min((t for t in (row["ran_at"], ran_at) if t is not None), default=None)
@@ -371,7 +391,9 @@
                 )
                 if done.rowcount:
                     count += 1
-                    _audit(db, who, "asked for a resend", name, "the partner is the same" if partner_sure else "")
+                    _audit(
+                        db, who, "asked for a resend", name, "the partner is the same" if partner_sure else ""
+                    )
         return count
 
     def settle(self, message: str, delivered: bool, who: str, why: str, now: float) -> None:
@@ -381,7 +403,8 @@
             if row is None or row["stand"] not in (Stand.KEPT, Stand.CLAIMED):
                 raise Lost(f"{message} is {row['stand'] if row is not None else 'not here'}")
             db.execute(
-                "UPDATE resend SET end = 'settled', ended_at = ? WHERE message = ? AND end IS NULL", (now, message)
+                "UPDATE resend SET end = 'settled', ended_at = ? WHERE message = ? AND end IS NULL",
+                (now, message),
             )
             stand = Stand.DELIVERED if delivered else Stand.KEPT
             db.execute(
@@ -401,7 +424,8 @@
         with self.change() as db:
             for name in taken:
                 done = db.execute(
-                    "UPDATE message SET wished = NULL WHERE id = ? AND stand = 'kept' AND wished IS NOT NULL", (name,)
+                    "UPDATE message SET wished = NULL WHERE id = ? AND stand = 'kept' AND wished IS NOT NULL",
+                    (name,),
                 )
                 if done.rowcount:
                     count += 1
--- a/juniperward/lab/policies.py
+++ b/juniperward/lab/policies.py
@@ -118,7 +118,9 @@
         for lane in self.lanes.values():
             if lane.queue:
                 head = self.held.get(lane.queue[0])
-                at = max(lane.wait_until, lane.open_until, head.not_before if head else 0.0, self.ready_at(lane))
+                at = max(
+                    lane.wait_until, lane.open_until, head.not_before if head else 0.0, self.ready_at(lane)
+                )
                 if at > self.now:
                     found.append(at)
         return found
--- a/juniperward/lab/report.py
+++ b/juniperward/lab/report.py
@@ -168,8 +168,14 @@
     out.append("| --- | --- | --- | --- | --- |")
     for c in comparisons(results):
         if abs(c.mean) >= 0.002:
-            out.append(f"| {c.scenario} | {c.other} | {c.mean:+.4f} | {c.low:+.4f} to {c.high:+.4f} | {c.says} |")
-    out += ["", "| policy | partners fell over | second effects | waits broken |", "| --- | --- | --- | --- |"]
+            out.append(
+                f"| {c.scenario} | {c.other} | {c.mean:+.4f} | {c.low:+.4f} to {c.high:+.4f} | {c.says} |"
+            )
+    out += [
+        "",
+        "| policy | partners fell over | second effects | waits broken |",
+        "| --- | --- | --- | --- |",
+    ]
     for p in policies:
         runs = [r for r in results if r.policy == p]
         figures = [sum(getattr(r, f) for r in runs) for f in RULES]
--- a/juniperward/lab/search.py
+++ b/juniperward/lab/search.py
@@ -78,7 +78,11 @@
     count = sum(g.count for g in m.partners)
     kind = dice.choice(KINDS)
     at = round(dice.uniform(1.0, m.seconds * 0.6), 1)
-    whom = [] if kind == "KILL" else sorted(dice.sample(range(1, count + 1), min(count, dice.choice([1, 1, 2, 4]))))
+    whom = (
+        []
+        if kind == "KILL"
+        else sorted(dice.sample(range(1, count + 1), min(count, dice.choice([1, 1, 2, 4]))))
+    )
     made = m.trouble.add(at=at, seconds=dice.choice([2.0, 5.0, 10.0]), partner=whom)
     made.size = dice.choice([0.3, 0.6, 0.9])
     made.kind = scenario_pb2.Trouble.Kind.Value(kind)
@@ -106,7 +110,10 @@
             case _:
                 if m.trouble:
                     t = dice.choice(m.trouble)
-                    t.at, t.seconds = round(dice.uniform(1.0, m.seconds * 0.6), 1), dice.choice([1.0, 4.0, 12.0])
+                    t.at, t.seconds = (
+                        round(dice.uniform(1.0, m.seconds * 0.6), 1),
+                        dice.choice([1.0, 4.0, 12.0]),
+                    )
     return m
 
 
@@ -148,7 +155,9 @@
         yield from changed(lambda x, f=field: x.traffic.ClearField(f))  # type: ignore[misc]
 
 
-def shrink(found: Found, policy: str, judged: Callable[[str, str, int], Found] = judge, most: int = 120) -> Found:
+def shrink(
+    found: Found, policy: str, judged: Callable[[str, str, int], Found] = judge, most: int = 120
+) -> Found:
     """Make a day smaller for as long as it keeps KEEPS of its regret; `most` days are played at the most."""
     best, least = found, KEEPS * found.regret
     played, going = 0, True
--- a/juniperward/lab/world.py
+++ b/juniperward/lab/world.py
@@ -144,7 +144,9 @@
     sender: Any
     life: int = 0
     up: bool = True
-    held: dict[int, tuple[Message, float]] = field(default_factory=dict)  # by its own number: message, expires
+    held: dict[int, tuple[Message, float]] = field(
+        default_factory=dict
+    )  # by its own number: message, expires
     attempts: dict[int, int] = field(default_factory=dict)
     out: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     waits: dict[int, float] = field(default_factory=dict)  # told, by partner
@@ -170,7 +172,9 @@
     second_effects: int = 0
     waits_broken: int = 0
     fallen: int = 0
-    by_second: list[tuple[float, float]] = field(default_factory=list)  # asked and delivered worth, by second due
+    by_second: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # asked and delivered worth, by second due
     events: int = 0
 
 
@@ -355,7 +359,9 @@
                 call.members.append((a.message, number))
                 f.out[a.message, number] = call
             self.result.calls += 1
-            self.at(self.now + min(a.timeout for a in part), self._end, f, f.life, call, i.Outcome.TIMEOUT, 0.0)
+            self.at(
+                self.now + min(a.timeout for a in part), self._end, f, f.life, call, i.Outcome.TIMEOUT, 0.0
+            )
             self.at(self.now + self._net(), self._reach, f, call)
 
     def _net(self) -> float:
--- a/juniperward/rigs/capacity.py
+++ b/juniperward/rigs/capacity.py
@@ -44,7 +44,10 @@
     @property
     def carried(self) -> bool:
         """Whether the forwarder took and delivered it all, with p99 within ADDED."""
-        whole = self.seen.refused + self.seen.failed == 0 and self.ages.get_total_count() >= 0.999 * self.seen.sent
+        whole = (
+            self.seen.refused + self.seen.failed == 0
+            and self.ages.get_total_count() >= 0.999 * self.seen.sent
+        )
         return whole and quantile(self.ages, 0.99) <= ADDED
 
     def cells(self) -> list[str]:
--- a/juniperward/rigs/cost.py
+++ b/juniperward/rigs/cost.py
@@ -119,7 +119,9 @@
 
 def cost(seed: int, out: Path, rounds: int = MESSAGES) -> bool:
     """Cost for a message by size of each kind, with the slope of the log-log plot."""
-    report = Report("What a message costs the decision module", f"juniperward measure cost --rounds {rounds}", seed)
+    report = Report(
+        "What a message costs the decision module", f"juniperward measure cost --rounds {rounds}", seed
+    )
     rows = []
     for name, build, sizes in CASES:
         figures = []
--- a/juniperward/rigs/demo.py
+++ b/juniperward/rigs/demo.py
@@ -35,7 +35,9 @@
         yard = stack.enter_context(Yard(folder, 3, PARTNERS))
         console.print("starting a registry, 4 partners, an agent and 3 forwarders")
         yard.start()
-        console.print(f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll")
+        console.print(
+            f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll"
+        )
         clients = yard.clients(rate, LOAD)
         time.sleep(2.0)
         yard.ask("roll", soak=1.0)
--- a/juniperward/rigs/measure.py
+++ b/juniperward/rigs/measure.py
@@ -146,7 +146,9 @@
 
 def chaos(seed: int, out: Path, rounds: int = 50, instances: int = 10, rate: float = 60.0) -> bool:
     """The agent killed at random moments of rolls, with one instance stopped by SIGSTOP at a time."""
-    report = Report("The agent killed amid rolls", f"juniperward measure chaos --seed {seed} --rounds {rounds}", seed)
+    report = Report(
+        "The agent killed amid rolls", f"juniperward measure chaos --seed {seed} --rounds {rounds}", seed
+    )
     report.say(
         f"{instances} forwarders under load at {rate:g} messages a second; roll after roll, while a random one is "
         f"stopped by SIGSTOP and the agent is killed by SIGKILL at random moments, {rounds} times, and started again."
@@ -224,7 +226,9 @@
 
 def status(seed: int, out: Path, sizes: tuple[int, ...] = (10, 100), times: int = 20) -> bool:
     """How long `fleet status` takes, with all instances well and with one and ten silent; what the agent costs."""
-    report = Report("fleet status, and what an agent costs", f"juniperward measure status --seed {seed}", seed)
+    report = Report(
+        "fleet status, and what an agent costs", f"juniperward measure status --seed {seed}", seed
+    )
     report.say("The whole command, from its process's start to its end; CPU is that of the agent over 10 s.")
     rows: list[Row] = []
     good = True
@@ -239,7 +243,9 @@
                 for silent in (0, 1, 10):
                     for name in yard.names[:silent]:
                         os.kill(yard.row(name)["pid"], signal.SIGSTOP)
-                    yard.until(lambda s, n=silent: sum(r["state"] == "silent" for r in s["instances"]) == n, 30.0)
+                    yard.until(
+                        lambda s, n=silent: sum(r["state"] == "silent" for r in s["instances"]) == n, 30.0
+                    )
                     taken = [_timed_status(yard) for _ in range(times)]
                     before = yard.ask("agent")
                     time.sleep(10.0)
@@ -256,7 +262,16 @@
                     if pid is not None:
                         os.kill(pid, signal.SIGCONT)
     report.table(
-        ["instances", "silent", "status median s", "worst s", "agent MiB", "agent CPU %", "all ready after s"], rows
+        [
+            "instances",
+            "silent",
+            "status median s",
+            "worst s",
+            "agent MiB",
+            "agent CPU %",
+            "all ready after s",
+        ],
+        rows,
     )
     report.write(out / "status.md")
     return good
@@ -273,7 +288,9 @@
 
 def flood(seed: int, out: Path, seconds: float = 10.0) -> bool:
     """What clients of the control channel that flood it, stall or send rubbish do to the loop and to messages."""
-    report = Report("A forwarder whose control channel is flooded", f"juniperward measure flood --seed {seed}", seed)
+    report = Report(
+        "A forwarder whose control channel is flooded", f"juniperward measure flood --seed {seed}", seed
+    )
     report.say(
         "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
         "to its answer, asked by one honest client ten times a second; the messages' is from due to effect."
@@ -289,7 +306,9 @@
         ]  # fmt: skip
         for name, attack in attacks:
             end = threading.Event()
-            threads = [threading.Thread(target=attack, args=(end,), daemon=True) for _ in range(8 if attack else 0)]
+            threads = [
+                threading.Thread(target=attack, args=(end,), daemon=True) for _ in range(8 if attack else 0)
+            ]
             yard.recorder.records.clear()
             clients = yard.clients(100.0, seconds, threads=32, name=name[:2])
             for thread in threads:
--- a/juniperward/rigs/measure_kept.py
+++ b/juniperward/rigs/measure_kept.py
@@ -159,7 +159,12 @@
             fine = held and not fallen and not counts["twice"] and not counts["missing"]
             good &= fine
             total = sums.setdefault((mode, "six" if kills else "none"), dict.fromkeys(SUMMED, 0))
-            for name, value in (*counts.items(), ("runs", 1), ("fell over", fallen), ("rules broken", not held)):
+            for name, value in (
+                *counts.items(),
+                ("runs", 1),
+                ("fell over", fallen),
+                ("rules broken", not held),
+            ):
                 total[name] += int(value)
             if not fine:
                 rows.append([f"{s}", mode, f"{killed}", *(f"{counts[k]}" for k in COUNTED)])
@@ -226,7 +231,10 @@
     """What keeping costs the others while a third of all messages are given up."""
     rows = []
     for keep in (False, True, False, True):
-        with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed, 1, keep) as yard:
+        with (
+            tempfile.TemporaryDirectory(prefix="jw-") as folder,
+            kept_yard(Path(folder), seed, 1, keep) as yard,
+        ):
             yard.start()
             yard.partners[1].trouble("down")
             before = yard.ask("inspect", ["n0"])["status"]["pid"]
@@ -235,7 +243,9 @@
             clients.done.wait(60.0)
             time.sleep(5.0)
             spent = processes.usage(before)[0] - cpu
-            v = check([r for r in list(yard.recorder.records) if not getattr(r, "id", "").startswith("kept-")])
+            v = check(
+                [r for r in list(yard.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
+            )
             kept = yard.ask("inspect", ["n0"])["status"]["kept"]
             rows.append([
                 "on" if keep else "off", f"{kept}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -59,7 +59,8 @@
     def __init__(self, servers: int, forwarders: int, seed: int) -> None:
         classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3, window=12.0),)
         self.reducer = Reducer(
-            i.Settings(classes, slots=8, max_open=200, kinds=(i.Kind(),), instances=forwarders, rated=True), seed
+            i.Settings(classes, slots=8, max_open=200, kinds=(i.Kind(),), instances=forwarders, rated=True),
+            seed,
         )
         self.now, self.number = 100.0, 0
         self.timers: list[tuple[float, int, Due]] = []
--- a/juniperward/rigs/starts.py
+++ b/juniperward/rigs/starts.py
@@ -42,7 +42,9 @@
     command: tuple[str, ...] = ("-m", "juniperward")
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
     children: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
-    reserved: list[socket.socket] = field(default_factory=list)  # bound and not listening: nobody else gets the port
+    reserved: list[socket.socket] = field(
+        default_factory=list
+    )  # bound and not listening: nobody else gets the port
 
     def state(self, name: str) -> Path:
         """The folder of one that lasts."""
@@ -71,7 +73,9 @@
 
     def _reserve(self, name: str) -> tuple[str, int]:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # the forwarder binds beside it, with the same
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
+        )  # the forwarder binds beside it, with the same
         sock.bind(("127.0.0.1", 0))
         self.reserved.append(sock)
         self.addresses[name] = ("127.0.0.1", sock.getsockname()[1])
@@ -142,7 +146,9 @@
         return "{}:{}".format(*sock.getsockname())
 
 
-def start_all(fleet: Fleet, names: list[str], most_running: int = 0) -> list[tuple[float, dict[str, list[float]]]]:
+def start_all(
+    fleet: Fleet, names: list[str], most_running: int = 0
+) -> list[tuple[float, dict[str, list[float]]]]:
     """Start all of them, at most so many starts at a time (0: no bound); the time to ready and the parts of each."""
     room = threading.BoundedSemaphore(most_running or len(names))
 
@@ -199,7 +205,14 @@
                 f"{max(taken):.2f}",
             ])  # fmt: skip
             print(rows[-1], flush=True)
-    head = ["forwarders", "messages in each folder", *parts, "ready after, median s", "nine in ten s", "worst s"]
+    head = [
+        "forwarders",
+        "messages in each folder",
+        *parts,
+        "ready after, median s",
+        "nine in ten s",
+        "worst s",
+    ]
     report.table(head, rows)
     return good
 
--- a/juniperward/rigs/traces.py
+++ b/juniperward/rigs/traces.py
@@ -214,4 +214,3 @@
             numbers = " ".join(f"{row.get(c, 0):>8}" for c in COLUMNS)
             out.append(f"{d:>8} {numbers} {listed:>8} {fleet.peak(d):>8}")
     return "\n".join(out)
-
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -79,7 +79,9 @@
     try:
         text = file.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError([Fault(str(file), 0, "", getattr(error, "strerror", None) or str(error))]) from error
+        raise SettingsError(
+            [Fault(str(file), 0, "", getattr(error, "strerror", None) or str(error))]
+        ) from error
     try:
         message = text_format.Parse(text, fleet_pb2.Fleet())
     except text_format.ParseError as error:
@@ -230,7 +232,9 @@
         names = [r.name for r in rules]
         for n, name in enumerate(names):
             if not NAME.fullmatch(name):
-                self.fault(f"kept.rule[{n}].name", f"1 to 32 letters, digits, '-' and '_' are needed, not {name!r}")
+                self.fault(
+                    f"kept.rule[{n}].name", f"1 to 32 letters, digits, '-' and '_' are needed, not {name!r}"
+                )
             elif name in names[:n]:
                 self.fault(f"kept.rule[{n}].name", f"{name} stands twice")
         defaults = ResendRules()
@@ -252,7 +256,9 @@
         set_ = {d.name: v for d, v in given.ListFields()}
         for name in ("from_hour", "to_hour"):
             if not 0 <= set_.get(name, 0) <= 24:
-                self.fault(f"{place}.{name}", f"an hour of the day is needed, from 0 to 24, not {set_[name]:g}")
+                self.fault(
+                    f"{place}.{name}", f"an hour of the day is needed, from 0 to 24, not {set_[name]:g}"
+                )
         if set_.get("least_age", 0) > set_.get("most_age", float("inf")):
             self.fault(f"{place}.most_age", "below least_age: no message is ever of such an age")
         plain = {k: v for k, v in set_.items() if k not in ("destination", "class", "account", "name")}
@@ -282,7 +288,9 @@
     def instance(self, number: int, given: Any, folder: Path) -> InstanceSettings:
         place = f"instance[{number}]"
         if not NAME.fullmatch(given.name):
-            self.fault(f"{place}.name", f"1 to 32 letters, digits, '-' and '_' are needed, not {given.name!r}")
+            self.fault(
+                f"{place}.name", f"1 to 32 letters, digits, '-' and '_' are needed, not {given.name!r}"
+            )
         self.address(f"{place}.listen", given.listen)
         registry = given.registry or self.message.registry
         self.address(f"{place}.registry", registry)
--- a/juniperward/standins/checker.py
+++ b/juniperward/standins/checker.py
@@ -255,7 +255,14 @@
         v.effects += 1
         if len(effects) > 1:
             after = effects[1].at - effects[0].at
-            _found(v, x, "one effect", effects[1].id, effects[1].at, f"a second effect {after:.3f} s after the first")
+            _found(
+                v,
+                x,
+                "one effect",
+                effects[1].id,
+                effects[1].at,
+                f"a second effect {after:.3f} s after the first",
+            )
 
 
 def _drains(x: _Index, bounds: Bounds, v: Verdict) -> None:
@@ -286,7 +293,9 @@
         for at, until, end in waits.get((who, c.destination), ()):
             if at + bounds.wait_slack < c.began < until - 0.002 and not x.restarted(who, at, c.began):
                 text = f"{who} sent {c.ids[0]} {until - c.began:.3f} s before the end of a wait of {end.wait:.3f} s"
-                v.violations.append(Violation("wait", f"destination {c.destination}", c.began, text, (end, c)))
+                v.violations.append(
+                    Violation("wait", f"destination {c.destination}", c.began, text, (end, c))
+                )
                 break
 
 
@@ -296,7 +305,9 @@
         for name, key in zip(c.ids, c.keys, strict=True):
             h = x.handed.get(name)
             if h is None:
-                _found(v, x, "stranger", name, c.at, f"call {c.call} carries a message that no client handed in")
+                _found(
+                    v, x, "stranger", name, c.at, f"call {c.call} carries a message that no client handed in"
+                )
             elif h.destination != c.destination:
                 _found(v, x, "stranger", name, c.at, f"it is for {h.destination} and went to {c.destination}")
             elif h.key != key:
--- a/juniperward/standins/clients.py
+++ b/juniperward/standins/clients.py
@@ -89,7 +89,13 @@
     """Threads that hand messages in; `lateness` has how late each was written."""
 
     def __init__(
-        self, traffic: Traffic, front: Front, recorder: Recorder, seed: int, threads: int = 48, name: str = "c"
+        self,
+        traffic: Traffic,
+        front: Front,
+        recorder: Recorder,
+        seed: int,
+        threads: int = 48,
+        name: str = "c",
     ) -> None:
         self.traffic, self.front, self.recorder = traffic, front, recorder
         self.random, self.name = random.Random(seed), name
@@ -115,7 +121,9 @@
             self.numbers += 1
             t = self.traffic
             account = self.random.choices([a for a, _ in t.accounts], [w for _, w in t.accounts])[0]
-            destination = self.random.choices([d for d, _ in t.destinations], [w for _, w in t.destinations])[0]
+            destination = self.random.choices([d for d, _ in t.destinations], [w for _, w in t.destinations])[
+                0
+            ]
             first = f"{self.name}{self.numbers:07d}"
             key = f"k{first}"
             self.heap.append(Due(at, self.numbers, first, key, account, destination, at))
@@ -227,7 +235,9 @@
         }  # fmt: skip
         at = now()
         self.recorder.add(
-            Handed(at, name, due.first, due.key, t.cls, due.account, due.destination, forwarder, due.due, expires)
+            Handed(
+                at, name, due.first, due.key, t.cls, due.account, due.destination, forwarder, due.due, expires
+            )
         )
         status, again, close = 0, 0.0, True
         try:
--- a/juniperward/standins/load.py
+++ b/juniperward/standins/load.py
@@ -82,7 +82,11 @@
         """Add what a process has sent over."""
         self.accepted.decode_and_add(part[0])
         self.lateness.decode_and_add(part[1])
-        self.sent, self.refused, self.failed = self.sent + part[2], self.refused + part[3], self.failed + part[4]
+        self.sent, self.refused, self.failed = (
+            self.sent + part[2],
+            self.refused + part[3],
+            self.failed + part[4],
+        )
 
     @property
     def void(self) -> bool:
@@ -153,7 +157,9 @@
         if link is not None:
             link[0].close()
 
-    def _ask(self, link: tuple[socket.socket, Stream], due: float, number: int, destination: int) -> tuple[int, bool]:
+    def _ask(
+        self, link: tuple[socket.socket, Stream], due: float, number: int, destination: int
+    ) -> tuple[int, bool]:
         p = self.plan
         name = identify(due, p.name, number)
         headers = {
--- a/juniperward/standins/partners.py
+++ b/juniperward/standins/partners.py
@@ -20,7 +20,10 @@
 from juniperward.standins.registry import Entry
 from juniperward.standins.serving import Link, Serving
 
-FALL_TIMES, FALL_SPAN = 2.0, 3.0  # pushed so many times its present capacity for so many seconds, it falls over
+FALL_TIMES, FALL_SPAN = (
+    2.0,
+    3.0,
+)  # pushed so many times its present capacity for so many seconds, it falls over
 
 
 @dataclass(frozen=True, slots=True)
--- a/nickelscale/interface.py
+++ b/nickelscale/interface.py
@@ -148,7 +148,9 @@
     second_copies: bool = False
     refused_price: float = 0.0
     tolls: tuple[float, ...] = ()
-    batch_bytes: int = 65_535  # that all messages of one call may take together (protocol: no body over 64 KiB)
+    batch_bytes: int = (
+        65_535  # that all messages of one call may take together (protocol: no body over 64 KiB)
+    )
 
     def kind(self, number: int) -> Kind:
         """A kind of destination by its number; one that is not named is as any."""
@@ -243,8 +245,12 @@
     key: str | None = None
     size_hint: float = 0.0
     history: tuple[Tried, ...] = ()
-    early: float | None = None  # seconds for which it is too early to end it undelivered; None: a part of the budget
-    owed: bool = False  # an earlier life took it on and never tried it: its first attempt goes before the others'
+    early: float | None = (
+        None  # seconds for which it is too early to end it undelivered; None: a part of the budget
+    )
+    owed: bool = (
+        False  # an earlier life took it on and never tried it: its first attempt goes before the others'
+    )
     batch_bytes: int = 0  # that it takes in a call of several messages
 
 
--- a/nickelscale/state.py
+++ b/nickelscale/state.py
@@ -65,9 +65,13 @@
     phase: Phase
     kind: int
     zone: int
-    place: float  # among its like: an order of this sender's own, or all senders would fill the same one first
+    place: (
+        float  # among its like: an order of this sender's own, or all senders would fill the same one first
+    )
     calls: dict[int, Call] = field(default_factory=dict)  # out, by serial
-    recent: tuple[bool, ...] = ()  # whether the latest calls were answered; a deque takes 600 bytes when empty
+    recent: tuple[
+        bool, ...
+    ] = ()  # whether the latest calls were answered; a deque takes 600 bytes when empty
     bad: bool = False
     bad_since: float = 0.0
     silent: bool = False
@@ -76,7 +80,9 @@
     conns: int = 0  # connections thought open
     used: float = -math.inf
     no_new_until: float = -math.inf  # its connection table is full until then
-    keep: float = 1.0  # part of the usual time for which an idle connection is kept; less where its table is full
+    keep: float = (
+        1.0  # part of the usual time for which an idle connection is kept; less where its table is full
+    )
     rest_at: float = 0.0  # when its idle connections have been kept for long enough
 
 
--- a/tests/decision_days.py
+++ b/tests/decision_days.py
@@ -211,9 +211,7 @@
             case "Send":
                 self._send(who, body)
             case "After":
-                self._push(
-                    self.now + body["OffsetMs"], "TickDue", {"Who": who, "Nonce": body["Nonce"]}
-                )
+                self._push(self.now + body["OffsetMs"], "TickDue", {"Who": who, "Nonce": body["Nonce"]})
             case "NotNow" | "DropRequest":
                 self._end(who, body["Corr"])
             case "Withdraw":
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -143,7 +143,9 @@
 
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
         effects = super().reduce(now, events)
-        ready = {w.id for n, w in self.state.workers.items() if w.phase is Phase.READY and n not in self.state.gone}
+        ready = {
+            w.id for n, w in self.state.workers.items() if w.phase is Phase.READY and n not in self.state.gone
+        }
         if "s-1" not in ready and not self.drain_known.is_set():
             self.drain_known_at = time.monotonic()
             self.drain_known.set()
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -59,14 +59,16 @@
             if stage == "second":
                 journal.append(AttemptStarted(name, 2.5, "s-2"))
             if stage in ("failed", "rejected"):
-                journal.append(OutcomeDecided(OutcomeNotification(name, 0.25 if stage == "rejected" else None)))
+                journal.append(
+                    OutcomeDecided(OutcomeNotification(name, 0.25 if stage == "rejected" else None))
+                )
             if stage == "completed":
                 journal.append(Completed(name))
     journal.append(Accepted(message("kept-0123456789abcdef0123-1", BY_KEY), 20.0, -3.0))
     journal.append(Accepted(message("overdue", REPEATABLE), 0.5))
     journal.close()
     with open(folder / "journal", "ab") as file:
-        file.write(b"00000000 [\"over\",\"by-key-started\"]\n")  # damaged: its sum does not match
+        file.write(b'00000000 ["over","by-key-started"]\n')  # damaged: its sum does not match
         file.write(b"c0ffee")  # a torn tail
     (folder / "clock").write_text(json.dumps([BOOT_ID, WRITTEN_AT]), encoding="ascii")
 
@@ -97,7 +99,7 @@
         file.write(b"00000000 {}\n")
         file.write(b"1234")
     with open(folder / "fates", "ab") as file:
-        file.write(b"00000000 [\"kept-d-1\",\"delivered\",null]\n")
+        file.write(b'00000000 ["kept-d-1","delivered",null]\n')
 
 
 def write_store(folder: Path) -> None:
@@ -144,7 +146,9 @@
         Step("n3", "older", Stage.WAITING),
         Step("n4", "older", Stage.LEFT_OUT),
     )
-    roll = Roll("r3", edition, RollRules(at_once=2, floor=1), steps, Mode.PAUSED, "n2 does not deliver", 0.95, 10.0)
+    roll = Roll(
+        "r3", edition, RollRules(at_once=2, floor=1), steps, Mode.PAUSED, "n2 does not deliver", 0.95, 10.0
+    )
     instances = (
         Instance("n1", Wanted.RUNNING, Process(4242, 777), 11.0, edition, was_ready=True),
         Instance("n2", Wanted.RUNNING, Process(4243, 778), 12.0, edition, drain=True, stopping_since=13.0),
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -195,7 +195,9 @@
             began = time.monotonic()
             told = ask_all([self.settings.socket, mute, self.folder / "none"], "agent", patience=0.5)
             self.assertLess(time.monotonic() - began, 3.0)
-        self.assertEqual([(bool(t.error), t.silent) for t in told], [(False, False), (True, True), (True, True)])
+        self.assertEqual(
+            [(bool(t.error), t.silent) for t in told], [(False, False), (True, True), (True, True)]
+        )
         with self.assertRaises(AgentSilent):
             ask(self.folder / "none", "agent", patience=0.2)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -114,12 +114,21 @@
     def test_a_roll_is_followed_to_its_end_or_pause(self) -> None:
         def view(mode: str, stage: str) -> dict[str, Any]:
             step = {"instance": "n0", "stage": stage, "note": "", "before": "a"}
-            return {"id": "r1", "mode": mode, "why": "x", "target": "b", "over": mode == "done", "steps": [step]}
+            return {
+                "id": "r1",
+                "mode": mode,
+                "why": "x",
+                "target": "b",
+                "over": mode == "done",
+                "steps": [step],
+            }
 
         for last, code in (("done", 0), ("paused", 4)):
             end = view(last, "done")
             path = self.agent(
-                last, roll=lambda _: (200, view("going", "draining")), roll_show=lambda _, e=end: (200, e)  # type: ignore[misc]
+                last,
+                roll=lambda _: (200, view("going", "draining")),
+                roll_show=lambda _, e=end: (200, e),  # type: ignore[misc]
             )
             with mock.patch.object(fleet, "EVERY", 0.0):
                 result = self.run_tool("fleet", "roll", "-a", path)
@@ -128,7 +137,9 @@
 
     def test_a_dry_run_prints_the_plan(self) -> None:
         def plan(body: dict[str, Any]) -> tuple[int, Any]:
-            return 200, self.world.ask("roll", **{k: v for k, v in body["options"].items() if v is not None}).body
+            return 200, self.world.ask(
+                "roll", **{k: v for k, v in body["options"].items() if v is not None}
+            ).body
 
         one = self.agent("one", roll=plan)
         result = self.run_tool("fleet", "roll", "--dry-run", "--floor", 1, "-a", one)
@@ -153,7 +164,10 @@
 
     def test_events_of_several_agents_stand_in_their_order(self) -> None:
         def events(at: float, text: str) -> Callable[[dict[str, Any]], tuple[int, Any]]:
-            return lambda _: (200, {"events": [{"seq": 1, "at": at, "event": text, "level": "info", "roll": "r1"}]})
+            return lambda _: (
+                200,
+                {"events": [{"seq": 1, "at": at, "event": text, "level": "info", "roll": "r1"}]},
+            )
 
         two = self.agent("two", events=events(20.0, "second"))
         one = self.agent("one", events=events(10.0, "first"))
--- a/tests/test_cli_kept.py
+++ b/tests/test_cli_kept.py
@@ -40,7 +40,9 @@
         self.api.kept = self.service
         self.api.start()
         self.addCleanup(self.api.close)
-        messages = [kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)]
+        messages = [
+            kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
+        ]
         self.service.store.take_in("n0", messages, 1, 1)
         self.service.world.told["n0"] = (1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
 
@@ -91,7 +93,9 @@
             for dies_at in (1, 2):
                 calls = 0
 
-                def dying(*args: object, dies_at: int = dies_at, late: bool = late, **options: object) -> object:
+                def dying(
+                    *args: object, dies_at: int = dies_at, late: bool = late, **options: object
+                ) -> object:
                     nonlocal calls
                     calls += args[2] == "resend"
                     found = real(*args, **options) if late or calls < dies_at else None  # type: ignore[arg-type]
@@ -109,7 +113,9 @@
                     self.assertIn(f"asked: {260 - done} of 260", self.run_tool("resend", "--all").output)
                     ids = [f"m{n}" for n in range(260)]
                     self.assertEqual(self.service.store.undo(ids, "test"), 260)  # each was wished once
-        asked = [r["message"] for r in self.service.store.audit(0, 10000) if r["what"] == "asked for a resend"]
+        asked = [
+            r["message"] for r in self.service.store.audit(0, 10000) if r["what"] == "asked for a resend"
+        ]
         self.assertEqual(len(asked), 4 * 260)
 
     def test_settles_exports_checks_and_copies(self) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -93,9 +93,20 @@
     def test_settings_of_other_deployments_are_read(self) -> None:
         # Small copies of what deploy/sites/ stands for: short and few, and many, long and pushed.
         short = {"Name": "lift", "AimMs": 200.0, "DeadlineMs": 300.0, "Effect": "once", "Worth": 9.0}
-        few = {**SETTINGS, "Services": [short], "Limits": {**SETTINGS["Limits"], "MaxAttempts": 1, "MaxOpen": 1}}
+        few = {
+            **SETTINGS,
+            "Services": [short],
+            "Limits": {**SETTINGS["Limits"], "MaxAttempts": 1, "MaxOpen": 1},
+        }
         long = [
-            {"Name": f"c{n}", "AimMs": 6e4, "DeadlineMs": 6e5, "Effect": e, "WindowMs": 3e5, "DedupScope": "zone"}
+            {
+                "Name": f"c{n}",
+                "AimMs": 6e4,
+                "DeadlineMs": 6e5,
+                "Effect": e,
+                "WindowMs": 3e5,
+                "DedupScope": "zone",
+            }
             for n, e in enumerate(("once", "by_key", "repeatable") * 4)
         ]
         many = {**SETTINGS, "Services": long, "MembershipMode": "pushed", "Tenants": None,
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -78,7 +78,9 @@
     classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3, window=12.0),)
     made = kind(i.Settings(classes, slots=200, max_open=100_000, kinds=(i.Kind(),)), 1)
     entries = [
-        i.Endpoint(d * workers + w, d, i.Phase.READY, 0, 0, 0.0) for d in range(destinations) for w in range(workers)
+        i.Endpoint(d * workers + w, d, i.Phase.READY, 0, 0, 0.0)
+        for d in range(destinations)
+        for w in range(workers)
     ]
     made.handle(0.0, [i.Listed(i.ListScope.FULL, tuple(entries))])
     return made
@@ -88,7 +90,9 @@
     def test_destinations_that_are_closed_cost_a_round_nothing(self) -> None:
         made = sender(Counting, 301, 1)
         for d in range(1, 301):
-            made.handle(0.1, [i.Arrived(d, 0, d, 1000.0, 0, f"k{d}"), i.Arrived(1000 + d, 0, d, 1000.0, 0, f"l{d}")])
+            made.handle(
+                0.1, [i.Arrived(d, 0, d, 1000.0, 0, f"k{d}"), i.Arrived(1000 + d, 0, d, 1000.0, 0, f"l{d}")]
+            )
             for a in [d, 1000 + d]:
                 for n in list(made.messages[a].out):
                     made.handle(0.1, [i.Settled(a, n, d, i.Outcome.FULL, 0.01, False, 500.0)])
@@ -106,11 +110,13 @@
             for n in range(200):
                 made.handle(1.0 + n / 100, [i.Arrived(n, 0, 0, 20.0, 0, f"m{n}")])
                 if n >= 10:
-                    (number, endpoint), = [(k, m.last) for k, m in made.messages.items() if k == n - 10]
+                    ((number, endpoint),) = [(k, m.last) for k, m in made.messages.items() if k == n - 10]
                     made.handle(1.0 + n / 100, [i.Settled(number, 0, endpoint, i.Outcome.OK, 0.1, True)])
             looked[workers] = made.opened / 200
             spread = {m.last for m in made.messages.values()}
-            self.assertEqual(len(spread), len(made.messages))  # calls that are out together go to different ones
+            self.assertEqual(
+                len(spread), len(made.messages)
+            )  # calls that are out together go to different ones
         self.assertLessEqual(looked[2000], 2 * looked[20])
 
     def test_what_is_kept_of_an_idle_destination_is_small(self) -> None:
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -48,7 +48,9 @@
 REFUSED, BLACKHOLED = Unreachable.REFUSED, Unreachable.BLACKHOLED
 NO_ANSWER = Reply()
 UNAVAILABLE = Reply(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-UNAVAILABLE_FOR_30_S = Reply(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
+UNAVAILABLE_FOR_30_S = Reply(
+    b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
+)
 HALF_A_LIST = HEAD + chunk(b'{"version":42,"full":false,\n"servers":[\n')
 CUT_AND_OPEN, CUT_AND_CLOSED = Reply(HALF_A_LIST), Reply(HALF_A_LIST, closes=True)
 CUT_WITHIN_A_CHUNK = Reply(HEAD + b"400\r\n" + b'{"version":42,"full":false,')
@@ -190,7 +192,9 @@
         for took in (0.0, 0.0, 0.0, first, second, first, second):
             spacing = asks.until_next(took)
             assert spacing <= took + max(ASK_FIRST, ASK_MOST - took) * SPREAD + 0.01
-            assert spacing >= took + 0.75 * ASK_FIRST  # never at once: all forwarders lose their watch together
+            assert (
+                spacing >= took + 0.75 * ASK_FIRST
+            )  # never at once: all forwarders lose their watch together
 
 
 def test_refused_calls_are_spaced_ever_wider_up_to_the_most() -> None:
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -11,7 +11,11 @@
 from juniperward.forwarder.discovery_stream import MOST, JsonObjects
 
 ROWS: list[Any] = [
-    {"version": 43, "full": True, "servers": [{"id": 's-"{1', "state": "Ready", "note": "a}\\"}, {"id": "s-2"}]},
+    {
+        "version": 43,
+        "full": True,
+        "servers": [{"id": 's-"{1', "state": "Ready", "note": "a}\\"}, {"id": "s-2"}],
+    },
     {"version": 44, "full": False, "servers": []},
 ]
 
@@ -38,7 +42,9 @@
     assert feed(json.dumps(ROWS[0], indent=1).encode()) == ROWS[:1]
 
 
-@pytest.mark.parametrize("text", [b"nonsense\n", b'{"version":1\n\n', b"{}}\n", b'{"a":\xff}\n', b'{"a":1} {"b"\n\n'])
+@pytest.mark.parametrize(
+    "text", [b"nonsense\n", b'{"version":1\n\n', b"{}}\n", b'{"a":\xff}\n', b'{"a":1} {"b"\n\n']
+)
 def test_what_is_no_object_is_told_as_such(text: bytes) -> None:
     with pytest.raises(ValueError):
         feed(text)
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -19,8 +19,15 @@
 
 def fleet(count: int = NODES, **changes: Any) -> list[Node]:
     values: dict[str, Any] = {
-        "instances": count, "slots": 3, "rated": True, "cold_share": COLD, "fall_multiple": MULTIPLE,
-        "fall_span": SPAN, "warm_within": WARM, "max_attempts": 8, **changes,
+        "instances": count,
+        "slots": 3,
+        "rated": True,
+        "cold_share": COLD,
+        "fall_multiple": MULTIPLE,
+        "fall_span": SPAN,
+        "warm_within": WARM,
+        "max_attempts": 8,
+        **changes,
     }
     nodes = [Node(settings(SAFE, **values), (Endpoint(10, 1, rating=RATING),)) for _ in range(count)]
     for k, node in enumerate(nodes):
@@ -68,7 +75,7 @@
         while arrivals and arrivals[0][0] <= at:
             nodes[arrivals.pop(0)[1]].arrive()
         for k, node in enumerate(nodes):
-            for when, action in node.log[seen[k]:]:
+            for when, action in node.log[seen[k] :]:
                 if isinstance(action, Send):
                     answers.append((at + 0.1, k, action.message, when))
                     if when >= back and k in informed:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -178,7 +178,9 @@
             player.play(text[text.index("@ c client") : text.index("! reload")])
             player._signal("restart")
             found = [k for _, p in segments(Path(name) / "spool") for k, _ in read(p, 0)]
-            self.assertEqual([(k.id, k.effect, k.account) for k in found if k is not None], [("m1", "once", "acme")])
+            self.assertEqual(
+                [(k.id, k.effect, k.account) for k in found if k is not None], [("m1", "once", "acme")]
+            )
             self.assertEqual([a.may_have_run for a in found[0].attempts] if found[0] else [], [True])
             player.close()
             program.end()
--- a/tests/test_kept_decisions.py
+++ b/tests/test_kept_decisions.py
@@ -30,7 +30,9 @@
 )
 
 NOW = 1_000_000.0
-BASE = Facts("m", Stand.KEPT, "by_key", 12.0, None, 7, "booking-update", "acme", NOW - 5.0, workers=("s-1",), key="k")
+BASE = Facts(
+    "m", Stand.KEPT, "by_key", 12.0, None, 7, "booking-update", "acme", NOW - 5.0, workers=("s-1",), key="k"
+)
 HERE = frozenset({"s-1", "s-2"})
 WELL = Sight("well", 0.0, False, 100.0, 0, 32)
 
@@ -62,8 +64,15 @@
         self.assertIn("no forwarder", judge(BASE, NOW, None, 0.5).why)
 
     @settings(derandomize=True, max_examples=500)
-    @given(st.floats(-30, 30), st.floats(0, 30), st.floats(0, 5), st.sampled_from(["by_key", "once", "repeatable"]))
-    def test_no_repeat_outside_its_window(self, ran: float, window: float, allowance: float, effect: str) -> None:
+    @given(
+        st.floats(-30, 30),
+        st.floats(0, 30),
+        st.floats(0, 5),
+        st.sampled_from(["by_key", "once", "repeatable"]),
+    )
+    def test_no_repeat_outside_its_window(
+        self, ran: float, window: float, allowance: float, effect: str
+    ) -> None:
         facts = replace(BASE, ran_at=NOW + ran, window=window, effect=effect)
         j = judge(facts, NOW, HERE, allowance)
         if j.may_go and effect != "repeatable":
@@ -122,7 +131,9 @@
 
 
 class PaceTest(unittest.TestCase):
-    def run_pace(self, sights: list[Sight], seconds: float, pace: Pace, now: float, refused: bool = False) -> Pace:
+    def run_pace(
+        self, sights: list[Sight], seconds: float, pace: Pace, now: float, refused: bool = False
+    ) -> Pace:
         for _ in range(int(seconds * 4)):
             now += 0.25
             pace = look(pace, sights, refused, now, PaceRules())
--- a/tests/test_kept_model.py
+++ b/tests/test_kept_model.py
@@ -63,7 +63,20 @@
                 self.done[key] = self.now + at
                 attempts = (Attempt("s-1", self.now + at, "reset", True),)
             spooled.append(
-                Kept(f"m{n}", "c", "acme", 7, key, b"x", 0.0, self.now - 1.0, attempts, "by_key", WINDOW, ("s-1",))
+                Kept(
+                    f"m{n}",
+                    "c",
+                    "acme",
+                    7,
+                    key,
+                    b"x",
+                    0.0,
+                    self.now - 1.0,
+                    attempts,
+                    "by_key",
+                    WINDOW,
+                    ("s-1",),
+                )
             )
         self.store.take_in("n0", spooled, 1, 1)
         self.resender = Resender(self.store, self, RULES)
@@ -231,9 +244,7 @@
         folder.mkdir()
         return Sim(folder)
 
-    def explore(
-        self, prepare: Callable[[Sim], None] = lambda s: None, pairs: bool = True
-    ) -> int:
+    def explore(self, prepare: Callable[[Sim], None] = lambda s: None, pairs: bool = True) -> int:
         """Each crash alone, and each with a second soon after it, under each fault of door and call."""
         calm = self.sim()
         prepare(calm)
--- a/tests/test_kept_store.py
+++ b/tests/test_kept_store.py
@@ -17,9 +17,15 @@
 from juniperward.kept.store import MIGRATIONS, Filter, KeptStore, Lost, StoreError, _statements
 
 
-def kept(name: str, at: float = 1000.0, destination: int = 7, ran: float | None = None, body: bytes = b"x") -> Kept:
-    attempts = (Attempt("s-1", ran, "timeout", True),) if ran is not None else (Attempt("s-1", at, "full", False),)
-    return Kept(name, "c", "acme", destination, f"k{name}", body, at - 20.0, at, attempts, "by_key", 12.0, ("s-1",))
+def kept(
+    name: str, at: float = 1000.0, destination: int = 7, ran: float | None = None, body: bytes = b"x"
+) -> Kept:
+    attempts = (
+        (Attempt("s-1", ran, "timeout", True),) if ran is not None else (Attempt("s-1", at, "full", False),)
+    )
+    return Kept(
+        name, "c", "acme", destination, f"k{name}", body, at - 20.0, at, attempts, "by_key", 12.0, ("s-1",)
+    )
 
 
 def _claim_all(file: str, by: str, out: multiprocessing.Queue[int]) -> None:
@@ -246,7 +252,9 @@
         for statement in _statements(MIGRATIONS[0]):
             db.execute(statement)
         db.execute("PRAGMA user_version=1")
-        db.execute("INSERT INTO message VALUES ('a','n','c','t',1,'k',x'00',1,2,'by_key',12,'[]',NULL,'kept',0,0,9)")
+        db.execute(
+            "INSERT INTO message VALUES ('a','n','c','t',1,'k',x'00',1,2,'by_key',12,'[]',NULL,'kept',0,0,9)"
+        )
         db.commit()
         db.close()
         (facts,) = KeptStore(old).facts(Filter())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -81,7 +81,9 @@
         code, output = self.run_tree("\n".join(listed) + "\n\n")
         self.assertEqual(code, 0, output)
         self.assertIn(f"known red: {RED}: the clock, read twice (#7)", output)
-        self.assertIn("known red: tests/test_tree.py::test_of_case[a, b [c]]: a cause (docs/questions.md)", output)
+        self.assertIn(
+            "known red: tests/test_tree.py::test_of_case[a, b [c]]: a cause (docs/questions.md)", output
+        )
         self.assertIn("1 skipped", output)
         self.assertNotIn(" failed", output)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -159,7 +159,9 @@
         def days(seed: int) -> list[str | None]:
             dice = random.Random(seed)
             made = [invent(dice) for _ in range(30)]
-            return [sound(m) for m in made] + [sound(mutate(text_format.MessageToString(m), dice)) for m in made]
+            return [sound(m) for m in made] + [
+                sound(mutate(text_format.MessageToString(m), dice)) for m in made
+            ]
 
         self.assertEqual(days(1), days(1))
         self.assertNotEqual(days(1), days(2))
@@ -182,7 +184,9 @@
 
     def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
         runner = CliRunner()
-        new, old = (runner.invoke(app, ["lab", verb, "--rounds", "0", "--keep", "0"]) for verb in ("search", "hunt"))
+        new, old = (
+            runner.invoke(app, ["lab", verb, "--rounds", "0", "--keep", "0"]) for verb in ("search", "hunt")
+        )
         self.assertEqual((new.exit_code, old.exit_code), (0, 0), old.output)
         self.assertIn("deprecated", old.output)
         self.assertNotIn("deprecated", new.output)
@@ -233,7 +237,9 @@
         words = ["lab", "replay", "small", "-p", "oracle", "--out", str(self.folder)]
         told = CliRunner().invoke(app, words)
         self.assertEqual((told.exit_code, "the same" in told.output), (0, True))
-        self.assertEqual(CliRunner().invoke(app, ["lab", "replay", "x", "--out", str(self.folder)]).exit_code, 1)
+        self.assertEqual(
+            CliRunner().invoke(app, ["lab", "replay", "x", "--out", str(self.folder)]).exit_code, 1
+        )
 
     def test_results_of_the_first_version_are_still_read_and_newer_ones_are_refused(self) -> None:
         old = {f: getattr(result("a", 1, 0.5), f) for f in Result.__slots__} | {"v": 1}
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -30,7 +30,9 @@
         self.recorder = Recorder()
 
     def test_forty_at_once_are_ready_in_time_and_lose_nothing(self) -> None:
-        partner = Partner(PartnerSpec(1, "booking-sites", workers=4, latency=0.005, batch=20), self.recorder, 1)
+        partner = Partner(
+            PartnerSpec(1, "booking-sites", workers=4, latency=0.005, batch=20), self.recorder, 1
+        )
         self.addCleanup(partner.close)
         registry = Registry(self.recorder)
         self.addCleanup(registry.close)
@@ -69,7 +71,15 @@
         self.addCleanup(fleet.close)
         fleet.fill("n0")
         ((taken, parts),) = start_all(fleet, ["n0"])
-        order = ["interpreter", "imports", "signals", "configuration", "folder", "journal read", "messages restored"]
+        order = [
+            "interpreter",
+            "imports",
+            "signals",
+            "configuration",
+            "folder",
+            "journal read",
+            "messages restored",
+        ]
         self.assertEqual(list(parts), [*order, "listening"])
         self.assertLess(sum(wall for wall, _ in parts.values()), taken)
         self.assertGreater(sum(cpu for _, cpu in parts.values()), 0.0)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -73,7 +73,6 @@
             with self.subTest((status, body)):
                 self.assertEqual(read_ends(what, Response(status, headers, body, False)), tuple(ends))
 
-
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = End(0, Outcome.CONNECT_FAILED, table_full=True)
@@ -174,7 +173,9 @@
         client.pending = True
         self.assertTrue(server.answer(1, 202))
         self.assertFalse(server.answer(1, 202))  # answered already
-        client.pending = client.leaving = True  # its call was read after we had shut its connection for others' sake
+        client.pending = client.leaving = (
+            True  # its call was read after we had shut its connection for others' sake
+        )
         self.assertFalse(server.answer(1, 202))
         self.assertTrue(client.close)
         client.pending, client.leaving = True, False
@@ -184,7 +185,6 @@
         self.assertEqual((told.count(b" 202 "), told.count(b" 503 ")), (1, 2))
         self.assertFalse(server.answer(2, 202))
 
-
     def test_who_is_being_let_in_at_the_close_is_somebody(self) -> None:
         # Guards the end of the process between accept and the table of clients: nobody seemed to be here, and the
         # connection was reset with its call in it.
@@ -225,7 +225,9 @@
         server = Server(("127.0.0.1", 0), NAMES, 10, refuse)
         server.stop()
         with socket.create_connection(server.listener.getsockname(), 5.0) as late:
-            late.sendall(b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Service-Class: c\r\nX-Time-Left: 1\r\n")
+            late.sendall(
+                b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Service-Class: c\r\nX-Time-Left: 1\r\n"
+            )
             late.sendall(b"X-Addressing: dest=7\r\n\r\n")
             self.assertFalse(server.alone())
             server.close()
@@ -290,7 +292,6 @@
 class WorkersTest(WorkerRig):
     __test__ = True
 
-
     def outcome(self) -> Outcome:
         event = self.events.get(timeout=5.0)
         assert isinstance(event, Answered)
@@ -429,7 +430,9 @@
         while not self.workers.idle:  # it came up after all
             time.sleep(0)
         self.workers.start_attempt(start_attempt(2, self.port))
-        self.assertEqual(sock.recv(1000), b"")  # nothing was written on it, and it was not fit for the next one
+        self.assertEqual(
+            sock.recv(1000), b""
+        )  # nothing was written on it, and it was not fit for the next one
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -34,7 +34,9 @@
             except OSError:
                 return
             self.socks.append(sock)
-            threading.Thread(target=self._serve, args=(sock, self.answers.pop(0) if self.answers else OK)).start()
+            threading.Thread(
+                target=self._serve, args=(sock, self.answers.pop(0) if self.answers else OK)
+            ).start()
 
     def _serve(self, sock: socket.socket, answer: bytes | None) -> None:
         stream = Stream(sock.recv)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -229,7 +229,9 @@
         assert program.process is not None
         program.process.send_signal(signal.SIGKILL)
         program.process.wait(WAIT)
-        while (left := calls[0].at + WINDOW - time.monotonic()) > 0:  # real time has to pass: the window's end
+        while (
+            left := calls[0].at + WINDOW - time.monotonic()
+        ) > 0:  # real time has to pass: the window's end
             time.sleep(left)
         program.end()
         program.step = step
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -185,7 +185,9 @@
         self.do(EndpointsUpdated(41, True, (worker(),), known=True))
         return self.do(Replayed(restored))
 
-    def run_to(self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]) -> list[Effect]:
+    def run_to(
+        self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]
+    ) -> list[Effect]:
         """Fire what is due up to a time; all effects on the way."""
         seen, timers = list(effects), self.only(effects, Wake)
         while timers := sorted((w for w in timers if w.at <= until), key=lambda w: w.at):
@@ -241,7 +243,9 @@
         while sent := self.sent(effects):
             order += sent[0]
             effects = self.end(effects, (Outcome.OK, 0.0))
-        self.assertEqual((order, counters().get("restored_given_up_untried", 0)), (["r0", "r1", "r2", "r3"], before))
+        self.assertEqual(
+            (order, counters().get("restored_given_up_untried", 0)), (["r0", "r1", "r2", "r3"], before)
+        )
         self.assertEqual(self.sent(self.take("new")), [["new"]])
 
     def test_what_is_untried_goes_as_soon_as_the_list_names_its_destination(self) -> None:
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -59,7 +59,9 @@
                     began, effects = now, reducer.reduce(now, [WatchLost(0, lived)])
                     while not any(isinstance(e, WatchFrom) for e in effects):
                         now = min(e.at for e in effects if isinstance(e, Wake))
-                        effects = reducer.reduce(now, [e.due for e in effects if isinstance(e, Wake) and e.at <= now])
+                        effects = reducer.reduce(
+                            now, [e.due for e in effects if isinstance(e, Wake) and e.at <= now]
+                        )
                     waits.append(now - began)
                 self.assertLess(max(waits), widest)
                 self.assertGreater(min(waits), 0.3)
@@ -86,7 +88,12 @@
     def test_bytes_that_never_end_what_they_began_are_silence_too(self) -> None:
         # Guards the 6 s after silence: each byte was a sign of life, so a drain could go unheard for hours.
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        for begin, more in ((b"", b""), (b"HTTP/1.1 2", b"0"), (head + b"200000\r\n", b" "), (head, b"1\r\n{\r\n")):
+        for begin, more in (
+            (b"", b""),
+            (b"HTTP/1.1 2", b"0"),
+            (head + b"200000\r\n", b" "),
+            (head, b"1\r\n{\r\n"),
+        ):
             door = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(door.close)
             events: queue.Queue[Event] = queue.Queue()
@@ -100,7 +107,9 @@
                 self.addCleanup(sock.close)
                 sock.sendall(begin)
 
-                def drip(sock: socket.socket = sock, more: bytes = more, over: threading.Event = over) -> None:
+                def drip(
+                    sock: socket.socket = sock, more: bytes = more, over: threading.Event = over
+                ) -> None:
                     with contextlib.suppress(OSError):
                         while not over.wait(0.02):
                             sock.sendall(more)
@@ -248,7 +257,6 @@
 class ProbeOnSocketsTest(WorkerRig):
     __test__ = True
 
-
     def answer(self, reply: bytes) -> threading.Thread:
         def serve() -> None:
             sock, _ = self.door.accept()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -75,7 +75,7 @@
         self.fault(GOOD.replace("base.json", "none.json"), 3, "base", "No such file")
         self.fault(GOOD.replace('registry: "127.0.0.1:8500"\n', ""), 4, "instance[0].registry", "host:port")
         self.fault('name: "x"', 0, "instance", "one instance at least")
-        long = GOOD.replace('base: ', f'folder: "{"f" * 120}" base: ')
+        long = GOOD.replace("base: ", f'folder: "{"f" * 120}" base: ')
         self.fault(long, 3, "folder", "Unix socket's path")
 
     def test_syntax_and_unknown_fields_name_their_line(self) -> None:
@@ -119,4 +119,6 @@
                  f"--pyi_out={self.folder}", f"{name}.proto"], check=True,
             )  # fmt: skip
             for file in (f"{name}_pb2.py", f"{name}_pb2.pyi"):
-                self.assertEqual((self.folder / file).read_text(), (here / file).read_text(), f"{file} is stale")
+                self.assertEqual(
+                    (self.folder / file).read_text(), (here / file).read_text(), f"{file} is stale"
+                )
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -11,7 +11,16 @@
 
 from tests.player import ROOT, Program
 
-HEAVY = ("typer", "rich", "structlog", "msgspec", "google", "sqlite3", "pyrsistent", "juniperward.control.server")
+HEAVY = (
+    "typer",
+    "rich",
+    "structlog",
+    "msgspec",
+    "google",
+    "sqlite3",
+    "pyrsistent",
+    "juniperward.control.server",
+)
 
 
 class ShapeTest(unittest.TestCase):
@@ -40,7 +49,11 @@
         self.assertEqual(state, ["clock", "journal"])
 
     def test_a_wrong_word_is_told_without_a_traceback(self) -> None:
-        for words in (["dance"], ["fleet", "status", "--colour"], ["fleet", "status", "-a", "/none.textproto"]):
+        for words in (
+            ["dance"],
+            ["fleet", "status", "--colour"],
+            ["fleet", "status", "-a", "/none.textproto"],
+        ):
             found = subprocess.run(
                 [sys.executable, "-m", "juniperward", *words], cwd=ROOT, capture_output=True, text=True
             )
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -97,7 +97,9 @@
     node = Node(settings(cls), (Endpoint(10, 1, zone=0), Endpoint(11, 1, zone=1)))
     node.arrive(history=(Tried(0, 99.0),))
     assert (sends(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
-    node.arrive(history=(Tried(0, node.now - 2.0), Tried(11, node.now - 1.0)))  # one that is listed tells its zone
+    node.arrive(
+        history=(Tried(0, node.now - 2.0), Tried(11, node.now - 1.0))
+    )  # one that is listed tells its zone
     assert node.endpoint[2, 0] == 11
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,7 +18,9 @@
         # Guards a cap of 1,000 that refused the file.
         with tempfile.TemporaryDirectory() as name:
             (Path(name) / "base.json").write_text('{"settings": {}}')
-            rows = "".join(f'instance {{ name: "n{n}" listen: "127.0.0.1:{2000 + n}" }}\n' for n in range(1024))
+            rows = "".join(
+                f'instance {{ name: "n{n}" listen: "127.0.0.1:{2000 + n}" }}\n' for n in range(1024)
+            )
             file = Path(name) / "f.textproto"
             file.write_text('name: "y"\nbase: "base.json"\nregistry: "127.0.0.1:8500"\n' + rows)
             self.assertEqual(len(load(file).instances), 1024)
--- a/tests/test_standing_terms_clients.py
+++ b/tests/test_standing_terms_clients.py
@@ -212,7 +212,9 @@
                 ours, _ = listener.accept()
             self.addCleanup(theirs.close)
 
-            def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR, theirs: socket.socket = theirs) -> None:
+            def crossed(
+                sock: socket.socket, how: int = socket.SHUT_RDWR, theirs: socket.socket = theirs
+            ) -> None:
                 theirs.sendall(request("n2"))
                 shut(sock, how)
 
@@ -247,7 +249,9 @@
         # of its 2 s, and was answered 408, as failed.
         sock = self.connect()
         client = self.client()
-        client.until = client.since + 60.0  # the thread reads without an end; the time counts from the first byte
+        client.until = (
+            client.since + 60.0
+        )  # the thread reads without an end; the time counts from the first byte
         sock.sendall(request("n1")[:10])
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -85,7 +85,9 @@
         until = time.monotonic() + 5.0
         while time.monotonic() < until:
             records = list(self.recorder.records)
-            if sum(isinstance(r, Called) for r in records) <= sum(isinstance(r, Replied | Hung) for r in records):
+            if sum(isinstance(r, Called) for r in records) <= sum(
+                isinstance(r, Replied | Hung) for r in records
+            ):
                 return
             time.sleep(0.001)
         self.fail("a call that was answered was not noted")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -51,7 +51,9 @@
 FOLDER = Path(__file__).parent / "stored_data"
 CLASSES = (
     MessageClass(aim=4.0, deadline=20.0, late_worth=0.5),
-    MessageClass(aim=4.0, deadline=20.0, effect=MessageEffect.BY_KEY, window=12.0, dedup_scope=DedupScope.ALL),
+    MessageClass(
+        aim=4.0, deadline=20.0, effect=MessageEffect.BY_KEY, window=12.0, dedup_scope=DedupScope.ALL
+    ),
     MessageClass(aim=4.0, deadline=20.0, effect=MessageEffect.ONCE),
 )
 NOW = 5.0  # of the new process, by the clock of which the writer's time 0 is 0
@@ -153,13 +155,20 @@
     for effect in ("repeatable", "by-key", "once"):
         assert ends[f"{effect}-failed"] == "failed"
         assert ends[f"{effect}-rejected"] == "rejected"
-        assert ends[f"{effect}-accepted"] == ends[f"{effect}-not-run"] == ("delivered" if reachable else "rejected")
+        assert (
+            ends[f"{effect}-accepted"]
+            == ends[f"{effect}-not-run"]
+            == ("delivered" if reachable else "rejected")
+        )
     assert ends["by-key-started"] == ends["by-key-second"] == ("delivered" if reachable else "failed")
 
 
 def test_the_clock_of_the_same_boot_is_carried_over(folder: Path) -> None:
     assert clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, BOOT_ID, "journal") == WRITTEN_AT
-    assert clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, "another boot", "journal") == WRITTEN_AT + 0.5
+    assert (
+        clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, "another boot", "journal")
+        == WRITTEN_AT + 0.5
+    )
 
 
 def test_the_spool_gives_back_undelivered_messages_and_the_ends_of_resends(folder: Path) -> None:
@@ -186,7 +195,9 @@
 
 def read_lines(file: Path) -> list[tuple[Any, bytes]]:
     """Each line of a segment as a message, and as its bytes."""
-    return [(spools.decode(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"]
+    return [
+        (spools.decode(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"
+    ]
 
 
 def test_the_store_gives_back_each_message_with_its_story(folder: Path) -> None:
@@ -203,7 +214,12 @@
     assert store.stats() == expected["stats"]
     assert store.audit() == expected["audit"]
     (claim,) = store.open_resends()
-    assert (claim.message, claim.fence, claim.forwarder, claim.claimed_at) == ("m-claimed", 1, "n1", WRITTEN_AT + 1)
+    assert (claim.message, claim.fence, claim.forwarder, claim.claimed_at) == (
+        "m-claimed",
+        1,
+        "n1",
+        WRITTEN_AT + 1,
+    )
     assert store.place("n1") == (2, 345)
     seen = store.seen()
     assert seen is not None and (seen.wall, seen.boot, seen.boot_id) == (WRITTEN_AT + 10.0, 500.0, BOOT_ID)
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -170,7 +170,9 @@
         config = json.loads((yard.folder / "run" / "run" / "n0.json").read_text())
         pid = yard.row("n0")["pid"]
         by_hand = yard.folder / "hand.json"
-        by_hand.write_text(json.dumps({**config, "listen": "127.0.0.1:1", "control": str(yard.folder / "c" / "x")}))
+        by_hand.write_text(
+            json.dumps({**config, "listen": "127.0.0.1:1", "control": str(yard.folder / "c" / "x")})
+        )
         second = subprocess.run(
             [sys.executable, "-m", "juniperward"], cwd=ROOT, env={**os.environ, "ROUTER_CONFIG": str(by_hand)},
             capture_output=True, timeout=20.0,
@@ -205,10 +207,9 @@
         clients = yard.clients(30.0, 3.0, threads=16)
         time.sleep(0.5)
         yard.ask("kill", ["n0"])
-        yard.until(lambda s: s["instances"][0]["crashes"] or s["instances"][0]["up"] is not None and s["ready"] == 2)
+        yard.until(
+            lambda s: s["instances"][0]["crashes"] or s["instances"][0]["up"] is not None and s["ready"] == 2
+        )
         self.assertTrue(clients.done.wait(30.0))
         yard.until(lambda s: s["ready"] == 2)
         self.judge(yard)
-
-
-
