--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,8 @@
 	$(VENV)/bin/pytest -q
 
 check: $(VENV)/.done  ## what CI runs beside the tests
+	@! git ls-files | grep -E '\.(orig|rej)$$' || (echo 'left-overs of a merge are tracked' >&2; exit 1)
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
