--- a/juniperward/__init__.py
+++ b/juniperward/__init__.py
@@ -1,1 +1,1 @@
-"""juniperward: a message forwarder on real sockets round the decisions of nickelscale."""
+"""juniperward: a message forwarder on real sockets round a delivery scheduler that decides."""
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import End, StartAttempt
 from juniperward.net.http import DECIMAL, Response
-from nickelscale.interface import Outcome
+from juniperward.scheduler.interface import Outcome
 
 MOST_WAIT = 3600.0  # seconds; what tells a longer wait than this tells none
 MOST_REPORT = 1024  # bytes of a load report
--- a/juniperward/forwarder/batch.py
+++ b/juniperward/forwarder/batch.py
@@ -1,7 +1,7 @@
 """The body of a call of several messages: its encoding, and what one message takes of it.
 
 Input: messages. Output: bytes of the JSON array that the protocol page gives ('Forwarders to endpoints'). It never
-decides which messages share a call; nickelscale does, by the sizes told here.
+decides which messages share a call; the scheduler does, by the sizes told here.
 """
 
 from __future__ import annotations
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -11,8 +11,8 @@
 
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import Worker
-from nickelscale.benchlink import settings_from
-from nickelscale.interface import Phase, Settings
+from juniperward.scheduler.interface import Phase, Settings
+from juniperward.simulator_adapter.adapter import settings_from
 
 PHASES = {"Ready": Phase.READY, "Terminating": Phase.DRAINING, "Gone": Phase.GONE}
 
--- a/juniperward/forwarder/endpoint_list.py
+++ b/juniperward/forwarder/endpoint_list.py
@@ -17,7 +17,7 @@
     WatchFrom,
 )
 from juniperward.forwarder.state import State
-from nickelscale import interface
+from juniperward.scheduler import interface
 
 EMPTY_DESTINATION_KEPT_S = 60.0  # seconds for which a destination without workers is still one
 
--- a/juniperward/forwarder/introspection.py
+++ b/juniperward/forwarder/introspection.py
@@ -7,9 +7,9 @@
 
 from juniperward.control.protocol import Body, Counters, Destination, Rows, Status, Verb, WorkerRow
 from juniperward.forwarder.counters import counters
-from nickelscale import Sender
-from nickelscale.interface import Settings
-from nickelscale.view import sick, views
+from juniperward.scheduler import Sender
+from juniperward.scheduler.interface import Settings
+from juniperward.scheduler.view import sick, views
 
 if TYPE_CHECKING:
     from juniperward.forwarder.state import State
--- a/juniperward/forwarder/keeping.py
+++ b/juniperward/forwarder/keeping.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import Keep, Remember
 from juniperward.kept.spool import Attempt, Fate, Kept, Spool
-from nickelscale.interface import Settings
+from juniperward.scheduler.interface import Settings
 
 
 class Keeper:
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from juniperward.control.protocol import Answer, Request
-from nickelscale.interface import Outcome, Phase
+from juniperward.scheduler.interface import Outcome, Phase
 
 # --- values -----------------------------------------------------------------------------------------
 
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -1,7 +1,7 @@
 """All mutable state of the forwarder, and the one function that changes it.
 
 `reduce(now, events)` takes in what happened and returns what to do. It knows no clock, no thread and no
-I/O. Which message goes where and when is decided by nickelscale's `Sender`; the reducer keeps what the
+I/O. Which message goes where and when is decided by the scheduler; the reducer keeps what the
 sockets need beside it: texts for the module's numbers, what is journalled, and which attempt carries
 which messages.
 """
@@ -68,8 +68,8 @@
 from juniperward.forwarder.state import Attempt, Held, State
 from juniperward.kept.decisions import custody
 from juniperward.kept.spool import PREFIX
-from nickelscale import Sender, interface
-from nickelscale.rules import MINIMUM_ATTEMPT_SHARE
+from juniperward.scheduler import Sender, interface
+from juniperward.scheduler.rules import MINIMUM_ATTEMPT_SHARE
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
 FENCE_DURATION_S = 120.0  # seconds for which a resend that was told unknown is turned away
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -35,7 +35,7 @@
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
-from nickelscale.interface import Outcome
+from juniperward.scheduler.interface import Outcome
 
 KEEPALIVE_SHARE = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
 LONGEST_READ_S = 60.0  # after it a read ends whatever the reducer forgot; a class with more time has more
--- a/juniperward/lab/cold_budget.py
+++ b/juniperward/lab/cold_budget.py
@@ -11,7 +11,7 @@
 import math
 from dataclasses import dataclass
 
-from nickelscale.interface import Settings
+from juniperward.scheduler.interface import Settings
 
 TOLD_SHARE_THAT_BREAKS = 2.0 / 3.0
 
--- a/juniperward/lab/cold_return.py
+++ b/juniperward/lab/cold_return.py
@@ -16,8 +16,8 @@
 from enum import StrEnum
 
 from juniperward.lab.cold_budget import TOLD_SHARE_THAT_BREAKS, ColdBudget
-from nickelscale import Sender
-from nickelscale import interface as wire
+from juniperward.scheduler import Sender
+from juniperward.scheduler import interface as wire
 
 NETWORK_S = 0.002
 ANSWER_S = 0.001  # that a refusal or an error takes at the destination
--- a/juniperward/lab/policies.py
+++ b/juniperward/lab/policies.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from juniperward.lab.observation import Observation
-from nickelscale import Sender
-from nickelscale import interface as i
+from juniperward.scheduler import Sender
+from juniperward.scheduler import interface as i
 
 MARGIN = 0.02
 RETRY = 0.2
--- a/juniperward/lab/world.py
+++ b/juniperward/lab/world.py
@@ -18,7 +18,7 @@
 
 from juniperward.lab.cold_budget import ColdBudget
 from juniperward.lab.scenario import Scenario, Trouble
-from nickelscale import interface as i
+from juniperward.scheduler import interface as i
 
 NET = 0.002  # seconds one way, in the mean
 REFUSE = 0.001  # seconds that a refusal or a failure takes at the partner
--- a/juniperward/rigs/agreement.py
+++ b/juniperward/rigs/agreement.py
@@ -34,7 +34,7 @@
 WRAPPER = '''
 import juniperward.forwarder.reducer as reducer
 from juniperward.lab.policies import POLICIES
-from nickelscale import Sender, interface as i
+from juniperward.scheduler import Sender, interface as i
 
 class Other(Sender):
     """Another policy in our module's place; it asks for the list as ours does."""
--- a/juniperward/rigs/cost.py
+++ b/juniperward/rigs/cost.py
@@ -16,8 +16,8 @@
 import numpy as np
 
 from juniperward.rigs.measure import Report
-from nickelscale import Sender
-from nickelscale import interface as i
+from juniperward.scheduler import Sender
+from juniperward.scheduler import interface as i
 
 BUSY = 10
 ANSWER = 0.05
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -34,7 +34,7 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.rigs.measure import Report
-from nickelscale import interface as i
+from juniperward.scheduler import interface as i
 
 SERVERS, FORWARDERS = (1, 20, 300, 1024), (1, 40, 230, 1024)
 FEW, USUAL = 20, 200  # servers and forwarders while the other number changes
--- a/nickelscale/rules.py
+++ b/juniperward/scheduler/rules.py
@@ -1,4 +1,4 @@
-"""All decisions of nickelscale. Its types, events and actions: nickelscale/interface.py (records: state.py).
+"""All decisions of the scheduler. Its types: juniperward/scheduler/interface.py (records: state.py).
 
 Read top-down: tuned values, state, then `Sender`: `handle` takes in the events of a round, runs what is
 due, and releases messages once. The ordinary path is cost-charged deficit round robin (docs/design.md).
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from nickelscale.interface import (
+from juniperward.scheduler.interface import (
     Action,
     Arrived,
     Cancel,
@@ -38,8 +38,8 @@
     Watch,
     Withdrawn,
 )
-from nickelscale.interface import Endpoint as Entry
-from nickelscale.state import Bucket, Call, Destination, Endpoint, Message, Route, Turn
+from juniperward.scheduler.interface import Endpoint as Entry
+from juniperward.scheduler.state import Bucket, Call, Destination, Endpoint, Message, Route, Turn
 
 HEALTHY_CAP, SICK_CAP = 0.75, 0.5  # share of the slots that one destination may fill (design)
 PACE_CUT, PACE_FLOOR, PACE_STEP = 0.5, 1.0, 1.0  # pace: cut, floor (calls/s), growth a second (design)
--- a/nickelscale/state.py
+++ b/juniperward/scheduler/state.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from nickelscale.interface import MessageClass, Phase
+from juniperward.scheduler.interface import MessageClass, Phase
 
 Rank = tuple[bool, float, int]  # place of a message in its queue; the least goes first
 
--- a/nickelscale/view.py
+++ b/juniperward/scheduler/view.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from nickelscale.interface import Phase
-from nickelscale.rules import Sender
+from juniperward.scheduler.interface import Phase
+from juniperward.scheduler.rules import Sender
 
 
 @dataclass(frozen=True, slots=True)
--- a/nickelscale/benchlink.py
+++ b/juniperward/simulator_adapter/adapter.py
@@ -11,8 +11,8 @@
 import sys
 from typing import Any, TextIO
 
-from nickelscale import interface as i
-from nickelscale.rules import Sender
+from juniperward.scheduler import interface as i
+from juniperward.scheduler.rules import Sender
 
 MS = 0.001
 
@@ -261,7 +261,3 @@
         print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/decision_adapter.py
+++ b/tests/decision_adapter.py
@@ -11,8 +11,9 @@
 from dataclasses import replace
 from typing import Any
 
-from nickelscale import Sender, benchlink
-from nickelscale.interface import Arrived, Event, Send, Settled, Tried
+from juniperward.scheduler import Sender
+from juniperward.scheduler.interface import Arrived, Event, Send, Settled, Tried
+from juniperward.simulator_adapter import adapter as benchlink
 
 Body = dict[str, Any]
 S_PER_MS = 0.001
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -25,7 +25,7 @@
 from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Moved, WatchLost, Worker
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
-from nickelscale.interface import Phase
+from juniperward.scheduler.interface import Phase
 from tests.helpers import ONCE, settings
 
 NAMES = Names(("c",), (12.0,), (), ("m2",), ("a",))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from nickelscale.interface import (
+from juniperward.scheduler.interface import (
     Action,
     Arrived,
     Effect,
@@ -24,7 +24,7 @@
     Settled,
     TimerFired,
 )
-from nickelscale.rules import Sender
+from juniperward.scheduler.rules import Sender
 
 SAFE = MessageClass(aim=4.0, deadline=20.0, late_worth=0.5)
 KEYED = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=5.0, late_worth=0.5)
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.batch import encode_batch, item_bytes
 from juniperward.forwarder.messages import Call
 from juniperward.net.http import MOST_BODY
-from nickelscale.interface import MessageClass, Settings
+from juniperward.scheduler.interface import MessageClass, Settings
 
 
 def message(name: str, key: str | None, body: bytes) -> Call:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from nickelscale.benchlink import WireError, serve
+from juniperward.simulator_adapter.adapter import WireError, serve
 
 ROOT = Path(__file__).parent.parent
 CONFIG: dict[str, Any] = {
@@ -110,7 +110,7 @@
     def broken(*args: object) -> None:
         raise IndexError("no such place")
 
-    monkeypatch.setattr("nickelscale.rules.Sender.handle", broken)
+    monkeypatch.setattr("juniperward.scheduler.rules.Sender.handle", broken)
     (reply,) = play((10.0, start("node/0")))
     assert "no such place" in names(reply, "Die")[0]["NoteText"]
 
@@ -130,7 +130,7 @@
         serve(io.StringIO(text), sink)
     assert sink.getvalue() == ""
     done = subprocess.run(
-        [sys.executable, "-m", "nickelscale.benchlink"],
+        [sys.executable, "-m", "juniperward.simulator_adapter"],
         input=text,
         text=True,
         capture_output=True,
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -15,11 +15,11 @@
 from juniperward.lab.world import World
 from juniperward.rigs.cold import cold, play_all
 from juniperward.rigs.yard import ACCOUNTS, Yard
+from juniperward.scheduler import Sender
+from juniperward.scheduler.state import Destination, Route
 from juniperward.standins.clients import Clients, Traffic
 from juniperward.standins.partners import PartnerSpec
 from juniperward.standins.records import Called, Handed, Record
-from nickelscale import Sender
-from nickelscale.state import Destination, Route
 
 BUDGET = ColdBudget(capacity=10.0, cold_share=0.18, warm_within=10.0, fall_multiple=2.0, fall_span=3.0)
 FALLING = """
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,8 +13,8 @@
 
 from juniperward.lab.scenario import parse
 from juniperward.lab.world import World
-from nickelscale import Sender
-from nickelscale import interface as i
+from juniperward.scheduler import Sender
+from juniperward.scheduler import interface as i
 
 DAY = """
 shows: "a day on which destinations close and open"
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from nickelscale.interface import Cancel, Close, Endpoint, Listed, ListScope, Outcome, Send, Watch
+from juniperward.scheduler.interface import Cancel, Close, Endpoint, Listed, ListScope, Outcome, Send, Watch
 from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, refused, sends, settings
 
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from nickelscale.interface import Cancel, Endpoint, Kind, MessageClass, Outcome, Send
+from juniperward.scheduler.interface import Cancel, Endpoint, Kind, MessageClass, Outcome, Send
 from tests.helpers import KEYED, ONCE, SAFE, Node, refused, sends, settings
 
 
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -23,7 +23,7 @@
 from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Wake, WatchFrom, WatchLost
 from juniperward.forwarder.registry import DIAL, SILENT, Registry
 from juniperward.net import sockets
-from nickelscale.rules import ASK_FIRST, ASK_MOST
+from juniperward.scheduler.rules import ASK_FIRST, ASK_MOST
 from tests.discovery_rig import (
     HEAD,
     NAMES,
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from nickelscale.interface import Endpoint, Outcome, Send
+from juniperward.scheduler.interface import Endpoint, Outcome, Send
 from tests.helpers import KEYED, SAFE, Node, sends, settings
 
 NODES, RATING, SPAN = 300, 6.0, 2.0
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from nickelscale.interface import MessageClass
+from juniperward.scheduler.interface import MessageClass
 from tests.helpers import settings
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -38,12 +38,12 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.kept.spool import Fate, Spool, read, segments
 from juniperward.rigs.yard import Yard
+from juniperward.scheduler.interface import Arrived, Phase
+from juniperward.scheduler.interface import Tried as ModuleTried
 from juniperward.settings import fleet_pb2
 from juniperward.standins.partners import PartnerSpec
 from juniperward.standins.records import Handed as HandedRecord
 from juniperward.standins.records import Heard as HeardRecord
-from nickelscale.interface import Arrived, Phase
-from nickelscale.interface import Tried as ModuleTried
 from tests.helpers import KEYED, settings
 from tests.player import Player, Program
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -31,8 +31,8 @@
 from juniperward.lab.scenario import FOLDER, load, parse
 from juniperward.lab.search import Found, invent, judge, keep, mutate, search, shrink, sound
 from juniperward.lab.world import World
+from juniperward.scheduler import interface as i
 from juniperward.settings.load import SettingsError
-from nickelscale import interface as i
 
 SMALL = """
 shows: "a small day with an outage"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import ast
 from pathlib import Path
 
-RULES = Path(__file__).parent.parent / "nickelscale" / "rules.py"
+RULES = Path(__file__).parent.parent / "juniperward" / "scheduler" / "rules.py"
 
 
 def test_rules_stay_within_their_length() -> None:
@@ -15,7 +15,7 @@
 
 
 def test_rules_name_their_interface_first() -> None:
-    assert "nickelscale/interface.py" in RULES.read_text().splitlines()[0]
+    assert "juniperward/scheduler/interface.py" in RULES.read_text().splitlines()[0]
 
 
 def test_rules_know_no_clock_and_no_io() -> None:
@@ -23,4 +23,4 @@
     names = {n.name for node in ast.walk(tree) if isinstance(node, ast.Import) for n in node.names}
     names |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
     allowed = {"__future__", "heapq", "math", "random", "collections", "collections.abc", "dataclasses"}
-    assert names <= allowed | {"nickelscale.interface", "nickelscale.state"}
+    assert names <= allowed | {"juniperward.scheduler.interface", "juniperward.scheduler.state"}
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -21,7 +21,7 @@
     Worker,
 )
 from juniperward.forwarder.reducer import Reducer
-from nickelscale.interface import Outcome, Phase
+from juniperward.scheduler.interface import Outcome, Phase
 from tests.helpers import KEYED, settings
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,7 +32,7 @@
 from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
-from nickelscale.interface import Outcome
+from juniperward.scheduler.interface import Outcome
 from tests.rigs import WorkerRig
 
 NAMES = Names(("c",), (12.0,), (), (), ())
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -46,7 +46,7 @@
     Worker,
 )
 from juniperward.forwarder.reducer import MAX_COMPLETED_IDS, Reducer
-from nickelscale.interface import Kind, Outcome, Phase
+from juniperward.scheduler.interface import Kind, Outcome, Phase
 from tests.helpers import KEYED, ONCE, settings
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -36,10 +36,10 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.net.http import Stream, encode_call, read_response
+from juniperward.scheduler.interface import Effect, MessageClass
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Noticed, Recorder
 from juniperward.standins.registry import Registry
-from nickelscale.interface import Effect, MessageClass
 from tests.helpers import settings
 from tests.player import SETTINGS, Program
 from tests.test_reducer import ReducerRig, worker
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -39,7 +39,7 @@
 from juniperward.forwarder.workers import Workers
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call
-from nickelscale.interface import MessageClass, Outcome, Phase
+from juniperward.scheduler.interface import MessageClass, Outcome, Phase
 from tests.helpers import SAFE, settings
 from tests.player import Program
 from tests.rigs import WorkerRig
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -27,8 +27,8 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
-from nickelscale.benchlink import settings_from
-from nickelscale.interface import Outcome, Phase, Settings
+from juniperward.scheduler.interface import Outcome, Phase, Settings
+from juniperward.simulator_adapter.adapter import settings_from
 from tests.helpers import ONCE, settings
 from tests.rigs import WorkerRig
 from tests.test_reducer import worker
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -6,7 +6,16 @@
 
 import pytest
 
-from nickelscale.interface import DedupScope, Effect, Endpoint, Kind, MessageClass, Outcome, Send, Tried
+from juniperward.scheduler.interface import (
+    DedupScope,
+    Effect,
+    Endpoint,
+    Kind,
+    MessageClass,
+    Outcome,
+    Send,
+    Tried,
+)
 from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, gone, refused, sends, settings
 
 
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.messages import Answered, BatchItem, Call, ProbeFinished, StartAttempt, StartProbe
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
-from nickelscale.interface import Outcome
+from juniperward.scheduler.interface import Outcome
 from tests.rigs import WorkerRig
 
 WORKER = 3
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -42,9 +42,9 @@
 from juniperward.kept import spool as spools
 from juniperward.kept.spool import Spool
 from juniperward.kept.store import Filter, KeptStore
+from juniperward.scheduler.interface import DedupScope, MessageClass, Outcome, Phase
+from juniperward.scheduler.interface import Effect as MessageEffect
 from juniperward.settings.editions import Editions
-from nickelscale.interface import DedupScope, MessageClass, Outcome, Phase
-from nickelscale.interface import Effect as MessageEffect
 from tests.helpers import settings
 from tests.stored_data_writer import BOOT_ID, WRITTEN_AT
 
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from nickelscale.interface import Endpoint, Kind, Outcome
-from nickelscale.state import Route
+from juniperward.scheduler.interface import Endpoint, Kind, Outcome
+from juniperward.scheduler.state import Route
 from tests.helpers import SAFE, Node, sends, settings
 
 APART = (Kind(batch=1, routes_apart=True), Kind(batch=10, routes_apart=True))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -25,7 +25,7 @@
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
-from nickelscale.interface import Outcome
+from juniperward.scheduler.interface import Outcome
 
 SETTINGS = "0.0 juniperward: trace: Settings(classes=(MessageClass(aim=2.0, deadline=12.0)), slots=6)"
 
