--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import End, StartAttempt
 from juniperward.net.http import DECIMAL, Response
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 
 MOST_WAIT = 3600.0  # seconds; what tells a longer wait than this tells none
 MOST_REPORT = 1024  # bytes of a load report
@@ -42,9 +42,9 @@
 STATES = {
     "ok": State(Outcome.OK),
     "error": State(Outcome.ERROR),
-    "later": State(Outcome.FULL),
-    "gone": State(Outcome.MOOT, over=True),
-    "exhausted": State(Outcome.MOOT),
+    "later": State(Outcome.OVERLOADED),
+    "gone": State(Outcome.NOT_SENT, over=True),
+    "exhausted": State(Outcome.NOT_SENT),
 }
 
 
@@ -124,7 +124,7 @@
             count("tables_full")
             return Outcome.CONNECT_FAILED  # no place in its table, as for a call
         case 503 | 429:
-            return Outcome.FULL
+            return Outcome.OVERLOADED
         case status:
             count("probes_unknown")
             log("probe", f"a probe was answered {status}, which is taken as an error")
@@ -141,23 +141,23 @@
         case 200:
             return ends_of_all(what, Outcome.OK, wait, report)
         case 429:
-            return ends_of_all(what, Outcome.FULL, wait, report)
+            return ends_of_all(what, Outcome.OVERLOADED, wait, report)
         case 503 if answer.headers.get("x-over-slots") == "1":
-            return ends_of_all(what, Outcome.MOOT, wait, report, slots_taken=True)
+            return ends_of_all(what, Outcome.NOT_SENT, wait, report, slots_taken=True)
         case 503 if fresh and answer.close and wait <= 0:
             # Over its limit a worker keeps the connection; one that it ends at once had no place in its table.
             count("tables_full")
             return ends_of_all(what, Outcome.CONNECT_FAILED, 0.0, report, table_full=True)
         case 503:
-            return ends_of_all(what, Outcome.FULL, wait, report)
+            return ends_of_all(what, Outcome.OVERLOADED, wait, report)
         case 504:
-            return ends_of_all(what, Outcome.MOOT, wait, report)
+            return ends_of_all(what, Outcome.NOT_SENT, wait, report)
         case 410:
-            return ends_of_all(what, Outcome.MOOT, wait, report, over=True)
+            return ends_of_all(what, Outcome.NOT_SENT, wait, report, over=True)
         case 400 | 413 if many:
             count("batches_unread")
             log("worker", f"{what.host}:{what.port} does not take a call of {len(what.items)} messages")
-            return ends_of_all(what, Outcome.MOOT, wait, report)
+            return ends_of_all(what, Outcome.NOT_SENT, wait, report)
         case 500:
             return ends_of_all(what, Outcome.ERROR, wait, report)
         case status:
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -11,10 +11,11 @@
 
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import Worker
-from juniperward.scheduler.interface import Phase, Settings
-from juniperward.simulator_adapter.adapter import settings_from
+from juniperward.scheduler.events import EndpointPhase
+from juniperward.scheduler.settings import SchedulerSettings
+from juniperward.scheduler.settings_codec import read_settings
 
-PHASES = {"Ready": Phase.READY, "Terminating": Phase.DRAINING, "Gone": Phase.GONE}
+PHASES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.GONE}
 
 
 class ConfigError(Exception):
@@ -52,7 +53,7 @@
     seed: int
     sockets: int
     disk_bytes: int
-    settings: Settings
+    settings: SchedulerSettings
     names: Names
     known: News
     spool: Path | None = None  # where messages that are given up are kept; they are not without it
@@ -131,7 +132,7 @@
 
 def _from_json(given: Any, environment: Mapping[str, str]) -> Config:
     raw = given["settings"]
-    settings = settings_from(raw)
+    settings = read_settings(raw)
     names = Names(
         classes=tuple(c["Name"] for c in raw["Services"]),
         deadlines=tuple(float(c["DeadlineMs"]) / 1000 for c in raw["Services"]),
--- a/juniperward/forwarder/endpoint_list.py
+++ b/juniperward/forwarder/endpoint_list.py
@@ -17,7 +17,7 @@
     WatchFrom,
 )
 from juniperward.forwarder.state import State
-from juniperward.scheduler import interface
+from juniperward.scheduler import events as scheduler_events
 
 EMPTY_DESTINATION_KEPT_S = 60.0  # seconds for which a destination without workers is still one
 
@@ -27,7 +27,7 @@
 
     state: State
     effects: list[Effect]
-    news: list[interface.Event]
+    news: list[scheduler_events.Event]
 
     def _watch(self) -> None:
         """One watch at a time; a second would only stand in line behind it."""
@@ -63,16 +63,20 @@
             number = self._worker_number(w.id)
             named.add(number)
             state.workers[number] = w
-            (state.gone.add if w.phase is interface.Phase.GONE else state.gone.discard)(number)
-            self.effects.append(SetDraining(number, w.phase is not interface.Phase.READY))
-            entries.append(interface.Endpoint(number, w.destination, w.phase, w.kind, w.zone, w.weight))
+            (state.gone.add if w.phase is scheduler_events.EndpointPhase.GONE else state.gone.discard)(number)
+            self.effects.append(SetDraining(number, w.phase is not scheduler_events.EndpointPhase.READY))
+            entries.append(
+                scheduler_events.EndpointEntry(number, w.destination, w.phase, w.kind, w.zone, w.weight)
+            )
         if event.full:
             missing = [number for number in state.workers if number not in named]
             state.gone.update(missing)
             self.effects += [SetDraining(number, True) for number in missing]
-        scope = interface.ListScope.FULL if event.full else interface.ListScope.DELTA
+        scope = scheduler_events.ListScope.FULL if event.full else scheduler_events.ListScope.DELTA
         self.news.append(
-            interface.Listed(interface.ListScope.CACHED if event.known else scope, tuple(entries))
+            scheduler_events.EndpointListUpdated(
+                scheduler_events.ListScope.CACHED if event.known else scope, tuple(entries)
+            )
         )
         self._forget_workers(now)
 
--- a/juniperward/forwarder/introspection.py
+++ b/juniperward/forwarder/introspection.py
@@ -7,9 +7,9 @@
 
 from juniperward.control.protocol import Body, Counters, Destination, Rows, Status, Verb, WorkerRow
 from juniperward.forwarder.counters import counters
-from juniperward.scheduler import Sender
-from juniperward.scheduler.interface import Settings
-from juniperward.scheduler.view import sick, views
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.settings import SchedulerSettings
+from juniperward.scheduler.status import DestinationStatus, destination_statuses, ejected_destinations
 
 if TYPE_CHECKING:
     from juniperward.forwarder.state import State
@@ -18,18 +18,18 @@
 FAILED = ("error", "timeout", "reset", "connect_failed")
 
 
-def answer(verb: Verb, state: State, settings: Settings, sender: Sender, now: float) -> Body:
+def answer(
+    verb: Verb, state: State, settings: SchedulerSettings, scheduler: DeliveryScheduler, now: float
+) -> Body:
     """The body of the answer to a request; orders are answered with the state right after them."""
     match verb:
         case Verb.DESTINATIONS:
-            fields = ("destination", "health", "waiting", "in_flight", "pace", "rating", "wait", "warming",
-                      "latency", "endpoints")  # fmt: skip
-            return Rows(tuple(Destination(*(getattr(v, f) for f in fields)) for v in views(sender, now)))
+            return Rows(tuple(_destination(status) for status in destination_statuses(scheduler, now)))
         case Verb.WORKERS:
             return Rows((), _workers(state))
         case Verb.COUNTERS:
             return Counters(counters())
-    return status(state, settings, sender, now)
+    return status(state, settings, scheduler, now)
 
 
 def phase(state: State) -> str:
@@ -41,7 +41,7 @@
     return "draining" if state.held or state.offered or state.in_flight or state.unacknowledged else "drained"
 
 
-def status(state: State, settings: Settings, sender: Sender, now: float) -> Status:
+def status(state: State, settings: SchedulerSettings, scheduler: DeliveryScheduler, now: float) -> Status:
     """The state of this forwarder; what only the process knows (name, journal) is put in by the loop."""
     c = counters()
     oldest = next(iter(state.held.values()), None)  # messages are held in the order taken
@@ -55,7 +55,7 @@
         journal_bytes=0, journal_live=0,
         registry_version=state.version,
         registry_age=now - state.endpoints_updated_at if state.endpoints_updated_at is not None else -1.0,
-        destinations=len(state.destinations), destinations_sick=sick(sender),
+        destinations=len(state.destinations), destinations_sick=ejected_destinations(scheduler),
         taken_on=c.get("taken_on", 0), restored=c.get("restored", 0), delivered=c.get("delivered", 0),
         given_up=c.get("given_up_failed", 0) + c.get("given_up_refused", 0),
         turned_away=sum(v for k, v in c.items() if k.startswith("overload_replies_")),
@@ -66,6 +66,21 @@
     )  # fmt: skip
 
 
+def _destination(status: DestinationStatus) -> Destination:
+    return Destination(
+        destination=status.destination,
+        health=status.health.value,
+        waiting=status.queued,
+        in_flight=status.in_flight,
+        pace=status.rate_limit,
+        rating=status.listed_rate,
+        wait=status.retry_after_s,
+        warming=status.warming_up_for_s,
+        latency=status.mean_latency_s,
+        endpoints=status.ready_endpoints,
+    )
+
+
 def _workers(state: State) -> tuple[WorkerRow, ...]:
     calls: dict[int, int] = {}
     for attempt in state.in_flight.values():
--- a/juniperward/forwarder/keeping.py
+++ b/juniperward/forwarder/keeping.py
@@ -9,13 +9,13 @@
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.messages import Keep, Remember
 from juniperward.kept.spool import Attempt, Fate, Kept, Spool
-from juniperward.scheduler.interface import Settings
+from juniperward.scheduler.settings import SchedulerSettings
 
 
 class Keeper:
     """Used by the loop only. What cannot be written is counted and logged; the service goes on."""
 
-    def __init__(self, spool: Spool, settings: Settings, names: Names, to_unix: float) -> None:
+    def __init__(self, spool: Spool, settings: SchedulerSettings, names: Names, to_unix: float) -> None:
         self.spool, self.settings, self.names, self.to_unix = spool, settings, names, to_unix
 
     def keep(self, effect: Keep) -> None:
@@ -27,7 +27,7 @@
             self.spool.keep(
                 Kept(
                     c.id, self.names.classes[c.cls], account, c.destination, c.key, c.body,
-                    effect.since + shift, effect.at + shift, attempts, cls.effect.value, cls.window,
+                    effect.since + shift, effect.at + shift, attempts, cls.idempotency.value, cls.deduplication_window_s,
                     effect.workers,
                 )
             )  # fmt: skip
--- a/juniperward/forwarder/messages.py
+++ b/juniperward/forwarder/messages.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from juniperward.control.protocol import Answer, Request
-from juniperward.scheduler.interface import Outcome, Phase
+from juniperward.scheduler.events import EndpointPhase, Outcome
 
 # --- values -----------------------------------------------------------------------------------------
 
@@ -38,7 +38,7 @@
     host: str
     port: int
     destination: int
-    phase: Phase
+    phase: EndpointPhase
     kind: int
     zone: int
     weight: float
--- a/juniperward/forwarder/reducer.py
+++ b/juniperward/forwarder/reducer.py
@@ -65,11 +65,15 @@
     WithdrawResult,
     Worker,
 )
+from juniperward.forwarder.outcome_words import OUTCOME_WORDS
 from juniperward.forwarder.state import Attempt, Held, State
 from juniperward.kept.decisions import custody
 from juniperward.kept.spool import PREFIX
-from juniperward.scheduler import Sender, interface
-from juniperward.scheduler.rules import MINIMUM_ATTEMPT_SHARE
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler import actions as scheduler_actions
+from juniperward.scheduler import events as scheduler_events
+from juniperward.scheduler import settings as scheduler_settings
+from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_SHARE
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
 FENCE_DURATION_S = 120.0  # seconds for which a resend that was told unknown is turned away
@@ -98,15 +102,15 @@
     """Drives the module; the only place where the forwarder's state changes."""
 
     def __init__(
-        self, settings: interface.Settings, seed: int, keeps: bool = False, kept: frozenset[str] = frozenset()
+        self, settings: scheduler_settings.SchedulerSettings, seed: int, keeps: bool = False, kept: frozenset[str] = frozenset()
     ) -> None:
         self.settings = settings
         self.keeps = keeps  # what is given up is kept
         self.kept = kept  # messages that an earlier life kept, and may not have written down as over
-        self.sender = Sender(settings, seed)
+        self.scheduler = DeliveryScheduler(settings, seed)
         self.state = State()
         self.effects: list[Effect] = []
-        self.news: list[interface.Event] = []
+        self.news: list[scheduler_events.Event] = []
 
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
         """Take in all events of a round; the effects are to be carried out in their order."""
@@ -147,7 +151,7 @@
             case Answered():
                 self._answered(now, event)
             case ModuleTimer(token=token):
-                self.news.append(interface.TimerFired(token))
+                self.news.append(scheduler_events.TimerFired(token))
             case TimeUp(attempt_number=number, message=message):
                 self._time_up(number, message)
             case WithdrawResult():
@@ -169,8 +173,8 @@
                     count("watches_lost")
                     self.state.watching = False
                     if lived:  # the module asks again soon: it is no call that failed, one after another
-                        self.news.append(interface.Listed(interface.ListScope.DELTA))
-                    self.news.append(interface.Listed(interface.ListScope.FAILED))
+                        self.news.append(scheduler_events.EndpointListUpdated(scheduler_events.ListScope.DELTA))
+                    self.news.append(scheduler_events.EndpointListUpdated(scheduler_events.ListScope.FAILED))
             case Moved(registry=address):
                 self._move(address)
             case NotificationAcknowledged(ids=ids):
@@ -209,7 +213,7 @@
             state.fenced.update((r.id, now) for r in rows if r.end == "unknown")
             self.effects.append(SendControlReply(event.client, Answer(event.request.id, Fates(0.0, rows))))
             return
-        body = introspection.answer(verb, self.state, self.settings, self.sender, now)
+        body = introspection.answer(verb, self.state, self.settings, self.scheduler, now)
         self.effects.append(SendControlReply(event.client, Answer(event.request.id, body)))
 
     # --- messages coming in ------------------------------------------------------------------------
@@ -265,17 +269,17 @@
         holds(len(state.held) <= self.settings.max_open, "no_more_held_than_max_open")
         c = held.call
         left = max(held.expires - now, 0.0)
-        history = (interface.Tried(0, held.ran_at),) if held.ran_at is not None else ()
+        history = (scheduler_events.PastAttempt(0, held.ran_at),) if held.ran_at is not None else ()
         self.news.append(
-            interface.Arrived(
-                number, c.cls, c.destination, left, c.tenant, c.key, history=history, early=_early(held) - now,
+            scheduler_events.MessageAdmitted(
+                number, c.cls, c.destination, left, c.tenant, c.key, history=history, attempt_for_s=_early(held) - now,
                 batch_bytes=self._batch_bytes(c),
             )
         )
 
     def _batch_bytes(self, message: Call) -> int:
         """What the module has to know of a message's size; nothing where no call carries several."""
-        return item_bytes(message) if any(kind.batch > 1 for kind in self.settings.kinds) else 0
+        return item_bytes(message) if any(kind.batch_size > 1 for kind in self.settings.kinds) else 0
 
     def _restore(self, now: float, r: Restored) -> None:
         state = self.state
@@ -302,14 +306,14 @@
         state.held[held.number] = held
         state.numbers[r.call.id] = held.number
         history = tuple(
-            interface.Tried(state.worker_numbers.get(d.worker, 0), d.at if d.may_have_run else None)
+            scheduler_events.PastAttempt(state.worker_numbers.get(d.worker, 0), d.at if d.may_have_run else None)
             for d in r.history
         )
         c = r.call
         self.news.append(
-            interface.Arrived(
+            scheduler_events.MessageAdmitted(
                 held.number, c.cls, c.destination, expires - now, c.tenant, c.key, history=history,
-                early=expires - now, owed=held.owed, batch_bytes=self._batch_bytes(c),
+                attempt_for_s=expires - now, never_attempted=held.owed, batch_bytes=self._batch_bytes(c),
             )
         )
 
@@ -320,44 +324,44 @@
         if attempt is None:
             return  # cancelled meanwhile
         # What the module learns from is the first end it hears of: the refusals among them, if any.
-        for end in sorted(event.ends, key=lambda x: (x.outcome is not interface.Outcome.FULL, x.message)):
+        for end in sorted(event.ends, key=lambda x: (x.outcome is not scheduler_events.Outcome.OVERLOADED, x.message)):
             if end.message in attempt.waiting:
                 self._settle(now, attempt, end)
         for message in list(attempt.waiting):
             holds(False, "every_message_of_a_delegation_ends")
-            self._settle(now, attempt, End(message, interface.Outcome.RESET))
+            self._settle(now, attempt, End(message, scheduler_events.Outcome.RESET))
         self.state.in_flight.pop(event.attempt_number, None)
 
     def _settle(self, now: float, attempt: Attempt, end: End) -> None:
         ordinal = attempt.waiting.pop(end.message)
         held = self.state.held.get(end.message)
         worker = self.state.workers[attempt.worker]
-        count(f"delegations_{end.outcome.name.lower()}")
-        over = end.over or end.outcome is interface.Outcome.OK
+        count(f"delegations_{OUTCOME_WORDS[end.outcome]}")
+        over = end.over or end.outcome is scheduler_events.Outcome.OK
         if held is not None:
             held.attempt_number = None
             if held.owed and end.begun:
                 held.owed = False
                 count("restored_tried")
-            if not end.outcome.never_ran and not over and held.ran_at is None:
+            if not end.outcome.never_executed and not over and held.ran_at is None:
                 held.ran_at = held.began_at
             if self.keeps:
-                may = not end.outcome.never_ran
-                held.story.append(Tried(worker.id, held.began_at, end.outcome.name.lower(), may))
-            if end.outcome is interface.Outcome.OK:
+                may = not end.outcome.never_executed
+                held.story.append(Tried(worker.id, held.began_at, OUTCOME_WORDS[end.outcome], may))
+            if end.outcome is scheduler_events.Outcome.OK:
                 count("delivered")
             if over:
                 self._forget(held, now)
                 if self.keeps and held.call.id.startswith(PREFIX):
-                    name = "delivered" if end.outcome is interface.Outcome.OK else "undeliverable"
+                    name = "delivered" if end.outcome is scheduler_events.Outcome.OK else "undeliverable"
                     self.effects.append(Remember(held.call.id, name, held.ran_at))
                 self.effects.append(Append(Completed(held.call.id)))
             elif end.begun:
-                self.effects.append(Append(AttemptFinished(held.call.id, not end.outcome.never_ran)))
+                self.effects.append(Append(AttemptFinished(held.call.id, not end.outcome.never_executed)))
         if end.wait > 0:
             self.effects.append(HoldUntil(self._route(worker), now + end.wait))
         self.news.append(
-            interface.Settled(
+            scheduler_events.AttemptFinished(
                 end.message, ordinal, attempt.worker, end.outcome, now - attempt.began, over, end.wait,
                 end.slots_taken, end.room, end.limit, end.table_full,
             )
@@ -383,7 +387,7 @@
             now,
             attempt,
             End(
-                event.message, interface.Outcome.MOOT if never else interface.Outcome.TIMEOUT, begun=not never
+                event.message, scheduler_events.Outcome.NOT_SENT if never else scheduler_events.Outcome.TIMEOUT, begun=not never
             ),
         )
         if not attempt.waiting:
@@ -416,7 +420,7 @@
                 now,
                 attempt,
                 End(
-                    message, interface.Outcome.MOOT if never else interface.Outcome.CANCELLED, begun=not never
+                    message, scheduler_events.Outcome.NOT_SENT if never else scheduler_events.Outcome.CANCELLED, begun=not never
                 ),
             )
 
@@ -429,7 +433,7 @@
 
     def _forget_ended(self, now: float) -> None:
         """The ids of messages that are over are known for as long as a copy of theirs could still be in time."""
-        ended, longest = self.state.ended, max(c.deadline for c in self.settings.classes)
+        ended, longest = self.state.ended, max(c.deadline_s for c in self.settings.classes)
         while ended:
             name, at = next(iter(ended.items()))
             if len(ended) <= MAX_COMPLETED_IDS and now < at + longest:
@@ -461,32 +465,37 @@
     def _decide(self, now: float) -> None:
         """Ask the module; whatever fails in it must not take its other messages along."""
         try:
-            actions = self.sender.handle(now, self.news)
+            actions = self.scheduler.handle(now, self.news)
         except Exception as error:
             if __debug__:
                 raise
             trouble("module", error)
-            actions = [*self.sender.out, interface.SetTimer(MODULE_RETRY_AFTER_S, self.sender.token)]
-        sends: dict[tuple[int, int], list[interface.Send]] = {}  # by endpoint and call
+            actions = [
+                *self.scheduler.pending_actions,
+                scheduler_actions.SetTimer(MODULE_RETRY_AFTER_S, self.scheduler.timer_token),
+            ]
+        sends: dict[tuple[int, int], list[scheduler_actions.StartAttempt]] = {}  # by endpoint and call
         for a in actions:
             match a:
-                case interface.Send():
-                    sends.setdefault((a.endpoint, a.call), []).append(a)
-                case interface.Refuse(message=number, retry_after=again):
+                case scheduler_actions.StartAttempt():
+                    sends.setdefault((a.endpoint, a.batch), []).append(a)
+                case scheduler_actions.Reject(message=number, retry_after_s=again):
                     self._final(now, number, again)
-                case interface.Fail(message=number):
+                case scheduler_actions.Fail(message=number):
                     self._final(now, number, None)
-                case interface.Cancel(message=number):
+                case scheduler_actions.CancelAttempt(message=number):
                     self._cancel(number)
-                case interface.SetTimer(delay=delay, token=token):
+                case scheduler_actions.SetTimer(delay_s=delay, token=token):
                     self.effects.append(Wake(now + delay, ModuleTimer(token)))
-                case interface.Close(endpoint=worker):
+                case scheduler_actions.CloseIdleConnections(endpoint=worker):
                     self.effects.append(CloseIdle(worker))
-                case interface.Watch():
+                case scheduler_actions.PollEndpointList():
                     self._watch()
-                case interface.Log(text=text):
-                    self.effects.append(LogLine(text))
-                case interface.Probe(endpoint=worker):
+                case scheduler_actions.DestinationEjected(destination=number, reason=why):
+                    self.effects.append(LogLine(f"destination {number} ejected: {why.value}"))
+                case scheduler_actions.DestinationRecovered(destination=number):
+                    self.effects.append(LogLine(f"destination {number} recovered: warming up"))
+                case scheduler_actions.StartHealthCheck(endpoint=worker):
                     self._start_probe(now, worker)
         # Attempts come last: what a round gives up or closes must not be met by what it starts.
         for (worker, _), asked in sends.items():
@@ -514,12 +523,12 @@
         state = self.state
         w = state.workers.get(worker)
         if w is None or worker in state.gone:
-            self.news.append(interface.Probed(worker, interface.Outcome.MOOT, 0.0))
+            self.news.append(scheduler_events.HealthCheckFinished(worker, scheduler_events.Outcome.NOT_SENT, 0.0))
             return
         state.last_attempt_number += 1
         state.probes[state.last_attempt_number] = worker
         count("probes")
-        deadline = now + PROBE_TIMEOUT_PER_DIAL_TIMEOUT * self.settings.dial_timeout
+        deadline = now + PROBE_TIMEOUT_PER_DIAL_TIMEOUT * self.settings.dial_timeout_s
         self.effects.append(
             StartProbe(
                 state.last_attempt_number, worker, w.host, w.port, w.destination, deadline, self._route(w)
@@ -534,15 +543,15 @@
         if event.wait > 0 and w is not None:
             self.effects.append(HoldUntil(self._route(w), now + event.wait))
         self.news.append(
-            interface.Probed(event.worker, event.outcome, event.latency, event.room, event.limit)
+            scheduler_events.HealthCheckFinished(event.worker, event.outcome, event.latency, event.room, event.limit)
         )
 
-    def _start_attempts(self, now: float, worker: int, asked: list[interface.Send]) -> None:
+    def _start_attempts(self, now: float, worker: int, asked: list[scheduler_actions.StartAttempt]) -> None:
         state = self.state
         if state.stop_at is not None and now > state.stop_at - LAST_ATTEMPT_BEFORE_EXIT_S:
             return  # it could not end in this life; the journal has the message for the next one
         w = state.workers[worker]
-        batch = self.settings.kind(w.kind).batch
+        batch = self.settings.kind(w.kind).batch_size
         for first in range(0, len(asked), batch):
             state.last_attempt_number += 1
             attempt = state.in_flight[state.last_attempt_number] = Attempt(
@@ -556,7 +565,7 @@
                 trouble("delegation", error)
                 self.effects.append(Wake(now, AttemptCancelled(attempt.number, Progress.WAITS)))
 
-    def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[interface.Send]) -> None:
+    def _start_attempt(self, now: float, attempt: Attempt, w: Worker, asked: list[scheduler_actions.StartAttempt]) -> None:
         """Make a call; its thread journals the attempts right before their first byte."""
         items = []
         for a in asked:
@@ -566,11 +575,11 @@
             attempt.waiting[a.message] = held.attempts
             held.attempts += 1
             held.attempt_number, held.began_at = attempt.number, now
-            items.append(BatchItem(a.message, held.call, now + a.within))
-            self.effects.append(Wake(now + a.timeout, TimeUp(attempt.number, a.message)))
+            items.append(BatchItem(a.message, held.call, now + a.start_within_s))
+            self.effects.append(Wake(now + a.timeout_s, TimeUp(attempt.number, a.message)))
         holds(len(self.state.in_flight) <= self.settings.slots, "no_more_calls_than_slots")
         count("delegations")
-        deadline = now + max(a.timeout for a in asked)
+        deadline = now + max(a.timeout_s for a in asked)
         self.effects.append(
             StartAttempt(
                 attempt.number,
@@ -587,4 +596,4 @@
 
     def _route(self, w: Worker) -> Route:
         """What a wait binds that this worker tells: its destination, or where routes are apart it alone."""
-        return w.id if self.settings.kind(w.kind).routes_apart else w.destination
+        return w.id if self.settings.kind(w.kind).separate_routes else w.destination
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -59,13 +59,13 @@
     bounds = share_out(config.sockets, config.settings.slots)
     loop.server = Server(config.listen, config.names, bounds.clients, loop.post, bounds.leaving_clients)
     loop.workers = Workers(
-        config.settings.dial_timeout,
-        config.settings.keepalive,
+        config.settings.dial_timeout_s,
+        config.settings.keepalive_s,
         most_threads=bounds.calls,
         most_idle=bounds.idle_to_endpoints,
         post=loop.post,
         note=journal.append,
-        longest=max(c.deadline for c in config.settings.classes),
+        longest=max(c.deadline_s for c in config.settings.classes),
     )
     loop.registry = Registry(config.registry, config.names, loop.post)
     return loop
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -30,6 +30,7 @@
     TimeUp,
     WithdrawResult,
 )
+from juniperward.forwarder.outcome_words import OUTCOME_WORDS
 
 PREFIX = "juniperward: trace:"
 
@@ -51,7 +52,7 @@
                     lines.append(f"handed {self.asked[e.client]} {e.call.time_left:.3f}")
                 case Answered():
                     for x in e.ends:
-                        lines.append(f"ended {e.attempt_number} {x.outcome.name.lower()} {x.wait:.3f}")
+                        lines.append(f"ended {e.attempt_number} {OUTCOME_WORDS[x.outcome]} {x.wait:.3f}")
                 case TimeUp():
                     lines.append(f"up {e.attempt_number}")
                 case WithdrawResult():
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -35,7 +35,7 @@
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 
 KEEPALIVE_SHARE = 0.9  # part of the workers' keepalive after which an idle connection is not used any more
 LONGEST_READ_S = 60.0  # after it a read ends whatever the reducer forgot; a class with more time has more
@@ -254,7 +254,7 @@
         if self._begin(attempt) is None:
             count("probes_withheld")
             self._put_back(what.worker, kept)
-            return ended(Outcome.MOOT)
+            return ended(Outcome.NOT_SENT)
         kept.latest = what.deadline
         try:
             kept.sock.sendall(encode_call("GET", "/health/live", f"{what.host}:{what.port}", {}, None))
@@ -293,12 +293,12 @@
             # It waited behind a dial: what came meanwhile from the registry or the worker binds it.
             count("delegations_withheld")
             self._put_back(what.worker, kept)
-            return ends_of_all(what, Outcome.MOOT, begun=False)
+            return ends_of_all(what, Outcome.NOT_SENT, begun=False)
         # What ended meanwhile was told its end: sent on now it would run, and be brought a second time.
         if len(items) == len(what.items):
             return self._exchange(attempt, what, kept, fresh)
         count("messages_left_out", len(what.items) - len(items))
-        ends = {end.message: end for end in ends_of_all(what, Outcome.MOOT, begun=False)}
+        ends = {end.message: end for end in ends_of_all(what, Outcome.NOT_SENT, begun=False)}
         ends |= {end.message: end for end in self._exchange(attempt, replace(what, items=items), kept, fresh)}
         return tuple(ends.values())
 
--- a/juniperward/lab/cold_budget.py
+++ b/juniperward/lab/cold_budget.py
@@ -11,7 +11,7 @@
 import math
 from dataclasses import dataclass
 
-from juniperward.scheduler.interface import Settings
+from juniperward.scheduler.settings import SchedulerSettings
 
 TOLD_SHARE_THAT_BREAKS = 2.0 / 3.0
 
@@ -32,10 +32,14 @@
     fall_span: float
 
     @classmethod
-    def of(cls, settings: Settings, capacity: float) -> ColdBudget:
+    def of(cls, settings: SchedulerSettings, capacity: float) -> ColdBudget:
         """The budget that a forwarder's settings give for a destination of that capacity."""
         return cls(
-            capacity, settings.cold_share, settings.warm_within, settings.fall_multiple, settings.fall_span
+            capacity,
+            settings.cold_capacity_share,
+            settings.warm_up_s,
+            settings.overload_multiple,
+            settings.overload_span_s,
         )
 
     def present_capacity(self, since_return: float) -> float:
--- a/juniperward/lab/cold_return.py
+++ b/juniperward/lab/cold_return.py
@@ -1,4 +1,4 @@
-"""One destination that goes away and comes back cold, and a whole fleet of `Sender`s that deliver to it.
+"""One destination that goes away and comes back cold, and a whole fleet of `DeliveryScheduler`s that deliver to it.
 
 Small on purpose: one destination, no clients that come again, no restarts. It answers one question, by which rule 4
 is judged: how many calls does the destination get in each span while it warms up, and from whom. Input: a case, the
@@ -16,8 +16,28 @@
 from enum import StrEnum
 
 from juniperward.lab.cold_budget import TOLD_SHARE_THAT_BREAKS, ColdBudget
-from juniperward.scheduler import Sender
-from juniperward.scheduler import interface as wire
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import (
+    CancelAttempt,
+    Fail,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+)
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointPhase,
+    Event,
+    HealthCheckFinished,
+    ListScope,
+    MessageAdmitted,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 NETWORK_S = 0.002
 ANSWER_S = 0.001  # that a refusal or an error takes at the destination
@@ -155,7 +175,7 @@
 class Forwarder:
     """A decision module and what the world keeps for it."""
 
-    sender: Sender
+    scheduler: DeliveryScheduler
     told: bool = False
     messages: dict[int, Message] = field(default_factory=dict)
     out: dict[tuple[int, int], Call] = field(default_factory=dict)
@@ -169,7 +189,7 @@
         case: ColdCase,
         forwarders: int,
         seed: int,
-        make: Callable[[wire.Settings, int], Sender] = Sender,
+        make: Callable[[SchedulerSettings, int], DeliveryScheduler] = DeliveryScheduler,
     ) -> None:
         self.case = case
         self.random = random.Random(f"{case.name} {forwarders} {seed}")
@@ -199,25 +219,25 @@
         self.begins = draw.uniform(*BEFORE_S)
         self.returns = self.begins + draw.uniform(*OUTAGE_S)
         self.endpoints = draw.choice(ENDPOINTS)
-        effect = wire.Effect.ONCE if case.probing else wire.Effect.BY_KEY
-        self.settings = wire.Settings(
-            (wire.MessageClass(3.0, 12.0, effect, 1.0, 0.3, window=12.0),), slots=24, max_open=300,
-            kinds=(wire.Kind(case.batch),), instances=forwarders, max_attempts=8, max_retry_after=2.0, cancel=True,
-            answer_slack=0.02, rated=case.listed, rating_off=RATING_OFF if case.listed else 0.0,
-            probing=case.probing, cold_share=COLD_SHARE, warm_within=WARM_WITHIN_S, fall_multiple=FALL_MULTIPLE,
-            fall_span=FALL_SPAN_S,
+        effect = Idempotency.NON_IDEMPOTENT if case.probing else Idempotency.IDEMPOTENCY_KEY
+        self.settings = SchedulerSettings(
+            (MessageClass(3.0, 12.0, effect, 1.0, 0.3, deduplication_window_s=12.0),), slots=24, max_open=300,
+            kinds=(DestinationKind(case.batch),), instances=forwarders, max_attempts=8, max_retry_after_s=2.0, cancellation=True,
+            answer_slack_s=0.02, rates_listed=case.listed, listed_rate_error=RATING_OFF if case.listed else 0.0,
+            health_checks=case.probing, cold_capacity_share=COLD_SHARE, warm_up_s=WARM_WITHIN_S, overload_multiple=FALL_MULTIPLE,
+            overload_span_s=FALL_SPAN_S,
         )  # fmt: skip
         self.budget = ColdBudget.of(self.settings, self.capacity)
-        self.ends = self.returns + self.settings.warm_within
+        self.ends = self.returns + self.settings.warm_up_s
 
     def run(self) -> ColdReturnResult:
         """From the start to the end of the ramp."""
         rating = self.listed_rate if self.case.listed else 0.0
         entries = tuple(
-            wire.Endpoint(n, DESTINATION, wire.Phase.READY, 0, 0, rating) for n in range(self.endpoints)
+            EndpointEntry(n, DESTINATION, EndpointPhase.READY, 0, 0, rating) for n in range(self.endpoints)
         )
         for forwarder in self.forwarders:
-            self._handle(forwarder, [wire.Listed(wire.ListScope.FULL, entries)])
+            self._handle(forwarder, [EndpointListUpdated(ListScope.FULL, entries)])
         self._at(self.returns, self._return)
         self._at(0.0, self._arrive)
         heap = self.heap
@@ -247,31 +267,31 @@
         if self.case.half_see and number % 2 and self.away:
             return
         forwarder = self.forwarders[number]
-        arrived: list[wire.Event] = []
+        arrived: list[Event] = []
         for _ in range(clump):
             self.message += 1
             forwarder.messages[self.message] = Message(self.now)
             self.result.offered += self.now >= self.begins
-            arrived.append(wire.Arrived(self.message, 0, DESTINATION, 12.0))
+            arrived.append(MessageAdmitted(self.message, 0, DESTINATION, 12.0))
         self._handle(forwarder, arrived)
 
     # --- forwarders ---------------------------------------------------------------------------------------------
 
-    def _handle(self, forwarder: Forwarder, events: Iterable[wire.Event]) -> None:
+    def _handle(self, forwarder: Forwarder, events: Iterable[Event]) -> None:
         """Give a forwarder its news, and do what it asks for."""
-        sends: dict[int, list[wire.Send]] = {}
-        for action in forwarder.sender.handle(self.now, events):
+        sends: dict[int, list[StartAttempt]] = {}
+        for action in forwarder.scheduler.handle(self.now, events):
             match action:
-                case wire.Send():
+                case StartAttempt():
                     sends.setdefault(action.endpoint, []).append(action)
-                case wire.SetTimer(delay=delay, token=token):
-                    self._at(self.now + delay, self._handle, forwarder, (wire.TimerFired(token),))
-                case wire.Refuse(message=message) | wire.Fail(message=message):
+                case SetTimer(delay_s=delay, token=token):
+                    self._at(self.now + delay, self._handle, forwarder, (TimerFired(token),))
+                case Reject(message=message) | Fail(message=message):
                     forwarder.messages.pop(message, None)
-                case wire.Cancel(message=message, attempt=attempt):
+                case CancelAttempt(message=message, attempt=attempt):
                     if (call := forwarder.out.get((message, attempt))) is not None:
-                        self._at(self.now, self._end, call, wire.Outcome.CANCELLED)
-                case wire.Probe(endpoint=endpoint):
+                        self._at(self.now, self._end, call, Outcome.CANCELLED)
+                case StartHealthCheck(endpoint=endpoint):
                     self._send(Call(forwarder, endpoint, self.now, []), 1.0)
                 case _:
                     pass
@@ -279,44 +299,40 @@
             for first in range(0, len(asked), self.case.batch):
                 self._send_batch(forwarder, endpoint, asked[first : first + self.case.batch])
 
-    def _send_batch(self, forwarder: Forwarder, endpoint: int, asked: list[wire.Send]) -> None:
+    def _send_batch(self, forwarder: Forwarder, endpoint: int, asked: list[StartAttempt]) -> None:
         call = Call(forwarder, endpoint, self.now, [])
         for send in asked:
             message = forwarder.messages[send.message]
             call.members.append((send.message, message.attempts))
             forwarder.out[send.message, message.attempts] = call
             message.attempts += 1
-        self._send(call, min(send.timeout for send in asked))
+        self._send(call, min(send.timeout_s for send in asked))
 
     def _send(self, call: Call, timeout: float) -> None:
-        self._at(self.now + timeout, self._end, call, wire.Outcome.TIMEOUT)
+        self._at(self.now + timeout, self._end, call, Outcome.TIMEOUT)
         self._at(self.now + self._network(), self._reach, call, call.forwarder.told)
 
     def _network(self) -> float:
         return NETWORK_S * self.random.uniform(0.7, 1.3)
 
-    def _end(self, call: Call, outcome: wire.Outcome, wait: float = 0.0) -> None:
+    def _end(self, call: Call, outcome: Outcome, wait: float = 0.0) -> None:
         """A call is over for its forwarder; the first end counts."""
         if call.over:
             return
         call.over = True
         forwarder, latency = call.forwarder, self.now - call.sent_s
-        if (
-            outcome is not wire.Outcome.OK
-            and self.begins <= call.sent_s < self.returns
-            and not forwarder.told
-        ):
+        if outcome is not Outcome.OK and self.begins <= call.sent_s < self.returns and not forwarder.told:
             forwarder.told = True
             self.result.told += self.now < self.returns
-        events: list[wire.Event] = []
+        events: list[Event] = []
         for message, attempt in call.members:
             forwarder.out.pop((message, attempt), None)
-            delivered = outcome is wire.Outcome.OK
+            delivered = outcome is Outcome.OK
             if delivered and (held := forwarder.messages.pop(message, None)) is not None:
                 self._delivered(held)
-            events.append(wire.Settled(message, attempt, call.endpoint, outcome, latency, delivered, wait))
+            events.append(AttemptFinished(message, attempt, call.endpoint, outcome, latency, delivered, wait))
         if not call.members:
-            events.append(wire.Probed(call.endpoint, outcome, latency))
+            events.append(HealthCheckFinished(call.endpoint, outcome, latency))
         self._handle(forwarder, events)
 
     def _delivered(self, message: Message) -> None:
@@ -331,29 +347,29 @@
         """A call comes to the destination."""
         outage = self.case.outage
         if self.away and outage is Outage.DOWN:
-            self._answer(call, wire.Outcome.CONNECT_FAILED)
+            self._answer(call, Outcome.CONNECT_FAILED)
             return
         self._count(told)
         if self.away:
             self._reach_away(call)
         elif self.case.listed and not self._within_limit():
-            self._answer(call, wire.Outcome.FULL, self.random.choice((0.0, self.random.uniform(0.2, 1.0))))
+            self._answer(call, Outcome.OVERLOADED, self.random.choice((0.0, self.random.uniform(0.2, 1.0))))
         else:
             self._serve(call)
 
     def _reach_away(self, call: Call) -> None:
         match self.case.outage:
             case Outage.FAILING:
-                self._answer(call, wire.Outcome.ERROR)
+                self._answer(call, Outcome.ERROR)
             case Outage.MOSTLY_FAILING:
                 if self.random.random() < 0.8:
-                    self._answer(call, wire.Outcome.ERROR)
+                    self._answer(call, Outcome.ERROR)
                 else:
                     self._serve(call)
             case Outage.SHUT:
-                self._answer(call, wire.Outcome.FULL)
+                self._answer(call, Outcome.OVERLOADED)
             case Outage.SHUT_WITH_WAIT:
-                self._answer(call, wire.Outcome.FULL, max(self.returns - self.now, 0.01))
+                self._answer(call, Outcome.OVERLOADED, max(self.returns - self.now, 0.01))
             case _:
                 self.hung.append(call)
 
@@ -373,19 +389,19 @@
                 self.capacity / self.budget.present_capacity(self.now - self.returns), SERVICE_SLOWEST
             )
         mean = SERVICE_S * slower * (1.0 + 0.1 * max(len(call.members) - 1, 0))
-        self._at(self.now + self.random.gammavariate(4.0, mean / 4.0), self._answer, call, wire.Outcome.OK)
+        self._at(self.now + self.random.gammavariate(4.0, mean / 4.0), self._answer, call, Outcome.OK)
 
-    def _answer(self, call: Call, outcome: wire.Outcome, wait: float = 0.0) -> None:
-        if outcome is wire.Outcome.OK and self.away and self.case.outage is Outage.SILENT:
+    def _answer(self, call: Call, outcome: Outcome, wait: float = 0.0) -> None:
+        if outcome is Outcome.OK and self.away and self.case.outage is Outage.SILENT:
             self.hung.append(call)
             return
-        taken = 0.0 if outcome is wire.Outcome.OK else ANSWER_S
+        taken = 0.0 if outcome is Outcome.OK else ANSWER_S
         self._at(self.now + taken + self._network(), self._end, call, outcome, wait)
 
     def _return(self) -> None:
         """What hung at a silent destination ends with its connections."""
         for call in self.hung:
-            self._answer(call, wire.Outcome.RESET)
+            self._answer(call, Outcome.RESET)
         self.hung = []
 
     # --- the judge ----------------------------------------------------------------------------------------------
--- a/juniperward/lab/policies.py
+++ b/juniperward/lab/policies.py
@@ -15,8 +15,18 @@
 from typing import Any
 
 from juniperward.lab.observation import Observation
-from juniperward.scheduler import Sender
-from juniperward.scheduler import interface as i
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import Action, Fail, Reject, SetTimer, StartAttempt
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointListUpdated,
+    EndpointPhase,
+    Event,
+    MessageAdmitted,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.settings import SchedulerSettings
 
 MARGIN = 0.02
 RETRY = 0.2
@@ -65,7 +75,7 @@
     tries = 8
     keeps_on = True  # goes on after a failure
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         self.set, self.random = settings, random.Random(seed)
         self.held: dict[int, Held] = {}
         self.lanes: dict[int, Lane] = {}
@@ -76,27 +86,27 @@
         self.armed = math.inf
         self.token = 0
 
-    def handle(self, now: float, events: Iterable[i.Event]) -> list[i.Action]:
-        """As `Sender.handle`."""
+    def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
+        """As `DeliveryScheduler.handle`."""
         self.now = now
-        actions: list[i.Action] = []
+        actions: list[Action] = []
         for e in events:
             match e:
-                case i.Listed():
+                case EndpointListUpdated():
                     for x in e.entries:
                         lane = self.lanes.setdefault(x.destination, Lane())
-                        if x.phase is i.Phase.READY and x.endpoint not in lane.endpoints:
+                        if x.phase is EndpointPhase.READY and x.endpoint not in lane.endpoints:
                             lane.endpoints.append(x.endpoint)
-                            lane.rating = x.rating
+                            lane.rating = x.listed_rate
                         self.home[x.endpoint] = x.destination
-                case i.Arrived():
-                    m = Held(e.message, e.destination, now + e.budget)
+                case MessageAdmitted():
+                    m = Held(e.message, e.destination, now + e.time_left_s)
                     self.held[m.number] = m
                     self.lanes.setdefault(m.partner, Lane()).queue.append(m.number)
                     heapq.heappush(self.due, (m.expires - MARGIN, m.number))
-                case i.Settled():
+                case AttemptFinished():
                     self._settled(e)
-                case i.TimerFired():
+                case TimerFired():
                     self.armed = math.inf
         while self.due and self.due[0][0] <= now + 1e-9:
             _, number = heapq.heappop(self.due)
@@ -110,7 +120,7 @@
         if wake < self.armed - 1e-9:
             self.armed = wake
             self.token += 1
-            actions.append(i.SetTimer(max(wake - now, self.set.resolution), self.token))
+            actions.append(SetTimer(max(wake - now, self.set.timer_resolution_s), self.token))
         return actions
 
     def _wakes(self) -> list[float]:
@@ -125,30 +135,30 @@
                     found.append(at)
         return found
 
-    def _give_up(self, m: Held, actions: list[i.Action]) -> None:
+    def _give_up(self, m: Held, actions: list[Action]) -> None:
         del self.held[m.number]
-        actions.append(i.Refuse(m.number, 1.0) if m.first_ran is None else i.Fail(m.number))
+        actions.append(Reject(m.number, 1.0) if m.first_ran is None else Fail(m.number))
 
-    def _settled(self, e: i.Settled) -> None:
+    def _settled(self, e: AttemptFinished) -> None:
         lane = self.lanes[self.home[e.endpoint]]
         lane.out[e.endpoint] = lane.out.get(e.endpoint, 1) - 1
         self.slots -= 1
-        if e.wait > 0:
-            lane.wait_until = max(lane.wait_until, self.now + e.wait)
+        if e.retry_after_s > 0:
+            lane.wait_until = max(lane.wait_until, self.now + e.retry_after_s)
         self.learn(lane, e)
         m = self.held.get(e.message)
         if m is None:
             return
         m.out = False
-        if e.ended:
+        if e.message_ended:
             del self.held[m.number]
             return
-        if not e.outcome.never_ran and m.first_ran is None:
-            m.first_ran = self.now - e.latency
+        if not e.outcome.never_executed and m.first_ran is None:
+            m.first_ran = self.now - e.latency_s
         m.not_before = self.now + (RETRY * 2 ** min(m.sends - 1, 3) if self.keeps_on else math.inf)
         lane.queue.append(m.number)
 
-    def _release(self, partner: int, lane: Lane, actions: list[i.Action]) -> None:
+    def _release(self, partner: int, lane: Lane, actions: list[Action]) -> None:
         for _ in range(len(lane.queue)):
             if self.slots >= self.set.slots or self.now < max(lane.wait_until, lane.open_until):
                 return
@@ -156,7 +166,10 @@
             if m is None or m.out:
                 lane.queue.popleft()
                 continue
-            over = m.first_ran is not None and self.now >= m.first_ran + self.set.classes[0].window - MARGIN
+            over = (
+                m.first_ran is not None
+                and self.now >= m.first_ran + self.set.classes[0].deduplication_window_s - MARGIN
+            )
             if m.sends >= self.tries or over or (m.sends and not self.keeps_on):
                 lane.queue.popleft()
                 self._give_up(m, actions)
@@ -173,7 +186,7 @@
             lane.out[endpoint] = lane.out.get(endpoint, 0) + 1
             self.slots += 1
             self.spent(lane)
-            actions.append(i.Send(m.number, endpoint, max(m.expires - self.now, MARGIN)))
+            actions.append(StartAttempt(m.number, endpoint, max(m.expires - self.now, MARGIN)))
 
     # --- what a baseline says of its own ------------------------------------------------------------------------
 
@@ -195,7 +208,7 @@
     def spent(self, lane: Lane) -> None:
         """A call goes."""
 
-    def learn(self, lane: Lane, e: i.Settled) -> None:
+    def learn(self, lane: Lane, e: AttemptFinished) -> None:
         """A call has ended."""
 
 
@@ -215,10 +228,10 @@
     def choose(self, lane: Lane, m: Held) -> int | None:
         return min(lane.endpoints, key=lambda x: (lane.out.get(x, 0), x), default=None)
 
-    def learn(self, lane: Lane, e: i.Settled) -> None:
-        if e.outcome is i.Outcome.OK:
+    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+        if e.outcome is Outcome.OK:
             lane.fails = 0
-        elif e.outcome is not i.Outcome.FULL:
+        elif e.outcome is not Outcome.OVERLOADED:
             lane.fails += 1
             if lane.fails >= 5:
                 lane.open_until = self.now + 2.0
@@ -231,20 +244,20 @@
     def admits(self, lane: Lane) -> bool:
         return lane.calls < lane.limit
 
-    def learn(self, lane: Lane, e: i.Settled) -> None:
-        if e.outcome is i.Outcome.OK:
+    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+        if e.outcome is Outcome.OK:
             lane.limit = min(lane.limit + 1 / max(lane.limit, 1.0), 256.0)
-        elif e.outcome is not i.Outcome.MOOT and self.now - lane.cut_at > 0.1:
+        elif e.outcome is not Outcome.NOT_SENT and self.now - lane.cut_at > 0.1:
             lane.limit, lane.cut_at = max(lane.limit / 2, 1.0), self.now
 
 
 class Gradient(Aimd):
     """The limit follows the ratio of the least latency to the present one, with room for the root of it."""
 
-    def learn(self, lane: Lane, e: i.Settled) -> None:
-        if e.outcome is i.Outcome.OK:
-            lane.least = min(lane.least * 1.001, e.latency)
-            gradient = max(0.5, min(1.0, 2.0 * lane.least / max(e.latency, 1e-6)))
+    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+        if e.outcome is Outcome.OK:
+            lane.least = min(lane.least * 1.001, e.latency_s)
+            gradient = max(0.5, min(1.0, 2.0 * lane.least / max(e.latency_s, 1e-6)))
             wanted = lane.limit * gradient + math.sqrt(lane.limit)
             lane.limit = min(max(0.9 * lane.limit + 0.1 * wanted, 1.0), 256.0)
         elif self.now - lane.cut_at > 0.1:
@@ -281,13 +294,13 @@
     tries = 1000
     poll = 0.02  # seconds between its looks at partners that something waits for
 
-    def __init__(self, settings: i.Settings, seed: int, observation: Observation) -> None:
+    def __init__(self, settings: SchedulerSettings, seed: int, observation: Observation) -> None:
         super().__init__(settings, seed)
         self.observation = observation
         self.shared: dict[int, tuple[float, int]] = {}  # the call that others may join: its moment, its room
 
-    def _release(self, partner: int, lane: Lane, actions: list[i.Action]) -> None:
-        aim = self.set.classes[0].deadline - self.set.classes[0].aim
+    def _release(self, partner: int, lane: Lane, actions: list[Action]) -> None:
+        aim = self.set.classes[0].deadline_s - self.set.classes[0].latency_objective_s
         held = self.held
         lane.queue = deque(sorted(
             (n for n in lane.queue if n in held and not held[n].out),
@@ -314,6 +327,6 @@
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
-    "nickelscale": Sender, "one-try": OneTry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
+    "nickelscale": DeliveryScheduler, "one-try": OneTry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
     "aimd": Aimd, "gradient": Gradient, "token-bucket": TokenBucket, "oracle": Oracle,
 }  # fmt: skip
--- a/juniperward/lab/world.py
+++ b/juniperward/lab/world.py
@@ -18,7 +18,19 @@
 
 from juniperward.lab.cold_budget import ColdBudget
 from juniperward.lab.scenario import Scenario, Trouble
-from juniperward.scheduler import interface as i
+from juniperward.scheduler.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointPhase,
+    Event,
+    ListScope,
+    MessageAdmitted,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 NET = 0.002  # seconds one way, in the mean
 REFUSE = 0.001  # seconds that a refusal or a failure takes at the partner
@@ -141,7 +153,7 @@
     """A policy and what is held for it; `life` counts its starts."""
 
     number: int
-    sender: Any
+    scheduler: Any
     life: int = 0
     up: bool = True
     held: dict[int, tuple[Message, float]] = field(
@@ -151,12 +163,12 @@
     out: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     waits: dict[int, float] = field(default_factory=dict)  # told, by partner
     last: int = 0
-    inbox: list[i.Event] = field(default_factory=list)
+    inbox: list[Event] = field(default_factory=list)
     due: bool = False  # it will look at its inbox at this moment
 
 
 @dataclass(slots=True)
-class Outcome:
+class RunResult:
     """What a run came to; worth is what was delivered of what was asked for, from 0 to 1."""
 
     asked: int = 0
@@ -189,20 +201,20 @@
         self.draw = {name: Draw(stream) for name, stream in zip(STREAMS, streams, strict=True)}
         self.now, self.serial = 0.0, 0
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.result = Outcome()
+        self.result = RunResult()
         self.open: dict[int, Message] = {}  # without a last end; nothing is kept of the others
         self.seconds: dict[int, list[float]] = {}
         self.total = 0.0
         self.partners = self._partners()
         self.workers = [w for p in self.partners for w in p.workers]
         t = scenario.traffic
-        kinds = tuple(i.Kind(max(int(g.batch), 1)) for g in scenario.partners)
-        self.settings = i.Settings(
-            (i.MessageClass(t.aim, t.deadline, i.Effect.BY_KEY, 1.0, t.late_worth, window=t.window),),
+        kinds = tuple(DestinationKind(max(int(g.batch), 1)) for g in scenario.partners)
+        self.settings = SchedulerSettings(
+            (MessageClass(t.aim, t.deadline, Idempotency.IDEMPOTENCY_KEY, 1.0, t.late_worth, deduplication_window_s=t.window),),
             slots=scenario.slots, max_open=scenario.max_open, kinds=kinds, instances=scenario.forwarders,
-            max_attempts=8, cold_share=COLD, warm_within=WARM, fall_multiple=FALL_TIMES, fall_span=FALL_SPAN,
-            max_retry_after=2.0, cancel=True, answer_slack=0.02, dial_timeout=1.0,
-            rated=any(g.rate for g in scenario.partners),
+            max_attempts=8, cold_capacity_share=COLD, warm_up_s=WARM, overload_multiple=FALL_TIMES, overload_span_s=FALL_SPAN,
+            max_retry_after_s=2.0, cancellation=True, answer_slack_s=0.02, dial_timeout_s=1.0,
+            rates_listed=any(g.rate for g in scenario.partners),
         )  # fmt: skip
         self.forwarders = [Forwarder(n, None) for n in range(scenario.forwarders)]
         self.hot: list[tuple[int, float]] = []
@@ -228,7 +240,7 @@
         self.serial += 1
         heapq.heappush(self.heap, (when, self.serial, act, args))
 
-    def run(self) -> Outcome:
+    def run(self) -> RunResult:
         """The whole day, and on until all that was taken has its end."""
         for f in self.forwarders:
             self._start(f)
@@ -285,7 +297,7 @@
         f.last += 1
         f.held[f.last] = (m, expires)
         f.attempts[f.last] = 0
-        self._tell(f, i.Arrived(f.last, 0, m.partner, expires - self.now, 0, str(m.number)))
+        self._tell(f, MessageAdmitted(f.last, 0, m.partner, expires - self.now, 0, str(m.number)))
 
     def _refused(self, m: Message, again: float, why: str) -> None:
         m.ended = f"refused {why}"
@@ -300,14 +312,14 @@
     def _start(self, f: Forwarder) -> None:
         f.up = True
         seed = int(self.draw["modules"].source.integers(2**31))
-        f.sender = self.policy(self.settings, seed, *((self.seen,) if self.seen is not None else ()))
+        f.scheduler = self.policy(self.settings, seed, *((self.seen,) if self.seen is not None else ()))
         entries = tuple(
-            i.Endpoint(w.number, p.number, i.Phase.READY, p.kind, 0, float(p.spec.rate))
+            EndpointEntry(w.number, p.number, EndpointPhase.READY, p.kind, 0, float(p.spec.rate))
             for p in self.partners for w in p.workers
         )  # fmt: skip
-        self._tell(f, i.Listed(i.ListScope.FULL, entries))
+        self._tell(f, EndpointListUpdated(ListScope.FULL, entries))
 
-    def _tell(self, f: Forwarder, event: i.Event) -> None:
+    def _tell(self, f: Forwarder, event: Event) -> None:
         """Events of one moment come to a policy in one round."""
         f.inbox.append(event)
         if not f.due:
@@ -319,33 +331,33 @@
             return
         f.due = False
         news, f.inbox = f.inbox, []
-        sends: dict[int, list[i.Send]] = {}
-        for a in f.sender.handle(self.now, news):
+        sends: dict[int, list[StartAttempt]] = {}
+        for a in f.scheduler.handle(self.now, news):
             match a:
-                case i.Send():
+                case StartAttempt():
                     sends.setdefault(a.endpoint, []).append(a)
-                case i.SetTimer(delay=delay, token=token):
+                case SetTimer(delay_s=delay, token=token):
                     self.at(self.now + delay, self._timer, f, f.life, token)
-                case i.Refuse(message=number, retry_after=again):
+                case Reject(message=number, retry_after_s=again):
                     if (held := f.held.pop(number, None)) is not None:
                         del f.attempts[number]
                         self._refused(held[0], again, "held")
-                case i.Fail(message=number):
+                case Fail(message=number):
                     if (held := f.held.pop(number, None)) is not None:
                         del f.attempts[number]
                         held[0].ended = "failed"
                         self._over(held[0])
-                case i.Cancel(message=number, attempt=attempt):
+                case CancelAttempt(message=number, attempt=attempt):
                     if (call := f.out.get((number, attempt))) is not None:
-                        self.at(self.now, self._end, f, f.life, call, i.Outcome.CANCELLED, 0.0)
+                        self.at(self.now, self._end, f, f.life, call, Outcome.CANCELLED, 0.0)
         for worker, asked in sends.items():
             self._send(f, worker, asked)
 
     def _timer(self, f: Forwarder, life: int, token: int) -> None:
         if f.life == life:
-            self._tell(f, i.TimerFired(token))
+            self._tell(f, TimerFired(token))
 
-    def _send(self, f: Forwarder, worker: int, asked: list[i.Send]) -> None:
+    def _send(self, f: Forwarder, worker: int, asked: list[StartAttempt]) -> None:
         p = self.partners[self.workers[worker].partner - 1]
         batch = max(int(p.spec.batch), 1)
         if f.waits.get(p.number, 0.0) > self.now + 1e-6:
@@ -360,14 +372,14 @@
                 f.out[a.message, number] = call
             self.result.calls += 1
             self.at(
-                self.now + min(a.timeout for a in part), self._end, f, f.life, call, i.Outcome.TIMEOUT, 0.0
+                self.now + min(a.timeout_s for a in part), self._end, f, f.life, call, Outcome.TIMEOUT, 0.0
             )
             self.at(self.now + self._net(), self._reach, f, call)
 
     def _net(self) -> float:
         return NET * (0.7 + 0.6 * self.draw["network"].uniform())
 
-    def _end(self, f: Forwarder, life: int, call: Attempt, outcome: i.Outcome, wait: float) -> None:
+    def _end(self, f: Forwarder, life: int, call: Attempt, outcome: Outcome, wait: float) -> None:
         """An attempt is over for its forwarder; the first end counts."""
         if call.over or f.life != life:
             return
@@ -378,14 +390,14 @@
             f.waits[worker.partner] = max(until, f.waits.get(worker.partner, 0.0))
         for message, attempt in call.members:
             f.out.pop((message, attempt), None)
-            ok = outcome is i.Outcome.OK
+            ok = outcome is Outcome.OK
             held = f.held.get(message)
             if ok and held is not None:
                 del f.held[message], f.attempts[message]
                 held[0].ended, held[0].done_at = "delivered", self.now
                 self._over(held[0])
             latency = self.now - call.sent
-            self._tell(f, i.Settled(message, attempt, call.worker, outcome, latency, ok, wait))
+            self._tell(f, AttemptFinished(message, attempt, call.worker, outcome, latency, ok, wait))
 
     # --- partners ---------------------------------------------------------------------------------------------------
 
@@ -395,19 +407,19 @@
         p = self.partners[w.partner - 1]
         p.calls += 1
         if p.mode == "DOWN":
-            self._answer(f, call, i.Outcome.CONNECT_FAILED)
+            self._answer(f, call, Outcome.CONNECT_FAILED)
             return
         wait = self._full(p, w)
         if wait is not None:
             p.refused += 1
             self.result.calls_refused += 1
-            self._answer(f, call, i.Outcome.FULL, wait)
+            self._answer(f, call, Outcome.OVERLOADED, wait)
             return
         if p.mode == "SILENT":
             w.hung.append(call)
             return
         if p.mode == "FAILING" and self.draw["refusals"].uniform() < p.size:
-            self._answer(f, call, i.Outcome.ERROR)
+            self._answer(f, call, Outcome.ERROR)
             return
         if w.busy < p.spec.at_once:
             self._serve(f, call, w, p)
@@ -455,13 +467,13 @@
                     t = self.s.traffic
                     memory = 2 * t.deadline + t.window
                     self.result.second_effects += p.take(held[0].number, self.now, t.window, memory)
-            self._answer(f, call, i.Outcome.OK)
+            self._answer(f, call, Outcome.OK)
         if w.queue:
             nxt = w.queue.popleft()
             self._serve(self.forwarders[nxt.forwarder], nxt, w, p)
 
-    def _answer(self, f: Forwarder, call: Attempt, outcome: i.Outcome, wait: float = 0.0) -> None:
-        cost = 0.0 if outcome is i.Outcome.OK else REFUSE
+    def _answer(self, f: Forwarder, call: Attempt, outcome: Outcome, wait: float = 0.0) -> None:
+        cost = 0.0 if outcome is Outcome.OK else REFUSE
         self.at(self.now + cost + self._net(), self._end, f, call.life, call, outcome, wait)
 
     # --- troubles ---------------------------------------------------------------------------------------------------
@@ -489,7 +501,7 @@
         """What hung at a silent partner ends with its connections, as on sockets."""
         for w in p.workers:
             for call in w.hung:
-                self._answer(self.forwarders[call.forwarder], call, i.Outcome.RESET)
+                self._answer(self.forwarders[call.forwarder], call, Outcome.RESET)
             w.hung = []
 
     def _kill(self, f: Forwarder) -> None:
@@ -520,7 +532,7 @@
         self.total += worth
         self.seconds[int(m.first)][1] += worth
 
-    def _sum_up(self) -> Outcome:
+    def _sum_up(self) -> RunResult:
         for m in list(self.open.values()):
             self._over(m)
         r = self.result
--- a/juniperward/rigs/agreement.py
+++ b/juniperward/rigs/agreement.py
@@ -34,10 +34,12 @@
 WRAPPER = '''
 import juniperward.forwarder.reducer as reducer
 from juniperward.lab.policies import POLICIES
-from juniperward.scheduler import Sender, interface as i
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import PollEndpointList
+from juniperward.scheduler.events import EndpointListUpdated, ListScope
 
-class Other(Sender):
-    """Another policy in our module's place; it asks for the list as ours does."""
+class Other(DeliveryScheduler):
+    """Another policy in the scheduler's place; it asks for the list as the scheduler does."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -45,15 +47,16 @@
 
     def handle(self, now, events):
         events = list(events)
-        lost = any(isinstance(e, i.Listed) and e.scope is i.ListScope.FAILED for e in events)
-        events = [e for e in events if not (isinstance(e, i.Listed) and e.scope is i.ListScope.FAILED)]
+        failed = [e for e in events if isinstance(e, EndpointListUpdated) and e.scope is ListScope.FAILED]
+        lost = bool(failed)
+        events = [e for e in events if e not in failed]
         actions = self.inner.handle(now, events)
         if lost or not self.asked:
             self.asked = True
-            actions = [i.Watch(), *actions]
+            actions = [PollEndpointList(), *actions]
         return actions
 
-reducer.Sender = Other
+reducer.DeliveryScheduler = Other
 '''
 
 
--- a/juniperward/rigs/cost.py
+++ b/juniperward/rigs/cost.py
@@ -16,8 +16,20 @@
 import numpy as np
 
 from juniperward.rigs.measure import Report
-from juniperward.scheduler import Sender
-from juniperward.scheduler import interface as i
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import SetTimer, StartAttempt
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointPhase,
+    Event,
+    ListScope,
+    MessageAdmitted,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 BUSY = 10
 ANSWER = 0.05
@@ -29,57 +41,62 @@
     """A module and its simulated surroundings; `spent` is CPU seconds within it, `answered` messages delivered."""
 
     def __init__(self, destinations: int, workers: int) -> None:
-        classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3, window=12.0),)
-        self.module = Sender(i.Settings(classes, slots=200, max_open=10**7, kinds=(i.Kind(),)), 1)
+        classes = (
+            MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
+        )
+        self.module = DeliveryScheduler(
+            SchedulerSettings(classes, slots=200, max_open=10**7, kinds=(DestinationKind(),)), 1
+        )
         self.dice = random.Random(1)
         self.now, self.number, self.spent, self.answered = 0.0, 0, 0.0, 0
         self.tries: dict[int, int] = {}
-        self.coming: list[tuple[float, int, i.Event]] = []
+        self.coming: list[tuple[float, int, Event]] = []
         self.closed: set[int] = set()  # these refuse all, and tell to wait for long
         self.mute: set[int] = set()  # these answer nothing
         entries = tuple(
-            i.Endpoint(n, n // workers, i.Phase.READY, 0, 0, 0.0) for n in range(destinations * workers)
+            EndpointEntry(n, n // workers, EndpointPhase.READY, 0, 0, 0.0)
+            for n in range(destinations * workers)
         )
         self.workers = workers
-        self.tell([i.Listed(i.ListScope.FULL, entries)])
+        self.tell([EndpointListUpdated(ListScope.FULL, entries)])
 
-    def tell(self, events: list[i.Event]) -> None:
+    def tell(self, events: list[Event]) -> None:
         """One round."""
         began = time.process_time()
         actions = self.module.handle(self.now, events)
         self.spent += time.process_time() - began
         for a in actions:
             match a:
-                case i.Send(message=message, endpoint=endpoint):
+                case StartAttempt(message=message, endpoint=endpoint):
                     n = self.tries[message] = self.tries.get(message, -1) + 1
                     where = endpoint // self.workers
                     if where in self.closed:
-                        refusal = i.Settled(message, n, endpoint, i.Outcome.FULL, 0.01, False, 1e6)
+                        refusal = AttemptFinished(message, n, endpoint, Outcome.OVERLOADED, 0.01, False, 1e6)
                         self.at(0.01, refusal)
                     elif where not in self.mute:
-                        self.at(ANSWER, i.Settled(message, n, endpoint, i.Outcome.OK, ANSWER, True))
-                case i.SetTimer(delay=delay, token=token):
-                    self.at(delay, i.TimerFired(token))
+                        self.at(ANSWER, AttemptFinished(message, n, endpoint, Outcome.OK, ANSWER, True))
+                case SetTimer(delay_s=delay, token=token):
+                    self.at(delay, TimerFired(token))
 
-    def at(self, delay: float, event: i.Event) -> None:
+    def at(self, delay: float, event: Event) -> None:
         """Have an event come later."""
         self.number += 1
         heapq.heappush(self.coming, (self.now + delay, self.number, event))
 
-    def arrive(self, destination: int, life: float = 20.0) -> i.Event:
+    def arrive(self, destination: int, life: float = 20.0) -> Event:
         """A message for a destination."""
         self.number += 1
-        return i.Arrived(self.number, 0, destination, life, 0, f"k{self.number}")
+        return MessageAdmitted(self.number, 0, destination, life, 0, f"k{self.number}")
 
     def run(self, messages: int) -> float:
         """Deliver so many to the busy ones; CPU microseconds each."""
         self.spent = self.answered = 0
         while self.answered < messages:
             self.now += 0.001
-            events: list[i.Event] = [self.arrive(self.dice.randrange(BUSY))]
+            events: list[Event] = [self.arrive(self.dice.randrange(BUSY))]
             while self.coming and self.coming[0][0] <= self.now:
                 event = heapq.heappop(self.coming)[2]
-                self.answered += isinstance(event, i.Settled) and event.ended
+                self.answered += isinstance(event, AttemptFinished) and event.message_ended
                 events.append(event)
             self.tell(events)
         return 1e6 * self.spent / messages
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -34,7 +34,8 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.rigs.measure import Report
-from juniperward.scheduler import interface as i
+from juniperward.scheduler.events import Outcome
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 SERVERS, FORWARDERS = (1, 20, 300, 1024), (1, 40, 230, 1024)
 FEW, USUAL = 20, 200  # servers and forwarders while the other number changes
@@ -57,9 +58,18 @@
     """A reducer and its clock; what it asks for is answered at once."""
 
     def __init__(self, servers: int, forwarders: int, seed: int) -> None:
-        classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3, window=12.0),)
+        classes = (
+            MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
+        )
         self.reducer = Reducer(
-            i.Settings(classes, slots=8, max_open=200, kinds=(i.Kind(),), instances=forwarders, rated=True),
+            SchedulerSettings(
+                classes,
+                slots=8,
+                max_open=200,
+                kinds=(DestinationKind(),),
+                instances=forwarders,
+                rates_listed=True,
+            ),
             seed,
         )
         self.now, self.number = 100.0, 0
@@ -90,7 +100,7 @@
         for e in self.do(MessageAccepted(asked.message, True)):
             if isinstance(e, StartAttempt):
                 self.now += 0.01
-                self.do(Answered(e.number, tuple(End(p.message, i.Outcome.OK) for p in e.items)))
+                self.do(Answered(e.number, tuple(End(p.message, Outcome.OK) for p in e.items)))
         self.run(self.now + 0.1)
 
     def rest(self) -> None:
--- a/juniperward/scheduler/__init__.py
+++ b/juniperward/scheduler/__init__.py
@@ -1,5 +1,5 @@
 """The delivery scheduler: decides which message goes to which endpoint, when, and when to give it up."""
 
-from juniperward.scheduler.rules import Sender
+from juniperward.scheduler.scheduler import DeliveryScheduler
 
-__all__ = ["Sender"]
+__all__ = ["DeliveryScheduler"]
--- /dev/null
+++ b/juniperward/scheduler/endpoint_table.py
@@ -0,0 +1,72 @@
+"""The endpoints that are known, by the list, and their destinations."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Collection
+
+from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
+from juniperward.scheduler.records import Destination, Endpoint, RouteState
+from juniperward.scheduler.round import Round
+
+
+class EndpointTable:
+    """Destinations and endpoints by number."""
+
+    def __init__(self, round_: Round) -> None:
+        """Begin without any."""
+        self._round = round_
+        self.destinations: dict[int, Destination] = {}
+        self.endpoints: dict[int, Endpoint] = {}
+        self.listed_rate_total = 0.0  # sum of the destinations' listed rates
+
+    def destination(self, number: int) -> Destination:
+        """Return a destination, which is known from now on."""
+        return self.destinations.setdefault(number, Destination(number))
+
+    def apply(self, update: EndpointListUpdated) -> list[Destination]:
+        """Take in an update of the list; returns the destinations of its entries, in their order."""
+        if update.scope is not ListScope.DELTA:
+            named = {entry.endpoint for entry in update.entries}
+            for endpoint in self.endpoints.values():
+                if endpoint.id not in named:
+                    endpoint.phase = EndpointPhase.GONE
+        return [self._apply_entry(entry) for entry in update.entries]
+
+    def _apply_entry(self, entry: EndpointEntry) -> Destination:
+        destination = self.destination(entry.destination)
+        endpoint = self.endpoints.get(entry.endpoint)
+        if endpoint is None:
+            endpoint = self._create(entry, destination)
+        endpoint.phase = entry.phase
+        if self._round.settings.rates_listed and 0 < entry.listed_rate < math.inf:
+            self.listed_rate_total += entry.listed_rate - destination.listed_rate
+            destination.listed_rate = entry.listed_rate
+        return destination
+
+    def _create(self, entry: EndpointEntry, destination: Destination) -> Endpoint:
+        separate = self._round.settings.kind(entry.kind).separate_routes
+        endpoint = Endpoint(
+            entry.endpoint,
+            destination,
+            RouteState() if separate else destination.shared_route,
+            entry.phase,
+            entry.kind,
+            entry.zone,
+            tie_breaker=self._round.random.random(),
+        )
+        self.endpoints[endpoint.id] = endpoint
+        destination.add(endpoint)
+        return endpoint
+
+    def prune(self, wanted: Collection[int], unused_for_s: float) -> None:
+        """Forget endpoints that are gone, and destinations without any that nobody wants."""
+        for endpoint in list(self.endpoints.values()):
+            if endpoint.phase is EndpointPhase.GONE and not endpoint.in_flight:
+                del self.endpoints[endpoint.id]
+                endpoint.destination.remove(endpoint)
+        for destination in list(self.destinations.values()):
+            unused = destination.last_used_at + unused_for_s <= self._round.now and not destination.on_ring
+            if not destination.endpoints and destination.id not in wanted and unused:
+                self.listed_rate_total -= destination.listed_rate
+                del self.destinations[destination.id]
--- /dev/null
+++ b/juniperward/scheduler/scheduler.py
@@ -0,0 +1,133 @@
+"""The scheduler: composes one part a decision, and hands each event of a round to the parts that it concerns.
+
+It decides nothing itself. `handle` is called by the forwarder's reducer, the simulator's adapter and the
+simulation; what it returns is to be done in that order.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from juniperward.scheduler.actions import Action
+from juniperward.scheduler.admission import Admission, rank
+from juniperward.scheduler.batching import Batching
+from juniperward.scheduler.endpoint_polling import EndpointPolling
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointListUpdated,
+    Event,
+    HealthCheckFinished,
+    ListScope,
+    MessageAdmitted,
+    MessageWithdrawn,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.housekeeping import Housekeeping
+from juniperward.scheduler.outlier_detection import OutlierDetection
+from juniperward.scheduler.parts import SchedulerState
+from juniperward.scheduler.rate_limits import RateLimits
+from juniperward.scheduler.retries import Retries
+from juniperward.scheduler.routing import Routing
+from juniperward.scheduler.settings import SchedulerSettings
+from juniperward.scheduler.slow_start import SlowStart
+from juniperward.scheduler.turns import Turns
+
+
+class DeliveryScheduler:
+    """The decisions of one forwarder; it has no clock, no I/O and no state outside itself."""
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        """Begin without messages and endpoints; the same seed and events give the same actions."""
+        state = self.state = SchedulerState(settings, seed, rank)
+        self.rate_limits = RateLimits(state)
+        self.slow_start = SlowStart(state, self.rate_limits)
+        self.admission = Admission(state)
+        self.retries = Retries(state, self.admission.give_up)
+        self.outliers = OutlierDetection(state, self.rate_limits, self.slow_start)
+        self.batching = Batching(state, self.slow_start, self.outliers)
+        self.routing = Routing(state, self.slow_start, self.batching, self.admission.give_up)
+        self.turns = Turns(state, self.outliers, self.routing, self.batching)
+        self.polling = EndpointPolling(state)
+        self.housekeeping = Housekeeping(state)
+
+    def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
+        """Take in all events of a round, then decide once; `now` does not go back from round to round."""
+        round_ = self.state.round
+        round_.begin(now)
+        for event in events:
+            self._take_in(event)
+        round_.timers.run_due(now)
+        self.turns.release()
+        timer = round_.timers.request(now, round_.settings.timer_resolution_s)
+        if timer is not None:
+            round_.actions.append(timer)
+        return round_.actions
+
+    @property
+    def pending_actions(self) -> list[Action]:
+        """The actions of the present round so far, for a caller that met an error in `handle`."""
+        return self.state.round.actions
+
+    @property
+    def timer_token(self) -> int:
+        """The token of the latest timer that was asked for."""
+        return self.state.round.timers.token
+
+    def _take_in(self, event: Event) -> None:
+        match event:
+            case MessageAdmitted():
+                self._message_admitted(event)
+            case AttemptFinished():
+                self._attempt_finished(event)
+            case TimerFired(token=token):
+                self.state.round.timers.fired(token)
+            case EndpointListUpdated():
+                self._endpoint_list_updated(event)
+            case HealthCheckFinished():
+                self._health_check_finished(event)
+            case MessageWithdrawn(message=number):
+                if (message := self.state.backlog.messages.get(number)) is not None:
+                    self.state.backlog.end(message)
+
+    def _message_admitted(self, event: MessageAdmitted) -> None:
+        message = self.admission.admit(event)
+        if message is None:
+            return
+        if event.history:
+            self.retries.resume(message, event.history)
+        if not message.ended:
+            self.state.backlog.enqueue(message)
+            self.admission.shed_load()
+
+    def _attempt_finished(self, event: AttemptFinished) -> None:
+        backlog = self.state.backlog
+        message = backlog.messages.get(event.message)
+        attempt = message.in_flight.pop(event.attempt, None) if message else None
+        if message is None or attempt is None:
+            return
+        if backlog.leave(message, attempt):
+            self.housekeeping.call_ended(attempt.endpoint)
+        self.rate_limits.record_retry_after(attempt.endpoint.route, event.retry_after_s)
+        self.retries.record_outcome(message, event)
+        if event.outcome is Outcome.OK:
+            self.state.latency.record(message, event.latency_s)
+        if not attempt.outcome_recorded:
+            self.outliers.record_attempt(attempt, event)
+        if event.message_ended or message.ended:
+            backlog.end(message)
+        else:
+            self.retries.after_attempt(message, event)
+
+    def _health_check_finished(self, event: HealthCheckFinished) -> None:
+        if (endpoint := self.state.table.endpoints.get(event.endpoint)) is not None:
+            self.outliers.record_outcome(endpoint, event, self.state.round.now - event.latency_s)
+            self.state.backlog.make_ready(endpoint.destination)
+
+    def _endpoint_list_updated(self, event: EndpointListUpdated) -> None:
+        self.polling.record_update(event.scope)
+        if event.scope is ListScope.FAILED:
+            return
+        for destination in self.state.table.apply(event):
+            self.state.backlog.make_ready(destination)
+        self.housekeeping.prune_endpoints()
--- /dev/null
+++ b/juniperward/scheduler/settings.py
@@ -0,0 +1,163 @@
+"""What a scheduler is told at its start: classes of message, kinds of destination, limits and rules.
+
+Durations are in seconds, rates per second. A value out of its range raises `SettingsError`, which names the field.
+The values of the enumerations are the words that settings files and stored data use.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class SettingsError(ValueError):
+    """A setting is out of its range; `field` names it, `expected` says what it must be."""
+
+    def __init__(self, field: str, expected: str, value: object) -> None:
+        """Describe the field, what was expected of it, and the value that it has."""
+        super().__init__(f"{field}: must {expected}, not {value!r}")
+        self.field = field
+        self.expected = expected
+        self.value = value
+
+
+class Idempotency(Enum):
+    """What a repeated delivery of a message does at its destination."""
+
+    IDEMPOTENT = "repeatable"  # no harm
+    IDEMPOTENCY_KEY = "by_key"  # dropped by its key, for as long as the deduplication window
+    NON_IDEMPOTENT = "once"  # takes effect again
+
+
+class DeduplicationScope(Enum):
+    """Which endpoints of a destination drop the same repeats."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class WeightDecay(Enum):
+    """How the weight of a message falls after its latency objective."""
+
+    LINEAR = "even"
+    HALVING = "by_half"
+
+
+@dataclass(frozen=True, slots=True)
+class MessageClass:
+    """A class of message; weights are relative, windows and objectives in seconds."""
+
+    latency_objective_s: float
+    deadline_s: float
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # share of the weight that is left at the deadline
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_s: float = 0.0
+    in_order: bool = False
+    objective_stretch: float = 0.0
+
+    def __post_init__(self) -> None:
+        """Check the ranges; raises SettingsError."""
+        _check_positive(self, "latency_objective_s", "deadline_s")
+        _check_not_negative(
+            self, "priority_weight", "late_weight", "deduplication_window_s", "objective_stretch"
+        )
+        _check_member("idempotency", self.idempotency, Idempotency)
+        _check_member("deduplication_scope", self.deduplication_scope, DeduplicationScope)
+
+
+@dataclass(frozen=True, slots=True)
+class DestinationKind:
+    """A kind of destination."""
+
+    batch_size: int = 1  # messages that one call may carry
+    separate_routes: bool = False  # each endpoint has its own limit and outages
+
+    def __post_init__(self) -> None:
+        """Check the range; raises SettingsError."""
+        _check_positive(self, "batch_size")
+
+
+@dataclass(frozen=True, slots=True)
+class Tenant:
+    """A tenant's agreed rate of messages, over all forwarders."""
+
+    quota_per_s: float
+
+    def __post_init__(self) -> None:
+        """Check the range; raises SettingsError."""
+        _check_not_negative(self, "quota_per_s")
+
+
+@dataclass(frozen=True, slots=True)
+class SchedulerSettings:
+    """All that a scheduler is told at its start."""
+
+    classes: tuple[MessageClass, ...]
+    slots: int  # attempts that may be in flight at once
+    max_open: int  # messages that may be held at once
+    kinds: tuple[DestinationKind, ...] = ()
+    tenants: tuple[Tenant, ...] = ()
+    instances: int = 1  # forwarders that share the destinations
+    max_attempts: int = 3
+    over_quota_weight: float = 1.0  # x the class's weight, for a message beyond its tenant's quota
+    weight_decay: WeightDecay = WeightDecay.LINEAR
+    answer_slack_s: float = 0.0  # after a message's time, in which its final answer still counts
+    cold_capacity_share: float = 0.2  # share of its capacity that a destination has right after an outage
+    warm_up_s: float = 10.0  # after which it has all of it
+    overload_multiple: float = (
+        1.5  # x its present capacity, for overload_span_s: a cold destination fails anew
+    )
+    overload_span_s: float = 2.0
+    key_rest_s: float = 0.0  # after an attempt that may still run, before the next message of its key
+    keepalive_s: float = 10.0  # after which an idle connection is closed by the endpoint
+    dial_timeout_s: float = 1.0
+    streams_per_connection: int = 1
+    max_retry_after_s: float = 0.0
+    timer_resolution_s: float = 0.005
+    endpoints_polled: bool = False  # the endpoint list is asked for; else it is pushed
+    rates_listed: bool = False  # the list says how many calls a second a destination takes
+    listed_rate_error: float = 0.0  # share by which a listed rate may be wrong
+    health_checks: bool = False  # health checks are allowed
+    cancellation: bool = False  # attempts may be cancelled
+    hedging: bool = False  # two attempts of a message may be in flight
+    rejection_price: float = 0.0
+    zone_tolls: tuple[float, ...] = ()
+    max_batch_bytes: int = 65_535  # of all messages of one call (protocol: no body over 64 KiB)
+
+    def kind(self, number: int) -> DestinationKind:
+        """Return a kind of destination by its number; one that is not named is the default."""
+        return self.kinds[number] if 0 <= number < len(self.kinds) else DestinationKind()
+
+    def __post_init__(self) -> None:
+        """Check the ranges; raises SettingsError."""
+        if not self.classes:
+            raise SettingsError("classes", "name at least one class", self.classes)
+        _check_positive(self, "slots", "max_open", "instances", "max_attempts", "warm_up_s")
+        _check_positive(self, "overload_multiple", "overload_span_s", "streams_per_connection")
+        _check_positive(self, "max_batch_bytes")
+        _check_not_negative(self, "over_quota_weight", "answer_slack_s", "cold_capacity_share", "key_rest_s")
+        _check_not_negative(self, "keepalive_s", "dial_timeout_s", "max_retry_after_s", "timer_resolution_s")
+        _check_not_negative(self, "rejection_price", "listed_rate_error")
+        _check_member("weight_decay", self.weight_decay, WeightDecay)
+
+
+def _check_positive(settings: object, *fields: str) -> None:
+    for field in fields:
+        value = getattr(settings, field)
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
+            raise SettingsError(field, "be above 0", value)
+
+
+def _check_not_negative(settings: object, *fields: str) -> None:
+    for field in fields:
+        value = getattr(settings, field)
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= 0:
+            raise SettingsError(field, "not be negative", value)
+
+
+def _check_member(field: str, value: object, members: type[Enum]) -> None:
+    if not isinstance(value, members):
+        raise SettingsError(field, f"be one of {[member.value for member in members]}", value)
--- /dev/null
+++ b/juniperward/scheduler/settings_codec.py
@@ -0,0 +1,123 @@
+"""Reads the settings object of the platform and of the simulator; their keys are mapped to the field's names here.
+
+Unknown keys are passed over. Times come in milliseconds. What cannot be used raises ValueError (SettingsError among
+them), which names the place.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import Any, TypeVar
+
+from juniperward.scheduler.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    MessageClass,
+    SchedulerSettings,
+    Tenant,
+    WeightDecay,
+)
+
+S_PER_MS = 0.001
+ROUGH_RATE_ERROR = 0.5  # "rough" rates are up to half too high or too low
+Member = TypeVar("Member", bound=Enum)
+
+
+class ServiceError(ValueError):
+    """One of `Services` cannot be used."""
+
+    def __init__(self, number: int, problem: str) -> None:
+        """Name the class by its place, and what is wrong with it."""
+        super().__init__(f"Services[{number}]: {problem}")
+        self.number = number
+        self.problem = problem
+
+
+class UnknownValueError(ValueError):
+    """A key has a word that is not among those it may have."""
+
+    def __init__(self, key: str, value: object) -> None:
+        """Name the key and the word."""
+        super().__init__(f"{key}: unknown value {value!r}")
+        self.key = key
+        self.value = value
+
+
+def read_settings(config: dict[str, Any]) -> SchedulerSettings:
+    """Return the settings that a `Config` object holds; raises ValueError, or KeyError for a missing key."""
+    limits, rules = config.get("Limits", {}), config.get("Invariants", {})
+    specifics = config.get("Specifics", {})
+    weights = config.get("Weights")
+    return SchedulerSettings(
+        classes=tuple(_read_class(n, service) for n, service in enumerate(config.get("Services", []))),
+        slots=specifics.get("MaxCalls", 1),
+        max_open=limits.get("MaxOpen", 1),
+        kinds=_read_kinds(config, specifics),
+        tenants=tuple(
+            Tenant(quota_per_s=tenant.get("QuotaPerS", 0.0)) for tenant in config.get("Tenants") or []
+        ),
+        instances=config.get("Instances", 1),
+        max_attempts=limits.get("MaxAttempts", 1),
+        over_quota_weight=config.get("OverShareWorth", 1.0),
+        weight_decay=_member(WeightDecay, "LosesWorth", specifics.get("LosesWorth", "even")),
+        answer_slack_s=rules.get("AnswerSlackMs", 0.0) * S_PER_MS,
+        cold_capacity_share=rules.get("ColdShare", 0.2),
+        warm_up_s=rules.get("WarmWithinMs", 10000.0) * S_PER_MS,
+        overload_multiple=rules.get("FallMultiple", 1.5),
+        overload_span_s=rules.get("FallMs", 2000.0) * S_PER_MS,
+        key_rest_s=(rules.get("KeyRestMs") or 0.0) * S_PER_MS,
+        keepalive_s=limits.get("KeepaliveMs", 10000.0) * S_PER_MS,
+        dial_timeout_s=limits.get("DialTimeoutMs", 1000.0) * S_PER_MS,
+        streams_per_connection=limits.get("StreamsPerConn", 1),
+        max_retry_after_s=limits.get("MaxRetryAfterMs", 0.0) * S_PER_MS if limits.get("RetryAfter") else 0.0,
+        timer_resolution_s=config.get("ResolutionMs", 5.0) * S_PER_MS,
+        endpoints_polled=config.get("MembershipMode") == "on_request",
+        rates_listed=weights in ("nominal", "rough"),
+        listed_rate_error=ROUGH_RATE_ERROR if weights == "rough" else 0.0,
+        health_checks=bool(limits.get("Probing", False)),
+        cancellation=bool(limits.get("Cancel", False)),
+        hedging=bool(limits.get("MayDuplicate", False)),
+        rejection_price=specifics.get("RefusedPrice", 0.0),
+        zone_tolls=tuple(specifics.get("Toll") or ()),
+    )
+
+
+def _read_kinds(config: dict[str, Any], specifics: dict[str, Any]) -> tuple[DestinationKind, ...]:
+    batch_sizes = specifics.get("BatchByKind") or []
+    separate = specifics.get("RoutesApart") or []
+    count = max(len(config.get("Kinds", [])), len(batch_sizes), len(separate))
+    return tuple(
+        DestinationKind(
+            batch_size=batch_sizes[kind] if kind < len(batch_sizes) else 1,
+            separate_routes=bool(kind < len(separate) and separate[kind]),
+        )
+        for kind in range(count)
+    )
+
+
+def _read_class(number: int, service: dict[str, Any]) -> MessageClass:
+    """Read one of `Services`; what is wrong with it is told with its place."""
+    try:
+        return MessageClass(
+            latency_objective_s=service["AimMs"] * S_PER_MS,
+            deadline_s=service["DeadlineMs"] * S_PER_MS,
+            idempotency=_member(Idempotency, "Effect", service.get("Effect", "repeatable")),
+            priority_weight=service.get("Worth", 1.0),
+            late_weight=service.get("LateWorth", 0.0),
+            deduplication_scope=_member(DeduplicationScope, "DedupScope", service.get("DedupScope", "all")),
+            deduplication_window_s=service.get("WindowMs", 0.0) * S_PER_MS,
+            in_order=bool(service.get("InOrder", False)),
+            objective_stretch=service.get("AimStretch") or 0.0,
+        )
+    except KeyError as error:
+        raise ServiceError(number, f"{error.args[0]!r} is missing") from error
+    except (ValueError, TypeError) as error:
+        raise ServiceError(number, str(error)) from error
+
+
+def _member(members: type[Member], key: str, value: object) -> Member:
+    try:
+        return members(value)
+    except ValueError:
+        raise UnknownValueError(key, value) from None
--- /dev/null
+++ b/juniperward/scheduler/status.py
@@ -0,0 +1,77 @@
+"""What the scheduler thinks of each destination, for people to look at; nothing here decides."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from juniperward.scheduler.records import RouteState
+from juniperward.scheduler.scheduler import DeliveryScheduler
+
+
+class Health(StrEnum):
+    """How a destination is; the values are the words of the control channel."""
+
+    HEALTHY = "well"
+    EJECTED = "failing"
+    WARMING_UP = "warming"
+    UNKNOWN = "unknown"  # no attempt has ended there yet
+
+
+@dataclass(frozen=True, slots=True)
+class DestinationStatus:
+    """One destination at a moment; durations in seconds, rates in calls a second."""
+
+    destination: int
+    health: Health
+    queued: int
+    in_flight: int
+    rate_limit: float | None
+    listed_rate: float
+    retry_after_s: float
+    warming_up_for_s: float | None
+    mean_latency_s: float | None
+    ready_endpoints: int
+
+
+def destination_statuses(scheduler: DeliveryScheduler, now: float) -> tuple[DestinationStatus, ...]:
+    """Return all destinations that the scheduler knows, by number."""
+    return tuple(_status(scheduler, number, now) for number in sorted(scheduler.state.table.destinations))
+
+
+def ejected_destinations(scheduler: DeliveryScheduler) -> int:
+    """Return how many destinations have a route that gets trials only."""
+    destinations = scheduler.state.table.destinations.values()
+    return sum(any(e.route.ejected for e in destination.endpoints.values()) for destination in destinations)
+
+
+def _status(scheduler: DeliveryScheduler, number: int, now: float) -> DestinationStatus:
+    destination = scheduler.state.table.destinations[number]
+    endpoints = destination.endpoints.values()
+    routes = list({id(e.route): e.route for e in endpoints}.values()) or [destination.shared_route]
+    warming_up_for_s = _warming_up_for(routes, scheduler.state.round.settings.warm_up_s, now)
+    health = Health.HEALTHY if destination.mean_latency is not None else Health.UNKNOWN
+    if any(route.ejected for route in routes):
+        health = Health.EJECTED
+    elif warming_up_for_s is not None:
+        health = Health.WARMING_UP
+    limits = [route.rate_limit for route in routes if route.rate_limit is not None]
+    return DestinationStatus(
+        destination=number,
+        health=health,
+        queued=len(destination.queue),
+        in_flight=destination.slots,
+        rate_limit=sum(limits) if limits else None,
+        listed_rate=destination.listed_rate,
+        retry_after_s=max(max(route.retry_after_until for route in routes) - now, 0.0),
+        warming_up_for_s=warming_up_for_s,
+        mean_latency_s=destination.mean_latency,
+        ready_endpoints=sum(endpoint.is_ready for endpoint in endpoints),
+    )
+
+
+def _warming_up_for(routes: list[RouteState], warm_up_s: float, now: float) -> float | None:
+    started_at = [route.slow_start_since for route in routes if route.slow_start_since is not None]
+    if not started_at or now - max(started_at) >= warm_up_s:
+        return None
+    return now - max(started_at)
--- /dev/null
+++ b/juniperward/scheduler/token_bucket.py
@@ -0,0 +1,24 @@
+"""A token bucket."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, eq=False)
+class TokenBucket:
+    """A bucket that holds the tokens of one second, and one at least."""
+
+    rate_per_s: float
+    level: float = 1.0
+    filled_at: float = 0.0
+
+    def take(self, now: float) -> bool:
+        """Take a token; returns whether there was one."""
+        capacity = max(self.rate_per_s, 1.0)
+        self.level = min(capacity, self.level + (now - self.filled_at) * self.rate_per_s)
+        self.filled_at = now
+        if self.level < 1.0:
+            return False
+        self.level -= 1.0
+        return True
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -25,7 +25,7 @@
 from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Moved, WatchLost, Worker
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
-from juniperward.scheduler.interface import Phase
+from juniperward.scheduler.events import EndpointPhase
 from tests.helpers import ONCE, settings
 
 NAMES = Names(("c",), (12.0,), (), ("m2",), ("a",))
@@ -136,15 +136,17 @@
     drain_known_at: float | None = None
 
     def __init__(self, seed: int, longest_waits: bool = True) -> None:
-        super().__init__(settings(ONCE, on_request=True), seed)
+        super().__init__(settings(ONCE, endpoints_polled=True), seed)
         if longest_waits:
-            self.sender.random = LongestWaits(seed)
+            self.scheduler.state.round.random = LongestWaits(seed)
         self.drain_known = threading.Event()
 
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
         effects = super().reduce(now, events)
         ready = {
-            w.id for n, w in self.state.workers.items() if w.phase is Phase.READY and n not in self.state.gone
+            w.id
+            for n, w in self.state.workers.items()
+            if w.phase is EndpointPhase.READY and n not in self.state.gone
         }
         if "s-1" not in ready and not self.drain_known.is_set():
             self.drain_known_at = time.monotonic()
@@ -214,8 +216,8 @@
     def run(self, seconds: float = LONGEST_CASE) -> bool:
         """Run until the drain of s-1 is known; whether it was in this time."""
         known = (
-            Worker("s-1", "127.0.0.1", 9, 1, Phase.READY, 0, 0, 0.0),
-            Worker("s-2", "127.0.0.1", 9, 1, Phase.READY, 0, 0, 0.0),
+            Worker("s-1", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
+            Worker("s-2", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
         )
         self.registry.start()
         self.loop.round([EndpointsUpdated(41, True, known, known=True)])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,56 +2,71 @@
 
 from __future__ import annotations
 
+from random import Random
 from typing import Any
 
-from juniperward.scheduler.interface import (
-    Action,
-    Arrived,
-    Effect,
-    Endpoint,
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import Action, Fail, Reject, SetTimer, StartAttempt
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointPhase,
     Event,
-    Fail,
-    Kind,
-    Listed,
     ListScope,
-    MessageClass,
+    MessageAdmitted,
     Outcome,
-    Phase,
-    Refuse,
-    Send,
-    SetTimer,
-    Settings,
-    Settled,
     TimerFired,
 )
-from juniperward.scheduler.rules import Sender
-
-SAFE = MessageClass(aim=4.0, deadline=20.0, late_worth=0.5)
-KEYED = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=5.0, late_worth=0.5)
-ONCE = MessageClass(aim=4.0, deadline=20.0, effect=Effect.ONCE, worth=4.0, late_worth=0.5)
-ORDERED = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=5.0, in_order=True)
+from juniperward.scheduler.records import Destination, Message, RouteState
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
+
+SAFE = MessageClass(latency_objective_s=4.0, deadline_s=20.0, late_weight=0.5)
+KEYED = MessageClass(
+    latency_objective_s=4.0,
+    deadline_s=20.0,
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    deduplication_window_s=5.0,
+    late_weight=0.5,
+)
+ONCE = MessageClass(
+    latency_objective_s=4.0,
+    deadline_s=20.0,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+    priority_weight=4.0,
+    late_weight=0.5,
+)
+ORDERED = MessageClass(
+    latency_objective_s=4.0,
+    deadline_s=20.0,
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    deduplication_window_s=5.0,
+    in_order=True,
+)
 
 
-def settings(*classes: MessageClass, **changes: Any) -> Settings:
+def settings(*classes: MessageClass, **changes: Any) -> SchedulerSettings:
     values: dict[str, Any] = {
         "classes": classes or (SAFE,),
         "slots": 8,
         "max_open": 200,
-        "kinds": (Kind(),),
+        "kinds": (DestinationKind(),),
         "max_attempts": 6,
-        "answer_slack": 0.02,
-        "max_retry_after": 2.0,
-        "cancel": True,
-        "cold_share": 0.25,
+        "answer_slack_s": 0.02,
+        "max_retry_after_s": 2.0,
+        "cancellation": True,
+        "cold_capacity_share": 0.25,
     }
-    return Settings(**{**values, **changes})
+    return SchedulerSettings(**{**values, **changes})
 
 
 class Node:
     """Drives a sender; timers fire by themselves as the clock is moved."""
 
-    def __init__(self, config: Settings | None = None, endpoints: tuple[Endpoint, ...] | None = None) -> None:
-        self.sender = Sender(config or settings(), seed=1)
+    def __init__(
+        self, config: SchedulerSettings | None = None, endpoints: tuple[EndpointEntry, ...] | None = None
+    ) -> None:
+        self.scheduler = DeliveryScheduler(config or settings(), seed=1)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
         self.log: list[tuple[float, Action]] = []
@@ -60,16 +75,38 @@
         self.endpoint: dict[tuple[int, int], int] = {}
         self.serial = 0
         if endpoints is None:
-            endpoints = tuple(Endpoint(10 * d, d) for d in (1, 2, 3))
+            endpoints = tuple(EndpointEntry(10 * d, d) for d in (1, 2, 3))
         self.listed(*endpoints, scope=ListScope.CACHED)
 
+    @property
+    def messages(self) -> dict[int, Message]:
+        """The messages that the scheduler holds."""
+        return self.scheduler.state.backlog.messages
+
+    @property
+    def random(self) -> Random:
+        """The scheduler's random numbers."""
+        return self.scheduler.state.round.random
+
+    def destination(self, number: int) -> Destination:
+        """What the scheduler knows of a destination."""
+        return self.scheduler.state.table.destinations[number]
+
+    def route(self, number: int) -> RouteState:
+        """What the endpoints of a destination share."""
+        return self.destination(number).shared_route
+
+    def in_flight(self) -> list[int]:
+        """The messages with an attempt in flight."""
+        return [message.id for message in self.messages.values() if message.in_flight]
+
     def do(self, *events: Event) -> list[Action]:
-        actions = self.sender.handle(self.now, events)
+        actions = self.scheduler.handle(self.now, events)
         for a in actions:
             self.log.append((self.now, a))
             if isinstance(a, SetTimer):
-                self.timers.append((self.now + a.delay, a.token))
-            elif isinstance(a, Send):
+                self.timers.append((self.now + a.delay_s, a.token))
+            elif isinstance(a, StartAttempt):
                 n = self.attempts.get(a.message, 0)
                 self.attempts[a.message] = n + 1
                 self.sent_at[a.message, n] = self.now
@@ -87,39 +124,39 @@
         self.now = end
         return seen
 
-    def listed(self, *entries: Endpoint, scope: ListScope = ListScope.DELTA) -> list[Action]:
-        return self.do(Listed(scope, entries))
+    def listed(self, *entries: EndpointEntry, scope: ListScope = ListScope.DELTA) -> list[Action]:
+        return self.do(EndpointListUpdated(scope, entries))
 
     def arrive(self, destination: int = 1, count: int = 1, **fields: Any) -> list[Action]:
         events = []
         for _ in range(count):
             self.serial += 1
-            values: dict[str, Any] = {"cls": 0, "budget": 20.0, **fields}
-            events.append(Arrived(message=self.serial, destination=destination, **values))
+            values: dict[str, Any] = {"class_index": 0, "time_left_s": 20.0, **fields}
+            events.append(MessageAdmitted(message=self.serial, destination=destination, **values))
         return self.do(*events)
 
     def settle(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
         """The outcome of a message's latest attempt."""
         n = self.attempts[message] - 1
-        values: dict[str, Any] = {"ended": outcome is Outcome.OK, **fields}
+        values: dict[str, Any] = {"message_ended": outcome is Outcome.OK, **fields}
         return self.do(
-            Settled(
+            AttemptFinished(
                 message, n, self.endpoint[message, n], outcome, self.now - self.sent_at[message, n], **values
             )
         )
 
 
 def sends(actions: list[Action]) -> list[int]:
-    return [a.message for a in actions if isinstance(a, Send)]
+    return [a.message for a in actions if isinstance(a, StartAttempt)]
 
 
 def refused(actions: list[Action]) -> list[int]:
-    return [a.message for a in actions if isinstance(a, Refuse)]
+    return [a.message for a in actions if isinstance(a, Reject)]
 
 
 def failed(actions: list[Action]) -> list[int]:
     return [a.message for a in actions if isinstance(a, Fail)]
 
 
-def gone(number: int, destination: int) -> Endpoint:
-    return Endpoint(number, destination, Phase.DRAINING)
+def gone(number: int, destination: int) -> EndpointEntry:
+    return EndpointEntry(number, destination, EndpointPhase.DRAINING)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from juniperward.simulator_adapter.adapter import WireError, serve
+from juniperward.simulator_adapter.adapter import serve
+from juniperward.simulator_adapter.wire import WireError
 
 ROOT = Path(__file__).parent.parent
 CONFIG: dict[str, Any] = {
@@ -110,7 +111,7 @@
     def broken(*args: object) -> None:
         raise IndexError("no such place")
 
-    monkeypatch.setattr("juniperward.scheduler.rules.Sender.handle", broken)
+    monkeypatch.setattr("juniperward.scheduler.DeliveryScheduler.handle", broken)
     (reply,) = play((10.0, start("node/0")))
     assert "no such place" in names(reply, "Die")[0]["NoteText"]
 
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -15,8 +15,11 @@
 from juniperward.lab.world import World
 from juniperward.rigs.cold import cold, play_all
 from juniperward.rigs.yard import ACCOUNTS, Yard
-from juniperward.scheduler import Sender
-from juniperward.scheduler.state import Destination, Route
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import EjectionReason
+from juniperward.scheduler.outlier_detection import OutlierDetection
+from juniperward.scheduler.records import Endpoint
+from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.standins.clients import Clients, Traffic
 from juniperward.standins.partners import PartnerSpec
 from juniperward.standins.records import Called, Handed, Record
@@ -55,7 +58,7 @@
         self.assertFalse(Span(1.0, 29, 29, 29.0).breaks_the_rule)
 
     def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
-        world = World(parse(FALLING, "falling.textproto"), Sender, 1)
+        world = World(parse(FALLING, "falling.textproto"), DeliveryScheduler, 1)
         partner = world.partners[0]
         partner.back_at, world.now = 0.0, 1.0
         borne = int(partner.budget.most(1.0))
@@ -67,16 +70,24 @@
         self.assertTrue(partner.fallen)
 
 
-class Heedless(Sender):
+class HeedlessDetection(OutlierDetection):
     """Planted fault: what is told of an outage changes nothing."""
 
-    def _doubt(self, d: Destination, route: Route, why: str, unreached: bool = False) -> None:
+    def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, unreached: bool = False) -> None:
         pass
 
-    def _turn_sick(self, d: Destination, route: Route, why: str) -> None:
+    def _eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
         pass
 
 
+class Heedless(DeliveryScheduler):
+    """A scheduler that heeds no outage."""
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.outliers.__class__ = HeedlessDetection
+
+
 class FleetTest(unittest.TestCase):
     def test_the_same_seed_gives_the_same_run(self) -> None:
         case = ColdCase(Outage.SILENT, listed=True, batch=20, half_see=True)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,8 +13,23 @@
 
 from juniperward.lab.scenario import parse
 from juniperward.lab.world import World
-from juniperward.scheduler import Sender
-from juniperward.scheduler import interface as i
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler.actions import Action, StartAttempt
+from juniperward.scheduler.backlog import Backlog
+from juniperward.scheduler.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointPhase,
+    Event,
+    ListScope,
+    MessageAdmitted,
+    Outcome,
+    TimerFired,
+)
+from juniperward.scheduler.records import Destination, Endpoint, Message
+from juniperward.scheduler.routing import Routing
+from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 DAY = """
 shows: "a day on which destinations close and open"
@@ -26,63 +41,87 @@
 """
 
 
-class Counting(Sender):
+class CountingRouting(Routing):
     """Counts what a release looks at."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
-        super().__init__(settings, seed)
-        self.chosen = self.opened = 0
+    chosen = opened = 0
 
-    def _choose(self, d: Any, head: Any) -> Any:
+    def choose(self, destination: Destination, head: Message) -> tuple[Message, Endpoint] | None:
         self.chosen += 1
-        return super()._choose(d, head)
+        return super().choose(destination, head)
 
-    def _opens_at(self, ep: Any) -> float:
+    def opens_at(self, endpoint: Endpoint) -> float:
         self.opened += 1
-        return super()._opens_at(ep)
+        return super().opens_at(endpoint)
+
+
+class Counting(DeliveryScheduler):
+    """A scheduler whose routing counts."""
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.routing.__class__ = CountingRouting
 
 
-class Watching(Sender):
+class Watching(DeliveryScheduler):
     """Fails as soon as a destination is off the ring though something waits there that nothing will wake."""
 
-    def handle(self, now: float, events: Iterable[i.Event]) -> list[i.Action]:
+    def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         actions = super().handle(now, events)
-        for d in self.dests.values():
-            if not d.waiting or d.on_ring:
+        backlog, timers = self.state.backlog, self.state.round.timers
+        for d in self.state.table.destinations.values():
+            if not d.queue or d.on_ring:
                 continue
-            opens = [self._opens_at(ep) for ep in d.order if ep.phase is i.Phase.READY]
+            opens = [self.routing.opens_at(ep) for ep in d.endpoint_order if ep.phase is EndpointPhase.READY]
             at = min(opens, default=math.inf)
             assert at > now, f"{d.id} is open and off the ring"
-            woken = any(t[2] == self._join and t[3] == (d,) and t[0] <= at + 1e-6 for t in self.due)
+            due = timers.pending(backlog.make_ready)
+            woken = any(arguments == (d,) and when <= at + 1e-6 for when, arguments in due)
             assert at == math.inf or woken, f"{d.id} opens at {at}, nothing wakes it"
             assert at < math.inf or d.slots or not opens, f"{d.id} waits for news that cannot come"
         return actions
 
 
-class Deaf(Watching):
+class DeafBacklog(Backlog):
     """A planted fault: nothing is scheduled for the moment at which a destination opens."""
 
-    def _wake(self, d: Any, at: float) -> None:
+    def make_ready_at(self, destination: Destination, at: float) -> None:
         pass
 
 
-class Forgetful(Watching):
+class Deaf(Watching):
+    """A scheduler whose backlog is deaf."""
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.state.backlog.__class__ = DeafBacklog
+
+
+class ForgetfulBacklog(Backlog):
     """A planted fault: the end of a call opens nothing."""
 
-    def _join(self, d: Any) -> None:
-        if not d.slots or d.waiting > 1:
-            super()._join(d)
+    def make_ready(self, destination: Destination) -> None:
+        if not destination.slots or len(destination.queue) > 1:
+            super().make_ready(destination)
+
+
+class Forgetful(Watching):
+    """A scheduler whose backlog is forgetful."""
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.state.backlog.__class__ = ForgetfulBacklog
 
 
-def sender(kind: type[Sender], destinations: int, workers: int) -> Any:
-    classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3, window=12.0),)
-    made = kind(i.Settings(classes, slots=200, max_open=100_000, kinds=(i.Kind(),)), 1)
+def sender(kind: type[DeliveryScheduler], destinations: int, workers: int) -> Any:
+    classes = (MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),)
+    made = kind(SchedulerSettings(classes, slots=200, max_open=100_000, kinds=(DestinationKind(),)), 1)
     entries = [
-        i.Endpoint(d * workers + w, d, i.Phase.READY, 0, 0, 0.0)
+        EndpointEntry(d * workers + w, d, EndpointPhase.READY, 0, 0, 0.0)
         for d in range(destinations)
         for w in range(workers)
     ]
-    made.handle(0.0, [i.Listed(i.ListScope.FULL, tuple(entries))])
+    made.handle(0.0, [EndpointListUpdated(ListScope.FULL, tuple(entries))])
     return made
 
 
@@ -91,51 +130,61 @@
         made = sender(Counting, 301, 1)
         for d in range(1, 301):
             made.handle(
-                0.1, [i.Arrived(d, 0, d, 1000.0, 0, f"k{d}"), i.Arrived(1000 + d, 0, d, 1000.0, 0, f"l{d}")]
+                0.1,
+                [
+                    MessageAdmitted(d, 0, d, 1000.0, 0, f"k{d}"),
+                    MessageAdmitted(1000 + d, 0, d, 1000.0, 0, f"l{d}"),
+                ],
             )
             for a in [d, 1000 + d]:
-                for n in list(made.messages[a].out):
-                    made.handle(0.1, [i.Settled(a, n, d, i.Outcome.FULL, 0.01, False, 500.0)])
-        made.handle(5.0, [i.TimerFired(made.token)])
-        made.chosen = 0
+                for n in list(made.state.backlog.messages[a].in_flight):
+                    made.handle(0.1, [AttemptFinished(a, n, d, Outcome.OVERLOADED, 0.01, False, 500.0)])
+        made.handle(5.0, [TimerFired(made.timer_token)])
+        made.routing.chosen = 0
         for n in range(50):
-            made.handle(10.0 + n, [i.Arrived(5000 + n, 0, 0, 20.0, 0, f"m{n}")])
-            made.handle(10.1 + n, [i.Settled(5000 + n, 0, 0, i.Outcome.OK, 0.1, True)])
-        self.assertLessEqual(made.chosen, 50 * 8)  # with a look at each in each round it is some 30,000
+            made.handle(10.0 + n, [MessageAdmitted(5000 + n, 0, 0, 20.0, 0, f"m{n}")])
+            made.handle(10.1 + n, [AttemptFinished(5000 + n, 0, 0, Outcome.OK, 0.1, True)])
+        self.assertLessEqual(
+            made.routing.chosen, 50 * 8
+        )  # with a look at each in each round it is some 30,000
 
     def test_a_release_looks_at_a_bounded_number_of_endpoints(self) -> None:
         looked = {}
         for workers in (20, 2000):
             made = sender(Counting, 1, workers)
             for n in range(200):
-                made.handle(1.0 + n / 100, [i.Arrived(n, 0, 0, 20.0, 0, f"m{n}")])
+                made.handle(1.0 + n / 100, [MessageAdmitted(n, 0, 0, 20.0, 0, f"m{n}")])
                 if n >= 10:
-                    ((number, endpoint),) = [(k, m.last) for k, m in made.messages.items() if k == n - 10]
-                    made.handle(1.0 + n / 100, [i.Settled(number, 0, endpoint, i.Outcome.OK, 0.1, True)])
-            looked[workers] = made.opened / 200
-            spread = {m.last for m in made.messages.values()}
+                    ((number, endpoint),) = [
+                        (k, m.last_endpoint) for k, m in made.state.backlog.messages.items() if k == n - 10
+                    ]
+                    made.handle(1.0 + n / 100, [AttemptFinished(number, 0, endpoint, Outcome.OK, 0.1, True)])
+            looked[workers] = made.routing.opened / 200
+            spread = {m.last_endpoint for m in made.state.backlog.messages.values()}
             self.assertEqual(
-                len(spread), len(made.messages)
+                len(spread), len(made.state.backlog.messages)
             )  # calls that are out together go to different ones
         self.assertLessEqual(looked[2000], 2 * looked[20])
 
     def test_what_is_kept_of_an_idle_destination_is_small(self) -> None:
         """10,000 destinations with two workers each must fit into a forwarder's 32 MB beside the rest of it."""
-        entries = tuple(i.Endpoint(n, n // 2, i.Phase.READY, 0, 0, 0.0) for n in range(2000))
+        entries = tuple(EndpointEntry(n, n // 2, EndpointPhase.READY, 0, 0, 0.0) for n in range(2000))
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
-        classes = (i.MessageClass(3.0, 20.0, i.Effect.BY_KEY, 1.0, 0.3),)
-        made = Sender(i.Settings(classes, slots=200, max_open=400, kinds=(i.Kind(),)), 1)
-        made.handle(0.0, [i.Listed(i.ListScope.FULL, entries)])
+        classes = (MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3),)
+        made = DeliveryScheduler(
+            SchedulerSettings(classes, slots=200, max_open=400, kinds=(DestinationKind(),)), 1
+        )
+        made.handle(0.0, [EndpointListUpdated(ListScope.FULL, entries)])
         self.assertLess(tracemalloc.get_traced_memory()[0] / 1000, 2000)  # bytes; it was 3,800
 
     def test_one_open_endpoint_among_many_closed_ones_is_found(self) -> None:
-        made = sender(Sender, 1, 500)
-        for ep in made.endpoints.values():
+        made = sender(DeliveryScheduler, 1, 500)
+        for ep in made.state.table.endpoints.values():
             if ep.id != 321:
-                ep.bad, ep.trial_at = True, 1e9
-        sent = made.handle(1.0, [i.Arrived(1, 0, 0, 20.0, 0, "k")])
-        self.assertEqual([a.endpoint for a in sent if isinstance(a, i.Send)], [321])
+                ep.unhealthy, ep.next_trial_at = True, 1e9
+        sent = made.handle(1.0, [MessageAdmitted(1, 0, 0, 20.0, 0, "k")])
+        self.assertEqual([a.endpoint for a in sent if isinstance(a, StartAttempt)], [321])
 
 
 class ClosedTest(unittest.TestCase):
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -5,7 +5,8 @@
 import math
 import random
 
-from juniperward.scheduler.interface import Cancel, Close, Endpoint, Listed, ListScope, Outcome, Send, Watch
+from juniperward.scheduler.actions import CancelAttempt, CloseIdleConnections, PollEndpointList, StartAttempt
+from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, ListScope, Outcome
 from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, refused, sends, settings
 
 
@@ -17,26 +18,26 @@
 
 
 def cancelled(node: Node) -> list[int]:
-    return [a.message for _, a in node.log if isinstance(a, Cancel)]
+    return [a.message for _, a in node.log if isinstance(a, CancelAttempt)]
 
 
 def test_silent_destinations_do_not_keep_all_slots_between_them() -> None:
     # i570357: one or two calls at each of many silent destinations held every slot until their deadlines.
-    node = Node(settings(SAFE, slots=4), tuple(Endpoint(10 * d, d) for d in range(1, 7)))
+    node = Node(settings(SAFE, slots=4), tuple(EndpointEntry(10 * d, d) for d in range(1, 7)))
     for d in range(1, 7):
         warm(node, d)
     for d in range(1, 5):
         node.arrive(destination=d)
     node.arrive(destination=5)
-    assert len(node.sender.slots) == 4 and cancelled(node) == []
+    assert len(node.scheduler.state.backlog.in_flight) == 4 and cancelled(node) == []
     node.run(1.2)
     assert len(cancelled(node)) >= 1
     gone = cancelled(node)[0]
-    assert 5 in {node.sender.messages[m].dest.id for m in sends(node.settle(gone, Outcome.CANCELLED))}
+    assert 5 in {node.messages[m].destination.id for m in sends(node.settle(gone, Outcome.CANCELLED))}
 
 
 def test_a_heavy_message_is_left_alone_where_others_are_answered() -> None:
-    node = Node(settings(SAFE, slots=3), (Endpoint(10, 1), Endpoint(20, 2)))
+    node = Node(settings(SAFE, slots=3), (EndpointEntry(10, 1), EndpointEntry(20, 2)))
     warm(node, 1)
     warm(node, 2)
     node.arrive(destination=1)
@@ -46,7 +47,7 @@
     node.settle(node.serial)
     node.arrive(destination=2, count=4)
     node.run(3.0)
-    assert len(node.sender.slots) == 3 and heavy not in cancelled(node)
+    assert len(node.scheduler.state.backlog.in_flight) == 3 and heavy not in cancelled(node)
 
 
 def test_one_overdue_call_lets_one_more_be_risked_at_a_time() -> None:
@@ -65,7 +66,7 @@
     warm(node, 1, count=20)
     node.arrive(count=3)
     node.run(1.2)
-    assert node.sender.dests[1].shared.sick
+    assert node.route(1).ejected
     node.arrive(count=20)
     assert len(sends(node.run(6.0))) <= 3
 
@@ -75,10 +76,10 @@
     node = Node(settings(SAFE, slots=20))
     node.arrive(count=3)
     node.run(0.1)
-    node.settle(1, Outcome.FULL, wait=8.0)
-    assert node.sender.dests[1].shared.sick
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=8.0)
+    assert node.route(1).ejected
     node.settle(2)
-    assert node.sender.dests[1].shared.sick
+    assert node.route(1).ejected
 
 
 def test_fewer_than_half_failing_is_no_outage() -> None:
@@ -87,7 +88,7 @@
         node.arrive()
         node.run(0.1)
         node.settle(node.serial, Outcome.ERROR if k % 5 in (0, 2) else Outcome.OK)
-    assert not node.sender.dests[1].shared.sick
+    assert not node.route(1).ejected
 
 
 def test_the_earlier_rate_is_not_worn_down_before_the_outage_is_told() -> None:
@@ -98,37 +99,39 @@
         node.settle(node.serial)
     node.arrive(count=4)
     node.run(3.5)
-    route = node.sender.dests[1].shared
-    assert route.sick and 3.0 < route.known < 4.5
+    route = node.route(1)
+    assert route.ejected and 3.0 < route.rate_before_outage < 4.5
 
 
 def test_the_pace_takes_over_where_the_bucket_ends() -> None:
-    node = Node(settings(SAFE, slots=100, warm_within=3.0))
+    node = Node(settings(SAFE, slots=100, warm_up_s=3.0))
     warm(node, 1, count=20)
     node.arrive(count=3)
     node.run(1.5)
     node.arrive(count=100)
     for _ in range(200):
         node.run(0.05)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
+        for m in node.in_flight():
             if node.now - node.sent_at[m, node.attempts[m] - 1] > 0.04:
                 node.settle(m)
-        if node.sender.dests[1].shared.pace is not None:
+        if node.route(1).rate_limit is not None:
             break
-    route = node.sender.dests[1].shared
-    assert route.cold_since is None and route.pace is not None and node.sender.dests[1].waiting > 0
+    route = node.route(1)
+    assert (
+        route.slow_start_since is None and route.rate_limit is not None and len(node.destination(1).queue) > 0
+    )
 
 
 def test_a_quick_error_is_charged_the_normal_cost_and_changes_no_mean() -> None:
     node = Node()
     warm(node, 1, latency=1.0)
-    d = node.sender.dests[1]
-    mean, deficit = d.mean, d.deficit
+    d = node.destination(1)
+    mean, deficit = d.mean_latency, d.deficit
     node.arrive()
     node.run(0.01)
     paid = d.deficit
     node.settle(node.serial, Outcome.ERROR)
-    assert d.mean == mean and d.deficit <= paid and deficit == 0.0
+    assert d.mean_latency == mean and d.deficit <= paid and deficit == 0.0
 
 
 def test_a_full_connection_table_is_no_outage_and_is_not_dialled_again_at_once() -> None:
@@ -138,7 +141,7 @@
     node.run(0.1)
     for m in range(node.serial - 3, node.serial + 1):
         node.settle(m, Outcome.CONNECT_FAILED)
-    assert not node.sender.dests[1].shared.sick
+    assert not node.route(1).ejected
     assert len(sends(node.run(0.3))) == 0  # the open ones are all in use
     assert len(sends(node.settle(node.serial - 7) + node.run(0.3))) == 1
 
@@ -147,28 +150,28 @@
     node = Node(settings(ONCE, SAFE, slots=20))
     warm(node, 1)
     for _ in range(4):
-        node.arrive(cls=1)
+        node.arrive(class_index=1)
         node.run(0.05)
         node.settle(node.serial, Outcome.ERROR)
-    assert node.sender.dests[1].shared.sick
-    node.arrive(cls=0)
+    assert node.route(1).ejected
+    node.arrive(class_index=0)
     unsafe = node.serial
-    node.arrive(cls=1, count=3)
+    node.arrive(class_index=1, count=3)
     tried = sends(node.run(5.0))
     assert tried and unsafe not in tried
 
 
 def test_a_broken_watch_is_asked_for_again() -> None:
-    node = Node(settings(on_request=True))
-    assert [a for _, a in node.log if isinstance(a, Watch)] == [Watch()]
-    node.do(Listed(ListScope.FAILED))
-    assert any(isinstance(a, Watch) for a in node.run(1.0))
+    node = Node(settings(endpoints_polled=True))
+    assert [a for _, a in node.log if isinstance(a, PollEndpointList)] == [PollEndpointList()]
+    node.do(EndpointListUpdated(ListScope.FAILED))
+    assert any(isinstance(a, PollEndpointList) for a in node.run(1.0))
 
 
 def test_a_key_that_waits_does_not_block_its_destination() -> None:
     node = Node(settings(ORDERED))
-    node.arrive(key="a", count=3)
-    assert sends(node.arrive(key="b")) == [4]
+    node.arrive(ordering_key="a", count=3)
+    assert sends(node.arrive(ordering_key="b")) == [4]
 
 
 def test_the_same_events_give_the_same_actions() -> None:
@@ -176,9 +179,9 @@
     for _ in range(2):
         node = Node(settings(SAFE, KEYED, slots=6))
         for k in range(40):
-            node.arrive(destination=1 + k % 3, cls=k % 2)
+            node.arrive(destination=1 + k % 3, class_index=k % 2)
             node.run(0.07)
-            for m in [m.id for m in node.sender.messages.values() if m.out][:2]:
+            for m in node.in_flight()[:2]:
                 node.settle(m, Outcome.OK if k % 4 else Outcome.TIMEOUT)
         logs.append(node.log)
     assert logs[0] == logs[1]
@@ -186,7 +189,7 @@
 
 def test_a_call_called_off_for_silence_is_evidence_of_it() -> None:
     # i570357: calling off wiped out the overdue count, and the destination was never judged silent.
-    node = Node(settings(SAFE, slots=2), (Endpoint(10, 1), Endpoint(20, 2), Endpoint(30, 3)))
+    node = Node(settings(SAFE, slots=2), (EndpointEntry(10, 1), EndpointEntry(20, 2), EndpointEntry(30, 3)))
     for d in (1, 2, 3):
         warm(node, d)
     node.run(0.05)
@@ -194,19 +197,19 @@
         node.arrive(destination=d)
     node.run(1.3)
     gone = cancelled(node)[0]
-    assert node.sender.messages[gone].dest.shared.sick
+    assert node.messages[gone].destination.shared_route.ejected
 
 
 def test_trials_of_many_sick_destinations_leave_slots_to_the_others() -> None:
-    node = Node(settings(SAFE, slots=8), tuple(Endpoint(10 * d, d) for d in range(1, 8)))
+    node = Node(settings(SAFE, slots=8), tuple(EndpointEntry(10 * d, d) for d in range(1, 8)))
     for d in range(1, 7):
         for _ in range(4):
             node.arrive(destination=d)
             node.run(0.02)
             node.settle(node.serial, Outcome.RESET)
-        assert node.sender.dests[d].shared.sick
+        assert node.route(d).ejected
     node.run(3.0)
-    assert len(node.sender.slots) <= 2
+    assert len(node.scheduler.state.backlog.in_flight) <= 2
     assert len(sends(node.arrive(destination=7, count=6))) == 6
 
 
@@ -217,22 +220,22 @@
     warm(node, 1)
     node.arrive(count=12)
     node.run(9.0)
-    for m in [m.id for m in node.sender.messages.values() if m.out]:
+    for m in node.in_flight():
         node.settle(m)
-    assert not node.sender.dests[1].shared.sick
+    assert not node.route(1).ejected
     node.run(13.0)
     node.arrive(count=4)
     node.run(4.5)
-    assert node.sender.dests[1].shared.sick
+    assert node.route(1).ejected
 
 
 def closed(node: Node) -> list[int]:
-    return [a.endpoint for _, a in node.log if isinstance(a, Close)]
+    return [a.endpoint for _, a in node.log if isinstance(a, CloseIdleConnections)]
 
 
 def test_many_nodes_keep_an_idle_connection_together_as_long_as_one_would_alone() -> None:
     # Forty nodes with an idle connection each filled every table: 1,261 of 1,312 refusals of a day said so.
-    node = Node(settings(SAFE, slots=3, keepalive=10.0, instances=50))
+    node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=50))
     warm(node, 1, count=1)
     node.run(0.19)
     assert closed(node) == []
@@ -244,13 +247,13 @@
 
 
 def test_a_full_table_is_no_outage_and_halves_the_time_that_an_idle_connection_is_kept() -> None:
-    node = Node(settings(KEYED, slots=3, keepalive=10.0, instances=50))
+    node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
-        node.settle(node.serial, Outcome.CONNECT_FAILED, table_full=True)
-        assert node.attempts[node.serial] < 4 and not node.sender.dests[1].shared.sick
+        node.settle(node.serial, Outcome.CONNECT_FAILED, connection_table_full=True)
+        assert node.attempts[node.serial] < 4 and not node.route(1).ejected
         node.run(0.45)  # it goes again within a fifth of a second, looked at every fifth
-    assert node.attempts[node.serial] == 4 and not node.sender.endpoints[10].bad
+    assert node.attempts[node.serial] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
     node.settle(node.serial)
     seen = len(closed(node))
     node.run(0.03)
@@ -259,10 +262,10 @@
 
 def crowd(count: int, rating: float) -> list[Node]:
     """Many nodes that share a destination of a listed rate, a message held by each."""
-    config = settings(KEYED, slots=6, instances=count, rated=True, max_attempts=100)
-    nodes = [Node(config, (Endpoint(10, 1, rating=rating),)) for _ in range(count)]
+    config = settings(KEYED, slots=6, instances=count, rates_listed=True, max_attempts=100)
+    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate=rating),)) for _ in range(count)]
     for n, node in enumerate(nodes):
-        node.sender.random.seed(n)
+        node.random.seed(n)
         node.arrive(count=20)
     return nodes
 
@@ -275,12 +278,12 @@
         room = min(limit, room + limit / 10)
         for node in nodes:
             node.run(0.1)
-            for m in [m.id for m in node.sender.messages.values() if m.out]:
+            for m in node.in_flight():
                 full = room < 1.0
                 room = max(room - 1.0, -limit / 2)
-                node.settle(m, Outcome.FULL if full else Outcome.OK)
+                node.settle(m, Outcome.OVERLOADED if full else Outcome.OK)
                 taken, refused = taken + (not full), refused + full
-            node.arrive(count=max(0, 20 - node.sender.held))
+            node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open))
     return taken, refused
 
 
@@ -305,22 +308,25 @@
 
 def test_a_refusal_of_many_nodes_is_no_outage_but_a_long_run_is() -> None:
     # Its first call of a day met a limit used up by others: it turned to trials, a call in three seconds.
-    node = Node(settings(KEYED, instances=40, rated=True, max_attempts=100), (Endpoint(10, 1, rating=80.0),))
-    node.arrive(budget=1000.0)
+    node = Node(
+        settings(KEYED, instances=40, rates_listed=True, max_attempts=100),
+        (EndpointEntry(10, 1, listed_rate=80.0),),
+    )
+    node.arrive(time_left_s=1000.0)
     for _ in range(7):
-        node.settle(1, Outcome.FULL)
-        assert not node.sender.dests[1].shared.sick
-        while not node.sender.messages[1].out:
+        node.settle(1, Outcome.OVERLOADED)
+        assert not node.route(1).ejected
+        while not node.messages[1].in_flight:
             node.run(1.0)
-    node.settle(1, Outcome.FULL)
-    assert node.sender.dests[1].shared.sick
+    node.settle(1, Outcome.OVERLOADED)
+    assert node.route(1).ejected
 
 
 def test_an_endpoint_that_takes_fewer_connections_than_there_are_nodes_serves_them_all() -> None:
     # A table of 13, forty nodes with a call in half a second each that takes 50 ms: idle ones must make room.
     places, dice = 13, random.Random(3)
-    config = settings(KEYED, slots=6, instances=40, rated=True, keepalive=10.0, max_attempts=8)
-    nodes = [Node(config, (Endpoint(10, 1, rating=200.0),)) for _ in range(40)]
+    config = settings(KEYED, slots=6, instances=40, rates_listed=True, keepalive_s=10.0, max_attempts=8)
+    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate=200.0),)) for _ in range(40)]
     idle, seen = [0] * 40, [0] * 40
     out: list[tuple[float, int, int]] = []  # calls: when answered, whose, which
     came: dict[tuple[int, int], float] = {}
@@ -340,13 +346,13 @@
             while seen[n] < len(node.log):
                 action = node.log[seen[n]][1]
                 seen[n] += 1
-                if isinstance(action, Close):
+                if isinstance(action, CloseIdleConnections):
                     idle[n] = 0
-                elif isinstance(action, Send) and (idle[n] or len(out) + sum(idle) < places):
+                elif isinstance(action, StartAttempt) and (idle[n] or len(out) + sum(idle) < places):
                     idle[n] -= idle[n] > 0
                     out.append((now + 0.05, n, action.message))
-                elif isinstance(action, Send):
-                    node.settle(action.message, Outcome.CONNECT_FAILED, table_full=True)
+                elif isinstance(action, StartAttempt):
+                    node.settle(action.message, Outcome.CONNECT_FAILED, connection_table_full=True)
     assert asked > 1400 and in_time > 0.95 * asked
 
 
@@ -355,9 +361,9 @@
     # full tables at the first.
     chosen = [0, 0, 0]
     for seed in range(60):
-        node = Node(settings(KEYED, instances=40, rated=True), ())
-        node.sender.random.seed(seed)
-        node.listed(*(Endpoint(n, 1, rating=200.0) for n in range(3)), scope=ListScope.CACHED)
+        node = Node(settings(KEYED, instances=40, rates_listed=True), ())
+        node.random.seed(seed)
+        node.listed(*(EndpointEntry(n, 1, listed_rate=200.0) for n in range(3)), scope=ListScope.CACHED)
         node.arrive()
         chosen[node.endpoint[1, 0]] += 1
     assert min(chosen) >= 10
@@ -366,29 +372,31 @@
 def test_a_refusal_is_a_doubt_once_there_was_a_delivery_or_where_no_rate_is_listed() -> None:
     # Without it nine partners of forty forwarders were pushed over in twenty runs of `many`, with it four.
     for rating, served, sick in ((80.0, False, False), (80.0, True, True), (0.0, False, True)):
-        config = settings(KEYED, instances=40, rated=True, cold_share=0.001)  # hardly one keeps a call
-        node = Node(config, (Endpoint(10, 1, rating=rating),))
+        config = settings(
+            KEYED, instances=40, rates_listed=True, cold_capacity_share=0.001
+        )  # hardly one keeps a call
+        node = Node(config, (EndpointEntry(10, 1, listed_rate=rating),))
         if served:
             warm(node, 1, count=1)
             node.run(30.0)
         node.arrive()
-        node.settle(node.serial, Outcome.FULL)
-        assert node.sender.dests[1].shared.sick is sick
+        node.settle(node.serial, Outcome.OVERLOADED)
+        assert node.route(1).ejected is sick
 
 
 def test_a_large_share_is_tried_again_sooner_than_a_fall_takes() -> None:
     # zone+vast: a partner of 210 calls a second was tried by each every three seconds, 13 calls of the 38 it bore.
     node = crowd(40, 400.0)[0]
-    d = node.sender.dests[1]
-    d.shared.sick = True
-    gaps = [node.sender._cold_gap(d, d.shared, 1.0, True) for _ in range(50)]
-    assert max(gaps) < 1.5 < node.sender.set.fall_span and min(gaps) >= 1.0
+    d = node.destination(1)
+    d.shared_route.ejected = True
+    gaps = [node.scheduler.slow_start.trial_interval(d, d.shared_route, 1.0) for _ in range(50)]
+    assert max(gaps) < 1.5 < node.scheduler.state.round.settings.overload_span_s and min(gaps) >= 1.0
 
 
 def test_a_few_nodes_keep_their_connections() -> None:
-    node = Node(settings(SAFE, slots=3, keepalive=10.0, instances=3))
+    node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=3))
     node.arrive()
-    node.settle(1, Outcome.CONNECT_FAILED, ended=True)
+    node.settle(1, Outcome.CONNECT_FAILED, message_ended=True)
     node.run(2.0)
     warm(node, 1, count=1)
     assert closed(node) == []
@@ -398,27 +406,27 @@
     # cuotas-later big-1: 204 nodes, each with a trial every 2 to 4 s, sent 2.8 times what it could do.
     nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
     for k, node in enumerate(nodes):
-        node.sender.random.seed(k)
+        node.random.seed(k)
         for _ in range(2):
             node.arrive()
             node.run(0.1)
             node.run(0.1)
-            for m in [m.id for m in node.sender.messages.values() if m.out]:
+            for m in node.in_flight():
                 node.settle(m, Outcome.ERROR)
         for _ in range(2):
             node.run(10.0)
-            for m in [m.id for m in node.sender.messages.values() if m.out]:
+            for m in node.in_flight():
                 node.settle(m, Outcome.ERROR)
-        assert node.sender.dests[1].shared.sick
+        assert node.route(1).ejected
     tried = []
     for node in nodes:
-        before = sum(isinstance(a, Send) for _, a in node.log)
+        before = sum(isinstance(a, StartAttempt) for _, a in node.log)
         for _ in range(90):
-            node.arrive(budget=1.0)
+            node.arrive(time_left_s=1.0)
             node.run(1.0)
-            for m in [m.id for m in node.sender.messages.values() if m.out]:
-                node.settle(m, Outcome.ERROR, ended=True)
-        tried.append(sum(isinstance(a, Send) for _, a in node.log) - before)
+            for m in node.in_flight():
+                node.settle(m, Outcome.ERROR, message_ended=True)
+        tried.append(sum(isinstance(a, StartAttempt) for _, a in node.log) - before)
     assert max(tried) <= 4 and 1 <= sum(tried) <= 45  # a call in 2 s of 50 nodes at most, and not none
 
 
@@ -426,9 +434,9 @@
     nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
     at_once = 0
     for k, node in enumerate(nodes):
-        node.sender.random.seed(k)
+        node.random.seed(k)
         node.arrive(count=3)
-        node.settle(1, Outcome.FULL, wait=1.0)
+        node.settle(1, Outcome.OVERLOADED, retry_after_s=1.0)
         node.run(0.99)
         at_once += len(sends(node.run(0.1)))
     assert at_once <= 25
@@ -439,23 +447,25 @@
     node.arrive(count=3)
     for _ in range(6):
         node.run(3.0)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
-            node.settle(m, Outcome.FULL, room=0.1, limit=20.0)
-    route = node.sender.dests[1].shared
-    assert route.pace is not None and route.pace < 0.3 and not route.sick
+        for m in node.in_flight():
+            node.settle(m, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+    route = node.route(1)
+    assert route.rate_limit is not None and route.rate_limit < 0.3 and not route.ejected
 
 
 def test_absent_or_absurd_ratings_neither_raise_nor_hold_traffic() -> None:
     for rating in (0.0, -3.0, 1e-9, 1e12):
-        node = Node(settings(SAFE, rated=True, instances=200), (Endpoint(10, 1, rating=rating),))
+        node = Node(
+            settings(SAFE, rates_listed=True, instances=200), (EndpointEntry(10, 1, listed_rate=rating),)
+        )
         node.arrive()
         node.run(0.1)
-        node.settle(1, Outcome.FULL, room=0.1, limit=20.0)
-        assert node.sender.dests[1].shared.pace is not None
+        node.settle(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+        assert node.route(1).rate_limit is not None
         node.run(70.0)
         assert sends(node.arrive()) == [2]
-        node.settle(2, Outcome.FULL)
-        assert 0 < node.sender._usual(node.sender.dests[1], node.sender.dests[1].shared) < math.inf
+        node.settle(2, Outcome.OVERLOADED)
+        assert 0 < node.scheduler.state.traffic.expected_rate(node.destination(1), node.route(1)) < math.inf
 
 
 def test_a_told_limit_is_the_start_of_the_pace_of_one_of_many_nodes() -> None:
@@ -463,9 +473,9 @@
     node = Node(settings(SAFE, slots=3, instances=50))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.FULL, room=0.0, limit=10.0)
-    route = node.sender.dests[1].shared
-    assert route.pace == 10.0 / 50
+    node.settle(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
+    route = node.route(1)
+    assert route.rate_limit == 10.0 / 50
     assert sends(node.run(4.0)) == []  # two nodes' worth of calls would come every 5 s
 
 
@@ -474,27 +484,30 @@
     node = Node(settings(SAFE, slots=3, instances=200))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.FULL, room=0.9, limit=4.0)
-    assert node.sender.dests[1].shared.pace == 0.5
+    node.settle(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
+    assert node.route(1).rate_limit == 0.5
 
 
 def test_a_busy_node_takes_a_larger_part_of_listed_rates() -> None:
     parts = []
     for gap in (0.05, 5.0):
-        node = Node(settings(SAFE, slots=30, instances=100, rated=True), (Endpoint(10, 1, rating=40.0),))
+        node = Node(
+            settings(SAFE, slots=30, instances=100, rates_listed=True),
+            (EndpointEntry(10, 1, listed_rate=40.0),),
+        )
         for _ in range(round(60 / gap)):
             node.arrive()
             node.run(0.01)
-            for message in [m.id for m in node.sender.messages.values() if m.out]:
+            for message in node.in_flight():
                 node.settle(message)  # those that wait for a place in the spacing come later
             node.run(gap - 0.01)
-        parts.append(node.sender._part())
+        parts.append(node.scheduler.state.traffic.share())
     assert parts[0] > 0.3 and parts[1] < 0.02
 
 
 def test_a_message_of_a_sick_destination_is_not_given_up_early() -> None:
     # Terms at full size: one that surely has not run and is returned before seven tenths of its time is priced.
-    node = Node(settings(warm_within=60.0, fall_span=30.0))
+    node = Node(settings(warm_up_s=60.0, overload_span_s=30.0))
     node.arrive(count=4)
     node.run(0.1)
     for message in (1, 2, 3, 4):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,7 @@
 from juniperward.forwarder.messages import Accepted, Answered, BatchItem, Call, Completed, End, StartAttempt
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Noticed, Recorder, Told
 from juniperward.standins.registry import Registry
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from juniperward.scheduler.interface import Cancel, Endpoint, Kind, MessageClass, Outcome, Send
+from juniperward.scheduler.actions import CancelAttempt, StartAttempt
+from juniperward.scheduler.events import EndpointEntry, Outcome
+from juniperward.scheduler.settings import DestinationKind, MessageClass
 from tests.helpers import KEYED, ONCE, SAFE, Node, refused, sends, settings
 
 
@@ -20,11 +22,11 @@
         oldest = min(
             (at, m)
             for (m, n), at in node.sent_at.items()
-            if m in node.sender.messages and node.sender.messages[m].out
+            if m in node.messages and node.messages[m].in_flight
         )[1]
         for m in sends(node.settle(oldest)):
             if m > 4:
-                served[node.sender.messages[m].dest.id] += 1
+                served[node.messages[m].destination.id] += 1
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
 
 
@@ -40,8 +42,8 @@
     start, served = node.now, {1: 0, 2: 0}
     while node.now < start + 8.0:
         node.run(0.1)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
-            d = node.sender.messages[m].dest.id
+        for m in node.in_flight():
+            d = node.messages[m].destination.id
             n = node.attempts[m] - 1
             if node.now - node.sent_at[m, n] >= (0.2 if d == 1 else 2.0) - 1e-6:
                 served[d] += 1
@@ -52,8 +54,8 @@
 def test_emptied_queues_leave_the_ring_with_the_counter_zeroed() -> None:
     node = Node()
     node.arrive(destination=1)
-    assert not node.sender.ring
-    assert node.sender.dests[1].deficit == 0.0
+    assert not node.scheduler.state.backlog.ring
+    assert node.destination(1).deficit == 0.0
 
 
 @pytest.mark.parametrize(("slots", "healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
@@ -70,28 +72,28 @@
         node.run(0.05)
         node.settle(node.serial)
         node.run(0.05)
-    route = node.sender.dests[1].shared
-    assert route.pace is None
+    route = node.route(1)
+    assert route.rate_limit is None
     node.arrive()
     node.run(0.05)
-    node.settle(node.serial, Outcome.FULL)
-    assert route.pace == pytest.approx(5.0, abs=1.0)  # half the last second's calls
-    before = route.pace
+    node.settle(node.serial, Outcome.OVERLOADED)
+    assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the last second's calls
+    before = route.rate_limit
     node.do()
     node.arrive(count=20)
     node.run(0.3)
-    out = [m.id for m in node.sender.messages.values() if m.out]
+    out = node.in_flight()
     node.settle(out[0])
-    assert route.pace == before
+    assert route.rate_limit == before
     node.run(1.05)
-    assert route.pace is not None and route.pace == pytest.approx(before + 1.0)
-    for m in [m.id for m in node.sender.messages.values() if m.out]:
+    assert route.rate_limit is not None and route.rate_limit == pytest.approx(before + 1.0)
+    for m in node.in_flight():
         node.settle(m)
     for _ in range(60):  # nothing held any more: the pace no longer binds and is dropped
         node.run(0.2)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
+        for m in node.in_flight():
             node.settle(m)
-    assert route.pace is None
+    assert route.rate_limit is None
 
 
 def test_the_pace_has_a_floor_and_is_cut_once_per_mean_latency() -> None:
@@ -99,14 +101,14 @@
     node.arrive(count=3)
     node.run(0.05)
     for m in (1, 2, 3):
-        node.settle(m, Outcome.FULL)
-    route = node.sender.dests[1].shared
-    assert route.pace == pytest.approx(1.5)
+        node.settle(m, Outcome.OVERLOADED)
+    route = node.route(1)
+    assert route.rate_limit == pytest.approx(1.5)
     for _ in range(20):
         node.run(0.5)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
-            node.settle(m, Outcome.FULL)
-    assert route.pace == 1.0
+        for m in node.in_flight():
+            node.settle(m, Outcome.OVERLOADED)
+    assert route.rate_limit == 1.0
 
 
 def test_the_pace_does_not_open_while_nothing_is_delivered() -> None:
@@ -115,7 +117,7 @@
     node = Node(settings(SAFE, slots=40))
     node.arrive(count=4)
     node.run(0.05)
-    node.settle(1, Outcome.FULL, wait=9.0)
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=9.0)
     node.arrive(count=30)
     assert sends(node.run(8.9)) == []
     assert len(sends(node.run(0.3))) <= 1
@@ -126,29 +128,29 @@
     node.arrive()
     node.run(0.1)
     node.settle(1)
-    assert node.sender.dests[1].mean is not None
+    assert node.destination(1).mean_latency is not None
     node.run(59.0)
-    assert node.sender.dests[1].mean is not None
+    assert node.destination(1).mean_latency is not None
     node.run(2.0)
-    assert node.sender.dests[1].mean is None
+    assert node.destination(1).mean_latency is None
     assert sends(node.arrive()) == [2]
 
 
 def test_a_full_node_refuses_the_least_worth_with_advice() -> None:
-    low = MessageClass(aim=4.0, deadline=20.0, worth=1.0)
-    high = MessageClass(aim=4.0, deadline=20.0, worth=5.0)
+    low = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=1.0)
+    high = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=5.0)
     node = Node(settings(low, high, slots=2, max_open=20))
-    node.arrive(cls=0, count=9, budget=1.0)
-    assert refused(node.arrive(cls=1, count=10)) == []  # none that has not run is given up so early
+    node.arrive(class_index=0, count=9, time_left_s=1.0)
+    assert refused(node.arrive(class_index=1, count=10)) == []  # none that has not run is given up so early
     node.run(0.71)
-    seen = node.arrive(cls=1, count=1)
+    seen = node.arrive(class_index=1, count=1)
     assert refused(seen) and all(m <= 10 for m in refused(seen))
 
 
 def test_batches_share_a_call_and_a_slot() -> None:
-    node = Node(settings(SAFE, slots=2, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
+    node = Node(settings(SAFE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
-    assert len(node.sender.slots) == 1
+    assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
     for m in range(1, 5):
         assert sends(node.settle(m)) == []
@@ -157,35 +159,38 @@
 
 def test_messages_that_must_not_repeat_share_a_call() -> None:
     # Guards a limit that counts calls: with one message in each, three of four were refused.
-    node = Node(settings(ONCE, slots=2, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
+    node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
 
 
 def test_a_message_that_must_not_repeat_is_not_sent_again_in_a_shared_call() -> None:
-    node = Node(settings(ONCE, slots=2, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
+    node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive(count=3)
     node.settle(1, Outcome.RESET)
-    node.settle(2, Outcome.FULL)
-    assert sends(node.settle(3, Outcome.FULL)) == [2, 3]
-    assert 1 not in node.sender.messages
+    node.settle(2, Outcome.OVERLOADED)
+    assert sends(node.settle(3, Outcome.OVERLOADED)) == [2, 3]
+    assert 1 not in node.messages
 
 
 def test_a_message_with_hardly_any_time_left_travels_alone() -> None:
     # Guards the others: a call ends at the time of any of its messages, and 33 of 39 lost their attempt so.
-    node = Node(settings(SAFE, slots=1, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
+    node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive()
-    node.arrive(budget=0.9)
-    node.arrive(count=2, budget=10.0)
+    node.arrive(time_left_s=0.9)
+    node.arrive(count=2, time_left_s=10.0)
     assert sends(node.settle(1)) == [2]
-    shared = [a for a in node.settle(2) if isinstance(a, Send)]
+    shared = [a for a in node.settle(2) if isinstance(a, StartAttempt)]
     assert [a.message for a in shared] == [3, 4]
     # Behind a connection that comes up late a message of a shared call has to have that time as well.
-    assert [a.within for a in shared] == [pytest.approx(9.0)] * 2
+    assert [a.start_within_s for a in shared] == [pytest.approx(9.0)] * 2
 
 
 def test_messages_share_a_call_as_far_as_its_body_holds_them() -> None:
     # Guards large messages: a call is refused whole whose body is over what the protocol allows.
-    node = Node(settings(SAFE, slots=1, kinds=(Kind(batch=5),), batch_bytes=100), (Endpoint(10, 1),))
+    node = Node(
+        settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),), max_batch_bytes=100),
+        (EndpointEntry(10, 1),),
+    )
     node.arrive()
     for size in (60, 50, 40, 120, 10):
         node.arrive(batch_bytes=size)
@@ -195,11 +200,11 @@
 
 
 def test_a_message_that_goes_alone_does_not_hold_up_those_that_share() -> None:
-    node = Node(settings(SAFE, slots=1, kinds=(Kind(batch=5),)), (Endpoint(10, 1),))
+    node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive()
-    node.arrive(budget=3.0)
-    node.arrive(budget=0.9)
-    node.arrive(count=2, budget=3.0)
+    node.arrive(time_left_s=3.0)
+    node.arrive(time_left_s=0.9)
+    node.arrive(count=2, time_left_s=3.0)
     assert sends(node.settle(1)) == [2, 4, 5]
     assert [sends(node.settle(m)) for m in (2, 4, 5)] == [[], [], [3]]
 
@@ -210,7 +215,7 @@
         node.arrive()
         node.run(latency)
         node.settle(node.serial)
-    assert not node.sender.dests[1].shared.sick
+    assert not node.route(1).ejected
     assert len(sends(node.arrive(count=20))) == 4
 
 
@@ -218,15 +223,15 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.FULL, wait=90.0)
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=90.0)
     node.run(70.0)
     assert sends(node.arrive()) == []
 
 
 def gathering(batch: int = 20) -> Node:
     """One destination that takes four calls a second from two senders."""
-    config = settings(KEYED, kinds=(Kind(batch=batch),), instances=2, rated=True)
-    return Node(config, (Endpoint(10, 1, rating=4.0),))
+    config = settings(KEYED, kinds=(DestinationKind(batch_size=batch),), instances=2, rates_listed=True)
+    return Node(config, (EndpointEntry(10, 1, listed_rate=4.0),))
 
 
 def test_a_listed_rate_spaces_calls_that_carry_many() -> None:
@@ -243,7 +248,9 @@
 
 def spaced(instances: int, rating: float) -> Node:
     """One of many senders; its destination takes one message in a call."""
-    return Node(settings(KEYED, instances=instances, rated=True), (Endpoint(10, 1, rating=rating),))
+    return Node(
+        settings(KEYED, instances=instances, rates_listed=True), (EndpointEntry(10, 1, listed_rate=rating),)
+    )
 
 
 def test_many_space_single_calls_by_their_share_of_the_listed_rate() -> None:
@@ -265,12 +272,12 @@
     for _ in range(200):  # half of what the destination takes came here
         node.arrive()
         node.run(0.1)
-        for message in [m.id for m in node.sender.messages.values() if m.out]:
+        for message in node.in_flight():
             node.settle(message)
-    endpoint = node.sender.endpoints[10]
-    assert node.sender._spacing(endpoint) < 0.2
-    node.sender.dests[1].shared.cut_at = node.now
-    assert node.sender._spacing(endpoint) == pytest.approx(0.4)
+    endpoint = node.scheduler.state.table.endpoints[10]
+    assert node.scheduler.batching.spacing(endpoint) < 0.2
+    node.route(1).rate_limit_cut_at = node.now
+    assert node.scheduler.batching.spacing(endpoint) == pytest.approx(0.4)
 
 
 def test_messages_that_may_have_run_travel_together() -> None:
@@ -280,7 +287,7 @@
     for message in range(1, 6):
         node.settle(message, Outcome.RESET)
     assert sorted(sends(node.run(1.0))) == [1, 2, 3, 4, 5]
-    assert len({c.serial for c in node.sender.slots.values()}) == 1
+    assert len({c.serial for c in node.scheduler.state.backlog.in_flight.values()}) == 1
 
 
 def test_one_look_at_idle_state_is_due_for_each_destination() -> None:
@@ -289,13 +296,14 @@
     for _ in range(50):
         node.arrive()
         node.settle(node.serial)
-    assert sum(act == node.sender._idle for _, _, act, _ in node.sender.due) == 1
+    timers = node.scheduler.state.round.timers
+    assert len(timers.pending(node.scheduler.housekeeping.check_idle)) == 1
 
 
 def listed(rating: float, **changes: object) -> Node:
     """Two senders' one destination, with two endpoints and a listed rate."""
-    config = settings(KEYED, instances=2, rated=True, **changes)
-    return Node(config, tuple(Endpoint(n, 1, rating=rating) for n in (10, 11)))
+    config = settings(KEYED, instances=2, rates_listed=True, **changes)
+    return Node(config, tuple(EndpointEntry(n, 1, listed_rate=rating) for n in (10, 11)))
 
 
 def test_a_refusal_paces_to_no_less_than_part_of_the_listed_share() -> None:
@@ -303,8 +311,8 @@
     for rating, pace in ((400.0, 180.0), (0.0, 1.0)):
         node = listed(rating)
         node.arrive()
-        node.settle(node.serial, Outcome.FULL)
-        assert node.sender.dests[1].shared.pace == pytest.approx(pace)
+        node.settle(node.serial, Outcome.OVERLOADED)
+        assert node.route(1).rate_limit == pytest.approx(pace)
 
 
 def test_a_call_that_later_ones_overtook_is_called_off_and_made_again() -> None:
@@ -316,8 +324,8 @@
         node.run(0.1)
         if node.serial != lost:
             node.settle(node.serial)
-    assert [a.message for _, a in node.log if isinstance(a, Cancel)] == [lost]
-    assert not node.sender.dests[1].shared.sick
+    assert [a.message for _, a in node.log if isinstance(a, CancelAttempt)] == [lost]
+    assert not node.route(1).ejected
     node.settle(lost, Outcome.CANCELLED)
     assert sends(node.run(1.0)) == [lost]
 
@@ -325,19 +333,19 @@
 def test_trials_and_warming_go_by_the_listed_share() -> None:
     # Guards the return of large destinations: a trial each 3 s, then as many calls as were delivered lately.
     def calls(rating: float) -> tuple[int, int]:
-        node = listed(rating, cold_share=0.2, fall_multiple=2.0, fall_span=3.0, slots=40)
+        node = listed(rating, cold_capacity_share=0.2, overload_multiple=2.0, overload_span_s=3.0, slots=40)
         node.arrive(count=4)
         for message in range(1, 5):
             node.settle(message, Outcome.CONNECT_FAILED)
         for _ in range(4):
             for message in sends(node.run(0.5)):
                 node.settle(message, Outcome.CONNECT_FAILED)
-        assert node.sender.dests[1].shared.sick
+        assert node.route(1).ejected
         counted = []
         for outcome in (Outcome.CONNECT_FAILED, Outcome.OK):
             before = sum(node.attempts.values())
             for _ in range(300):
-                for message in sends(node.arrive(budget=60.0)) + sends(node.run(0.02)):
+                for message in sends(node.arrive(time_left_s=60.0)) + sends(node.run(0.02)):
                     node.settle(message, outcome)
             counted.append(sum(node.attempts.values()) - before)
         return counted[0], counted[1]
@@ -351,8 +359,8 @@
     # Guards a paced destination of full calls: each was charged as nearly six, and the queue grew.
     node = gathering()
     node.arrive()
-    node.settle(node.serial, Outcome.FULL)
+    node.settle(node.serial, Outcome.OVERLOADED)
     node.arrive(count=200)
     sent = node.run(5.0)
-    calls = len({at for at, a in node.log if isinstance(a, Send)})
+    calls = len({at for at, a in node.log if isinstance(a, StartAttempt)})
     assert 6 <= calls <= 10 and len(sends(sent)) >= 120
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -23,7 +23,7 @@
 from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Wake, WatchFrom, WatchLost
 from juniperward.forwarder.registry import DIAL, SILENT, Registry
 from juniperward.net import sockets
-from juniperward.scheduler.rules import ASK_FIRST, ASK_MOST
+from juniperward.scheduler.tuning import POLL_FIRST_S, POLL_MAX_S
 from tests.discovery_rig import (
     HEAD,
     NAMES,
@@ -87,7 +87,7 @@
         took = DIAL if call is BLACKHOLED else 0.0
         if call in (NO_ANSWER, CUT_AND_OPEN, CUT_WITHIN_A_CHUNK, SILENT_WATCH):
             took = SILENT + TIMER_LATE
-        return took + max(ASK_FIRST, ASK_MOST - took) * SPREAD
+        return took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD
 
 
 CASES = (
@@ -191,9 +191,9 @@
         asks = Asks(seed, longest_waits=False)
         for took in (0.0, 0.0, 0.0, first, second, first, second):
             spacing = asks.until_next(took)
-            assert spacing <= took + max(ASK_FIRST, ASK_MOST - took) * SPREAD + 0.01
+            assert spacing <= took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD + 0.01
             assert (
-                spacing >= took + 0.75 * ASK_FIRST
+                spacing >= took + 0.75 * POLL_FIRST_S
             )  # never at once: all forwarders lose their watch together
 
 
@@ -201,16 +201,16 @@
     asks = Asks(1, longest_waits=True)
     spacings = [asks.until_next(0.0) for _ in range(6)]
     assert spacings == sorted(spacings)
-    assert spacings[0] == pytest.approx(ASK_FIRST * SPREAD, abs=0.01)
-    assert spacings[-1] == pytest.approx(ASK_MOST * SPREAD, abs=0.01)
+    assert spacings[0] == pytest.approx(POLL_FIRST_S * SPREAD, abs=0.01)
+    assert spacings[-1] == pytest.approx(POLL_MAX_S * SPREAD, abs=0.01)
 
 
 def test_a_watch_of_minutes_that_ends_is_not_asked_for_again_at_once() -> None:
     # Guards discovery: the watches of all forwarders end in one moment, and their time was not a wait.
     spacings = {Asks(seed, longest_waits=False).until_next(300.0, lived=True) - 300.0 for seed in range(50)}
-    assert min(spacings) >= 0.75 * ASK_FIRST
-    assert max(spacings) <= SPREAD * ASK_FIRST + 0.01
-    assert max(spacings) - min(spacings) > 0.3 * ASK_FIRST
+    assert min(spacings) >= 0.75 * POLL_FIRST_S
+    assert max(spacings) <= SPREAD * POLL_FIRST_S + 0.01
+    assert max(spacings) - min(spacings) > 0.3 * POLL_FIRST_S
 
 
 # --- how long one call can take -------------------------------------------------------------------------------
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from juniperward.scheduler.interface import MessageClass
+from juniperward.scheduler.settings import MessageClass
 from tests.helpers import settings
 
 
 @pytest.mark.parametrize(
-    "field", ["slots", "max_open", "instances", "max_attempts", "cold_share", "key_rest"]
+    "field", ["slots", "max_open", "instances", "max_attempts", "cold_capacity_share", "key_rest_s"]
 )
 def test_negative_settings_are_named(field: str) -> None:
     with pytest.raises(ValueError, match=field):
@@ -19,11 +19,17 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [("aim", 0.0), ("window", -1.0), ("effect", "keyed"), ("worth", "x")]
+    ("field", "value"),
+    [
+        ("latency_objective_s", 0.0),
+        ("deduplication_window_s", -1.0),
+        ("idempotency", "keyed"),
+        ("priority_weight", "x"),
+    ],
 )
 def test_class_fields_are_named(field: str, value: Any) -> None:
     with pytest.raises(ValueError, match=field):
-        MessageClass(**{"aim": 1.0, "deadline": 2.0, field: value})
+        MessageClass(**{"latency_objective_s": 1.0, "deadline_s": 2.0, field: value})
 
 
 def test_no_class_is_turned_down() -> None:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -38,8 +38,8 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.kept.spool import Fate, Spool, read, segments
 from juniperward.rigs.yard import Yard
-from juniperward.scheduler.interface import Arrived, Phase
-from juniperward.scheduler.interface import Tried as ModuleTried
+from juniperward.scheduler.events import EndpointPhase, MessageAdmitted
+from juniperward.scheduler.events import PastAttempt as ModuleTried
 from juniperward.settings import fleet_pb2
 from juniperward.standins.partners import PartnerSpec
 from juniperward.standins.records import Handed as HandedRecord
@@ -47,7 +47,7 @@
 from tests.helpers import KEYED, settings
 from tests.player import Player, Program
 
-WORKER = Worker("s-1", "127.0.0.1", 81, 7, Phase.READY, 0, 0, 0.0)
+WORKER = Worker("s-1", "127.0.0.1", 81, 7, EndpointPhase.READY, 0, 0, 0.0)
 
 
 class ReducerTest(unittest.TestCase):
@@ -125,15 +125,15 @@
     def test_a_resend_carries_when_it_may_have_run_to_module_and_journal(self) -> None:
         reducer = self.reducer()
         heard: list[Any] = []
-        real = reducer.sender.handle
+        real = reducer.scheduler.handle
 
         def handle(now: float, events: Any) -> Any:
             heard.extend(events)
             return real(now, events)
 
-        reducer.sender.handle = handle  # type: ignore[method-assign]
+        reducer.scheduler.handle = handle  # type: ignore[method-assign]
         self.take(reducer, "kept-a-1", ran=3.0)
-        (arrived,) = [e for e in heard if isinstance(e, Arrived)]
+        (arrived,) = [e for e in heard if isinstance(e, MessageAdmitted)]
         self.assertEqual(arrived.history, (ModuleTried(0, 97.0),))
         remember, decided, _ = self.give_up(reducer)
         self.assertEqual(remember, Remember("kept-a-1", "undeliverable", 97.0))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -31,7 +31,7 @@
 from juniperward.lab.scenario import FOLDER, load, parse
 from juniperward.lab.search import Found, invent, judge, keep, mutate, search, shrink, sound
 from juniperward.lab.world import World
-from juniperward.scheduler import interface as i
+from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.settings.load import SettingsError
 
 SMALL = """
@@ -95,7 +95,7 @@
 
             tries = 1000
 
-            def _settled(self, e: i.Settled) -> None:
+            def _settled(self, e: AttemptFinished) -> None:
                 super()._settled(e)
                 lane = self.lanes[self.home[e.endpoint]]
                 lane.wait_until = 0.0
@@ -119,20 +119,20 @@
 class SilentTest(unittest.TestCase):
     def test_what_hangs_at_a_silent_partner_ends_with_the_trouble_and_frees_its_slots(self) -> None:
         """On sockets connections end with the trouble; a model that forgot it was wrong by up to 0.16 of worth."""
-        ended: list[tuple[i.Outcome, float]] = []
+        ended: list[tuple[Outcome, float]] = []
 
         class Noting(OneTry):
             """Notes how calls end."""
 
-            def learn(self, lane: Lane, e: i.Settled) -> None:
+            def learn(self, lane: Lane, e: AttemptFinished) -> None:
                 ended.append((e.outcome, self.now))
 
         world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Noting, 1)
         world.run()
-        reset = [at for outcome, at in ended if outcome is i.Outcome.RESET]
+        reset = [at for outcome, at in ended if outcome is Outcome.RESET]
         self.assertGreater(len(reset), 5)
         self.assertTrue(all(7.0 <= at <= 7.1 for at in reset))
-        self.assertNotIn(i.Outcome.TIMEOUT, [outcome for outcome, _ in ended])
+        self.assertNotIn(Outcome.TIMEOUT, [outcome for outcome, _ in ended])
         self.assertFalse([w for w in world.workers if w.hung])
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,26 +1,57 @@
-"""The operators' limits on the decision module."""
+"""The operators' limits on the scheduler: its length, its modules under `policy`, and no clock and no I/O."""
 
 from __future__ import annotations
 
 import ast
+import tomllib
 from pathlib import Path
 
-RULES = Path(__file__).parent.parent / "juniperward" / "scheduler" / "rules.py"
+import pytest
 
+ROOT = Path(__file__).parent.parent
+SCHEDULER = ROOT / "juniperward" / "scheduler"
+MODULES = sorted(SCHEDULER.glob("*.py"))
+MOST_POLICY_LINES = 780
+MOST_LINE_LENGTH = 110
+PARTS_THAT_DECIDE_NOTHING = {"housekeeping.py", "parts.py"}
+ALLOWED_IMPORTS = {
+    "__future__", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math", "random", "typing",
+}  # fmt: skip
 
-def test_rules_stay_within_their_length() -> None:
-    lines = RULES.read_text().splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 780
-    assert max(len(line) for line in lines) <= 110
 
+def policy() -> list[Path]:
+    """The files that the deploy file names as holding decisions."""
+    with (ROOT / "deploy" / "balancer.toml").open("rb") as file:
+        return [ROOT / name for name in tomllib.load(file)["policy"]]
 
-def test_rules_name_their_interface_first() -> None:
-    assert "juniperward/scheduler/interface.py" in RULES.read_text().splitlines()[0]
 
+def test_the_policy_stays_within_its_length() -> None:
+    lines = [line for path in policy() for line in path.read_text().splitlines()]
+    assert sum(1 for line in lines if line.strip()) <= MOST_POLICY_LINES
+    assert max(len(line) for line in lines) <= MOST_LINE_LENGTH
 
-def test_rules_know_no_clock_and_no_io() -> None:
-    tree = ast.parse(RULES.read_text())
+
+def test_every_part_that_decides_is_under_policy() -> None:
+    parts = {path for path in MODULES if "(SchedulerPart)" in path.read_text()}
+    deciding = {path for path in parts if path.name not in PARTS_THAT_DECIDE_NOTHING}
+    assert deciding | {SCHEDULER / "tuning.py"} == set(policy())
+
+
+def test_all_deploy_files_name_the_same_policy() -> None:
+    with (ROOT / "deploy" / "trace.toml").open("rb") as file:
+        assert [ROOT / name for name in tomllib.load(file)["policy"]] == policy()
+
+
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
+def test_the_scheduler_knows_no_clock_and_no_io(path: Path) -> None:
+    tree = ast.parse(path.read_text())
     names = {n.name for node in ast.walk(tree) if isinstance(node, ast.Import) for n in node.names}
     names |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
-    allowed = {"__future__", "heapq", "math", "random", "collections", "collections.abc", "dataclasses"}
-    assert names <= allowed | {"juniperward.scheduler.interface", "juniperward.scheduler.state"}
+    others = {name for name in names if not name.startswith("juniperward.scheduler")}
+    assert others <= ALLOWED_IMPORTS
+
+
+@pytest.mark.parametrize("path", policy(), ids=lambda path: path.stem)
+def test_a_policy_module_says_first_what_it_decides(path: Path) -> None:
+    docstring = ast.get_docstring(ast.parse(path.read_text()))
+    assert docstring and docstring.splitlines()[0].endswith(".")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -21,7 +21,7 @@
     Worker,
 )
 from juniperward.forwarder.reducer import Reducer
-from juniperward.scheduler.interface import Outcome, Phase
+from juniperward.scheduler.events import EndpointPhase, Outcome
 from tests.helpers import KEYED, settings
 
 
@@ -36,7 +36,7 @@
         self.parts = mock.Mock()
         self.loop.server, self.loop.workers = self.parts.server, self.parts.workers
         self.loop.registry = self.parts.registry
-        worker = Worker("s-1", "127.0.0.1", 81, 1, Phase.READY, 0, 0, 0.0)
+        worker = Worker("s-1", "127.0.0.1", 81, 1, EndpointPhase.READY, 0, 0, 0.0)
         self.loop.round([EndpointsUpdated(1, True, (worker,), known=True)])
         self.parts.reset_mock()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,7 +32,7 @@
 from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 from tests.rigs import WorkerRig
 
 NAMES = Names(("c",), (12.0,), (), (), ())
@@ -51,14 +51,14 @@
         cases: list[tuple[StartAttempt, int, dict[str, str], bytes, list[End]]] = [
             (one, 200, {}, b"", [End(0, Outcome.OK)]),
             (one, 500, {}, b"", [End(0, Outcome.ERROR)]),
-            (one, 429, told, b"", [End(0, Outcome.FULL, 0.25)]),
-            (one, 429, {"retry-after": "nan"}, b"", [End(0, Outcome.FULL)]),
-            (one, 503, {}, b"", [End(0, Outcome.FULL)]),
-            (one, 503, {"x-over-slots": "1"}, b"", [End(0, Outcome.MOOT, slots_taken=True)]),
-            (one, 504, {}, b"", [End(0, Outcome.MOOT)]),
-            (one, 410, {}, b"", [End(0, Outcome.MOOT, over=True)]),
+            (one, 429, told, b"", [End(0, Outcome.OVERLOADED, 0.25)]),
+            (one, 429, {"retry-after": "nan"}, b"", [End(0, Outcome.OVERLOADED)]),
+            (one, 503, {}, b"", [End(0, Outcome.OVERLOADED)]),
+            (one, 503, {"x-over-slots": "1"}, b"", [End(0, Outcome.NOT_SENT, slots_taken=True)]),
+            (one, 504, {}, b"", [End(0, Outcome.NOT_SENT)]),
+            (one, 410, {}, b"", [End(0, Outcome.NOT_SENT, over=True)]),
             (one, 302, {}, b"", [End(0, Outcome.ERROR)]),
-            (two, 413, {}, b"", [End(0, Outcome.MOOT), End(1, Outcome.MOOT)]),
+            (two, 413, {}, b"", [End(0, Outcome.NOT_SENT), End(1, Outcome.NOT_SENT)]),
             (two, 200, {}, b"nonsense", [End(0, Outcome.ERROR), End(1, Outcome.ERROR)]),
             (two, 200, {}, b'[{"id":"m1","state":"new"}]', [End(0, Outcome.ERROR), End(1, Outcome.ERROR)]),
             (
@@ -66,7 +66,7 @@
                 200,
                 told,
                 b'[{"id":"m1","state":"later"},{"id":"m0","state":"gone"}]',
-                [End(0, Outcome.MOOT, 0.25, over=True), End(1, Outcome.FULL, 0.25)],
+                [End(0, Outcome.NOT_SENT, 0.25, over=True), End(1, Outcome.OVERLOADED, 0.25)],
             ),
         ]
         for what, status, headers, body, ends in cases:
@@ -76,12 +76,12 @@
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = End(0, Outcome.CONNECT_FAILED, table_full=True)
-        full, ends = End(0, Outcome.FULL), Response(503, {}, b"", True)
+        full, ends = End(0, Outcome.OVERLOADED), Response(503, {}, b"", True)
         self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=True), (end,))
         self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=False), (full,))
         self.assertEqual(read_ends(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,))
         told = Response(503, {"retry-after": "0.5"}, b"", True)
-        self.assertEqual(read_ends(start_attempt(1, 1), told, fresh=True), (End(0, Outcome.FULL, 0.5),))
+        self.assertEqual(read_ends(start_attempt(1, 1), told, fresh=True), (End(0, Outcome.OVERLOADED, 0.5),))
 
 
 class SpoiltTest(unittest.TestCase):
@@ -309,7 +309,7 @@
         sock.settimeout(5.0)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.FULL)
+        self.assertIs(self.outcome(), Outcome.OVERLOADED)
         self.workers.start_attempt(ask(2, 4, "s-4"))
         other, _ = self.door.accept()
         other.settimeout(5.0)
@@ -318,17 +318,17 @@
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OK)
         self.workers.start_attempt(ask(3, 3, "s-3"))
-        self.assertIs(self.outcome(), Outcome.MOOT)
+        self.assertIs(self.outcome(), Outcome.NOT_SENT)
 
     def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
         self.workers.set_draining(3, True)
         self.workers.start_attempt(start_attempt(1, self.port))
-        self.assertIs(self.outcome(), Outcome.MOOT)
+        self.assertIs(self.outcome(), Outcome.NOT_SENT)
         self.workers.set_draining(3, False)
         self.workers.hold_until(7, 1e12)
         self.workers.start_attempt(start_attempt(2, self.port))
-        self.assertIs(self.outcome(), Outcome.MOOT)
+        self.assertIs(self.outcome(), Outcome.NOT_SENT)
         for _ in range(2):
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
@@ -358,9 +358,9 @@
         self.addCleanup(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.FULL)  # nothing of this reaches a reducer, nor a Hold
+        self.assertIs(self.outcome(), Outcome.OVERLOADED)  # nothing of this reaches a reducer, nor a Hold
         self.workers.start_attempt(start_attempt(2, self.port))
-        self.assertIs(self.outcome(), Outcome.MOOT)
+        self.assertIs(self.outcome(), Outcome.NOT_SENT)
 
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
@@ -372,7 +372,7 @@
         self.assertEqual(read_call(Stream(sock.recv)).headers["x-correlation-id"], "m1")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
-        ends = (End(0, Outcome.MOOT, begun=False), End(1, Outcome.OK))
+        ends = (End(0, Outcome.NOT_SENT, begun=False), End(1, Outcome.OK))
         self.assertEqual(self.events.get(timeout=5.0), Answered(1, ends))
 
     def test_what_ended_behind_a_late_dial_is_left_out_of_its_call(self) -> None:
@@ -392,7 +392,7 @@
                 self.addCleanup(sock.close)
                 sock.settimeout(5.0)
                 if len(struck) == 3:
-                    self.assertIs(self.outcome(), Outcome.MOOT)
+                    self.assertIs(self.outcome(), Outcome.NOT_SENT)
                     self.workers.close_idle(3)
                     self.assertEqual(sock.recv(1000), b"")
                     continue
@@ -406,7 +406,7 @@
                 sock.close()
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, Answered)
-                left = {e.message for e in event.ends if e.outcome is Outcome.MOOT}
+                left = {e.message for e in event.ends if e.outcome is Outcome.NOT_SENT}
                 self.assertEqual(left, set(struck))  # the reducer has settled them
                 self.assertIs(self.workers.withdraw(1, 1), Progress.OVER)
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -46,11 +46,14 @@
     Worker,
 )
 from juniperward.forwarder.reducer import MAX_COMPLETED_IDS, Reducer
-from juniperward.scheduler.interface import Kind, Outcome, Phase
+from juniperward.scheduler.events import EndpointPhase, Outcome
+from juniperward.scheduler.settings import DestinationKind
 from tests.helpers import KEYED, ONCE, settings
 
 
-def worker(name: str = "s-1", destination: int = 1, phase: Phase = Phase.READY, kind: int = 0) -> Worker:
+def worker(
+    name: str = "s-1", destination: int = 1, phase: EndpointPhase = EndpointPhase.READY, kind: int = 0
+) -> Worker:
     return Worker(name, "127.0.0.1", 81, destination, phase, kind, 0, 0.0)
 
 
@@ -62,7 +65,7 @@
     """A reducer without sockets, driven by events; its subclasses hold the tests."""
 
     def start(self, *workers: Worker, **changes: Any) -> Reducer:
-        kinds = {"kinds": (Kind(), Kind(batch=20)), "slots": 8}
+        kinds = {"kinds": (DestinationKind(), DestinationKind(batch_size=20)), "slots": 8}
         self.reducer = Reducer(settings(KEYED, ONCE, **{**kinds, **changes}), 1)
         self.now = 100.0
         self.do(EndpointsUpdated(41, True, workers or (worker(),), known=True))
@@ -143,8 +146,8 @@
                 self.start(worker("s-1", 2))
                 began, effects = self.now, self.take("a", left=left, destination=2)
                 timers = self.only(effects, Wake)
-                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, Phase.GONE),)))
-                effects = self.end(effects, (Outcome.FULL, 0.0))
+                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, EndpointPhase.GONE),)))
+                effects = self.end(effects, (Outcome.OVERLOADED, 0.0))
                 timers += self.only(effects, Wake)
                 while not self.only(effects, Notify):
                     timers.sort(key=lambda w: w.at)
@@ -175,14 +178,14 @@
     def test_sends_of_a_round_to_one_worker_are_one_call(self) -> None:
         self.start(worker(kind=1))
         first = self.take("a")
-        self.do(*self.only(self.end(first, (Outcome.FULL, 0.5)), TimeUp))
+        self.do(*self.only(self.end(first, (Outcome.OVERLOADED, 0.5)), TimeUp))
         for name in "bc":
             self.assertFalse(self.sent(self.take(name)))
         self.now += 2.0
         effects = self.do(EndpointsUpdated(42, False, ()))
         self.assertEqual(self.sent(effects), [["a", "b", "c"]])
         # What never ran is told first: the module learns from the first end of a call that it hears.
-        effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.FULL, 3.0), (Outcome.OK, 3.0))
+        effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.OVERLOADED, 3.0), (Outcome.OK, 3.0))
         records = [e.record for e in self.only(effects, Append)]
         self.assertEqual(records, [AttemptFinished("b", False), AttemptFinished("a", True), Completed("c")])
         self.assertEqual(self.only(effects, HoldUntil)[0], HoldUntil(1, 105.0))
@@ -197,10 +200,10 @@
     def test_where_routes_are_apart_a_wait_binds_the_worker_that_told_it(self) -> None:
         for apart, told, more in ((False, 1, []), (True, "s-1", [["b"]])):
             with self.subTest(apart):
-                self.start(kinds=(Kind(routes_apart=apart),))
+                self.start(kinds=(DestinationKind(separate_routes=apart),))
                 effects = self.take("a")
                 self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
-                effects = self.end(effects, (Outcome.FULL, 5.0))
+                effects = self.end(effects, (Outcome.OVERLOADED, 5.0))
                 self.assertEqual(self.only(effects, HoldUntil), [HoldUntil(told, 105.0)])
                 self.do(EndpointsUpdated(42, False, (worker("s-2"),)))
                 self.now += 0.5
@@ -241,7 +244,7 @@
         for progress, gone in ((Progress.WAITS, False), (Progress.WRITTEN, False), (Progress.WRITES, True)):
             with self.subTest(progress):
                 self.start(worker(kind=1))
-                self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
+                self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
                 self.now += 2.0
                 (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
@@ -280,7 +283,7 @@
         for answered in (True, False):
             with self.subTest(answered):
                 self.start(worker(kind=1))
-                self.end(self.take("a", left=4.0), (Outcome.FULL, 0.5))
+                self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
                 self.now += 2.0
                 (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
@@ -377,7 +380,7 @@
         history = (AttemptRecord("s-1", 97.0, True),)
         effects = self.do(Replayed((Restored(call("soon"), 115.0, history),)))
         self.assertEqual(self.sent(effects), [["soon"]])
-        effects = self.end(effects, (Outcome.FULL, 3.0))
+        effects = self.end(effects, (Outcome.OVERLOADED, 3.0))
         self.now = 102.1
         self.assertEqual(
             self.only(self.do(EndpointsUpdated(42, False, ())), Notify),
@@ -425,17 +428,17 @@
 
     def test_a_moved_registry_is_watched_from_the_version_held(self) -> None:
         # Guards reloading: what the old watch still tells must not come after what the new one has told.
-        self.start(on_request=True)
+        self.start(endpoints_polled=True)
         self.do(EndpointsUpdated(43, False, ()))
         self.assertEqual(self.do(Moved(("127.0.0.1", 9))), [MoveTo(("127.0.0.1", 9), 1), WatchFrom(43, 1)])
-        self.assertEqual(self.do(EndpointsUpdated(44, False, (worker(phase=Phase.DRAINING),))), [])
+        self.assertEqual(self.do(EndpointsUpdated(44, False, (worker(phase=EndpointPhase.DRAINING),))), [])
         self.assertEqual(self.do(WatchLost()), [])
         self.do(EndpointsUpdated(45, False, (), epoch=1))
         self.assertEqual(self.reducer.state.version, 45)
 
     def test_a_move_while_the_watch_is_down_leaves_one_watch(self) -> None:
         # Guards against a second watch that stands in line behind the first for good.
-        self.start(on_request=True)
+        self.start(endpoints_polled=True)
         self.do(WatchLost())
         self.assertEqual(len(self.only(self.do(Moved(("127.0.0.1", 9))), WatchFrom)), 1)
         self.now += 10.0
@@ -452,17 +455,23 @@
         self.start()
         effects = self.take("a")
         for n in range(2, 50):
-            old, new = worker(f"s-{n - 1}", phase=Phase.GONE), worker(f"s-{n}")
+            old, new = worker(f"s-{n - 1}", phase=EndpointPhase.GONE), worker(f"s-{n}")
             told = self.do(EndpointsUpdated(41 + n, False, (old, new)))
             self.assertEqual(self.only(told, ForgetWorker), [] if n == 2 else [ForgetWorker(n - 1)])
-        state, sender = self.reducer.state, self.reducer.sender
+        state, sender = self.reducer.state, self.reducer.scheduler
         self.assertEqual((len(state.workers), len(state.worker_numbers), state.gone), (2, 2, {1}))
-        self.assertEqual(len(sender.endpoints), 2)
+        self.assertEqual(len(sender.state.table.endpoints), 2)
         self.end(effects, (Outcome.OK, 0.0))
         self.do(EndpointsUpdated(99, True, (worker("s-49"),)))
         self.assertEqual((len(state.workers), list(state.worker_numbers), state.gone), (1, ["s-49"], set()))
-        self.assertEqual([len(sender.endpoints), len(sender.dests[1].shared.endpoints)], [1, 1])
+        self.assertEqual(
+            [
+                len(sender.state.table.endpoints),
+                len(sender.state.table.destinations[1].shared_route.endpoints),
+            ],
+            [1, 1],
+        )
         self.do(EndpointsUpdated(100, True, ()))
         self.now += 61.0
         self.do(EndpointsUpdated(101, True, ()))
-        self.assertEqual((state.destinations, sender.dests), ({}, {}))
+        self.assertEqual((state.destinations, sender.state.table.destinations), ({}, {}))
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -36,7 +36,7 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.net.http import Stream, encode_call, read_response
-from juniperward.scheduler.interface import Effect, MessageClass
+from juniperward.scheduler.settings import Idempotency, MessageClass
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Noticed, Recorder
 from juniperward.standins.registry import Registry
@@ -48,7 +48,12 @@
 BOOT, OTHER_BOOT = "8b6c", "90f1"
 OFFSET = 1000.0  # from the monotonic clock to Unix time, as the first process sees it
 WINDOW = 1.0
-SHORT_WINDOW = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=WINDOW)
+SHORT_WINDOW = MessageClass(
+    latency_objective_s=4.0,
+    deadline_s=20.0,
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    deduplication_window_s=WINDOW,
+)
 
 
 class FolderTest(unittest.TestCase):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -39,7 +39,8 @@
 from juniperward.forwarder.workers import Workers
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call
-from juniperward.scheduler.interface import MessageClass, Outcome, Phase
+from juniperward.scheduler.events import EndpointPhase, Outcome
+from juniperward.scheduler.settings import MessageClass
 from tests.helpers import SAFE, settings
 from tests.player import Program
 from tests.rigs import WorkerRig
@@ -112,7 +113,7 @@
         self.workers.start_attempt(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
-        self.assertEqual({e.outcome for e in self.answered()}, {Outcome.MOOT})
+        self.assertEqual({e.outcome for e in self.answered()}, {Outcome.NOT_SENT})
         self.workers.close_idle(3)
         self.assertEqual((sock.recv(1), self.tried()), (b"", []))
 
@@ -127,10 +128,12 @@
         asked = read_call(Stream(sock.recv))
         self.assertEqual((asked.path, asked.headers["x-correlation-id"]), ("/receive", "m0"))
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual({e.message: e.outcome for e in self.answered()}, {0: Outcome.OK, 1: Outcome.MOOT})
+        self.assertEqual(
+            {e.message: e.outcome for e in self.answered()}, {0: Outcome.OK, 1: Outcome.NOT_SENT}
+        )
         failing.side_effect = OSError(28, "No space left on device")
         self.workers.start_attempt(self.start_attempt())
-        self.assertEqual({(e.outcome, e.begun) for e in self.answered()}, {(Outcome.MOOT, False)})
+        self.assertEqual({(e.outcome, e.begun) for e in self.answered()}, {(Outcome.NOT_SENT, False)})
         self.workers.close_idle(3)
         self.assertEqual(sock.recv(1), b"")
 
@@ -201,7 +204,7 @@
 
     def test_what_was_found_untried_goes_before_what_is_worth_more(self) -> None:
         # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
-        fresh = MessageClass(aim=4.0, deadline=20.0, worth=50.0, late_worth=1.0)
+        fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
         late = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
         tried = Restored(call("t", cls=1), 115.0, (AttemptRecord("s-1", 95.0, False),))
         effects = self.begin(tried, *late, first=fresh, slots=1)
@@ -252,7 +255,9 @@
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
         effects = self.begin(Restored(call("a", destination=5, left=8.0), 105.0))
         self.assertEqual(self.sent(effects), [])
-        effects = self.do(EndpointsUpdated(42, False, (worker("s-1", phase=Phase.GONE), worker("s-5", 5))))
+        effects = self.do(
+            EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.GONE), worker("s-5", 5)))
+        )
         self.assertEqual([d.name for d in self.only(effects, StartAttempt)], ["s-5"])
 
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
