--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -27,8 +27,9 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
-from juniperward.scheduler.interface import Outcome, Phase, Settings
-from juniperward.simulator_adapter.adapter import settings_from
+from juniperward.scheduler.events import EndpointPhase, Outcome
+from juniperward.scheduler.settings import SchedulerSettings
+from juniperward.scheduler.settings_codec import read_settings
 from tests.helpers import ONCE, settings
 from tests.rigs import WorkerRig
 from tests.test_reducer import worker
@@ -43,7 +44,7 @@
         # Guards the second deployment: its lists are pushed, the module never asks, and sockets heard nothing.
         for on_request in (False, True):
             with self.subTest(on_request=on_request):
-                reducer = Reducer(settings(ONCE, on_request=on_request), 1)
+                reducer = Reducer(settings(ONCE, endpoints_polled=on_request), 1)
                 effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), known=True)])
                 self.assertEqual([e for e in effects if isinstance(e, WatchFrom)], [WatchFrom(41, 0)])
 
@@ -52,7 +53,7 @@
         # Calls that fail at once are still spaced ever wider; that of one that fails late counts in its wait.
         for lived, took, widest in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with self.subTest(lived=lived, took=took):
-                reducer, now, waits = Reducer(settings(ONCE, on_request=True), 1), 100.0, []
+                reducer, now, waits = Reducer(settings(ONCE, endpoints_polled=True), 1), 100.0, []
                 effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), known=True)])
                 for _ in range(6):
                     now += took
@@ -187,7 +188,7 @@
         self.assertEqual(asked, [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"])
         self.assertEqual([(h.version, h.full) for h in heard], [(43, False), (44, False), (50, True)])
         phases = [w.phase for h in heard for w in h.workers]
-        self.assertEqual(phases, [Phase.DRAINING, Phase.GONE, Phase.READY])
+        self.assertEqual(phases, [EndpointPhase.DRAINING, EndpointPhase.GONE, EndpointPhase.READY])
         # A broken line ends the watch, counted; the next one goes on from 50.
         self.assertIsInstance(got[3], WatchLost)
 
@@ -198,7 +199,7 @@
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
         registry = Registry(door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put)
-        reducer = Reducer(settings(ONCE, on_request=True), 1)
+        reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
         with mock.patch.object(registry_module, "SILENT", 0.1):
             registry.start()
             registry.watch(41, 0)
@@ -220,7 +221,7 @@
     def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), known=True)])
-        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=Phase.GONE),))])
+        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.GONE),))])
         self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-2"])
         reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
         self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-3"])
@@ -229,9 +230,10 @@
 
 class ProbeInReducerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.reducer = Reducer(settings(ONCE, probing=True), 1)
+        self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
         self.reducer.reduce(
-            100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=Phase.GONE)), known=True)]
+            100.0,
+            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.GONE)), known=True)],
         )
 
     def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
@@ -241,7 +243,7 @@
         assert isinstance(asked, StartProbe)
         self.assertEqual((asked.worker, asked.destination, asked.port), (1, 1, 81))
         self.assertAlmostEqual(asked.deadline, 101.5)
-        told = ProbeFinished(asked.number, 1, Outcome.FULL, 0.01, wait=0.8)
+        told = ProbeFinished(asked.number, 1, Outcome.OVERLOADED, 0.01, wait=0.8)
         effects = self.reducer.reduce(100.5, [told])
         self.assertIn(HoldUntil(1, 101.3), effects)
         # A second word of the same probe is nothing.
@@ -251,7 +253,7 @@
         self.reducer.effects, self.reducer.news = [], []
         self.reducer._start_probe(100.0, 99)
         self.assertEqual(self.reducer.effects, [])
-        self.assertEqual([n.outcome for n in self.reducer.news], [Outcome.MOOT])  # type: ignore[union-attr]
+        self.assertEqual([n.outcome for n in self.reducer.news], [Outcome.NOT_SENT])  # type: ignore[union-attr]
 
 
 class ProbeOnSocketsTest(WorkerRig):
@@ -285,7 +287,7 @@
             ),
             (
                 b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n",
-                Outcome.FULL,
+                Outcome.OVERLOADED,
             ),
         )
         for reply, outcome in cases:
@@ -300,7 +302,7 @@
                     self.assertEqual((told.room, told.limit), (0.25, 12.0))
         # The wait of a probe binds the next probe as it does a call.
         self.workers.start_attempt(start_probe(self.port))
-        self.assertIs(self.looked().outcome, Outcome.MOOT)
+        self.assertIs(self.looked().outcome, Outcome.NOT_SENT)
 
     def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
         self.answer(b"")
@@ -328,19 +330,21 @@
 class DeploymentSettingsTest(unittest.TestCase):
     """Each deployment's settings, as a forwarder is given them: what differs is read from them alone."""
 
-    def read(self, name: str) -> Settings:
+    def read(self, name: str) -> SchedulerSettings:
         given = json.loads((Path(__file__).parent.parent / "deploy" / name).read_text())
-        return settings_from(given["settings"])
+        return read_settings(given["settings"])
 
     def test_each_deployment_reads_its_own_differences(self) -> None:
         asked, pushed = self.read("forwarder.json"), self.read("forwarder-pushed.json")
-        self.assertEqual((asked.on_request, asked.probing, asked.max_attempts), (True, False, 8))
-        self.assertEqual((pushed.on_request, pushed.probing, pushed.max_attempts), (False, True, 6))
-        self.assertEqual((pushed.over_share_worth, pushed.rated, pushed.instances), (0.1, True, 3))
-        self.assertEqual([t.quota for t in pushed.tenants], [67.0, 47.0, 32.0, 24.0, 17.0])
+        self.assertEqual((asked.endpoints_polled, asked.health_checks, asked.max_attempts), (True, False, 8))
+        self.assertEqual(
+            (pushed.endpoints_polled, pushed.health_checks, pushed.max_attempts), (False, True, 6)
+        )
+        self.assertEqual((pushed.over_quota_weight, pushed.rates_listed, pushed.instances), (0.1, True, 3))
+        self.assertEqual([t.quota_per_s for t in pushed.tenants], [67.0, 47.0, 32.0, 24.0, 17.0])
 
     def test_a_value_that_cannot_be_used_is_an_error_that_names_it(self) -> None:
         given = json.loads((Path(__file__).parent.parent / "deploy" / "forwarder-pushed.json").read_text())
         given["settings"]["Services"][0]["Effect"] = "twice"
         with self.assertRaisesRegex(ValueError, "Effect: unknown value 'twice'"):
-            settings_from(given["settings"])
+            read_settings(given["settings"])
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -6,16 +6,9 @@
 
 import pytest
 
-from juniperward.scheduler.interface import (
-    DedupScope,
-    Effect,
-    Endpoint,
-    Kind,
-    MessageClass,
-    Outcome,
-    Send,
-    Tried,
-)
+from juniperward.scheduler.actions import StartAttempt
+from juniperward.scheduler.events import EndpointEntry, Outcome, PastAttempt
+from juniperward.scheduler.settings import DeduplicationScope, DestinationKind, Idempotency, MessageClass
 from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, gone, refused, sends, settings
 
 
@@ -43,7 +36,7 @@
     assert failed(seen) == [1] and sends(seen) == [] and refused(seen) == []
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 def test_2_an_unsafe_message_that_never_ran_gets_another_attempt(outcome: Outcome) -> None:
     node = Node(settings(ONCE))
     node.arrive()
@@ -63,12 +56,12 @@
 def test_2_a_keyed_send_says_until_when_its_call_may_begin() -> None:
     # Seen on join+mass: a repeat waited behind a dial of up to 1 s and was written after its window.
     node = Node(settings(KEYED, ONCE))
-    assert [a.within for a in node.arrive() if isinstance(a, Send)] == [math.inf]
+    assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
     node.run(4.0)
-    again = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, Send)]
+    again = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
     assert len(again) == 1
-    assert node.sent_at[1, 1] + again[0].within == pytest.approx(105.0, abs=0.03)
-    assert [a.within for a in node.arrive(cls=1) if isinstance(a, Send)] == [math.inf]
+    assert node.sent_at[1, 1] + again[0].start_within_s == pytest.approx(105.0, abs=0.03)
+    assert [a.start_within_s for a in node.arrive(class_index=1) if isinstance(a, StartAttempt)] == [math.inf]
 
 
 def test_2_a_window_that_ends_on_the_clocks_own_rounding_still_binds() -> None:
@@ -80,14 +73,20 @@
     node.settle(1, Outcome.ERROR)
     node.listed(gone(10, 1))
     node.run(6.0)
-    node.listed(Endpoint(11, 1))
+    node.listed(EndpointEntry(11, 1))
     assert node.attempts[1] == 1 or max(node.sent_at.values()) < 105.0
     assert sends(node.run(14.0)) == []
 
 
 def test_2_a_zone_scoped_repeat_stays_in_its_zone() -> None:
-    cls = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=5.0, dedup_scope=DedupScope.ZONE)
-    node = Node(settings(cls), (Endpoint(10, 1, zone=0), Endpoint(11, 1, zone=1)))
+    cls = MessageClass(
+        latency_objective_s=4.0,
+        deadline_s=20.0,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        deduplication_window_s=5.0,
+        deduplication_scope=DeduplicationScope.ZONE,
+    )
+    node = Node(settings(cls), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
     node.arrive()
     first = node.endpoint[1, 0]
     node.run(0.05)
@@ -102,18 +101,24 @@
 
 def test_2_after_a_restart_a_zone_that_is_not_known_any_more_is_no_zone() -> None:
     # Guards a restart whose list lacks the endpoint that had the call: the repeat went to the zone with number 0.
-    cls = MessageClass(aim=4.0, deadline=20.0, effect=Effect.BY_KEY, window=5.0, dedup_scope=DedupScope.ZONE)
-    node = Node(settings(cls), (Endpoint(10, 1, zone=0), Endpoint(11, 1, zone=1)))
-    node.arrive(history=(Tried(0, 99.0),))
+    cls = MessageClass(
+        latency_objective_s=4.0,
+        deadline_s=20.0,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        deduplication_window_s=5.0,
+        deduplication_scope=DeduplicationScope.ZONE,
+    )
+    node = Node(settings(cls), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
+    node.arrive(history=(PastAttempt(0, 99.0),))
     assert (sends(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
     node.arrive(
-        history=(Tried(0, node.now - 2.0), Tried(11, node.now - 1.0))
+        history=(PastAttempt(0, node.now - 2.0), PastAttempt(11, node.now - 1.0))
     )  # one that is listed tells its zone
     assert node.endpoint[2, 0] == 11
 
 
 def test_3_nothing_goes_to_a_draining_endpoint() -> None:
-    node = Node(endpoints=(Endpoint(10, 1), Endpoint(11, 1)))
+    node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
     node.listed(gone(10, 1))
     node.arrive(count=6)
     assert set(node.endpoint.values()) == {11}
@@ -131,7 +136,7 @@
     for _ in range(6):
         node.arrive()
         node.run(0.05)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
+        for m in node.in_flight():
             node.settle(m, Outcome.ERROR)
     node.arrive(count=60)
     before = len(node.sent_at)
@@ -142,7 +147,7 @@
         for (m, n), at in sorted(node.sent_at.items()):
             if (m, n) not in answered and at <= node.now - 0.05 and n == node.attempts[m] - 1:
                 answered.add((m, n))
-                if m in node.sender.messages and node.sender.messages[m].out:
+                if m in node.messages and node.messages[m].in_flight:
                     node.settle(m, Outcome.OK if node.now >= back else Outcome.ERROR)
         node.run(0.05)
     times = [t for t in list(node.sent_at.values())[before:] if t >= back]
@@ -154,15 +159,15 @@
 
 
 def test_5_messages_of_a_key_go_one_at_a_time_and_the_key_rests() -> None:
-    node = Node(settings(ORDERED, key_rest=0.3))
-    node.arrive(key="a")
-    assert sends(node.arrive(key="a")) == []
-    assert sends(node.arrive(key="b")) == [3]
+    node = Node(settings(ORDERED, key_rest_s=0.3))
+    node.arrive(ordering_key="a")
+    assert sends(node.arrive(ordering_key="a")) == []
+    assert sends(node.arrive(ordering_key="b")) == [3]
     node.run(0.1)
     assert sends(node.settle(1)) == [2]
-    node.arrive(key="a")
+    node.arrive(ordering_key="a")
     node.run(0.1)
-    node.settle(2, Outcome.TIMEOUT, ended=True)
+    node.settle(2, Outcome.TIMEOUT, message_ended=True)
     assert sends(node.run(0.29)) == []
     assert sends(node.run(0.02)) == [4]
 
@@ -171,18 +176,20 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.FULL, wait=1.9)  # longer than the pace alone would hold
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the pace alone would hold
     assert sends(node.arrive(count=3) + node.run(1.89)) == []
     assert sends(node.arrive(destination=2)) != []
     assert sends(node.run(1.0)) != []
 
 
 def test_6_where_routes_are_apart_a_wait_holds_its_route_only() -> None:
-    node = Node(settings(kinds=(Kind(routes_apart=True),)), (Endpoint(10, 1), Endpoint(11, 1)))
+    node = Node(
+        settings(kinds=(DestinationKind(separate_routes=True),)), (EndpointEntry(10, 1), EndpointEntry(11, 1))
+    )
     node.arrive()
     first = node.endpoint[1, 0]
     node.run(0.1)
-    node.settle(1, Outcome.FULL, wait=5.0)
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=5.0)
     node.run(0.5)
     node.arrive(count=2)
     later = {ep for key, ep in node.endpoint.items() if key != (1, 0)}
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -29,7 +29,9 @@
         drive = Drive(1024, 1024, 1)
         drive.list()
         state = drive.reducer.state
-        self.assertEqual((len(state.workers), len(drive.reducer.sender.endpoints)), (1024, 1024))
+        self.assertEqual(
+            (len(state.workers), len(drive.reducer.scheduler.state.table.endpoints)), (1024, 1024)
+        )
         for destination in range(20):
             with self.subTest(destination):
                 self.assertIn(destination, state.destinations)
@@ -48,4 +50,4 @@
         self.assertEqual(counters()["registry_entries_unread"], before + len(bad))
         drive = Drive(1, 40, 1)
         drive.do(EndpointsUpdated(9, True, news.workers))
-        self.assertEqual(len(drive.reducer.sender.endpoints), 1024)
+        self.assertEqual(len(drive.reducer.scheduler.state.table.endpoints), 1024)
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_standing_terms_endpoints.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.messages import Answered, BatchItem, Call, ProbeFinished, StartAttempt, StartProbe
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 from tests.rigs import WorkerRig
 
 WORKER = 3
@@ -59,9 +59,9 @@
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 30.000000000000004\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual(self.outcomes(), {Outcome.FULL})
+        self.assertEqual(self.outcomes(), {Outcome.OVERLOADED})
         self.workers.start_attempt(delegate(2, self.port))
-        self.assertEqual(self.outcomes(), {Outcome.MOOT})
+        self.assertEqual(self.outcomes(), {Outcome.NOT_SENT})
 
 
 class ProbeTest(EndpointRig):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -42,19 +42,24 @@
 from juniperward.kept import spool as spools
 from juniperward.kept.spool import Spool
 from juniperward.kept.store import Filter, KeptStore
-from juniperward.scheduler.interface import DedupScope, MessageClass, Outcome, Phase
-from juniperward.scheduler.interface import Effect as MessageEffect
+from juniperward.scheduler.events import EndpointPhase, Outcome
+from juniperward.scheduler.settings import DeduplicationScope, MessageClass
+from juniperward.scheduler.settings import Idempotency as MessageEffect
 from juniperward.settings.editions import Editions
 from tests.helpers import settings
 from tests.stored_data_writer import BOOT_ID, WRITTEN_AT
 
 FOLDER = Path(__file__).parent / "stored_data"
 CLASSES = (
-    MessageClass(aim=4.0, deadline=20.0, late_worth=0.5),
+    MessageClass(latency_objective_s=4.0, deadline_s=20.0, late_weight=0.5),
     MessageClass(
-        aim=4.0, deadline=20.0, effect=MessageEffect.BY_KEY, window=12.0, dedup_scope=DedupScope.ALL
+        latency_objective_s=4.0,
+        deadline_s=20.0,
+        idempotency=MessageEffect.IDEMPOTENCY_KEY,
+        deduplication_window_s=12.0,
+        deduplication_scope=DeduplicationScope.ALL,
     ),
-    MessageClass(aim=4.0, deadline=20.0, effect=MessageEffect.ONCE),
+    MessageClass(latency_objective_s=4.0, deadline_s=20.0, idempotency=MessageEffect.NON_IDEMPOTENT),
 )
 NOW = 5.0  # of the new process, by the clock of which the writer's time 0 is 0
 NOT_OVER = {
@@ -144,7 +149,7 @@
 @pytest.mark.parametrize("reachable", [True, False])
 def test_every_message_of_an_old_journal_gets_one_end(folder: Path, reachable: bool) -> None:
     machine = Machine()
-    workers = tuple(Worker(f"s-{n}", "127.0.0.1", 80 + n, 7, Phase.READY, 0, 0, 0.0) for n in (1, 2))
+    workers = tuple(Worker(f"s-{n}", "127.0.0.1", 80 + n, 7, EndpointPhase.READY, 0, 0, 0.0) for n in (1, 2))
     machine.do(NOW, EndpointsUpdated(1, True, workers if reachable else (), known=True))
     machine.do(NOW, Replayed(tuple(restored(folder).values())))
     machine.run(60.0)
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -4,12 +4,16 @@
 
 import pytest
 
-from juniperward.scheduler.interface import Endpoint, Kind, Outcome
-from juniperward.scheduler.state import Route
+from juniperward.scheduler.events import EndpointEntry, Outcome
+from juniperward.scheduler.records import RouteState
+from juniperward.scheduler.settings import DestinationKind
 from tests.helpers import SAFE, Node, sends, settings
 
-APART = (Kind(batch=1, routes_apart=True), Kind(batch=10, routes_apart=True))
-ENDPOINTS = (Endpoint(10, 1), Endpoint(20, 2, kind=1))
+APART = (
+    DestinationKind(batch_size=1, separate_routes=True),
+    DestinationKind(batch_size=10, separate_routes=True),
+)
+ENDPOINTS = (EndpointEntry(10, 1), EndpointEntry(20, 2, kind=1))
 
 
 def node_of(instances: int) -> Node:
@@ -17,13 +21,13 @@
     return Node(settings(SAFE, slots=20, kinds=APART, instances=instances), ENDPOINTS)
 
 
-def answered(node: Node, destination: int, outcome: Outcome = Outcome.OK, **told: float) -> Route:
+def answered(node: Node, destination: int, outcome: Outcome = Outcome.OK, **told: float) -> RouteState:
     """A message that is called at once and ends with this report; its destination's route."""
     sent = sends(node.arrive(destination=destination))
     assert sent, "the destination may be called"
     node.run(0.05)
     node.settle(sent[0], outcome, **told)
-    return node.sender.dests[destination].order[0].route
+    return node.destination(destination).endpoint_order[0].route
 
 
 @pytest.mark.parametrize("instances", [3, 10])
@@ -31,7 +35,7 @@
 def test_calls_are_spaced_by_the_part_of_a_told_limit(instances: int, destination: int) -> None:
     # head-campus roll+brink: calls beyond a limit are refused and use it up, for all forwarders.
     node = node_of(instances)
-    answered(node, destination, room=1.0, limit=float(instances))
+    answered(node, destination, capacity_left=1.0, reported_limit_per_s=float(instances))
     node.arrive(destination=destination, count=2)
     assert sends(node.run(0.7)) == []  # 0.8 of a call a second each
     assert len(sends(node.run(0.2))) == destination  # the second kind takes both in one call
@@ -46,66 +50,66 @@
 @pytest.mark.parametrize("instances", [3, 10])
 def test_a_refusal_starts_the_pace_at_the_part_of_a_told_limit(instances: int) -> None:
     node = node_of(instances)
-    answered(node, 1, room=1.0, limit=2.0 * instances)
+    answered(node, 1, capacity_left=1.0, reported_limit_per_s=2.0 * instances)
     node.run(1.0)
-    route = answered(node, 1, Outcome.FULL, room=0.0, limit=2.0 * instances)
-    assert route.pace == pytest.approx(2.0)
+    route = answered(node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=2.0 * instances)
+    assert route.rate_limit == pytest.approx(2.0)
 
 
 def test_the_noise_of_told_limits_is_evened_out() -> None:
-    route = Route()
+    route = RouteState()
     for limit in (10.0, *([9.0, 11.0] * 20)):
-        route.told(limit, 0.5, 0.2)
-    assert 9.5 < route.limit < 10.5
+        route.record_report(limit, 0.5, 0.2)
+    assert 9.5 < route.reported_limit < 10.5
 
 
 def test_room_told_before_the_refusals_is_no_reason_to_doubt_a_destination() -> None:
     # head-campus roll+brink: x0 of 0.98 came with a refusal, a sample of up to 1.3 s ago.
     node = node_of(10)
-    answered(node, 1, room=1.0, limit=10.0)
+    answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
     node.run(30.0)  # no contact for long: a doubt would turn it to trials
-    route = answered(node, 1, Outcome.FULL, room=0.98, limit=10.0)
-    assert route.doubts == 0 and not route.sick
+    route = answered(node, 1, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
+    assert route.consecutive_faults == 0 and not route.ejected
 
 
 def test_room_that_is_told_all_the_while_is() -> None:
     node = node_of(10)
-    route = answered(node, 1, room=1.0, limit=10.0)
+    route = answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
     node.run(30.0)
     for _ in range(4):
         node.arrive(destination=1)
         node.run(3.0)
-        for m in [m.id for m in node.sender.messages.values() if m.out]:
-            node.settle(m, Outcome.FULL, room=0.98, limit=10.0)
-    assert route.sick
+        for m in node.in_flight():
+            node.settle(m, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
+    assert route.ejected
 
 
 def test_a_pace_long_after_a_cut_grows_without_overflow() -> None:
     # 2 ** seconds since the cut raises OverflowError after 1024 s.
     node = node_of(10)
-    route = answered(node, 1, room=1.0, limit=10.0)
+    route = answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
     node.run(1.0)
-    answered(node, 1, Outcome.FULL, room=0.0, limit=10.0)
+    answered(node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     node.now += 2000.0
-    route.pace, route.full_run, route.step_at = 0.5, 0, node.now
-    node.sender.now = node.now
-    node.sender._step_pace(node.sender.dests[1], route)
-    assert route.pace is None or 0.5 < route.pace < 100.0
+    route.rate_limit, route.consecutive_rejections, route.rate_limit_raise_at = 0.5, 0, node.now
+    node.scheduler.state.round.now = node.now
+    node.scheduler.rate_limits.raise_limit(node.destination(1), route)
+    assert route.rate_limit is None or 0.5 < route.rate_limit < 100.0
 
 
 @pytest.mark.parametrize(("instances", "quickly"), [(3, True), (10, False)])
 def test_a_pace_of_a_few_grows_by_the_second_and_that_of_many_slowly(instances: int, quickly: bool) -> None:
     # Guards the second deployment (rough-1 of two forwarders, 0.59 to 0.50): a few are their own traffic's limit.
     node = node_of(instances)
-    answered(node, 1, room=1.0, limit=2.0 * instances)
+    answered(node, 1, capacity_left=1.0, reported_limit_per_s=2.0 * instances)
     node.run(1.0)
-    route = answered(node, 1, Outcome.FULL, room=0.0, limit=2.0 * instances)
+    route = answered(node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=2.0 * instances)
     node.arrive(destination=1, count=40)
-    began, start = node.now, route.pace
+    began, start = node.now, route.rate_limit
     assert start is not None
-    while route.pace is not None and route.pace < 1.15 * start:
+    while route.rate_limit is not None and route.rate_limit < 1.15 * start:
         node.run(0.5)
-        for message in [m.id for m in node.sender.messages.values() if m.out]:
-            node.settle(message, room=0.5, limit=2.0 * instances)
+        for message in node.in_flight():
+            node.settle(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
         assert node.now < began + 20.0
     assert (node.now - began <= 2.0) == quickly
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -25,7 +25,7 @@
 )
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
-from juniperward.scheduler.interface import Outcome
+from juniperward.scheduler.events import Outcome
 
 SETTINGS = "0.0 juniperward: trace: Settings(classes=(MessageClass(aim=2.0, deadline=12.0)), slots=6)"
 
@@ -53,7 +53,7 @@
         )
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(0.15, [WithdrawResult(1, 9, Progress.WAITS), AttemptCancelled(9, Progress.WRITTEN)])
-        trace.events(0.2, [Answered(1, (End(1, Outcome.FULL, 0.5),))])
+        trace.events(0.2, [Answered(1, (End(1, Outcome.OVERLOADED, 0.5),))])
         trace.effects(0.3, [LogLine("destination 7: refuses all, held to trials")])
         trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
         trace.events(2.5, [Answered(2, (End(1, Outcome.OK),))])
