--- a/juniperward/scheduler/endpoint_table.py
+++ b/juniperward/scheduler/endpoint_table.py
@@ -6,8 +6,9 @@
 from collections.abc import Collection
 
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
-from juniperward.scheduler.records import Destination, Endpoint, RouteState
+from juniperward.scheduler.records import Destination, Endpoint
 from juniperward.scheduler.round import Round
+from juniperward.scheduler.route_state import RouteState
 
 
 class EndpointTable:
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from juniperward.scheduler.records import RouteState
+from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.scheduler import DeliveryScheduler
 
 
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -4,8 +4,9 @@
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.endpoint_table import EndpointTable
-from juniperward.scheduler.records import Destination, RouteState
+from juniperward.scheduler.records import Destination
 from juniperward.scheduler.round import Round
+from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.token_bucket import TokenBucket
 
 
--- a/juniperward/scheduler/tuning.py
+++ b/juniperward/scheduler/tuning.py
@@ -1,4 +1,4 @@
-"""The tuned values of all decisions, each with its unit and reason; (design) means a figure of docs/design.md."""
+"""The tuned values of all decisions, with units and reasons; (design) means a figure of docs/design.md."""
 
 # Turns and slots
 QUANTUM_SHARE = 0.25  # of the shortest latency objective, that a turn adds to a deficit (design)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,7 +18,8 @@
     Outcome,
     TimerFired,
 )
-from juniperward.scheduler.records import Destination, Message, RouteState
+from juniperward.scheduler.records import Destination, Message
+from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
 SAFE = MessageClass(latency_objective_s=4.0, deadline_s=20.0, late_weight=0.5)
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from juniperward.scheduler.events import EndpointEntry, Outcome
-from juniperward.scheduler.records import RouteState
+from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.settings import DestinationKind
 from tests.helpers import SAFE, Node, sends, settings
 
