--- a/tests/test_standing_terms_clients.py
+++ b/tests/test_client_faults.py
@@ -1,4 +1,4 @@
-"""The standing terms towards clients, sentence by sentence, over loopback sockets."""
+"""What a forwarder keeps to towards clients, sentence by sentence, over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/test_failback.py
+++ b/tests/test_cold_return_budget.py
@@ -1,4 +1,4 @@
-"""Rule 4 with hundreds of nodes: what all of them together send to a destination that is cold."""
+"""Rule 4 in a large fleet: what all forwarders together send to a destination that is cold."""
 
 from __future__ import annotations
 
--- a/tests/test_standing_terms_endpoints.py
+++ b/tests/test_endpoint_faults.py
@@ -1,4 +1,4 @@
-"""The standing terms towards endpoints, sentence by sentence, over loopback sockets."""
+"""What a forwarder keeps to towards endpoints, sentence by sentence, over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/test_defences.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found; the comment in the rules says what it guards against."""
+"""Faults, silence and full connection tables: one test for each failure that was found."""
 
 from __future__ import annotations
 
