--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 
 from juniperward.forwarder.counters import count, log
-from juniperward.forwarder.messages import End, StartAttempt
+from juniperward.forwarder.effects import StartAttempt
+from juniperward.forwarder.model import ItemOutcome
 from juniperward.net.http import DECIMAL, Response
 from juniperward.scheduler.events import Outcome
 
@@ -58,10 +59,10 @@
     slots_taken: bool = False,
     over: bool = False,
     table_full: bool = False,
-) -> tuple[End, ...]:
+) -> tuple[ItemOutcome, ...]:
     """The same end for every message of a call."""
     return tuple(
-        End(
+        ItemOutcome(
             p.message,
             outcome,
             wait,
@@ -69,8 +70,8 @@
             over,
             report.room,
             report.limit,
-            begun=begun,
-            table_full=table_full,
+            written=begun,
+            connection_table_full=table_full,
         )
         for p in what.items
     )
@@ -131,7 +132,7 @@
             return Outcome.ERROR
 
 
-def read_ends(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[End, ...]:
+def read_ends(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[ItemOutcome, ...]:
     """What an answer says of each message of a call ('Forwarders to endpoints'); `fresh`: on a new connection."""
     wait, report = read_wait(answer.headers), read_report(answer.headers)
     many = len(what.items) > 1
@@ -166,7 +167,7 @@
             return ends_of_all(what, Outcome.ERROR, wait, report)
 
 
-def _each(what: StartAttempt, answer: Response, wait: float, report: Report) -> tuple[End, ...]:
+def _each(what: StartAttempt, answer: Response, wait: float, report: Report) -> tuple[ItemOutcome, ...]:
     """The ends of several messages; one that is not named, or not in words we know, may have run."""
     states: dict[str, State] = {}
     try:
@@ -181,8 +182,15 @@
         log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
     ends = []
     for p in what.items:
-        state = states.get(p.call.id, UNKNOWN)
+        state = states.get(p.content.id, UNKNOWN)
         ends.append(
-            End(p.message, state.outcome, wait, over=state.over, room=report.room, limit=report.limit)
+            ItemOutcome(
+                p.message,
+                state.outcome,
+                wait,
+                message_ended=state.over,
+                capacity_left=report.room,
+                reported_limit_per_s=report.limit,
+            )
         )
     return tuple(ends)
--- /dev/null
+++ b/juniperward/forwarder/assembly.py
@@ -0,0 +1,62 @@
+"""Puts the parts of a forwarder together; the journal is replayed, and nothing runs yet."""
+
+from __future__ import annotations
+
+import time
+
+from juniperward.forwarder.clock import carry_over, read_boot_id
+from juniperward.forwarder.config import Config
+from juniperward.forwarder.counters import log
+from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
+from juniperward.forwarder.effect_executor import EffectExecutor, ProcessInfo
+from juniperward.forwarder.event_queue import EventQueue
+from juniperward.forwarder.journal import NAME as JOURNAL_NAME
+from juniperward.forwarder.journal import Journal
+from juniperward.forwarder.loop import Loop
+from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.registry import Registry
+from juniperward.forwarder.server import Server
+from juniperward.forwarder.workers import Workers
+from juniperward.kept.spool import Spool
+
+
+def build(config: Config) -> Loop:
+    """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
+    started, to_unix = time.time(), time.time() - time.monotonic()
+    journal_to_unix = carry_over(config.state, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
+    journal = Journal(config.state, config.disk_bytes, journal_to_unix)
+    dead_letters = _open_dead_letters(config, to_unix)
+    stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
+    reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored)
+    queue = EventQueue()
+    executor = _build_executor(config, journal, queue)
+    executor.dead_letters = dead_letters
+    executor.process = ProcessInfo(config.name, started)
+    return Loop(reducer, executor, queue)
+
+
+def _open_dead_letters(config: Config, to_unix: float) -> DeadLetterWriter | None:
+    if config.spool is None:
+        return None
+    return DeadLetterWriter(Spool(config.spool, config.spool_bytes), config.settings, config.names, to_unix)
+
+
+def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
+    settings = config.settings
+    if config.sockets < LEAST_SOCKETS:
+        few = f"{config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need"
+        log("start", f"limits: sockets: {few}")
+    bounds = share_out(config.sockets, settings.slots)
+    server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.leaving_clients)
+    workers = Workers(
+        settings.dial_timeout_s,
+        settings.keepalive_s,
+        most_threads=bounds.calls,
+        most_idle=bounds.idle_to_endpoints,
+        post=queue.post,
+        note=journal.append,
+        longest=max(message_class.deadline_s for message_class in settings.classes),
+    )
+    registry = Registry(config.registry, config.names, queue.post)
+    return EffectExecutor(journal, server, workers, registry, queue)
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -8,7 +8,7 @@
 import re
 
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Call
+from juniperward.forwarder.model import Message
 from juniperward.kept.spool import PREFIX
 from juniperward.net.http import DECIMAL, HttpCall, encode_response
 
@@ -21,7 +21,7 @@
     """The call is HTTP but no message of this protocol; the text tells the client why."""
 
 
-def decode_call(asked: HttpCall, names: Names) -> Call:
+def decode_call(asked: HttpCall, names: Names) -> Message:
     """The message that a call hands in."""
     headers = asked.headers
     name = headers.get("x-correlation-id", "")
@@ -48,7 +48,7 @@
     ran = headers.get("x-kept-ran")
     if ran is not None and (not DECIMAL.fullmatch(ran) or not name.startswith(PREFIX)):
         raise BadCall("X-Kept-Ran: seconds are needed, and the id of a resend")
-    return Call(
+    return Message(
         name, cls, tenant, int(found[1]), left, key, asked.body, float(ran) if ran is not None else None
     )
 
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from juniperward.forwarder.counters import count, log
-from juniperward.forwarder.messages import Worker
+from juniperward.forwarder.model import Endpoint
 from juniperward.scheduler.events import EndpointPhase
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
@@ -39,7 +39,7 @@
 
     version: int
     full: bool
-    workers: tuple[Worker, ...]
+    workers: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,10 +82,10 @@
     return News(int(value["version"]), bool(value["full"]), tuple(workers))
 
 
-def _read_worker(entry: Any, names: Names) -> Worker:
+def _read_worker(entry: Any, names: Names) -> Endpoint:
     host, port = address(entry["addr"])
     kind, zone = entry.get("kind"), entry.get("zone")
-    return Worker(
+    return Endpoint(
         id=str(entry["id"]),
         host=host,
         port=port,
@@ -93,7 +93,7 @@
         phase=PHASES[entry["state"]],
         kind=names.kinds.index(kind) if kind in names.kinds else 0,
         zone=names.zones.index(zone) if zone in names.zones else 0,
-        weight=_rate(entry.get("weight")),
+        listed_rate=_rate(entry.get("weight")),
     )
 
 
--- /dev/null
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -0,0 +1,73 @@
+"""Writes messages that are given up to the spool, and what became of redrives."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import replace
+
+from juniperward.control.protocol import FateRow, Fates
+from juniperward.forwarder.config import Names
+from juniperward.forwarder.counters import count, log
+from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
+from juniperward.kept.spool import Attempt, Fate, Kept, Spool
+from juniperward.scheduler.settings import SchedulerSettings
+
+LARGEST_UNIX_TIME = 1e18  # JSON has no infinity
+
+
+class DeadLetterWriter:
+    """Used by the loop only. What cannot be written is counted and logged; the service goes on."""
+
+    def __init__(self, spool: Spool, settings: SchedulerSettings, names: Names, to_unix: float) -> None:
+        """Write to a spool; `to_unix` is what makes monotonic time Unix time."""
+        self.spool = spool
+        self._settings, self._names, self._to_unix = settings, names, to_unix
+
+    def store(self, effect: StoreDeadLetter) -> None:
+        """Write a message that is given up to the spool."""
+        try:
+            self.spool.keep(self._dead_letter(effect))
+            count("kept")
+        except OSError as error:
+            count("kept_failed")
+            log("kept", f"{effect.message.id} is given up and cannot be kept: {error}")
+
+    def _dead_letter(self, effect: StoreDeadLetter) -> Kept:
+        message, message_class = effect.message, self._settings.classes[effect.message.class_index]
+        attempts = tuple(
+            Attempt(past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed)
+            for past in effect.attempts
+        )
+        return Kept(
+            message.id,
+            self._names.classes[message.class_index],
+            self._names.tenants[message.tenant] if self._names.tenants else "",
+            message.destination,
+            message.idempotency_key,
+            message.body,
+            effect.received_at + self._to_unix,
+            effect.given_up_at + self._to_unix,
+            attempts,
+            message_class.idempotency.value,
+            message_class.deduplication_window_s,
+            effect.endpoints,
+        )
+
+    def record_redrive_outcome(self, effect: RecordRedriveOutcome) -> None:
+        """Write down what became of a redrive."""
+        executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
+        try:
+            self.spool.remember(effect.id, Fate(effect.outcome, executed_at))
+        except OSError as error:
+            count("kept_failed")
+            log("kept", f"the end of resend {effect.id} cannot be written: {error}")
+            self.spool.complete_since = math.inf  # nothing may be concluded from its absence
+
+    def redrive_outcomes(self, asked: Fates) -> Fates:
+        """Return the reducer's answer with what the spool remembers: what is over the reducer does not know."""
+        rows = []
+        for row in asked.fates:
+            fate = self.spool.fates.get(row.id)
+            rows.append(FateRow(row.id, fate.end, fate.ran_at) if fate is not None else row)
+        since = min(self.spool.complete_since, LARGEST_UNIX_TIME)
+        return replace(asked, complete_since=since, fates=tuple(rows))
--- /dev/null
+++ b/juniperward/forwarder/effect_executor.py
@@ -0,0 +1,184 @@
+"""Carries out the effects that the reducer asks for, by the parts that speak with the world."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import Protocol
+
+from juniperward.control.protocol import Answer, Fates, Status
+from juniperward.forwarder.counters import count, log
+from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+from juniperward.forwarder.effects import (
+    AcceptMessage,
+    AppendRecord,
+    CancelAttempt,
+    CloseConnections,
+    CloseIdleConnections,
+    Effect,
+    EndProcess,
+    ForgetEndpoint,
+    HoldRoute,
+    RecordRedriveOutcome,
+    ReplyToClient,
+    SendControlReply,
+    SendNotifications,
+    SetDraining,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    StartWatch,
+    StoreDeadLetter,
+    SwitchDiscovery,
+    WithdrawFromBatch,
+    WriteLog,
+)
+from juniperward.forwarder.events import (
+    AttemptCancelled,
+    BatchItemWithdrawn,
+    Event,
+    MessageAccepted,
+    TimerEvent,
+)
+from juniperward.forwarder.journal import Journal, JournalFullError
+from juniperward.forwarder.records import JournalRecord
+from juniperward.forwarder.registry import Registry
+from juniperward.forwarder.server import Server
+from juniperward.forwarder.workers import Workers
+
+HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
+JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
+
+
+class Timers(Protocol):
+    """What sets timers."""
+
+    def set_timer(self, at: float, event: TimerEvent) -> None:
+        """Report an event at a moment."""
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessInfo:
+    """What the control channel tells of the process, beside the reducer's state; `started` is Unix time."""
+
+    name: str = ""
+    started: float = 0.0
+
+
+@dataclass(slots=True)
+class ControlOutput:
+    """The way out to the control channel, and to the end of the process that it may ask for."""
+
+    reply: Callable[[int, Answer], None] = lambda client, answer: None
+    end_process: Callable[[], None] = lambda: None
+
+
+class EffectExecutor:
+    """Used by the loop's thread only; `perform` returns the event that follows at once, if any."""
+
+    def __init__(
+        self,
+        journal: Journal,
+        server: Server,
+        workers: Workers,
+        registry: Registry,
+        timers: Timers,
+    ) -> None:
+        """Speak with clients, endpoints and discovery by these parts."""
+        self.journal, self.server, self.workers, self.registry = journal, server, workers, registry
+        self._timers = timers
+        self.control = ControlOutput()
+        self.process = ProcessInfo()
+        self.dead_letters: DeadLetterWriter | None = None
+
+    def perform(self, effect: Effect) -> Event | None:
+        """Carry out an effect."""
+        match effect:
+            case AcceptMessage(client=client, message=message, record=record):
+                return MessageAccepted(message, self._accept(client, record))
+            case CancelAttempt(attempt_number=number):
+                return AttemptCancelled(number, self.workers.cancel_attempt(number))
+            case WithdrawFromBatch(attempt_number=number, message=message):
+                return BatchItemWithdrawn(number, message, self.workers.withdraw(number, message))
+            case ReplyToClient(client=client, status=status, retry_after_s=retry_after_s):
+                self.server.answer(client, status, retry_after_s)
+            case AppendRecord(record=record):
+                self._append(record)
+            case SetTimer(at=at, event=event):
+                self._timers.set_timer(at, event)
+            case CloseConnections(closing=closing):
+                self.server.close_connections(closing)
+            case _:
+                self._perform_for_endpoints(effect)
+        return None
+
+    def _perform_for_endpoints(self, effect: Effect) -> None:
+        match effect:
+            case StartAttempt() | StartHealthCheck():
+                self.workers.start_attempt(effect)
+            case CloseIdleConnections(endpoint=endpoint):
+                self.workers.close_idle(endpoint)
+            case SetDraining(endpoint=endpoint, draining=draining):
+                self.workers.set_draining(endpoint, draining)
+            case HoldRoute(route=route, until=until):
+                self.workers.hold_until(route, until)
+            case ForgetEndpoint(endpoint=endpoint):
+                self.workers.forget(endpoint)
+            case StartWatch(version=version, epoch=epoch):
+                self.registry.watch(version, epoch)
+            case SwitchDiscovery(address=address, epoch=epoch):
+                self.registry.move(address, epoch)
+            case SendNotifications(notifications=notifications):
+                self.registry.notify(notifications)
+            case _:
+                self._perform_for_people(effect)
+
+    def _perform_for_people(self, effect: Effect) -> None:
+        match effect:
+            case WriteLog(text=text):
+                log("module", text)
+            case SendControlReply(client=client, answer=answer):
+                self.control.reply(client, self._complete(answer))
+            case EndProcess():
+                self.control.end_process()
+            case StoreDeadLetter() if self.dead_letters is not None:
+                self.dead_letters.store(effect)
+            case RecordRedriveOutcome() if self.dead_letters is not None:
+                self.dead_letters.record_redrive_outcome(effect)
+
+    def _complete(self, answer: Answer) -> Answer:
+        """Put in what the reducer does not know: names, and how large the journal is."""
+        body = answer.body
+        if isinstance(body, Fates) and self.dead_letters is not None:
+            body = self.dead_letters.redrive_outcomes(body)
+        elif isinstance(body, Status):
+            body = replace(
+                body,
+                name=self.process.name,
+                started=self.process.started,
+                journal_bytes=self.journal.size,
+                journal_live=self.journal.live_bytes,
+            )
+        return replace(answer, body=body)
+
+    def _accept(self, client: int, record: JournalRecord) -> bool:
+        """The journal first, then the client: what a client was told outlasts this process."""
+        try:
+            self.journal.append(record)
+        except JournalFullError:
+            count("overload_replies_disk")
+            log("journal", "no room for another message; clients are turned away")
+        except OSError as error:
+            count("journal_failures")
+            log("journal", f"cannot write: {error}; clients are turned away")
+        else:
+            return self.server.answer(client, HTTP_ACCEPTED)
+        self.server.answer(client, HTTP_UNAVAILABLE, JOURNAL_FULL_RETRY_AFTER_S)
+        return False
+
+    def _append(self, record: JournalRecord) -> None:
+        try:
+            self.journal.append(record)
+        except OSError as error:
+            count("journal_failures")
+            log("journal", f"cannot write: {error}")
--- /dev/null
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -0,0 +1,106 @@
+"""Discovery's part: the watch, and what updates of the list do to the endpoints that are known."""
+
+from __future__ import annotations
+
+import math
+
+from juniperward.forwarder.counters import count
+from juniperward.forwarder.effects import ForgetEndpoint, SetDraining, StartWatch, SwitchDiscovery
+from juniperward.forwarder.events import EndpointsUpdated, WatchLost
+from juniperward.forwarder.model import Endpoint
+from juniperward.forwarder.reducer.round import Round
+from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
+
+EMPTY_DESTINATION_KEPT_S = 60.0  # for which a destination without endpoints is still one
+
+
+class EndpointList:
+    """Keeps the directory of endpoints."""
+
+    def __init__(self, round_: Round) -> None:
+        """Begin without endpoints."""
+        self._round = round_
+
+    def watch(self) -> None:
+        """Begin a watch; one at a time, a second would only stand in line behind it."""
+        directory = self._round.state.directory
+        if not directory.watching:
+            directory.watching = True
+            self._round.emit(StartWatch(directory.version, directory.epoch))
+
+    def address_changed(self, address: tuple[str, int]) -> None:
+        """Move to another address: what the old watch still tells does not count, the new one goes on from here."""
+        directory = self._round.state.directory
+        directory.epoch += 1
+        directory.watching = False
+        self._round.emit(SwitchDiscovery(address, directory.epoch))
+        self.watch()
+
+    def watch_lost(self, event: WatchLost) -> None:
+        """Have the scheduler poll again."""
+        directory = self._round.state.directory
+        if event.epoch != directory.epoch:
+            return
+        count("watches_lost")
+        directory.watching = False
+        if event.established:  # polled again soon: it is no call that failed, one after another
+            self._round.tell_scheduler(EndpointListUpdated(ListScope.DELTA))
+        self._round.tell_scheduler(EndpointListUpdated(ListScope.FAILED))
+
+    def updated(self, event: EndpointsUpdated) -> None:
+        """Take in an update of the present watch, or the list that the configuration names."""
+        if event.cached or event.epoch == self._round.state.directory.epoch:
+            self._apply(event)
+        if event.cached:
+            # Where lists are pushed they come only over a watch, whatever the scheduler asks for.
+            self.watch()
+
+    def _apply(self, event: EndpointsUpdated) -> None:
+        directory = self._round.state.directory
+        directory.version = event.version
+        if not event.cached:
+            directory.updated_at = self._round.now
+        count("registry_news")
+        entries = tuple(self._apply_entry(endpoint) for endpoint in event.endpoints)
+        if event.full:
+            named = {entry.endpoint for entry in entries}
+            missing = [number for number in directory.endpoints if number not in named]
+            directory.gone.update(missing)
+            self._round.emit(*(SetDraining(number, True) for number in missing))
+        scope = ListScope.FULL if event.full else ListScope.DELTA
+        if event.cached:
+            scope = ListScope.CACHED
+        self._round.tell_scheduler(EndpointListUpdated(scope, entries))
+        self._forget()
+
+    def _apply_entry(self, endpoint: Endpoint) -> EndpointEntry:
+        directory = self._round.state.directory
+        number = directory.number(endpoint.id)
+        directory.endpoints[number] = endpoint
+        if endpoint.phase is EndpointPhase.GONE:
+            directory.gone.add(number)
+        else:
+            directory.gone.discard(number)
+        self._round.emit(SetDraining(number, endpoint.phase is not EndpointPhase.READY))
+        return EndpointEntry(
+            number, endpoint.destination, endpoint.phase, endpoint.kind, endpoint.zone, endpoint.listed_rate
+        )
+
+    def _forget(self) -> None:
+        """Endpoints come and go for months: keep nothing of those that are gone, nor of their destinations."""
+        directory = self._round.state.directory
+        busy = {attempt.endpoint for attempt in self._round.state.attempts.in_flight.values()}
+        listed = {e.destination for number, e in directory.endpoints.items() if number not in directory.gone}
+        for number in sorted(directory.gone - busy):
+            directory.gone.discard(number)
+            del directory.numbers[directory.endpoints.pop(number).id]
+            self._round.emit(ForgetEndpoint(number))
+        for destination in listed:
+            directory.destinations[destination] = math.inf
+        for destination, until in list(directory.destinations.items()):
+            if destination in listed:
+                continue
+            if until <= self._round.now:
+                del directory.destinations[destination]
+            elif until == math.inf:
+                directory.destinations[destination] = self._round.now + EMPTY_DESTINATION_KEPT_S
--- /dev/null
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -0,0 +1,61 @@
+"""Health checks of endpoints, where the settings allow them and the scheduler asks for one."""
+
+from __future__ import annotations
+
+from juniperward.forwarder.counters import count
+from juniperward.forwarder.effects import HoldRoute, StartHealthCheck
+from juniperward.forwarder.events import HealthCheckAnswered
+from juniperward.forwarder.reducer.attempts import route_of
+from juniperward.forwarder.reducer.round import Round
+from juniperward.scheduler.events import HealthCheckFinished, Outcome
+
+TIMEOUT_PER_DIAL_TIMEOUT = 1.5  # a dial, then an answer that is work of milliseconds at a live endpoint
+
+
+class HealthChecks:
+    """Starts health checks and reports them to the scheduler."""
+
+    def __init__(self, round_: Round) -> None:
+        """Begin without health checks."""
+        self._round = round_
+
+    def start(self, number: int) -> None:
+        """Check an endpoint; one that is not listed any more is answered at once as not checked."""
+        state, settings = self._round.state, self._round.settings
+        endpoint = state.directory.endpoints.get(number)
+        if endpoint is None or number in state.directory.gone:
+            self._round.tell_scheduler(HealthCheckFinished(number, Outcome.NOT_SENT, 0.0))
+            return
+        check = state.attempts.next_number()
+        state.attempts.health_checks[check] = number
+        count("probes")
+        self._round.emit(
+            StartHealthCheck(
+                check,
+                number,
+                endpoint.host,
+                endpoint.port,
+                endpoint.destination,
+                self._round.now + TIMEOUT_PER_DIAL_TIMEOUT * settings.dial_timeout_s,
+                route_of(endpoint, settings),
+            )
+        )
+
+    def answered(self, event: HealthCheckAnswered) -> None:
+        """Report the outcome of a health check."""
+        state = self._round.state
+        if state.attempts.health_checks.pop(event.number, None) is None:
+            return
+        endpoint = state.directory.endpoints.get(event.endpoint)
+        if event.retry_after_s > 0 and endpoint is not None:
+            until = self._round.now + event.retry_after_s
+            self._round.emit(HoldRoute(route_of(endpoint, self._round.settings), until))
+        self._round.tell_scheduler(
+            HealthCheckFinished(
+                event.endpoint,
+                event.outcome,
+                event.latency_s,
+                event.capacity_left,
+                event.reported_limit_per_s,
+            )
+        )
--- /dev/null
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -0,0 +1,91 @@
+"""Asks the scheduler at the end of a round, and turns its actions into effects."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from juniperward.forwarder.counters import count, holds, trouble
+from juniperward.forwarder.effects import CloseIdleConnections, SetTimer, WriteLog
+from juniperward.forwarder.events import SchedulerTimerFired
+from juniperward.forwarder.reducer.attempts import Attempts
+from juniperward.forwarder.reducer.completion import Completion
+from juniperward.forwarder.reducer.endpoint_list import EndpointList
+from juniperward.forwarder.reducer.health_checks import HealthChecks
+from juniperward.forwarder.reducer.round import Round
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.scheduler import actions as scheduler_actions
+
+RETRY_AFTER_ERROR_S = 0.05  # after which the scheduler is asked again where it failed
+
+
+@dataclass(frozen=True, slots=True)
+class Handlers:
+    """The handlers that the scheduler's actions concern."""
+
+    attempts: Attempts
+    health_checks: HealthChecks
+    completion: Completion
+    endpoint_list: EndpointList
+
+
+class Scheduling:
+    """Carries out what the scheduler decides."""
+
+    def __init__(self, round_: Round, scheduler: DeliveryScheduler, handlers: Handlers) -> None:
+        """Hand each action to the handler that it concerns."""
+        self._round, self._scheduler, self._handlers = round_, scheduler, handlers
+
+    def decide(self) -> None:
+        """Tell the scheduler what happened and do what it asks for."""
+        to_start: dict[tuple[int, int], list[scheduler_actions.StartAttempt]] = {}  # by endpoint and batch
+        for action in self._actions():
+            if isinstance(action, scheduler_actions.StartAttempt):
+                to_start.setdefault((action.endpoint, action.batch), []).append(action)
+            else:
+                self._carry_out(action)
+        # Attempts come last: what a round gives up or closes must not be met by what it starts.
+        for (endpoint, _), scheduled in to_start.items():
+            self._handlers.attempts.start(endpoint, scheduled)
+
+    def _actions(self) -> list[scheduler_actions.Action]:
+        """Ask the scheduler; whatever fails in it must not take its other messages along."""
+        try:
+            return self._scheduler.handle(self._round.now, self._round.scheduler_events)
+        except Exception as error:
+            if __debug__:
+                raise
+            trouble("module", error)
+            ask_again = scheduler_actions.SetTimer(RETRY_AFTER_ERROR_S, self._scheduler.timer_token)
+            return [*self._scheduler.pending_actions, ask_again]
+
+    def _carry_out(self, action: scheduler_actions.Action) -> None:
+        match action:
+            case scheduler_actions.Reject(message=number, retry_after_s=retry_after_s):
+                self._give_up(number, retry_after_s)
+            case scheduler_actions.Fail(message=number):
+                self._give_up(number, None)
+            case scheduler_actions.CancelAttempt(message=number):
+                self._handlers.attempts.cancel_message(number)
+            case scheduler_actions.SetTimer(delay_s=delay_s, token=token):
+                self._round.emit(SetTimer(self._round.now + delay_s, SchedulerTimerFired(token)))
+            case scheduler_actions.CloseIdleConnections(endpoint=endpoint):
+                self._round.emit(CloseIdleConnections(endpoint))
+            case scheduler_actions.PollEndpointList():
+                self._handlers.endpoint_list.watch()
+            case scheduler_actions.StartHealthCheck(endpoint=endpoint):
+                self._handlers.health_checks.start(endpoint)
+            case scheduler_actions.DestinationEjected(destination=destination, reason=reason):
+                self._round.emit(WriteLog(f"destination {destination} ejected: {reason.value}"))
+            case scheduler_actions.DestinationRecovered(destination=destination):
+                self._round.emit(WriteLog(f"destination {destination} recovered: warming up"))
+
+    def _give_up(self, number: int, retry_after_s: float | None) -> None:
+        """End a message undelivered; an attempt of it that is still in flight goes on to its own end."""
+        pending = self._round.state.messages.pending.get(number)
+        if pending is None:
+            holds(False, "one_final_answer")
+            return
+        if pending.never_attempted:
+            count("restored_given_up_untried")
+        self._handlers.completion.forget(pending)
+        self._handlers.completion.give_up(pending, retry_after_s)
--- a/juniperward/forwarder/registry.py
+++ b/juniperward/forwarder/registry.py
@@ -14,13 +14,8 @@
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.discovery_stream import JsonObjects
-from juniperward.forwarder.messages import (
-    EndpointsUpdated,
-    Event,
-    NotificationAcknowledged,
-    OutcomeNotification,
-    WatchLost,
-)
+from juniperward.forwarder.events import EndpointsUpdated, Event, NotificationAcknowledged, WatchLost
+from juniperward.forwarder.model import OutcomeNotification
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head, read_response
 
@@ -202,8 +197,8 @@
 
 def _line(notification: OutcomeNotification) -> bytes:
     row: dict[str, Any] = {"id": notification.id, "status": "undeliverable"}
-    if notification.again is not None:
+    if notification.retry_after_s is not None:
         row["status"] = "deferred"
-        if notification.again > 0:
-            row["again_ms"] = round(notification.again * 1000)
+        if notification.retry_after_s > 0:
+            row["again_ms"] = round(notification.retry_after_s * 1000)
     return json.dumps(row, separators=(",", ":")).encode() + b"\n"
--- a/juniperward/forwarder/reload.py
+++ b/juniperward/forwarder/reload.py
@@ -11,7 +11,7 @@
 
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.counters import count, log
-from juniperward.forwarder.messages import Moved
+from juniperward.forwarder.events import DiscoveryAddressChanged
 
 AT_ONCE = {"registry", "known", "seed"}  # the last two are of the moment of a start
 
@@ -23,7 +23,7 @@
         self.config, self.registry = config, config.registry
         self.environment = {name: text for name, text in environment.items() if name != "ROUTER_DISCOVERY"}
 
-    def again(self) -> Moved | None:
+    def again(self) -> DiscoveryAddressChanged | None:
         """Read the file; the registry's address where it is another one than before."""
         count("reloads")
         try:
@@ -43,4 +43,4 @@
             return None
         self.registry = new.registry
         log("reload", f"the registry is at {new.registry[0]}:{new.registry[1]} from now on")
-        return Moved(new.registry)
+        return DiscoveryAddressChanged(new.registry)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.counters import count, holds, log, trouble
 from juniperward.forwarder.descriptors import MOST_LEAVING
-from juniperward.forwarder.messages import Event, MessageReceived
+from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.net import sockets
 from juniperward.net.http import (
     Broken,
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -12,23 +12,25 @@
 import time
 from collections.abc import Iterable
 
-from juniperward.forwarder.messages import (
+from juniperward.forwarder.effects import (
     AcceptMessage,
-    Answered,
-    AttemptCancelled,
-    CloseIdle,
+    CloseIdleConnections,
     Effect,
+    ReplyToClient,
+    SendNotifications,
+    StartAttempt,
+    WriteLog,
+)
+from juniperward.forwarder.events import (
+    AttemptAnswered,
+    AttemptCancelled,
+    BatchItemWithdrawn,
+    DeadlineReached,
     EndpointsUpdated,
     Event,
-    LogLine,
     MessageAccepted,
     MessageReceived,
     NotificationAcknowledged,
-    Notify,
-    Reply,
-    StartAttempt,
-    TimeUp,
-    WithdrawResult,
 )
 from juniperward.forwarder.outcome_words import OUTCOME_WORDS
 
@@ -48,25 +50,27 @@
         for e in events:
             match e:
                 case MessageReceived():
-                    self.asked[e.client] = f"{e.call.destination} {e.call.id}"
-                    lines.append(f"handed {self.asked[e.client]} {e.call.time_left:.3f}")
-                case Answered():
-                    for x in e.ends:
-                        lines.append(f"ended {e.attempt_number} {OUTCOME_WORDS[x.outcome]} {x.wait:.3f}")
-                case TimeUp():
+                    self.asked[e.client] = f"{e.message.destination} {e.message.id}"
+                    lines.append(f"handed {self.asked[e.client]} {e.message.time_left_s:.3f}")
+                case AttemptAnswered():
+                    for x in e.outcomes:
+                        lines.append(
+                            f"ended {e.attempt_number} {OUTCOME_WORDS[x.outcome]} {x.retry_after_s:.3f}"
+                        )
+                case DeadlineReached():
                     lines.append(f"up {e.attempt_number}")
-                case WithdrawResult():
+                case BatchItemWithdrawn():
                     lines.append(f"struck {e.attempt_number} {e.progress.value}")
                 case AttemptCancelled():
                     lines.append(f"off {e.attempt_number} {e.progress.value}")
-                case MessageAccepted(told=False):
+                case MessageAccepted(client_told=False):
                     lines.append(f"untold {e.message}")
                 case NotificationAcknowledged():
                     lines += [f"noticed {name}" for name in e.ids]
                 case EndpointsUpdated():
-                    for w in e.workers:
+                    for w in e.endpoints:
                         lines.append(
-                            f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.weight}"
+                            f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.listed_rate}"
                         )
         self._write(now, lines)
 
@@ -77,18 +81,20 @@
             match e:
                 case AcceptMessage():
                     lines.append(f"taken {self.asked.pop(e.client, '? ?')}")
-                case Reply():
-                    lines.append(f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after:.3f}")
+                case ReplyToClient():
+                    lines.append(
+                        f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after_s:.3f}"
+                    )
                 case StartAttempt():
-                    ids = ",".join(p.call.id for p in e.items)
+                    ids = ",".join(p.content.id for p in e.items)
                     lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.items)} {ids}")
-                case Notify():
+                case SendNotifications():
                     for n in e.notifications:
-                        again = "never" if n.again is None else f"{n.again:.3f}"
+                        again = "never" if n.retry_after_s is None else f"{n.retry_after_s:.3f}"
                         lines.append(f"given_up {n.id} {again}")
-                case CloseIdle():
-                    lines.append(f"close {e.worker}")
-                case LogLine():
+                case CloseIdleConnections():
+                    lines.append(f"close {e.endpoint}")
+                case WriteLog():
                     lines.append(f"say {e.text}")
         self._write(now, lines)
 
--- a/juniperward/forwarder/workers.py
+++ b/juniperward/forwarder/workers.py
@@ -19,19 +19,10 @@
 )
 from juniperward.forwarder.batch import encode_batch
 from juniperward.forwarder.counters import count, log, trouble
-from juniperward.forwarder.messages import (
-    Answered,
-    AttemptStarted,
-    BatchItem,
-    End,
-    Event,
-    ProbeFinished,
-    Progress,
-    Record,
-    Route,
-    StartAttempt,
-    StartProbe,
-)
+from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
+from juniperward.forwarder.events import AttemptAnswered, Event, HealthCheckAnswered
+from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, RouteKey
+from juniperward.forwarder.records import AttemptStartedRecord, JournalRecord
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
@@ -46,11 +37,11 @@
 class ActiveAttempt:
     """An attempt in the hands of a thread."""
 
-    def __init__(self, what: StartAttempt | StartProbe) -> None:
+    def __init__(self, what: StartAttempt | StartHealthCheck) -> None:
         self.what = what
         self.sock: socket.socket | None = None
         self.cancelled = False
-        self.progress = Progress.WAITS
+        self.progress = AttemptProgress.WAITING
         self.withdrawn: set[int] = set()  # messages that are over and must not be written
 
 
@@ -90,7 +81,7 @@
 
     def __init__(
         self, dial_timeout: float, keepalive: float, most_threads: int, most_idle: int,
-        post: Callable[[Event], None], note: Callable[[Record], None] = lambda record: None,
+        post: Callable[[Event], None], note: Callable[[JournalRecord], None] = lambda record: None,
         longest: float = LONGEST_READ_S,
     ) -> None:  # fmt: skip
         self.longest = max(longest, LONGEST_READ_S)
@@ -102,13 +93,13 @@
         self.active: dict[int, ActiveAttempt] = {}
         self.idle: dict[int, list[Kept]] = {}
         self.draining: set[int] = set()
-        self.held_until: dict[Route, float] = {}
+        self.held_until: dict[RouteKey, float] = {}
         self.threads = self.free = 0
         self.trace: Trace | None = None
 
     # --- effects, called by the loop ----------------------------------------------------------------
 
-    def start_attempt(self, what: StartAttempt | StartProbe) -> None:
+    def start_attempt(self, what: StartAttempt | StartHealthCheck) -> None:
         """Have a thread make this call, or this probe."""
         attempt = ActiveAttempt(what)
         with self.lock:
@@ -126,19 +117,19 @@
                     self.free -= 1
         self.submitted.put(attempt)
 
-    def cancel_attempt(self, number: int) -> Progress:
+    def cancel_attempt(self, number: int) -> AttemptProgress:
         """Close the connection of a call, whose end is not reported any more; how far it had come."""
         with self.lock:
             attempt = self.active.pop(number, None)
             if attempt is None:
-                return Progress.OVER
+                return AttemptProgress.FINISHED
             attempt.cancelled = True
             sock, progress = attempt.sock, attempt.progress
         if sock is not None:
             sockets.shut(sock)
         return progress
 
-    def withdraw(self, number: int, message: int) -> Progress:
+    def withdraw(self, number: int, message: int) -> AttemptProgress:
         """Leave a message out of a call, if nothing of the call is written yet; how far it has come.
 
         The others of the call may wait for seconds behind a dial; this one is over meanwhile.
@@ -146,8 +137,8 @@
         with self.lock:
             attempt = self.active.get(number)
             if attempt is None:
-                return Progress.OVER
-            if attempt.progress is Progress.WAITS:
+                return AttemptProgress.FINISHED
+            if attempt.progress is AttemptProgress.WAITING:
                 attempt.withdrawn.add(message)
             return attempt.progress
 
@@ -171,12 +162,12 @@
         with self.lock:
             self.draining.discard(worker)
 
-    def hold_until(self, route: Route, until: float) -> None:
+    def hold_until(self, route: RouteKey, until: float) -> None:
         """Write nothing to a route that told a wait."""
         with self.lock:
             self.held_until[route] = max(until, self.held_until.get(route, until))
 
-    def _heed(self, what: StartAttempt | StartProbe, wait: float) -> None:
+    def _heed(self, what: StartAttempt | StartHealthCheck, wait: float) -> None:
         """Hold a route from the moment its wait is read, not from when the loop gets to the answer.
 
         Between the two, other threads write what the module decided before it knew: on a busy process that
@@ -214,16 +205,16 @@
             what, begun = attempt.what, time.monotonic()
             result: Event
             try:
-                if isinstance(what, StartProbe):
+                if isinstance(what, StartHealthCheck):
                     result = self._probe(attempt, what, begun)
                 else:
-                    result = Answered(what.number, self._call(attempt, what))
+                    result = AttemptAnswered(what.number, self._call(attempt, what))
             except Exception as error:
                 trouble("worker", error)
                 result = (
-                    ProbeFinished(what.number, what.worker, Outcome.RESET, time.monotonic() - begun)
-                    if isinstance(what, StartProbe)
-                    else Answered(what.number, ends_of_all(what, Outcome.RESET))
+                    HealthCheckAnswered(what.number, what.endpoint, Outcome.RESET, time.monotonic() - begun)
+                    if isinstance(what, StartHealthCheck)
+                    else AttemptAnswered(what.number, ends_of_all(what, Outcome.RESET))
                 )
             with self.lock:
                 self.free += 1
@@ -231,20 +222,26 @@
             if known and not attempt.cancelled:
                 self.post(result)
 
-    def _probe(self, attempt: ActiveAttempt, what: StartProbe, begun: float) -> ProbeFinished:
+    def _probe(self, attempt: ActiveAttempt, what: StartHealthCheck, begun: float) -> HealthCheckAnswered:
         """A probe: it counts as a call, so it heeds drains and waits as calls do, and it uses a kept connection."""
         address = (what.host, what.port)
 
-        def ended(outcome: Outcome, answer: Response | None = None) -> ProbeFinished:
+        def ended(outcome: Outcome, answer: Response | None = None) -> HealthCheckAnswered:
             latency = time.monotonic() - begun
             if answer is None:
-                return ProbeFinished(what.number, what.worker, outcome, latency)
+                return HealthCheckAnswered(what.number, what.endpoint, outcome, latency)
             wait, report = read_wait(answer.headers), read_report(answer.headers)
-            return ProbeFinished(
-                what.number, what.worker, outcome, latency, wait=wait, room=report.room, limit=report.limit
+            return HealthCheckAnswered(
+                what.number,
+                what.endpoint,
+                outcome,
+                latency,
+                retry_after_s=wait,
+                capacity_left=report.room,
+                reported_limit_per_s=report.limit,
             )
 
-        kept = self._take_idle(what.worker, address)
+        kept = self._take_idle(what.endpoint, address)
         fresh = kept is None
         if kept is None:
             kept = self._dial(attempt, address)
@@ -253,7 +250,7 @@
         attempt.sock = kept.sock
         if self._begin(attempt) is None:
             count("probes_withheld")
-            self._put_back(what.worker, kept)
+            self._put_back(what.endpoint, kept)
             return ended(Outcome.NOT_SENT)
         kept.latest = what.deadline
         try:
@@ -274,12 +271,12 @@
         if answer.close or attempt.cancelled or kept.stream.buffer:
             kept.sock.close()
         else:
-            self._put_back(what.worker, kept)
+            self._put_back(what.endpoint, kept)
         return ended(read_probe(answer, fresh), answer)
 
-    def _call(self, attempt: ActiveAttempt, what: StartAttempt) -> tuple[End, ...]:
+    def _call(self, attempt: ActiveAttempt, what: StartAttempt) -> tuple[ItemOutcome, ...]:
         address = (what.host, what.port)
-        kept = self._take_idle(what.worker, address)
+        kept = self._take_idle(what.endpoint, address)
         fresh = kept is None
         if kept is None:
             kept = self._dial(attempt, address)
@@ -292,7 +289,7 @@
         if not items:
             # It waited behind a dial: what came meanwhile from the registry or the worker binds it.
             count("delegations_withheld")
-            self._put_back(what.worker, kept)
+            self._put_back(what.endpoint, kept)
             return ends_of_all(what, Outcome.NOT_SENT, begun=False)
         # What ended meanwhile was told its end: sent on now it would run, and be brought a second time.
         if len(items) == len(what.items):
@@ -304,7 +301,7 @@
 
     def _exchange(
         self, attempt: ActiveAttempt, what: StartAttempt, kept: Kept, fresh: bool
-    ) -> tuple[End, ...]:
+    ) -> tuple[ItemOutcome, ...]:
         """Write a call and read its answer; the connection is put back, or closed."""
         try:
             kept.sock.sendall(_request(what, time.monotonic()))
@@ -312,7 +309,7 @@
             kept.sock.close()
             return ends_of_all(what, Outcome.CONNECT_FAILED)
         with self.lock:
-            attempt.progress = Progress.WRITTEN
+            attempt.progress = AttemptProgress.WRITTEN
         try:
             answer = read_response(kept.stream, kept.begun)
         except (Broken, Malformed, OSError) as error:
@@ -333,7 +330,7 @@
         if answer.close or attempt.cancelled or behind:
             kept.sock.close()
         else:
-            self._put_back(what.worker, kept)
+            self._put_back(what.endpoint, kept)
         self._heed(what, read_wait(answer.headers))
         return read_ends(what, answer, fresh)
 
@@ -371,23 +368,23 @@
         """
         what, now = attempt.what, time.monotonic()
         with self.lock:
-            free = what.worker not in self.draining and now >= self.held_until.get(_route(what), -math.inf)
+            free = what.endpoint not in self.draining and now >= self.held_until.get(_route(what), -math.inf)
             if not free or attempt.cancelled or self.ended or now >= what.deadline:
                 return None
-            if isinstance(what, StartProbe):
+            if isinstance(what, StartHealthCheck):
                 return ()
             items = []
             for p in what.items:
-                if p.message not in attempt.withdrawn and now < p.until:
+                if p.message not in attempt.withdrawn and now < p.start_before:
                     try:
-                        self.note(AttemptStarted(p.call.id, now, what.name))
+                        self.note(AttemptStartedRecord(p.content.id, now, what.endpoint_id))
                     except OSError as error:  # written without its record it would come back as untried
                         count("journal_failures")
                         log("journal", f"cannot write: {error}; its message is not sent")
                         break
                     items.append(p)
             if items:
-                attempt.progress = Progress.WRITES
+                attempt.progress = AttemptProgress.WRITING
             return tuple(items)
 
     def _take_idle(self, worker: int, address: tuple[str, int]) -> Kept | None:
@@ -425,7 +422,7 @@
             k.sock.close()
 
 
-def _route(what: StartAttempt | StartProbe) -> Route:
+def _route(what: StartAttempt | StartHealthCheck) -> RouteKey:
     return what.destination if what.route is None else what.route
 
 
@@ -434,10 +431,12 @@
     headers = {"X-Time-Left": f"{max(what.deadline - now, 0.001):.3f}"}
     host = f"{what.host}:{what.port}"
     if len(what.items) == 1:
-        call = what.items[0].call
+        call = what.items[0].content
         headers["X-Correlation-Id"] = call.id
-        if call.key is not None:
-            headers["Idempotency-Key"] = call.key
+        if call.idempotency_key is not None:
+            headers["Idempotency-Key"] = call.idempotency_key
         return encode_call("POST", "/receive", host, headers, call.body)
     headers["Content-Type"] = "application/json"
-    return encode_call("POST", "/receive-many", host, headers, encode_batch(item.call for item in what.items))
+    return encode_call(
+        "POST", "/receive-many", host, headers, encode_batch(item.content for item in what.items)
+    )
--- a/juniperward/lab/cold_return.py
+++ b/juniperward/lab/cold_return.py
@@ -221,12 +221,23 @@
         self.endpoints = draw.choice(ENDPOINTS)
         effect = Idempotency.NON_IDEMPOTENT if case.probing else Idempotency.IDEMPOTENCY_KEY
         self.settings = SchedulerSettings(
-            (MessageClass(3.0, 12.0, effect, 1.0, 0.3, deduplication_window_s=12.0),), slots=24, max_open=300,
-            kinds=(DestinationKind(case.batch),), instances=forwarders, max_attempts=8, max_retry_after_s=2.0, cancellation=True,
-            answer_slack_s=0.02, rates_listed=case.listed, listed_rate_error=RATING_OFF if case.listed else 0.0,
-            health_checks=case.probing, cold_capacity_share=COLD_SHARE, warm_up_s=WARM_WITHIN_S, overload_multiple=FALL_MULTIPLE,
+            (MessageClass(3.0, 12.0, effect, 1.0, 0.3, deduplication_window_s=12.0),),
+            slots=24,
+            max_open=300,
+            kinds=(DestinationKind(case.batch),),
+            instances=forwarders,
+            max_attempts=8,
+            max_retry_after_s=2.0,
+            cancellation=True,
+            answer_slack_s=0.02,
+            rates_listed=case.listed,
+            listed_rate_error=RATING_OFF if case.listed else 0.0,
+            health_checks=case.probing,
+            cold_capacity_share=COLD_SHARE,
+            warm_up_s=WARM_WITHIN_S,
+            overload_multiple=FALL_MULTIPLE,
             overload_span_s=FALL_SPAN_S,
-        )  # fmt: skip
+        )
         self.budget = ColdBudget.of(self.settings, self.capacity)
         self.ends = self.returns + self.settings.warm_up_s
 
--- a/juniperward/lab/policies.py
+++ b/juniperward/lab/policies.py
@@ -327,6 +327,7 @@
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
-    "nickelscale": DeliveryScheduler, "one-try": OneTry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
+    "nickelscale": DeliveryScheduler,
+    "one-try": OneTry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
     "aimd": Aimd, "gradient": Gradient, "token-bucket": TokenBucket, "oracle": Oracle,
 }  # fmt: skip
--- a/juniperward/lab/world.py
+++ b/juniperward/lab/world.py
@@ -210,12 +210,31 @@
         t = scenario.traffic
         kinds = tuple(DestinationKind(max(int(g.batch), 1)) for g in scenario.partners)
         self.settings = SchedulerSettings(
-            (MessageClass(t.aim, t.deadline, Idempotency.IDEMPOTENCY_KEY, 1.0, t.late_worth, deduplication_window_s=t.window),),
-            slots=scenario.slots, max_open=scenario.max_open, kinds=kinds, instances=scenario.forwarders,
-            max_attempts=8, cold_capacity_share=COLD, warm_up_s=WARM, overload_multiple=FALL_TIMES, overload_span_s=FALL_SPAN,
-            max_retry_after_s=2.0, cancellation=True, answer_slack_s=0.02, dial_timeout_s=1.0,
+            (
+                MessageClass(
+                    t.aim,
+                    t.deadline,
+                    Idempotency.IDEMPOTENCY_KEY,
+                    1.0,
+                    t.late_worth,
+                    deduplication_window_s=t.window,
+                ),
+            ),
+            slots=scenario.slots,
+            max_open=scenario.max_open,
+            kinds=kinds,
+            instances=scenario.forwarders,
+            max_attempts=8,
+            cold_capacity_share=COLD,
+            warm_up_s=WARM,
+            overload_multiple=FALL_TIMES,
+            overload_span_s=FALL_SPAN,
+            max_retry_after_s=2.0,
+            cancellation=True,
+            answer_slack_s=0.02,
+            dial_timeout_s=1.0,
             rates_listed=any(g.rate for g in scenario.partners),
-        )  # fmt: skip
+        )
         self.forwarders = [Forwarder(n, None) for n in range(scenario.forwarders)]
         self.hot: list[tuple[int, float]] = []
         total = sum(p.weight for p in self.partners)
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/rigs/sizes.py
@@ -19,19 +19,16 @@
 
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.discovery_stream import JsonObjects
-from juniperward.forwarder.messages import (
-    AcceptMessage,
-    Answered,
-    Call,
-    Due,
-    End,
+from juniperward.forwarder.effects import AcceptMessage, SetTimer, StartAttempt
+from juniperward.forwarder.events import (
+    AttemptAnswered,
     EndpointsUpdated,
     Event,
     MessageAccepted,
     MessageReceived,
-    StartAttempt,
-    Wake,
+    TimerEvent,
 )
+from juniperward.forwarder.model import ItemOutcome, Message
 from juniperward.forwarder.reducer import Reducer
 from juniperward.rigs.measure import Report
 from juniperward.scheduler.events import Outcome
@@ -73,13 +70,13 @@
             seed,
         )
         self.now, self.number = 100.0, 0
-        self.timers: list[tuple[float, int, Due]] = []
+        self.timers: list[tuple[float, int, TimerEvent]] = []
         self.text = json.dumps(listed(servers), indent=2).encode() + b"\n"
 
     def do(self, *events: Event) -> list[Any]:
         """One round; timers are kept."""
         effects = self.reducer.reduce(self.now, events)
-        self.timers += [(e.at, len(self.timers), e.due) for e in effects if isinstance(e, Wake)]
+        self.timers += [(e.at, len(self.timers), e.event) for e in effects if isinstance(e, SetTimer)]
         return effects
 
     def list(self) -> None:
@@ -94,13 +91,13 @@
         """A message handed in, taken on, sent and delivered 10 ms later."""
         self.number += 1
         (asked,) = self.do(
-            MessageReceived(1, Call(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now)
+            MessageReceived(1, Message(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now)
         )
         assert isinstance(asked, AcceptMessage)
         for e in self.do(MessageAccepted(asked.message, True)):
             if isinstance(e, StartAttempt):
                 self.now += 0.01
-                self.do(Answered(e.number, tuple(End(p.message, Outcome.OK) for p in e.items)))
+                self.do(AttemptAnswered(e.number, tuple(ItemOutcome(p.message, Outcome.OK) for p in e.items)))
         self.run(self.now + 0.1)
 
     def rest(self) -> None:
--- a/juniperward/rigs/start_parts.py
+++ b/juniperward/rigs/start_parts.py
@@ -45,13 +45,13 @@
 def main() -> int:
     """The forwarder's exit code."""
     parts = Parts(float(sys.argv[1]))
-    from juniperward.forwarder import config, journal, start
+    from juniperward.forwarder import assembly, config, journal, start
     from juniperward.forwarder.server import Server
 
     parts.mark("imports")
     # What `start` calls is replaced by the same with marks; setattr, as these are names of other modules.
     setattr(start, "load", parts.marked(config.load, "signals", "configuration"))  # noqa: B010
-    setattr(start, "Journal", parts.marked(journal.Journal, "folder", "journal read"))  # noqa: B010
+    setattr(assembly, "Journal", parts.marked(journal.Journal, "folder", "journal read"))  # noqa: B010
     serve = parts.marked(Server.start, "messages restored", "listening")
 
     def serve_and_print(server: Server) -> None:
--- a/juniperward/rigs/starts.py
+++ b/juniperward/rigs/starts.py
@@ -19,8 +19,9 @@
 
 from juniperward.agent import processes
 from juniperward.forwarder.clock import carry_over, read_boot_id
-from juniperward.forwarder.journal import NAME, Journal, JournalFull
-from juniperward.forwarder.messages import Accepted, Call
+from juniperward.forwarder.journal import NAME, Journal, JournalFullError
+from juniperward.forwarder.model import Message
+from juniperward.forwarder.records import AcceptedRecord
 from juniperward.rigs.measure import PARTNERS, Report, quantile
 from juniperward.rigs.yard import BASE, ROOT, Yard
 from juniperward.standins.clients import ready
@@ -63,10 +64,10 @@
         try:
             while True:
                 message = f"{name}-{len(ids):05d}"
-                call = Call(message, 0, 0, destination, DEADLINE_S, f"k{message}", body)
-                journal.append(Accepted(call, expires))
+                call = Message(message, 0, 0, destination, DEADLINE_S, f"k{message}", body)
+                journal.append(AcceptedRecord(call, expires))
                 ids.append(message)
-        except JournalFull:
+        except JournalFullError:
             return ids
         finally:
             journal.close()
--- a/juniperward/scheduler/settings_codec.py
+++ b/juniperward/scheduler/settings_codec.py
@@ -15,6 +15,7 @@
     Idempotency,
     MessageClass,
     SchedulerSettings,
+    SettingsError,
     Tenant,
     WeightDecay,
 )
@@ -24,6 +25,45 @@
 Member = TypeVar("Member", bound=Enum)
 
 
+# The keys of settings whose range is checked, by the field's name.
+KEYS = {
+    "latency_objective_s": "AimMs",
+    "deadline_s": "DeadlineMs",
+    "priority_weight": "Worth",
+    "late_weight": "LateWorth",
+    "deduplication_window_s": "WindowMs",
+    "objective_stretch": "AimStretch",
+    "classes": "Services",
+    "slots": "Specifics.MaxCalls",
+    "max_open": "Limits.MaxOpen",
+    "instances": "Instances",
+    "max_attempts": "Limits.MaxAttempts",
+    "warm_up_s": "Invariants.WarmWithinMs",
+    "overload_multiple": "Invariants.FallMultiple",
+    "overload_span_s": "Invariants.FallMs",
+    "streams_per_connection": "Limits.StreamsPerConn",
+    "batch_size": "Specifics.BatchByKind",
+    "quota_per_s": "Tenants.QuotaPerS",
+    "over_quota_weight": "OverShareWorth",
+    "answer_slack_s": "Invariants.AnswerSlackMs",
+    "cold_capacity_share": "Invariants.ColdShare",
+    "key_rest_s": "Invariants.KeyRestMs",
+    "keepalive_s": "Limits.KeepaliveMs",
+    "dial_timeout_s": "Limits.DialTimeoutMs",
+    "max_retry_after_s": "Limits.MaxRetryAfterMs",
+    "timer_resolution_s": "ResolutionMs",
+    "rejection_price": "Specifics.RefusedPrice",
+}
+
+
+class SettingsKeyError(ValueError):
+    """A key has a value out of its range."""
+
+    def __init__(self, error: SettingsError) -> None:
+        """Name the key, and what it must be."""
+        super().__init__(f"{KEYS.get(error.field, error.field)}: must {error.expected}")
+
+
 class ServiceError(ValueError):
     """One of `Services` cannot be used."""
 
@@ -46,6 +86,13 @@
 
 def read_settings(config: dict[str, Any]) -> SchedulerSettings:
     """Return the settings that a `Config` object holds; raises ValueError, or KeyError for a missing key."""
+    try:
+        return _read(config)
+    except SettingsError as error:
+        raise SettingsKeyError(error) from error
+
+
+def _read(config: dict[str, Any]) -> SchedulerSettings:
     limits, rules = config.get("Limits", {}), config.get("Invariants", {})
     specifics = config.get("Specifics", {})
     weights = config.get("Weights")
@@ -110,6 +157,8 @@
             in_order=bool(service.get("InOrder", False)),
             objective_stretch=service.get("AimStretch") or 0.0,
         )
+    except SettingsError as error:
+        raise ServiceError(number, str(SettingsKeyError(error))) from error
     except KeyError as error:
         raise ServiceError(number, f"{error.args[0]!r} is missing") from error
     except (ValueError, TypeError) as error:
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -20,9 +20,13 @@
 from unittest import mock
 
 from juniperward.forwarder.config import Names
+from juniperward.forwarder.effect_executor import EffectExecutor
+from juniperward.forwarder.effects import Effect
+from juniperward.forwarder.event_queue import EventQueue
+from juniperward.forwarder.events import DiscoveryAddressChanged, EndpointsUpdated, Event, WatchLost
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Moved, WatchLost, Worker
+from juniperward.forwarder.model import Endpoint
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.scheduler.events import EndpointPhase
@@ -145,8 +149,8 @@
         effects = super().reduce(now, events)
         ready = {
             w.id
-            for n, w in self.state.workers.items()
-            if w.phase is EndpointPhase.READY and n not in self.state.gone
+            for n, w in self.state.directory.endpoints.items()
+            if w.phase is EndpointPhase.READY and n not in self.state.directory.gone
         }
         if "s-1" not in ready and not self.drain_known.is_set():
             self.drain_known_at = time.monotonic()
@@ -187,11 +191,13 @@
         self.moved_at: float | None = None
         self.over = threading.Event()
         self.reducer = RecordingReducer(1)
-        self.loop = Loop(self.reducer, cast(Journal, mock.Mock()))
         parts = mock.Mock()
-        self.loop.server, self.loop.workers = parts.server, parts.workers
+        queue = EventQueue()
         self.registry = RecordingRegistry(self)
-        self.loop.registry = self.registry
+        executor = EffectExecutor(
+            cast(Journal, mock.Mock()), parts.server, parts.workers, self.registry, queue
+        )
+        self.loop = Loop(self.reducer, executor, queue)
         self.services[0].prepare(self.call(0))
 
     def call(self, number: int) -> Call:
@@ -202,7 +208,7 @@
         if number == self.move_at:
             self.services[1].prepare(self.call(number + 1))
             self.moved_at = time.monotonic()
-            self.loop.post(Moved(self.services[1].address))
+            self.loop.queue.post(DiscoveryAddressChanged(self.services[1].address))
 
     def post(self, event: Event) -> None:
         """What the registry tells; before the loop hears of a call's end, the next one is prepared."""
@@ -211,16 +217,16 @@
         if isinstance(event, WatchLost) and event.epoch == self.registry.epoch:
             service = self.services[-1 if self.moved_at is not None else 0]
             service.prepare(self.call(len(self.registry.begun_at)))
-        self.loop.post(event)
+        self.loop.queue.post(event)
 
     def run(self, seconds: float = LONGEST_CASE) -> bool:
         """Run until the drain of s-1 is known; whether it was in this time."""
         known = (
-            Worker("s-1", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
-            Worker("s-2", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
+            Endpoint("s-1", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
+            Endpoint("s-2", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
         )
         self.registry.start()
-        self.loop.round([EndpointsUpdated(41, True, known, known=True)])
+        self.loop.round([EndpointsUpdated(41, True, known, cached=True)])
         thread = threading.Thread(target=self.loop.run, args=(self.over.is_set,), daemon=True)
         thread.start()
         found = self.reducer.drain_known.wait(seconds)
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -6,7 +6,7 @@
 import socket
 import unittest
 
-from juniperward.forwarder.messages import Event
+from juniperward.forwarder.events import Event
 from juniperward.forwarder.workers import Workers
 
 
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -18,14 +18,13 @@
 from juniperward.fleet.model import Crashes, Instance, Process, RollRules, Wanted
 from juniperward.fleet.roll import Mode, Roll, Stage, Step
 from juniperward.forwarder.journal import Journal
-from juniperward.forwarder.messages import (
-    Accepted,
-    AttemptFinished,
-    AttemptStarted,
-    Call,
-    Completed,
-    OutcomeDecided,
-    OutcomeNotification,
+from juniperward.forwarder.model import Message, OutcomeNotification
+from juniperward.forwarder.records import (
+    AcceptedRecord,
+    AttemptFinishedRecord,
+    AttemptStartedRecord,
+    CompletedRecord,
+    OutcomeDecidedRecord,
 )
 from juniperward.kept.decisions import Clock
 from juniperward.kept.spool import Attempt, Fate, Kept, Spool, ack
@@ -38,9 +37,9 @@
 REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # classes of the journal's messages
 
 
-def message(name: str, cls: int) -> Call:
+def message(name: str, cls: int) -> Message:
     """A message of a class; its body holds each byte once."""
-    return Call(name, cls, 1, 7, 20.0, f"key-{name}" if cls == BY_KEY else None, bytes(range(256)))
+    return Message(name, cls, 1, 7, 20.0, f"key-{name}" if cls == BY_KEY else None, bytes(range(256)))
 
 
 def write_forwarder(folder: Path) -> None:
@@ -50,22 +49,22 @@
     for cls, effect in ((REPEATABLE, "repeatable"), (BY_KEY, "by-key"), (ONCE, "once")):
         for stage in ("accepted", "started", "not-run", "second", "failed", "rejected", "completed"):
             name = f"{effect}-{stage}"
-            journal.append(Accepted(message(name, cls), 20.0))
+            journal.append(AcceptedRecord(message(name, cls), 20.0))
             if stage == "accepted":
                 continue
-            journal.append(AttemptStarted(name, 1.0, "s-1"))
+            journal.append(AttemptStartedRecord(name, 1.0, "s-1"))
             if stage in ("not-run", "second"):
-                journal.append(AttemptFinished(name, False))
+                journal.append(AttemptFinishedRecord(name, False))
             if stage == "second":
-                journal.append(AttemptStarted(name, 2.5, "s-2"))
+                journal.append(AttemptStartedRecord(name, 2.5, "s-2"))
             if stage in ("failed", "rejected"):
                 journal.append(
-                    OutcomeDecided(OutcomeNotification(name, 0.25 if stage == "rejected" else None))
+                    OutcomeDecidedRecord(OutcomeNotification(name, 0.25 if stage == "rejected" else None))
                 )
             if stage == "completed":
-                journal.append(Completed(name))
-    journal.append(Accepted(message("kept-0123456789abcdef0123-1", BY_KEY), 20.0, -3.0))
-    journal.append(Accepted(message("overdue", REPEATABLE), 0.5))
+                journal.append(CompletedRecord(name))
+    journal.append(AcceptedRecord(message("kept-0123456789abcdef0123-1", BY_KEY), 20.0, -3.0))
+    journal.append(AcceptedRecord(message("overdue", REPEATABLE), 0.5))
     journal.close()
     with open(folder / "journal", "ab") as file:
         file.write(b'00000000 ["over","by-key-started"]\n')  # damaged: its sum does not match
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -7,13 +7,13 @@
 import unittest
 
 from juniperward.forwarder.batch import encode_batch, item_bytes
-from juniperward.forwarder.messages import Call
+from juniperward.forwarder.model import Message
 from juniperward.net.http import MOST_BODY
 from juniperward.scheduler.settings import MessageClass, SchedulerSettings
 
 
-def message(name: str, key: str | None, body: bytes) -> Call:
-    return Call(name, 0, 0, 1, 5.0, key, body)
+def message(name: str, key: str | None, body: bytes) -> Message:
+    return Message(name, 0, 0, 1, 5.0, key, body)
 
 
 MESSAGES = [
@@ -32,7 +32,9 @@
 
     def test_the_body_reads_back_as_what_went_in(self) -> None:
         rows = json.loads(encode_batch(MESSAGES))
-        self.assertEqual([(row["id"], row.get("key")) for row in rows], [(m.id, m.key) for m in MESSAGES])
+        self.assertEqual(
+            [(row["id"], row.get("key")) for row in rows], [(m.id, m.idempotency_key) for m in MESSAGES]
+        )
         self.assertEqual([base64.b64decode(row["body"]) for row in rows], [m.body for m in MESSAGES])
 
     def test_what_the_module_fills_is_what_the_protocol_allows(self) -> None:
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -19,7 +19,7 @@
 from juniperward.forwarder import server as server_module
 from juniperward.forwarder.codec import decode_call
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, MessageReceived
+from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.server import Client, Server
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call, read_response
@@ -62,13 +62,15 @@
             headers = tuple(h.replace("0.480", text) for h in HEADERS)
             with self.subTest(text):
                 call = decode_call(read_call(pieces(request("m1", headers))), NAMES)
-                self.assertAlmostEqual(call.time_left, seconds, 6)
+                self.assertAlmostEqual(call.time_left_s, seconds, 6)
 
     def test_a_message_is_the_same_in_every_form_that_the_protocol_allows(self) -> None:
         # Guards herd: any order and case of the headers, blanks about their values, line ends before the request,
         # bare line feeds, the absolute form of the target, and each of these cut at each of its bytes.
         whole = decode_call(read_call(pieces(request("m1"))), NAMES)
-        self.assertEqual((whole.id, whole.key, whole.body, whole.destination), ("m1", "k1", b"hello", 7))
+        self.assertEqual(
+            (whole.id, whole.idempotency_key, whole.body, whole.destination), ("m1", "k1", b"hello", 7)
+        )
         orders = [HEADERS, HEADERS[::-1], *(random.Random(n).sample(HEADERS, len(HEADERS)) for n in range(4))]
         forms = [request("m1", tuple(order)) for order in orders]
         split = [h.split(": ") for h in HEADERS]
@@ -100,7 +102,7 @@
 
     def take(self, event: Event) -> None:
         assert isinstance(event, MessageReceived)
-        self.handed.put(event.call.id)
+        self.handed.put(event.message.id)
         self.server.answer(event.client, 503 if self.server.stopping else 202)
 
     def connect(self) -> socket.socket:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from juniperward.forwarder.config import ConfigError, address, load
 from juniperward.forwarder.counters import counters
-from juniperward.forwarder.messages import Moved
+from juniperward.forwarder.events import DiscoveryAddressChanged
 from juniperward.forwarder.reload import Reloader
 from tests.player import ROOT, SETTINGS
 
@@ -55,11 +55,11 @@
             self.given(bad)
             self.assertIsNone(reloader.again())
         self.given({**GOOD, "discovery": "127.0.0.1:11"})
-        self.assertEqual(reloader.again(), Moved(("127.0.0.1", 11)))
+        self.assertEqual(reloader.again(), DiscoveryAddressChanged(("127.0.0.1", 11)))
         Path(environment["ROUTER_CONFIG"]).unlink()
         self.assertIsNone(reloader.again())
         self.given({**GOOD, "limits": {"sockets": 50}})
-        self.assertEqual(reloader.again(), Moved(("127.0.0.1", 10)))
+        self.assertEqual(reloader.again(), DiscoveryAddressChanged(("127.0.0.1", 10)))
 
     def test_what_is_wrong_is_named(self) -> None:
         bad: tuple[tuple[Any, str], ...] = (
@@ -67,7 +67,7 @@
             ([], "list"),
             ({**GOOD, "listen": "nowhere"}, "nowhere"),
             ({k: v for k, v in GOOD.items() if k != "settings"}, "settings"),
-            ({**GOOD, "settings": {**SETTINGS, "Specifics": {"MaxCalls": -1}}}, "slots"),
+            ({**GOOD, "settings": {**SETTINGS, "Specifics": {"MaxCalls": -1}}}, "Specifics.MaxCalls"),
         )
         for value, word in bad:
             with self.subTest(word), self.assertRaisesRegex(ConfigError, word):
@@ -79,15 +79,15 @@
 
     def test_a_class_or_a_limit_that_makes_no_sense_ends_the_start_with_its_place(self) -> None:
         for key, value, word in (
-            ("DeadlineMs", 0, r"Services\[1\]: deadline"), ("DeadlineMs", "x", r"Services\[1\]"),
+            ("DeadlineMs", 0, r"Services\[1\]: DeadlineMs"), ("DeadlineMs", "x", r"Services\[1\]"),
             ("Effect", "maybe", r"Services\[1\]: Effect"), ("DeadlineMs", None, r"Services\[1\]"),
-            ("WindowMs", -1.0, r"Services\[1\]: window"),
+            ("WindowMs", -1.0, r"Services\[1\]: WindowMs"),
         ):  # fmt: skip
             services = [SETTINGS["Services"][0], {**SETTINGS["Services"][1], key: value}]
             with self.subTest(key), self.assertRaisesRegex(ConfigError, word):
                 load(self.given({**GOOD, "settings": {**SETTINGS, "Services": services}}))
         limits = {**SETTINGS["Limits"], "MaxAttempts": 0}
-        with self.assertRaisesRegex(ConfigError, "max_attempts"):
+        with self.assertRaisesRegex(ConfigError, "Limits.MaxAttempts"):
             load(self.given({**GOOD, "settings": {**SETTINGS, "Limits": limits}}))
 
     def test_settings_of_other_deployments_are_read(self) -> None:
@@ -130,14 +130,14 @@
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
         before = counters().get("registry_rates_unread", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
-        found = [w.weight for w in config.known.workers]
+        found = [w.listed_rate for w in config.known.workers]
         self.assertEqual(found, [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0])
         self.assertEqual(counters()["registry_rates_unread"] - before, 6)
 
     def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(self) -> None:
         self.assertEqual(load(self.given(GOOD)).settings.instances, 1)
         for count in (0, -3, "forty", None, True, float("nan")):
-            with self.subTest(count), self.assertRaisesRegex(ConfigError, "instances"):
+            with self.subTest(count), self.assertRaisesRegex(ConfigError, "Instances: must be above 0"):
                 load(self.given({**GOOD, "settings": {**SETTINGS, "Instances": count}}))
 
     def test_addresses(self) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -37,7 +37,7 @@
     encode_request,
 )
 from juniperward.control.server import ControlServer, open_socket
-from juniperward.forwarder.journal import FolderTaken, take_folder
+from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
 from tests.player import ROOT, WAIT, Line, Player, Program
 
 
@@ -172,11 +172,11 @@
 class FolderTest(unittest.TestCase):
     def test_two_never_share_a_state_folder(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            file = take_folder(Path(name))
-            with self.assertRaises(FolderTaken):
-                take_folder(Path(name), 0.05)
+            file = lock_folder(Path(name))
+            with self.assertRaises(FolderInUseError):
+                lock_folder(Path(name), 0.05)
             os.close(file)
-            os.close(take_folder(Path(name)))
+            os.close(lock_folder(Path(name)))
 
 
 class ForwarderTest(unittest.TestCase):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,8 +21,11 @@
 
 from juniperward.forwarder.counters import counters
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
+from juniperward.forwarder.effects import StartAttempt
+from juniperward.forwarder.events import AttemptAnswered
 from juniperward.forwarder.journal import FRESH, Journal
-from juniperward.forwarder.messages import Accepted, Answered, BatchItem, Call, Completed, End, StartAttempt
+from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
+from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
 from juniperward.net import sockets
 from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
 from juniperward.scheduler.events import Outcome
@@ -59,14 +62,14 @@
 
     def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
         # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
-        message = Call("m0", 0, 0, 7, 9.0, None, b"")
+        message = Message("m0", 0, 0, 7, 9.0, None, b"")
         with mock.patch("juniperward.forwarder.workers.socket.socket", side_effect=NO_DESCRIPTOR):
             self.workers.start_attempt(
                 StartAttempt(1, 3, "127.0.0.1", self.port, 7, (BatchItem(0, message),), 1e12, "s-3")
             )
             event = self.events.get(timeout=5.0)
-        assert isinstance(event, Answered)
-        self.assertEqual(event.ends, (End(0, Outcome.CONNECT_FAILED, begun=False),))
+        assert isinstance(event, AttemptAnswered)
+        self.assertEqual(event.outcomes, (ItemOutcome(0, Outcome.CONNECT_FAILED, written=False),))
 
 
 class RewriteTest(unittest.TestCase):
@@ -80,14 +83,14 @@
             with mock.patch.object(Journal, "_rewrite", side_effect=NO_DESCRIPTOR):
                 (folder / FRESH).write_bytes(b"a part of it")
                 for n in range(60):
-                    journal.append(Accepted(Call(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
+                    journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
                     if n:
-                        journal.append(Completed(f"m{n}"))
+                        journal.append(CompletedRecord(f"m{n}"))
             self.assertGreater(counters().get("journal_rewrites_failed", 0), before)
             self.assertFalse((folder / FRESH).exists())
             again = Journal(folder, 1_000_000, 0.0)
             self.addCleanup(again.close)
-            self.assertEqual([r.call.id for r in again.restored()], ["m0"])
+            self.assertEqual([r.message.id for r in again.restored()], ["m0"])
 
 
 class LimitedProgram(Program):
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -20,7 +20,8 @@
 import pytest
 
 from juniperward.forwarder import registry as registry_module
-from juniperward.forwarder.messages import Effect, EndpointsUpdated, Event, Wake, WatchFrom, WatchLost
+from juniperward.forwarder.effects import Effect, SetTimer, StartWatch
+from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.forwarder.registry import DIAL, SILENT, Registry
 from juniperward.net import sockets
 from juniperward.scheduler.tuning import POLL_FIRST_S, POLL_MAX_S
@@ -164,22 +165,22 @@
         self.reducer = RecordingReducer(seed, longest_waits)
         self.now = 100.0
         self.effects: list[Effect] = self.reducer.reduce(
-            self.now, [EndpointsUpdated(41, True, (worker(),), known=True)]
+            self.now, [EndpointsUpdated(41, True, (worker(),), cached=True)]
         )
 
     def until_next(self, took: float, lived: bool = False) -> float:
         """Seconds from the begin of a call that fails after so long to the begin of the next."""
         began = self.now
         self.now += took
-        wakes = [e for e in self.effects if isinstance(e, Wake)]
+        wakes = [e for e in self.effects if isinstance(e, SetTimer)]
         self.effects = self.reducer.reduce(self.now, [WatchLost(0, lived)])
-        wakes += [e for e in self.effects if isinstance(e, Wake)]
-        while not any(isinstance(e, WatchFrom) for e in self.effects):
+        wakes += [e for e in self.effects if isinstance(e, SetTimer)]
+        while not any(isinstance(e, StartWatch) for e in self.effects):
             wake = min(wakes, key=lambda e: e.at)
             wakes.remove(wake)
             self.now = max(self.now, wake.at)
-            self.effects = self.reducer.reduce(self.now, [wake.due])
-            wakes += [e for e in self.effects if isinstance(e, Wake)]
+            self.effects = self.reducer.reduce(self.now, [wake.event])
+            wakes += [e for e in self.effects if isinstance(e, SetTimer)]
         return self.now - began
 
 
@@ -238,7 +239,7 @@
         registry.watch(41, 0)
         sock, _ = door.accept()
         with sock:
-            assert events.get(timeout=5.0) == WatchLost(0, lived=False)
+            assert events.get(timeout=5.0) == WatchLost(0, established=False)
     assert time.monotonic() - began < 1.5
 
 
@@ -253,7 +254,7 @@
         with sock:
             threading.Event().wait(0.2)
             sock.sendall(HEAD)
-            assert events.get(timeout=5.0) == WatchLost(0, lived=True)
+            assert events.get(timeout=5.0) == WatchLost(0, established=True)
 
 
 # --- lists that go back ---------------------------------------------------------------------------------------
@@ -269,7 +270,7 @@
     asked = [client.services[0].requests.get(timeout=5.0).split("since=")[1].split()[0] for _ in range(3)]
     assert asked == ["41", "50", "44"]
     state = client.reducer.state
-    assert state.version == 45
-    assert {w.id: w.phase.name for n, w in state.workers.items() if n not in state.gone} == {
+    assert state.directory.version == 45
+    assert {w.id: w.phase.name for n, w in state.directory.endpoints.items() if n not in state.directory.gone} == {
         "s-1": "DRAINING", "s-2": "DRAINING",
     }  # fmt: skip
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -12,7 +12,9 @@
 
 from juniperward.forwarder import workers as workers_module
 from juniperward.forwarder.answers import read_wait
-from juniperward.forwarder.messages import Answered, BatchItem, Call, ProbeFinished, StartAttempt, StartProbe
+from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
+from juniperward.forwarder.events import AttemptAnswered, HealthCheckAnswered
+from juniperward.forwarder.model import BatchItem, Message
 from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from juniperward.scheduler.events import Outcome
@@ -25,7 +27,7 @@
 
 def delegate(number: int, port: int, count: int = 1, body: bytes = b"") -> StartAttempt:
     """A call with so many messages, each with this body."""
-    parcels = tuple(BatchItem(n, Call(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
+    parcels = tuple(BatchItem(n, Message(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
     return StartAttempt(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
 
 
@@ -42,8 +44,8 @@
     def outcomes(self) -> set[Outcome]:
         """How the messages of the next call to end have ended."""
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, Answered)
-        return {end.outcome for end in event.ends}
+        assert isinstance(event, AttemptAnswered)
+        return {end.outcome for end in event.outcomes}
 
 
 class ToldWaitTest(EndpointRig):
@@ -67,9 +69,9 @@
 class ProbeTest(EndpointRig):
     __test__ = True
 
-    def probe(self, number: int, seconds: float) -> StartProbe:
+    def probe(self, number: int, seconds: float) -> StartHealthCheck:
         deadline = time.monotonic() + seconds
-        return StartProbe(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
+        return StartHealthCheck(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
 
     def test_a_probe_ends_at_its_deadline_whatever_has_come(self) -> None:
         # Guards a probe that was answered by half a line or by an interim answer: behind the latter it waited for
@@ -87,7 +89,7 @@
                 theirs.recv(1000)
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
-                assert isinstance(event, ProbeFinished)
+                assert isinstance(event, HealthCheckAnswered)
                 self.assertIs(event.outcome, Outcome.TIMEOUT)
 
     def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
@@ -97,7 +99,7 @@
         sock.recv(1000)
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, ProbeFinished)
+        assert isinstance(event, HealthCheckAnswered)
         self.assertIs(event.outcome, Outcome.OK)
         self.workers.start_attempt(delegate(2, self.port))
         self.assertIn(b"m0", sock.recv(1000))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from juniperward.forwarder.journal import take_folder
+from juniperward.forwarder.state_folder import lock_folder
 from tests.player import WAIT, Program, play
 
 FILES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
@@ -25,7 +25,7 @@
         with tempfile.TemporaryDirectory() as folder:
             program = Program(Path(folder))
             self.addCleanup(program.close)
-            lock = take_folder(program.state)
+            lock = lock_folder(program.state)
             process = program.spawn()
             until = time.monotonic() + WAIT
             blocked = 0
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,23 +8,22 @@
 from pathlib import Path
 from unittest import mock
 
-from juniperward.forwarder.journal import BLOCK, FRESH, NAME, Journal, JournalFull
-from juniperward.forwarder.messages import (
-    Accepted,
-    AttemptFinished,
-    AttemptRecord,
-    AttemptStarted,
-    Call,
-    Completed,
-    OutcomeDecided,
-    OutcomeNotification,
+from juniperward.forwarder.journal import BLOCK, FRESH, NAME, Journal, JournalFullError
+from juniperward.forwarder.model import Message, OutcomeNotification
+from juniperward.forwarder.records import (
+    AcceptedRecord,
+    AttemptFinishedRecord,
+    AttemptStartedRecord,
+    CompletedRecord,
+    OutcomeDecidedRecord,
+    RecordedAttempt,
 )
 
 DISK = 200_000
 
 
-def call(name: str, size: int = 100) -> Call:
-    return Call(name, 0, 1, 7, 0.0, f"k-{name}", bytes(range(256)) * (size // 256 + 1))
+def call(name: str, size: int = 100) -> Message:
+    return Message(name, 0, 1, 7, 0.0, f"k-{name}", bytes(range(256)) * (size // 256 + 1))
 
 
 class JournalTest(unittest.TestCase):
@@ -45,56 +44,56 @@
         # Guards the fields that rule 2 needs after a restart: which attempt may have run, where and when.
         j = self.open()
         for record in (
-            Accepted(call("a"), 20.0),
-            AttemptStarted("a", 1.5, "s-1"),
-            AttemptFinished("a", False),
-            AttemptStarted("a", 2.5, "s-2"),
-            Accepted(call("b"), 21.0),
-            AttemptStarted("b", 3.0, "s-1"),
-            AttemptFinished("b", True),
-            OutcomeDecided(OutcomeNotification("b", 0.25)),
-            Accepted(call("c"), 22.0),
-            Completed("c"),
+            AcceptedRecord(call("a"), 20.0),
+            AttemptStartedRecord("a", 1.5, "s-1"),
+            AttemptFinishedRecord("a", False),
+            AttemptStartedRecord("a", 2.5, "s-2"),
+            AcceptedRecord(call("b"), 21.0),
+            AttemptStartedRecord("b", 3.0, "s-1"),
+            AttemptFinishedRecord("b", True),
+            OutcomeDecidedRecord(OutcomeNotification("b", 0.25)),
+            AcceptedRecord(call("c"), 22.0),
+            CompletedRecord("c"),
         ):
             j.append(record)
         a, b = self.open().restored()
-        self.assertEqual((a.call, a.expires), (call("a"), 20.0))
-        self.assertEqual(a.history, (AttemptRecord("s-1", 1.5, False), AttemptRecord("s-2", 2.5, True)))
+        self.assertEqual((a.message, a.expires_at), (call("a"), 20.0))
+        self.assertEqual(a.history, (RecordedAttempt("s-1", 1.5, False), RecordedAttempt("s-2", 2.5, True)))
         self.assertIsNone(a.notification)
-        self.assertEqual((b.call.id, b.notification), ("b", OutcomeNotification("b", 0.25)))
-        again = {r.call.id: r for r in self.open().restored()}  # what a rewrite kept says the same
+        self.assertEqual((b.message.id, b.notification), ("b", OutcomeNotification("b", 0.25)))
+        again = {r.message.id: r for r in self.open().restored()}  # what a rewrite kept says the same
         self.assertEqual((again["a"], again["b"]), (a, b))
 
     def test_times_move_with_the_clock_of_the_new_process(self) -> None:
         # Guards the 12 s window over a reboot: monotonic clocks start anew, Unix time goes on.
         j = self.open(to_unix=1000.0)
-        j.append(Accepted(call("a"), 20.0))
-        j.append(AttemptStarted("a", 1.0, "s-1"))
+        j.append(AcceptedRecord(call("a"), 20.0))
+        j.append(AttemptStartedRecord("a", 1.0, "s-1"))
         (a,) = self.open(to_unix=1015.0).restored()
-        self.assertEqual((a.expires, a.history[0].at), (5.0, -14.0))
+        self.assertEqual((a.expires_at, a.history[0].started_at), (5.0, -14.0))
 
     def test_a_torn_tail_costs_only_itself(self) -> None:
         # Guards against a process killed within a write, at every byte of it.
         j = self.open()
-        j.append(Accepted(call("a"), 20.0))
+        j.append(AcceptedRecord(call("a"), 20.0))
         whole = (self.folder / NAME).read_bytes()
-        j.append(Accepted(call("b"), 20.0))
+        j.append(AcceptedRecord(call("b"), 20.0))
         both = (self.folder / NAME).read_bytes()
         for cut in range(len(whole), len(both) - 1, 7):
             (self.folder / NAME).write_bytes(both[:cut])
             again = self.open()
-            self.assertEqual([r.call.id for r in again.restored()], ["a"])
-            again.append(Accepted(call("c"), 20.0))
-            self.assertEqual([r.call.id for r in self.open().restored()], ["a", "c"])
+            self.assertEqual([r.message.id for r in again.restored()], ["a"])
+            again.append(AcceptedRecord(call("c"), 20.0))
+            self.assertEqual([r.message.id for r in self.open().restored()], ["a", "c"])
 
     def test_a_damaged_line_costs_only_itself(self) -> None:
         j = self.open()
         for name in "abc":
-            j.append(Accepted(call(name), 20.0))
+            j.append(AcceptedRecord(call(name), 20.0))
         lines = (self.folder / NAME).read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b'"b"', b'"x"')  # still a record, but not the one that was written
         (self.folder / NAME).write_bytes(b"\n".join(lines))
-        self.assertEqual([r.call.id for r in self.open().restored()], ["a", "c"])
+        self.assertEqual([r.message.id for r in self.open().restored()], ["a", "c"])
 
     def test_a_write_cut_short_does_not_spoil_the_next_record(self) -> None:
         # Guards against a record that joins the rest of one that failed: neither line would match its sum.
@@ -106,14 +105,14 @@
             raise OSError(28, "No space left on device")
 
         with mock.patch("juniperward.forwarder.journal.os.write", short), self.assertRaises(OSError):
-            j.append(Accepted(call("a"), 20.0))
-        j.append(Accepted(call("b"), 20.0))
-        self.assertEqual([r.call.id for r in self.open().restored()], ["b"])
+            j.append(AcceptedRecord(call("a"), 20.0))
+        j.append(AcceptedRecord(call("b"), 20.0))
+        self.assertEqual([r.message.id for r in self.open().restored()], ["b"])
 
     def test_a_rewrite_that_was_cut_off_leaves_the_old_file_in_force(self) -> None:
-        self.open().append(Accepted(call("a"), 20.0))
+        self.open().append(AcceptedRecord(call("a"), 20.0))
         (self.folder / FRESH).write_bytes(b"half a")
-        self.assertEqual([r.call.id for r in self.open().restored()], ["a"])
+        self.assertEqual([r.message.id for r in self.open().restored()], ["a"])
         self.assertFalse((self.folder / FRESH).exists())
 
     def test_it_stays_under_its_disk_and_turns_away_what_does_not_fit(self) -> None:
@@ -131,15 +130,15 @@
         with mock.patch("juniperward.forwarder.journal.os.rename", look):
             for n in range(1500):
                 try:
-                    j.append(Accepted(call(f"m{n}", 1500), 20.0))
+                    j.append(AcceptedRecord(call(f"m{n}", 1500), 20.0))
                     open_now.append(f"m{n}")
-                except JournalFull:
+                except JournalFullError:
                     turned_away += 1
                     name = open_now.pop(0)
                     for _ in range(8):
-                        j.append(AttemptStarted(name, 1.0, "s-1"))
-                        j.append(AttemptFinished(name, False))
-                    j.append(Completed(name))
+                        j.append(AttemptStartedRecord(name, 1.0, "s-1"))
+                        j.append(AttemptFinishedRecord(name, False))
+                    j.append(CompletedRecord(name))
                 most = max(most, self.used())
         self.assertGreater(turned_away, 500)
         self.assertGreater(most, disk // 4)
@@ -147,17 +146,17 @@
 
     def test_records_of_what_is_over_are_not_written(self) -> None:
         j = self.open()
-        j.append(Completed("nobody"))
+        j.append(CompletedRecord("nobody"))
         self.assertEqual((self.folder / NAME).read_bytes(), b"")
 
     def test_messages_of_the_usual_size_fill_all_places(self) -> None:
         # Guards the places of a day: reserving for nine attempts each, 3 MB took 355 messages of 1,000.
         j = self.open(disk=3_000_000)
         for n in range(1000):
-            j.append(Accepted(call(f"{n:016x}", 400), 20.0))
+            j.append(AcceptedRecord(call(f"{n:016x}", 400), 20.0))
             for _ in range(2):
-                j.append(AttemptStarted(f"{n:016x}", 1796123738.73, "s-04f5390c"))
-                j.append(AttemptFinished(f"{n:016x}", False))
+                j.append(AttemptStartedRecord(f"{n:016x}", 1796123738.73, "s-04f5390c"))
+                j.append(AttemptFinishedRecord(f"{n:016x}", False))
         self.assertEqual(len(self.open(disk=3_000_000).restored()), 1000)
         self.assertLessEqual(self.used(), 3_000_000)
 
@@ -166,15 +165,15 @@
         j = self.open(disk=300_000)
         for n in range(1000):
             try:
-                j.append(Accepted(call(f"m{n}"), 20.0))
-            except JournalFull:
+                j.append(AcceptedRecord(call(f"m{n}"), 20.0))
+            except JournalFullError:
                 break
         taken = len(j.live)
         failed = 0
         for _ in range(100):
             for n in range(taken):
                 try:
-                    j.append(AttemptStarted(f"m{n}", 1.0, "s-1"))
+                    j.append(AttemptStartedRecord(f"m{n}", 1.0, "s-1"))
                 except OSError:
                     failed += 1
                 self.assertLessEqual(self.used(), 300_000)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -13,28 +13,27 @@
 
 from juniperward.agent.client import AgentSilent, ask
 from juniperward.control.protocol import Fates, Request, Verb
-from juniperward.forwarder.journal import Journal
-from juniperward.forwarder.keeping import Keeper
-from juniperward.forwarder.messages import (
-    Accepted,
+from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+from juniperward.forwarder.effects import (
     AcceptMessage,
-    Append,
-    Call,
-    ControlRequested,
+    AppendRecord,
     Effect,
+    RecordRedriveOutcome,
+    ReplyToClient,
+    SendControlReply,
+    SendNotifications,
+    StoreDeadLetter,
+)
+from juniperward.forwarder.events import (
+    ControlRequested,
     EndpointsUpdated,
-    Keep,
+    JournalReplayed,
     MessageAccepted,
     MessageReceived,
-    Notify,
-    OutcomeDecided,
-    Remember,
-    Replayed,
-    Reply,
-    SendControlReply,
-    Tried,
-    Worker,
 )
+from juniperward.forwarder.journal import Journal
+from juniperward.forwarder.model import Endpoint, Message, PastAttempt
+from juniperward.forwarder.records import AcceptedRecord, OutcomeDecidedRecord
 from juniperward.forwarder.reducer import Reducer
 from juniperward.kept.spool import Fate, Spool, read, segments
 from juniperward.rigs.yard import Yard
@@ -47,65 +46,72 @@
 from tests.helpers import KEYED, settings
 from tests.player import Player, Program
 
-WORKER = Worker("s-1", "127.0.0.1", 81, 7, EndpointPhase.READY, 0, 0, 0.0)
+WORKER = Endpoint("s-1", "127.0.0.1", 81, 7, EndpointPhase.READY, 0, 0, 0.0)
 
 
 class ReducerTest(unittest.TestCase):
     def reducer(self, keeps: bool = True, kept: frozenset[str] = frozenset()) -> Reducer:
         made = Reducer(settings(KEYED), 1, keeps, kept)
-        made.reduce(100.0, [EndpointsUpdated(1, True, (WORKER,), known=True)])
+        made.reduce(100.0, [EndpointsUpdated(1, True, (WORKER,), cached=True)])
         return made
 
     def take(self, reducer: Reducer, name: str = "a", ran: float | None = None) -> list[Effect]:
         effects = reducer.reduce(
-            100.0, [MessageReceived(5, Call(name, 0, 0, 7, 20.0, "k", b"x", ran), 100.0)]
+            100.0, [MessageReceived(5, Message(name, 0, 0, 7, 20.0, "k", b"x", ran), 100.0)]
         )
         (accept_message,) = [e for e in effects if isinstance(e, AcceptMessage)]
         return reducer.reduce(100.0, [MessageAccepted(accept_message.message, True)])
 
     def give_up(self, reducer: Reducer) -> list[Effect]:
-        reducer.effects = []
-        reducer._final(110.0, 1, None)
+        reducer._round.begin(110.0)
+        reducer._scheduling._give_up(1, None)
         return reducer.effects
 
     def test_it_is_kept_before_its_end_is_written_down(self) -> None:
         reducer = self.reducer()
         self.take(reducer)
         keep, decided, notify = self.give_up(reducer)
-        assert isinstance(keep, Keep) and isinstance(decided, Append) and isinstance(notify, Notify)
-        self.assertEqual((keep.call.id, keep.since, keep.at, keep.workers), ("a", 100.0, 110.0, ("s-1",)))
-        self.assertIsInstance(decided.record, OutcomeDecided)
+        assert (
+            isinstance(keep, StoreDeadLetter)
+            and isinstance(decided, AppendRecord)
+            and isinstance(notify, SendNotifications)
+        )
+        self.assertEqual(
+            (keep.message.id, keep.received_at, keep.given_up_at, keep.endpoints),
+            ("a", 100.0, 110.0, ("s-1",)),
+        )
+        self.assertIsInstance(decided.record, OutcomeDecidedRecord)
 
     def test_nothing_is_kept_where_it_is_off_or_the_client_may_come_again(self) -> None:
         reducer = self.reducer(keeps=False)
         self.take(reducer)
-        self.assertEqual([type(e) for e in self.give_up(reducer)], [Append, Notify])
+        self.assertEqual([type(e) for e in self.give_up(reducer)], [AppendRecord, SendNotifications])
         reducer = self.reducer()
         self.take(reducer)
-        reducer.effects = []
-        reducer._final(110.0, 1, 0.5)
-        self.assertEqual([type(e) for e in reducer.effects], [Append, Notify])
+        reducer._round.begin(110.0)
+        reducer._scheduling._give_up(1, 0.5)
+        self.assertEqual([type(e) for e in reducer.effects], [AppendRecord, SendNotifications])
 
     def test_one_whose_time_is_over_is_kept_and_its_client_told_not_to_come(self) -> None:
         # Guards against two senders of one message: the client's second try and the resend.
         reducer = self.reducer()
         self.take(reducer)
-        reducer.effects = []
-        reducer._final(119.8, 1, 0.5)
+        reducer._round.begin(119.8)
+        reducer._scheduling._give_up(1, 0.5)
         keep, decided, _ = reducer.effects
-        self.assertIsInstance(keep, Keep)
-        assert isinstance(decided, Append) and isinstance(decided.record, OutcomeDecided)
-        self.assertIsNone(decided.record.notification.again)
+        self.assertIsInstance(keep, StoreDeadLetter)
+        assert isinstance(decided, AppendRecord) and isinstance(decided.record, OutcomeDecidedRecord)
+        self.assertIsNone(decided.record.notification.retry_after_s)
 
     def test_one_that_was_kept_before_a_kill_ends_without_being_kept_again(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
-            journal.append(Accepted(Call("a", 0, 0, 7, 20.0, "k", b"x"), 1e9))
+            journal.append(AcceptedRecord(Message("a", 0, 0, 7, 20.0, "k", b"x"), 1e9))
             journal.close()
             again = Journal(Path(name), 100_000, 0.0)
-            effects = self.reducer(kept=frozenset({"a"})).reduce(100.0, [Replayed(again.restored())])
+            effects = self.reducer(kept=frozenset({"a"})).reduce(100.0, [JournalReplayed(again.restored())])
             again.close()
-        self.assertEqual([type(e) for e in effects], [Append, Notify])
+        self.assertEqual([type(e) for e in effects], [AppendRecord, SendNotifications])
 
     def test_what_is_not_known_is_never_taken_later(self) -> None:
         reducer = self.reducer()
@@ -113,9 +119,9 @@
         assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, Fates)
         self.assertEqual([r.end for r in tell.answer.body.fates], ["unknown"])
         (reply,) = reducer.reduce(
-            100.0, [MessageReceived(5, Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
+            100.0, [MessageReceived(5, Message("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
         )
-        assert isinstance(reply, Reply)
+        assert isinstance(reply, ReplyToClient)
         self.assertEqual(reply.status, 503)
         self.take(reducer, "kept-b-1")
         (tell,) = reducer.reduce(100.0, [ControlRequested(1, Request(3, Verb.FATE, ("kept-b-1",)))])
@@ -136,16 +142,16 @@
         (arrived,) = [e for e in heard if isinstance(e, MessageAdmitted)]
         self.assertEqual(arrived.history, (ModuleTried(0, 97.0),))
         remember, decided, _ = self.give_up(reducer)
-        self.assertEqual(remember, Remember("kept-a-1", "undeliverable", 97.0))
-        self.assertIsInstance(decided, Append)
+        self.assertEqual(remember, RecordRedriveOutcome("kept-a-1", "undeliverable", 97.0))
+        self.assertIsInstance(decided, AppendRecord)
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
-            journal.append(Accepted(Call("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 1e9, 97.0))
+            journal.append(AcceptedRecord(Message("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 1e9, 97.0))
             journal.close()
             again = Journal(Path(name), 100_000, 0.0)
             (restored,) = again.restored()
             again.close()
-        self.assertEqual([(d.at, d.may_have_run) for d in restored.history], [(97.0, True)])
+        self.assertEqual([(d.started_at, d.possibly_executed) for d in restored.history], [(97.0, True)])
 
     def test_a_spool_that_cannot_be_written_stops_keeping_and_nothing_else(self) -> None:
         with tempfile.TemporaryDirectory() as name:
@@ -154,15 +160,17 @@
             from juniperward.forwarder.counters import counters
 
             before = counters().get("kept_failed", 0)
-            keeper = Keeper(spool, settings(KEYED), Names(("c",), (20.0,), (), (), ()), 0.0)
-            tried = Tried("s-1", 1.0, "timeout", True)
-            keeper.keep(Keep(Call("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",)))
+            writer = DeadLetterWriter(spool, settings(KEYED), Names(("c",), (20.0,), (), (), ()), 0.0)
+            tried = PastAttempt("s-1", 1.0, "timeout", True)
+            writer.store(
+                StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
+            )
             self.assertEqual(counters()["kept_failed"], before + 1)
             spool.remember("kept-a-1", Fate("delivered"))
-            self.assertEqual(keeper.fates(Fates(0.0, ())).complete_since, spool.complete_since)
+            self.assertEqual(writer.redrive_outcomes(Fates(0.0, ())).complete_since, spool.complete_since)
             spool.close()
-            keeper.remember(Remember("kept-b-1", "delivered", None))
-            self.assertGreater(keeper.fates(Fates(0.0, ())).complete_since, 1e17)
+            writer.record_redrive_outcome(RecordRedriveOutcome("kept-b-1", "delivered", None))
+            self.assertGreater(writer.redrive_outcomes(Fates(0.0, ())).complete_since, 1e17)
 
 
 class ForwarderTest(unittest.TestCase):
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -8,18 +8,13 @@
 from typing import cast
 from unittest import mock
 
-from juniperward.forwarder.journal import NAME, Journal, JournalFull
+from juniperward.forwarder.effect_executor import EffectExecutor
+from juniperward.forwarder.event_queue import EventQueue
+from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, MessageReceived, ShutdownRequested
+from juniperward.forwarder.journal import NAME, Journal, JournalFullError
 from juniperward.forwarder.loop import Loop
-from juniperward.forwarder.messages import (
-    Answered,
-    AttemptStarted,
-    Call,
-    End,
-    EndpointsUpdated,
-    MessageReceived,
-    Stop,
-    Worker,
-)
+from juniperward.forwarder.model import Endpoint, ItemOutcome, Message
+from juniperward.forwarder.records import AttemptStartedRecord
 from juniperward.forwarder.reducer import Reducer
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from tests.helpers import KEYED, settings
@@ -32,16 +27,18 @@
         self.path = Path(folder.name) / NAME
         self.journal = Journal(Path(folder.name), 100_000, 0.0)
         self.addCleanup(self.journal.close)
-        self.loop = Loop(Reducer(settings(KEYED), 1), self.journal)
         self.parts = mock.Mock()
-        self.loop.server, self.loop.workers = self.parts.server, self.parts.workers
-        self.loop.registry = self.parts.registry
-        worker = Worker("s-1", "127.0.0.1", 81, 1, EndpointPhase.READY, 0, 0, 0.0)
-        self.loop.round([EndpointsUpdated(1, True, (worker,), known=True)])
+        queue = EventQueue()
+        executor = EffectExecutor(
+            self.journal, self.parts.server, self.parts.workers, self.parts.registry, queue
+        )
+        self.loop = Loop(Reducer(settings(KEYED), 1), executor, queue)
+        worker = Endpoint("s-1", "127.0.0.1", 81, 1, EndpointPhase.READY, 0, 0, 0.0)
+        self.loop.round([EndpointsUpdated(1, True, (worker,), cached=True)])
         self.parts.reset_mock()
 
     def hand_in(self) -> None:
-        self.loop.round([MessageReceived(5, Call("a", 0, 0, 1, 20.0, "k", b"x"), 1e12)])
+        self.loop.round([MessageReceived(5, Message("a", 0, 0, 1, 20.0, "k", b"x"), 1e12)])
 
     def asked(self) -> list[str]:
         calls = cast("list[tuple[str, object, object]]", self.parts.mock_calls)
@@ -59,7 +56,7 @@
         self.assertEqual(self.asked(), ["server.answer", "workers.start_attempt"])
         self.assertEqual([text.count(b"taken") for text in written], [1, 1])
         self.assertEqual([text.count(b"began") for text in written], [0, 0])  # only with its first byte
-        self.journal.append(AttemptStarted("a", 1.0, "s-1"))
+        self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
         self.assertEqual(self.path.read_bytes().count(b"began"), 1)
 
     def test_nothing_is_sent_for_a_client_that_was_not_told(self) -> None:
@@ -73,23 +70,23 @@
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
         self.hand_in()
         self.parts.reset_mock()
-        (number,) = self.loop.reducer.state.in_flight
-        self.loop.post(Answered(number, (End(1, Outcome.OK),)))
-        self.loop.post(Stop(0.0, 0.0))
-        self.loop.post(MessageReceived(6, Call("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
+        (number,) = self.loop.reducer.state.attempts.in_flight
+        self.loop.queue.post(AttemptAnswered(number, (ItemOutcome(1, Outcome.OK),)))
+        self.loop.queue.post(ShutdownRequested(0.0, 0.0))
+        self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
         self.assertEqual(self.asked(), ["workers.end", "server.answer"])
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
-        self.assertEqual(self.journal.live, {})
+        self.assertEqual(len(self.journal.live), 0)
 
     def test_it_stays_for_the_clients_that_are_here_until_it_must_end(self) -> None:
         reducer = self.loop.reducer
-        reducer.reduce(0.0, [Stop(0.8, 3.3)])
+        reducer.reduce(0.0, [ShutdownRequested(0.8, 3.3)])
         asked = [(1.0, False), (1.0, True), (3.3, False)]
         self.assertEqual([reducer.finished(*x) for x in asked], [False, True, True])
 
     def test_what_cannot_be_journalled_is_not_taken_on(self) -> None:
-        for error in (JournalFull(), OSError(28, "No space left on device")):
+        for error in (JournalFullError(), OSError(28, "No space left on device")):
             self.parts.reset_mock()
             with mock.patch.object(self.journal, "append", side_effect=[error, None]):
                 self.hand_in()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,16 +18,9 @@
 from juniperward.forwarder.answers import read_ends, read_wait
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import (
-    Answered,
-    BatchItem,
-    Call,
-    End,
-    Event,
-    MessageReceived,
-    Progress,
-    StartAttempt,
-)
+from juniperward.forwarder.effects import StartAttempt
+from juniperward.forwarder.events import AttemptAnswered, Event, MessageReceived
+from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Client, Server
 from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
@@ -39,7 +32,7 @@
 
 
 def start_attempt(number: int, port: int, count: int = 1, deadline: float = 1e12) -> StartAttempt:
-    items = tuple(BatchItem(n, Call(f"m{n}", 0, 0, 7, 1.0, None, b"")) for n in range(count))
+    items = tuple(BatchItem(n, Message(f"m{n}", 0, 0, 7, 1.0, None, b"")) for n in range(count))
     return StartAttempt(number, 3, "127.0.0.1", port, 7, items, deadline)
 
 
@@ -48,25 +41,34 @@
         # Guards the table of PROTOCOL, and that what we cannot read counts as what may have run.
         one, two = start_attempt(1, 1), start_attempt(1, 1, 2)
         told = {"retry-after": "0.25"}
-        cases: list[tuple[StartAttempt, int, dict[str, str], bytes, list[End]]] = [
-            (one, 200, {}, b"", [End(0, Outcome.OK)]),
-            (one, 500, {}, b"", [End(0, Outcome.ERROR)]),
-            (one, 429, told, b"", [End(0, Outcome.OVERLOADED, 0.25)]),
-            (one, 429, {"retry-after": "nan"}, b"", [End(0, Outcome.OVERLOADED)]),
-            (one, 503, {}, b"", [End(0, Outcome.OVERLOADED)]),
-            (one, 503, {"x-over-slots": "1"}, b"", [End(0, Outcome.NOT_SENT, slots_taken=True)]),
-            (one, 504, {}, b"", [End(0, Outcome.NOT_SENT)]),
-            (one, 410, {}, b"", [End(0, Outcome.NOT_SENT, over=True)]),
-            (one, 302, {}, b"", [End(0, Outcome.ERROR)]),
-            (two, 413, {}, b"", [End(0, Outcome.NOT_SENT), End(1, Outcome.NOT_SENT)]),
-            (two, 200, {}, b"nonsense", [End(0, Outcome.ERROR), End(1, Outcome.ERROR)]),
-            (two, 200, {}, b'[{"id":"m1","state":"new"}]', [End(0, Outcome.ERROR), End(1, Outcome.ERROR)]),
+        cases: list[tuple[StartAttempt, int, dict[str, str], bytes, list[ItemOutcome]]] = [
+            (one, 200, {}, b"", [ItemOutcome(0, Outcome.OK)]),
+            (one, 500, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
+            (one, 429, told, b"", [ItemOutcome(0, Outcome.OVERLOADED, 0.25)]),
+            (one, 429, {"retry-after": "nan"}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
+            (one, 503, {}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
+            (one, 503, {"x-over-slots": "1"}, b"", [ItemOutcome(0, Outcome.NOT_SENT, no_slot_free=True)]),
+            (one, 504, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT)]),
+            (one, 410, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT, message_ended=True)]),
+            (one, 302, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
+            (two, 413, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT), ItemOutcome(1, Outcome.NOT_SENT)]),
+            (two, 200, {}, b"nonsense", [ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)]),
+            (
+                two,
+                200,
+                {},
+                b'[{"id":"m1","state":"new"}]',
+                [ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)],
+            ),
             (
                 two,
                 200,
                 told,
                 b'[{"id":"m1","state":"later"},{"id":"m0","state":"gone"}]',
-                [End(0, Outcome.NOT_SENT, 0.25, over=True), End(1, Outcome.OVERLOADED, 0.25)],
+                [
+                    ItemOutcome(0, Outcome.NOT_SENT, 0.25, message_ended=True),
+                    ItemOutcome(1, Outcome.OVERLOADED, 0.25),
+                ],
             ),
         ]
         for what, status, headers, body, ends in cases:
@@ -75,13 +77,15 @@
 
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
-        end = End(0, Outcome.CONNECT_FAILED, table_full=True)
-        full, ends = End(0, Outcome.OVERLOADED), Response(503, {}, b"", True)
+        end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
+        full, ends = ItemOutcome(0, Outcome.OVERLOADED), Response(503, {}, b"", True)
         self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=True), (end,))
         self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=False), (full,))
         self.assertEqual(read_ends(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,))
         told = Response(503, {"retry-after": "0.5"}, b"", True)
-        self.assertEqual(read_ends(start_attempt(1, 1), told, fresh=True), (End(0, Outcome.OVERLOADED, 0.5),))
+        self.assertEqual(
+            read_ends(start_attempt(1, 1), told, fresh=True), (ItemOutcome(0, Outcome.OVERLOADED, 0.5),)
+        )
 
 
 class SpoiltTest(unittest.TestCase):
@@ -114,14 +118,14 @@
                 ends.append(read_ends(start_attempt(1, 1), answer))
             ends.append(read_ends(start_attempt(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
 
-        ends: list[tuple[End, ...]] = []
+        ends: list[tuple[ItemOutcome, ...]] = []
         threading.stack_size(128 * 1024)
         thread = threading.Thread(target=run)
         thread.start()
         threading.stack_size(0)
         thread.join()
-        self.assertEqual(ends[:-1], [(End(0, Outcome.OK),)] * 6)
-        self.assertEqual(ends[-1], (End(0, Outcome.ERROR), End(1, Outcome.ERROR)))
+        self.assertEqual(ends[:-1], [(ItemOutcome(0, Outcome.OK),)] * 6)
+        self.assertEqual(ends[-1], (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)))
 
     def test_a_wait_that_is_no_number_is_none(self) -> None:
         for text in ("inf", "1e300", "1_0", "-1", "9" * 9, ""):
@@ -134,9 +138,9 @@
         # Guards against a 202 for a message that nobody could end: a deadline that never comes, or no id.
         good = {"x-correlation-id": "a1", "x-service-class": "c", "x-time-left": "0.5"}
         good["x-addressing"] = "dest=7"
-        self.assertEqual(decode_call(HttpCall("POST", "/api", good, b"", False), NAMES).time_left, 0.5)
+        self.assertEqual(decode_call(HttpCall("POST", "/api", good, b"", False), NAMES).time_left_s, 0.5)
         long = {**good, "x-time-left": "99999"}
-        self.assertEqual(decode_call(HttpCall("POST", "/api", long, b"", False), NAMES).time_left, 12.0)
+        self.assertEqual(decode_call(HttpCall("POST", "/api", long, b"", False), NAMES).time_left_s, 12.0)
         for name, texts in (
             ("x-time-left", ("nan", "inf", "-1", "1_0", "1e3", "", "+1", "\u0661")),
             ("x-correlation-id", ("", "a b", "a, b", "x" * 201, "\xe9")),
@@ -294,14 +298,14 @@
 
     def outcome(self) -> Outcome:
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, Answered)
-        return event.ends[0].outcome
+        assert isinstance(event, AttemptAnswered)
+        return event.outcomes[0].outcome
 
     def test_where_routes_are_apart_a_told_wait_holds_its_worker_alone(self) -> None:
         # Guards a customer whose partners' endpoints have limits of their own: one that told a wait held the others
         # of its destination, and what the module sent to those came back as not sent, a try used up.
         def ask(number: int, worker: int, name: str) -> StartAttempt:
-            return replace(start_attempt(number, self.port), worker=worker, name=name, route=name)
+            return replace(start_attempt(number, self.port), endpoint=worker, endpoint_id=name, route=name)
 
         self.workers.start_attempt(ask(1, 3, "s-3"))
         sock, _ = self.door.accept()
@@ -365,15 +369,15 @@
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
         what = start_attempt(1, self.port, 2)
-        late = replace(what, items=(replace(what.items[0], until=time.monotonic()), what.items[1]))
+        late = replace(what, items=(replace(what.items[0], start_before=time.monotonic()), what.items[1]))
         self.workers.start_attempt(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertEqual(read_call(Stream(sock.recv)).headers["x-correlation-id"], "m1")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
-        ends = (End(0, Outcome.NOT_SENT, begun=False), End(1, Outcome.OK))
-        self.assertEqual(self.events.get(timeout=5.0), Answered(1, ends))
+        ends = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
+        self.assertEqual(self.events.get(timeout=5.0), AttemptAnswered(1, ends))
 
     def test_what_ended_behind_a_late_dial_is_left_out_of_its_call(self) -> None:
         # Guards join+mass: a message of a batch was told its end, then its connection came up and carried it.
@@ -386,7 +390,7 @@
 
             with self.subTest(struck), mock.patch("juniperward.net.sockets.connect", late):
                 self.workers.start_attempt(start_attempt(1, self.port, 3))
-                self.assertEqual({self.workers.withdraw(1, n) for n in struck}, {Progress.WAITS})
+                self.assertEqual({self.workers.withdraw(1, n) for n in struck}, {AttemptProgress.WAITING})
                 up.set()
                 sock, _ = self.door.accept()
                 self.addCleanup(sock.close)
@@ -402,13 +406,13 @@
                 else:
                     written = [call.headers["x-correlation-id"]]
                 self.assertEqual(written, [f"m{n}" for n in range(3) if n not in struck])
-                self.assertIsNot(self.workers.withdraw(1, 1), Progress.WAITS)
+                self.assertIsNot(self.workers.withdraw(1, 1), AttemptProgress.WAITING)
                 sock.close()
                 event = self.events.get(timeout=5.0)
-                assert isinstance(event, Answered)
-                left = {e.message for e in event.ends if e.outcome is Outcome.NOT_SENT}
+                assert isinstance(event, AttemptAnswered)
+                left = {e.message for e in event.outcomes if e.outcome is Outcome.NOT_SENT}
                 self.assertEqual(left, set(struck))  # the reducer has settled them
-                self.assertIs(self.workers.withdraw(1, 1), Progress.OVER)
+                self.assertIs(self.workers.withdraw(1, 1), AttemptProgress.FINISHED)
 
     def test_a_call_that_is_called_off_says_how_far_it_had_come(self) -> None:
         # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
@@ -422,7 +426,7 @@
         with mock.patch("juniperward.net.sockets.connect", late):
             self.workers.start_attempt(start_attempt(1, self.port))
             self.assertTrue(begun.wait(5.0))
-            self.assertIs(self.workers.cancel_attempt(1), Progress.WAITS)
+            self.assertIs(self.workers.cancel_attempt(1), AttemptProgress.WAITING)
             up.set()
             sock, _ = self.door.accept()
         self.addCleanup(sock.close)
@@ -437,9 +441,9 @@
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
         self.assertIn(b"m0", sock.recv(1000))
-        while self.workers.active[2].progress is not Progress.WRITTEN:
+        while self.workers.active[2].progress is not AttemptProgress.WRITTEN:
             time.sleep(0)
-        self.assertIs(self.workers.cancel_attempt(2), Progress.WRITTEN)
+        self.assertIs(self.workers.cancel_attempt(2), AttemptProgress.WRITTEN)
         self.assertEqual(sock.recv(1), b"")
         self.workers.start_attempt(start_attempt(3, self.port))
         sock, _ = self.door.accept()
@@ -448,8 +452,10 @@
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        self.assertEqual(event, Answered(3, (End(0, Outcome.OK),)))  # and nothing of the two before it
-        self.assertIs(self.workers.cancel_attempt(3), Progress.OVER)
+        self.assertEqual(
+            event, AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))
+        )  # and nothing of the two before it
+        self.assertIs(self.workers.cancel_attempt(3), AttemptProgress.FINISHED)
 
     def test_an_answer_cut_at_any_byte_leaves_no_message_without_its_end(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
@@ -499,7 +505,7 @@
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        self.assertEqual(event, Answered(2, (End(0, Outcome.OK),)))
+        self.assertEqual(event, AttemptAnswered(2, (ItemOutcome(0, Outcome.OK),)))
         sock.close()
 
     def test_a_connection_that_has_rested_is_used_before_one_that_must_still_rest(self) -> None:
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -11,7 +11,8 @@
 import unittest
 
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import Event, NotificationAcknowledged, OutcomeNotification
+from juniperward.forwarder.events import Event, NotificationAcknowledged
+from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.registry import NOTICE_WAIT, Registry
 from juniperward.net.http import Broken, Closed, Stream, read_call
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -23,17 +23,11 @@
     carry_over,
     read_boot_id,
 )
+from juniperward.forwarder.effects import SendNotifications, StartAttempt
+from juniperward.forwarder.events import EndpointsUpdated, JournalReplayed
 from juniperward.forwarder.journal import NAME, Journal
-from juniperward.forwarder.messages import (
-    Accepted,
-    AttemptStarted,
-    Call,
-    EndpointsUpdated,
-    Notify,
-    Replayed,
-    Restored,
-    StartAttempt,
-)
+from juniperward.forwarder.model import Message
+from juniperward.forwarder.records import AcceptedRecord, AttemptStartedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
 from juniperward.net.http import Stream, encode_call, read_response
 from juniperward.scheduler.settings import Idempotency, MessageClass
@@ -128,18 +122,18 @@
         self.assertEqual(len(restored), 1)
         return self.replay(now, restored)
 
-    def replay(self, now: float, restored: tuple[Restored, ...]) -> list[Any]:
+    def replay(self, now: float, restored: tuple[RestoredMessage, ...]) -> list[Any]:
         self.reducer = Reducer(settings(SHORT_WINDOW), 1)
         self.now = now
-        self.do(EndpointsUpdated(41, True, (worker(),), known=True))
-        return self.do(Replayed(restored))
+        self.do(EndpointsUpdated(41, True, (worker(),), cached=True))
+        return self.do(JournalReplayed(restored))
 
     def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
         """A process that accepted a message, maybe began a call, and was killed."""
         journal = self.journal(to_unix)
-        journal.append(Accepted(Call("a", 0, 0, 1, 20.0, "k", b""), expires))
+        journal.append(AcceptedRecord(Message("a", 0, 0, 1, 20.0, "k", b""), expires))
         if began_at is not None:
-            journal.append(AttemptStarted("a", began_at, "s-1"))
+            journal.append(AttemptStartedRecord("a", began_at, "s-1"))
 
     def test_no_repeat_once_the_window_is_over(self) -> None:
         for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
@@ -148,7 +142,9 @@
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
                 self.assertEqual(self.only(effects, StartAttempt), [])
-                self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notifications], ["a"])
+                self.assertEqual(
+                    [n.id for e in self.only(effects, SendNotifications) for n in e.notifications], ["a"]
+                )
 
     def test_a_repeat_within_the_window_still_goes(self) -> None:
         for step in (-1.0, 0.0):
@@ -157,7 +153,7 @@
                 self.leave(began_at=100.0)
                 (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
                 (parcel,) = sent.items
-                self.assertLess(parcel.until, 100.0 + WINDOW)
+                self.assertLess(parcel.start_before, 100.0 + WINDOW)
 
     def test_no_repeat_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
         # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
@@ -178,7 +174,9 @@
         self.assertAlmostEqual(sent.deadline, 105.0)
         effects = self.restart(105.5, OFFSET - 1.0)
         self.assertEqual(self.only(effects, StartAttempt), [])
-        self.assertEqual([n.id for e in self.only(effects, Notify) for n in e.notifications], ["a"])
+        self.assertEqual(
+            [n.id for e in self.only(effects, SendNotifications) for n in e.notifications], ["a"]
+        )
 
 
 class SteppedProgram(Program):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,30 +12,27 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import load
 from juniperward.forwarder.counters import counters
-from juniperward.forwarder.journal import NAME, Journal
-from juniperward.forwarder.messages import (
-    Accepted,
-    Answered,
-    AttemptRecord,
-    AttemptStarted,
-    BatchItem,
-    Call,
-    Effect,
-    End,
+from juniperward.forwarder.effects import Effect, ReplyToClient, SendNotifications, SetTimer, StartAttempt
+from juniperward.forwarder.events import (
+    AttemptAnswered,
     EndpointsUpdated,
     Event,
+    JournalReplayed,
     MessageReceived,
-    Notify,
-    Replayed,
-    Reply,
-    Restored,
-    StartAttempt,
-    Wake,
 )
-from juniperward.forwarder.reducer import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S, Reducer
-from juniperward.forwarder.start import build
+from juniperward.forwarder.journal import NAME, Journal
+from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
+from juniperward.forwarder.records import (
+    AcceptedRecord,
+    AttemptStartedRecord,
+    RecordedAttempt,
+    RestoredMessage,
+)
+from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.reducer.intake import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S
 from juniperward.forwarder.workers import Workers
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call
@@ -57,7 +54,7 @@
         self.folder = Path(folder.name)
         self.journal = self.open()
         for n in range(2):
-            self.journal.append(Accepted(Call(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
+            self.journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
         self.workers = Workers(1.0, 10.0, 4, 4, self.events.put, self.journal.append)
 
     def open(self) -> Journal:
@@ -71,10 +68,10 @@
             shutil.copy(self.folder / NAME, folder)
             journal = Journal(Path(folder), 100_000, 0.0)
             journal.close()
-        return [r.call.id for r in journal.restored() if r.history]
+        return [r.message.id for r in journal.restored() if r.history]
 
     def start_attempt(self, count: int = 2) -> StartAttempt:
-        items = tuple(BatchItem(n, Call(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
+        items = tuple(BatchItem(n, Message(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
         return StartAttempt(1, 3, "127.0.0.1", self.port, 7, items, 1e12, "s-3")
 
     def test_a_kill_while_a_call_waits_for_its_connection_leaves_its_messages_untried(self) -> None:
@@ -102,9 +99,9 @@
         sock.recv(1)
         self.door.close()
         sock.close()
-        self.assertEqual(self.answered(), [End(0, Outcome.RESET)])
+        self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.RESET)])
         self.workers.start_attempt(self.start_attempt(1))
-        self.assertEqual(self.answered(), [End(0, Outcome.CONNECT_FAILED, begun=False)])
+        self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)])
         self.assertEqual(self.tried(), ["m0"])
 
     def test_nothing_is_begun_once_the_process_ends(self) -> None:
@@ -133,14 +130,14 @@
         )
         failing.side_effect = OSError(28, "No space left on device")
         self.workers.start_attempt(self.start_attempt())
-        self.assertEqual({(e.outcome, e.begun) for e in self.answered()}, {(Outcome.NOT_SENT, False)})
+        self.assertEqual({(e.outcome, e.written) for e in self.answered()}, {(Outcome.NOT_SENT, False)})
         self.workers.close_idle(3)
         self.assertEqual(sock.recv(1), b"")
 
-    def answered(self) -> list[End]:
+    def answered(self) -> list[ItemOutcome]:
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, Answered)
-        return list(event.ends)
+        assert isinstance(event, AttemptAnswered)
+        return list(event.outcomes)
 
     def test_the_threads_and_the_loop_write_whole_lines(self) -> None:
         failed: list[Exception] = []
@@ -148,7 +145,7 @@
         def write() -> None:
             try:
                 for _ in range(200):
-                    self.journal.append(Accepted(Call("m9", 0, 0, 7, 9.0, None, b"x" * 200), 1e6))
+                    self.journal.append(AcceptedRecord(Message("m9", 0, 0, 7, 9.0, None, b"x" * 200), 1e6))
             except Exception as error:
                 failed.append(error)
 
@@ -159,7 +156,7 @@
             t.join()
         self.assertEqual(failed, [])
         before = counters().get("journal_damaged", 0)
-        self.assertEqual({r.call.id for r in self.open().restored()}, {"m0", "m1", "m9"})
+        self.assertEqual({r.message.id for r in self.open().restored()}, {"m0", "m1", "m9"})
         self.assertEqual(counters().get("journal_damaged", 0), before)
 
 
@@ -172,41 +169,43 @@
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(program.config))
             loop = build(load({"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(program.state)}))
-            self.addCleanup(loop.server.listener.close)
-            self.addCleanup(loop.journal.close)
-            loop.journal.append(Accepted(Call("m0", 0, 0, 7, 9.0, None, b""), 1e6))
-            with mock.patch.object(Journal, "_write", side_effect=OSError(28, "No space left on device")):
-                self.assertRaises(OSError, loop.workers.note, AttemptStarted("m0", 1.0, "s-7"))
+            self.addCleanup(loop.executor.server.listener.close)
+            self.addCleanup(loop.executor.journal.close)
+            loop.executor.journal.append(AcceptedRecord(Message("m0", 0, 0, 7, 9.0, None, b""), 1e6))
+            with mock.patch(
+                "juniperward.forwarder.journal._write", side_effect=OSError(28, "No space left on device")
+            ):
+                self.assertRaises(OSError, loop.executor.workers.note, AttemptStartedRecord("m0", 1.0, "s-7"))
 
 
 class UntriedTest(ReducerRig):
     """The reducer and the module after a restart."""
 
-    def begin(self, *restored: Restored, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
+    def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
         self.reducer = Reducer(settings(first, SAFE, **more), 1)
         self.now = 100.0
-        self.do(EndpointsUpdated(41, True, (worker(),), known=True))
-        return self.do(Replayed(restored))
+        self.do(EndpointsUpdated(41, True, (worker(),), cached=True))
+        return self.do(JournalReplayed(restored))
 
     def run_to(
         self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]
     ) -> list[Effect]:
         """Fire what is due up to a time; all effects on the way."""
-        seen, timers = list(effects), self.only(effects, Wake)
+        seen, timers = list(effects), self.only(effects, SetTimer)
         while timers := sorted((w for w in timers if w.at <= until), key=lambda w: w.at):
             wake = timers.pop(0)
             self.now = max(self.now, wake.at)
-            new = act(wake.due)
+            new = act(wake.event)
             seen += new
-            timers += self.only(new, Wake)
+            timers += self.only(new, SetTimer)
         self.now = until
         return seen
 
     def test_what_was_found_untried_goes_before_what_is_worth_more(self) -> None:
         # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
         fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
-        late = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
-        tried = Restored(call("t", cls=1), 115.0, (AttemptRecord("s-1", 95.0, False),))
+        late = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
+        tried = RestoredMessage(call("t", cls=1), 115.0, (RecordedAttempt("s-1", 95.0, False),))
         effects = self.begin(tried, *late, first=fresh, slots=1)
         before = counters()
         for n in range(3):
@@ -223,24 +222,29 @@
 
     def test_all_of_its_clients_time_is_there_to_try_it(self) -> None:
         # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
-        soon = Restored(call("soon", left=2.0), 99.9)  # its client's time is up at 100.2
-        over = Restored(call("over", left=2.0), 99.6)
+        soon = RestoredMessage(call("soon", left=2.0), 99.9)  # its client's time is up at 100.2
+        over = RestoredMessage(call("over", left=2.0), 99.6)
         effects = self.begin(over, soon)
         self.assertEqual(self.sent(effects), [["soon"]])
-        self.assertEqual([n.id for t in self.only(effects, Notify) for n in t.notifications], ["over"])
+        self.assertEqual(
+            [n.id for t in self.only(effects, SendNotifications) for n in t.notifications], ["over"]
+        )
         (d,) = self.only(effects, StartAttempt)
         self.assertAlmostEqual(d.deadline, 100.2)
         self.assertAlmostEqual(NOTIFICATION_GRACE_AFTER_RESTART_S, 1.2)  # no notice is overdue for 1.5 s
-        effects = self.begin(Restored(call("later", left=8.0), 105.0))  # after that the spare is needed again
+        effects = self.begin(
+            RestoredMessage(call("later", left=8.0), 105.0)
+        )  # after that the spare is needed again
         self.assertAlmostEqual(self.only(effects, StartAttempt)[0].deadline, 105.0)
 
     def test_what_is_untried_keeps_its_place_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
-        found = [Restored(call(f"r{n}", cls=1), 115.0) for n in range(4)]
+        found = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(4)]
         before = counters().get("restored_given_up_untried", 0)
         effects = self.begin(*found, slots=1, max_open=4)
         self.assertEqual(
-            self.do(MessageReceived(5, call("new"), self.now)), [Reply(5, 503, ADMISSION_RETRY_AFTER_S)]
+            self.do(MessageReceived(5, call("new"), self.now)),
+            [ReplyToClient(5, 503, ADMISSION_RETRY_AFTER_S)],
         )
         order = []
         while sent := self.sent(effects):
@@ -253,19 +257,19 @@
 
     def test_what_is_untried_goes_as_soon_as_the_list_names_its_destination(self) -> None:
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
-        effects = self.begin(Restored(call("a", destination=5, left=8.0), 105.0))
+        effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         self.assertEqual(self.sent(effects), [])
         effects = self.do(
             EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.GONE), worker("s-5", 5)))
         )
-        self.assertEqual([d.name for d in self.only(effects, StartAttempt)], ["s-5"])
+        self.assertEqual([d.endpoint_id for d in self.only(effects, StartAttempt)], ["s-5"])
 
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
-        effects = self.begin(Restored(call("a", destination=5, left=8.0), 105.0))
+        effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         before = counters().get("restored_given_up_untried", 0)
         seen = self.run_to(104.9, effects, self.do)
-        self.assertEqual(self.only(seen, Notify), [])
-        seen = self.run_to(105.2, self.only(seen, Wake), self.do)
-        self.assertEqual(len(self.only(seen, Notify)), 1)
+        self.assertEqual(self.only(seen, SendNotifications), [])
+        seen = self.run_to(105.2, self.only(seen, SetTimer), self.do)
+        self.assertEqual(len(self.only(seen, SendNotifications)), 1)
         self.assertEqual(counters()["restored_given_up_untried"], before + 1)
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -15,16 +15,8 @@
 from juniperward.forwarder import registry as registry_module
 from juniperward.forwarder.answers import Report, read_report
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.messages import (
-    EndpointsUpdated,
-    Event,
-    HoldUntil,
-    ProbeFinished,
-    StartProbe,
-    Wake,
-    WatchFrom,
-    WatchLost,
-)
+from juniperward.forwarder.effects import HoldRoute, SetTimer, StartHealthCheck, StartWatch
+from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.scheduler.events import EndpointPhase, Outcome
@@ -35,8 +27,8 @@
 from tests.test_reducer import worker
 
 
-def start_probe(port: int, deadline: float = 1e12) -> StartProbe:
-    return StartProbe(1, 3, "127.0.0.1", port, 7, deadline)
+def start_probe(port: int, deadline: float = 1e12) -> StartHealthCheck:
+    return StartHealthCheck(1, 3, "127.0.0.1", port, 7, deadline)
 
 
 class PushedListTest(unittest.TestCase):
@@ -45,8 +37,8 @@
         for on_request in (False, True):
             with self.subTest(on_request=on_request):
                 reducer = Reducer(settings(ONCE, endpoints_polled=on_request), 1)
-                effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), known=True)])
-                self.assertEqual([e for e in effects if isinstance(e, WatchFrom)], [WatchFrom(41, 0)])
+                effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
+                self.assertEqual([e for e in effects if isinstance(e, StartWatch)], [StartWatch(41, 0)])
 
     def test_watches_that_fall_silent_one_after_another_are_each_opened_anew_in_time(self) -> None:
         # Guards the 6 s after silence: with no news between, each waited twice as long as the one before, up to 4 s.
@@ -54,14 +46,14 @@
         for lived, took, widest in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with self.subTest(lived=lived, took=took):
                 reducer, now, waits = Reducer(settings(ONCE, endpoints_polled=True), 1), 100.0, []
-                effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), known=True)])
+                effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
                 for _ in range(6):
                     now += took
                     began, effects = now, reducer.reduce(now, [WatchLost(0, lived)])
-                    while not any(isinstance(e, WatchFrom) for e in effects):
-                        now = min(e.at for e in effects if isinstance(e, Wake))
+                    while not any(isinstance(e, StartWatch) for e in effects):
+                        now = min(e.at for e in effects if isinstance(e, SetTimer))
                         effects = reducer.reduce(
-                            now, [e.due for e in effects if isinstance(e, Wake) and e.at <= now]
+                            now, [e.event for e in effects if isinstance(e, SetTimer) and e.at <= now]
                         )
                     waits.append(now - began)
                 self.assertLess(max(waits), widest)
@@ -139,9 +131,9 @@
 
     def test_news_of_a_watch_does_not_ask_for_a_second_one(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), known=True)])
+        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
         effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker("s-2"),))])
-        self.assertEqual([e for e in effects if isinstance(e, WatchFrom)], [])
+        self.assertEqual([e for e in effects if isinstance(e, StartWatch)], [])
 
 
 def entry(name: str, state: str, cell: int = 3) -> bytes:
@@ -187,7 +179,7 @@
         heard = [h for h in got if isinstance(h, EndpointsUpdated)]
         self.assertEqual(asked, [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"])
         self.assertEqual([(h.version, h.full) for h in heard], [(43, False), (44, False), (50, True)])
-        phases = [w.phase for h in heard for w in h.workers]
+        phases = [w.phase for h in heard for w in h.endpoints]
         self.assertEqual(phases, [EndpointPhase.DRAINING, EndpointPhase.GONE, EndpointPhase.READY])
         # A broken line ends the watch, counted; the next one goes on from 50.
         self.assertIsInstance(got[3], WatchLost)
@@ -207,25 +199,25 @@
             self.addCleanup(sock.close)
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
             lost = events.get(timeout=5.0)
-            self.assertEqual(lost, WatchLost(0, lived=True))
+            self.assertEqual(lost, WatchLost(0, established=True))
         now = 100.0
-        effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), known=True)])
+        effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
         effects = reducer.reduce(now, [lost])
-        while not (again := [e for e in effects if isinstance(e, WatchFrom)]):
-            wake = next(e for e in effects if isinstance(e, Wake))
+        while not (again := [e for e in effects if isinstance(e, StartWatch)]):
+            wake = next(e for e in effects if isinstance(e, SetTimer))
             now = wake.at
-            effects = reducer.reduce(now, [wake.due])
-        self.assertEqual(again, [WatchFrom(41, 0)])
+            effects = reducer.reduce(now, [wake.event])
+        self.assertEqual(again, [StartWatch(41, 0)])
         self.assertLess(now, 101.0)
 
     def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), known=True)])
+        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), cached=True)])
         reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.GONE),))])
-        self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-2"])
+        self.assertEqual(sorted(w.id for w in reducer.state.directory.endpoints.values()), ["s-2"])
         reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
-        self.assertEqual(sorted(w.id for w in reducer.state.workers.values()), ["s-3"])
-        self.assertEqual(reducer.state.version, 50)
+        self.assertEqual(sorted(w.id for w in reducer.state.directory.endpoints.values()), ["s-3"])
+        self.assertEqual(reducer.state.directory.version, 50)
 
 
 class ProbeInReducerTest(unittest.TestCase):
@@ -233,27 +225,29 @@
         self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
         self.reducer.reduce(
             100.0,
-            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.GONE)), known=True)],
+            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.GONE)), cached=True)],
         )
 
     def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
-        self.reducer.effects, self.reducer.news = [], []
-        self.reducer._start_probe(100.0, 1)
-        (asked,) = self.reducer.effects
-        assert isinstance(asked, StartProbe)
-        self.assertEqual((asked.worker, asked.destination, asked.port), (1, 1, 81))
+        round_ = self.reducer._round
+        round_.begin(100.0)
+        self.reducer._health_checks.start(1)
+        (asked,) = round_.effects
+        assert isinstance(asked, StartHealthCheck)
+        self.assertEqual((asked.endpoint, asked.destination, asked.port), (1, 1, 81))
         self.assertAlmostEqual(asked.deadline, 101.5)
-        told = ProbeFinished(asked.number, 1, Outcome.OVERLOADED, 0.01, wait=0.8)
+        told = HealthCheckAnswered(asked.number, 1, Outcome.OVERLOADED, 0.01, retry_after_s=0.8)
         effects = self.reducer.reduce(100.5, [told])
-        self.assertIn(HoldUntil(1, 101.3), effects)
+        self.assertIn(HoldRoute(1, 101.3), effects)
         # A second word of the same probe is nothing.
         self.assertEqual(self.reducer.reduce(100.6, [told]), [])
 
     def test_a_worker_that_is_not_listed_is_not_probed(self) -> None:
-        self.reducer.effects, self.reducer.news = [], []
-        self.reducer._start_probe(100.0, 99)
-        self.assertEqual(self.reducer.effects, [])
-        self.assertEqual([n.outcome for n in self.reducer.news], [Outcome.NOT_SENT])  # type: ignore[union-attr]
+        round_ = self.reducer._round
+        round_.begin(100.0)
+        self.reducer._health_checks.start(99)
+        self.assertEqual(round_.effects, [])
+        self.assertEqual([e.outcome for e in round_.scheduler_events], [Outcome.NOT_SENT])  # type: ignore[union-attr]
 
 
 class ProbeOnSocketsTest(WorkerRig):
@@ -274,9 +268,9 @@
         thread.start()
         return thread
 
-    def looked(self) -> ProbeFinished:
+    def looked(self) -> HealthCheckAnswered:
         event = self.events.get(timeout=5.0)
-        assert isinstance(event, ProbeFinished)
+        assert isinstance(event, HealthCheckAnswered)
         return event
 
     def test_a_probe_of_503_is_a_refusal_and_200_brings_the_report(self) -> None:
@@ -299,7 +293,7 @@
                 self.assertIs(told.outcome, outcome)
                 self.workers.close_idle(3)
                 if outcome is Outcome.OK:
-                    self.assertEqual((told.room, told.limit), (0.25, 12.0))
+                    self.assertEqual((told.capacity_left, told.reported_limit_per_s), (0.25, 12.0))
         # The wait of a probe binds the next probe as it does a call.
         self.workers.start_attempt(start_probe(self.port))
         self.assertIs(self.looked().outcome, Outcome.NOT_SENT)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -104,7 +104,7 @@
 def test_settings_that_make_no_sense_are_reported_with_their_name() -> None:
     bad = {**CONFIG, "Specifics": {**CONFIG["Specifics"], "MaxCalls": -1}}
     (reply,) = play((10.0, start("node/0", bad)))
-    assert "slots" in names(reply, "Die")[0]["NoteText"]
+    assert "Specifics.MaxCalls" in names(reply, "Die")[0]["NoteText"]
 
 
 def test_a_failure_in_the_rules_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 
 from juniperward.forwarder.config import read_news
 from juniperward.forwarder.counters import counters
-from juniperward.forwarder.messages import EndpointsUpdated
+from juniperward.forwarder.events import EndpointsUpdated
 from juniperward.rigs.sizes import NAMES, Drive, listed
 from juniperward.settings.load import load
 
@@ -30,13 +30,13 @@
         drive.list()
         state = drive.reducer.state
         self.assertEqual(
-            (len(state.workers), len(drive.reducer.scheduler.state.table.endpoints)), (1024, 1024)
+            (len(state.directory.endpoints), len(drive.reducer.scheduler.state.table.endpoints)), (1024, 1024)
         )
         for destination in range(20):
             with self.subTest(destination):
-                self.assertIn(destination, state.destinations)
+                self.assertIn(destination, state.directory.destinations)
         drive.message()
-        self.assertEqual((state.held, state.in_flight), ({}, {}))
+        self.assertEqual((state.messages.pending, state.attempts.in_flight), ({}, {}))
 
     def test_an_entry_that_cannot_be_used_costs_no_other(self) -> None:
         value = listed(1024)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,24 +20,13 @@
 from juniperward.agent.store import Store
 from juniperward.fleet.model import Wanted
 from juniperward.fleet.roll import Mode, Stage
-from juniperward.forwarder import clock, journal
+from juniperward.forwarder import clock, journal_codec
 from juniperward.forwarder.counters import counters
+from juniperward.forwarder.effects import AppendRecord, Effect, SendNotifications, SetTimer, StartAttempt
+from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, Event, JournalReplayed
 from juniperward.forwarder.journal import Journal
-from juniperward.forwarder.messages import (
-    Answered,
-    Append,
-    Completed,
-    Effect,
-    End,
-    EndpointsUpdated,
-    Event,
-    Notify,
-    Replayed,
-    Restored,
-    StartAttempt,
-    Wake,
-    Worker,
-)
+from juniperward.forwarder.model import Endpoint, ItemOutcome
+from juniperward.forwarder.records import CompletedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
 from juniperward.kept import spool as spools
 from juniperward.kept.spool import Spool
@@ -76,10 +65,10 @@
     return tmp_path / "data"
 
 
-def restored(folder: Path) -> dict[str, Restored]:
+def restored(folder: Path) -> dict[str, RestoredMessage]:
     read = Journal(folder / "forwarder", 1_000_000, WRITTEN_AT)
     read.close()
-    return {message.call.id: message for message in read.restored()}
+    return {message.message.id: message for message in read.restored()}
 
 
 def test_the_journal_gives_back_each_message_that_is_not_over(folder: Path) -> None:
@@ -90,21 +79,21 @@
     for name, message in messages.items():
         if name.endswith(("-failed", "-rejected")):
             assert message.notification is not None
-            assert message.notification.again == (0.25 if name.endswith("-rejected") else None)
+            assert message.notification.retry_after_s == (0.25 if name.endswith("-rejected") else None)
             continue
-        assert (message.call.body, message.call.destination) == (bytes(range(256)), 7)
-        assert message.expires == (0.5 if name == "overdue" else 20.0)
-        assert message.call.time_left == 20.0
-    history = [(a.worker, a.at, a.may_have_run) for a in messages["by-key-second"].history]
+        assert (message.message.body, message.message.destination) == (bytes(range(256)), 7)
+        assert message.expires_at == (0.5 if name == "overdue" else 20.0)
+        assert message.message.time_left_s == 20.0
+    history = [(a.endpoint, a.started_at, a.possibly_executed) for a in messages["by-key-second"].history]
     assert history == [("s-1", 1.0, False), ("s-2", 2.5, True)]
     resend = messages["kept-0123456789abcdef0123-1"]
-    assert [(a.at, a.may_have_run) for a in resend.history] == [(-3.0, True)]
+    assert [(a.started_at, a.possibly_executed) for a in resend.history] == [(-3.0, True)]
 
 
 def test_the_journal_writes_the_same_lines_as_it_reads(folder: Path) -> None:
     lines = (folder / "forwarder" / "journal").read_bytes().split(b"\n")
-    records = [journal.decode(line, WRITTEN_AT) for line in lines]
-    assert [journal.encode(r, WRITTEN_AT) for r in records if r is not None] == [
+    records = [journal_codec.decode(line, WRITTEN_AT) for line in lines]
+    assert [journal_codec.encode(r, WRITTEN_AT) for r in records if r is not None] == [
         line + b"\n" for line, r in zip(lines, records, strict=True) if r is not None
     ]
     assert sum(r is None for r in records) == 2
@@ -134,24 +123,26 @@
 
     def _carry_out(self, now: float, effect: Effect) -> None:
         match effect:
-            case Wake(at=at, due=due):
-                self._later(max(at, now), due)
+            case SetTimer(at=at, event=event):
+                self._later(max(at, now), event)
             case StartAttempt(number=number, items=items):
-                ends = tuple(End(item.message, Outcome.OK) for item in items)
-                self._later(now + 0.05, Answered(number, ends))
-            case Append(record=Completed(id=name)):
+                ends = tuple(ItemOutcome(item.message, Outcome.OK) for item in items)
+                self._later(now + 0.05, AttemptAnswered(number, ends))
+            case AppendRecord(record=CompletedRecord(id=name)):
                 self.ends.setdefault(name, []).append("delivered")
-            case Notify(notifications=notifications):
+            case SendNotifications(notifications=notifications):
                 for n in notifications:
-                    self.ends.setdefault(n.id, []).append("failed" if n.again is None else "rejected")
+                    self.ends.setdefault(n.id, []).append("failed" if n.retry_after_s is None else "rejected")
 
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_every_message_of_an_old_journal_gets_one_end(folder: Path, reachable: bool) -> None:
     machine = Machine()
-    workers = tuple(Worker(f"s-{n}", "127.0.0.1", 80 + n, 7, EndpointPhase.READY, 0, 0, 0.0) for n in (1, 2))
-    machine.do(NOW, EndpointsUpdated(1, True, workers if reachable else (), known=True))
-    machine.do(NOW, Replayed(tuple(restored(folder).values())))
+    workers = tuple(
+        Endpoint(f"s-{n}", "127.0.0.1", 80 + n, 7, EndpointPhase.READY, 0, 0, 0.0) for n in (1, 2)
+    )
+    machine.do(NOW, EndpointsUpdated(1, True, workers if reachable else (), cached=True))
+    machine.do(NOW, JournalReplayed(tuple(restored(folder).values())))
     machine.run(60.0)
     assert set(machine.ends) == NOT_OVER
     assert all(len(ends) == 1 for ends in machine.ends.values()), machine.ends
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -6,23 +6,21 @@
 import io
 import unittest
 
-from juniperward.forwarder.messages import (
-    Accepted,
+from juniperward.forwarder.effects import (
     AcceptMessage,
-    Answered,
+    ReplyToClient,
+    SendNotifications,
+    StartAttempt,
+    WriteLog,
+)
+from juniperward.forwarder.events import (
+    AttemptAnswered,
     AttemptCancelled,
-    BatchItem,
-    Call,
-    End,
-    LogLine,
+    BatchItemWithdrawn,
     MessageReceived,
-    Notify,
-    OutcomeNotification,
-    Progress,
-    Reply,
-    StartAttempt,
-    WithdrawResult,
 )
+from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message, OutcomeNotification
+from juniperward.forwarder.records import AcceptedRecord
 from juniperward.forwarder.trace import Trace
 from juniperward.rigs.traces import read, text
 from juniperward.scheduler.events import Outcome
@@ -30,8 +28,8 @@
 SETTINGS = "0.0 juniperward: trace: Settings(classes=(MessageClass(aim=2.0, deadline=12.0)), slots=6)"
 
 
-def call(name: str) -> Call:
-    return Call(name, 0, 0, 7, 12.0, None, b"")
+def call(name: str) -> Message:
+    return Message(name, 0, 0, 7, 12.0, None, b"")
 
 
 def life(start: float) -> list[str]:
@@ -46,20 +44,26 @@
         trace.effects(
             0.0,
             [
-                AcceptMessage(1, 1, Accepted(a, 12.0)),
-                Reply(2, 503, 1.0),
-                AcceptMessage(3, 2, Accepted(c, 12.0)),
+                AcceptMessage(1, 1, AcceptedRecord(a, 12.0)),
+                ReplyToClient(2, 503, 1.0),
+                AcceptMessage(3, 2, AcceptedRecord(c, 12.0)),
             ],
         )
         trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
-        trace.events(0.15, [WithdrawResult(1, 9, Progress.WAITS), AttemptCancelled(9, Progress.WRITTEN)])
-        trace.events(0.2, [Answered(1, (End(1, Outcome.OVERLOADED, 0.5),))])
-        trace.effects(0.3, [LogLine("destination 7: refuses all, held to trials")])
+        trace.events(
+            0.15,
+            [BatchItemWithdrawn(1, 9, AttemptProgress.WAITING), AttemptCancelled(9, AttemptProgress.WRITTEN)],
+        )
+        trace.events(0.2, [AttemptAnswered(1, (ItemOutcome(1, Outcome.OVERLOADED, 0.5),))])
+        trace.effects(0.3, [WriteLog("destination 7: refuses all, held to trials")])
         trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
-        trace.events(2.5, [Answered(2, (End(1, Outcome.OK),))])
+        trace.events(2.5, [AttemptAnswered(2, (ItemOutcome(1, Outcome.OK),))])
         trace.effects(
             2.6,
-            [LogLine("destination 7: answers again, warming up"), Notify((OutcomeNotification("c", 0.5),))],
+            [
+                WriteLog("destination 7: answers again, warming up"),
+                SendNotifications((OutcomeNotification("c", 0.5),)),
+            ],
         )
     return [SETTINGS, *out.getvalue().splitlines()]
 
