--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -1,4 +1,4 @@
-"""What an endpoint's answer says of the messages of a call, and of a probe: text to typed values, no sockets."""
+"""What an endpoint's answer says of the messages of a call, and of a health check: text to typed values, no sockets."""
 
 from __future__ import annotations
 
@@ -12,76 +12,61 @@
 from juniperward.net.http import DECIMAL, Response
 from juniperward.scheduler.events import Outcome
 
-MOST_WAIT = 3600.0  # seconds; what tells a longer wait than this tells none
-MOST_REPORT = 1024  # bytes of a load report
+LONGEST_RETRY_AFTER_S = 3600.0  # what tells a longer wait than this tells none
+MOST_REPORT_BYTES = 1024
+
+
+class TooDeepError(ValueError):
+    """JSON opens more arrays and objects than its reader asked for."""
+
+    def __init__(self, most_open: int) -> None:
+        """Say how many may open."""
+        super().__init__(f"more than {most_open} arrays and objects")
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A load report: the share of its limit that an endpoint has free, and that limit as a rate."""
+class LoadReport:
+    """A load report: the share of its limit that an endpoint has left, and that limit as calls a second."""
 
-    room: float | None = None
-    limit: float | None = None
+    capacity_left: float | None = None
+    limit_per_s: float | None = None
 
     def makes_sense(self) -> bool:
-        """Whether the share is within 0 and 1 and the rate a finite one."""
-        room_fits = self.room is None or 0 <= self.room <= 1
-        limit_fits = self.limit is None or 0 <= self.limit < math.inf
-        return room_fits and limit_fits
+        """Return whether the share is within 0 and 1 and the limit a finite one."""
+        share_fits = self.capacity_left is None or 0 <= self.capacity_left <= 1
+        limit_fits = self.limit_per_s is None or 0 <= self.limit_per_s < math.inf
+        return share_fits and limit_fits
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """What an answer to several messages says of one of them; `over`: nothing more is owed for it."""
+class ItemState:
+    """What an answer to several messages says of one of them; `message_ended`: nothing more is owed for it."""
 
     outcome: Outcome
-    over: bool = False
+    message_ended: bool = False
 
 
-NO_REPORT = Report()
-UNKNOWN = State(Outcome.ERROR)  # it may have run
-STATES = {
-    "ok": State(Outcome.OK),
-    "error": State(Outcome.ERROR),
-    "later": State(Outcome.OVERLOADED),
-    "gone": State(Outcome.NOT_SENT, over=True),
-    "exhausted": State(Outcome.NOT_SENT),
+NO_REPORT = LoadReport()
+UNKNOWN_STATE = ItemState(Outcome.ERROR)  # it possibly executed
+STATES = {  # by the word of the protocol
+    "ok": ItemState(Outcome.OK),
+    "error": ItemState(Outcome.ERROR),
+    "later": ItemState(Outcome.OVERLOADED),
+    "gone": ItemState(Outcome.NOT_SENT, message_ended=True),
+    "exhausted": ItemState(Outcome.NOT_SENT),
 }
 
 
-def ends_of_all(
-    what: StartAttempt,
-    outcome: Outcome,
-    wait: float = 0.0,
-    report: Report = NO_REPORT,
-    *,
-    begun: bool = True,
-    slots_taken: bool = False,
-    over: bool = False,
-    table_full: bool = False,
-) -> tuple[ItemOutcome, ...]:
-    """The same end for every message of a call."""
-    return tuple(
-        ItemOutcome(
-            p.message,
-            outcome,
-            wait,
-            slots_taken,
-            over,
-            report.room,
-            report.limit,
-            written=begun,
-            connection_table_full=table_full,
-        )
-        for p in what.items
-    )
+def outcomes_of_all(what: StartAttempt, outcome: Outcome, *, written: bool = True) -> tuple[ItemOutcome, ...]:
+    """Return the same outcome for every message of a call that got no answer."""
+    return tuple(ItemOutcome(item.message, outcome, written=written) for item in what.items)
 
 
-def read_wait(headers: dict[str, str]) -> float:
-    """The wait that an answer tells, in seconds."""
+def read_retry_after(headers: dict[str, str]) -> float:
+    """Return the wait that an answer tells, in seconds; 0 where it tells none that makes sense."""
     text = headers.get("retry-after", "0")
-    wait = float(text) if DECIMAL.fullmatch(text) else 0.0
-    return wait if wait <= MOST_WAIT else 0.0
+    wait_s = float(text) if DECIMAL.fullmatch(text) else 0.0
+    return wait_s if wait_s <= LONGEST_RETRY_AFTER_S else 0.0
 
 
 def read_json(text: bytes, most_open: int) -> object:
@@ -90,20 +75,20 @@
     The decoder goes down in C with each that opens: 128 KiB of stack end before its own limit does.
     """
     if text.count(b"{") + text.count(b"[") > most_open:
-        raise ValueError("too many arrays and objects")
+        raise TooDeepError(most_open)
     decoded: object = json.loads(text)
     return decoded
 
 
-def read_report(headers: dict[str, str]) -> Report:
-    """The load report of an answer, where there is one that makes sense."""
+def read_report(headers: dict[str, str]) -> LoadReport:
+    """Return the load report of an answer, where there is one that makes sense."""
     text = headers.get("x-backend-load", "").encode("latin-1")
     if not text:
         return NO_REPORT
     try:
         given = read_json(text, 1)
-        if isinstance(given, dict) and len(text) <= MOST_REPORT:
-            report = Report(_number(given, "x0"), _number(given, "x1"))
+        if isinstance(given, dict) and len(text) <= MOST_REPORT_BYTES:
+            report = LoadReport(_number(given, "x0"), _number(given, "x1"))
             if report.makes_sense():
                 return report
     except (ValueError, TypeError, OverflowError):
@@ -116,12 +101,12 @@
     return float(given[field]) if field in given else None
 
 
-def read_probe(answer: Response, fresh: bool = False) -> Outcome:
-    """What a probe's answer says of its worker ('Forwarders to endpoints': 200 or 503)."""
+def read_health(answer: Response, fresh: bool = False) -> Outcome:
+    """Return what a health check's answer says of its endpoint ('Forwarders to endpoints': 200 or 503)."""
     match answer.status:
         case 200:
             return Outcome.OK
-        case 503 if fresh and answer.close and not read_wait(answer.headers):
+        case 503 if fresh and answer.close and not read_retry_after(answer.headers):
             count("tables_full")
             return Outcome.CONNECT_FAILED  # no place in its table, as for a call
         case 503 | 429:
@@ -132,65 +117,96 @@
             return Outcome.ERROR
 
 
-def read_ends(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[ItemOutcome, ...]:
-    """What an answer says of each message of a call ('Forwarders to endpoints'); `fresh`: on a new connection."""
-    wait, report = read_wait(answer.headers), read_report(answer.headers)
-    many = len(what.items) > 1
+@dataclass(frozen=True, slots=True)
+class AnswerMeaning:
+    """What the status of an answer says of every message of its call."""
+
+    outcome: Outcome
+    no_slot_free: bool = False
+    message_ended: bool = False
+    connection_table_full: bool = False
+
+
+def read_outcomes(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[ItemOutcome, ...]:
+    """Return what an answer says of each message of a call; `fresh`: it came on a new connection."""
+    retry_after_s, report = read_retry_after(answer.headers), read_report(answer.headers)
+    if answer.status == 200 and len(what.items) > 1:
+        return _read_each(what, answer, retry_after_s, report)
+    meaning = _meaning(what, answer, fresh and answer.close and retry_after_s <= 0)
+    return tuple(
+        ItemOutcome(
+            item.message,
+            meaning.outcome,
+            0.0 if meaning.connection_table_full else retry_after_s,
+            meaning.no_slot_free,
+            meaning.message_ended,
+            report.capacity_left,
+            report.limit_per_s,
+            meaning.connection_table_full,
+        )
+        for item in what.items
+    )
+
+
+def _meaning(what: StartAttempt, answer: Response, closed_at_once: bool) -> AnswerMeaning:
+    """Read the status by the protocol's 'Forwarders to endpoints'."""
+    meaning = AnswerMeaning(Outcome.ERROR)
     match answer.status:
-        case 200 if many:
-            return _each(what, answer, wait, report)
         case 200:
-            return ends_of_all(what, Outcome.OK, wait, report)
-        case 429:
-            return ends_of_all(what, Outcome.OVERLOADED, wait, report)
+            meaning = AnswerMeaning(Outcome.OK)
         case 503 if answer.headers.get("x-over-slots") == "1":
-            return ends_of_all(what, Outcome.NOT_SENT, wait, report, slots_taken=True)
-        case 503 if fresh and answer.close and wait <= 0:
-            # Over its limit a worker keeps the connection; one that it ends at once had no place in its table.
+            meaning = AnswerMeaning(Outcome.NOT_SENT, no_slot_free=True)
+        case 503 if closed_at_once:
+            # Over its limit an endpoint keeps the connection; one that it ends at once had no place in its table.
             count("tables_full")
-            return ends_of_all(what, Outcome.CONNECT_FAILED, 0.0, report, table_full=True)
-        case 503:
-            return ends_of_all(what, Outcome.OVERLOADED, wait, report)
+            meaning = AnswerMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
+        case 429 | 503:
+            meaning = AnswerMeaning(Outcome.OVERLOADED)
         case 504:
-            return ends_of_all(what, Outcome.NOT_SENT, wait, report)
+            meaning = AnswerMeaning(Outcome.NOT_SENT)
         case 410:
-            return ends_of_all(what, Outcome.NOT_SENT, wait, report, over=True)
-        case 400 | 413 if many:
+            meaning = AnswerMeaning(Outcome.NOT_SENT, message_ended=True)
+        case 400 | 413 if len(what.items) > 1:
             count("batches_unread")
             log("worker", f"{what.host}:{what.port} does not take a call of {len(what.items)} messages")
-            return ends_of_all(what, Outcome.NOT_SENT, wait, report)
+            meaning = AnswerMeaning(Outcome.NOT_SENT)
         case 500:
-            return ends_of_all(what, Outcome.ERROR, wait, report)
+            pass
         case status:
             count("answers_unknown")
             log("worker", f"{what.host}:{what.port} answered {status}, which is taken as an error")
-            return ends_of_all(what, Outcome.ERROR, wait, report)
+    return meaning
 
 
-def _each(what: StartAttempt, answer: Response, wait: float, report: Report) -> tuple[ItemOutcome, ...]:
-    """The ends of several messages; one that is not named, or not in words we know, may have run."""
-    states: dict[str, State] = {}
-    try:
-        rows = read_json(answer.body, 1 + len(what.items))
-        if not isinstance(rows, list):
-            raise TypeError("no list of ends")
-        for row in rows:
-            states[row["id"]] = STATES.get(row["state"], UNKNOWN)
-    except (ValueError, TypeError, KeyError):
-        states = {}
-        count("answers_unread")
-        log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
-    ends = []
-    for p in what.items:
-        state = states.get(p.content.id, UNKNOWN)
-        ends.append(
+def _read_each(
+    what: StartAttempt, answer: Response, retry_after_s: float, report: LoadReport
+) -> tuple[ItemOutcome, ...]:
+    """Read the outcomes of several messages; one that is not named, or not in words we know, possibly executed."""
+    states = _read_states(what, answer)
+    outcomes = []
+    for item in what.items:
+        state = states.get(item.content.id, UNKNOWN_STATE)
+        outcomes.append(
             ItemOutcome(
-                p.message,
+                item.message,
                 state.outcome,
-                wait,
-                message_ended=state.over,
-                capacity_left=report.room,
-                reported_limit_per_s=report.limit,
+                retry_after_s,
+                message_ended=state.message_ended,
+                capacity_left=report.capacity_left,
+                reported_limit_per_s=report.limit_per_s,
             )
         )
-    return tuple(ends)
+    return tuple(outcomes)
+
+
+def _read_states(what: StartAttempt, answer: Response) -> dict[str, ItemState]:
+    """Read the states by id; none where the body cannot be read."""
+    try:
+        rows = read_json(answer.body, 1 + len(what.items))
+        if isinstance(rows, list):
+            return {row["id"]: STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
+    except (ValueError, TypeError, KeyError):
+        pass
+    count("answers_unread")
+    log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
+    return {}
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -10,6 +10,7 @@
 from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
 from juniperward.forwarder.effect_executor import EffectExecutor, ProcessInfo
+from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.journal import NAME as JOURNAL_NAME
 from juniperward.forwarder.journal import Journal
@@ -17,7 +18,6 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.server import Server
-from juniperward.forwarder.workers import Workers
 from juniperward.kept.spool import Spool
 
 
@@ -49,14 +49,13 @@
         log("start", f"limits: sockets: {few}")
     bounds = share_out(config.sockets, settings.slots)
     server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.leaving_clients)
-    workers = Workers(
+    limits = EndpointClientLimits(
         settings.dial_timeout_s,
         settings.keepalive_s,
-        most_threads=bounds.calls,
-        most_idle=bounds.idle_to_endpoints,
-        post=queue.post,
-        note=journal.append,
-        longest=max(message_class.deadline_s for message_class in settings.classes),
+        bounds.calls,
+        bounds.idle_to_endpoints,
+        longest_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
+    endpoint_client = build_endpoint_client(limits, queue.post, journal.append)
     registry = Registry(config.registry, config.names, queue.post)
-    return EffectExecutor(journal, server, workers, registry, queue)
+    return EffectExecutor(journal, server, endpoint_client, registry, queue)
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -33,6 +33,7 @@
     WithdrawFromBatch,
     WriteLog,
 )
+from juniperward.forwarder.endpoint_client import EndpointClient
 from juniperward.forwarder.events import (
     AttemptCancelled,
     BatchItemWithdrawn,
@@ -44,7 +45,6 @@
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.server import Server
-from juniperward.forwarder.workers import Workers
 
 HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
 JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
@@ -80,12 +80,13 @@
         self,
         journal: Journal,
         server: Server,
-        workers: Workers,
+        endpoint_client: EndpointClient,
         registry: Registry,
         timers: Timers,
     ) -> None:
         """Speak with clients, endpoints and discovery by these parts."""
-        self.journal, self.server, self.workers, self.registry = journal, server, workers, registry
+        self.journal, self.server, self.registry = journal, server, registry
+        self.endpoint_client = endpoint_client
         self._timers = timers
         self.control = ControlOutput()
         self.process = ProcessInfo()
@@ -97,9 +98,9 @@
             case AcceptMessage(client=client, message=message, record=record):
                 return MessageAccepted(message, self._accept(client, record))
             case CancelAttempt(attempt_number=number):
-                return AttemptCancelled(number, self.workers.cancel_attempt(number))
+                return AttemptCancelled(number, self.endpoint_client.cancel(number))
             case WithdrawFromBatch(attempt_number=number, message=message):
-                return BatchItemWithdrawn(number, message, self.workers.withdraw(number, message))
+                return BatchItemWithdrawn(number, message, self.endpoint_client.withdraw(number, message))
             case ReplyToClient(client=client, status=status, retry_after_s=retry_after_s):
                 self.server.answer(client, status, retry_after_s)
             case AppendRecord(record=record):
@@ -115,15 +116,15 @@
     def _perform_for_endpoints(self, effect: Effect) -> None:
         match effect:
             case StartAttempt() | StartHealthCheck():
-                self.workers.start_attempt(effect)
+                self.endpoint_client.start(effect)
             case CloseIdleConnections(endpoint=endpoint):
-                self.workers.close_idle(endpoint)
+                self.endpoint_client.close_idle(endpoint)
             case SetDraining(endpoint=endpoint, draining=draining):
-                self.workers.set_draining(endpoint, draining)
+                self.endpoint_client.set_draining(endpoint, draining)
             case HoldRoute(route=route, until=until):
-                self.workers.hold_until(route, until)
+                self.endpoint_client.hold(route, until)
             case ForgetEndpoint(endpoint=endpoint):
-                self.workers.forget(endpoint)
+                self.endpoint_client.forget(endpoint)
             case StartWatch(version=version, epoch=epoch):
                 self.registry.watch(version, epoch)
             case SwitchDiscovery(address=address, epoch=epoch):
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -66,7 +66,7 @@
             self.round(events + self.queue.due(now))
             if now >= self._sweep_at:
                 self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
-                executor.workers.sweep(now)
+                executor.endpoint_client.sweep(now)
         # What has come by now is journalled and answered; what threads find out later, the next process finds out.
-        executor.workers.end()
+        executor.endpoint_client.end()
         self.round(self.queue.wait(0.0))
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -58,7 +58,7 @@
     lock_folder(config.state)  # held until the process ends, and not a moment less: its threads still write
     loop = build(config)
     if os.environ.get("ROUTER_TRACE"):
-        loop.trace = loop.executor.workers.trace = Trace(time.time() - time.monotonic())
+        loop.trace = loop.executor.endpoint_client.calls.trace = Trace(time.time() - time.monotonic())
         log("trace", f"{config.settings}")
     done = threading.Event()
     restored = _restore(config, loop)
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -195,7 +195,7 @@
         queue = EventQueue()
         self.registry = RecordingRegistry(self)
         executor = EffectExecutor(
-            cast(Journal, mock.Mock()), parts.server, parts.workers, self.registry, queue
+            cast(Journal, mock.Mock()), parts.server, parts.endpoint_client, self.registry, queue
         )
         self.loop = Loop(self.reducer, executor, queue)
         self.services[0].prepare(self.call(0))
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,4 +1,4 @@
-"""Rigs that several test modules share: workers in front of a listening socket of the system's choosing."""
+"""Rigs that several test modules share: an endpoint client in front of a listening socket of the system's choosing."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 import socket
 import unittest
 
+from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
 from juniperward.forwarder.events import Event
-from juniperward.forwarder.workers import Workers
 
+LIMITS = EndpointClientLimits(1.0, 10.0, max_threads=4, max_idle_connections=4)
 
-class WorkerRig(unittest.TestCase):
-    """Workers (1 s to dial, 10 s to answer, 4 slots, 4 connections) and a door on a port the system gives.
+
+class EndpointClientRig(unittest.TestCase):
+    """An endpoint client (LIMITS) and a door on a port the system gives.
 
     Not collected alone: its subclasses hold the tests (`__test__` is set back on each of them).
     """
@@ -20,7 +22,7 @@
 
     def setUp(self) -> None:
         self.events: queue.Queue[Event] = queue.Queue()
-        self.workers = Workers(1.0, 10.0, 4, 4, self.events.put)
+        self.client = build_endpoint_client(LIMITS, self.events.put)
         self.door = socket.create_server(("127.0.0.1", 0))
         self.door.settimeout(5.0)
         self.addCleanup(self.door.close)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -33,7 +33,7 @@
 from juniperward.standins.records import Called, Noticed, Recorder, Told
 from juniperward.standins.registry import Registry
 from tests.player import ROOT, Program
-from tests.rigs import WorkerRig
+from tests.rigs import EndpointClientRig
 
 WAIT = 20.0
 NO_DESCRIPTOR = OSError(24, "Too many open files")
@@ -57,14 +57,14 @@
         self.assertEqual(share_out(256, 4).calls, 16)  # twice the slots and 8
 
 
-class DialTest(WorkerRig):
+class DialTest(EndpointClientRig):
     __test__ = True
 
     def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
         # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
         message = Message("m0", 0, 0, 7, 9.0, None, b"")
-        with mock.patch("juniperward.forwarder.workers.socket.socket", side_effect=NO_DESCRIPTOR):
-            self.workers.start_attempt(
+        with mock.patch("juniperward.forwarder.endpoint_call.socket.socket", side_effect=NO_DESCRIPTOR):
+            self.client.start(
                 StartAttempt(1, 3, "127.0.0.1", self.port, 7, (BatchItem(0, message),), 1e12, "s-3")
             )
             event = self.events.get(timeout=5.0)
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -10,15 +10,15 @@
 from dataclasses import replace
 from unittest import mock
 
-from juniperward.forwarder import workers as workers_module
-from juniperward.forwarder.answers import read_wait
+from juniperward.forwarder import connection_pool
+from juniperward.forwarder.answers import read_retry_after
+from juniperward.forwarder.connection_pool import EndpointConnection
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
 from juniperward.forwarder.events import AttemptAnswered, HealthCheckAnswered
 from juniperward.forwarder.model import BatchItem, Message
-from juniperward.forwarder.workers import Kept
 from juniperward.net.http import Stream
 from juniperward.scheduler.events import Outcome
-from tests.rigs import WorkerRig
+from tests.rigs import EndpointClientRig
 
 WORKER = 3
 DESTINATION = 7
@@ -31,7 +31,7 @@
     return StartAttempt(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
 
 
-class EndpointRig(WorkerRig):
+class EndpointRig(EndpointClientRig):
     """The shared rig, and what every test here does with it."""
 
     def accept(self) -> socket.socket:
@@ -56,13 +56,13 @@
         cases = (("0.30000000000000004", 0.3), ("1.1102230246251565", 1.11), (".5", 0.5), ("2.", 2.0))
         for text, seconds in cases:
             with self.subTest(text):
-                self.assertAlmostEqual(read_wait({"retry-after": text}), seconds, 2)
-        self.workers.start_attempt(delegate(1, self.port))
+                self.assertAlmostEqual(read_retry_after({"retry-after": text}), seconds, 2)
+        self.client.start(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 30.000000000000004\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(self.outcomes(), {Outcome.OVERLOADED})
-        self.workers.start_attempt(delegate(2, self.port))
+        self.client.start(delegate(2, self.port))
         self.assertEqual(self.outcomes(), {Outcome.NOT_SENT})
 
 
@@ -78,14 +78,14 @@
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
-            with self.subTest(text), mock.patch.object(workers_module, "ANSWER_TRANSFER_S", 60.0):
+            with self.subTest(text), mock.patch.object(connection_pool, "ANSWER_TRANSFER_S", 60.0):
                 ours, theirs = socket.socketpair()
                 self.addCleanup(theirs.close)
-                kept = Kept(ours, ("127.0.0.1", self.port))
-                kept.used -= 1.0
+                kept = EndpointConnection(ours, ("127.0.0.1", self.port))
+                kept.used_at -= 1.0
                 kept.stream = Stream(lambda _, kept=kept: kept._receive(1))  # type: ignore[misc]
-                self.workers.idle[WORKER] = [kept]
-                self.workers.start_attempt(self.probe(number, 0.3))
+                self.client.pool.idle[WORKER] = [kept]
+                self.client.start(self.probe(number, 0.3))
                 theirs.recv(1000)
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
@@ -94,14 +94,14 @@
 
     def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
         # Guards calls: the probe's deadline must not go on to the next call on its connection.
-        self.workers.start_attempt(self.probe(1, 0.2))
+        self.client.start(self.probe(1, 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
         assert isinstance(event, HealthCheckAnswered)
         self.assertIs(event.outcome, Outcome.OK)
-        self.workers.start_attempt(delegate(2, self.port))
+        self.client.start(delegate(2, self.port))
         self.assertIn(b"m0", sock.recv(1000))
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=0.4)  # past the probe's deadline
@@ -115,16 +115,16 @@
     def test_a_connection_dialled_with_little_time_left_keeps_no_limit_of_that(self) -> None:
         # Guards large calls: the time that its first message had left for the dial went on to bound each later
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
-        self.workers.dial_timeout = 5.0
+        self.client.calls.dial_timeout_s = 5.0
         self.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.workers.start_attempt(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
+        self.client.start(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         self.assertEqual(self.outcomes(), {Outcome.OK})
-        ((kept,),) = self.workers.idle.values()
+        ((kept,),) = self.client.pool.idle.values()
         kept.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.workers.start_attempt(delegate(2, self.port, 4, b"x" * 65_536))
+        self.client.start(delegate(2, self.port, 4, b"x" * 65_536))
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=1.5)  # it is not read, and not over either
         stream, length = Stream(sock.recv), 0
@@ -147,29 +147,29 @@
             self.addCleanup(sock.close)
             sock.setblocking(False)
             sock.connect_ex(silent.getsockname())
-        self.workers.dial_timeout = 0.01
+        self.client.calls.dial_timeout_s = 0.01
         port = silent.getsockname()[1]
-        self.workers.start_attempt(delegate(0, port))
+        self.client.start(delegate(0, port))
         self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
         before = len(os.listdir("/proc/self/fd"))
         for number in range(1, 301):
-            self.workers.start_attempt(delegate(number, port))
+            self.client.start(delegate(number, port))
             if number % 4 == 0:
                 # Those that come up late come up in vain, and one is given up while it is dialled.
-                self.workers.cancel_attempt(number)
+                self.client.cancel(number)
             else:
                 self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
-        self.workers.start_attempt(delegate(301, self.port))
+        self.client.start(delegate(301, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         self.assertEqual(self.outcomes(), {Outcome.OK})
         until = time.monotonic() + 5.0
-        while self.workers.free != self.workers.threads and time.monotonic() < until:
+        while self.client.free_threads != self.client.threads and time.monotonic() < until:
             time.sleep(0)
-        self.assertEqual(self.workers.free, self.workers.threads)
-        self.assertLessEqual(self.workers.threads, 4)
-        self.assertEqual((self.workers.active, self.workers.submitted.qsize()), ({}, 0))
+        self.assertEqual(self.client.free_threads, self.client.threads)
+        self.assertLessEqual(self.client.threads, 4)
+        self.assertEqual((self.client.active, self.client.submitted.qsize()), ({}, 0))
         # The one connection that is kept, its other end and nothing else.
         self.assertLessEqual(len(os.listdir("/proc/self/fd")), before + 2)
 
@@ -200,7 +200,7 @@
         ]  # fmt: skip
         for number, (name, count, first, rest, outcome) in enumerate(cases):
             with self.subTest(name):
-                self.workers.start_attempt(delegate(number, self.port, count))
+                self.client.start(delegate(number, self.port, count))
                 sock = self.accept()
                 sock.recv(65536)
                 sock.sendall(first)
@@ -209,7 +209,7 @@
                 self.assertEqual(self.outcomes(), {outcome})
                 writer.join(5.0)
                 self.assertFalse(writer.is_alive(), "its connection goes on")
-                self.assertEqual(self.workers.idle.get(WORKER, []), [])
+                self.assertEqual(self.client.pool.idle.get(WORKER, []), [])
 
 
 class NoDelayTest(EndpointRig):
@@ -217,12 +217,12 @@
 
     def test_nothing_is_held_back_on_a_connection_to_an_endpoint(self) -> None:
         # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
-        self.workers.start_attempt(delegate(1, self.port))
+        self.client.start(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         self.assertEqual(self.outcomes(), {Outcome.OK})
-        ((kept,),) = self.workers.idle.values()
+        ((kept,),) = self.client.pool.idle.values()
         self.assertTrue(kept.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -30,7 +30,7 @@
         self.parts = mock.Mock()
         queue = EventQueue()
         executor = EffectExecutor(
-            self.journal, self.parts.server, self.parts.workers, self.parts.registry, queue
+            self.journal, self.parts.server, self.parts.endpoint_client, self.parts.registry, queue
         )
         self.loop = Loop(Reducer(settings(KEYED), 1), executor, queue)
         worker = Endpoint("s-1", "127.0.0.1", 81, 1, EndpointPhase.READY, 0, 0, 0.0)
@@ -51,9 +51,9 @@
             written.append(self.path.read_bytes())
             return True
 
-        self.parts.server.answer.side_effect = self.parts.workers.start_attempt.side_effect = note
+        self.parts.server.answer.side_effect = self.parts.endpoint_client.start.side_effect = note
         self.hand_in()
-        self.assertEqual(self.asked(), ["server.answer", "workers.start_attempt"])
+        self.assertEqual(self.asked(), ["server.answer", "endpoint_client.start"])
         self.assertEqual([text.count(b"taken") for text in written], [1, 1])
         self.assertEqual([text.count(b"began") for text in written], [0, 0])  # only with its first byte
         self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
@@ -75,7 +75,7 @@
         self.loop.queue.post(ShutdownRequested(0.0, 0.0))
         self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
-        self.assertEqual(self.asked(), ["workers.end", "server.answer"])
+        self.assertEqual(self.asked(), ["endpoint_client.end", "server.answer"])
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
         self.assertEqual(len(self.journal.live), 0)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,20 +13,22 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.forwarder import connection_pool
 from juniperward.forwarder import server as server_module
-from juniperward.forwarder import workers as workers_module
-from juniperward.forwarder.answers import read_ends, read_wait
+from juniperward.forwarder.answers import read_outcomes, read_retry_after
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
+from juniperward.forwarder.connection_pool import EndpointConnection
 from juniperward.forwarder.effects import StartAttempt
+from juniperward.forwarder.endpoint_call import ActiveCall
+from juniperward.forwarder.endpoint_client import build_endpoint_client
 from juniperward.forwarder.events import AttemptAnswered, Event, MessageReceived
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Client, Server
-from juniperward.forwarder.workers import ActiveAttempt, Kept, Workers
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
 from juniperward.scheduler.events import Outcome
-from tests.rigs import WorkerRig
+from tests.rigs import LIMITS, EndpointClientRig
 
 NAMES = Names(("c",), (12.0,), (), (), ())
 
@@ -73,18 +75,20 @@
         ]
         for what, status, headers, body, ends in cases:
             with self.subTest((status, body)):
-                self.assertEqual(read_ends(what, Response(status, headers, body, False)), tuple(ends))
+                self.assertEqual(read_outcomes(what, Response(status, headers, body, False)), tuple(ends))
 
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
         full, ends = ItemOutcome(0, Outcome.OVERLOADED), Response(503, {}, b"", True)
-        self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=True), (end,))
-        self.assertEqual(read_ends(start_attempt(1, 1), ends, fresh=False), (full,))
-        self.assertEqual(read_ends(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,))
+        self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=True), (end,))
+        self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=False), (full,))
+        self.assertEqual(
+            read_outcomes(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,)
+        )
         told = Response(503, {"retry-after": "0.5"}, b"", True)
         self.assertEqual(
-            read_ends(start_attempt(1, 1), told, fresh=True), (ItemOutcome(0, Outcome.OVERLOADED, 0.5),)
+            read_outcomes(start_attempt(1, 1), told, fresh=True), (ItemOutcome(0, Outcome.OVERLOADED, 0.5),)
         )
 
 
@@ -115,8 +119,8 @@
             huge = '{"x0":' + "9" * 400 + "}"
             for text in ("[" * 16000, '{"x0":' * 2600, '{"x0":NaN}', huge, '{"x1":-1}', "7"):
                 answer = Response(200, {"x-backend-load": text}, b"", False)
-                ends.append(read_ends(start_attempt(1, 1), answer))
-            ends.append(read_ends(start_attempt(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
+                ends.append(read_outcomes(start_attempt(1, 1), answer))
+            ends.append(read_outcomes(start_attempt(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
 
         ends: list[tuple[ItemOutcome, ...]] = []
         threading.stack_size(128 * 1024)
@@ -129,8 +133,8 @@
 
     def test_a_wait_that_is_no_number_is_none(self) -> None:
         for text in ("inf", "1e300", "1_0", "-1", "9" * 9, ""):
-            self.assertEqual(read_wait({"retry-after": text}), 0.0)
-        self.assertEqual(read_wait({"retry-after": "0.250"}), 0.25)
+            self.assertEqual(read_retry_after({"retry-after": text}), 0.0)
+        self.assertEqual(read_retry_after({"retry-after": "0.250"}), 0.25)
 
 
 class CodecTest(unittest.TestCase):
@@ -293,7 +297,7 @@
         self.assertLessEqual(server_module.FIRST, 2.5)
 
 
-class WorkersTest(WorkerRig):
+class WorkersTest(EndpointClientRig):
     __test__ = True
 
     def outcome(self) -> Outcome:
@@ -307,31 +311,31 @@
         def ask(number: int, worker: int, name: str) -> StartAttempt:
             return replace(start_attempt(number, self.port), endpoint=worker, endpoint_id=name, route=name)
 
-        self.workers.start_attempt(ask(1, 3, "s-3"))
+        self.client.start(ask(1, 3, "s-3"))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OVERLOADED)
-        self.workers.start_attempt(ask(2, 4, "s-4"))
+        self.client.start(ask(2, 4, "s-4"))
         other, _ = self.door.accept()
         other.settimeout(5.0)
         self.addCleanup(other.close)
         self.assertIn(b"m0", other.recv(1000))
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OK)
-        self.workers.start_attempt(ask(3, 3, "s-3"))
+        self.client.start(ask(3, 3, "s-3"))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
 
     def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
-        self.workers.set_draining(3, True)
-        self.workers.start_attempt(start_attempt(1, self.port))
+        self.client.set_draining(3, True)
+        self.client.start(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
-        self.workers.set_draining(3, False)
-        self.workers.hold_until(7, 1e12)
-        self.workers.start_attempt(start_attempt(2, self.port))
+        self.client.set_draining(3, False)
+        self.client.hold(7, 1e12)
+        self.client.start(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
         for _ in range(2):
             sock, _ = self.door.accept()
@@ -348,7 +352,7 @@
     def test_a_first_line_with_200_delivers(self) -> None:
         # Guards against a second delivery: the worker counts the message as done from that line on.
         for text, outcome in ((b"HTTP/1.1 200 OK\r\n", Outcome.OK), (b"HTTP/1.1 2", Outcome.RESET)):
-            self.workers.start_attempt(start_attempt(1, self.port))
+            self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.sendall(text)
@@ -357,20 +361,20 @@
 
     def test_a_told_wait_binds_before_the_loop_has_its_answer(self) -> None:
         # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
-        self.workers.start_attempt(start_attempt(1, self.port))
+        self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OVERLOADED)  # nothing of this reaches a reducer, nor a Hold
-        self.workers.start_attempt(start_attempt(2, self.port))
+        self.client.start(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
 
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
         what = start_attempt(1, self.port, 2)
         late = replace(what, items=(replace(what.items[0], start_before=time.monotonic()), what.items[1]))
-        self.workers.start_attempt(late)
+        self.client.start(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertEqual(read_call(Stream(sock.recv)).headers["x-correlation-id"], "m1")
@@ -389,15 +393,15 @@
                 dial(*args)
 
             with self.subTest(struck), mock.patch("juniperward.net.sockets.connect", late):
-                self.workers.start_attempt(start_attempt(1, self.port, 3))
-                self.assertEqual({self.workers.withdraw(1, n) for n in struck}, {AttemptProgress.WAITING})
+                self.client.start(start_attempt(1, self.port, 3))
+                self.assertEqual({self.client.withdraw(1, n) for n in struck}, {AttemptProgress.WAITING})
                 up.set()
                 sock, _ = self.door.accept()
                 self.addCleanup(sock.close)
                 sock.settimeout(5.0)
                 if len(struck) == 3:
                     self.assertIs(self.outcome(), Outcome.NOT_SENT)
-                    self.workers.close_idle(3)
+                    self.client.close_idle(3)
                     self.assertEqual(sock.recv(1000), b"")
                     continue
                 call = read_call(Stream(sock.recv))
@@ -406,13 +410,13 @@
                 else:
                     written = [call.headers["x-correlation-id"]]
                 self.assertEqual(written, [f"m{n}" for n in range(3) if n not in struck])
-                self.assertIsNot(self.workers.withdraw(1, 1), AttemptProgress.WAITING)
+                self.assertIsNot(self.client.withdraw(1, 1), AttemptProgress.WAITING)
                 sock.close()
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, AttemptAnswered)
                 left = {e.message for e in event.outcomes if e.outcome is Outcome.NOT_SENT}
                 self.assertEqual(left, set(struck))  # the reducer has settled them
-                self.assertIs(self.workers.withdraw(1, 1), AttemptProgress.FINISHED)
+                self.assertIs(self.client.withdraw(1, 1), AttemptProgress.FINISHED)
 
     def test_a_call_that_is_called_off_says_how_far_it_had_come(self) -> None:
         # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
@@ -424,16 +428,16 @@
             dial(*args)
 
         with mock.patch("juniperward.net.sockets.connect", late):
-            self.workers.start_attempt(start_attempt(1, self.port))
+            self.client.start(start_attempt(1, self.port))
             self.assertTrue(begun.wait(5.0))
-            self.assertIs(self.workers.cancel_attempt(1), AttemptProgress.WAITING)
+            self.assertIs(self.client.cancel(1), AttemptProgress.WAITING)
             up.set()
             sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
-        while not self.workers.idle:  # it came up after all
+        while not self.client.pool.idle:  # it came up after all
             time.sleep(0)
-        self.workers.start_attempt(start_attempt(2, self.port))
+        self.client.start(start_attempt(2, self.port))
         self.assertEqual(
             sock.recv(1000), b""
         )  # nothing was written on it, and it was not fit for the next one
@@ -441,11 +445,11 @@
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
         self.assertIn(b"m0", sock.recv(1000))
-        while self.workers.active[2].progress is not AttemptProgress.WRITTEN:
+        while self.client.active[2].progress is not AttemptProgress.WRITTEN:
             time.sleep(0)
-        self.assertIs(self.workers.cancel_attempt(2), AttemptProgress.WRITTEN)
+        self.assertIs(self.client.cancel(2), AttemptProgress.WRITTEN)
         self.assertEqual(sock.recv(1), b"")
-        self.workers.start_attempt(start_attempt(3, self.port))
+        self.client.start(start_attempt(3, self.port))
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
@@ -455,7 +459,7 @@
         self.assertEqual(
             event, AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))
         )  # and nothing of the two before it
-        self.assertIs(self.workers.cancel_attempt(3), AttemptProgress.FINISHED)
+        self.assertIs(self.client.cancel(3), AttemptProgress.FINISHED)
 
     def test_an_answer_cut_at_any_byte_leaves_no_message_without_its_end(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
@@ -467,7 +471,9 @@
                 ours, theirs = socket.socketpair()
                 theirs.sendall(text[:cut])
                 theirs.shutdown(socket.SHUT_WR)
-                ends = self.workers._exchange(ActiveAttempt(what), what, Kept(ours, ("w", 1)), True)
+                ends = self.client.calls._exchange(
+                    ActiveCall(what), what, EndpointConnection(ours, ("w", 1)), True
+                )
                 theirs.close()
                 self.assertEqual([e.message for e in ends], list(range(count)))
                 # Of one message a first line with 200 is its delivery; of several, what is not whole may have run.
@@ -477,30 +483,31 @@
     def test_an_answer_is_waited_for_as_long_as_the_longest_class_may_wait(self) -> None:
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
         for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
-            self.workers = Workers(1.0, 10.0, 4, 4, self.events.put, longest=deadline)
-            self.workers.start_attempt(start_attempt(1, self.port))
+            limits = replace(LIMITS, longest_read_s=deadline)
+            self.client = build_endpoint_client(limits, self.events.put)
+            self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
             sock.recv(1000)
-            ours = self.workers.active[1].sock
+            ours = self.client.active[1].sock
             assert ours is not None
             limit = struct.unpack("@ll", ours.getsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, 16))
             self.assertEqual(limit[0], most)
 
     def test_a_refused_dial_never_ran(self) -> None:
         self.door.close()
-        self.workers.start_attempt(start_attempt(1, self.port))
+        self.client.start(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.CONNECT_FAILED)
 
     def test_an_abandoned_call_reports_nothing_and_ends_its_connection(self) -> None:
-        self.workers.start_attempt(start_attempt(1, self.port))
+        self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.assertTrue(sock.recv(1000).startswith(b"POST /receive"))
-        self.workers.cancel_attempt(1)
+        self.client.cancel(1)
         self.assertEqual(sock.recv(1000), b"")
         sock.close()
-        self.workers.start_attempt(start_attempt(2, self.port))
+        self.client.start(start_attempt(2, self.port))
         sock, _ = self.door.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -515,19 +522,19 @@
             ours, theirs = socket.socketpair()
             self.addCleanup(theirs.close)
             self.addCleanup(ours.close)
-            k = kept[name] = Kept(ours, ("w", 1))
-            k.used -= ago
-        self.workers.idle[3] = list(kept.values())
+            k = kept[name] = EndpointConnection(ours, ("w", 1))
+            k.used_at -= ago
+        self.client.pool.idle[3] = list(kept.values())
         slept: list[float] = []
-        with mock.patch("juniperward.forwarder.workers.time.sleep", slept.append):
-            taken = [self.workers._take_idle(3, ("w", 1)) for _ in range(3)]
+        with mock.patch("juniperward.forwarder.connection_pool.time.sleep", slept.append):
+            taken = [self.client.pool.take(3, ("w", 1)) for _ in range(3)]
         self.assertEqual(taken, [kept["rested"], kept["eldest"], kept["resting"]])
         self.assertEqual(len(slept), 1)  # only where nothing else was left
 
     def test_an_idle_connection_that_its_worker_ended_is_not_used(self) -> None:
         # Guards against a reset that costs an attempt: the close is seen before the call is written.
         for number in (1, 2):
-            self.workers.start_attempt(start_attempt(number, self.port))
+            self.client.start(start_attempt(number, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -535,28 +542,28 @@
             sock.close()
 
     def test_idle_connections_are_dropped_before_their_worker_does(self) -> None:
-        self.workers.start_attempt(start_attempt(1, self.port))
+        self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
         self.addCleanup(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OK)
-        (kept,) = self.workers.idle[3]
-        self.workers.sweep(kept.used + 8.9)
-        self.assertIn(3, self.workers.idle)
-        self.workers.sweep(kept.used + 9.1)
+        (kept,) = self.client.pool.idle[3]
+        self.client.sweep(kept.used_at + 8.9)
+        self.assertIn(3, self.client.pool.idle)
+        self.client.sweep(kept.used_at + 9.1)
         self.assertEqual(sock.recv(1), b"")
 
     def test_an_answer_that_does_not_end_does_not_hold_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
-        with mock.patch.object(workers_module, "ANSWER_TRANSFER_S", 0.05):
+        with mock.patch.object(connection_pool, "ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
                 (b"HTTP/1.1 500 Internal", Outcome.RESET),
                 (b"HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\n", Outcome.RESET),
                 (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Outcome.OK),
             ):
-                self.workers.start_attempt(start_attempt(1, self.port))
+                self.client.start(start_attempt(1, self.port))
                 sock, _ = self.door.accept()
                 self.addCleanup(sock.close)
                 sock.settimeout(5.0)
@@ -569,7 +576,7 @@
         # Guards against a delivery that was none: a copy of one answer, taken for the next.
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         for late in (False, True):
-            self.workers.start_attempt(start_attempt(1, self.port))
+            self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
             sock.recv(1000)
@@ -577,7 +584,7 @@
             self.assertIs(self.outcome(), Outcome.OK)
             if late:
                 sock.sendall(good)
-            self.workers.start_attempt(start_attempt(2, self.port))
+            self.client.start(start_attempt(2, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.close()
@@ -585,8 +592,10 @@
 
     def test_nothing_is_kept_of_a_worker_that_is_gone(self) -> None:
         # Guards memory over months, and who comes at its address: it must not inherit a bar.
-        self.workers.set_draining(3, True)
-        self.workers.hold_until(7, time.monotonic() + 1.0)
-        self.workers.forget(3)
-        self.workers.sweep(time.monotonic() + 2.0)
-        self.assertEqual((self.workers.draining, self.workers.held_until, self.workers.idle), (set(), {}, {}))
+        self.client.set_draining(3, True)
+        self.client.hold(7, time.monotonic() + 1.0)
+        self.client.forget(3)
+        self.client.sweep(time.monotonic() + 2.0)
+        self.assertEqual(
+            (self.client.gate.draining, self.client.gate.held_until, self.client.pool.idle), (set(), {}, {})
+        )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,6 +16,7 @@
 from juniperward.forwarder.config import load
 from juniperward.forwarder.counters import counters
 from juniperward.forwarder.effects import Effect, ReplyToClient, SendNotifications, SetTimer, StartAttempt
+from juniperward.forwarder.endpoint_client import build_endpoint_client
 from juniperward.forwarder.events import (
     AttemptAnswered,
     EndpointsUpdated,
@@ -33,18 +34,17 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.reducer.intake import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S
-from juniperward.forwarder.workers import Workers
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import MessageClass
 from tests.helpers import SAFE, settings
 from tests.player import Program
-from tests.rigs import WorkerRig
+from tests.rigs import LIMITS, EndpointClientRig
 from tests.test_reducer import ReducerRig, call, worker
 
 
-class FirstByteTest(WorkerRig):
+class FirstByteTest(EndpointClientRig):
     __test__ = True
 
     def setUp(self) -> None:
@@ -55,7 +55,7 @@
         self.journal = self.open()
         for n in range(2):
             self.journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
-        self.workers = Workers(1.0, 10.0, 4, 4, self.events.put, self.journal.append)
+        self.client = build_endpoint_client(LIMITS, self.events.put, self.journal.append)
 
     def open(self) -> Journal:
         journal = Journal(self.folder, 100_000, 0.0)
@@ -83,9 +83,9 @@
             dial(*args)
 
         with mock.patch("juniperward.net.sockets.connect", late):
-            self.workers.start_attempt(self.start_attempt())
+            self.client.start(self.start_attempt())
             self.assertEqual(self.tried(), [])
-            self.workers.withdraw(1, 1)
+            self.client.withdraw(1, 1)
             up.set()
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
@@ -94,31 +94,31 @@
 
     def test_a_call_that_is_not_begun_leaves_an_earlier_try_as_it_was(self) -> None:
         # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
-        self.workers.start_attempt(self.start_attempt(1))
+        self.client.start(self.start_attempt(1))
         sock, _ = self.door.accept()
         sock.recv(1)
         self.door.close()
         sock.close()
         self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.RESET)])
-        self.workers.start_attempt(self.start_attempt(1))
+        self.client.start(self.start_attempt(1))
         self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)])
         self.assertEqual(self.tried(), ["m0"])
 
     def test_nothing_is_begun_once_the_process_ends(self) -> None:
         # Guards the last moment: the next life may have read the journal already.
-        self.workers.end()
-        self.workers.start_attempt(self.start_attempt())
+        self.client.end()
+        self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         self.assertEqual({e.outcome for e in self.answered()}, {Outcome.NOT_SENT})
-        self.workers.close_idle(3)
+        self.client.close_idle(3)
         self.assertEqual((sock.recv(1), self.tried()), (b"", []))
 
     def test_what_the_journal_has_no_room_for_is_not_written(self) -> None:
         # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
         failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
-        self.workers.note = failing
-        self.workers.start_attempt(self.start_attempt())
+        self.client.calls.append = failing
+        self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
@@ -129,9 +129,9 @@
             {e.message: e.outcome for e in self.answered()}, {0: Outcome.OK, 1: Outcome.NOT_SENT}
         )
         failing.side_effect = OSError(28, "No space left on device")
-        self.workers.start_attempt(self.start_attempt())
+        self.client.start(self.start_attempt())
         self.assertEqual({(e.outcome, e.written) for e in self.answered()}, {(Outcome.NOT_SENT, False)})
-        self.workers.close_idle(3)
+        self.client.close_idle(3)
         self.assertEqual(sock.recv(1), b"")
 
     def answered(self) -> list[ItemOutcome]:
@@ -175,7 +175,11 @@
             with mock.patch(
                 "juniperward.forwarder.journal._write", side_effect=OSError(28, "No space left on device")
             ):
-                self.assertRaises(OSError, loop.executor.workers.note, AttemptStartedRecord("m0", 1.0, "s-7"))
+                self.assertRaises(
+                    OSError,
+                    loop.executor.endpoint_client.calls.append,
+                    AttemptStartedRecord("m0", 1.0, "s-7"),
+                )
 
 
 class UntriedTest(ReducerRig):
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from juniperward.forwarder import registry as registry_module
-from juniperward.forwarder.answers import Report, read_report
+from juniperward.forwarder.answers import LoadReport, read_report
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.effects import HoldRoute, SetTimer, StartHealthCheck, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
@@ -23,7 +23,7 @@
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
 from tests.helpers import ONCE, settings
-from tests.rigs import WorkerRig
+from tests.rigs import EndpointClientRig
 from tests.test_reducer import worker
 
 
@@ -250,7 +250,7 @@
         self.assertEqual([e.outcome for e in round_.scheduler_events], [Outcome.NOT_SENT])  # type: ignore[union-attr]
 
 
-class ProbeOnSocketsTest(WorkerRig):
+class ProbeOnSocketsTest(EndpointClientRig):
     __test__ = True
 
     def answer(self, reply: bytes) -> threading.Thread:
@@ -287,20 +287,20 @@
         for reply, outcome in cases:
             with self.subTest(outcome=outcome.name):
                 self.answer(reply)
-                self.workers.start_attempt(start_probe(self.port))
+                self.client.start(start_probe(self.port))
                 told = self.looked()
                 self.assertEqual(self.asked, b"GET /health/live HTTP/1.1")
                 self.assertIs(told.outcome, outcome)
-                self.workers.close_idle(3)
+                self.client.close_idle(3)
                 if outcome is Outcome.OK:
                     self.assertEqual((told.capacity_left, told.reported_limit_per_s), (0.25, 12.0))
         # The wait of a probe binds the next probe as it does a call.
-        self.workers.start_attempt(start_probe(self.port))
+        self.client.start(start_probe(self.port))
         self.assertIs(self.looked().outcome, Outcome.NOT_SENT)
 
     def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
         self.answer(b"")
-        self.workers.start_attempt(start_probe(self.port, time.monotonic() + 0.2))
+        self.client.start(start_probe(self.port, time.monotonic() + 0.2))
         self.assertIs(self.looked().outcome, Outcome.TIMEOUT)
 
 
@@ -310,11 +310,11 @@
                      '{"x0":NaN,"x1":20}', '{"x0":0.5,"x1":-3}', "[1]", "{"):  # fmt: skip
             with self.subTest(text=text):
                 found = read_report({"x-backend-load": text})
-                told = [x for x in (found.room, found.limit) if x is not None]
-                self.assertLessEqual(found.room or 0.0, 1.0)
+                told = [x for x in (found.capacity_left, found.limit_per_s) if x is not None]
+                self.assertLessEqual(found.capacity_left or 0.0, 1.0)
                 self.assertGreaterEqual(min(told, default=0.0), 0.0)
-        self.assertEqual(read_report({"x-backend-load": '{"x1":20}'}), Report(limit=20.0))
-        self.assertEqual(read_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), Report())
+        self.assertEqual(read_report({"x-backend-load": '{"x1":20}'}), LoadReport(limit_per_s=20.0))
+        self.assertEqual(read_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), LoadReport())
 
 
 if __name__ == "__main__":
