--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -9,6 +9,7 @@
 from juniperward.forwarder.counters import log
 from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
+from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor, ProcessInfo
 from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
 from juniperward.forwarder.event_queue import EventQueue
@@ -16,7 +17,6 @@
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.reducer import Reducer
-from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.server import Server
 from juniperward.kept.spool import Spool
 
@@ -57,5 +57,5 @@
         longest_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
     endpoint_client = build_endpoint_client(limits, queue.post, journal.append)
-    registry = Registry(config.registry, config.names, queue.post)
-    return EffectExecutor(journal, server, endpoint_client, registry, queue)
+    discovery = DiscoveryClient(config.registry, config.names, queue.post)
+    return EffectExecutor(journal, server, endpoint_client, discovery, queue)
--- /dev/null
+++ b/juniperward/forwarder/discovery_client.py
@@ -0,0 +1,39 @@
+"""Discovery as the loop sees it: a watch on the list, and notifications to the platform at the same address."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from juniperward.forwarder.config import Names
+from juniperward.forwarder.discovery_address import DiscoveryAddress
+from juniperward.forwarder.discovery_watch import DiscoveryWatch
+from juniperward.forwarder.events import Event
+from juniperward.forwarder.model import OutcomeNotification
+from juniperward.forwarder.notification_sender import NotificationSender
+
+
+class DiscoveryClient:
+    """Owns the watch and the sender of notifications, a thread each."""
+
+    def __init__(self, address: tuple[str, int], names: Names, post: Callable[[Event], None]) -> None:
+        """Begin at an address; nothing is opened before `start`."""
+        self.address = DiscoveryAddress(address)
+        self.watcher = DiscoveryWatch(self.address, names, post)
+        self.notifications = NotificationSender(self.address, post)
+
+    def start(self) -> None:
+        """Begin to work off what is asked for."""
+        self.watcher.start_thread()
+        self.notifications.start_thread()
+
+    def watch(self, version: int, epoch: int) -> None:
+        """Watch for what changed after a version; `WatchLost` reports the end."""
+        self.watcher.begin(version, epoch)
+
+    def change_address(self, address: tuple[str, int], epoch: int) -> None:
+        """End what is open to the old address; notifications that are not acknowledged go again to the new one."""
+        self.address.change(address, epoch)
+
+    def notify(self, notifications: tuple[OutcomeNotification, ...]) -> None:
+        """Send notifications until they are acknowledged."""
+        self.notifications.send(notifications)
--- /dev/null
+++ b/juniperward/forwarder/discovery_watch.py
@@ -0,0 +1,108 @@
+"""The watch on discovery's list of endpoints: one at a time, on a thread of its own."""
+
+from __future__ import annotations
+
+import math
+import queue
+import threading
+import time
+from collections.abc import Callable, Iterator
+
+from juniperward.forwarder.config import Names, read_news
+from juniperward.forwarder.counters import count, log, trouble
+from juniperward.forwarder.discovery_address import AddressChangedError, DiscoveryAddress
+from juniperward.forwarder.discovery_stream import JsonObjects
+from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
+from juniperward.net import sockets
+from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head
+
+# After which a watch is dead on which nothing has come, or nothing whole: a line comes every 2 s. A call has as long
+# for its dial and the head of its answer together: docs/design/discovery-deadline.md adds up the worst cases.
+SILENCE_TIMEOUT_S = 3.0
+DIAL_TIMEOUT_S = 1.0
+HTTP_OK = 200
+
+
+class WatchError(Exception):
+    """The watch cannot be begun, or came to its end."""
+
+
+class WatchRejectedError(WatchError):
+    """Discovery answered with something else than a stream."""
+
+    def __init__(self, status: int) -> None:
+        """Name the status."""
+        super().__init__(f"it was answered {status}")
+
+
+class WatchEndedError(WatchError):
+    """Discovery ended the stream."""
+
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("it came to its end")
+
+
+class DiscoveryWatch:
+    """Posts updates of the list, and `WatchLost` at each end of a watch."""
+
+    def __init__(self, address: DiscoveryAddress, names: Names, post: Callable[[Event], None]) -> None:
+        """Watch an address once asked to; `names` are those of the settings."""
+        self._address, self._names, self._post = address, names, post
+        self._wanted: queue.SimpleQueue[tuple[int, int]] = queue.SimpleQueue()
+        self._answered_at = math.inf
+
+    def start_thread(self) -> None:
+        """Begin to work off what is asked for."""
+        threading.Thread(target=self._work, name="registry", daemon=True).start()
+
+    def begin(self, version: int, epoch: int) -> None:
+        """Watch for what changed after a version."""
+        self._wanted.put((version, epoch))
+
+    def _work(self) -> None:
+        while True:
+            version, epoch = self._wanted.get()
+            self._answered_at = math.inf
+            try:
+                self.run(version, epoch)
+            except (OSError, Broken, Malformed, WatchError, AddressChangedError) as error:
+                log("registry", f"the watch ended: {error}")
+            except (ValueError, KeyError, TypeError, AttributeError) as error:
+                count("registry_unread")
+                log("registry", f"news that cannot be read: {type(error).__name__}: {error}")
+            except Exception as error:
+                trouble("registry", error)
+            established = time.monotonic() - self._answered_at >= SILENCE_TIMEOUT_S
+            self._post(WatchLost(epoch, established))
+
+    def run(self, version: int, epoch: int) -> None:
+        """Watch until the stream ends; always raises."""
+        sock, address = self._address.open_socket("watch", epoch)
+        with sock:
+            timed = sockets.Timed(sock, SILENCE_TIMEOUT_S)  # from here, so that the dial's time counts too
+            sockets.connect(*address, DIAL_TIMEOUT_S, sock)
+            if epoch != self._address.epoch:
+                raise AddressChangedError
+            target = f"/registry/instances?follow=1&since={version}"
+            sock.sendall(encode_call("GET", target, f"{address[0]}:{address[1]}", {}, None))
+            for update in self._updates(timed, epoch):
+                self._post(update)
+        raise WatchEndedError
+
+    def _updates(self, timed: sockets.Timed, epoch: int) -> Iterator[EndpointsUpdated]:
+        stream = Stream(timed.receive)
+        status, headers, _ = read_head(stream)
+        if status != HTTP_OK or "chunked" not in headers.get("transfer-encoding", "").lower():
+            raise WatchRejectedError(status)
+        count("watches_begun")
+        self._answered_at = time.monotonic()
+        timed.begin()  # after `_answered_at`: a watch that falls silent right behind its head was established
+        objects = JsonObjects()
+        for chunk in chunks(stream):
+            between, found = not objects.begun, objects.feed(chunk)
+            if between or found:
+                timed.begin()
+            for value in found:
+                news = read_news(value, self._names)
+                yield EndpointsUpdated(news.version, news.full, news.workers, epoch=epoch)
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -9,6 +9,7 @@
 from juniperward.control.protocol import Answer, Fates, Status
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import (
     AcceptMessage,
     AppendRecord,
@@ -43,7 +44,6 @@
 )
 from juniperward.forwarder.journal import Journal, JournalFullError
 from juniperward.forwarder.records import JournalRecord
-from juniperward.forwarder.registry import Registry
 from juniperward.forwarder.server import Server
 
 HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
@@ -81,11 +81,11 @@
         journal: Journal,
         server: Server,
         endpoint_client: EndpointClient,
-        registry: Registry,
+        discovery: DiscoveryClient,
         timers: Timers,
     ) -> None:
         """Speak with clients, endpoints and discovery by these parts."""
-        self.journal, self.server, self.registry = journal, server, registry
+        self.journal, self.server, self.discovery = journal, server, discovery
         self.endpoint_client = endpoint_client
         self._timers = timers
         self.control = ControlOutput()
@@ -126,11 +126,11 @@
             case ForgetEndpoint(endpoint=endpoint):
                 self.endpoint_client.forget(endpoint)
             case StartWatch(version=version, epoch=epoch):
-                self.registry.watch(version, epoch)
+                self.discovery.watch(version, epoch)
             case SwitchDiscovery(address=address, epoch=epoch):
-                self.registry.move(address, epoch)
+                self.discovery.change_address(address, epoch)
             case SendNotifications(notifications=notifications):
-                self.registry.notify(notifications)
+                self.discovery.notify(notifications)
             case _:
                 self._perform_for_people(effect)
 
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -84,7 +84,7 @@
 def _restore(config: Config, loop: Loop) -> int:
     """Take in the list that the configuration names and what the journal has; returns how many messages."""
     known = config.known
-    loop.executor.registry.start()
+    loop.executor.discovery.start()
     loop.round([EndpointsUpdated(known.version, known.full, known.workers, cached=True)])
     restored = loop.executor.journal.restored()
     loop.round([JournalReplayed(restored)])
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -1,6 +1,6 @@
 """A scripted discovery service on loopback, and a forwarder's discovery client run against it.
 
-The client is the real one: `Registry` with its sockets, the `Reducer` with the module that spaces its asks, and the
+The client is the real one: `DiscoveryClient` with its sockets, the `Reducer` with the module that spaces its asks, and the
 `Loop` with its timers. Only the module's random spread is fixed at its longest, so that each wait is a worst case.
 """
 
@@ -20,6 +20,7 @@
 from unittest import mock
 
 from juniperward.forwarder.config import Names
+from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.effects import Effect
 from juniperward.forwarder.event_queue import EventQueue
@@ -28,7 +29,6 @@
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.model import Endpoint
 from juniperward.forwarder.reducer import Reducer
-from juniperward.forwarder.registry import Registry
 from juniperward.scheduler.events import EndpointPhase
 from tests.helpers import ONCE, settings
 
@@ -158,27 +158,29 @@
         return effects
 
 
-class RecordingRegistry(Registry):
+class RecordingClient(DiscoveryClient):
     """Notes when each call begins, and opens connections late where the script says so."""
 
-    def __init__(self, client: DiscoveryClient) -> None:
-        super().__init__(client.services[0].address, NAMES, client.post)
-        self.client = client
+    def __init__(self, forwarder: ScriptedForwarder) -> None:
+        super().__init__(forwarder.services[0].address, NAMES, forwarder.post)
+        self.forwarder = forwarder
         self.begun_at: list[float] = []
+        self.open_at_once = self.address.open_socket
+        self.address.open_socket = self.open_late  # type: ignore[method-assign]
 
     def watch(self, version: int, epoch: int) -> None:
         self.begun_at.append(time.monotonic())
-        self.client.call_begins(len(self.begun_at) - 1)
+        self.forwarder.call_begins(len(self.begun_at) - 1)
         super().watch(version, epoch)
 
-    def _socket(self, use: str, epoch: int | None = None) -> tuple[socket.socket, tuple[str, int]]:
-        call = self.client.call(len(self.begun_at) - 1)
+    def open_late(self, use: str, epoch: int | None = None) -> tuple[socket.socket, tuple[str, int]]:
+        call = self.forwarder.call(len(self.begun_at) - 1)
         if isinstance(call, Reply) and call.dial_delay:
             threading.Event().wait(call.dial_delay)
-        return super()._socket(use, epoch)
+        return self.open_at_once(use, epoch)
 
 
-class DiscoveryClient:
+class ScriptedForwarder:
     """A forwarder's client that makes the calls of a script, then ones that `finally_` answers.
 
     `move_at` is the number of the call in the midst of which discovery moves to a second service, which answers the
@@ -193,9 +195,9 @@
         self.reducer = RecordingReducer(1)
         parts = mock.Mock()
         queue = EventQueue()
-        self.registry = RecordingRegistry(self)
+        self.discovery = RecordingClient(self)
         executor = EffectExecutor(
-            cast(Journal, mock.Mock()), parts.server, parts.endpoint_client, self.registry, queue
+            cast(Journal, mock.Mock()), parts.server, parts.endpoint_client, self.discovery, queue
         )
         self.loop = Loop(self.reducer, executor, queue)
         self.services[0].prepare(self.call(0))
@@ -214,9 +216,9 @@
         """What the registry tells; before the loop hears of a call's end, the next one is prepared."""
         if self.over.is_set():
             return
-        if isinstance(event, WatchLost) and event.epoch == self.registry.epoch:
+        if isinstance(event, WatchLost) and event.epoch == self.discovery.address.epoch:
             service = self.services[-1 if self.moved_at is not None else 0]
-            service.prepare(self.call(len(self.registry.begun_at)))
+            service.prepare(self.call(len(self.discovery.begun_at)))
         self.loop.queue.post(event)
 
     def run(self, seconds: float = LONGEST_CASE) -> bool:
@@ -225,7 +227,7 @@
             Endpoint("s-1", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
             Endpoint("s-2", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
         )
-        self.registry.start()
+        self.discovery.start()
         self.loop.round([EndpointsUpdated(41, True, known, cached=True)])
         thread = threading.Thread(target=self.loop.run, args=(self.over.is_set,), daemon=True)
         thread.start()
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -19,10 +19,11 @@
 
 import pytest
 
-from juniperward.forwarder import registry as registry_module
+from juniperward.forwarder import discovery_watch
+from juniperward.forwarder.discovery_client import DiscoveryClient
+from juniperward.forwarder.discovery_watch import DIAL_TIMEOUT_S, SILENCE_TIMEOUT_S
 from juniperward.forwarder.effects import Effect, SetTimer, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
-from juniperward.forwarder.registry import DIAL, SILENT, Registry
 from juniperward.net import sockets
 from juniperward.scheduler.tuning import POLL_FIRST_S, POLL_MAX_S
 from tests.discovery_rig import (
@@ -30,9 +31,9 @@
     NAMES,
     SERVES,
     Call,
-    DiscoveryClient,
     RecordingReducer,
     Reply,
+    ScriptedForwarder,
     Unreachable,
     chunk,
     endpoint_list,
@@ -42,7 +43,7 @@
 DEADLINE = 6.0  # seconds after which a change counts as told
 MARGIN = 0.25  # seconds kept for the call that tells it, and for a busy machine
 SPREAD = 1.25  # the longest of the module's random spread of a wait
-# Seconds by which the kernel may end a wait of SILENT late: its timers of 512 ticks and more are kept to 64 ticks,
+# Seconds by which the kernel may end a wait of SILENCE_TIMEOUT_S late: its timers of 512 ticks and more are kept to 64 ticks,
 # which at 250 ticks a second is most.
 TIMER_LATE = 64 / 250
 
@@ -58,7 +59,7 @@
 SILENT_WATCH = Reply(HEAD)
 WHOLE_LIST = Reply(HEAD + endpoint_list(42, True, s_1="Terminating", s_2="Ready"))
 WHOLE_LIST_WITHOUT_IT = Reply(HEAD + endpoint_list(42, True, s_2="Ready"))
-LATE_DIAL = Reply(SERVES.data, dial_delay=0.9 * DIAL)
+LATE_DIAL = Reply(SERVES.data, dial_delay=0.9 * DIAL_TIMEOUT_S)
 
 OUTAGE = (REFUSED, REFUSED, REFUSED)  # after these the back-off is at its most
 
@@ -81,13 +82,13 @@
 
     def _dial(self) -> float:
         # A move that finds a connection just before it is opened has to wait for the old address's dial.
-        return (DIAL if self.moves else 0.0) + (DIAL if self.served is LATE_DIAL else 0.0)
+        return (DIAL_TIMEOUT_S if self.moves else 0.0) + (DIAL_TIMEOUT_S if self.served is LATE_DIAL else 0.0)
 
     def _until_next(self, call: Call) -> float:
         """Seconds from the begin of a failing call to the begin of the next, at most."""
-        took = DIAL if call is BLACKHOLED else 0.0
+        took = DIAL_TIMEOUT_S if call is BLACKHOLED else 0.0
         if call in (NO_ANSWER, CUT_AND_OPEN, CUT_WITHIN_A_CHUNK, SILENT_WATCH):
-            took = SILENT + TIMER_LATE
+            took = SILENCE_TIMEOUT_S + TIMER_LATE
         return took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD
 
 
@@ -125,13 +126,13 @@
 def measure(case: Case) -> float | None:
     """Seconds from "reachable" to "known here"."""
     last = len(OUTAGE)
-    client = DiscoveryClient((*OUTAGE, *case.failing), case.served, move_at=last if case.moves else None)
+    client = ScriptedForwarder((*OUTAGE, *case.failing), case.served, move_at=last if case.moves else None)
     if not client.run():
         return None
-    reachable_at = client.moved_at if case.moves else client.registry.begun_at[last]
+    reachable_at = client.moved_at if case.moves else client.discovery.begun_at[last]
     known_at = client.reducer.drain_known_at
     assert reachable_at is not None and known_at is not None
-    assert len(client.registry.begun_at) == last + len(case.failing) + 1  # each call of the script was made
+    assert len(client.discovery.begun_at) == last + len(case.failing) + 1  # each call of the script was made
     return known_at - reachable_at
 
 
@@ -187,7 +188,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_calls_follow_one_another_within_their_bound_however_each_failed(seed: int) -> None:
     # Guards the bounds that the cases above add up: the time of a call that failed counts towards its back-off.
-    durations = (0.0, 0.01, 0.5, DIAL, 1.4, 2.0, SILENT)
+    durations = (0.0, 0.01, 0.5, DIAL_TIMEOUT_S, 1.4, 2.0, SILENCE_TIMEOUT_S)
     for first, second in itertools.product(durations, repeat=2):
         asks = Asks(seed, longest_waits=False)
         for took in (0.0, 0.0, 0.0, first, second, first, second):
@@ -232,8 +233,11 @@
 
     sockets_connect = sockets.connect
     events: queue.Queue[Event] = queue.Queue()
-    with mock.patch.object(registry_module, "SILENT", 1.0), mock.patch.object(sockets, "connect", dial_late):
-        registry = Registry(door.getsockname(), NAMES, events.put)
+    with (
+        mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 1.0),
+        mock.patch.object(sockets, "connect", dial_late),
+    ):
+        registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
         registry.start()
         began = time.monotonic()
         registry.watch(41, 0)
@@ -246,8 +250,8 @@
 def test_a_watch_that_falls_silent_right_behind_a_late_head_has_lived(door: socket.socket) -> None:
     # Guards the 6 s after silence: its time counted from before the head, so that it never lived and waits doubled.
     events: queue.Queue[Event] = queue.Queue()
-    with mock.patch.object(registry_module, "SILENT", 0.5):
-        registry = Registry(door.getsockname(), NAMES, events.put)
+    with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.5):
+        registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
         registry.start()
         registry.watch(41, 0)
         sock, _ = door.accept()
@@ -265,7 +269,7 @@
     newer = Reply(HEAD + endpoint_list(50, True, s_1="Ready", s_2="Ready", s_3="Ready"), closes=True)
     older = Reply(HEAD + endpoint_list(44, True, s_1="Ready", s_2="Terminating"), closes=True)
     after = Reply(HEAD + endpoint_list(45, False, s_1="Terminating"))
-    client = DiscoveryClient((newer, older), after)
+    client = ScriptedForwarder((newer, older), after)
     assert client.run()
     asked = [client.services[0].requests.get(timeout=5.0).split("since=")[1].split()[0] for _ in range(3)]
     assert asked == ["41", "50", "44"]
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -11,9 +11,10 @@
 import unittest
 
 from juniperward.forwarder.config import Names
+from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
-from juniperward.forwarder.registry import NOTICE_WAIT, Registry
+from juniperward.forwarder.notification_sender import ANSWER_TIMEOUT_S
 from juniperward.net.http import Broken, Closed, Stream, read_call
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
@@ -68,7 +69,7 @@
         over = threading.Event()
         self.addCleanup(over.set)
         events: queue.Queue[Event] = queue.Queue()
-        registry = Registry(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
         registry.start()
         registry.notify((OutcomeNotification("m0"),))
 
@@ -86,7 +87,7 @@
         platform = Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         self.addCleanup(platform.close)
         events: queue.Queue[Event] = queue.Queue()
-        registry = Registry(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
         registry.start()
         began = time.monotonic()
         registry.notify(tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
@@ -97,5 +98,5 @@
             told |= set(event.ids)
         self.assertEqual(platform.taken, {f"m{n}" for n in range(COUNT)})
         # Two of the four cost a wait for an answer, each of them a pause of 0.4 s at most.
-        self.assertLess(time.monotonic() - began, 2 * NOTICE_WAIT + 4 * 0.4 + 1.0)
-        self.assertLessEqual(NOTICE_WAIT, 0.3)
+        self.assertLess(time.monotonic() - began, 2 * ANSWER_TIMEOUT_S + 4 * 0.4 + 1.0)
+        self.assertLessEqual(ANSWER_TIMEOUT_S, 0.3)
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 from unittest import mock
 
-from juniperward.forwarder import registry as registry_module
+from juniperward.forwarder import discovery_watch
 from juniperward.forwarder.answers import LoadReport, read_report
 from juniperward.forwarder.config import Names
+from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import HoldRoute, SetTimer, StartHealthCheck, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
 from juniperward.forwarder.reducer import Reducer
-from juniperward.forwarder.registry import Registry
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
@@ -68,8 +68,8 @@
             door = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(door.close)
             events: queue.Queue[Event] = queue.Queue()
-            with self.subTest(lived), mock.patch.object(registry_module, "SILENT", 0.1):
-                registry = Registry(door.getsockname(), Names((), (), (), (), ()), events.put)
+            with self.subTest(lived), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
+                registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
@@ -92,8 +92,8 @@
             events: queue.Queue[Event] = queue.Queue()
             over = threading.Event()
             self.addCleanup(over.set)
-            with self.subTest(begin), mock.patch.object(registry_module, "SILENT", 0.2):
-                registry = Registry(door.getsockname(), Names((), (), (), (), ()), events.put)
+            with self.subTest(begin), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.2):
+                registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
@@ -116,8 +116,8 @@
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
         pause = threading.Event()
-        with mock.patch.object(registry_module, "SILENT", 0.5):
-            registry = Registry(door.getsockname(), Names((), (), (), (), ()), events.put)
+        with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.5):
+            registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
@@ -172,7 +172,9 @@
 
         threading.Thread(target=agent, daemon=True).start()
         events: queue.Queue[Event] = queue.Queue()
-        registry = Registry(door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put)
+        registry = DiscoveryClient(
+            door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+        )
         registry.start()
         registry.watch(41, 0)
         got = [events.get(timeout=5.0) for _ in range(4)]
@@ -186,13 +188,15 @@
 
     def test_a_watch_that_falls_silent_is_broken_and_opened_anew(self) -> None:
         # Guards the 6 s after which what a silent watch misses counts as told: a drain among it.
-        self.assertLess(registry_module.SILENT, 4.0)
+        self.assertLess(discovery_watch.SILENCE_TIMEOUT_S, 4.0)
         door = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
-        registry = Registry(door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put)
+        registry = DiscoveryClient(
+            door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+        )
         reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
-        with mock.patch.object(registry_module, "SILENT", 0.1):
+        with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
