--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -16,11 +16,12 @@
 from pathlib import Path
 from unittest import mock
 
-from juniperward.forwarder import server as server_module
+from juniperward.forwarder import client_connection, client_session
+from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import decode_call
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.events import Event, MessageReceived
-from juniperward.forwarder.server import Client, Server
+from juniperward.forwarder.server import Server
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_call, read_response
 from tests.player import WAIT, Line, Program
@@ -103,7 +104,7 @@
     def take(self, event: Event) -> None:
         assert isinstance(event, MessageReceived)
         self.handed.put(event.message.id)
-        self.server.answer(event.client, 503 if self.server.stopping else 202)
+        self.server.answer(event.client, 503 if self.server.state.stopping else 202)
 
     def connect(self) -> socket.socket:
         sock = socket.create_connection(self.address, WAIT)
@@ -111,12 +112,12 @@
         self.addCleanup(sock.close)
         return sock
 
-    def client(self) -> Client:
+    def client(self) -> ClientConnection:
         """The server's side of the one connection that there is."""
         until = time.monotonic() + WAIT
-        while not self.server.clients and time.monotonic() < until:
+        while not self.server.table.clients and time.monotonic() < until:
             time.sleep(0)
-        (client,) = self.server.clients.values()
+        (client,) = self.server.table.clients.values()
         return client
 
     def nobody(self) -> bool:
@@ -124,7 +125,7 @@
         until = time.monotonic() + WAIT
         while time.monotonic() < until:
             threads = [t for t in threading.enumerate() if t.name == "client"]
-            if not threads and not self.server.clients:
+            if not threads and not self.server.table.clients:
                 return True
             for thread in threads:
                 if thread.is_alive():  # one that is being started cannot be joined yet
@@ -220,11 +221,11 @@
                 theirs.sendall(request("n2"))
                 shut(sock, how)
 
-            client = Client(99, ours)
-            client.served, client.until = served, client.since + 0.01
+            client = ClientConnection(99, ours)
+            client.served, client.read_by = served, client.since + 0.01
             with (
                 self.subTest(served=served),
-                mock.patch.object(server_module, "IDLE", 0.01),
+                mock.patch.object(client_session, "IDLE_S", 0.01),
                 mock.patch("juniperward.net.sockets.shut", crossed),
             ):
                 self.server._serve(client)
@@ -251,28 +252,28 @@
         # of its 2 s, and was answered 408, as failed.
         sock = self.connect()
         client = self.client()
-        client.until = (
+        client.read_by = (
             client.since + 60.0
         )  # the thread reads without an end; the time counts from the first byte
         sock.sendall(request("n1")[:10])
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        left = client.until - time.monotonic()
-        self.assertTrue(server_module.CALL - 1.0 < left <= server_module.CALL, left)
+        left = client.read_by - time.monotonic()
+        self.assertTrue(client_connection.REQUEST_S - 1.0 < left <= client_connection.REQUEST_S, left)
         sock.sendall(request("n1")[10:])
         self.assertEqual(read_response(Stream(sock.recv)).status, 202)
 
     def test_during_a_stop_a_first_request_is_bounded_from_connecting(self) -> None:
         # Guards the end of the process: who trickles a request in must not hold it up beyond its SIGKILL.
-        self.server.stopping = True
+        self.server.state.stopping = True
         sock = self.connect()
         client = self.client()
         sock.sendall(b"POST")
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        self.assertEqual(client.until, client.since + server_module.FIRST)
+        self.assertEqual(client.read_by, client.since + client_connection.FIRST_REQUEST_S)
 
 
 class KillTest(unittest.TestCase):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,9 +13,9 @@
 from typing import Any
 from unittest import mock
 
-from juniperward.forwarder import connection_pool
-from juniperward.forwarder import server as server_module
+from juniperward.forwarder import client_connection, connection_pool
 from juniperward.forwarder.answers import read_outcomes, read_retry_after
+from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import BadCall, decode_call
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.connection_pool import EndpointConnection
@@ -24,7 +24,7 @@
 from juniperward.forwarder.endpoint_client import build_endpoint_client
 from juniperward.forwarder.events import AttemptAnswered, Event, MessageReceived
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
-from juniperward.forwarder.server import Client, Server
+from juniperward.forwarder.server import Server
 from juniperward.net import sockets
 from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
 from juniperward.scheduler.events import Outcome
@@ -176,7 +176,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        client = server.clients[1] = Client(1, ours)
+        client = server.table.clients[1] = ClientConnection(1, ours)
         self.assertFalse(server.answer(1, 202))  # nothing is asked
         client.pending = True
         self.assertTrue(server.answer(1, 202))
@@ -208,7 +208,7 @@
 
         def close() -> None:
             server.close()
-            here.append(len(server.clients))
+            here.append(len(server.table.clients))
 
         with mock.patch.object(server, "_admit", late):
             server.start()
@@ -254,8 +254,8 @@
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        client = server.clients[1] = Client(1, ours)
-        self.assertFalse(server._write(client, b"x" * 1_000_000))
+        client = server.table.clients[1] = ClientConnection(1, ours)
+        self.assertFalse(client.write(b"x" * 1_000_000))
         client.pending = True
         self.assertFalse(server.answer(1, 202))
         theirs.settimeout(5.0)
@@ -274,13 +274,12 @@
             self.addCleanup(ours.close)
             self.addCleanup(there.close)
             theirs.append(there)
-            client = server.clients[number] = Client(number, ours)
+            client = server.table.clients[number] = ClientConnection(number, ours)
             client.served, client.since = served, now - age
-        with server.lock:
-            self.assertTrue(server._spare())  # not the one before its first call, which would fail
-            self.assertEqual([server.clients[n].leaving for n in (1, 2, 3)], [False, False, True])
-            self.assertEqual([server._spare(), server._spare()], [True, False])
-        self.assertEqual([server.clients[n].leaving for n in (1, 2, 3)], [False, True, True])
+        self.assertTrue(server.table.spare_one())  # not the one before its first call, which would fail
+        self.assertEqual([server.table.clients[n].leaving for n in (1, 2, 3)], [False, False, True])
+        self.assertEqual([server.table.spare_one(), server.table.spare_one()], [True, False])
+        self.assertEqual([server.table.clients[n].leaving for n in (1, 2, 3)], [False, True, True])
 
     def test_a_call_must_be_whole_in_its_time(self) -> None:
         # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
@@ -290,11 +289,11 @@
             ours, theirs = socket.socketpair()
             self.addCleanup(theirs.close)
             theirs.sendall(sent)
-            client = Client(1, ours)
-            client.until = client.since + 0.05
+            client = ClientConnection(1, ours)
+            client.read_by = client.since + 0.05
             server._serve(client)
             self.assertEqual(theirs.recv(13), told)
-        self.assertLessEqual(server_module.FIRST, 2.5)
+        self.assertLessEqual(client_connection.FIRST_REQUEST_S, 2.5)
 
 
 class WorkersTest(EndpointClientRig):
