--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -28,7 +28,15 @@
 from juniperward.control.protocol import ProtocolError, Verb
 from juniperward.control.server import open_socket
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, HttpCall, Malformed, Stream, encode_response, read_call
+from juniperward.net.http import (
+    ConnectionClosedError,
+    HttpRequest,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_response,
+    read_request,
+)
 
 MOST_CLIENTS = 32
 IDLE = 30.0  # seconds
@@ -138,15 +146,15 @@
             stream = Stream(sock.recv)
             while True:
                 try:
-                    asked = read_call(stream)
-                except Malformed as error:
+                    asked = read_request(stream)
+                except MalformedMessageError as error:
                     self._write(sock, error.status, {"error": str(error)}, True)
                     return
                 status, body = self._handle(asked, uid)
                 self._write(sock, status, body, asked.close)
                 if asked.close:
                     return
-        except (Closed, Broken, OSError):
+        except (ConnectionClosedError, IncompleteMessageError, OSError):
             pass
         except Exception as error:
             structlog.get_logger().error("unexpected", where="api", error=repr(error))
@@ -160,7 +168,7 @@
         headers = {"Content-Type": "application/json"}
         sock.sendall(encode_response(status, headers, msgspec.json.encode(body), close))
 
-    def _handle(self, asked: HttpCall, uid: int) -> tuple[int, dict[str, Any]]:
+    def _handle(self, asked: HttpRequest, uid: int) -> tuple[int, dict[str, Any]]:
         verb = asked.path.removeprefix("/v1/")
         if asked.method != "POST" or verb == asked.path:
             return 404, {"error": "use POST /v1/VERB"}
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -13,7 +13,13 @@
 import msgspec
 
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Malformed, Stream, encode_call, read_response
+from juniperward.net.http import (
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_response,
+)
 
 MOST_ANSWER = 64 * 1024 * 1024
 
@@ -41,7 +47,7 @@
         with contextlib.suppress(
             BrokenPipeError
         ):  # one that is turned away is answered before it has written
-            sock.sendall(encode_call("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body))
+            sock.sendall(encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body))
 
         def receive(size: int) -> bytes:
             left = until - time.monotonic()
@@ -52,11 +58,11 @@
 
         answer = read_response(Stream(receive), most=MOST_ANSWER)
         found = msgspec.json.decode(answer.body)
-    except (Broken, TimeoutError, BlockingIOError) as error:
+    except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
         raise AgentSilent(f"no whole answer within {patience:g} s") from error
     except OSError as error:
         raise AgentSilent(f"{path}: {error.strerror or error}") from error
-    except (Malformed, msgspec.DecodeError) as error:
+    except (MalformedMessageError, msgspec.DecodeError) as error:
         raise AgentSilent(f"an answer that cannot be read: {error}") from error
     finally:
         sock.close()
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -1,4 +1,4 @@
-"""What an endpoint's answer says of the messages of a call, and of a health check: text to typed values, no sockets."""
+"""What an endpoint's answer says of the messages of a call, and of a health check; text to typed values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.model import ItemOutcome
-from juniperward.net.http import DECIMAL, Response
+from juniperward.net.http import DECIMAL, HttpResponse
 from juniperward.scheduler.events import Outcome
 
 LONGEST_RETRY_AFTER_S = 3600.0  # what tells a longer wait than this tells none
@@ -101,7 +101,7 @@
     return float(given[field]) if field in given else None
 
 
-def read_health(answer: Response, fresh: bool = False) -> Outcome:
+def read_health(answer: HttpResponse, fresh: bool = False) -> Outcome:
     """Return what a health check's answer says of its endpoint ('Forwarders to endpoints': 200 or 503)."""
     match answer.status:
         case 200:
@@ -127,7 +127,7 @@
     connection_table_full: bool = False
 
 
-def read_outcomes(what: StartAttempt, answer: Response, fresh: bool = False) -> tuple[ItemOutcome, ...]:
+def read_outcomes(what: StartAttempt, answer: HttpResponse, fresh: bool = False) -> tuple[ItemOutcome, ...]:
     """Return what an answer says of each message of a call; `fresh`: it came on a new connection."""
     retry_after_s, report = read_retry_after(answer.headers), read_report(answer.headers)
     if answer.status == 200 and len(what.items) > 1:
@@ -148,7 +148,7 @@
     )
 
 
-def _meaning(what: StartAttempt, answer: Response, closed_at_once: bool) -> AnswerMeaning:
+def _meaning(what: StartAttempt, answer: HttpResponse, closed_at_once: bool) -> AnswerMeaning:
     """Read the status by the protocol's 'Forwarders to endpoints'."""
     meaning = AnswerMeaning(Outcome.ERROR)
     match answer.status:
@@ -179,7 +179,7 @@
 
 
 def _read_each(
-    what: StartAttempt, answer: Response, retry_after_s: float, report: LoadReport
+    what: StartAttempt, answer: HttpResponse, retry_after_s: float, report: LoadReport
 ) -> tuple[ItemOutcome, ...]:
     """Read the outcomes of several messages; one that is not named, or not in words we know, possibly executed."""
     states = _read_states(what, answer)
@@ -199,7 +199,7 @@
     return tuple(outcomes)
 
 
-def _read_states(what: StartAttempt, answer: Response) -> dict[str, ItemState]:
+def _read_states(what: StartAttempt, answer: HttpResponse) -> dict[str, ItemState]:
     """Read the states by id; none where the body cannot be read."""
     try:
         rows = read_json(answer.body, 1 + len(what.items))
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -7,13 +7,21 @@
 from dataclasses import dataclass
 
 from juniperward.forwarder.client_connection import IDLE_S, READ_BYTES, REQUEST_S, ClientConnection
-from juniperward.forwarder.codec import PATH, BadCall, decode_call, encode_reply
+from juniperward.forwarder.codec import MESSAGE_PATH, UnreadableMessageError, decode_message, encode_reply
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.counters import count, trouble
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.health_page import answer_page
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, HttpCall, Malformed, Overdue, Stream, read_call
+from juniperward.net.http import (
+    ConnectionClosedError,
+    HttpRequest,
+    IncompleteMessageError,
+    MalformedMessageError,
+    MessageTimeoutError,
+    Stream,
+    read_request,
+)
 
 ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
 RETRY_AFTER_S = 1.0  # after which a client that was rejected here may come again
@@ -42,9 +50,9 @@
         try:
             while self._next(client, stream):
                 pass
-        except Closed:
+        except ConnectionClosedError:
             pass
-        except (Broken, OSError):
+        except (IncompleteMessageError, OSError):
             count("clients_broken")
         except Exception as error:
             trouble("client", error)
@@ -54,19 +62,19 @@
         """Read one request and see it answered; returns whether the connection goes on."""
         self._wait_for_bytes(client, stream)
         try:
-            request = read_call(stream, lambda: client.sock.sendall(CONTINUE))
-        except Malformed as error:
+            request = read_request(stream, lambda: client.sock.sendall(CONTINUE))
+        except MalformedMessageError as error:
             count("calls_malformed")
             client.write(encode_reply(error.status, 0.0, True, str(error)))
             client.linger()
             return False
-        except Overdue:
+        except MessageTimeoutError:
             count("calls_overdue")
             client.write(encode_reply(408, 0.0, True, "the call was not whole in time"))
             client.linger()
             return False
         received_at, client.served = time.monotonic(), True
-        if request.path == PATH and request.method == "POST":
+        if request.path == MESSAGE_PATH and request.method == "POST":
             client.close = request.close
             self._take_message(client, request, received_at)
         else:
@@ -82,7 +90,7 @@
         with client.lock:
             client.idle = True
         if self._state.stopping and client.served and not stream.buffer and sockets.quiet(client.sock):
-            raise Closed
+            raise ConnectionClosedError
         if client.served:
             client.since = time.monotonic()
             client.read_by = client.since + IDLE_S
@@ -93,23 +101,23 @@
                 count("clients_idle" if client.served else "clients_silent")
                 # A request may cross this: a close over it would reset the connection.
                 client.linger()
-                raise Closed from None
+                raise ConnectionClosedError from None
             except ConnectionError as error:
-                raise Closed from error
+                raise ConnectionClosedError from error
             if not data:
-                raise Closed
+                raise ConnectionClosedError
             stream.buffer += data
         with client.lock:
             client.idle = False
         if client.served or not self._state.stopping:
             client.read_by = time.monotonic() + REQUEST_S
 
-    def _take_message(self, client: ClientConnection, request: HttpCall, received_at: float) -> None:
+    def _take_message(self, client: ClientConnection, request: HttpRequest, received_at: float) -> None:
         """Have the reducer answer a message, or answer for it where it is behind."""
         close = request.close or self._state.stopping
         try:
-            message = decode_call(request, self._names)
-        except BadCall as error:
+            message = decode_message(request, self._names)
+        except UnreadableMessageError as error:
             count("calls_unreadable")
             client.write(encode_reply(400, 0.0, close, str(error)))
             return
--- a/juniperward/forwarder/clock.py
+++ b/juniperward/forwarder/clock.py
@@ -12,7 +12,6 @@
 
 import json
 import math
-import os
 from pathlib import Path
 
 from juniperward.forwarder.counters import count, log
@@ -67,7 +66,7 @@
     fresh = folder / REFERENCE_FRESH
     try:
         fresh.write_text(json.dumps([boot_id, offset]), encoding="ascii")
-        os.replace(fresh, folder / REFERENCE_NAME)
+        fresh.replace(folder / REFERENCE_NAME)
     except OSError as error:  # the next start then knows less, which is no reason not to serve now
         count("clock_references_unwritten")
         log("start", f"{folder / REFERENCE_NAME}: cannot be written: {error}")
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -1,6 +1,6 @@
-"""The client protocol over HTTP, as a codec before the reducer: a second protocol gets one of its own.
+"""The client protocol over HTTP: a request to a `Message`, and an answer of the reducer to bytes.
 
-It turns a call into a `Call` and an answer of the reducer into bytes; it decides nothing.
+A second protocol gets a codec of its own; it decides nothing.
 """
 
 from __future__ import annotations
@@ -10,52 +10,77 @@
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.model import Message
 from juniperward.kept.spool import PREFIX
-from juniperward.net.http import DECIMAL, HttpCall, encode_response
+from juniperward.net.http import DECIMAL, HttpRequest, encode_response
 
-PATH = "/api"
-ID = re.compile(r"[!-+\--~]{1,200}")  # printable, and no comma: that is how repeated headers are joined
+MESSAGE_PATH = "/api"
+# Printable, and no comma: that is how repeated headers are joined.
+MESSAGE_ID = re.compile(r"[!-+\--~]{1,200}")
 DESTINATION = re.compile(r"(?:^|[;,\s])dest\s*=\s*([0-9]{1,15})(?=$|[;,\s])")
 
 
-class BadCall(Exception):
-    """The call is HTTP but no message of this protocol; the text tells the client why."""
+class UnreadableMessageError(Exception):
+    """The request is HTTP but no message of this protocol; the text tells the client why."""
 
+    def __init__(self, header: str, problem: str) -> None:
+        """Name the header and what is wrong with it."""
+        super().__init__(f"{header}: {problem}")
+        self.header = header
 
-def decode_call(asked: HttpCall, names: Names) -> Message:
-    """The message that a call hands in."""
-    headers = asked.headers
-    name = headers.get("x-correlation-id", "")
-    if not ID.fullmatch(name):
-        raise BadCall("X-Correlation-Id: an id of printable characters is needed")
+
+def decode_message(request: HttpRequest, names: Names) -> Message:
+    """Return the message that a request brings; raises UnreadableMessageError."""
+    headers = request.headers
+    message_id = headers.get("x-correlation-id", "")
+    if not MESSAGE_ID.fullmatch(message_id):
+        raise UnreadableMessageError("X-Correlation-Id", "an id of printable characters is needed")
+    class_index = _index(headers, "X-Service-Class", names.classes, "no such class")
+    tenant = _index(headers, "X-Account", names.tenants, "no such account") if names.tenants else 0
+    time_left_s = _time_left(headers, names.deadlines[class_index])
+    return Message(
+        message_id,
+        class_index,
+        tenant,
+        _destination(headers),
+        time_left_s,
+        headers.get("idempotency-key"),
+        request.body,
+        _executed_ago(headers, message_id),
+    )
+
+
+def _index(headers: dict[str, str], header: str, names: tuple[str, ...], problem: str) -> int:
     try:
-        cls = names.classes.index(headers.get("x-service-class", ""))
+        return names.index(headers.get(header.lower(), ""))
     except ValueError:
-        raise BadCall("X-Service-Class: no such class") from None
-    tenant = 0
-    if names.tenants:
-        try:
-            tenant = names.tenants.index(headers.get("x-account", ""))
-        except ValueError:
-            raise BadCall("X-Account: no such account") from None
+        raise UnreadableMessageError(header, problem) from None
+
+
+def _time_left(headers: dict[str, str], deadline_s: float) -> float:
     text = headers.get("x-time-left", "")
     if not DECIMAL.fullmatch(text):
-        raise BadCall("X-Time-Left: seconds are needed")
-    left = min(float(text), names.deadlines[cls])
+        raise UnreadableMessageError("X-Time-Left", "seconds are needed")
+    return min(float(text), deadline_s)
+
+
+def _destination(headers: dict[str, str]) -> int:
     found = DESTINATION.search(headers.get("x-addressing", ""))
     if found is None:
-        raise BadCall("X-Addressing: dest=NUMBER is needed")
-    key = headers.get("idempotency-key")
-    ran = headers.get("x-kept-ran")
-    if ran is not None and (not DECIMAL.fullmatch(ran) or not name.startswith(PREFIX)):
-        raise BadCall("X-Kept-Ran: seconds are needed, and the id of a resend")
-    return Message(
-        name, cls, tenant, int(found[1]), left, key, asked.body, float(ran) if ran is not None else None
-    )
+        raise UnreadableMessageError("X-Addressing", "dest=NUMBER is needed")
+    return int(found[1])
+
+
+def _executed_ago(headers: dict[str, str], message_id: str) -> float | None:
+    text = headers.get("x-kept-ran")
+    if text is None:
+        return None
+    if not DECIMAL.fullmatch(text) or not message_id.startswith(PREFIX):
+        raise UnreadableMessageError("X-Kept-Ran", "seconds are needed, and the id of a resend")
+    return float(text)
 
 
-def encode_reply(status: int, retry_after: float, close: bool, text: str = "") -> bytes:
-    """The answer to a message that was handed in."""
-    headers = {"Retry-After": f"{retry_after:.3f}"} if retry_after > 0 else {}
+def encode_reply(status: int, retry_after_s: float, close: bool, text: str = "") -> bytes:
+    """Return the answer to a request that brings a message."""
+    headers = {"Retry-After": f"{retry_after_s:.3f}"} if retry_after_s > 0 else {}
     if text:
         headers["Content-Type"] = "text/plain; charset=utf-8"
     return encode_response(status, headers, f"{text}\n".encode() if text else b"", close)
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -19,7 +19,28 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why, in one line."""
+    """The configuration cannot be used; the text says where and why, in one line."""
+
+    def __init__(self, place: str, problem: str) -> None:
+        """Name the place and what is wrong with it."""
+        super().__init__(f"{place}: {problem}")
+        self.place = place
+
+
+class BadValueError(ValueError):
+    """A value of the configuration cannot be used."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        """Name the key and what is wrong with it."""
+        super().__init__(f"{key}: {problem}")
+
+
+class BadAddressError(ValueError):
+    """A text is no address."""
+
+    def __init__(self, text: str) -> None:
+        """Show the text."""
+        super().__init__(f"not an address of the form host:port: {text!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +86,7 @@
     """Split `host:port`."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address of the form host:port: {text!r}")
+        raise BadAddressError(text)
     return host.strip("[]"), int(port)
 
 
@@ -115,19 +136,19 @@
     """Read everything; raises ConfigError with one plain line."""
     path = environment.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG is not set")
+        raise ConfigError("ROUTER_CONFIG", "it is not set")
     try:
         given = json.loads(Path(path).read_text())
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from error
+        raise ConfigError(path, error.strerror or str(error)) from error
     except ValueError as error:
-        raise ConfigError(f"{path}: not JSON: {error}") from error
+        raise ConfigError(path, f"not JSON: {error}") from error
     try:
         return _from_json(given, environment)
     except KeyError as error:
-        raise ConfigError(f"{path}: {error.args[0]!r} is missing") from error
+        raise ConfigError(path, f"{error.args[0]!r} is missing") from error
     except (ValueError, TypeError, AttributeError, ArithmeticError) as error:
-        raise ConfigError(f"{path}: {error}") from error
+        raise ConfigError(path, str(error)) from error
 
 
 def _from_json(given: Any, environment: Mapping[str, str]) -> Config:
@@ -143,7 +164,7 @@
     limits = given.get("limits") or {}
     state = Path(environment.get("ROUTER_STATE") or given["state"])
     if not state.is_dir():
-        raise ValueError(f"ROUTER_STATE: no such folder: {state}")
+        raise BadValueError("ROUTER_STATE", f"no such folder: {state}")
     return Config(
         name=environment.get("ROUTER_NAME") or given["name"],
         listen=address(environment.get("ROUTER_LISTEN") or given["listen"]),
@@ -164,10 +185,10 @@
     if value is None:
         return {}
     if not isinstance(value, dict) or not str(value.get("spool", "")).startswith("/"):
-        raise ValueError("kept: an object with the absolute path `spool` is needed")
+        raise BadValueError("kept", "an object with the absolute path `spool` is needed")
     size = value.get("max_bytes", 50_000_000)
     if not isinstance(size, int) or isinstance(size, bool) or size <= 0:
-        raise ValueError(f"kept: max_bytes: a number above 0 is needed, not {size!r}")
+        raise BadValueError("kept", f"max_bytes: a number above 0 is needed, not {size!r}")
     return {"spool": Path(value["spool"]), "spool_bytes": size}
 
 
@@ -175,5 +196,5 @@
     if value is None:
         return None
     if not isinstance(value, str) or not value.startswith("/"):
-        raise ValueError(f"control: the absolute path of a socket is needed, not {value!r}")
+        raise BadValueError("control", f"the absolute path of a socket is needed, not {value!r}")
     return Path(value)
--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -88,7 +88,7 @@
             return connections.pop(next(rested, 0))
 
     def put_back(self, endpoint: int, connection: EndpointConnection) -> None:
-        """Let a connection rest; it is closed where its endpoint drains, and the eldest of all where they are many."""
+        """Let a connection rest; it is closed where its endpoint drains, and the eldest where they are many."""
         connection.used_at = time.monotonic()
         dropped = [connection]
         with self._lock:
--- a/juniperward/forwarder/discovery_stream.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -6,15 +6,32 @@
 import re
 from typing import Any
 
-MOST = 4 * 1024 * 1024  # bytes of one object: some 10,000 servers, indented
+MOST_OBJECT_BYTES = 4 * 1024 * 1024  # some 10,000 servers, indented
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON has no line end inside a string
 DECODER = json.JSONDecoder()
 
 
+class ObjectTooLargeError(ValueError):
+    """An object is larger than any list could be."""
+
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("an object that is too large")
+
+
+class BrokenObjectError(ValueError):
+    """An object breaks off."""
+
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("an object that breaks off")
+
+
 class JsonObjects:
     """Collects objects of one line or of several; an empty line is a sign of life between two of them."""
 
     def __init__(self) -> None:
+        """Begin between two objects."""
         self.lines: list[bytes] = []  # whole lines of an object that is not whole
         self.depth = self.size = 0
         self.rest = b""  # of a line that is not whole
@@ -25,7 +42,7 @@
         return bool(self.lines or self.rest)
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that these bytes complete; raises ValueError where what came is none."""
+        """Return the objects that these bytes complete; raises ValueError where what came is none."""
         *lines, self.rest = (self.rest + data).split(b"\n")
         found = []
         for line in lines:
@@ -40,14 +57,14 @@
                 found += early
                 self._clear()
                 self.rest = b""
-        if self.size + len(self.rest) > MOST:
-            raise ValueError("an object that is too large")
+        if self.size + len(self.rest) > MOST_OBJECT_BYTES:
+            raise ObjectTooLargeError
         return found
 
     def _line(self, line: bytes) -> list[Any]:
         if not line.strip():
             if self.lines:
-                raise ValueError("an object that breaks off")
+                raise BrokenObjectError
             return []
         self.lines.append(line)
         self.size += len(line)
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -14,7 +14,14 @@
 from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Malformed, Stream, chunks, encode_call, read_head
+from juniperward.net.http import (
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_chunks,
+    read_head,
+)
 
 # After which a watch is dead on which nothing has come, or nothing whole: a line comes every 2 s. A call has as long
 # for its dial and the head of its answer together: docs/design/discovery-deadline.md adds up the worst cases.
@@ -66,7 +73,13 @@
             self._answered_at = math.inf
             try:
                 self.run(version, epoch)
-            except (OSError, Broken, Malformed, WatchError, AddressChangedError) as error:
+            except (
+                OSError,
+                IncompleteMessageError,
+                MalformedMessageError,
+                WatchError,
+                AddressChangedError,
+            ) as error:
                 log("registry", f"the watch ended: {error}")
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 count("registry_unread")
@@ -85,7 +98,7 @@
             if epoch != self._address.epoch:
                 raise AddressChangedError
             target = f"/registry/instances?follow=1&since={version}"
-            sock.sendall(encode_call("GET", target, f"{address[0]}:{address[1]}", {}, None))
+            sock.sendall(encode_request("GET", target, f"{address[0]}:{address[1]}", {}, None))
             for update in self._updates(timed, epoch):
                 self._post(update)
         raise WatchEndedError
@@ -99,7 +112,7 @@
         self._answered_at = time.monotonic()
         timed.begin()  # after `_answered_at`: a watch that falls silent right behind its head was established
         objects = JsonObjects()
-        for chunk in chunks(stream):
+        for chunk in read_chunks(stream):
             between, found = not objects.begun, objects.feed(chunk)
             if between or found:
                 timed.begin()
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, replace
 from typing import Protocol
 
@@ -65,12 +64,14 @@
     started: float = 0.0
 
 
-@dataclass(slots=True)
 class ControlOutput:
-    """The way out to the control channel, and to the end of the process that it may ask for."""
+    """The way out to the control channel; this one is for a forwarder without it."""
 
-    reply: Callable[[int, Answer], None] = lambda client, answer: None
-    end_process: Callable[[], None] = lambda: None
+    def reply(self, client: int, answer: Answer) -> None:
+        """Answer a client of the channel."""
+
+    def end_process(self) -> None:
+        """Begin the planned end of the process, as a client of the channel asks."""
 
 
 class EffectExecutor:
--- a/juniperward/forwarder/endpoint_call.py
+++ b/juniperward/forwarder/endpoint_call.py
@@ -24,7 +24,13 @@
 from juniperward.forwarder.send_gate import SendGate, route_of
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Malformed, Response, encode_call, read_response
+from juniperward.net.http import (
+    HttpResponse,
+    IncompleteMessageError,
+    MalformedMessageError,
+    encode_request,
+    read_response,
+)
 from juniperward.scheduler.events import Outcome
 
 HTTP_OK = 200
@@ -120,7 +126,7 @@
             call.progress = AttemptProgress.WRITTEN
         try:
             answer = read_response(connection.stream, connection.answer_begun)
-        except (Broken, Malformed, OSError) as error:
+        except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return self._unread(call, what, error)
         if self.trace is not None:
@@ -157,11 +163,11 @@
             return _health(what, Outcome.NOT_SENT, began)
         connection.deadline = what.deadline
         try:
-            request = encode_call("GET", "/health/live", f"{what.host}:{what.port}", {}, None)
+            request = encode_request("GET", "/health/live", f"{what.host}:{what.port}", {}, None)
             connection.sock.sendall(request)
             answer = read_response(connection.stream, connection.answer_begun)
             connection.deadline = None
-        except (Broken, Malformed, OSError) as error:
+        except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return _health(what, self._unread_health(what, fresh, error), began)
         count("probes_answered")
@@ -211,7 +217,7 @@
         count("connections_opened")
         return EndpointConnection(sock, address, self.longest_read_s)
 
-    def _release(self, call: ActiveCall, connection: EndpointConnection, answer: Response) -> None:
+    def _release(self, call: ActiveCall, connection: EndpointConnection, answer: HttpResponse) -> None:
         """Let a connection rest or close it; hold a route from the moment its Retry-After is read.
 
         Not from when the loop gets to the answer: between the two, other threads write what the scheduler decided
@@ -227,7 +233,7 @@
 
 
 def _health(
-    what: StartHealthCheck, outcome: Outcome, began: float, answer: Response | None = None
+    what: StartHealthCheck, outcome: Outcome, began: float, answer: HttpResponse | None = None
 ) -> HealthCheckAnswered:
     latency_s = time.monotonic() - began
     if answer is None:
@@ -253,7 +259,7 @@
         headers["X-Correlation-Id"] = message.id
         if message.idempotency_key is not None:
             headers["Idempotency-Key"] = message.idempotency_key
-        return encode_call("POST", "/receive", host, headers, message.body)
+        return encode_request("POST", "/receive", host, headers, message.body)
     headers["Content-Type"] = "application/json"
     body = encode_batch(item.content for item in what.items)
-    return encode_call("POST", "/receive-many", host, headers, body)
+    return encode_request("POST", "/receive-many", host, headers, body)
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -35,7 +35,7 @@
 def build_endpoint_client(
     limits: EndpointClientLimits,
     post: Callable[[Event], None],
-    append: Callable[[JournalRecord], None] = lambda record: None,
+    append: Callable[[JournalRecord], None],
 ) -> EndpointClient:
     """Return an endpoint client with a pool and a gate of its own; `append` writes to the journal."""
     pool = ConnectionPool(limits.keepalive_s, limits.max_idle_connections)
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -14,7 +14,14 @@
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Malformed, Response, Stream, encode_call, read_response
+from juniperward.net.http import (
+    HttpResponse,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_response,
+)
 
 # For a connection, and for the answer, which comes straight away. Beyond that they go again by another connection:
 # twice this fits between a message's last moment and 0.3 s after its time.
@@ -40,11 +47,12 @@
         sock, connected = address.open_socket("notices")
         try:
             sockets.connect(*connected, ANSWER_TIMEOUT_S, sock)
-            if connected != address.address:
-                raise AddressChangedError
-        except (OSError, AddressChangedError):
+        except OSError:
             sock.close()
             raise
+        if connected != address.address:
+            sock.close()
+            raise AddressChangedError
         self._sock = sock
         self._timed = sockets.Timed(sock, ANSWER_TIMEOUT_S)
         self._stream = Stream(self._timed.receive)
@@ -54,10 +62,10 @@
         """Return whether it may be used again."""
         return sockets.quiet(self._sock)
 
-    def post(self, body: bytes) -> Response:
+    def post(self, body: bytes) -> HttpResponse:
         """Post notifications; raises OSError, Broken or Malformed."""
         self._timed.begin()
-        self._sock.sendall(encode_call("POST", "/status", self._host, {}, body))
+        self._sock.sendall(encode_request("POST", "/status", self._host, {}, body))
         return read_response(self._stream)
 
     def close(self) -> None:
@@ -106,7 +114,13 @@
         """Deliver a batch; what was acknowledged before a failure is taken out of it."""
         try:
             self._deliver(batch)
-        except (OSError, Broken, Malformed, AddressChangedError, NotificationsRejectedError) as error:
+        except (
+            OSError,
+            IncompleteMessageError,
+            MalformedMessageError,
+            AddressChangedError,
+            NotificationsRejectedError,
+        ) as error:
             log("notices", f"not accepted, they go again: {error}")
         except Exception as error:
             trouble("notices", error)
--- a/juniperward/forwarder/reducer/completion.py
+++ b/juniperward/forwarder/reducer/completion.py
@@ -64,9 +64,9 @@
     def give_up(self, pending: PendingMessage, retry_after_s: float | None) -> None:
         """Give a message up: a rejection with `retry_after_s`, else a failure."""
         now, message = self._round.now, pending.message
-        if self.stores_dead_letters and not is_redrive(pending):
-            if custody(pending.expires_at - now, retry_after_s):
-                retry_after_s = None  # it is stored: its client must not bring it a second time
+        may_store = self.stores_dead_letters and not is_redrive(pending)
+        if may_store and custody(pending.expires_at - now, retry_after_s):
+            retry_after_s = None  # it is stored: its client must not bring it a second time
         count("given_up_failed" if retry_after_s is None else "given_up_refused")
         if self.stores_dead_letters and is_redrive(pending):
             outcome = "undeliverable" if retry_after_s is None else "deferred"
--- a/juniperward/forwarder/reload.py
+++ b/juniperward/forwarder/reload.py
@@ -20,6 +20,7 @@
     """What the process was started with, and the configuration in force."""
 
     def __init__(self, config: Config, environment: Mapping[str, str]) -> None:
+        """Begin with the configuration of the start."""
         self.config, self.registry = config, config.registry
         self.environment = {name: text for name, text in environment.items() if name != "ROUTER_DISCOVERY"}
 
--- a/juniperward/forwarder/send_gate.py
+++ b/juniperward/forwarder/send_gate.py
@@ -1,4 +1,4 @@
-"""What may be written to whom now: nothing to endpoints that drain, to routes that are held, or once the process ends."""
+"""What may be written now: nothing to endpoints that drain, to routes that are held, or once the process ends."""
 
 from __future__ import annotations
 
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -32,6 +32,7 @@
     MessageReceived,
     NotificationAcknowledged,
 )
+from juniperward.forwarder.model import Endpoint, OutcomeNotification
 from juniperward.forwarder.outcome_words import OUTCOME_WORDS
 
 PREFIX = "juniperward: trace:"
@@ -40,71 +41,88 @@
 class Trace:
     """Writes what passes between the loop and the reducer."""
 
-    def __init__(self, offset: float) -> None:
-        self.offset = offset  # seconds from the monotonic clock to the system's
-        self.asked: dict[int, str] = {}  # destinations of the clients that wait for an answer
+    def __init__(self, to_unix: float) -> None:
+        """Trace in Unix time; `to_unix` is added to monotonic time."""
+        self._to_unix = to_unix
+        self._waiting: dict[int, str] = {}  # destination and id of the message that each client waits for
 
     def events(self, now: float, events: Iterable[Event]) -> None:
-        """What came in with a round."""
-        lines = []
-        for e in events:
-            match e:
-                case MessageReceived():
-                    self.asked[e.client] = f"{e.message.destination} {e.message.id}"
-                    lines.append(f"handed {self.asked[e.client]} {e.message.time_left_s:.3f}")
-                case AttemptAnswered():
-                    for x in e.outcomes:
-                        lines.append(
-                            f"ended {e.attempt_number} {OUTCOME_WORDS[x.outcome]} {x.retry_after_s:.3f}"
-                        )
-                case DeadlineReached():
-                    lines.append(f"up {e.attempt_number}")
-                case BatchItemWithdrawn():
-                    lines.append(f"struck {e.attempt_number} {e.progress.value}")
-                case AttemptCancelled():
-                    lines.append(f"off {e.attempt_number} {e.progress.value}")
-                case MessageAccepted(client_told=False):
-                    lines.append(f"untold {e.message}")
-                case NotificationAcknowledged():
-                    lines += [f"noticed {name}" for name in e.ids]
-                case EndpointsUpdated():
-                    for w in e.endpoints:
-                        lines.append(
-                            f"listed {w.id} {w.destination} {w.kind} {w.phase.name.lower()} {w.listed_rate}"
-                        )
-        self._write(now, lines)
+        """Write what came in with a round."""
+        self._write(now, [line for event in events for line in self._event_lines(event)])
+
+    def _event_lines(self, event: Event) -> list[str]:
+        lines: list[str] = []
+        match event:
+            case MessageReceived(client=client, message=message):
+                self._waiting[client] = f"{message.destination} {message.id}"
+                lines = [f"handed {self._waiting[client]} {message.time_left_s:.3f}"]
+            case MessageAccepted(client_told=False, message=number):
+                lines = [f"untold {number}"]
+            case NotificationAcknowledged(ids=ids):
+                lines = [f"noticed {name}" for name in ids]
+            case EndpointsUpdated(endpoints=endpoints):
+                lines = [_endpoint_line(endpoint) for endpoint in endpoints]
+            case AttemptAnswered() | DeadlineReached() | BatchItemWithdrawn() | AttemptCancelled():
+                lines = _attempt_lines(event)
+        return lines
 
     def effects(self, now: float, effects: Iterable[Effect]) -> None:
-        """What a round asks for."""
-        lines = []
-        for e in effects:
-            match e:
-                case AcceptMessage():
-                    lines.append(f"taken {self.asked.pop(e.client, '? ?')}")
-                case ReplyToClient():
-                    lines.append(
-                        f"refused {self.asked.pop(e.client, '? ?')} {e.status} {e.retry_after_s:.3f}"
-                    )
-                case StartAttempt():
-                    ids = ",".join(p.content.id for p in e.items)
-                    lines.append(f"call {e.number} {e.destination} {e.host}:{e.port} {len(e.items)} {ids}")
-                case SendNotifications():
-                    for n in e.notifications:
-                        again = "never" if n.retry_after_s is None else f"{n.retry_after_s:.3f}"
-                        lines.append(f"given_up {n.id} {again}")
-                case CloseIdleConnections():
-                    lines.append(f"close {e.endpoint}")
-                case WriteLog():
-                    lines.append(f"say {e.text}")
-        self._write(now, lines)
+        """Write what a round asks for."""
+        self._write(now, [line for effect in effects for line in self._effect_lines(effect)])
+
+    def _effect_lines(self, effect: Effect) -> list[str]:
+        lines: list[str] = []
+        match effect:
+            case AcceptMessage(client=client):
+                lines = [f"taken {self._waiting.pop(client, '? ?')}"]
+            case ReplyToClient(client=client, status=status, retry_after_s=retry_after_s):
+                lines = [f"refused {self._waiting.pop(client, '? ?')} {status} {retry_after_s:.3f}"]
+            case StartAttempt(items=items):
+                ids = ",".join(item.content.id for item in items)
+                address = f"{effect.host}:{effect.port}"
+                lines = [f"call {effect.number} {effect.destination} {address} {len(items)} {ids}"]
+            case SendNotifications(notifications=notifications):
+                lines = [_notification_line(notification) for notification in notifications]
+            case CloseIdleConnections(endpoint=endpoint):
+                lines = [f"close {endpoint}"]
+            case WriteLog(text=text):
+                lines = [f"say {text}"]
+        return lines
 
     def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
-        """An answer as it was read; `fresh` on a new connection."""
+        """Write an answer as it was read; `fresh` on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
     def _write(self, now: float, lines: list[str]) -> None:
         if lines:
-            text = "".join(f"{PREFIX} {now + self.offset:.3f} {line}\n" for line in lines)
+            text = "".join(f"{PREFIX} {now + self._to_unix:.3f} {line}\n" for line in lines)
             with contextlib.suppress(OSError, ValueError):
                 print(text, end="", file=sys.stderr, flush=True)
+
+
+def _attempt_lines(
+    event: AttemptAnswered | DeadlineReached | BatchItemWithdrawn | AttemptCancelled,
+) -> list[str]:
+    number = event.attempt_number
+    match event:
+        case AttemptAnswered(outcomes=outcomes):
+            return [
+                f"ended {number} {OUTCOME_WORDS[item.outcome]} {item.retry_after_s:.3f}" for item in outcomes
+            ]
+        case DeadlineReached():
+            return [f"up {number}"]
+        case BatchItemWithdrawn(progress=progress):
+            return [f"struck {number} {progress.value}"]
+        case AttemptCancelled(progress=progress):
+            return [f"off {number} {progress.value}"]
+
+
+def _endpoint_line(endpoint: Endpoint) -> str:
+    phase = endpoint.phase.name.lower()
+    return f"listed {endpoint.id} {endpoint.destination} {endpoint.kind} {phase} {endpoint.listed_rate}"
+
+
+def _notification_line(notification: OutcomeNotification) -> str:
+    retry_after_s = notification.retry_after_s
+    return f"given_up {notification.id} {'never' if retry_after_s is None else f'{retry_after_s:.3f}'}"
--- a/juniperward/kept/handin.py
+++ b/juniperward/kept/handin.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass
 
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
+from juniperward.net.http import (
+    ConnectionClosedError,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_response,
+)
 
 PATIENCE = 0.4  # seconds for the forwarder's answer
 
@@ -36,7 +43,7 @@
         headers["Idempotency-Key"] = h.key
     if h.ran_ago is not None:
         headers["X-Kept-Ran"] = f"{max(h.ran_ago, 0.0):.3f}"
-    return encode_call("POST", "/api", host, headers, h.body)
+    return encode_request("POST", "/api", host, headers, h.body)
 
 
 def hand_in(address: tuple[str, int], h: HandIn, patience: float = PATIENCE) -> tuple[int, float]:
@@ -63,7 +70,7 @@
         answer = read_response(Stream(receive))
         wait = answer.headers.get("retry-after", "")
         return answer.status, float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
-    except (OSError, Broken, Closed, Malformed):
+    except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
         return 0, 0.0
     finally:
         sock.close()
--- a/juniperward/net/http.py
+++ b/juniperward/net/http.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 MOST_HEAD, MOST_BODY, MOST_CHUNK = 16 * 1024, 64 * 1024, 4 * 1024 * 1024  # a chunk holds a whole list
+WITHOUT_BODY = (204, 304)  # statuses
 MOST_INTERIM = 16  # 1xx answers ahead of one that counts
 REASONS = {
     200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
@@ -24,30 +25,42 @@
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
-class Closed(Exception):
+class ConnectionClosedError(Exception):
     """The other side closed between messages."""
 
 
-class Broken(Exception):
+class IncompleteMessageError(Exception):
     """The other side closed or reset inside a message; `status` is known where its first line had come."""
 
     status: int | None = None
 
+    @classmethod
+    def after(cls, status: int, error: Exception) -> IncompleteMessageError:
+        """Return the error of a response whose status line had come."""
+        incomplete = cls(str(error))
+        incomplete.status = status
+        return incomplete
 
-class Overdue(Broken):
+
+class MessageTimeoutError(IncompleteMessageError):
     """A message was not whole in its time."""
 
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("not whole in its time")
+
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What came is not HTTP as we take it; `status` is the answer to a call of this form."""
 
     def __init__(self, status: int, text: str) -> None:
+        """Give the status of the answer, and its text."""
         super().__init__(text)
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
-class HttpCall:
+class HttpRequest:
     """A call with its whole body."""
 
     method: str
@@ -58,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Response:
+class HttpResponse:
     """A response with its whole body."""
 
     status: int
@@ -71,6 +84,7 @@
     """Bytes as they come, cut at any place."""
 
     def __init__(self, receive: Callable[[int], bytes]) -> None:
+        """Read by a function that returns some bytes, none at the end."""
         self.receive = receive
         self.buffer = bytearray()
 
@@ -78,11 +92,11 @@
         try:
             data = self.receive(16384)
         except (TimeoutError, BlockingIOError) as error:
-            raise Overdue("not whole in its time") from error
+            raise MessageTimeoutError from error
         except ConnectionError as error:
-            raise Broken(str(error)) from error
+            raise IncompleteMessageError(str(error)) from error
         if not data:
-            raise Broken("closed")
+            raise IncompleteMessageError("closed")
         self.buffer += data
 
     def line(self, most: int, status: int) -> bytes:
@@ -90,7 +104,7 @@
         start = 0
         while (end := self.buffer.find(b"\n", start)) < 0:
             if len(self.buffer) > most:
-                raise Malformed(status, "a line is too long")
+                raise MalformedMessageError(status, "a line is too long")
             start = len(self.buffer)
             self._more()
         text = bytes(self.buffer[:end])
@@ -110,13 +124,13 @@
         try:
             while len(self.buffer) <= most:
                 self._more()
-        except Overdue:
+        except MessageTimeoutError:
             raise
-        except Broken:
+        except IncompleteMessageError:
             data = bytes(self.buffer)
             self.buffer.clear()
             return data
-        raise Malformed(413, "the body is too large")
+        raise MalformedMessageError(413, "the body is too large")
 
 
 def _headers(stream: Stream) -> dict[str, str]:
@@ -125,16 +139,16 @@
     while line := stream.line(left, 431):
         left -= len(line)
         if left < 0:
-            raise Malformed(431, "the headers are too large")
+            raise MalformedMessageError(431, "the headers are too large")
         name, colon, value = line.partition(b":")
         if not colon or not name or not TOKEN.issuperset(name):
-            raise Malformed(400, "a header line is malformed")
+            raise MalformedMessageError(400, "a header line is malformed")
         key, text = name.decode("ascii").lower(), value.strip(b" \t").decode("latin-1")
         if any(c < " " and c != "\t" for c in text):
-            raise Malformed(400, "a header has control characters")
+            raise MalformedMessageError(400, "a header has control characters")
         if key in headers:
             if key in ONCE:
-                raise Malformed(400, f"{key} stands twice")
+                raise MalformedMessageError(400, f"{key} stands twice")
             text = f"{headers[key]}, {text}"
         headers[key] = text
     return headers
@@ -145,7 +159,7 @@
     if text is None:
         return None
     if not text.isascii() or not text.isdigit():
-        raise Malformed(400, "content-length is not a number")
+        raise MalformedMessageError(400, "content-length is not a number")
     return int(text) if len(text) < 12 else 10**12
 
 
@@ -154,8 +168,8 @@
     return "close" in words or (version == b"HTTP/1.0" and "keep-alive" not in words)
 
 
-def read_call(stream: Stream, go_on: Callable[[], None] = lambda: None) -> HttpCall:
-    """The next call; raises Closed where the other side ends between two.
+def read_request(stream: Stream, go_on: Callable[[], None] = lambda: None) -> HttpRequest:
+    """The next call; raises ConnectionClosedError where the other side ends between two.
 
     `go_on` is called where the other side waits for a 100 before it sends the body.
     """
@@ -164,105 +178,119 @@
         if not stream.buffer:
             try:
                 stream._more()
-            except Overdue:
+            except MessageTimeoutError:
                 raise
-            except Broken as error:
-                raise Closed from error
+            except IncompleteMessageError as error:
+                raise ConnectionClosedError from error
         first = stream.line(MOST_HEAD, 431)
     parts = first.split(b" ")
     if len(parts) != 3 or not parts[0] or not TOKEN.issuperset(parts[0]) or not TARGET.match(parts[1]):
-        raise Malformed(400, "the request line is malformed")
+        raise MalformedMessageError(400, "the request line is malformed")
     method, target, version = parts
     if version not in VERSIONS:
-        raise Malformed(505 if version.startswith(b"HTTP/") else 400, "not HTTP/1.1")
+        raise MalformedMessageError(505 if version.startswith(b"HTTP/") else 400, "not HTTP/1.1")
     headers = _headers(stream)
     if "transfer-encoding" in headers:
-        raise Malformed(411, "bodies are taken with a content-length only")
+        raise MalformedMessageError(411, "bodies are taken with a content-length only")
     length = _length(headers) or 0
     if length > MOST_BODY:
-        raise Malformed(413, "the body is too large")
+        raise MalformedMessageError(413, "the body is too large")
     if headers.get("expect", "").lower() == "100-continue" and len(stream.buffer) < length:
         go_on()
     body = stream.exactly(length)
     path = TARGET.sub(b"/", target, count=1).decode("latin-1").split("?", 1)[0]
-    return HttpCall(method.decode(), path, headers, body, _closes(version, headers))
+    return HttpRequest(method.decode(), path, headers, body, _closes(version, headers))
+
+
+def _ignore(_: bool) -> None:
+    """Take no note of whether a head has begun."""
 
 
-def read_head(
-    stream: Stream, begun: Callable[[bool], None] = lambda _: None
-) -> tuple[int, dict[str, str], bool]:
-    """Status, headers and whether the connection ends, of a response; a few 1xx are passed over.
+def read_head(stream: Stream, begun: Callable[[bool], None] = _ignore) -> tuple[int, dict[str, str], bool]:
+    """Return status, headers and whether the connection ends, of a response; a few 1xx are passed over.
 
-    `begun` is told whether a head has begun: before, its writer may take its time, then no more.
+    `begun` is told whether a head has begun: before, its writer may take its time, then no more. An error raised
+    after a status line has come is an IncompleteMessageError that has the status.
     """
     status: int | None = None
-    try:
-        for _ in range(MOST_INTERIM + 1):
+    for _ in range(MOST_INTERIM + 1):
+        try:
             begun(False)
             if not stream.buffer:
                 stream._more()
             begun(True)
-            parts = stream.line(MOST_HEAD, 400).split(b" ", 2)
-            if len(parts) < 2 or parts[0] not in VERSIONS or not STATUS.fullmatch(parts[1]):
-                raise Malformed(400, "the status line is malformed")
-            status = int(parts[1])
+            version, status = _status_line(stream)
             headers = _headers(stream)
-            if status >= 200:
-                return status, headers, _closes(parts[0], headers)
-        raise Malformed(400, "no end of interim answers")
-    except (Broken, Malformed) as error:
-        if status is None:
-            raise
-        broken = Broken(str(error))
-        broken.status = status
-        raise broken from error
+        except (IncompleteMessageError, MalformedMessageError) as error:
+            if status is None:
+                raise
+            raise IncompleteMessageError.after(status, error) from error
+        if status >= 200:
+            return status, headers, _closes(version, headers)
+    assert status is not None
+    raise IncompleteMessageError.after(status, MalformedMessageError(400, "no end of interim answers"))
+
+
+def _status_line(stream: Stream) -> tuple[bytes, int]:
+    parts = stream.line(MOST_HEAD, 400).split(b" ", 2)
+    if len(parts) < 2 or parts[0] not in VERSIONS or not STATUS.fullmatch(parts[1]):
+        raise MalformedMessageError(400, "the status line is malformed")
+    return parts[0], int(parts[1])
 
 
 def read_response(
-    stream: Stream, begun: Callable[[bool], None] = lambda _: None, most: int = MOST_BODY
-) -> Response:
-    """A whole response with a body of `most` bytes at most; `begun` as in `read_head`."""
+    stream: Stream, begun: Callable[[bool], None] = _ignore, most: int = MOST_BODY
+) -> HttpResponse:
+    """Return a whole response with a body of `most` bytes at most; `begun` and errors as in `read_head`."""
     status, headers, close = read_head(stream, begun)
     try:
-        if status in (204, 304):
-            body = b""
-        elif "transfer-encoding" in headers:
-            if headers["transfer-encoding"].lower() != "chunked" or "content-length" in headers:
-                raise Malformed(400, "the length of the body is not clear")
-            body = b""
-            for chunk in chunks(stream, most):
-                body += chunk
-                if len(body) > most:
-                    raise Malformed(413, "the body is too large")
-        elif (length := _length(headers)) is not None:
-            if length > most:
-                raise Malformed(413, "the body is too large")
-            body = stream.exactly(length)
-        else:
-            body, close = stream.rest(most), True
-    except (Broken, Malformed) as error:
-        broken = Broken(str(error))
-        broken.status = status
-        raise broken from error
-    return Response(status, headers, body, close)
-
-
-def chunks(stream: Stream, most: int = MOST_CHUNK) -> Iterator[bytes]:
+        body = _body(stream, status, headers, most)
+    except (IncompleteMessageError, MalformedMessageError) as error:
+        raise IncompleteMessageError.after(status, error) from error
+    ends = "transfer-encoding" not in headers and "content-length" not in headers
+    return HttpResponse(status, headers, body, close or (ends and status not in WITHOUT_BODY))
+
+
+def _body(stream: Stream, status: int, headers: dict[str, str], most: int) -> bytes:
+    if status in WITHOUT_BODY:
+        return b""
+    if "transfer-encoding" in headers:
+        return _chunked_body(stream, headers, most)
+    length = _length(headers)
+    if length is None:
+        return stream.rest(most)
+    if length > most:
+        raise MalformedMessageError(413, "the body is too large")
+    return stream.exactly(length)
+
+
+def _chunked_body(stream: Stream, headers: dict[str, str], most: int) -> bytes:
+    if headers["transfer-encoding"].lower() != "chunked" or "content-length" in headers:
+        raise MalformedMessageError(400, "the length of the body is not clear")
+    body = b""
+    for chunk in read_chunks(stream, most):
+        body += chunk
+        if len(body) > most:
+            raise MalformedMessageError(413, "the body is too large")
+    return body
+
+
+def read_chunks(stream: Stream, most: int = MOST_CHUNK) -> Iterator[bytes]:
     """The pieces of a chunked body, until its last."""
     while True:
         size = stream.line(256, 400).split(b";", 1)[0].strip()
         length = int(size, 16) if HEX.fullmatch(size) else -1
         if not 0 <= length <= most:
-            raise Malformed(400, "a chunk's size is malformed")
+            raise MalformedMessageError(400, "a chunk's size is malformed")
         if length == 0:
             _headers(stream)
             return
         yield stream.exactly(length)
         if stream.line(2, 400):
-            raise Malformed(400, "a chunk does not end where it should")
+            raise MalformedMessageError(400, "a chunk does not end where it should")
 
 
-def encode_call(method: str, target: str, host: str, headers: dict[str, str], body: bytes | None) -> bytes:
+def encode_request(method: str, target: str, host: str, headers: dict[str, str], body: bytes | None) -> bytes:
     """A call as it is written."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", *(f"{k}: {v}" for k, v in headers.items())]
     if body is not None:
--- a/juniperward/net/sockets.py
+++ b/juniperward/net/sockets.py
@@ -8,6 +8,22 @@
 import time
 
 
+class ConnectTimeoutError(TimeoutError):
+    """A connection did not come up in its time."""
+
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("no connection in time")
+
+
+class ReadTimeoutError(TimeoutError):
+    """What was read was not whole in its time."""
+
+    def __init__(self) -> None:
+        """Describe it."""
+        super().__init__("not whole in its time")
+
+
 def limit(sock: socket.socket, option: int, seconds: float) -> None:
     """SO_RCVTIMEO or SO_SNDTIMEO: the call ends with BlockingIOError once it has taken so long."""
     micros = max(1, int(seconds * 1e6))
@@ -21,7 +37,7 @@
     try:
         sock.connect((host, port))
     except BlockingIOError:
-        raise TimeoutError("no connection in time") from None
+        raise ConnectTimeoutError from None
 
 
 def ended(sock: socket.socket) -> bool:
@@ -49,6 +65,7 @@
     """Reads of a socket that have to come in a time that they share: bytes now and then do not extend it."""
 
     def __init__(self, sock: socket.socket, seconds: float) -> None:
+        """Let the time begin."""
         self.sock, self.seconds = sock, seconds
         self.begin()
 
@@ -60,7 +77,7 @@
         """Read some bytes; raises TimeoutError or BlockingIOError once the time is up."""
         left = self.until - time.monotonic()
         if left <= 0:
-            raise TimeoutError("not whole in its time")
+            raise ReadTimeoutError
         limit(self.sock, socket.SO_RCVTIMEO, left)
         return self.sock.recv(size)
 
--- a/juniperward/standins/clients.py
+++ b/juniperward/standins/clients.py
@@ -16,7 +16,14 @@
 from dataclasses import dataclass, field
 
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
+from juniperward.net.http import (
+    ConnectionClosedError,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_response,
+)
 from juniperward.standins.records import Handed, Heard, Recorder, now
 
 ANSWER = 0.4  # seconds that a client waits for an answer
@@ -79,9 +86,9 @@
     try:
         with socket.create_connection(address, patience) as sock:
             sock.settimeout(patience)
-            sock.sendall(encode_call("GET", "/health/ready", "front", {"Connection": "close"}, None))
+            sock.sendall(encode_request("GET", "/health/ready", "front", {"Connection": "close"}, None))
             return read_response(Stream(sock.recv)).status == 200
-    except (OSError, Broken, Closed, Malformed):
+    except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
         return False
 
 
@@ -242,11 +249,11 @@
         status, again, close = 0, 0.0, True
         try:
             sockets.limit(sock, socket.SO_RCVTIMEO, ANSWER)
-            sock.sendall(encode_call("POST", "/api", "api.internal", headers, BODY))
+            sock.sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
             answer = read_response(stream)
             status, close = answer.status, answer.close
             again = float(answer.headers.get("retry-after", 0.0))
-        except (OSError, Broken, Closed, Malformed):
+        except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
             pass
         if close:
             sock.close()
--- a/juniperward/standins/load.py
+++ b/juniperward/standins/load.py
@@ -21,12 +21,12 @@
 
 from juniperward.net import sockets
 from juniperward.net.http import (
-    Broken,
-    Closed,
-    HttpCall,
-    Malformed,
+    ConnectionClosedError,
+    HttpRequest,
+    IncompleteMessageError,
+    MalformedMessageError,
     Stream,
-    encode_call,
+    encode_request,
     encode_response,
     read_response,
 )
@@ -149,7 +149,7 @@
                 if close:
                     link[0].close()
                     link = None
-            except (OSError, Broken, Closed, Malformed):
+            except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
                 if link is not None:
                     link[0].close()
                 link = None
@@ -166,7 +166,7 @@
             "X-Correlation-Id": name, "X-Service-Class": p.cls, "X-Account": p.account,
             "X-Time-Left": f"{p.life:.3f}", "X-Addressing": f"dest={destination}", "Idempotency-Key": name,
         }  # fmt: skip
-        link[0].sendall(encode_call("POST", "/api", "api.internal", headers, BODY))
+        link[0].sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
         answer = read_response(link[1])
         return answer.status, answer.close
 
@@ -246,7 +246,7 @@
     state = {"ages": histogram(), "since": 0.0}
     good = encode_response(200, {}, b"", False)
 
-    def handle(link: Link, asked: HttpCall, began: float) -> bool:
+    def handle(link: Link, asked: HttpRequest, began: float) -> bool:
         due = int(asked.headers["x-correlation-id"].partition("-")[0]) / 1e6
         with lock:
             if due >= state["since"]:
--- a/juniperward/standins/partners.py
+++ b/juniperward/standins/partners.py
@@ -15,7 +15,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from juniperward.net.http import HttpCall, encode_response
+from juniperward.net.http import HttpRequest, encode_response
 from juniperward.standins.records import Called, Effect, Hung, Recorder, Replied, now
 from juniperward.standins.registry import Entry
 from juniperward.standins.serving import Link, Serving
@@ -118,7 +118,7 @@
 
     # --- calls ---------------------------------------------------------------------------------------------
 
-    def _handle(self, number: int, link: Link, asked: HttpCall, began: float) -> bool:
+    def _handle(self, number: int, link: Link, asked: HttpRequest, began: float) -> bool:
         call = self.recorder.call()
         many = asked.path == "/receive-many"
         try:
--- a/juniperward/standins/registry.py
+++ b/juniperward/standins/registry.py
@@ -6,7 +6,7 @@
 import threading
 from dataclasses import dataclass
 
-from juniperward.net.http import HttpCall, encode_response
+from juniperward.net.http import HttpRequest, encode_response
 from juniperward.standins.records import Noticed, Recorder, Told, now
 from juniperward.standins.serving import Link, Serving
 
@@ -66,7 +66,7 @@
         with self.changed:
             self.changed.notify_all()
 
-    def _handle(self, forwarder: str, link: Link, asked: HttpCall) -> bool:
+    def _handle(self, forwarder: str, link: Link, asked: HttpRequest) -> bool:
         if asked.method == "POST" and asked.path == "/status":
             return self._notices(forwarder, link, asked.body)
         if asked.method == "GET" and asked.path == "/registry/instances":
--- a/juniperward/standins/serving.py
+++ b/juniperward/standins/serving.py
@@ -9,7 +9,14 @@
 from collections.abc import Callable
 
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, HttpCall, Malformed, Stream, read_call
+from juniperward.net.http import (
+    ConnectionClosedError,
+    HttpRequest,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    read_request,
+)
 
 BACKLOG = 256
 
@@ -28,10 +35,10 @@
             self.began = time.monotonic()
         return data
 
-    def call(self) -> tuple[HttpCall, float]:
+    def call(self) -> tuple[HttpRequest, float]:
         """The next call and when its first byte came."""
         self.began = time.monotonic() if self.stream.buffer else None
-        asked = read_call(self.stream)
+        asked = read_request(self.stream)
         assert self.began is not None
         return asked, self.began
 
@@ -51,7 +58,7 @@
 class Serving:
     """Listens and hands each call to `handle`, which writes the answer; False from it ends the connection."""
 
-    def __init__(self, handle: Callable[[Link, HttpCall, float], bool], most: int = 10_000) -> None:
+    def __init__(self, handle: Callable[[Link, HttpRequest, float], bool], most: int = 10_000) -> None:
         self.handle, self.most = handle, most
         self.lock = threading.Lock()
         self.links: set[Link] = set()
@@ -108,7 +115,7 @@
                 asked, began = link.call()
                 if not self.handle(link, asked, began) or asked.close:
                     return
-        except (Closed, Broken, Malformed, OSError):
+        except (ConnectionClosedError, IncompleteMessageError, MalformedMessageError, OSError):
             pass
         finally:
             with self.lock:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 from juniperward.cli import fleet
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
-from juniperward.net.http import Closed, Stream, encode_response, read_call
+from juniperward.net.http import ConnectionClosedError, Stream, encode_response, read_request
 from tests.agent_world import World
 from tests.test_settings import GOOD
 
@@ -41,8 +41,8 @@
                 return
             with sock:
                 try:
-                    call = read_call(Stream(sock.recv))
-                except Closed:
+                    call = read_request(Stream(sock.recv))
+                except ConnectionClosedError:
                     continue
                 verb, body = call.path.removeprefix("/v1/"), json.loads(call.body)
                 self.asked.append((verb, body))
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -18,12 +18,12 @@
 
 from juniperward.forwarder import client_connection, client_session
 from juniperward.forwarder.client_connection import ClientConnection
-from juniperward.forwarder.codec import decode_call
+from juniperward.forwarder.codec import decode_message
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.server import Server
 from juniperward.net import sockets
-from juniperward.net.http import Stream, read_call, read_response
+from juniperward.net.http import Stream, read_request, read_response
 from tests.player import WAIT, Line, Program
 
 NAMES = Names(("c",), (12.0,), ("acme",), (), ())
@@ -62,13 +62,13 @@
         for text, seconds in cases:
             headers = tuple(h.replace("0.480", text) for h in HEADERS)
             with self.subTest(text):
-                call = decode_call(read_call(pieces(request("m1", headers))), NAMES)
+                call = decode_message(read_request(pieces(request("m1", headers))), NAMES)
                 self.assertAlmostEqual(call.time_left_s, seconds, 6)
 
     def test_a_message_is_the_same_in_every_form_that_the_protocol_allows(self) -> None:
         # Guards herd: any order and case of the headers, blanks about their values, line ends before the request,
         # bare line feeds, the absolute form of the target, and each of these cut at each of its bytes.
-        whole = decode_call(read_call(pieces(request("m1"))), NAMES)
+        whole = decode_message(read_request(pieces(request("m1"))), NAMES)
         self.assertEqual(
             (whole.id, whole.idempotency_key, whole.body, whole.destination), ("m1", "k1", b"hello", 7)
         )
@@ -85,8 +85,8 @@
             request("m1", HEADERS, "POST HTTP://api.internal:8080/api?x=/y HTTP/1.1"),
         ]
         for form, place in itertools.product(forms, range(len(request("m1")))):
-            asked = read_call(pieces(form[:place], form[place:])) if place else read_call(pieces(form))
-            self.assertEqual((decode_call(asked, NAMES), asked.path), (whole, "/api"), (form, place))
+            asked = read_request(pieces(form[:place], form[place:])) if place else read_request(pieces(form))
+            self.assertEqual((decode_message(asked, NAMES), asked.path), (whole, "/api"), (form, place))
 
 
 class Door(unittest.TestCase):
@@ -300,7 +300,7 @@
                 with sock:
                     sock.settimeout(0.2)
                     try:
-                        found.add(read_call(Stream(sock.recv)).headers["x-correlation-id"])
+                        found.add(read_request(Stream(sock.recv)).headers["x-correlation-id"])
                         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     except Exception:  # of a life that was killed: nothing came, or not whole
                         continue
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,7 +27,14 @@
 from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
 from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
 from juniperward.net import sockets
-from juniperward.net.http import Broken, Closed, Malformed, Stream, encode_call, read_response
+from juniperward.net.http import (
+    ConnectionClosedError,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    encode_request,
+    read_response,
+)
 from juniperward.scheduler.events import Outcome
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Noticed, Recorder, Told
@@ -220,9 +227,9 @@
             }  # fmt: skip
             try:
                 with socket.create_connection(program.address, 1.0) as sock:
-                    sock.sendall(encode_call("POST", "/api", "n0", headers, b"x" * size))
+                    sock.sendall(encode_request("POST", "/api", "n0", headers, b"x" * size))
                     status = read_response(Stream(sock.recv)).status
-            except (OSError, Broken, Closed, Malformed):
+            except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
                 continue  # shut unread: it comes again
             if status == 202:
                 return name
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from juniperward.forwarder import client_connection, connection_pool
 from juniperward.forwarder.answers import read_outcomes, read_retry_after
 from juniperward.forwarder.client_connection import ClientConnection
-from juniperward.forwarder.codec import BadCall, decode_call
+from juniperward.forwarder.codec import UnreadableMessageError, decode_message
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.connection_pool import EndpointConnection
 from juniperward.forwarder.effects import StartAttempt
@@ -26,7 +26,15 @@
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Server
 from juniperward.net import sockets
-from juniperward.net.http import Broken, HttpCall, Malformed, Response, Stream, read_call, read_response
+from juniperward.net.http import (
+    HttpRequest,
+    HttpResponse,
+    IncompleteMessageError,
+    MalformedMessageError,
+    Stream,
+    read_request,
+    read_response,
+)
 from juniperward.scheduler.events import Outcome
 from tests.rigs import LIMITS, EndpointClientRig
 
@@ -75,18 +83,18 @@
         ]
         for what, status, headers, body, ends in cases:
             with self.subTest((status, body)):
-                self.assertEqual(read_outcomes(what, Response(status, headers, body, False)), tuple(ends))
+                self.assertEqual(read_outcomes(what, HttpResponse(status, headers, body, False)), tuple(ends))
 
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
-        full, ends = ItemOutcome(0, Outcome.OVERLOADED), Response(503, {}, b"", True)
+        full, ends = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
         self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=True), (end,))
         self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=False), (full,))
         self.assertEqual(
-            read_outcomes(start_attempt(1, 1), Response(503, {}, b"", False), fresh=True), (full,)
+            read_outcomes(start_attempt(1, 1), HttpResponse(503, {}, b"", False), fresh=True), (full,)
         )
-        told = Response(503, {"retry-after": "0.5"}, b"", True)
+        told = HttpResponse(503, {"retry-after": "0.5"}, b"", True)
         self.assertEqual(
             read_outcomes(start_attempt(1, 1), told, fresh=True), (ItemOutcome(0, Outcome.OVERLOADED, 0.5),)
         )
@@ -110,7 +118,7 @@
             ),
             chunked + b"8000\r\n" + b"x" * 32768 + b"\r\n" * 3,
         ):
-            with self.subTest(text[:60]), self.assertRaises((Broken, Malformed)):
+            with self.subTest(text[:60]), self.assertRaises((IncompleteMessageError, MalformedMessageError)):
                 read_response(Stream(lambda _, left=[text, b""]: left.pop(0) if left else b""))  # type: ignore[misc]
 
     def test_a_report_or_a_list_of_ends_cannot_break_us(self) -> None:
@@ -118,9 +126,9 @@
         def run() -> None:
             huge = '{"x0":' + "9" * 400 + "}"
             for text in ("[" * 16000, '{"x0":' * 2600, '{"x0":NaN}', huge, '{"x1":-1}', "7"):
-                answer = Response(200, {"x-backend-load": text}, b"", False)
+                answer = HttpResponse(200, {"x-backend-load": text}, b"", False)
                 ends.append(read_outcomes(start_attempt(1, 1), answer))
-            ends.append(read_outcomes(start_attempt(1, 1, 2), Response(200, {}, b"[" * 60000, False)))
+            ends.append(read_outcomes(start_attempt(1, 1, 2), HttpResponse(200, {}, b"[" * 60000, False)))
 
         ends: list[tuple[ItemOutcome, ...]] = []
         threading.stack_size(128 * 1024)
@@ -142,9 +150,13 @@
         # Guards against a 202 for a message that nobody could end: a deadline that never comes, or no id.
         good = {"x-correlation-id": "a1", "x-service-class": "c", "x-time-left": "0.5"}
         good["x-addressing"] = "dest=7"
-        self.assertEqual(decode_call(HttpCall("POST", "/api", good, b"", False), NAMES).time_left_s, 0.5)
+        self.assertEqual(
+            decode_message(HttpRequest("POST", "/api", good, b"", False), NAMES).time_left_s, 0.5
+        )
         long = {**good, "x-time-left": "99999"}
-        self.assertEqual(decode_call(HttpCall("POST", "/api", long, b"", False), NAMES).time_left_s, 12.0)
+        self.assertEqual(
+            decode_message(HttpRequest("POST", "/api", long, b"", False), NAMES).time_left_s, 12.0
+        )
         for name, texts in (
             ("x-time-left", ("nan", "inf", "-1", "1_0", "1e3", "", "+1", "\u0661")),
             ("x-correlation-id", ("", "a b", "a, b", "x" * 201, "\xe9")),
@@ -152,8 +164,8 @@
             ("x-addressing", ("", "dest=", "dest=-1", "dest=x", "dest=" + "1" * 16)),
         ):
             for text in texts:
-                with self.subTest((name, text)), self.assertRaises(BadCall):
-                    decode_call(HttpCall("POST", "/api", {**good, name: text}, b"", False), NAMES)
+                with self.subTest((name, text)), self.assertRaises(UnreadableMessageError):
+                    decode_message(HttpRequest("POST", "/api", {**good, name: text}, b"", False), NAMES)
 
 
 class StreamTest(unittest.TestCase):
@@ -162,7 +174,7 @@
         answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         for size in (1, 2, 7):
             pieces = iter([text[n : n + size] for n in range(0, len(text), size)])
-            self.assertEqual(read_call(Stream(lambda _, p=pieces: next(p))).body, b"abc")  # type: ignore[misc]
+            self.assertEqual(read_request(Stream(lambda _, p=pieces: next(p))).body, b"abc")  # type: ignore[misc]
             pieces = iter([answer[n : n + size] for n in range(0, len(answer), size)])
             self.assertEqual(read_response(Stream(lambda _, p=pieces: next(p))).body, b"abcde")  # type: ignore[misc]
 
@@ -376,7 +388,7 @@
         self.client.start(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
-        self.assertEqual(read_call(Stream(sock.recv)).headers["x-correlation-id"], "m1")
+        self.assertEqual(read_request(Stream(sock.recv)).headers["x-correlation-id"], "m1")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
         ends = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
@@ -403,7 +415,7 @@
                     self.client.close_idle(3)
                     self.assertEqual(sock.recv(1000), b"")
                     continue
-                call = read_call(Stream(sock.recv))
+                call = read_request(Stream(sock.recv))
                 if call.path == "/receive-many":
                     written = [row["id"] for row in json.loads(call.body)]
                 else:
@@ -483,7 +495,7 @@
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
         for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
             limits = replace(LIMITS, longest_read_s=deadline)
-            self.client = build_endpoint_client(limits, self.events.put)
+            self.client = build_endpoint_client(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.notification_sender import ANSWER_TIMEOUT_S
-from juniperward.net.http import Broken, Closed, Stream, read_call
+from juniperward.net.http import ConnectionClosedError, IncompleteMessageError, Stream, read_request
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
 COUNT = 450  # messages that end in the same moment: more than go at once
@@ -44,14 +44,14 @@
         stream = Stream(sock.recv)
         try:
             while True:
-                call = read_call(stream)
+                call = read_request(stream)
                 if answer == OK:
                     self.taken |= {json.loads(line)["id"] for line in call.body.splitlines()}
                 if answer is None:
                     sock.close()
                     return
                 sock.sendall(answer)
-        except (Broken, Closed, OSError):
+        except (IncompleteMessageError, ConnectionClosedError, OSError):
             sock.close()
 
     def close(self) -> None:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -29,7 +29,7 @@
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord, AttemptStartedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
-from juniperward.net.http import Stream, encode_call, read_response
+from juniperward.net.http import Stream, encode_request, read_response
 from juniperward.scheduler.settings import Idempotency, MessageClass
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Noticed, Recorder
@@ -248,7 +248,7 @@
             "X-Addressing": "dest=7", "X-Time-Left": "20", "Idempotency-Key": "k0",
         }  # fmt: skip
         with socket.create_connection(program.address, WAIT) as sock:
-            sock.sendall(encode_call("POST", "/api", "n0", headers, b"body"))
+            sock.sendall(encode_request("POST", "/api", "n0", headers, b"body"))
             self.assertEqual(read_response(Stream(sock.recv)).status, 202)
 
     def wait_for(self, recorder: Recorder, kind: type[Any]) -> list[Any]:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -35,7 +35,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.reducer.intake import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S
 from juniperward.net import sockets
-from juniperward.net.http import Stream, read_call
+from juniperward.net.http import Stream, read_request
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import MessageClass
 from tests.helpers import SAFE, settings
@@ -122,7 +122,7 @@
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
         sock.settimeout(5.0)
-        asked = read_call(Stream(sock.recv))
+        asked = read_request(Stream(sock.recv))
         self.assertEqual((asked.path, asked.headers["x-correlation-id"]), ("/receive", "m0"))
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from juniperward.net.http import Stream, encode_call, encode_response, read_response
+from juniperward.net.http import Stream, encode_request, encode_response, read_response
 from juniperward.standins.clients import Clients, Front, Traffic
 from juniperward.standins.partners import Partner, PartnerSpec
 from juniperward.standins.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, Told
@@ -75,7 +75,7 @@
     def call(self, partner: Partner, name: str, key: str | None = None, worker: int = 0) -> tuple[int, float]:
         with socket.create_connection(("127.0.0.1", partner.doors[worker].port), 5.0) as sock:
             headers = {"X-Correlation-Id": name, "Idempotency-Key": key or name}
-            sock.sendall(encode_call("POST", "/receive", "x", headers, b""))
+            sock.sendall(encode_request("POST", "/receive", "x", headers, b""))
             answer = read_response(Stream(sock.recv))
             self._recorded()
             return answer.status, float(answer.headers.get("retry-after", 0.0))
@@ -150,7 +150,7 @@
         registry.put(*partner.entries())
         host, port = registry.door("n0").split(":")
         with socket.create_connection((host, int(port)), 5.0) as sock:
-            sock.sendall(encode_call("GET", "/registry/instances?follow=1&since=0", "x", {}, None))
+            sock.sendall(encode_request("GET", "/registry/instances?follow=1&since=0", "x", {}, None))
             lines = sock.makefile("rb")
             text = b""
             while b'"full": true' not in text:
