--- a/juniperward/scheduler/endpoint_table.py
+++ b/juniperward/scheduler/endpoint_table.py
@@ -31,7 +31,7 @@
             named = {entry.endpoint for entry in update.entries}
             for endpoint in self.endpoints.values():
                 if endpoint.id not in named:
-                    endpoint.phase = EndpointPhase.GONE
+                    endpoint.set_phase(EndpointPhase.GONE)
         return [self._apply_entry(entry) for entry in update.entries]
 
     def _apply_entry(self, entry: EndpointEntry) -> Destination:
@@ -39,7 +39,7 @@
         endpoint = self.endpoints.get(entry.endpoint)
         if endpoint is None:
             endpoint = self._create(entry, destination)
-        endpoint.phase = entry.phase
+        endpoint.set_phase(entry.phase)
         if self._round.settings.rates_listed and 0 < entry.listed_rate < math.inf:
             self.listed_rate_total += entry.listed_rate - destination.listed_rate
             destination.listed_rate = entry.listed_rate
--- a/juniperward/scheduler/parts.py
+++ b/juniperward/scheduler/parts.py
@@ -28,6 +28,13 @@
         self.table = EndpointTable(self.round)
         self.latency = LatencyEstimates(settings)
         self.traffic = TrafficEstimates(self.round, self.table)
+        self.parts: list[SchedulerPart] = []
+
+    def begin_round(self, now: float) -> None:
+        """Begin a round at a moment, which all parts are told."""
+        self.round.begin(now)
+        for part in self.parts:
+            part._now = now
 
 
 class SchedulerPart:
@@ -40,10 +47,8 @@
         self._large_fleet = state.round.large_fleet
         self._backlog, self._table = state.backlog, state.table
         self._latency, self._traffic = state.latency, state.traffic
-
-    @property
-    def _now(self) -> float:
-        return self._round.now
+        self._now = 0.0  # of the present round: an attribute, as it is read some thirty times a message
+        state.parts.append(self)
 
     @property
     def _random(self) -> random.Random:
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -15,7 +15,7 @@
 from juniperward.scheduler.events import EndpointPhase, MessageAdmitted, PastAttempt
 from juniperward.scheduler.queues import MessageQueue, Rank
 from juniperward.scheduler.route_state import RouteState
-from juniperward.scheduler.settings import Idempotency, MessageClass, SchedulerSettings
+from juniperward.scheduler.settings import DeduplicationScope, Idempotency, MessageClass, SchedulerSettings
 
 UNKNOWN_ZONE = -1
 
@@ -76,6 +76,11 @@
         """What a repeat of it does."""
         return self.message_class.idempotency
 
+    def bound_to_zone(self) -> bool:
+        """Return whether only endpoints of its zone drop a repeat of it."""
+        keyed = self.idempotency is Idempotency.IDEMPOTENCY_KEY
+        return keyed and self.message_class.deduplication_scope is DeduplicationScope.ZONE
+
     def restore_attempts(self, history: tuple[PastAttempt, ...], endpoints: Mapping[int, Endpoint]) -> None:
         """Count attempts from before a restart as the message's own."""
         self.attempts, self.last_endpoint = len(history), history[-1].endpoint
@@ -140,11 +145,11 @@
     no_new_connection_until: float = -math.inf
     keepalive_factor: float = 1.0  # x the usual time for which an idle connection is kept
     close_idle_at: float = 0.0
+    is_ready: bool = False  # whether the list lets it be called, by `set_phase`
 
-    @property
-    def is_ready(self) -> bool:
-        """Whether the list lets it be called."""
-        return self.phase is EndpointPhase.READY
+    def set_phase(self, phase: EndpointPhase) -> None:
+        """Take in what the list says of it."""
+        self.phase, self.is_ready = phase, phase is EndpointPhase.READY
 
     def has_connection(self, now: float, settings: SchedulerSettings) -> bool:
         """Return whether a call fits on a connection that is thought open."""
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -9,7 +9,7 @@
 from juniperward.scheduler.parts import GiveUp, SchedulerPart, SchedulerState
 from juniperward.scheduler.records import Destination, Endpoint, Message
 from juniperward.scheduler.retries import may_give_up
-from juniperward.scheduler.settings import DeduplicationScope, Idempotency
+from juniperward.scheduler.settings import Idempotency
 from juniperward.scheduler.slow_start import SlowStart
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
@@ -62,8 +62,7 @@
         sample = destination.sample_endpoints(self._random, most, drawn)
         for looked_at in (sample, destination.endpoint_order):
             ready = [endpoint for endpoint in looked_at if endpoint.is_ready]  # rule 3
-            opens_at = [self.opens_at(endpoint) for endpoint in ready]
-            until = self._now + TIME_EPSILON_S
+            opens_at, until = list(map(self.opens_at, ready)), self._now + TIME_EPSILON_S
             candidates = [ready[place] for place, at in enumerate(opens_at) if at <= until]
             if candidates or looked_at is destination.endpoint_order:
                 break
@@ -120,9 +119,7 @@
 
     def _suits(self, endpoint: Endpoint, message: Message) -> bool:
         """Whether it is reachable, and would drop a repeat of what possibly executed."""
-        keyed = message.idempotency is Idempotency.IDEMPOTENCY_KEY
-        in_zone = keyed and message.message_class.deduplication_scope is DeduplicationScope.ZONE
-        if message.possibly_executed and in_zone and endpoint.zone != message.zone:
+        if message.possibly_executed and endpoint.zone != message.zone and message.bound_to_zone():
             return False
         may_connect = endpoint.no_new_connection_until <= self._now
         return may_connect or endpoint.has_connection(self._now, self._settings)
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -54,7 +54,7 @@
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take in all events of a round, then decide once; `now` does not go back from round to round."""
         round_ = self.state.round
-        round_.begin(now)
+        self.state.begin_round(now)
         for event in events:
             self._take_in(event)
         round_.timers.run_due(now)
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -92,7 +92,7 @@
     answered(node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     node.now += 2000.0
     route.rate_limit, route.consecutive_rejections, route.rate_limit_raise_at = 0.5, 0, node.now
-    node.scheduler.state.round.now = node.now
+    node.scheduler.state.begin_round(node.now)
     node.scheduler.rate_limits.raise_limit(node.destination(1), route)
     assert route.rate_limit is None or 0.5 < route.rate_limit < 100.0
 
