--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -20,7 +20,7 @@
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import Asked
 from juniperward.agent.store import Store
-from juniperward.control.protocol import ControlError
+from juniperward.control.errors import ControlError
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Phase, Reading
 from juniperward.kept.resender import ResendRules
--- a/juniperward/control/protocol.py
+++ b/juniperward/control/protocol.py
@@ -31,10 +31,6 @@
     """What came is no frame of this protocol, or no value of the type that it should be."""
 
 
-class ControlError(Exception):
-    """The channel's socket cannot be opened as the settings ask; one plain line."""
-
-
 class Verb(StrEnum):
     """What can be asked of a forwarder."""
 
--- a/juniperward/control/server.py
+++ b/juniperward/control/server.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from juniperward.control.errors import ControlError
 from juniperward.control.protocol import (
     MOST_REQUEST,
     Answer,
-    ControlError,
     ProtocolError,
     Request,
     decode_request,
@@ -179,7 +179,7 @@
         with self.lock:
             if len(self.clients) >= MOST_CLIENTS:
                 idle = min(self.clients.values(), key=lambda c: c.since)
-                self.count("control_clients_spared")
+                self.count("control_clients_evicted")
                 sockets.shut(idle.sock)
                 del self.clients[idle.number]
             self.last += 1
@@ -204,12 +204,12 @@
         try:
             request = decode_request(read_frame(client.exactly, MOST_REQUEST))
         except ProtocolError as error:
-            self.count("control_unread")
+            self.count("control_requests_unread")
             self._write(client, Answer(0, None, str(error)))
             return False
         self.count("control_requests")
         if (pause := client.pause()) > 0:
-            self.count("control_paced")
+            self.count("control_requests_paced")
             time.sleep(pause)
         with client.lock:
             client.told.clear()
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -107,12 +107,12 @@
         case 200:
             return Outcome.OK
         case 503 if fresh and answer.close and not read_retry_after(answer.headers):
-            count("tables_full")
+            count("connection_tables_full")
             return Outcome.CONNECT_FAILED  # no place in its table, as for a call
         case 503 | 429:
             return Outcome.OVERLOADED
         case status:
-            count("probes_unknown")
+            count("health_checks_unknown")
             log("probe", f"a probe was answered {status}, which is taken as an error")
             return Outcome.ERROR
 
@@ -158,7 +158,7 @@
             meaning = AnswerMeaning(Outcome.NOT_SENT, no_slot_free=True)
         case 503 if closed_at_once:
             # Over its limit an endpoint keeps the connection; one that it ends at once had no place in its table.
-            count("tables_full")
+            count("connection_tables_full")
             meaning = AnswerMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
         case 429 | 503:
             meaning = AnswerMeaning(Outcome.OVERLOADED)
@@ -167,7 +167,7 @@
         case 410:
             meaning = AnswerMeaning(Outcome.NOT_SENT, message_ended=True)
         case 400 | 413 if len(what.items) > 1:
-            count("batches_unread")
+            count("batches_rejected")
             log("worker", f"{what.host}:{what.port} does not take a call of {len(what.items)} messages")
             meaning = AnswerMeaning(Outcome.NOT_SENT)
         case 500:
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import time
+from typing import TYPE_CHECKING
 
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.config import Config
 from juniperward.forwarder.counters import log
-from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
 from juniperward.forwarder.discovery_client import DiscoveryClient
-from juniperward.forwarder.effect_executor import EffectExecutor, ProcessInfo
+from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.journal import NAME as JOURNAL_NAME
@@ -18,12 +18,14 @@
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.server import Server
-from juniperward.kept.spool import Spool
+
+if TYPE_CHECKING:
+    from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
 
 def build(config: Config) -> Loop:
     """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
-    started, to_unix = time.time(), time.time() - time.monotonic()
+    to_unix = time.time() - time.monotonic()
     journal_to_unix = carry_over(config.state, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
     journal = Journal(config.state, config.disk_bytes, journal_to_unix)
     dead_letters = _open_dead_letters(config, to_unix)
@@ -32,13 +34,16 @@
     queue = EventQueue()
     executor = _build_executor(config, journal, queue)
     executor.dead_letters = dead_letters
-    executor.process = ProcessInfo(config.name, started)
     return Loop(reducer, executor, queue)
 
 
 def _open_dead_letters(config: Config, to_unix: float) -> DeadLetterWriter | None:
     if config.spool is None:
         return None
+    # Not loaded where they are not used.
+    from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+    from juniperward.kept.spool import Spool
+
     return DeadLetterWriter(Spool(config.spool, config.spool_bytes), config.settings, config.names, to_unix)
 
 
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -64,12 +64,12 @@
         try:
             request = read_request(stream, lambda: client.sock.sendall(CONTINUE))
         except MalformedMessageError as error:
-            count("calls_malformed")
+            count("requests_malformed")
             client.write(encode_reply(error.status, 0.0, True, str(error)))
             client.linger()
             return False
         except MessageTimeoutError:
-            count("calls_overdue")
+            count("requests_timed_out")
             client.write(encode_reply(408, 0.0, True, "the call was not whole in time"))
             client.linger()
             return False
@@ -118,7 +118,7 @@
         try:
             message = decode_message(request, self._names)
         except UnreadableMessageError as error:
-            count("calls_unreadable")
+            count("requests_unreadable")
             client.write(encode_reply(400, 0.0, close, str(error)))
             return
         with client.lock:
@@ -132,5 +132,5 @@
                 return
             # The reducer is behind; an answer that comes later finds nobody and is withdrawn.
             client.pending = False
-            count("overload_replies_overdue")
+            count("rejections_overdue")
             client.write(encode_reply(503, RETRY_AFTER_S, request.close or self._state.stopping))
--- a/juniperward/forwarder/client_table.py
+++ b/juniperward/forwarder/client_table.py
@@ -71,7 +71,7 @@
         # One that has been answered sends again elsewhere; the first request of another would have failed.
         client = min(idle, key=lambda candidate: (not candidate.served, candidate.since))
         client.leaving = True
-        count("clients_spared")
+        count("clients_evicted")
         client.end_reading()
         return True
 
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -9,7 +9,7 @@
 
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.model import Message
-from juniperward.kept.spool import PREFIX
+from juniperward.kept.ownership import is_redrive_id
 from juniperward.net.http import DECIMAL, HttpRequest, encode_response
 
 MESSAGE_PATH = "/api"
@@ -73,7 +73,7 @@
     text = headers.get("x-kept-ran")
     if text is None:
         return None
-    if not DECIMAL.fullmatch(text) or not message_id.startswith(PREFIX):
+    if not DECIMAL.fullmatch(text) or not is_redrive_id(message_id):
         raise UnreadableMessageError("X-Kept-Ran", "seconds are needed, and the id of a resend")
     return float(text)
 
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -98,7 +98,7 @@
             workers.append(_read_worker(entry, names))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             # It would come again with every watch: failing the whole would leave us without any news.
-            count("registry_entries_unread")
+            count("endpoint_entries_unread")
             log("registry", f"an entry that cannot be read: {type(error).__name__}: {error}")
     return News(int(value["version"]), bool(value["full"]), tuple(workers))
 
@@ -128,7 +128,7 @@
         rate = math.nan
     if 0 <= rate < math.inf:
         return rate
-    count("registry_rates_unread")
+    count("listed_rates_unread")
     return 0.0
 
 
--- /dev/null
+++ b/juniperward/forwarder/control_output.py
@@ -0,0 +1,43 @@
+"""What goes out to the control channel: answers, with what only the process knows, and the end of the process."""
+
+from __future__ import annotations
+
+import os
+import signal
+from dataclasses import replace
+
+from juniperward.control.protocol import Answer, Body, Fates, Status
+from juniperward.control.server import ControlServer
+from juniperward.forwarder.effect_executor import ControlOutput, EffectExecutor
+
+
+class ControlChannelOutput(ControlOutput):
+    """Answers on the control channel, and ends the process as SIGTERM does."""
+
+    def __init__(self, control: ControlServer, executor: EffectExecutor, name: str, started: float) -> None:
+        """Answer by a channel; `name` and `started` (Unix time) are those of the process."""
+        self._control, self._executor = control, executor
+        self._name, self._started = name, started
+
+    def reply(self, client: int, answer: Answer) -> None:
+        """Answer a client of the channel."""
+        self._control.tell(client, replace(answer, body=self._complete(answer)))
+
+    def _complete(self, answer: Answer) -> Body | None:
+        """Put in what the reducer does not know: names, how large the journal is, what the spool remembers."""
+        body, dead_letters, journal = answer.body, self._executor.dead_letters, self._executor.journal
+        if isinstance(body, Fates) and dead_letters is not None:
+            return dead_letters.redrive_outcomes(body)
+        if isinstance(body, Status):
+            return replace(
+                body,
+                name=self._name,
+                started=self._started,
+                journal_bytes=journal.size,
+                journal_live=journal.live_bytes,
+            )
+        return body
+
+    def end_process(self) -> None:
+        """Have the main thread see a SIGTERM."""
+        os.kill(os.getpid(), signal.SIGTERM)
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -27,9 +27,9 @@
         """Write a message that is given up to the spool."""
         try:
             self.spool.keep(self._dead_letter(effect))
-            count("kept")
+            count("dead_letters_stored")
         except OSError as error:
-            count("kept_failed")
+            count("dead_letters_failed")
             log("kept", f"{effect.message.id} is given up and cannot be kept: {error}")
 
     def _dead_letter(self, effect: StoreDeadLetter) -> Kept:
@@ -59,7 +59,7 @@
         try:
             self.spool.remember(effect.id, Fate(effect.outcome, executed_at))
         except OSError as error:
-            count("kept_failed")
+            count("dead_letters_failed")
             log("kept", f"the end of resend {effect.id} cannot be written: {error}")
             self.spool.complete_since = math.inf  # nothing may be concluded from its absence
 
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -82,7 +82,7 @@
             ) as error:
                 log("registry", f"the watch ended: {error}")
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                count("registry_unread")
+                count("endpoint_lists_unread")
                 log("registry", f"news that cannot be read: {type(error).__name__}: {error}")
             except Exception as error:
                 trouble("registry", error)
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from juniperward.control.protocol import Answer, Fates, Status
 from juniperward.forwarder.counters import count, log
-from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import (
     AcceptMessage,
@@ -45,6 +42,10 @@
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.server import Server
 
+if TYPE_CHECKING:  # loaded where a control channel is open, or dead letters are stored
+    from juniperward.control.protocol import Answer
+    from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
+
 HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
 JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
 
@@ -56,14 +57,6 @@
         """Report an event at a moment."""
 
 
-@dataclass(frozen=True, slots=True)
-class ProcessInfo:
-    """What the control channel tells of the process, beside the reducer's state; `started` is Unix time."""
-
-    name: str = ""
-    started: float = 0.0
-
-
 class ControlOutput:
     """The way out to the control channel; this one is for a forwarder without it."""
 
@@ -90,7 +83,6 @@
         self.endpoint_client = endpoint_client
         self._timers = timers
         self.control = ControlOutput()
-        self.process = ProcessInfo()
         self.dead_letters: DeadLetterWriter | None = None
 
     def perform(self, effect: Effect) -> Event | None:
@@ -140,7 +132,7 @@
             case WriteLog(text=text):
                 log("module", text)
             case SendControlReply(client=client, answer=answer):
-                self.control.reply(client, self._complete(answer))
+                self.control.reply(client, answer)
             case EndProcess():
                 self.control.end_process()
             case StoreDeadLetter() if self.dead_letters is not None:
@@ -148,27 +140,12 @@
             case RecordRedriveOutcome() if self.dead_letters is not None:
                 self.dead_letters.record_redrive_outcome(effect)
 
-    def _complete(self, answer: Answer) -> Answer:
-        """Put in what the reducer does not know: names, and how large the journal is."""
-        body = answer.body
-        if isinstance(body, Fates) and self.dead_letters is not None:
-            body = self.dead_letters.redrive_outcomes(body)
-        elif isinstance(body, Status):
-            body = replace(
-                body,
-                name=self.process.name,
-                started=self.process.started,
-                journal_bytes=self.journal.size,
-                journal_live=self.journal.live_bytes,
-            )
-        return replace(answer, body=body)
-
     def _accept(self, client: int, record: JournalRecord) -> bool:
         """The journal first, then the client: what a client was told outlasts this process."""
         try:
             self.journal.append(record)
         except JournalFullError:
-            count("overload_replies_disk")
+            count("rejections_disk")
             log("journal", "no room for another message; clients are turned away")
         except OSError as error:
             count("journal_failures")
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -6,12 +6,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from juniperward.control.protocol import Answer
 from juniperward.forwarder.events import TimerEvent
 from juniperward.forwarder.model import BatchItem, Message, OutcomeNotification, PastAttempt, RouteKey
 from juniperward.forwarder.records import AcceptedRecord, JournalRecord
 
+if TYPE_CHECKING:  # the protocol is loaded where a control channel is open
+    from juniperward.control.protocol import Answer
+
 
 @dataclass(frozen=True, slots=True)
 class AcceptMessage:
--- a/juniperward/forwarder/endpoint_call.py
+++ b/juniperward/forwarder/endpoint_call.py
@@ -77,13 +77,13 @@
         items = self._begin(call, what)
         if not items:
             # It waited behind a dial: what came meanwhile from discovery or the endpoint binds it.
-            count("delegations_withheld")
+            count("attempts_withheld")
             self._pool.put_back(what.endpoint, connection)
             return outcomes_of_all(what, Outcome.NOT_SENT, written=False)
         if len(items) == len(what.items):
             return self._exchange(call, what, connection, fresh)
         # What ended meanwhile was told its end: sent on now it would execute, and be brought a second time.
-        count("messages_left_out", len(what.items) - len(items))
+        count("batch_items_withdrawn", len(what.items) - len(items))
         outcomes = {o.message: o for o in outcomes_of_all(what, Outcome.NOT_SENT, written=False)}
         exchanged = self._exchange(call, replace(what, items=items), connection, fresh)
         return tuple((outcomes | {o.message: o for o in exchanged}).values())
@@ -134,14 +134,14 @@
         if (
             connection.stream.buffer
         ):  # more than one answer, also late: what is behind must not be the next call's
-            count("answers_with_more")
+            count("answers_with_excess")
         self._release(call, connection, answer)
         return read_outcomes(what, answer, fresh)
 
     @staticmethod
     def _unread(call: ActiveCall, what: StartAttempt, error: Exception) -> tuple[ItemOutcome, ...]:
         if not call.cancelled:
-            count("answers_spoilt")
+            count("answers_incomplete")
             log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
         # A first line with 200 has delivered a single message, whatever becomes of the rest.
         delivered = len(what.items) == 1 and getattr(error, "status", None) == HTTP_OK
@@ -158,7 +158,7 @@
         with self._gate.lock:
             barred = call.cancelled or not self._gate.is_open(what, time.monotonic())
         if barred:
-            count("probes_withheld")
+            count("health_checks_withheld")
             self._pool.put_back(what.endpoint, connection)
             return _health(what, Outcome.NOT_SENT, began)
         connection.deadline = what.deadline
@@ -170,7 +170,7 @@
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return _health(what, self._unread_health(what, fresh, error), began)
-        count("probes_answered")
+        count("health_checks_answered")
         self._release(call, connection, answer)
         return _health(what, read_health(answer, fresh), began, answer)
 
@@ -178,7 +178,7 @@
     def _unread_health(what: StartHealthCheck, fresh: bool, error: Exception) -> Outcome:
         if time.monotonic() >= what.deadline:  # the stream tells a read that took too long as broken
             return Outcome.TIMEOUT
-        count("probes_spoilt")
+        count("health_checks_incomplete")
         log("probe", f"{what.host}:{what.port} gave no whole answer: {error}")
         return Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET
 
--- a/juniperward/forwarder/events.py
+++ b/juniperward/forwarder/events.py
@@ -6,12 +6,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from juniperward.control.protocol import Request
 from juniperward.forwarder.model import AttemptProgress, Endpoint, ItemOutcome, Message
 from juniperward.forwarder.records import RestoredMessage
 from juniperward.scheduler.events import Outcome
 
+if TYPE_CHECKING:  # the protocol is loaded where a control channel is open
+    from juniperward.control.protocol import Request
+
 
 @dataclass(frozen=True, slots=True)
 class JournalReplayed:
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -96,7 +96,7 @@
             batch = self._next_batch()
             retry_s = RETRY_FIRST_S
             while not self._try_to_deliver(batch):
-                count("notices_again")
+                count("notifications_retried")
                 self._drop_connection()
                 time.sleep(retry_s)
                 retry_s = min(2 * retry_s, RETRY_MAX_S)
@@ -136,10 +136,10 @@
                 batch.remove(notification)
             return
         if status == HTTP_BAD_REQUEST:
-            count("notices_dropped")
+            count("notifications_dropped")
             log("notices", f"the platform cannot read the notice of {batch[0].id}; it is dropped")
         elif status == HTTP_NO_CONTENT:
-            count("notices_accepted", len(batch))
+            count("notifications_acknowledged", len(batch))
         else:
             raise NotificationsRejectedError(status)
         self._post(NotificationAcknowledged(tuple(notification.id for notification in batch)))
--- a/juniperward/forwarder/reducer/attempts.py
+++ b/juniperward/forwarder/reducer/attempts.py
@@ -70,7 +70,7 @@
             except Exception as error:
                 if __debug__:
                     raise
-                trouble("delegation", error)
+                trouble("attempt", error)
                 not_begun = AttemptCancelled(attempt.number, AttemptProgress.WAITING)
                 self._round.emit(SetTimer(self._round.now, not_begun))
 
@@ -91,7 +91,7 @@
             deadline = DeadlineReached(attempt.number, asked.message)
             self._round.emit(SetTimer(now + asked.timeout_s, deadline))
         holds(len(state.attempts.in_flight) <= self._round.settings.slots, "no_more_calls_than_slots")
-        count("delegations")
+        count("attempts")
         self._round.emit(
             StartAttempt(
                 attempt.number,
@@ -122,7 +122,7 @@
             if item.message in attempt.waiting:
                 self._finish(attempt, item)
         for message in list(attempt.waiting):
-            holds(False, "every_message_of_a_delegation_ends")
+            holds(False, "every_message_of_an_attempt_ends")
             self._finish(attempt, ItemOutcome(message, Outcome.RESET))
         in_flight.pop(event.attempt_number, None)
 
@@ -130,7 +130,7 @@
         """End a message's part of an attempt."""
         ordinal = attempt.waiting.pop(item.message)
         endpoint = self._round.state.directory.endpoints[attempt.endpoint]
-        count(f"delegations_{OUTCOME_WORDS[item.outcome]}")
+        count(f"attempts_{item.outcome.name.lower()}")
         message_ended = item.message_ended or item.outcome is Outcome.OK
         pending = self._round.state.messages.pending.get(item.message)
         if pending is not None:
@@ -162,7 +162,7 @@
         pending.attempt_number = None
         if pending.never_attempted and item.written:
             pending.never_attempted = False
-            count("restored_tried")
+            count("restored_attempted")
         if executed and not message_ended and pending.executed_at is None:
             pending.executed_at = pending.attempt_started_at
         if self._completion.stores_dead_letters:
@@ -170,7 +170,7 @@
             past = PastAttempt(endpoint.id, pending.attempt_started_at, word, executed)
             pending.past_attempts.append(past)
         if item.outcome is Outcome.OK:
-            count("delivered")
+            count("messages_delivered")
         if message_ended:
             self._completion.complete(pending, delivered=item.outcome is Outcome.OK)
         elif item.written:
--- a/juniperward/forwarder/reducer/completion.py
+++ b/juniperward/forwarder/reducer/completion.py
@@ -15,15 +15,14 @@
 from juniperward.forwarder.records import CompletedRecord, OutcomeDecidedRecord
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import PendingMessage
-from juniperward.kept.decisions import custody
-from juniperward.kept.spool import PREFIX
+from juniperward.kept.ownership import is_redrive_id, is_stored
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
 
 
 def is_redrive(pending: PendingMessage) -> bool:
     """Return whether a message is a dead letter that is sent again."""
-    return pending.message.id.startswith(PREFIX)
+    return is_redrive_id(pending.message.id)
 
 
 class Completion:
@@ -65,9 +64,9 @@
         """Give a message up: a rejection with `retry_after_s`, else a failure."""
         now, message = self._round.now, pending.message
         may_store = self.stores_dead_letters and not is_redrive(pending)
-        if may_store and custody(pending.expires_at - now, retry_after_s):
+        if may_store and is_stored(pending.expires_at - now, retry_after_s):
             retry_after_s = None  # it is stored: its client must not bring it a second time
-        count("given_up_failed" if retry_after_s is None else "given_up_refused")
+        count("messages_failed" if retry_after_s is None else "messages_rejected")
         if self.stores_dead_letters and is_redrive(pending):
             outcome = "undeliverable" if retry_after_s is None else "deferred"
             self._round.emit(RecordRedriveOutcome(message.id, outcome, pending.executed_at))
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -60,7 +60,7 @@
         directory.version = event.version
         if not event.cached:
             directory.updated_at = self._round.now
-        count("registry_news")
+        count("endpoint_list_updates")
         entries = tuple(self._apply_entry(endpoint) for endpoint in event.endpoints)
         if event.full:
             named = {entry.endpoint for entry in entries}
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -28,7 +28,7 @@
             return
         check = state.attempts.next_number()
         state.attempts.health_checks[check] = number
-        count("probes")
+        count("health_checks")
         self._round.emit(
             StartHealthCheck(
                 check,
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -44,12 +44,12 @@
         self._completion.forget_completed_ids()
         if self._is_known(message.id):
             # A client whose connection crossed with our close sends the same once more: it is ours already, or was.
-            count("handed_in_twice")
+            count("duplicates_received")
             self._round.emit(ReplyToClient(event.client, HTTP_ACCEPTED))
             return
         reason = self._rejection(event)
         if reason is not None:
-            count(f"overload_replies_{reason}")
+            count(f"rejections_{reason}")
             self._round.emit(ReplyToClient(event.client, HTTP_UNAVAILABLE, ADMISSION_RETRY_AFTER_S))
             return
         due_at = event.received_at + message.time_left_s
@@ -88,10 +88,10 @@
         pending = messages.offered.pop(number)
         if not client_told:
             del messages.numbers[pending.message.id]
-            count("withdrawn")
+            count("messages_withdrawn")
             self._round.emit(AppendRecord(CompletedRecord(pending.message.id)))
             return
-        count("taken_on")
+        count("messages_accepted")
         messages.pending[number] = pending
         holds(len(messages.pending) <= self._round.settings.max_open, "no_more_held_than_max_open")
         history: tuple[scheduler_events.PastAttempt, ...] = ()
@@ -127,14 +127,14 @@
     def restore(self, restored: RestoredMessage) -> None:
         """Go on with a message that the journal has."""
         now, messages = self._round.now, self._round.state.messages
-        count("restored")
+        count("messages_restored")
         if restored.notification is not None:
             self._completion.notify(restored.notification)
             return
         pending = self._restored_message(restored)
         if pending.expires_at <= now or pending.message.id in self._completion.stored:
             # One that is stored was given up; its end is what the kill cut off.
-            count("restored_overdue" if pending.expires_at <= now else "restored_kept")
+            count("restored_overdue" if pending.expires_at <= now else "restored_dead_letters")
             self._completion.give_up(pending, None)
             return
         messages.pending[pending.number] = pending
--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
 from juniperward.forwarder import events
 from juniperward.forwarder.counters import trouble
 from juniperward.forwarder.effects import Effect
 from juniperward.forwarder.reducer.attempts import Attempts
 from juniperward.forwarder.reducer.completion import Completion
-from juniperward.forwarder.reducer.control import Control
 from juniperward.forwarder.reducer.endpoint_list import EndpointList
 from juniperward.forwarder.reducer.health_checks import HealthChecks
 from juniperward.forwarder.reducer.intake import Intake
@@ -25,6 +25,9 @@
 from juniperward.scheduler.events import TimerFired
 from juniperward.scheduler.settings import SchedulerSettings
 
+if TYPE_CHECKING:
+    from juniperward.forwarder.reducer.control import Control
+
 
 class Reducer:
     """The only place where a forwarder's state changes."""
@@ -46,7 +49,7 @@
         self._attempts = Attempts(round_, self._completion)
         self._health_checks = HealthChecks(round_)
         self._endpoint_list = EndpointList(round_)
-        self._control = Control(round_, self.scheduler)
+        self._control: Control | None = None
         self._shutdown = Shutdown(round_)
         handlers = Handlers(self._attempts, self._health_checks, self._completion, self._endpoint_list)
         self._scheduling = Scheduling(round_, self.scheduler, handlers)
@@ -90,10 +93,17 @@
             case events.ShutdownRequested():
                 self._shutdown.requested(event)
             case events.ControlRequested():
-                self._control.requested(event)
+                self._control_handler().requested(event)
             case _:
                 self._take_in_of_endpoints(event)
 
+    def _control_handler(self) -> Control:
+        from juniperward.forwarder.reducer.control import Control  # not loaded where no channel is open
+
+        if self._control is None:
+            self._control = Control(self._round, self.scheduler)
+        return self._control
+
     def _take_in_of_endpoints(self, event: events.EndpointEvent) -> None:
         match event:
             case events.AttemptAnswered():
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -86,6 +86,6 @@
             holds(False, "one_final_answer")
             return
         if pending.never_attempted:
-            count("restored_given_up_untried")
+            count("restored_never_attempted")
         self._handlers.completion.forget(pending)
         self._handlers.completion.give_up(pending, retry_after_s)
--- a/juniperward/forwarder/reload.py
+++ b/juniperward/forwarder/reload.py
@@ -30,7 +30,7 @@
         try:
             new = load(self.environment)
         except ConfigError as error:
-            count("reloads_refused")
+            count("reloads_rejected")
             log("reload", f"the settings stay as they were: {error}")
             return None
         later = [
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -128,7 +128,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client, placed = self.table.add(sock)
         if not placed:
-            count("overload_replies_connections")
+            count("rejections_connections")
             client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
             sock.close()
             return
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -9,11 +9,10 @@
 import time
 from typing import TYPE_CHECKING
 
-from juniperward.control.protocol import Answer, ControlError
+from juniperward.control.errors import ControlError
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.counters import count, log, report, trouble
-from juniperward.forwarder.effect_executor import ControlOutput
 from juniperward.forwarder.events import (
     ControlRequested,
     EndpointsUpdated,
@@ -40,34 +39,20 @@
     """Open the control channel where the settings name its path; raises ControlError."""
     if config.control is None:
         return None
-    from juniperward.control.server import ControlServer  # not loaded where it is not used
+    # Not loaded where they are not used.
+    from juniperward.control.server import ControlServer
+    from juniperward.forwarder.control_output import ControlChannelOutput
 
     post = loop.queue.post
     control = ControlServer(
         config.control, lambda client, request: post(ControlRequested(client, request)), count, trouble
     )
-    loop.executor.control = ControlChannelOutput(control)
+    loop.executor.control = ControlChannelOutput(control, loop.executor, config.name, time.time())
     control.start()
     log("start", f"the control channel is at {config.control}")
     return control
 
 
-class ControlChannelOutput(ControlOutput):
-    """Answers on the control channel, and ends the process as SIGTERM does."""
-
-    def __init__(self, control: ControlServer) -> None:
-        """Answer by a channel."""
-        self._control = control
-
-    def reply(self, client: int, answer: Answer) -> None:
-        """Answer a client of the channel."""
-        self._control.tell(client, answer)
-
-    def end_process(self) -> None:
-        """Have the main thread see a SIGTERM."""
-        os.kill(os.getpid(), signal.SIGTERM)
-
-
 def run(config: Config) -> int:
     """Serve until a signal ends it."""
     threading.stack_size(THREAD_STACK_BYTES)
--- a/juniperward/kept/decisions.py
+++ b/juniperward/kept/decisions.py
@@ -14,20 +14,9 @@
 MARGIN = 0.25  # seconds kept clear of a window's end
 TRIAL = 3.0  # seconds between resends that try a destination which no live message tries
 STALE = 10.0  # seconds after which a pace begins anew
-LAST = 0.5  # seconds of its own time in which a client has nothing more to try
 LEAST_LEFT = 0.5  # seconds of a window that must be left for a resend to be begun
 
 
-def custody(left: float, again: float | None) -> bool:
-    """Whether a message that is given up is kept, and its client told not to come again.
-
-    Both together or neither: a client that comes again while its message is kept would have it sent twice. One
-    that was told a time to come again before its message's own time is over keeps it; one for which nothing
-    would be left of that time (`left` seconds are) has nothing more to try.
-    """
-    return again is None or left <= max(again, LAST)
-
-
 class Kind(StrEnum):
     """What is known of whether a message has taken effect."""
 
--- a/juniperward/kept/spool.py
+++ b/juniperward/kept/spool.py
@@ -24,7 +24,6 @@
 
 SEGMENT = 1_000_000  # bytes of a segment before the next one is begun
 MOST_FATES = 100_000  # ends remembered; beyond it the oldest half is forgotten, and `complete_since` says so
-PREFIX = "kept-"  # of the ids of resends
 
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
--- a/juniperward/kept/store.py
+++ b/juniperward/kept/store.py
@@ -19,7 +19,8 @@
 from typing import Any
 
 from juniperward.kept.decisions import Clock, Facts, Stand
-from juniperward.kept.spool import PREFIX, Kept
+from juniperward.kept.ownership import REDRIVE_PREFIX
+from juniperward.kept.spool import Kept
 
 MIGRATIONS = (
     # 1: messages, attempts, resends, the audit trail, how far each spool has been read
@@ -135,7 +136,7 @@
 
 def resend_id(message: str, number: int) -> str:
     """The id of a message's resend with this fence: the same for whoever makes it."""
-    return f"{PREFIX}{hashlib.sha256(message.encode()).hexdigest()[:20]}-{number}"
+    return f"{REDRIVE_PREFIX}{hashlib.sha256(message.encode()).hexdigest()[:20]}-{number}"
 
 
 class KeptStore:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -128,11 +128,11 @@
         entry = {"addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         rates: tuple[Any, ...] = (None, 0, 42.5, "40", -1, "many", [], float("nan"), float("inf"), 10**400)
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
-        before = counters().get("registry_rates_unread", 0)
+        before = counters().get("listed_rates_unread", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
         found = [w.listed_rate for w in config.known.workers]
         self.assertEqual(found, [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0])
-        self.assertEqual(counters()["registry_rates_unread"] - before, 6)
+        self.assertEqual(counters()["listed_rates_unread"] - before, 6)
 
     def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(self) -> None:
         self.assertEqual(load(self.given(GOOD)).settings.instances, 1)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,9 +22,9 @@
 
 from juniperward.control import protocol, server
 from juniperward.control.client import ControlClient, Refused, Silent
+from juniperward.control.errors import ControlError
 from juniperward.control.protocol import (
     Answer,
-    ControlError,
     Counters,
     Destination,
     ProtocolError,
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -159,13 +159,13 @@
             from juniperward.forwarder.config import Names
             from juniperward.forwarder.counters import counters
 
-            before = counters().get("kept_failed", 0)
+            before = counters().get("dead_letters_failed", 0)
             writer = DeadLetterWriter(spool, settings(KEYED), Names(("c",), (20.0,), (), (), ()), 0.0)
             tried = PastAttempt("s-1", 1.0, "timeout", True)
             writer.store(
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
             )
-            self.assertEqual(counters()["kept_failed"], before + 1)
+            self.assertEqual(counters()["dead_letters_failed"], before + 1)
             spool.remember("kept-a-1", Fate("delivered"))
             self.assertEqual(writer.redrive_outcomes(Fates(0.0, ())).complete_since, spool.complete_since)
             spool.close()
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -222,7 +222,7 @@
         # What was tried in either life stands in its place by worth, and by when it came.
         self.assertEqual(order, ["r0", "r1", "r2", "f0", "f1", "f2", "t", "r0"])
         gained = {k: v - before.get(k, 0) for k, v in counters().items() if k.startswith("restored_")}
-        self.assertEqual((gained["restored_tried"], gained.get("restored_given_up_untried", 0)), (3, 0))
+        self.assertEqual((gained["restored_attempted"], gained.get("restored_never_attempted", 0)), (3, 0))
 
     def test_all_of_its_clients_time_is_there_to_try_it(self) -> None:
         # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
@@ -244,7 +244,7 @@
     def test_what_is_untried_keeps_its_place_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
         found = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(4)]
-        before = counters().get("restored_given_up_untried", 0)
+        before = counters().get("restored_never_attempted", 0)
         effects = self.begin(*found, slots=1, max_open=4)
         self.assertEqual(
             self.do(MessageReceived(5, call("new"), self.now)),
@@ -255,7 +255,7 @@
             order += sent[0]
             effects = self.end(effects, (Outcome.OK, 0.0))
         self.assertEqual(
-            (order, counters().get("restored_given_up_untried", 0)), (["r0", "r1", "r2", "r3"], before)
+            (order, counters().get("restored_never_attempted", 0)), (["r0", "r1", "r2", "r3"], before)
         )
         self.assertEqual(self.sent(self.take("new")), [["new"]])
 
@@ -271,9 +271,9 @@
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
-        before = counters().get("restored_given_up_untried", 0)
+        before = counters().get("restored_never_attempted", 0)
         seen = self.run_to(104.9, effects, self.do)
         self.assertEqual(self.only(seen, SendNotifications), [])
         seen = self.run_to(105.2, self.only(seen, SetTimer), self.do)
         self.assertEqual(len(self.only(seen, SendNotifications)), 1)
-        self.assertEqual(counters()["restored_given_up_untried"], before + 1)
+        self.assertEqual(counters()["restored_never_attempted"], before + 1)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,6 +20,9 @@
     "sqlite3",
     "pyrsistent",
     "juniperward.control.server",
+    "juniperward.control.protocol",
+    "juniperward.kept.spool",
+    "juniperward.kept.decisions",
 )
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -44,10 +44,10 @@
             {"id": "x"}, {**value["servers"][5], "addr": "nowhere"}, {**value["servers"][6], "cell": None},
             {**value["servers"][7], "state": "Gone?"}, 7,
         ]  # fmt: skip
-        before = counters().get("registry_entries_unread", 0)
+        before = counters().get("endpoint_entries_unread", 0)
         news = read_news({**value, "servers": [*bad, *value["servers"]]}, NAMES)
         self.assertEqual(len(news.workers), 1024)
-        self.assertEqual(counters()["registry_entries_unread"], before + len(bad))
+        self.assertEqual(counters()["endpoint_entries_unread"], before + len(bad))
         drive = Drive(1, 40, 1)
         drive.do(EndpointsUpdated(9, True, news.workers))
         self.assertEqual(len(drive.reducer.scheduler.state.table.endpoints), 1024)
