--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -6,9 +6,9 @@
 import math
 from dataclasses import dataclass
 
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.model import ItemOutcome
+from juniperward.forwarder.telemetry import increment, log
 from juniperward.net.http import DECIMAL, HttpResponse
 from juniperward.scheduler.events import Outcome
 
@@ -93,7 +93,7 @@
                 return report
     except (ValueError, TypeError, OverflowError):
         pass
-    count("reports_unread")
+    increment("reports_unread")
     return NO_REPORT
 
 
@@ -107,13 +107,13 @@
         case 200:
             return Outcome.OK
         case 503 if fresh and answer.close and not read_retry_after(answer.headers):
-            count("connection_tables_full")
+            increment("connection_tables_full")
             return Outcome.CONNECT_FAILED  # no place in its table, as for a call
         case 503 | 429:
             return Outcome.OVERLOADED
         case status:
-            count("health_checks_unknown")
-            log("probe", f"a probe was answered {status}, which is taken as an error")
+            increment("health_checks_unknown")
+            log("health_check", "unknown status", status=status)
             return Outcome.ERROR
 
 
@@ -158,7 +158,7 @@
             meaning = AnswerMeaning(Outcome.NOT_SENT, no_slot_free=True)
         case 503 if closed_at_once:
             # Over its limit an endpoint keeps the connection; one that it ends at once had no place in its table.
-            count("connection_tables_full")
+            increment("connection_tables_full")
             meaning = AnswerMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
         case 429 | 503:
             meaning = AnswerMeaning(Outcome.OVERLOADED)
@@ -167,14 +167,14 @@
         case 410:
             meaning = AnswerMeaning(Outcome.NOT_SENT, message_ended=True)
         case 400 | 413 if len(what.items) > 1:
-            count("batches_rejected")
-            log("worker", f"{what.host}:{what.port} does not take a call of {len(what.items)} messages")
+            increment("batches_rejected")
+            log("endpoint", "batch rejected", endpoint=f"{what.host}:{what.port}", messages=len(what.items))
             meaning = AnswerMeaning(Outcome.NOT_SENT)
         case 500:
             pass
         case status:
-            count("answers_unknown")
-            log("worker", f"{what.host}:{what.port} answered {status}, which is taken as an error")
+            increment("answers_unknown")
+            log("endpoint", "unknown status", endpoint=f"{what.host}:{what.port}", status=status)
     return meaning
 
 
@@ -207,6 +207,6 @@
             return {row["id"]: STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
     except (ValueError, TypeError, KeyError):
         pass
-    count("answers_unread")
-    log("worker", f"{what.host}:{what.port} answered several messages with what cannot be read")
+    increment("answers_unread")
+    log("endpoint", "answer unreadable", endpoint=f"{what.host}:{what.port}", messages=len(what.items))
     return {}
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -7,7 +7,6 @@
 
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.config import Config
-from juniperward.forwarder.counters import log
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
@@ -18,6 +17,7 @@
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.server import Server
+from juniperward.forwarder.telemetry import log
 
 if TYPE_CHECKING:
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
@@ -50,8 +50,7 @@
 def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
     settings = config.settings
     if config.sockets < LEAST_SOCKETS:
-        few = f"{config.sockets} is less than the {LEAST_SOCKETS} that a forwarder may need"
-        log("start", f"limits: sockets: {few}")
+        log("start", "few descriptors", sockets=config.sockets, needed=LEAST_SOCKETS)
     bounds = share_out(config.sockets, settings.slots)
     server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.leaving_clients)
     limits = EndpointClientLimits(
--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from juniperward.forwarder.counters import count, holds
+from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net import sockets
 
 FIRST_REQUEST_S = 2.0  # from connecting, in which the first request must begin, and during a stop be whole
@@ -53,7 +53,7 @@
                 return True
         except OSError:
             pass
-        count("answers_cut")
+        increment("answers_cut")
         sockets.shut(self.sock)
         return False
 
@@ -63,7 +63,7 @@
 
     def linger(self) -> None:
         """End our side, then read on a little: closing with bytes unread resets what was just written."""
-        holds(not self.pending, "no_close_before_an_answer")
+        check_invariant(not self.pending, "no_close_before_an_answer")
         sockets.shut(self.sock, socket.SHUT_WR)
         sockets.limit(self.sock, socket.SO_RCVTIMEO, LINGER_S)
         until, left = time.monotonic() + LINGER_S, LINGER_BYTES
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -9,9 +9,9 @@
 from juniperward.forwarder.client_connection import IDLE_S, READ_BYTES, REQUEST_S, ClientConnection
 from juniperward.forwarder.codec import MESSAGE_PATH, UnreadableMessageError, decode_message, encode_reply
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.counters import count, trouble
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.health_page import answer_page
+from juniperward.forwarder.telemetry import increment, report_fault
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
@@ -53,9 +53,9 @@
         except ConnectionClosedError:
             pass
         except (IncompleteMessageError, OSError):
-            count("clients_broken")
+            increment("clients_broken")
         except Exception as error:
-            trouble("client", error)
+            report_fault("client", error)
             client.write(encode_reply(500, 0.0, True, "internal error"))
 
     def _next(self, client: ClientConnection, stream: Stream) -> bool:
@@ -64,12 +64,12 @@
         try:
             request = read_request(stream, lambda: client.sock.sendall(CONTINUE))
         except MalformedMessageError as error:
-            count("requests_malformed")
+            increment("requests_malformed")
             client.write(encode_reply(error.status, 0.0, True, str(error)))
             client.linger()
             return False
         except MessageTimeoutError:
-            count("requests_timed_out")
+            increment("requests_timed_out")
             client.write(encode_reply(408, 0.0, True, "the call was not whole in time"))
             client.linger()
             return False
@@ -98,7 +98,7 @@
             try:
                 data = client.receive(READ_BYTES)
             except (BlockingIOError, TimeoutError):
-                count("clients_idle" if client.served else "clients_silent")
+                increment("clients_idle" if client.served else "clients_silent")
                 # A request may cross this: a close over it would reset the connection.
                 client.linger()
                 raise ConnectionClosedError from None
@@ -118,7 +118,7 @@
         try:
             message = decode_message(request, self._names)
         except UnreadableMessageError as error:
-            count("requests_unreadable")
+            increment("requests_unreadable")
             client.write(encode_reply(400, 0.0, close, str(error)))
             return
         with client.lock:
@@ -132,5 +132,5 @@
                 return
             # The reducer is behind; an answer that comes later finds nobody and is withdrawn.
             client.pending = False
-            count("rejections_overdue")
+            increment("rejections_overdue")
             client.write(encode_reply(503, RETRY_AFTER_S, request.close or self._state.stopping))
--- a/juniperward/forwarder/client_table.py
+++ b/juniperward/forwarder/client_table.py
@@ -7,7 +7,7 @@
 import time
 
 from juniperward.forwarder.client_connection import ClientConnection
-from juniperward.forwarder.counters import count
+from juniperward.forwarder.telemetry import increment
 
 # For how long a connection must have been idle to be let go where the table is full: after an answer, and before a
 # first request.
@@ -50,7 +50,7 @@
             )
             if not full:
                 self.clients[client.number] = client
-        count("clients_accepted")
+        increment("clients_accepted")
         return client, not full
 
     def remove(self, client: ClientConnection) -> None:
@@ -71,7 +71,7 @@
         # One that has been answered sends again elsewhere; the first request of another would have failed.
         client = min(idle, key=lambda candidate: (not candidate.served, candidate.since))
         client.leaving = True
-        count("clients_evicted")
+        increment("clients_evicted")
         client.end_reading()
         return True
 
--- a/juniperward/forwarder/clock.py
+++ b/juniperward/forwarder/clock.py
@@ -14,7 +14,7 @@
 import math
 from pathlib import Path
 
-from juniperward.forwarder.counters import count, log
+from juniperward.forwarder.telemetry import increment, log
 
 REFERENCE_NAME, REFERENCE_FRESH = "clock", "clock.new"
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
@@ -36,11 +36,8 @@
     if (folder / journal_name).exists():
         before = _read_reference(folder, boot_id)
         if before is None or before - to_unix > LARGEST_STEP_S:
-            count("clock_references_missing")
-            log(
-                "start",
-                f"nothing tells how the clocks ran since: times count as {CLOCK_ERROR_S:g} s further back",
-            )
+            increment("clock_references_missing")
+            log("start", "clock reference missing", times_moved_back_s=CLOCK_ERROR_S)
             carried = to_unix + CLOCK_ERROR_S
         else:
             carried = max(before, to_unix)
@@ -56,7 +53,7 @@
     except FileNotFoundError:
         return None
     except (OSError, ValueError, TypeError) as error:
-        log("start", f"{folder / REFERENCE_NAME}: cannot be read: {error}")
+        log("start", "clock reference unreadable", file=folder / REFERENCE_NAME, error=error)
         return None
     return offset if boot_id and boot == boot_id and math.isfinite(offset) else None
 
@@ -68,5 +65,5 @@
         fresh.write_text(json.dumps([boot_id, offset]), encoding="ascii")
         fresh.replace(folder / REFERENCE_NAME)
     except OSError as error:  # the next start then knows less, which is no reason not to serve now
-        count("clock_references_unwritten")
-        log("start", f"{folder / REFERENCE_NAME}: cannot be written: {error}")
+        increment("clock_references_unwritten")
+        log("start", "clock reference unwritable", file=folder / REFERENCE_NAME, error=error)
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.model import Endpoint
+from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.events import EndpointPhase
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
@@ -98,8 +98,8 @@
             workers.append(_read_worker(entry, names))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             # It would come again with every watch: failing the whole would leave us without any news.
-            count("endpoint_entries_unread")
-            log("registry", f"an entry that cannot be read: {type(error).__name__}: {error}")
+            increment("endpoint_entries_unread")
+            log("discovery", "entry unreadable", type=type(error).__name__, error=error)
     return News(int(value["version"]), bool(value["full"]), tuple(workers))
 
 
@@ -128,7 +128,7 @@
         rate = math.nan
     if 0 <= rate < math.inf:
         return rate
-    count("listed_rates_unread")
+    increment("listed_rates_unread")
     return 0.0
 
 
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -7,8 +7,8 @@
 
 from juniperward.control.protocol import FateRow, Fates
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
+from juniperward.forwarder.telemetry import increment, log
 from juniperward.kept.spool import Attempt, Fate, Kept, Spool
 from juniperward.scheduler.settings import SchedulerSettings
 
@@ -27,10 +27,10 @@
         """Write a message that is given up to the spool."""
         try:
             self.spool.keep(self._dead_letter(effect))
-            count("dead_letters_stored")
+            increment("dead_letters_stored")
         except OSError as error:
-            count("dead_letters_failed")
-            log("kept", f"{effect.message.id} is given up and cannot be kept: {error}")
+            increment("dead_letters_failed")
+            log("dead_letters", "store failed", message=effect.message.id, error=error)
 
     def _dead_letter(self, effect: StoreDeadLetter) -> Kept:
         message, message_class = effect.message, self._settings.classes[effect.message.class_index]
@@ -59,8 +59,8 @@
         try:
             self.spool.remember(effect.id, Fate(effect.outcome, executed_at))
         except OSError as error:
-            count("dead_letters_failed")
-            log("kept", f"the end of resend {effect.id} cannot be written: {error}")
+            increment("dead_letters_failed")
+            log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
             self.spool.complete_since = math.inf  # nothing may be concluded from its absence
 
     def redrive_outcomes(self, asked: Fates) -> Fates:
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterator
 
 from juniperward.forwarder.config import Names, read_news
-from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.discovery_address import AddressChangedError, DiscoveryAddress
 from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
+from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 from juniperward.net.http import (
     IncompleteMessageError,
@@ -80,12 +80,12 @@
                 WatchError,
                 AddressChangedError,
             ) as error:
-                log("registry", f"the watch ended: {error}")
+                log("discovery", "watch ended", error=error)
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                count("endpoint_lists_unread")
-                log("registry", f"news that cannot be read: {type(error).__name__}: {error}")
+                increment("endpoint_lists_unread")
+                log("discovery", "list unreadable", type=type(error).__name__, error=error)
             except Exception as error:
-                trouble("registry", error)
+                report_fault("registry", error)
             established = time.monotonic() - self._answered_at >= SILENCE_TIMEOUT_S
             self._post(WatchLost(epoch, established))
 
@@ -108,7 +108,7 @@
         status, headers, _ = read_head(stream)
         if status != HTTP_OK or "chunked" not in headers.get("transfer-encoding", "").lower():
             raise WatchRejectedError(status)
-        count("watches_begun")
+        increment("watches_begun")
         self._answered_at = time.monotonic()
         timed.begin()  # after `_answered_at`: a watch that falls silent right behind its head was established
         objects = JsonObjects()
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import (
     AcceptMessage,
@@ -41,6 +40,7 @@
 from juniperward.forwarder.journal import Journal, JournalFullError
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.server import Server
+from juniperward.forwarder.telemetry import increment, log
 
 if TYPE_CHECKING:  # loaded where a control channel is open, or dead letters are stored
     from juniperward.control.protocol import Answer
@@ -129,8 +129,8 @@
 
     def _perform_for_people(self, effect: Effect) -> None:
         match effect:
-            case WriteLog(text=text):
-                log("module", text)
+            case WriteLog(event=event, fields=fields):
+                log("scheduler", event, **dict(fields))
             case SendControlReply(client=client, answer=answer):
                 self.control.reply(client, answer)
             case EndProcess():
@@ -145,11 +145,11 @@
         try:
             self.journal.append(record)
         except JournalFullError:
-            count("rejections_disk")
-            log("journal", "no room for another message; clients are turned away")
+            increment("rejections_disk")
+            log("journal", "full")
         except OSError as error:
-            count("journal_failures")
-            log("journal", f"cannot write: {error}; clients are turned away")
+            increment("journal_failures")
+            log("journal", "write failed", error=error)
         else:
             return self.server.answer(client, HTTP_ACCEPTED)
         self.server.answer(client, HTTP_UNAVAILABLE, JOURNAL_FULL_RETRY_AFTER_S)
@@ -159,5 +159,5 @@
         try:
             self.journal.append(record)
         except OSError as error:
-            count("journal_failures")
-            log("journal", f"cannot write: {error}")
+            increment("journal_failures")
+            log("journal", "write failed", error=error)
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -147,9 +147,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write a line for the people on call."""
+    """Write a line for the people on call: an event, and its fields in their order."""
 
-    text: str
+    event: str
+    fields: tuple[tuple[str, object], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/endpoint_call.py
+++ b/juniperward/forwarder/endpoint_call.py
@@ -16,12 +16,12 @@
 )
 from juniperward.forwarder.batch import encode_batch
 from juniperward.forwarder.connection_pool import LONGEST_READ_S, ConnectionPool, EndpointConnection
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
 from juniperward.forwarder.events import HealthCheckAnswered
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome
 from juniperward.forwarder.records import AttemptStartedRecord, JournalRecord
 from juniperward.forwarder.send_gate import SendGate, route_of
+from juniperward.forwarder.telemetry import increment, log
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
 from juniperward.net.http import (
@@ -73,17 +73,17 @@
         if connection is None:
             return outcomes_of_all(what, Outcome.CONNECT_FAILED, written=False)
         if not fresh:
-            count("connections_reused")
+            increment("connections_reused")
         items = self._begin(call, what)
         if not items:
             # It waited behind a dial: what came meanwhile from discovery or the endpoint binds it.
-            count("attempts_withheld")
+            increment("attempts_withheld")
             self._pool.put_back(what.endpoint, connection)
             return outcomes_of_all(what, Outcome.NOT_SENT, written=False)
         if len(items) == len(what.items):
             return self._exchange(call, what, connection, fresh)
         # What ended meanwhile was told its end: sent on now it would execute, and be brought a second time.
-        count("batch_items_withdrawn", len(what.items) - len(items))
+        increment("batch_items_withdrawn", len(what.items) - len(items))
         outcomes = {o.message: o for o in outcomes_of_all(what, Outcome.NOT_SENT, written=False)}
         exchanged = self._exchange(call, replace(what, items=items), connection, fresh)
         return tuple((outcomes | {o.message: o for o in exchanged}).values())
@@ -105,8 +105,8 @@
                 try:
                     self.append(AttemptStartedRecord(item.content.id, now, what.endpoint_id))
                 except OSError as error:  # written without its record it would come back as unattempted
-                    count("journal_failures")
-                    log("journal", f"cannot write: {error}; its message is not sent")
+                    increment("journal_failures")
+                    log("journal", "attempt not recorded", message=item.content.id, error=error)
                     break
                 items.append(item)
             if items:
@@ -134,15 +134,15 @@
         if (
             connection.stream.buffer
         ):  # more than one answer, also late: what is behind must not be the next call's
-            count("answers_with_excess")
+            increment("answers_with_excess")
         self._release(call, connection, answer)
         return read_outcomes(what, answer, fresh)
 
     @staticmethod
     def _unread(call: ActiveCall, what: StartAttempt, error: Exception) -> tuple[ItemOutcome, ...]:
         if not call.cancelled:
-            count("answers_incomplete")
-            log("worker", f"{what.host}:{what.port} gave no whole answer: {error}")
+            increment("answers_incomplete")
+            log("endpoint", "answer incomplete", endpoint=f"{what.host}:{what.port}", error=error)
         # A first line with 200 has delivered a single message, whatever becomes of the rest.
         delivered = len(what.items) == 1 and getattr(error, "status", None) == HTTP_OK
         return outcomes_of_all(what, Outcome.OK if delivered else Outcome.RESET)
@@ -158,7 +158,7 @@
         with self._gate.lock:
             barred = call.cancelled or not self._gate.is_open(what, time.monotonic())
         if barred:
-            count("health_checks_withheld")
+            increment("health_checks_withheld")
             self._pool.put_back(what.endpoint, connection)
             return _health(what, Outcome.NOT_SENT, began)
         connection.deadline = what.deadline
@@ -170,7 +170,7 @@
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return _health(what, self._unread_health(what, fresh, error), began)
-        count("health_checks_answered")
+        increment("health_checks_answered")
         self._release(call, connection, answer)
         return _health(what, read_health(answer, fresh), began, answer)
 
@@ -178,8 +178,8 @@
     def _unread_health(what: StartHealthCheck, fresh: bool, error: Exception) -> Outcome:
         if time.monotonic() >= what.deadline:  # the stream tells a read that took too long as broken
             return Outcome.TIMEOUT
-        count("health_checks_incomplete")
-        log("probe", f"{what.host}:{what.port} gave no whole answer: {error}")
+        increment("health_checks_incomplete")
+        log("health_check", "answer incomplete", endpoint=f"{what.host}:{what.port}", error=error)
         return Outcome.CONNECT_FAILED if fresh and isinstance(error, ConnectionError) else Outcome.RESET
 
     # --- connections ------------------------------------------------------------------------------------
@@ -197,8 +197,8 @@
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:  # for want of descriptors: nothing of the call was written
-            count("dials_failed")
-            log("dial", f"no socket for worker {address[0]}:{address[1]}: {error}")
+            increment("dials_failed")
+            log("dial", "no socket", endpoint=f"{address[0]}:{address[1]}", error=error)
             return None
         call.sock = sock
         left_s = min(self.dial_timeout_s, call.what.deadline - time.monotonic())
@@ -211,10 +211,10 @@
             sockets.limit(sock, socket.SO_RCVTIMEO, self.longest_read_s)
         except OSError as error:
             sock.close()
-            count("dials_failed")
-            log("dial", f"worker {address[0]}:{address[1]}: {error or 'too late'}")
+            increment("dials_failed")
+            log("dial", "failed", endpoint=f"{address[0]}:{address[1]}", error=error or "too late")
             return None
-        count("connections_opened")
+        increment("connections_opened")
         return EndpointConnection(sock, address, self.longest_read_s)
 
     def _release(self, call: ActiveCall, connection: EndpointConnection, answer: HttpResponse) -> None:
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -10,13 +10,13 @@
 
 from juniperward.forwarder.answers import outcomes_of_all
 from juniperward.forwarder.connection_pool import LONGEST_READ_S, ConnectionPool
-from juniperward.forwarder.counters import trouble
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
 from juniperward.forwarder.endpoint_call import ActiveCall, EndpointCalls
 from juniperward.forwarder.events import AttemptAnswered, Event, HealthCheckAnswered
 from juniperward.forwarder.model import AttemptProgress, RouteKey
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.send_gate import SendGate
+from juniperward.forwarder.telemetry import report_fault
 from juniperward.net import sockets
 from juniperward.scheduler.events import Outcome
 
@@ -81,7 +81,7 @@
         try:
             threading.Thread(target=self._work, name="worker", daemon=True).start()
         except RuntimeError as error:
-            trouble("workers", error)
+            report_fault("workers", error)
             with self.gate.lock:
                 self.threads -= 1
                 self.free_threads -= 1
@@ -159,12 +159,12 @@
                 try:
                     return self.calls.check_health(call, check)
                 except Exception as error:
-                    trouble("worker", error)
+                    report_fault("worker", error)
                     latency_s = time.monotonic() - began
                     return HealthCheckAnswered(check.number, check.endpoint, Outcome.RESET, latency_s)
             case StartAttempt() as attempt:
                 try:
                     return AttemptAnswered(attempt.number, self.calls.attempt(call, attempt))
                 except Exception as error:
-                    trouble("worker", error)
+                    report_fault("worker", error)
                     return AttemptAnswered(attempt.number, outcomes_of_all(attempt, Outcome.RESET))
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -11,7 +11,6 @@
 import threading
 from pathlib import Path
 
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.journal_codec import decode, encode, message_id
 from juniperward.forwarder.ledger import Ledger
 from juniperward.forwarder.records import (
@@ -22,6 +21,7 @@
     OutcomeDecidedRecord,
     RestoredMessage,
 )
+from juniperward.forwarder.telemetry import increment, log
 
 NAME, FRESH = "journal", "journal.new"
 BLOCK = 512  # the disk is counted in whole blocks
@@ -131,7 +131,7 @@
         _write(self._descriptor, written)
         self._torn = False
         self.live.add(record, line)
-        count("journal_records")
+        increment("journal_records")
 
     def _says_nothing(self, record: JournalRecord) -> bool:
         """Whether a record is of a message that is over already, or what an attempt without an end says anyway."""
@@ -158,8 +158,8 @@
                 continue
             record = decode(line, self.to_unix)
             if record is None:
-                count("journal_damaged")
-                log("journal", f"line {number} of {len(lines)} is damaged and left out")
+                increment("journal_damaged")
+                log("journal", "line damaged", line=number, lines=len(lines))
                 continue
             ledger.apply(record)
             if message_id(record) in self.live or isinstance(record, AcceptedRecord | OutcomeDecidedRecord):
@@ -171,8 +171,8 @@
         try:
             self._rewrite()
         except OSError as error:
-            count("journal_rewrites_failed")
-            log("journal", f"cannot be rewritten, the old file stays in use: {error}")
+            increment("journal_rewrites_failed")
+            log("journal", "rewrite failed", error=error)
             self.fresh_path.unlink(missing_ok=True)  # it would take the old file's room on the disk
 
     def _rewrite(self) -> None:
@@ -188,7 +188,7 @@
         if self._descriptor >= 0:
             os.close(self._descriptor)
         self._descriptor, self.size, self._torn = fresh, len(data), False
-        count("journal_rewrites")
+        increment("journal_rewrites")
 
 
 def _write(descriptor: int, data: bytes) -> None:
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -5,12 +5,12 @@
 import time
 from collections.abc import Callable
 
-from juniperward.forwarder.counters import trouble
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.effects import Effect
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.events import Event
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.telemetry import report_fault
 from juniperward.forwarder.trace import Trace
 
 IDLE_SWEEP_INTERVAL_S = 1.0  # between looks at idle connections
@@ -43,7 +43,7 @@
         except Exception as error:
             if __debug__:
                 raise
-            trouble("reducer", error)
+            report_fault("reducer", error)
             return self.reducer.effects
 
     def _perform(self, effect: Effect) -> Event | None:
@@ -53,7 +53,7 @@
         except Exception as error:
             if __debug__:
                 raise
-            trouble(type(effect).__name__, error)
+            report_fault(type(effect).__name__, error)
             return None
 
     def run(self, stopped: Callable[[], bool]) -> None:
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.discovery_address import AddressChangedError, DiscoveryAddress
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
+from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 from juniperward.net.http import (
     HttpResponse,
@@ -96,7 +96,7 @@
             batch = self._next_batch()
             retry_s = RETRY_FIRST_S
             while not self._try_to_deliver(batch):
-                count("notifications_retried")
+                increment("notifications_retried")
                 self._drop_connection()
                 time.sleep(retry_s)
                 retry_s = min(2 * retry_s, RETRY_MAX_S)
@@ -121,9 +121,9 @@
             AddressChangedError,
             NotificationsRejectedError,
         ) as error:
-            log("notices", f"not accepted, they go again: {error}")
+            log("notifications", "not acknowledged", error=error)
         except Exception as error:
-            trouble("notices", error)
+            report_fault("notices", error)
         return not batch
 
     def _deliver(self, batch: list[OutcomeNotification]) -> None:
@@ -136,10 +136,10 @@
                 batch.remove(notification)
             return
         if status == HTTP_BAD_REQUEST:
-            count("notifications_dropped")
-            log("notices", f"the platform cannot read the notice of {batch[0].id}; it is dropped")
+            increment("notifications_dropped")
+            log("notifications", "dropped", message=batch[0].id)
         elif status == HTTP_NO_CONTENT:
-            count("notifications_acknowledged", len(batch))
+            increment("notifications_acknowledged", len(batch))
         else:
             raise NotificationsRejectedError(status)
         self._post(NotificationAcknowledged(tuple(notification.id for notification in batch)))
--- a/juniperward/forwarder/reducer/attempts.py
+++ b/juniperward/forwarder/reducer/attempts.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Sequence
 
-from juniperward.forwarder.counters import count, holds, trouble
 from juniperward.forwarder.effects import (
     AppendRecord,
     CancelAttempt,
@@ -33,6 +32,7 @@
 from juniperward.forwarder.reducer.completion import Completion
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import AttemptInFlight, PendingMessage
+from juniperward.forwarder.telemetry import check_invariant, increment, report_fault
 from juniperward.scheduler.actions import StartAttempt as ScheduledAttempt
 from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.scheduler.settings import SchedulerSettings
@@ -70,7 +70,7 @@
             except Exception as error:
                 if __debug__:
                     raise
-                trouble("attempt", error)
+                report_fault("attempt", error)
                 not_begun = AttemptCancelled(attempt.number, AttemptProgress.WAITING)
                 self._round.emit(SetTimer(self._round.now, not_begun))
 
@@ -82,16 +82,18 @@
         items = []
         for asked in scheduled:
             pending = state.messages.pending[asked.message]
-            holds(pending.attempt_number is None, "one_attempt_at_a_time")
-            holds(pending.message.destination == endpoint.destination, "only_to_its_destination")
+            check_invariant(pending.attempt_number is None, "one_attempt_at_a_time")
+            check_invariant(pending.message.destination == endpoint.destination, "only_to_its_destination")
             attempt.waiting[asked.message] = pending.attempts
             pending.attempts += 1
             pending.attempt_number, pending.attempt_started_at = attempt.number, now
             items.append(BatchItem(asked.message, pending.message, now + asked.start_within_s))
             deadline = DeadlineReached(attempt.number, asked.message)
             self._round.emit(SetTimer(now + asked.timeout_s, deadline))
-        holds(len(state.attempts.in_flight) <= self._round.settings.slots, "no_more_calls_than_slots")
-        count("attempts")
+        check_invariant(
+            len(state.attempts.in_flight) <= self._round.settings.slots, "no_more_calls_than_slots"
+        )
+        increment("attempts")
         self._round.emit(
             StartAttempt(
                 attempt.number,
@@ -122,7 +124,7 @@
             if item.message in attempt.waiting:
                 self._finish(attempt, item)
         for message in list(attempt.waiting):
-            holds(False, "every_message_of_an_attempt_ends")
+            check_invariant(False, "every_message_of_an_attempt_ends")
             self._finish(attempt, ItemOutcome(message, Outcome.RESET))
         in_flight.pop(event.attempt_number, None)
 
@@ -130,7 +132,7 @@
         """End a message's part of an attempt."""
         ordinal = attempt.waiting.pop(item.message)
         endpoint = self._round.state.directory.endpoints[attempt.endpoint]
-        count(f"attempts_{item.outcome.name.lower()}")
+        increment(f"attempts_{item.outcome.name.lower()}")
         message_ended = item.message_ended or item.outcome is Outcome.OK
         pending = self._round.state.messages.pending.get(item.message)
         if pending is not None:
@@ -162,7 +164,7 @@
         pending.attempt_number = None
         if pending.never_attempted and item.written:
             pending.never_attempted = False
-            count("restored_attempted")
+            increment("restored_attempted")
         if executed and not message_ended and pending.executed_at is None:
             pending.executed_at = pending.attempt_started_at
         if self._completion.stores_dead_letters:
@@ -170,7 +172,7 @@
             past = PastAttempt(endpoint.id, pending.attempt_started_at, word, executed)
             pending.past_attempts.append(past)
         if item.outcome is Outcome.OK:
-            count("messages_delivered")
+            increment("messages_delivered")
         if message_ended:
             self._completion.complete(pending, delivered=item.outcome is Outcome.OK)
         elif item.written:
--- a/juniperward/forwarder/reducer/completion.py
+++ b/juniperward/forwarder/reducer/completion.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Iterable
 
-from juniperward.forwarder.counters import count
 from juniperward.forwarder.effects import (
     AppendRecord,
     RecordRedriveOutcome,
@@ -15,6 +14,7 @@
 from juniperward.forwarder.records import CompletedRecord, OutcomeDecidedRecord
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import PendingMessage
+from juniperward.forwarder.telemetry import increment
 from juniperward.kept.ownership import is_redrive_id, is_stored
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
@@ -66,7 +66,7 @@
         may_store = self.stores_dead_letters and not is_redrive(pending)
         if may_store and is_stored(pending.expires_at - now, retry_after_s):
             retry_after_s = None  # it is stored: its client must not bring it a second time
-        count("messages_failed" if retry_after_s is None else "messages_rejected")
+        increment("messages_failed" if retry_after_s is None else "messages_rejected")
         if self.stores_dead_letters and is_redrive(pending):
             outcome = "undeliverable" if retry_after_s is None else "deferred"
             self._round.emit(RecordRedriveOutcome(message.id, outcome, pending.executed_at))
--- a/juniperward/forwarder/reducer/control.py
+++ b/juniperward/forwarder/reducer/control.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from juniperward.control.protocol import Answer, FateRow, Fates, Request, Verb
-from juniperward.forwarder.counters import count
 from juniperward.forwarder.effects import CloseConnections, EndProcess, SendControlReply, WriteLog
 from juniperward.forwarder.events import ControlRequested
 from juniperward.forwarder.reducer import introspection
 from juniperward.forwarder.reducer.round import Round
+from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler import DeliveryScheduler
 
 FENCE_DURATION_S = 120.0  # for which a redrive that was told unknown is rejected
@@ -39,8 +39,10 @@
             return
         if verb in (Verb.DRAIN, Verb.RESUME) and lifecycle.draining != (verb is Verb.DRAIN):
             lifecycle.draining = verb is Verb.DRAIN
-            count("drains" if lifecycle.draining else "resumes")
-            self._round.emit(CloseConnections(lifecycle.draining), WriteLog(f"control: {verb.value}"))
+            increment("drains" if lifecycle.draining else "resumes")
+            self._round.emit(
+                CloseConnections(lifecycle.draining), WriteLog("control order", (("verb", verb.value),))
+            )
         elif verb is Verb.STOP:
             self._round.emit(EndProcess())
 
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -4,11 +4,11 @@
 
 import math
 
-from juniperward.forwarder.counters import count
 from juniperward.forwarder.effects import ForgetEndpoint, SetDraining, StartWatch, SwitchDiscovery
 from juniperward.forwarder.events import EndpointsUpdated, WatchLost
 from juniperward.forwarder.model import Endpoint
 from juniperward.forwarder.reducer.round import Round
+from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
 
 EMPTY_DESTINATION_KEPT_S = 60.0  # for which a destination without endpoints is still one
@@ -41,7 +41,7 @@
         directory = self._round.state.directory
         if event.epoch != directory.epoch:
             return
-        count("watches_lost")
+        increment("watches_lost")
         directory.watching = False
         if event.established:  # polled again soon: it is no call that failed, one after another
             self._round.tell_scheduler(EndpointListUpdated(ListScope.DELTA))
@@ -60,7 +60,7 @@
         directory.version = event.version
         if not event.cached:
             directory.updated_at = self._round.now
-        count("endpoint_list_updates")
+        increment("endpoint_list_updates")
         entries = tuple(self._apply_entry(endpoint) for endpoint in event.endpoints)
         if event.full:
             named = {entry.endpoint for entry in entries}
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from juniperward.forwarder.counters import count
 from juniperward.forwarder.effects import HoldRoute, StartHealthCheck
 from juniperward.forwarder.events import HealthCheckAnswered
 from juniperward.forwarder.reducer.attempts import route_of
 from juniperward.forwarder.reducer.round import Round
+from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import HealthCheckFinished, Outcome
 
 TIMEOUT_PER_DIAL_TIMEOUT = 1.5  # a dial, then an answer that is work of milliseconds at a live endpoint
@@ -28,7 +28,7 @@
             return
         check = state.attempts.next_number()
         state.attempts.health_checks[check] = number
-        count("health_checks")
+        increment("health_checks")
         self._round.emit(
             StartHealthCheck(
                 check,
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from juniperward.forwarder.batch import item_bytes
-from juniperward.forwarder.counters import count, holds
 from juniperward.forwarder.effects import AcceptMessage, AppendRecord, ReplyToClient
 from juniperward.forwarder.events import MessageReceived
 from juniperward.forwarder.model import Message, PastAttempt
@@ -11,6 +10,7 @@
 from juniperward.forwarder.reducer.completion import Completion
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import PendingMessage
+from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.scheduler import events as scheduler_events
 from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_SHARE
 
@@ -44,12 +44,12 @@
         self._completion.forget_completed_ids()
         if self._is_known(message.id):
             # A client whose connection crossed with our close sends the same once more: it is ours already, or was.
-            count("duplicates_received")
+            increment("duplicates_received")
             self._round.emit(ReplyToClient(event.client, HTTP_ACCEPTED))
             return
         reason = self._rejection(event)
         if reason is not None:
-            count(f"rejections_{reason}")
+            increment(f"rejections_{reason}")
             self._round.emit(ReplyToClient(event.client, HTTP_UNAVAILABLE, ADMISSION_RETRY_AFTER_S))
             return
         due_at = event.received_at + message.time_left_s
@@ -88,12 +88,12 @@
         pending = messages.offered.pop(number)
         if not client_told:
             del messages.numbers[pending.message.id]
-            count("messages_withdrawn")
+            increment("messages_withdrawn")
             self._round.emit(AppendRecord(CompletedRecord(pending.message.id)))
             return
-        count("messages_accepted")
+        increment("messages_accepted")
         messages.pending[number] = pending
-        holds(len(messages.pending) <= self._round.settings.max_open, "no_more_held_than_max_open")
+        check_invariant(len(messages.pending) <= self._round.settings.max_open, "no_more_held_than_max_open")
         history: tuple[scheduler_events.PastAttempt, ...] = ()
         if pending.executed_at is not None:
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
@@ -127,14 +127,14 @@
     def restore(self, restored: RestoredMessage) -> None:
         """Go on with a message that the journal has."""
         now, messages = self._round.now, self._round.state.messages
-        count("messages_restored")
+        increment("messages_restored")
         if restored.notification is not None:
             self._completion.notify(restored.notification)
             return
         pending = self._restored_message(restored)
         if pending.expires_at <= now or pending.message.id in self._completion.stored:
             # One that is stored was given up; its end is what the kill cut off.
-            count("restored_overdue" if pending.expires_at <= now else "restored_dead_letters")
+            increment("restored_overdue" if pending.expires_at <= now else "restored_dead_letters")
             self._completion.give_up(pending, None)
             return
         messages.pending[pending.number] = pending
--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -5,8 +5,8 @@
 import os
 
 from juniperward.control.protocol import Body, Counters, Destination, Rows, Status, Verb, WorkerRow
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.state import ForwarderState
+from juniperward.forwarder.telemetry import counters
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.status import DestinationStatus, destination_statuses, ejected_destinations
--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -10,7 +10,6 @@
 from typing import TYPE_CHECKING
 
 from juniperward.forwarder import events
-from juniperward.forwarder.counters import trouble
 from juniperward.forwarder.effects import Effect
 from juniperward.forwarder.reducer.attempts import Attempts
 from juniperward.forwarder.reducer.completion import Completion
@@ -21,6 +20,7 @@
 from juniperward.forwarder.reducer.scheduling import Handlers, Scheduling
 from juniperward.forwarder.reducer.shutdown import Shutdown
 from juniperward.forwarder.state import ForwarderState
+from juniperward.forwarder.telemetry import report_fault
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.events import TimerFired
 from juniperward.scheduler.settings import SchedulerSettings
@@ -68,7 +68,7 @@
             except Exception as error:  # one event must not take the others of its round along
                 if __debug__:
                     raise
-                trouble(type(event).__name__, error)
+                report_fault(type(event).__name__, error)
         if self._round.scheduler_events:
             self._scheduling.decide()
         return self._round.effects
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass
 
-from juniperward.forwarder.counters import count, holds, trouble
 from juniperward.forwarder.effects import CloseIdleConnections, SetTimer, WriteLog
 from juniperward.forwarder.events import SchedulerTimerFired
 from juniperward.forwarder.reducer.attempts import Attempts
@@ -12,6 +11,7 @@
 from juniperward.forwarder.reducer.endpoint_list import EndpointList
 from juniperward.forwarder.reducer.health_checks import HealthChecks
 from juniperward.forwarder.reducer.round import Round
+from juniperward.forwarder.telemetry import check_invariant, increment, report_fault
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler import actions as scheduler_actions
 
@@ -54,7 +54,7 @@
         except Exception as error:
             if __debug__:
                 raise
-            trouble("module", error)
+            report_fault("module", error)
             ask_again = scheduler_actions.SetTimer(RETRY_AFTER_ERROR_S, self._scheduler.timer_token)
             return [*self._scheduler.pending_actions, ask_again]
 
@@ -75,17 +75,19 @@
             case scheduler_actions.StartHealthCheck(endpoint=endpoint):
                 self._handlers.health_checks.start(endpoint)
             case scheduler_actions.DestinationEjected(destination=destination, reason=reason):
-                self._round.emit(WriteLog(f"destination {destination} ejected: {reason.value}"))
+                self._round.emit(
+                    WriteLog("destination ejected", (("destination", destination), ("reason", reason.value)))
+                )
             case scheduler_actions.DestinationRecovered(destination=destination):
-                self._round.emit(WriteLog(f"destination {destination} recovered: warming up"))
+                self._round.emit(WriteLog("destination recovered", (("destination", destination),)))
 
     def _give_up(self, number: int, retry_after_s: float | None) -> None:
         """End a message undelivered; an attempt of it that is still in flight goes on to its own end."""
         pending = self._round.state.messages.pending.get(number)
         if pending is None:
-            holds(False, "one_final_answer")
+            check_invariant(False, "one_final_answer")
             return
         if pending.never_attempted:
-            count("restored_never_attempted")
+            increment("restored_never_attempted")
         self._handlers.completion.forget(pending)
         self._handlers.completion.give_up(pending, retry_after_s)
--- a/juniperward/forwarder/reload.py
+++ b/juniperward/forwarder/reload.py
@@ -10,8 +10,8 @@
 from dataclasses import fields
 
 from juniperward.forwarder.config import Config, ConfigError, load
-from juniperward.forwarder.counters import count, log
 from juniperward.forwarder.events import DiscoveryAddressChanged
+from juniperward.forwarder.telemetry import increment, log
 
 AT_ONCE = {"registry", "known", "seed"}  # the last two are of the moment of a start
 
@@ -26,22 +26,22 @@
 
     def again(self) -> DiscoveryAddressChanged | None:
         """Read the file; the registry's address where it is another one than before."""
-        count("reloads")
+        increment("reloads")
         try:
             new = load(self.environment)
         except ConfigError as error:
-            count("reloads_rejected")
-            log("reload", f"the settings stay as they were: {error}")
+            increment("reloads_rejected")
+            log("reload", "configuration rejected", error=error)
             return None
         later = [
             f.name for f in fields(Config)
             if f.name not in AT_ONCE and getattr(new, f.name) != getattr(self.config, f.name)
         ]  # fmt: skip
         if later:
-            log("reload", f"only the next start takes: {', '.join(later)}")
+            log("reload", "restart needed", keys=",".join(later))
         if new.registry == self.registry:
-            log("reload", "nothing that takes effect now is new")
+            log("reload", "nothing changed")
             return None
         self.registry = new.registry
-        log("reload", f"the registry is at {new.registry[0]}:{new.registry[1]} from now on")
+        log("reload", "discovery changed", address=f"{new.registry[0]}:{new.registry[1]}")
         return DiscoveryAddressChanged(new.registry)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -13,9 +13,9 @@
 from juniperward.forwarder.client_table import ClientTable
 from juniperward.forwarder.codec import encode_reply
 from juniperward.forwarder.config import Names
-from juniperward.forwarder.counters import count, log, trouble
 from juniperward.forwarder.descriptors import MOST_LEAVING
 from juniperward.forwarder.events import Event
+from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 
 BACKLOG = 512
@@ -95,7 +95,7 @@
             if left:
                 # Its sending has ended, by it or by us: nothing is accepted for one that may be gone.
                 status, retry_after_s = HTTP_UNAVAILABLE, RETRY_AFTER_S
-                count("clients_left")
+                increment("clients_left")
             client.close = client.close or client.leaving or self.state.closing or self.state.stopping
             told = client.write(encode_reply(status, retry_after_s, client.close))
             client.answered.set()
@@ -110,8 +110,8 @@
             except OSError as error:
                 if self.listener.fileno() < 0 or self.state.stopping:
                     return
-                count("accepts_failed")
-                log("listener", f"cannot accept: {error}")
+                increment("accepts_failed")
+                log("listener", "accept failed", error=error)
                 self.table.spare_one()  # mostly for want of descriptors
                 time.sleep(ACCEPT_RETRY_S)
                 continue
@@ -121,14 +121,14 @@
         try:
             self._admit(sock)
         except Exception as error:
-            trouble("listener", error)
+            report_fault("listener", error)
             sock.close()
 
     def _admit(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client, placed = self.table.add(sock)
         if not placed:
-            count("rejections_connections")
+            increment("rejections_connections")
             client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
             sock.close()
             return
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -12,7 +12,6 @@
 from juniperward.control.errors import ControlError
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import Config, ConfigError, load
-from juniperward.forwarder.counters import count, log, report, trouble
 from juniperward.forwarder.events import (
     ControlRequested,
     EndpointsUpdated,
@@ -22,6 +21,7 @@
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.reload import Reloader
 from juniperward.forwarder.state_folder import lock_folder
+from juniperward.forwarder.telemetry import increment, log, report_counters, report_fault
 from juniperward.forwarder.trace import Trace
 
 if TYPE_CHECKING:
@@ -45,11 +45,14 @@
 
     post = loop.queue.post
     control = ControlServer(
-        config.control, lambda client, request: post(ControlRequested(client, request)), count, trouble
+        config.control,
+        lambda client, request: post(ControlRequested(client, request)),
+        increment,
+        report_fault,
     )
     loop.executor.control = ControlChannelOutput(control, loop.executor, config.name, time.time())
     control.start()
-    log("start", f"the control channel is at {config.control}")
+    log("start", "control channel open", path=config.control)
     return control
 
 
@@ -60,24 +63,25 @@
     loop = build(config)
     if os.environ.get("ROUTER_TRACE"):
         loop.trace = loop.executor.endpoint_client.calls.trace = Trace(time.time() - time.monotonic())
-        log("trace", f"{config.settings}")
+        log("trace", "settings", value=config.settings)
     done = threading.Event()
     restored = _restore(config, loop)
     thread = threading.Thread(target=_run_loop, args=(loop, done), name="loop")
     thread.start()
     control = open_control(config, loop)
     loop.executor.server.start()
-    log("start", f"{config.name} serves on {config.listen[0]}:{config.listen[1]}, {restored} restored")
-    log("start", f"the registry is at {config.registry[0]}:{config.registry[1]}")
+    address = f"{config.listen[0]}:{config.listen[1]}"
+    log("start", "serving", name=config.name, address=address, restored=restored)
+    log("start", "discovery", address=f"{config.registry[0]}:{config.registry[1]}")
     got = _serve_signals(config, loop)
-    log("stop", f"{got.name}: new messages are turned away from now on")
-    count("stops")
+    log("stop", "shutdown requested", signal=got.name)
+    increment("stops")
     _stop(loop, thread)
     done.set()
     if control is not None:
         control.close()
     log("stop", "ended")
-    report()
+    report_counters()
     sys.stderr.flush()
     os._exit(EXIT_STOPPED)  # threads that wait on sockets would be waited for otherwise
 
@@ -96,8 +100,8 @@
     try:
         loop.run(done.is_set)
     except BaseException as error:
-        trouble("loop", error)
-        report()
+        report_fault("loop", error)
+        report_counters()
         os._exit(
             EXIT_LOOP_FAILED
         )  # nothing can be accepted or ended without it; the journal has what is owed
@@ -108,13 +112,13 @@
     reloader = Reloader(config, os.environ)
     while (got := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
         if got == signal.SIGUSR1:
-            report()
+            report_counters()
             continue
         try:
             if (changed := reloader.again()) is not None:
                 loop.queue.post(changed)
         except Exception as error:
-            trouble("reload", error)
+            report_fault("reload", error)
     return signal.Signals(got)
 
 
--- a/juniperward/forwarder/state_folder.py
+++ b/juniperward/forwarder/state_folder.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from juniperward.forwarder.counters import log
+from juniperward.forwarder.telemetry import log
 
 LOCK_TIMEOUT_S = 0.5  # in which the process before may still release the folder
 LOCK_RETRY_S = 0.02
@@ -39,7 +39,7 @@
                 raise FolderInUseError(folder) from None
             time.sleep(LOCK_RETRY_S)  # the one before us may be on its way out
         except OSError as error:
-            log("start", f"{folder}: cannot be locked: {error.strerror}; nothing keeps a second one out")
+            log("start", "folder not locked", folder=folder, error=error.strerror)
             return descriptor
         else:
             return descriptor
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -34,6 +34,7 @@
 )
 from juniperward.forwarder.model import Endpoint, OutcomeNotification
 from juniperward.forwarder.outcome_words import OUTCOME_WORDS
+from juniperward.forwarder.telemetry import format_event
 
 PREFIX = "juniperward: trace:"
 
@@ -85,8 +86,8 @@
                 lines = [_notification_line(notification) for notification in notifications]
             case CloseIdleConnections(endpoint=endpoint):
                 lines = [f"close {endpoint}"]
-            case WriteLog(text=text):
-                lines = [f"say {text}"]
+            case WriteLog(event=event, fields=fields):
+                lines = [f"say {format_event(event, dict(fields))}"]
         return lines
 
     def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -161,6 +161,8 @@
     """Return the JSON value of an event, an effect or a part of one."""
     if isinstance(value, Answer) and not isinstance(value.body, TELLS_NOTHING_OF_THE_MOMENT):
         return {"Answer": [value.id, type(value.body).__name__]}
+    if isinstance(value, WriteLog):
+        return {"LogLine": [_recorded_text(value)]}
     if isinstance(value, Enum):
         return {_ENUM_NAMES[type(value)]: value.value}
     if isinstance(value, tuple | list):
@@ -172,6 +174,18 @@
     return _encode_scalar(value)
 
 
+def _recorded_text(line: WriteLog) -> str:
+    """Return the text of a line as it was when the effects were recorded."""
+    values = dict(line.fields)
+    match line.event:
+        case "destination ejected":
+            return f"destination {values['destination']} ejected: {values['reason']}"
+        case "destination recovered":
+            return f"destination {values['destination']} recovered: warming up"
+        case _:
+            return f"control: {values['verb']}"
+
+
 def _encode_scalar(value: Any) -> Any:
     if isinstance(value, bytes):
         return {"bytes": value.hex()}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from juniperward.forwarder.config import ConfigError, address, load
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.events import DiscoveryAddressChanged
 from juniperward.forwarder.reload import Reloader
+from juniperward.forwarder.telemetry import counters
 from tests.player import ROOT, SETTINGS
 
 GOOD: dict[str, Any] = {
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,13 +19,13 @@
 from typing import Any
 from unittest import mock
 
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.events import AttemptAnswered
 from juniperward.forwarder.journal import FRESH, Journal
 from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
 from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
+from juniperward.forwarder.telemetry import counters
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -157,7 +157,7 @@
         with tempfile.TemporaryDirectory() as name:
             spool = Spool(Path(name), 10)
             from juniperward.forwarder.config import Names
-            from juniperward.forwarder.counters import counters
+            from juniperward.forwarder.telemetry import counters
 
             before = counters().get("dead_letters_failed", 0)
             writer = DeadLetterWriter(spool, settings(KEYED), Names(("c",), (20.0,), (), (), ()), 0.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,7 +14,6 @@
 
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import load
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.effects import Effect, ReplyToClient, SendNotifications, SetTimer, StartAttempt
 from juniperward.forwarder.endpoint_client import build_endpoint_client
 from juniperward.forwarder.events import (
@@ -34,6 +33,7 @@
 )
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.reducer.intake import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S
+from juniperward.forwarder.telemetry import counters
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_request
 from juniperward.scheduler.events import EndpointPhase, Outcome
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from juniperward.forwarder.config import read_news
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.events import EndpointsUpdated
+from juniperward.forwarder.telemetry import counters
 from juniperward.rigs.sizes import NAMES, Drive, listed
 from juniperward.settings.load import load
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,13 +21,13 @@
 from juniperward.fleet.model import Wanted
 from juniperward.fleet.roll import Mode, Stage
 from juniperward.forwarder import clock, journal_codec
-from juniperward.forwarder.counters import counters
 from juniperward.forwarder.effects import AppendRecord, Effect, SendNotifications, SetTimer, StartAttempt
 from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, Event, JournalReplayed
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.model import Endpoint, ItemOutcome
 from juniperward.forwarder.records import CompletedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.telemetry import counters
 from juniperward.kept import spool as spools
 from juniperward.kept.spool import Spool
 from juniperward.kept.store import Filter, KeptStore
