--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -21,9 +21,9 @@
 import structlog
 
 from juniperward.agent import processes
-from juniperward.agent.kept import KeptService
+from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.loop import Loop
-from juniperward.agent.messages import Asked
+from juniperward.agent.messages import ControlRequest
 from juniperward.control.client import ControlClient, Refused, Silent
 from juniperward.control.protocol import ProtocolError, Verb
 from juniperward.control.server import open_socket
@@ -97,7 +97,7 @@
         self.closed = False
         self.began = time.time()
         loop.reply = self.answer
-        self.kept: KeptService | None = None
+        self.kept: DeadLetterService | None = None
 
     def start(self) -> None:
         """Begin to accept."""
@@ -213,7 +213,7 @@
             self.last += 1
             client = self.last
             self.waiting[client] = waiting
-        self.loop.post(Asked(client, verb, q.names, q.options))
+        self.loop.post(ControlRequest(client, verb, q.names, q.options))
         waiting.done.wait(PATIENCE)
         with self.lock:
             self.waiting.pop(client, None)
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -24,11 +24,11 @@
 MOST_ANSWER = 64 * 1024 * 1024
 
 
-class AgentSilent(Exception):
+class AgentUnreachableError(Exception):
     """No answer in time, or nobody listens at the socket."""
 
 
-class AgentRefused(Exception):
+class AgentRejectedError(Exception):
     """The agent will not, and says why; `status` is the answer's."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -59,20 +59,20 @@
         answer = read_response(Stream(receive), most=MOST_ANSWER)
         found = msgspec.json.decode(answer.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
-        raise AgentSilent(f"no whole answer within {patience:g} s") from error
+        raise AgentUnreachableError(f"no whole answer within {patience:g} s") from error
     except OSError as error:
-        raise AgentSilent(f"{path}: {error.strerror or error}") from error
+        raise AgentUnreachableError(f"{path}: {error.strerror or error}") from error
     except (MalformedMessageError, msgspec.DecodeError) as error:
-        raise AgentSilent(f"an answer that cannot be read: {error}") from error
+        raise AgentUnreachableError(f"an answer that cannot be read: {error}") from error
     finally:
         sock.close()
     if answer.status != 200:
-        raise AgentRefused(answer.status, str(found.get("error", f"answered {answer.status}")))
+        raise AgentRejectedError(answer.status, str(found.get("error", f"answered {answer.status}")))
     return found
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class InstanceReply:
     """What one agent said: a body, or an error with whether it was silence."""
 
     agent: Path
@@ -83,16 +83,16 @@
 
 def ask_all(
     paths: list[Path], verb: str, names: list[str] | None = None, patience: float = 5.0, **options: Any
-) -> list[Told]:
+) -> list[InstanceReply]:
     """Ask several agents at once; one row for each, in their order, whatever became of it."""
 
-    def one(path: Path) -> Told:
+    def one(path: Path) -> InstanceReply:
         try:
-            return Told(path, ask(path, verb, names, patience, **options))
-        except AgentSilent as error:
-            return Told(path, error=str(error), silent=True)
-        except AgentRefused as error:
-            return Told(path, error=str(error))
+            return InstanceReply(path, ask(path, verb, names, patience, **options))
+        except AgentUnreachableError as error:
+            return InstanceReply(path, error=str(error), silent=True)
+        except AgentRejectedError as error:
+            return InstanceReply(path, error=str(error))
 
     with concurrent.futures.ThreadPoolExecutor(max(len(paths), 1)) as pool:
         return list(pool.map(one, paths))
--- a/juniperward/agent/kept.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -12,12 +12,20 @@
 from juniperward.agent import processes
 from juniperward.control.client import ControlClient, Refused, Silent
 from juniperward.control.protocol import Destination, ProtocolError, Verb, WorkerRow
+from juniperward.dead_letters import spool
+from juniperward.dead_letters.decisions import (
+    Clock,
+    DestinationView,
+    RedriveSafety,
+    Status,
+    certain_now,
+    judge_redrive,
+    wanted_by,
+)
+from juniperward.dead_letters.redriver import Redriver, ReportedOutcomes, ResendRules, Round
+from juniperward.dead_letters.resubmission import Resubmission, resubmit
+from juniperward.dead_letters.store import ClaimLostError, DeadLetterStore, Filter
 from juniperward.fleet.model import Reading
-from juniperward.kept import spool
-from juniperward.kept.decisions import Clock, Kind, Sight, Stand, judge, sure_now, wanted_by
-from juniperward.kept.handin import HandIn, hand_in
-from juniperward.kept.resender import Resender, ResendRules, Round, Told
-from juniperward.kept.store import Filter, KeptStore, Lost
 from juniperward.settings.load import SettingsError, load
 
 EVERY = 0.25  # seconds between rounds
@@ -74,14 +82,16 @@
             found.append((destinations, workers, reading.slots))
         return found
 
-    def sights(self, destination: int) -> list[Sight]:
+    def sights(self, destination: int) -> list[DestinationView]:
         found = []
         for destinations, _, slots in self._look():
             d = destinations.get(destination)
             if d is None:
-                found.append(Sight("unknown", 0.0, False, 0.0, 0, slots))
+                found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
             else:
-                found.append(Sight(d.health, d.wait, d.pace is not None, d.rating, d.waiting, slots))
+                found.append(
+                    DestinationView(d.health, d.wait, d.pace is not None, d.rating, d.waiting, slots)
+                )
         return found
 
     def workers(self, destination: int) -> frozenset[str] | None:
@@ -90,10 +100,10 @@
             return None
         return frozenset().union(*(workers.get(destination, set()) for _, workers, _ in looked))
 
-    def take_in(self, store: KeptStore) -> int:
+    def take_in(self, store: DeadLetterStore) -> int:
         return sum(self._take_in(store, name) for name in self.names())
 
-    def _take_in(self, store: KeptStore, name: str) -> int:
+    def _take_in(self, store: DeadLetterStore, name: str) -> int:
         """Read on in a forwarder's spool; what is in the store is acknowledged, and the forwarder deletes it."""
         folder = self.folder / "spool" / name
         found = spool.segments(folder)
@@ -119,32 +129,32 @@
             if end > offset or number > at:
                 new += store.take_in(name, messages, number, end)
                 at = number
-        if found[-1][0] > spool.acked(folder) + 1:
+        if found[-1][0] > spool.acknowledged_segment(folder) + 1:
             # All but the newest are whole: the forwarder writes to that one only.
-            spool.ack(folder, found[-1][0] - 1)
+            spool.acknowledge_segment(folder, found[-1][0] - 1)
         return new
 
-    def hand_in(self, forwarder: str, h: HandIn) -> tuple[int, float]:
+    def hand_in(self, forwarder: str, h: Resubmission) -> tuple[int, float]:
         ready = self.ready().get(forwarder)
-        return hand_in(ready[0], h) if ready is not None else (-1, 0.0)
+        return resubmit(ready[0], h) if ready is not None else (-1, 0.0)
 
-    def fates(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, Told] | None:
+    def fates(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         try:
             told = self._client(forwarder).fates(ids)
         except (Silent, Refused, ProtocolError):
             return None
-        return {f.id: Told(f.end, f.ran_at, told.complete_since) for f in told.fates}
+        return {f.id: ReportedOutcomes(f.end, f.ran_at, told.complete_since) for f in told.fates}
 
 
-class KeptService:
+class DeadLetterService:
     """The store, the resender's thread, and the answers to `POST /v1/kept`."""
 
     def __init__(
         self, folder: Path, rules: ResendRules, names: Callable[[], list[str]], ready: Ready
     ) -> None:
-        self.store = KeptStore(folder / "kept.db")
+        self.store = DeadLetterStore(folder / "kept.db")
         self.world = FleetWorld(folder, names, ready)
-        self.resender = Resender(self.store, self.world, rules)
+        self.resender = Redriver(self.store, self.world, rules)
         self.latest = Round()
         self.trouble = ""  # why the latest round failed
         self.note: Callable[[str, str, dict[str, Any]], None] = lambda event, level, fields: None
@@ -187,7 +197,7 @@
             return self._answer(str(options.get("action", "")), options, who)
         except (TypeError, ValueError, KeyError) as error:
             return 400, {"error": f"{type(error).__name__}: {error}"}
-        except Lost as error:
+        except ClaimLostError as error:
             return 409, {"error": str(error)}
 
     def _answer(self, action: str, o: dict[str, Any], who: str) -> tuple[int, dict[str, Any]]:
@@ -212,7 +222,7 @@
                 why = str(o.get("why") or "").strip()
                 if not why:
                     raise ValueError("why: whoever settles a message says how he knows")
-                now = sure_now(self.world.clock(), store.seen())
+                now = certain_now(self.world.clock(), store.seen())
                 store.settle(str(o["id"]), bool(o["delivered"]), who, why, now)
                 return 200, {"settled": str(o["id"])}
             case "discard":
@@ -243,17 +253,17 @@
         limit = min(int(o.get("limit", 100)), MOST_PAGE)
         after = o.get("after") or (-1.0, "")
         facts = self.store.facts(chosen, limit, (float(after[0]), str(after[1])))
-        now = sure_now(self.world.clock(), self.store.seen())
+        now = certain_now(self.world.clock(), self.store.seen())
         rules = self.resender.rules
         workers: dict[int, frozenset[str] | None] = {}
         rows = []
         for f in facts:
             if f.destination not in workers:
                 workers[f.destination] = self.world_workers(f.destination)
-            j = judge(f, now, workers[f.destination], rules.allowance)
+            j = judge_redrive(f, now, workers[f.destination], rules.allowance)
             rows.append({
                 "id": f.id, "stand": f.stand.value, "kind": j.kind.value, "may_go": j.may_go, "why": j.why,
-                "wanted_by": wanted_by(f, rules.rules, now) if f.stand is Stand.KEPT else "",
+                "wanted_by": wanted_by(f, rules.rules, now) if f.stand is Status.KEPT else "",
                 "destination": f.destination, "class": f.cls, "account": f.account, "key": f.key,
                 "given_up_at": f.given_up_at, "resends": f.resends, "ran_at": f.ran_at,
             })  # fmt: skip
@@ -268,7 +278,7 @@
             raise ValueError(str(error)) from error
         if rules is None:
             raise ValueError(f"{file}: nothing is kept: it has no kept {{ on: true }}")
-        now = sure_now(self.world.clock(), self.store.seen())
+        now = certain_now(self.world.clock(), self.store.seen())
         go: dict[str, dict[str, int]] = {}
         stay: dict[str, int] = {}
         after = (-1.0, "")
@@ -276,12 +286,12 @@
             after = (page[-1].given_up_at, page[-1].id)
             for f in page:
                 by = wanted_by(f, rules.rules, now)
-                j = judge(f, now, self.world_workers(f.destination), rules.allowance)
+                j = judge_redrive(f, now, self.world_workers(f.destination), rules.allowance)
                 if by and j.may_go:
                     count = go.setdefault(by, {})
                     count[str(f.destination)] = count.get(str(f.destination), 0) + 1
                 else:
-                    why = j.kind.value if not j.may_go and j.kind is Kind.UNCERTAIN else j.why
+                    why = j.kind.value if not j.may_go and j.kind is RedriveSafety.UNCERTAIN else j.why
                     why = "no rule takes it" if j.may_go else why
                     stay[why] = stay.get(why, 0) + 1
         return {"go": go, "stay": stay, "most_rate": rules.pace.most}
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -12,28 +12,28 @@
 from juniperward.agent import processes
 from juniperward.agent.log import Events
 from juniperward.agent.messages import (
-    Asked,
-    Configured,
+    ControlRequest,
     Effect,
     Event,
-    Note,
-    Reply,
-    Restored,
+    LogEvent,
+    ProcessSpawned,
+    ReplyToClient,
     Rules,
-    Save,
-    Saved,
-    Signal,
-    Spawn,
-    Spawned,
-    Tell,
-    Ticked,
-    Watch,
+    SaveState,
+    SendOrder,
+    SendSignal,
+    SettingsLoaded,
+    SpawnProcess,
+    StateRestored,
+    StateSaved,
+    Tick,
+    WatchInstance,
 )
 from juniperward.agent.processes import Launcher
 from juniperward.agent.reducer import Reducer
-from juniperward.agent.store import Store
+from juniperward.agent.store import StateStore
 from juniperward.agent.watch import Watcher
-from juniperward.settings.editions import Editions
+from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import FleetSettings
 
 TICK = 0.1  # seconds between looks at what is due
@@ -44,11 +44,11 @@
 class Loop:
     """Owns the reducer; everything else only posts events to it."""
 
-    def __init__(self, settings: FleetSettings, store: Store, seed: int) -> None:
+    def __init__(self, settings: FleetSettings, store: StateStore, seed: int) -> None:
         self.settings, self.store = settings, store
         self.reducer = Reducer(seed)
         self.launcher = Launcher(settings.folder)
-        self.editions = Editions(settings.folder / "editions")
+        self.editions = ConfigurationVersions(settings.folder / "editions")
         self.events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self.notes = Events()
         self.log = structlog.get_logger()
@@ -73,10 +73,10 @@
                 running[i.name] = i.process
         now = time.monotonic()
         started = [(name, p, min(processes.started_at(p), now)) for name, p in sorted(running.items())]
-        self.round([Restored(durable, tuple(started))])
+        self.round([StateRestored(durable, tuple(started))])
         self.round([self.configured(self.settings)])
 
-    def configured(self, settings: FleetSettings, asked_by: int | None = None) -> Configured:
+    def configured(self, settings: FleetSettings, asked_by: int | None = None) -> SettingsLoaded:
         """Keep the settings as an edition and tell the reducer; raises OSError."""
         s = self.reducer.state
         in_use = {i.edition for i in s.instances.values()} | ({s.roll.target} if s.roll else set())
@@ -84,7 +84,7 @@
             in_use |= {x.before for x in s.roll.steps}
         edition = self.editions.keep(settings, in_use)
         self.settings = settings
-        return Configured(
+        return SettingsLoaded(
             tuple(i.name for i in settings.instances),
             frozenset(i.name for i in settings.instances if i.stopped),
             edition,
@@ -99,7 +99,7 @@
             now = time.monotonic()
             if now >= due:
                 due = now + TICK
-                self.round([Ticked()])
+                self.round([Tick()])
                 if now >= self.rotate_at:
                     self.rotate_at = now + ROTATE
                     self._rotate()
@@ -121,7 +121,7 @@
                 self.note("unexpected", "error", {"where": "reducer", "error": repr(error)})
                 effects = self.reducer.effects
                 for e in events:
-                    if isinstance(e, Asked):
+                    if isinstance(e, ControlRequest):
                         self.reply(e.client, 500, {"error": f"unexpected: {error!r}"})
             self.follow = []
             for effect in effects:
@@ -139,29 +139,29 @@
 
     def _perform(self, effect: Effect) -> None:
         match effect:
-            case Save(durable=durable):
+            case SaveState(durable=durable):
                 error = ""
                 try:
                     self.store.save(durable)
                 except OSError as failure:
                     error = failure.strerror or str(failure)
-                self.follow.append(Saved(durable, error))
-            case Spawn(name=name, edition=edition):
+                self.follow.append(StateSaved(durable, error))
+            case SpawnProcess(name=name, edition=edition):
                 try:
                     process = self.launcher.start(name, self.editions.read(edition, name))
-                    self.follow.append(Spawned(name, edition, process))
+                    self.follow.append(ProcessSpawned(name, edition, process))
                 except (OSError, ValueError, KeyError) as failure:
-                    self.follow.append(Spawned(name, edition, None, f"cannot be started: {failure}"))
-            case Signal(name=name, process=process, signal=number):
+                    self.follow.append(ProcessSpawned(name, edition, None, f"cannot be started: {failure}"))
+            case SendSignal(name=name, process=process, signal=number):
                 if not processes.send(process, number):
                     self.note("signal found no process", "warning", {"instance": name, "pid": process.pid})
-            case Tell(name=name, verb=verb):
+            case SendOrder(name=name, verb=verb):
                 self._watcher(name).tell(verb)
-            case Watch(name=name, process=process):
+            case WatchInstance(name=name, process=process):
                 self._watcher(name).watch(process)
-            case Reply(client=client, status=status, body=body):
+            case ReplyToClient(client=client, status=status, body=body):
                 self.reply(client, status, body)
-            case Note(event=event, fields=fields, level=level):
+            case LogEvent(event=event, fields=fields, level=level):
                 self.note(event, level, fields)
 
     def _watcher(self, name: str) -> Watcher:
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Durable:
+class PersistentState:
     """What outlasts the agent; written down as one value."""
 
     instances: tuple[Instance, ...] = ()
@@ -21,12 +21,14 @@
     rolls: int = 0  # made so far
     edition: str = ""  # the newest
 
-    def stripped(self) -> Durable:
+    def stripped(self) -> PersistentState:
         """Without what is only of the moment: it is learned again."""
-        return Durable(tuple(strip(i) for i in self.instances), self.roll, self.rolls, self.edition)
+        return PersistentState(
+            tuple(persistent_part(i) for i in self.instances), self.roll, self.rolls, self.edition
+        )
 
 
-def strip(i: Instance) -> Instance:
+def persistent_part(i: Instance) -> Instance:
     """What of an instance is worth writing down."""
     return Instance(
         i.name, i.wanted, i.process, i.started_at if i.process else 0.0, i.edition,
@@ -54,7 +56,7 @@
     roll: Roll | None = None
     rolls: int = 0
     edition: str = ""
-    saved: Durable | None = None  # as it was last written down
+    saved: PersistentState | None = None  # as it was last written down
     before: Roll | None = None  # the roll before the step that is being written down
     pending: tuple[Order, ...] = ()  # orders of that step: they wait for it to be written
     replies: tuple[int, ...] = ()  # clients that wait for it too
@@ -62,9 +64,9 @@
     save_again_at: float = 0.0  # after a failure
     leaving: frozenset[str] = frozenset()  # taken out of the settings; forgotten once ended
 
-    def durable(self) -> Durable:
-        return Durable(
-            tuple(strip(self.instances[n]) for n in sorted(self.instances)),
+    def durable(self) -> PersistentState:
+        return PersistentState(
+            tuple(persistent_part(self.instances[n]) for n in sorted(self.instances)),
             self.roll,
             self.rolls,
             self.edition,
@@ -75,12 +77,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticked:
+class Tick:
     """Time has passed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Configured:
+class SettingsLoaded:
     """The settings were read: at the start, or again."""
 
     names: tuple[str, ...]
@@ -91,15 +93,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class StateRestored:
     """What an earlier agent wrote down, and which of its processes run still; comes once, first of all."""
 
-    durable: Durable
+    durable: PersistentState
     running: tuple[tuple[str, Process, float], ...]  # instance, process, when it started
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class InstanceAnswered:
     """An instance has told its state."""
 
     name: str
@@ -107,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class InstanceUnanswered:
     """An instance was asked and did not answer; `since` is when it was first asked in vain."""
 
     name: str
@@ -117,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exited:
+class ProcessExited:
     """A process has ended."""
 
     name: str
@@ -126,8 +128,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spawned:
-    """What became of a `Spawn`: a process, or why there is none."""
+class ProcessSpawned:
+    """What became of a `SpawnProcess`: a process, or why there is none."""
 
     name: str
     edition: str
@@ -136,15 +138,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
-    """What became of a `Save`; `error` is empty where it is written."""
+class StateSaved:
+    """What became of a `SaveState`; `error` is empty where it is written."""
 
-    durable: Durable
+    durable: PersistentState
     error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ControlRequest:
     """A client gives an order; `verb` is one of the agent's API."""
 
     client: int
@@ -153,28 +155,38 @@
     options: dict[str, Any] = field(default_factory=dict)
 
 
-Event = Ticked | Configured | Restored | Answered | Unanswered | Exited | Spawned | Saved | Asked
+Event = (
+    Tick
+    | SettingsLoaded
+    | StateRestored
+    | InstanceAnswered
+    | InstanceUnanswered
+    | ProcessExited
+    | ProcessSpawned
+    | StateSaved
+    | ControlRequest
+)
 
 # --- effects -----------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
-    """Write the state down; `Saved` reports back at once."""
+class SaveState:
+    """Write the state down; `StateSaved` reports back at once."""
 
-    durable: Durable
+    durable: PersistentState
 
 
 @dataclass(frozen=True, slots=True)
-class Spawn:
-    """Start an instance's process; `Spawned` reports back at once."""
+class SpawnProcess:
+    """Start an instance's process; `ProcessSpawned` reports back at once."""
 
     name: str
     edition: str
 
 
 @dataclass(frozen=True, slots=True)
-class Signal:
+class SendSignal:
     """Send a signal to a process, if it is still the same."""
 
     name: str
@@ -183,7 +195,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendOrder:
     """Give an order on an instance's control channel: drain or resume."""
 
     name: str
@@ -191,7 +203,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchInstance:
     """Ask this process for its state from now on."""
 
     name: str
@@ -199,7 +211,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ReplyToClient:
     """Answer a client."""
 
     client: int
@@ -208,7 +220,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """A line for the log and the events."""
 
     event: str
@@ -216,4 +228,4 @@
     level: str = "info"
 
 
-Effect = Save | Spawn | Signal | Tell | Watch | Reply | Note
+Effect = SaveState | SpawnProcess | SendSignal | SendOrder | WatchInstance | ReplyToClient | LogEvent
--- a/juniperward/agent/reducer.py
+++ b/juniperward/agent/reducer.py
@@ -15,30 +15,30 @@
 
 from juniperward.agent import views
 from juniperward.agent.messages import (
-    Answered,
-    Asked,
-    Configured,
+    ControlRequest,
     Effect,
     Event,
-    Exited,
-    Note,
-    Reply,
-    Restored,
-    Save,
-    Saved,
-    Signal,
-    Spawn,
-    Spawned,
+    InstanceAnswered,
+    InstanceUnanswered,
+    LogEvent,
+    ProcessExited,
+    ProcessSpawned,
+    ReplyToClient,
+    SaveState,
+    SendOrder,
+    SendSignal,
+    SettingsLoaded,
+    SpawnProcess,
     State,
-    Tell,
-    Ticked,
-    Unanswered,
-    Watch,
+    StateRestored,
+    StateSaved,
+    Tick,
+    WatchInstance,
 )
 from juniperward.fleet import roll as rolls
 from juniperward.fleet.decisions import after_exit, kill_due, phase, start_due
-from juniperward.fleet.model import Instance, Phase, RollRules, Wanted
-from juniperward.fleet.roll import Do, Impossible, Mode, Order, Stage
+from juniperward.fleet.model import DesiredState, Instance, Phase, RollRules
+from juniperward.fleet.roll import Mode, Order, RollCommand, RollRejectedError, RollStage
 
 SAVE_AGAIN = 1.0  # seconds after which a state that could not be written is tried again
 METER_KEEP = 60.0  # seconds of service that are kept in mind
@@ -60,20 +60,20 @@
             self._take(event)
         s = self.state
         durable = s.durable()
-        asked = any(isinstance(e, Save) for e in self.effects)
+        asked = any(isinstance(e, SaveState) for e in self.effects)
         if durable != s.saved and not asked and now >= s.save_again_at:
-            self.effects.append(Save(durable))
+            self.effects.append(SaveState(durable))
         return self.effects
 
     def _take(self, event: Event) -> None:
         match event:
-            case Ticked():
+            case Tick():
                 self._tick()
-            case Configured():
+            case SettingsLoaded():
                 self._configured(event)
-            case Restored():
+            case StateRestored():
                 self._restored(event)
-            case Answered(name=name, reading=reading):
+            case InstanceAnswered(name=name, reading=reading):
                 i = self.state.instances.get(name)
                 if i is not None and i.process is not None and i.process.pid == reading.pid:
                     up = i.was_ready or (reading.ready and reading.heard)
@@ -82,7 +82,7 @@
                     elif i.unanswered_since is not None and self._phase(i) is Phase.SILENT:
                         self._note("answers again", instance=name)
                     self._put(replace(i, reading=reading, unanswered_since=None, was_ready=up))
-            case Unanswered(name=name, process=process, since=since, text=text):
+            case InstanceUnanswered(name=name, process=process, since=since, text=text):
                 i = self.state.instances.get(name)
                 if i is not None and i.process == process:
                     was = self._phase(i)
@@ -91,15 +91,15 @@
                     self._put(i)
                     if self._phase(i) is Phase.SILENT and was is not Phase.SILENT:
                         self._note("silent", "warning", instance=name, why=text)
-            case Exited(name=name, process=process, how=how):
+            case ProcessExited(name=name, process=process, how=how):
                 i = self.state.instances.get(name)
                 if i is not None and i.process == process:
                     self._exited(i, how)
-            case Spawned():
+            case ProcessSpawned():
                 self._spawned(event)
-            case Saved():
+            case StateSaved():
                 self._saved(event)
-            case Asked():
+            case ControlRequest():
                 self._asked(event)
 
     # --- small things --------------------------------------------------------------------------------------
@@ -117,19 +117,19 @@
             for s in roll.steps:
                 if s.name == name and s.stage in rolls.ACTIVE:
                     given.update(roll=roll.id, step=s.stage.value)
-        self.effects.append(Note(event, given, level))
+        self.effects.append(LogEvent(event, given, level))
 
     def _reply(self, client: int, body: dict[str, Any], status: int = 200) -> None:
-        self.effects.append(Reply(client, status, body))
+        self.effects.append(ReplyToClient(client, status, body))
 
     # --- what happens to instances -------------------------------------------------------------------------
 
-    def _configured(self, e: Configured) -> None:
+    def _configured(self, e: SettingsLoaded) -> None:
         s = self.state
         instances = s.instances
         for name in e.names:
             if name not in instances:
-                wanted = Wanted.STOPPED if name in e.stopped else Wanted.RUNNING
+                wanted = DesiredState.STOPPED if name in e.stopped else DesiredState.RUNNING
                 instances = instances.set(name, Instance(name, wanted))
         gone = frozenset(n for n in instances if n not in e.names)
         self.state = replace(s, instances=instances, edition=e.edition, rules=e.rules, leaving=gone)
@@ -144,7 +144,7 @@
         if e.asked_by is not None:
             self._reply(e.asked_by, {"edition": e.edition, "changed": s.edition != e.edition})
 
-    def _restored(self, e: Restored) -> None:
+    def _restored(self, e: StateRestored) -> None:
         """Take up what an earlier agent left. What it had told its processes is told again if need be."""
         d = e.durable
         running = {name: (process, at) for name, process, at in e.running}
@@ -157,7 +157,7 @@
                 )
             instances = instances.set(i.name, i)
         for name, (process, at) in running.items():
-            i = instances.get(name, Instance(name, Wanted.RUNNING))
+            i = instances.get(name, Instance(name, DesiredState.RUNNING))
             # An edition that was never written down belongs to a start that was under way.
             same = i.process == process
             if not same:
@@ -169,14 +169,14 @@
             )
             if same and i.stopping_since is not None:
                 # Told to end: told again, as that may not have reached it, and killed at the time set before.
-                self.effects.append(Signal(name, process, signals.SIGTERM))
-            self.effects.append(Watch(name, process))
-            self.effects.append(Note("adopted", {"instance": name, "pid": process.pid}))
+                self.effects.append(SendSignal(name, process, signals.SIGTERM))
+            self.effects.append(WatchInstance(name, process))
+            self.effects.append(LogEvent("adopted", {"instance": name, "pid": process.pid}))
         self.state = replace(
             self.state, instances=instances, roll=d.roll, rolls=d.rolls, edition=d.edition, saved=d
         )
         if d.roll is not None and not d.roll.over:
-            self.effects.append(Note("roll taken up", {"roll": d.roll.id, "mode": d.roll.mode.value}))
+            self.effects.append(LogEvent("roll taken up", {"roll": d.roll.id, "mode": d.roll.mode.value}))
 
     @staticmethod
     def _goal(roll: rolls.Roll | None, name: str) -> str:
@@ -184,24 +184,24 @@
         if roll is None or roll.over:
             return ""
         for s in roll.steps:
-            if s.name == name and s.stage in (Stage.STARTING, Stage.SOAKING):
+            if s.name == name and s.stage in (RollStage.STARTING, RollStage.SOAKING):
                 return roll.goal(s)
         return ""
 
     def _exited(self, i: Instance, how: str) -> None:
         s = self.state
         ended = after_exit(i, self.now, how, s.rules.restart, self.random.random())
-        asked = i.stopping_since is not None or i.wanted is Wanted.STOPPED
+        asked = i.stopping_since is not None or i.wanted is DesiredState.STOPPED
         self._note("ended" if asked else "crashed", "info" if asked else "error", instance=i.name, how=how)
         if ended.crashes.failed and not i.crashes.failed:
             self._note("failed", "error", instance=i.name, why=ended.crashes.failed)
-        self.effects.append(Watch(i.name, None))
+        self.effects.append(WatchInstance(i.name, None))
         if i.name in s.leaving:
             self.state = replace(s, instances=s.instances.discard(i.name), leaving=s.leaving - {i.name})
         else:
             self._put(ended)
 
-    def _spawned(self, e: Spawned) -> None:
+    def _spawned(self, e: ProcessSpawned) -> None:
         i = self.state.instances.get(e.name)
         if i is None:
             return
@@ -217,7 +217,7 @@
                 crashes=replace(i.crashes, restart_at=None),
             )
         )  # fmt: skip
-        self.effects.append(Watch(e.name, e.process))
+        self.effects.append(WatchInstance(e.name, e.process))
         self._note("started", instance=e.name, pid=e.process.pid, edition=e.edition)
 
     def _stop(self, i: Instance, why: str) -> None:
@@ -225,9 +225,9 @@
         s = self.state
         if s.roll is not None and not s.roll.over:
             self.state = s = replace(s, roll=rolls.leave_out(s.roll, i.name, why))
-        i = replace(i, wanted=Wanted.STOPPED, crashes=replace(i.crashes, restart_at=None))
+        i = replace(i, wanted=DesiredState.STOPPED, crashes=replace(i.crashes, restart_at=None))
         self._put(i)
-        self._do(Order(Do.STOP, i.name))
+        self._do(Order(RollCommand.STOP, i.name))
         if i.process is None and i.name in s.leaving:
             instances = self.state.instances.discard(i.name)
             self.state = replace(self.state, instances=instances, leaving=s.leaving - {i.name})
@@ -238,25 +238,27 @@
         if i is None:
             return
         match order.do:
-            case Do.START:
-                if i.process is None and i.wanted is Wanted.RUNNING:
+            case RollCommand.START:
+                if i.process is None and i.wanted is DesiredState.RUNNING:
                     self._put(replace(i, drain=False, edition=order.edition or i.edition))
-                    self.effects.append(Spawn(i.name, order.edition or i.edition or self.state.edition))
-            case Do.STOP:
+                    self.effects.append(
+                        SpawnProcess(i.name, order.edition or i.edition or self.state.edition)
+                    )
+            case RollCommand.STOP:
                 if i.process is not None and i.stopping_since is None:
                     self._put(replace(i, stopping_since=self.now))
-                    self.effects.append(Signal(i.name, i.process, signals.SIGTERM))
+                    self.effects.append(SendSignal(i.name, i.process, signals.SIGTERM))
                     self._note("stopping", instance=i.name)
-            case Do.KILL:
+            case RollCommand.KILL:
                 if i.process is not None and not i.killed:
                     self._put(replace(i, stopping_since=self.now, killed=True))
-                    self.effects.append(Signal(i.name, i.process, signals.SIGKILL))
+                    self.effects.append(SendSignal(i.name, i.process, signals.SIGKILL))
                     self._note("killed", "warning", instance=i.name)
-            case Do.DRAIN | Do.RESUME:
-                drain = order.do is Do.DRAIN
+            case RollCommand.DRAIN | RollCommand.RESUME:
+                drain = order.do is RollCommand.DRAIN
                 if i.process is not None:
                     self._put(replace(i, drain=drain))
-                    self.effects.append(Tell(i.name, order.do.value))
+                    self.effects.append(SendOrder(i.name, order.do.value))
                     self._note("told to drain" if drain else "told to resume", instance=i.name)
 
     # --- time ------------------------------------------------------------------------------------------------
@@ -274,12 +276,12 @@
         s = self.state
         if start_due(i, self.now) and not self._in_roll(i.name):
             self._put(replace(i, crashes=replace(i.crashes, restart_at=None)))
-            self.effects.append(Spawn(i.name, i.edition or s.edition))
+            self.effects.append(SpawnProcess(i.name, i.edition or s.edition))
         elif kill_due(i, self.now, s.rules.patience):
             self._note("does not end", "warning", instance=i.name)
-            self._do(Order(Do.KILL, i.name))
+            self._do(Order(RollCommand.KILL, i.name))
         elif i.drain and i.stopping_since is None and i.reading is not None and i.reading.phase == "serving":
-            self.effects.append(Tell(i.name, Do.DRAIN.value))
+            self.effects.append(SendOrder(i.name, RollCommand.DRAIN.value))
 
     def _in_roll(self, name: str) -> bool:
         """Whether a roll is to start this one, after a stop that it ordered itself."""
@@ -289,8 +291,8 @@
         crashed = bool(self.state.instances[name].crashes.in_row)
         for s in roll.steps:
             if s.name == name:
-                return s.stage in (Stage.DRAINING, Stage.STOPPING) or (
-                    s.stage is Stage.STARTING and not crashed
+                return s.stage in (RollStage.DRAINING, RollStage.STOPPING) or (
+                    s.stage is RollStage.STARTING and not crashed
                 )
         return False
 
@@ -312,9 +314,9 @@
         before = s.before if s.writing else s.roll
         pending = (*s.pending, *orders)
         self.state = replace(s, roll=made, before=before, pending=pending, replies=replies, writing=True)
-        self.effects.append(Save(self.state.durable()))
+        self.effects.append(SaveState(self.state.durable()))
 
-    def _saved(self, e: Saved) -> None:
+    def _saved(self, e: StateSaved) -> None:
         s = self.state
         pending, before, replies, made, writing = s.pending, s.before, s.replies, s.roll, s.writing
         self.state = replace(s, pending=(), before=None, replies=(), writing=False)
@@ -339,18 +341,20 @@
     def _tell_roll(self, before: rolls.Roll | None, made: rolls.Roll) -> None:
         old = {x.name: x.stage for x in before.steps} if before is not None and before.id == made.id else {}
         for x in made.steps:
-            if x.stage is not old.get(x.name, Stage.WAITING):
+            if x.stage is not old.get(x.name, RollStage.WAITING):
                 note = {"note": x.note} if x.note else {}
                 what = {"instance": x.name, "roll": made.id, "step": x.stage.value, **note}
-                self.effects.append(Note("roll step", what))
+                self.effects.append(LogEvent("roll step", what))
         if before is None or before.id != made.id or before.mode is not made.mode:
             level = "warning" if made.mode is Mode.PAUSED else "info"
             fields_ = {"roll": made.id, "mode": made.mode.value, "target": made.target}
-            self.effects.append(Note("roll", {**fields_, "why": made.why} if made.why else fields_, level))
+            self.effects.append(
+                LogEvent("roll", {**fields_, "why": made.why} if made.why else fields_, level)
+            )
 
     # --- orders of clients -----------------------------------------------------------------------------------
 
-    def _asked(self, e: Asked) -> None:
+    def _asked(self, e: ControlRequest) -> None:
         s = self.state
         if e.verb == "status":
             self._reply(e.client, views.status(s, self.now))
@@ -365,7 +369,7 @@
                 self._asked_roll(e, list(names))
                 return
             self._order(e.verb, names)
-        except Impossible as error:
+        except RollRejectedError as error:
             self._reply(e.client, {"error": str(error)}, 409)
             return
         self._reply(e.client, {"done": e.verb, "instances": list(names)})
@@ -375,25 +379,25 @@
             i = self.state.instances[name]
             match verb:
                 case "start":
-                    self._put(replace(i, wanted=Wanted.RUNNING, crashes=type(i.crashes)()))
+                    self._put(replace(i, wanted=DesiredState.RUNNING, crashes=type(i.crashes)()))
                 case "stop":
                     self._stop(i, "stopped by order")
                 case "kill":
-                    self._do(Order(Do.KILL, name))
+                    self._do(Order(RollCommand.KILL, name))
                 case "drain":
-                    self._do(Order(Do.DRAIN, name))
+                    self._do(Order(RollCommand.DRAIN, name))
                 case "resume":
-                    self._do(Order(Do.RESUME, name))
+                    self._do(Order(RollCommand.RESUME, name))
                 case _:
-                    raise Impossible(f"no such order: {verb}")
+                    raise RollRejectedError(f"no such order: {verb}")
 
-    def _asked_roll(self, e: Asked, names: list[str]) -> None:
+    def _asked_roll(self, e: ControlRequest, names: list[str]) -> None:
         s = self.state
         if s.writing:
-            raise Impossible("a step of a roll is being written down; ask again")
+            raise RollRejectedError("a step of a roll is being written down; ask again")
         if e.verb == "roll":
             if s.roll is not None and not s.roll.over:
-                raise Impossible(f"roll {s.roll.id} is under way ({s.roll.mode.value})")
+                raise RollRejectedError(f"roll {s.roll.id} is under way ({s.roll.mode.value})")
             rules = roll_rules(s.rules.roll, e.options, len(names))
             made = rolls.plan(
                 f"r{s.rolls + 1}", s.edition, names, s.instances, rules, s.meter, self.now, s.rules.patience
@@ -405,7 +409,7 @@
             self._step(made, [], e.client)
             return
         if s.roll is None:
-            raise Impossible("no roll has been made")
+            raise RollRejectedError("no roll has been made")
         orders: list[Order] = []
         match e.verb:
             case "roll_show":
@@ -413,7 +417,7 @@
                 return
             case "roll_pause":
                 if s.roll.over:
-                    raise Impossible(f"roll {s.roll.id} is over: {s.roll.mode.value}")
+                    raise RollRejectedError(f"roll {s.roll.id} is over: {s.roll.mode.value}")
                 made = rolls.pause(s.roll, "paused by order")
             case "roll_resume":
                 made = rolls.resume(s.roll)
@@ -422,7 +426,7 @@
             case "roll_end":
                 made, orders = rolls.end(s.roll)
             case _:
-                raise Impossible(f"no such order: {e.verb}")
+                raise RollRejectedError(f"no such order: {e.verb}")
         self._step(made, orders, e.client)
 
 
@@ -436,11 +440,11 @@
         if name == "restart":  # all of these at once, whatever is left
             changes.update(at_once=count, floor=0)
         elif name not in known:
-            raise Impossible(f"no such rule of a roll: {name}")
+            raise RollRejectedError(f"no such rule of a roll: {name}")
         elif isinstance(value, bool) != (known[name] == "bool") or not isinstance(value, bool | int | float):
-            raise Impossible(f"{name}: not a value for it: {value!r}")
+            raise RollRejectedError(f"{name}: not a value for it: {value!r}")
         elif value < 0:
-            raise Impossible(f"{name}: must not be negative")
+            raise RollRejectedError(f"{name}: must not be negative")
         else:
             changes[name] = value
     return replace(base, **changes)
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -15,23 +15,23 @@
 import structlog
 
 from juniperward.agent.api import Api
-from juniperward.agent.kept import KeptService
+from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.log import configure
 from juniperward.agent.loop import Loop
-from juniperward.agent.messages import Asked
-from juniperward.agent.store import Store
+from juniperward.agent.messages import ControlRequest
+from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlError
+from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.store import StoreError
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Phase, Reading
-from juniperward.kept.resender import ResendRules
-from juniperward.kept.store import StoreError
 from juniperward.settings.load import FleetSettings, SettingsError, load
 
 STACK = 512 * 1024  # bytes for each thread; structlog and msgspec go deeper than the forwarder's own code
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
 
-class Busy(Exception):
+class AgentRunningError(Exception):
     """Another agent looks after this fleet."""
 
 
@@ -44,7 +44,7 @@
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         os.close(file)
-        raise Busy(f"{folder}: another agent looks after this fleet") from None
+        raise AgentRunningError(f"{folder}: another agent looks after this fleet") from None
     return file
 
 
@@ -53,15 +53,15 @@
 
     def __init__(self, settings: FleetSettings) -> None:
         self.lock = take(settings.folder)
-        self.loop = Loop(settings, Store(settings.folder), secrets.randbits(64))
+        self.loop = Loop(settings, StateStore(settings.folder), secrets.randbits(64))
         self.api = Api(settings.socket, self.loop, self.reload, self.shutdown)
-        self.kept: KeptService | None = None
+        self.kept: DeadLetterService | None = None
         if settings.kept is not None:
             self._keep(settings.kept)
 
-    def _keep(self, rules: ResendRules) -> KeptService:
+    def _keep(self, rules: ResendRules) -> DeadLetterService:
         """Begin to look after kept messages; raises StoreError."""
-        self.kept = KeptService(self.loop.settings.folder, rules, self._names, self._ready)
+        self.kept = DeadLetterService(self.loop.settings.folder, rules, self._names, self._ready)
         self.kept.note = self.loop.note
         self.api.kept = self.kept
         return self.kept
@@ -113,7 +113,7 @@
 
     def _shutdown(self, instances: bool) -> None:
         if instances:
-            self.loop.post(Asked(0, "stop"))
+            self.loop.post(ControlRequest(0, "stop"))
             until = time.monotonic() + 2 * self.loop.settings.patience.stop + 2.0
             while time.monotonic() < until:
                 if all(i.process is None for i in self.loop.reducer.state.instances.values()):
@@ -154,7 +154,7 @@
     threading.stack_size(STACK)
     try:
         agent = Agent(settings)
-    except (Busy, ControlError, StoreError, OSError) as error:
+    except (AgentRunningError, ControlError, StoreError, OSError) as error:
         structlog.get_logger().error("cannot start", why=str(error))
         return 1
 
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from juniperward.agent.messages import Durable
+from juniperward.agent.messages import PersistentState
 from juniperward.agent.processes import boot_id
 from juniperward.fleet.model import Crashes
 
 VERSION = 1
 
 
-class Damaged(Exception):
+class DamagedStateError(Exception):
     """A file is not a whole state of ours; the text says why."""
 
 
@@ -28,14 +28,14 @@
     boot: str
 
 
-class Store:
+class StateStore:
     """The files `state.json` and `state.json.old` in the agent's folder."""
 
     def __init__(self, folder: Path) -> None:
         self.file, self.old = folder / "state.json", folder / "state.json.old"
         self.fresh = folder / "state.json.new"
 
-    def save(self, durable: Durable) -> None:
+    def save(self, durable: PersistentState) -> None:
         """Write it so that it survives the machine; raises OSError, and then the file before still counts."""
         body = msgspec.json.encode(durable)
         head = msgspec.json.encode(Header(VERSION, zlib.crc32(body), boot_id()))
@@ -52,7 +52,7 @@
         finally:
             os.close(folder)
 
-    def load(self) -> tuple[Durable, list[str]]:
+    def load(self) -> tuple[PersistentState, list[str]]:
         """The newest state that is whole, and what was wrong with others; an empty one where there is none."""
         told: list[str] = []
         for file in (self.file, self.old):
@@ -60,22 +60,22 @@
                 return self._read(file), told
             except FileNotFoundError:
                 continue
-            except Damaged as error:
+            except DamagedStateError as error:
                 told.append(f"{file.name}: {error}")
-        return Durable(), told
+        return PersistentState(), told
 
     @staticmethod
-    def _read(file: Path) -> Durable:
+    def _read(file: Path) -> PersistentState:
         head, _, body = file.read_bytes().partition(b"\n")
         try:
             header = msgspec.json.decode(head, type=Header)
             if header.v != VERSION:
-                raise Damaged(f"version {header.v}; this agent reads {VERSION}")
+                raise DamagedStateError(f"version {header.v}; this agent reads {VERSION}")
             if zlib.crc32(body) != header.crc:
-                raise Damaged("its checksum does not match")
-            durable = msgspec.json.decode(body, type=Durable)
+                raise DamagedStateError("its checksum does not match")
+            durable = msgspec.json.decode(body, type=PersistentState)
         except msgspec.DecodeError as error:
-            raise Damaged(str(error)) from error
+            raise DamagedStateError(str(error)) from error
         if header.boot != boot_id():
             # The machine was started anew: no process of before runs, and no time of before means anything.
             instances = tuple(
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -6,7 +6,7 @@
 
 from juniperward.agent.messages import State
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import Instance, Patience, Phase, Wanted
+from juniperward.fleet.model import DesiredState, Instance, Patience, Phase
 from juniperward.fleet.roll import Roll
 
 
@@ -18,7 +18,7 @@
         "edition": s.edition,
         "instances": rows,
         "ready": sum(r["state"] == Phase.READY for r in rows),
-        "wanted": sum(i.wanted is Wanted.RUNNING for i in s.instances.values()),
+        "wanted": sum(i.wanted is DesiredState.RUNNING for i in s.instances.values()),
         "service": {"good": lately.good, "bad": lately.bad, "share": lately.share, "seconds": 10.0},
         "roll": roll_view(s.roll) if s.roll is not None else None,
     }
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -11,7 +11,7 @@
 import structlog
 
 from juniperward.agent import processes
-from juniperward.agent.messages import Answered, Event, Exited, Unanswered
+from juniperward.agent.messages import Event, InstanceAnswered, InstanceUnanswered, ProcessExited
 from juniperward.control.client import ControlClient, Refused, Silent
 from juniperward.control.protocol import ProtocolError, Status, Verb
 from juniperward.fleet.model import Process, Reading
@@ -68,7 +68,7 @@
             self.client.close()
             if self.reported != process:
                 self.reported = process
-                self.post(Exited(self.name, process, how))
+                self.post(ProcessExited(self.name, process, how))
             return
         self._ask(process, Verb(order) if order else Verb.STATUS)
 
@@ -80,7 +80,7 @@
             if self.process != process:
                 return
             self.since = self.since if self.since is not None else began
-            self.post(Unanswered(self.name, process, self.since, str(error)))
+            self.post(InstanceUnanswered(self.name, process, self.since, str(error)))
             if verb is not Verb.STATUS and isinstance(error, Silent):
                 time.sleep(LOOK)
             return
@@ -88,10 +88,12 @@
             # Another process has the socket: one started by hand, or one that is on its way out.
             self.client.close()
             self.since = self.since if self.since is not None else began
-            self.post(Unanswered(self.name, process, self.since, f"process {status.pid} answers instead"))
+            self.post(
+                InstanceUnanswered(self.name, process, self.since, f"process {status.pid} answers instead")
+            )
             return
         self.since = None
-        self.post(Answered(self.name, reading(status, time.monotonic())))
+        self.post(InstanceAnswered(self.name, reading(status, time.monotonic())))
 
 
 def reading(s: Status, now: float) -> Reading:
--- a/juniperward/rigs/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -17,23 +17,23 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.lab.experiment import one
-from juniperward.lab.scenario import FOLDER, Scenario, Trouble, load
-from juniperward.rigs.measure import Report
-from juniperward.rigs.yard import ACCOUNTS, Yard
-from juniperward.standins.checker import Bounds
-from juniperward.standins.clients import Clients, Traffic
-from juniperward.standins.partners import PartnerSpec
+from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
+from juniperward.benchmarks.measure import Report
+from juniperward.fakes.checker import Bounds
+from juniperward.fakes.clients import Clients, Traffic
+from juniperward.fakes.partners import PartnerSpec
+from juniperward.simulation.experiment import one
+from juniperward.simulation.scenario import FOLDER, Scenario, Trouble, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("nickelscale", "round-robin", "one-try")
 MODES = {"DOWN": "down", "FAILING": "failing", "SHUT": "shut", "SILENT": "silent"}
 WITHIN = 0.03  # of worth, that model and sockets may differ by
 APART = 0.01  # policies closer than this in either are not ordered
-AT_ONCE = 6  # yards at a time
+AT_ONCE = 6  # clusters at a time
 WRAPPER = '''
 import juniperward.forwarder.reducer as reducer
-from juniperward.lab.policies import POLICIES
+from juniperward.simulation.policies import POLICIES
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.actions import PollEndpointList
 from juniperward.scheduler.events import EndpointListUpdated, ListScope
@@ -98,8 +98,8 @@
     s = load(FOLDER / f"{name}.textproto")
     t = s.traffic
     with tempfile.TemporaryDirectory(prefix="jw-") as place, wrapped(policy, Path(place)):
-        yard = Yard(Path(place), s.forwarders, specs(s), seed)
-        settings = yard.base["settings"]
+        cluster = LocalCluster(Path(place), s.forwarders, specs(s), seed)
+        settings = cluster.base["settings"]
         settings["Services"][0] |= {
             "AimMs": 1000 * t.aim, "DeadlineMs": 1000 * t.deadline, "LateWorth": t.late_worth,
             "WindowMs": 1000 * t.window,
@@ -109,39 +109,39 @@
         settings["Kinds"] = [f"kind-{n}" for n in range(len(s.partners))]
         settings["Specifics"]["BatchByKind"] = [g.batch for g in s.partners]
         settings["Specifics"]["RoutesApart"] = [False] * len(s.partners)
-        with yard:
-            yard.start()
-            clients = _clients(yard, s, seed)
+        with cluster:
+            cluster.start()
+            clients = _clients(cluster, s, seed)
             began = time.monotonic()
             for trouble in s.troubles:
-                threading.Thread(target=_trouble, args=(yard, trouble, began), daemon=True).start()
+                threading.Thread(target=_trouble, args=(cluster, trouble, began), daemon=True).start()
             clients.done.wait(s.seconds + 2 * t.deadline)
             time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
-            v = yard.verdict(Bounds(aim=t.aim, deadline=t.deadline, late_worth=t.late_worth))
+            v = cluster.verdict(Bounds(aim=t.aim, deadline=t.deadline, late_worth=t.late_worth))
             late = sorted(clients.lateness)
-            fallen = sum(p.fallen for p in yard.partners.values())
+            fallen = sum(p.fallen for p in cluster.partners.values())
             return v.worth, late[int(0.99 * len(late))] if late else 0.0, len(v.violations), fallen
 
 
-def _clients(yard: Yard, s: Scenario, seed: int) -> Clients:
+def _clients(cluster: LocalCluster, s: Scenario, seed: int) -> Clients:
     """Open-loop clients with the scenario's weights; clumps are not played."""
     weights: list[tuple[int, float]] = []
     for g in s.partners:
         weights += [(len(weights) + 1 + n, g.share / g.count) for n in range(g.count)]
     t = s.traffic
     traffic = Traffic(t.rate, tuple(weights), ACCOUNTS, deadline=t.deadline, tries=2 if t.again else 1)
-    clients = Clients(traffic, yard.front, yard.recorder, seed, 64)
+    clients = Clients(traffic, cluster.front, cluster.recorder, seed, 64)
     clients.start(s.seconds)
     return clients
 
 
-def _trouble(yard: Yard, t: Trouble, began: float) -> None:
+def _trouble(cluster: LocalCluster, t: Trouble, began: float) -> None:
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
-        yard.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
+        cluster.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
     time.sleep(t.seconds)
     for p in t.partner:
-        yard.partners[p].trouble("well")
+        cluster.partners[p].trouble("well")
 
 
 def _both(name: str, policy: str, seed: int) -> tuple[str, str, float, float, float, int, str]:
--- a/juniperward/rigs/all.py
+++ b/juniperward/benchmarks/all.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from juniperward.rigs import agreement, capacity, cold, cost, measure, measure_kept, sizes, starts
+from juniperward.benchmarks import agreement, capacity, cold, cost, measure, measure_kept, sizes, starts
 
 ALL: dict[str, Callable[..., bool]] = {
     "rolls": measure.rolls, "chaos": measure.chaos, "status": measure.status, "flood": measure.flood,
--- a/juniperward/rigs/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -17,12 +17,12 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.rigs.measure import Report
-from juniperward.rigs.yard import BASE, ROOT, reserve
-from juniperward.standins.clients import ready
-from juniperward.standins.load import Plan, Seen, Sinks, play, quantile
-from juniperward.standins.records import Recorder, now
-from juniperward.standins.registry import Entry, Registry
+from juniperward.benchmarks.local_cluster import BASE, ROOT, reserve
+from juniperward.benchmarks.measure import Report
+from juniperward.fakes.clients import ready
+from juniperward.fakes.load import LoadResult, Plan, Sinks, play, quantile
+from juniperward.fakes.records import Recorder, now
+from juniperward.fakes.registry import Entry, Registry
 
 DESTINATIONS = 8
 SKIP = 1.0  # seconds left out, in which connections open
@@ -36,7 +36,7 @@
     """One rate: what was seen, the ages at workers, CPU seconds a message, resident bytes."""
 
     rate: float
-    seen: Seen
+    seen: LoadResult
     ages: Any
     cpu: float
     memory: float
--- a/juniperward/rigs/cold.py
+++ b/juniperward/benchmarks/cold.py
@@ -9,8 +9,8 @@
 import concurrent.futures
 from pathlib import Path
 
-from juniperward.lab.cold_return import CASES, ColdCase, ColdReturn, ColdReturnResult
-from juniperward.rigs.measure import Report
+from juniperward.benchmarks.measure import Report
+from juniperward.simulation.cold_return import CASES, ColdCase, ColdReturn, ColdReturnResult
 
 FLEET_SIZES = (1, 3, 20, 30, 200, 230)
 PROCESSES = 2
--- a/juniperward/rigs/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -10,8 +10,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from juniperward.rigs.yard import Yard
-from juniperward.standins.partners import PartnerSpec
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.fakes.partners import PartnerSpec
 
 LOAD = 14.0  # seconds of traffic
 PARTNERS = [
@@ -32,23 +32,23 @@
         else:
             keep.mkdir(parents=True, exist_ok=True)
             folder = keep.resolve()
-        yard = stack.enter_context(Yard(folder, 3, PARTNERS))
+        cluster = stack.enter_context(LocalCluster(folder, 3, PARTNERS))
         console.print("starting a registry, 4 partners, an agent and 3 forwarders")
-        yard.start()
+        cluster.start()
         console.print(
             f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll"
         )
-        clients = yard.clients(rate, LOAD)
+        clients = cluster.clients(rate, LOAD)
         time.sleep(2.0)
-        yard.ask("roll", soak=1.0)
+        cluster.ask("roll", soak=1.0)
         time.sleep(1.0)
-        yard.registry.put(*yard.partners[2].entries("Terminating", 0))
-        roll = yard.roll_end(60.0)
+        cluster.registry.put(*cluster.partners[2].entries("Terminating", 0))
+        roll = cluster.roll_end(60.0)
         console.print(f"roll {roll['id']} is {roll['mode']} {roll['why']}")
         clients.done.wait(60.0)
-        yard.settle(25.0)
-        status = yard.ask("status")
-        verdict = yard.verdict()
+        cluster.settle(25.0)
+        status = cluster.ask("status")
+        verdict = cluster.verdict()
     made = Table("what", "count", box=None)
     rows = [
         ("messages of clients", verdict.asked),
--- a/juniperward/rigs/yard.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -1,4 +1,4 @@
-"""A yard: a registry, partners and clients of the stand-ins, round a fleet of real forwarders under an agent.
+"""A cluster: a registry, partners and clients of the stand-ins, round a fleet of real forwarders under an agent.
 
 Everything is on loopback, at ports that the system gives, in one folder. The demo, the measurements and the
 tests drive fleets through it.
@@ -21,13 +21,13 @@
 from google.protobuf import text_format
 
 from juniperward.agent import processes
-from juniperward.agent.client import AgentRefused, AgentSilent, ask
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.fakes.checker import Bounds, Verdict, check
+from juniperward.fakes.clients import Clients, Front, Traffic
+from juniperward.fakes.partners import Partner, PartnerSpec
+from juniperward.fakes.records import Life, Recorder, now
+from juniperward.fakes.registry import Registry
 from juniperward.settings import fleet_pb2
-from juniperward.standins.checker import Bounds, Verdict, check
-from juniperward.standins.clients import Clients, Front, Traffic
-from juniperward.standins.partners import Partner, PartnerSpec
-from juniperward.standins.records import Life, Recorder, now
-from juniperward.standins.registry import Registry
 
 ROOT = Path(__file__).parent.parent.parent
 BASE: dict[str, Any] = {
@@ -48,14 +48,14 @@
         "Kinds": ["booking-sites", "small-partners"],
         "FailureDomains": ["aluva"],
         "Tenants": [
-            {"Name": "valiya-yard", "QuotaPerS": 1000.0, "Share": 0.6},
-            {"Name": "kovil-yard", "QuotaPerS": 1000.0, "Share": 0.4},
+            {"Name": "valiya-cluster", "QuotaPerS": 1000.0, "Share": 0.6},
+            {"Name": "kovil-cluster", "QuotaPerS": 1000.0, "Share": 0.4},
         ],
         "MembershipMode": "on_request",
         "ResolutionMs": 5.0,
     },
 }  # fmt: skip
-ACCOUNTS = (("valiya-yard", 0.6), ("kovil-yard", 0.4))
+ACCOUNTS = (("valiya-cluster", 0.6), ("kovil-cluster", 0.4))
 
 
 def reserve(count: int) -> list[socket.socket]:
@@ -74,7 +74,7 @@
     return held
 
 
-class Yard:
+class LocalCluster:
     """A fleet and its world; use it as a context, so that nothing is left behind."""
 
     def __init__(
@@ -101,7 +101,7 @@
         self.pids: dict[str, int] = {}
         self.events_at = 0
 
-    def __enter__(self) -> Yard:
+    def __enter__(self) -> LocalCluster:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -114,7 +114,7 @@
     def write_settings(self, names: list[str] | None = None, **more: dict[str, float]) -> None:
         """Write the fleet's file and the base that all its forwarders share."""
         (self.folder / "base.json").write_text(json.dumps(self.base))
-        fleet = fleet_pb2.Fleet(name="yard", folder="run", base="base.json")
+        fleet = fleet_pb2.Fleet(name="cluster", folder="run", base="base.json")
         for name in names or self.names:
             host, port = self.addresses[name]
             fleet.instance.add(name=name, listen=f"{host}:{port}", registry=self.registry.door(name))
@@ -153,7 +153,7 @@
             try:
                 ask(self.socket, "agent", patience=0.5)
                 break
-            except (AgentSilent, AgentRefused):
+            except (AgentUnreachableError, AgentRejectedError):
                 if self.agent.poll() is not None or time.monotonic() > until:
                     told = (self.folder / "agent.log").read_text()[-2000:]
                     raise RuntimeError(f"the agent does not answer: {told}") from None
@@ -182,7 +182,7 @@
         end = time.monotonic() + patience
         status: dict[str, Any] = {}
         while time.monotonic() < end:
-            with contextlib.suppress(AgentSilent):
+            with contextlib.suppress(AgentUnreachableError):
                 status = self.ask("status")
                 if holds(status):
                     return status
@@ -236,7 +236,7 @@
         """Starts and ends of forwarders, by what the processes themselves show."""
         try:
             status = ask(self.socket, "status", patience=1.0)
-        except (AgentSilent, AgentRefused):
+        except (AgentUnreachableError, AgentRejectedError):
             return
         for r in status["instances"]:
             name, pid = r["name"], r["pid"]
@@ -263,7 +263,7 @@
         self.watching = False
         self.front.closed = True
         if self.agent is not None and self.agent.poll() is None:
-            with contextlib.suppress(AgentSilent, AgentRefused):
+            with contextlib.suppress(AgentUnreachableError, AgentRejectedError):
                 ask(self.socket, "shutdown", patience=2.0, instances=True)
             try:
                 self.agent.wait(15.0)
--- a/juniperward/rigs/measure.py
+++ b/juniperward/benchmarks/measure.py
@@ -21,13 +21,13 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.agent.client import AgentSilent
+from juniperward.agent.client import AgentUnreachableError
+from juniperward.benchmarks.local_cluster import ROOT, LocalCluster, machine
 from juniperward.control.client import ControlClient, Refused, Silent
 from juniperward.control.protocol import ProtocolError, Request, Verb, encode_request
+from juniperward.fakes.checker import Verdict
+from juniperward.fakes.partners import PartnerSpec
 from juniperward.fleet.model import Process
-from juniperward.rigs.yard import ROOT, Yard, machine
-from juniperward.standins.checker import Verdict
-from juniperward.standins.partners import PartnerSpec
 
 PARTNERS = [
     PartnerSpec(1, "booking-sites", workers=2, latency=0.06, rate=120.0, batch=20),
@@ -86,20 +86,20 @@
 
 
 def _run(
-    instances: int, rate: float, seconds: float, seed: int, during: Callable[[Yard], float],
+    instances: int, rate: float, seconds: float, seed: int, during: Callable[[LocalCluster], float],
     settings: dict[str, dict[str, float]] | None = None,
 ) -> tuple[Verdict, float, list[float]]:  # fmt: skip
     """A load for so long with something done amid it; the verdict, how long that took, the rig's lateness."""
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:  # noqa: SIM117
-        with Yard(Path(folder), instances, PARTNERS, seed, settings=settings) as yard:
-            yard.start()
-            clients = yard.clients(rate, seconds, threads=96)
+        with LocalCluster(Path(folder), instances, PARTNERS, seed, settings=settings) as cluster:
+            cluster.start()
+            clients = cluster.clients(rate, seconds, threads=96)
             time.sleep(2.0)
-            took = during(yard)
+            took = during(cluster)
             clients.done.wait(seconds + 60.0)
-            yard.until(lambda s: s["ready"] == instances, 60.0)
-            yard.settle(40.0)
-            return yard.verdict(), took, clients.lateness
+            cluster.until(lambda s: s["ready"] == instances, 60.0)
+            cluster.settle(40.0)
+            return cluster.verdict(), took, clients.lateness
 
 
 def rolls(seed: int, out: Path, instances: int = 10, rate: float = 100.0) -> bool:
@@ -110,21 +110,21 @@
         "stand-ins. A worker drains amid each roll. Latency counts from when a message was due."
     )
 
-    def rolled(**options: Any) -> Callable[[Yard], float]:
-        def during(yard: Yard) -> float:
+    def rolled(**options: Any) -> Callable[[LocalCluster], float]:
+        def during(cluster: LocalCluster) -> float:
             began = time.monotonic()
-            yard.ask("roll", soak=0.5, **options)
+            cluster.ask("roll", soak=0.5, **options)
             time.sleep(1.0)
-            yard.registry.put(*yard.partners[2].entries("Terminating", 0))
-            found = yard.roll_end(180.0)
+            cluster.registry.put(*cluster.partners[2].entries("Terminating", 0))
+            found = cluster.roll_end(180.0)
             if found["mode"] != "done":
                 raise RuntimeError(f"the roll is {found['mode']}: {found['why']}")
             return time.monotonic() - began
 
         return during
 
-    cases: list[tuple[str, float, Callable[[Yard], float]]] = [
-        ("no roll", 45.0, lambda yard: 0.0),
+    cases: list[tuple[str, float, Callable[[LocalCluster], float]]] = [
+        ("no roll", 45.0, lambda cluster: 0.0),
         ("one at a time", 45.0, rolled()),
         ("two at a time", 30.0, rolled(at_once=2, floor=instances - 2)),
         ("three at a time", 25.0, rolled(at_once=3, floor=instances - 3)),
@@ -159,58 +159,58 @@
     restarts: list[float] = []
     settings = {"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}}
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:  # noqa: SIM117
-        with Yard(Path(folder), instances, PARTNERS, seed, settings=settings) as yard:
-            yard.start()
+        with LocalCluster(Path(folder), instances, PARTNERS, seed, settings=settings) as cluster:
+            cluster.start()
             stop = threading.Event()
-            batches = [yard.clients(rate, 10.0, threads=64, name="c0-")]
+            batches = [cluster.clients(rate, 10.0, threads=64, name="c0-")]
 
             def load() -> None:
                 n = 1
                 while not stop.is_set():
                     batches[-1].done.wait(12.0)
                     if not stop.is_set():
-                        batches.append(yard.clients(rate, 10.0, threads=64, name=f"c{n}-"))
+                        batches.append(cluster.clients(rate, 10.0, threads=64, name=f"c{n}-"))
                     n += 1
 
             loader = threading.Thread(target=load, daemon=True)
             loader.start()
             while kills < rounds:
                 try:
-                    status = yard.ask("status")
-                except AgentSilent:
+                    status = cluster.ask("status")
+                except AgentUnreachableError:
                     continue
                 roll = status["roll"]
                 if roll is None or roll["over"]:
                     done += roll is not None and roll["mode"] == "done"
-                    yard.ask("roll", soak=0.0, drain=2.0, at_once=2, floor=instances - 3, soak_most=1.0)
+                    cluster.ask("roll", soak=0.0, drain=2.0, at_once=2, floor=instances - 3, soak_most=1.0)
                 elif roll["mode"] == "paused":
                     paused += 1
-                    yard.ask("roll_resume")
+                    cluster.ask("roll_resume")
                 if dice.random() < 0.25:
                     ready_ones = [r for r in status["instances"] if r["state"] == "ready"]
                     if ready_ones and (stopped is None or not processes.alive(stopped)):
                         stopped = processes.identify(dice.choice(ready_ones)["pid"])
                         stops += stopped is not None and processes.send(stopped, signal.SIGSTOP)
                 time.sleep(dice.uniform(0.05, 1.5))
-                yard.kill_agent()
+                cluster.kill_agent()
                 kills += 1
                 time.sleep(dice.uniform(0.0, 0.5))
                 began = time.monotonic()
-                yard.start_agent()
+                cluster.start_agent()
                 restarts.append(time.monotonic() - began)
             stop.set()
             loader.join(15.0)
             for b in batches:
                 b.done.wait(40.0)
-            yard.roll_end(90.0)
-            for r in yard.ask("status")["instances"]:
+            cluster.roll_end(90.0)
+            for r in cluster.ask("status")["instances"]:
                 if r["state"] == "silent":
-                    yard.ask("kill", [r["name"]])
-            yard.until(lambda s: s["ready"] == instances, 90.0)
-            yard.settle(60.0)
-            verdict = yard.verdict()
+                    cluster.ask("kill", [r["name"]])
+            cluster.until(lambda s: s["ready"] == instances, 90.0)
+            cluster.settle(60.0)
+            verdict = cluster.verdict()
             lateness = [x for b in batches for x in b.lateness]
-            found = processes.find(str(yard.folder / "run"))
+            found = processes.find(str(cluster.folder / "run"))
     report.table(VERDICT_HEAD, [_verdict_row("chaos", verdict, 0.0, lateness)])
     report.table(
         ["agent killed", "instances stopped by SIGSTOP", "rolls ended", "pauses", "agent back, median s", "worst s",
@@ -235,21 +235,21 @@
     for size in sizes:
         with tempfile.TemporaryDirectory(prefix="jw-") as folder:
             patience = {"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}}
-            with Yard(Path(folder), size, PARTNERS[:2], seed, settings=patience) as yard:
+            with LocalCluster(Path(folder), size, PARTNERS[:2], seed, settings=patience) as cluster:
                 began = time.monotonic()
-                yard.start(ready=False)
-                yard.until(lambda s, n=size: s["ready"] == n, 120.0)
+                cluster.start(ready=False)
+                cluster.until(lambda s, n=size: s["ready"] == n, 120.0)
                 up = time.monotonic() - began
                 for silent in (0, 1, 10):
-                    for name in yard.names[:silent]:
-                        os.kill(yard.row(name)["pid"], signal.SIGSTOP)
-                    yard.until(
+                    for name in cluster.names[:silent]:
+                        os.kill(cluster.row(name)["pid"], signal.SIGSTOP)
+                    cluster.until(
                         lambda s, n=silent: sum(r["state"] == "silent" for r in s["instances"]) == n, 30.0
                     )
-                    taken = [_timed_status(yard) for _ in range(times)]
-                    before = yard.ask("agent")
+                    taken = [_timed_status(cluster) for _ in range(times)]
+                    before = cluster.ask("agent")
                     time.sleep(10.0)
-                    after = yard.ask("agent")
+                    after = cluster.ask("agent")
                     cpu = (after["cpu_seconds"] - before["cpu_seconds"]) / 10.0
                     limit = 1.5 if silent else 1.0
                     good &= max(taken) < limit
@@ -257,8 +257,8 @@
                         f"{size}", f"{silent}", f"{statistics.median(taken):.2f}", f"{max(taken):.2f}",
                         f"{after['resident_bytes'] / 2**20:.0f}", f"{100 * cpu:.1f}", f"{up:.1f}",
                     ])  # fmt: skip
-                for name in yard.names[:10]:
-                    pid = yard.row(name)["pid"]
+                for name in cluster.names[:10]:
+                    pid = cluster.row(name)["pid"]
                     if pid is not None:
                         os.kill(pid, signal.SIGCONT)
     report.table(
@@ -277,10 +277,10 @@
     return good
 
 
-def _timed_status(yard: Yard) -> float:
+def _timed_status(cluster: LocalCluster) -> float:
     began = time.monotonic()
     subprocess.run(
-        [sys.executable, "-m", "juniperward", "fleet", "status", "-a", str(yard.socket), "-o", "json"],
+        [sys.executable, "-m", "juniperward", "fleet", "status", "-a", str(cluster.socket), "-o", "json"],
         cwd=ROOT, stdout=subprocess.DEVNULL, check=True,
     )  # fmt: skip
     return time.monotonic() - began
@@ -296,9 +296,12 @@
         "to its answer, asked by one honest client ten times a second; the messages' is from due to effect."
     )
     rows: list[Row] = []
-    with tempfile.TemporaryDirectory(prefix="jw-") as folder, Yard(Path(folder), 1, PARTNERS, seed) as yard:
-        yard.start()
-        path = yard.folder / "run" / "run" / "n0"
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as folder,
+        LocalCluster(Path(folder), 1, PARTNERS, seed) as cluster,
+    ):
+        cluster.start()
+        path = cluster.folder / "run" / "run" / "n0"
         attacks: list[tuple[str, Callable[[threading.Event], None] | None]] = [
             ("nothing", None), ("requests without a pause", lambda e: _flood(path, e)),
             ("connections that say nothing", lambda e: _mute(path, e)), ("rubbish", lambda e: _rubbish(path, e)),
@@ -309,8 +312,8 @@
             threads = [
                 threading.Thread(target=attack, args=(end,), daemon=True) for _ in range(8 if attack else 0)
             ]
-            yard.recorder.records.clear()
-            clients = yard.clients(100.0, seconds, threads=32, name=name[:2])
+            cluster.recorder.records.clear()
+            clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
             for thread in threads:
                 thread.start()
             asked, missed = _honest(path, seconds)
@@ -318,8 +321,8 @@
             clients.done.wait(30.0)
             for thread in threads:
                 thread.join(10.0)
-            yard.settle()
-            v = yard.verdict()
+            cluster.settle()
+            v = cluster.verdict()
             rows.append([
                 name, f"{v.delivered}/{v.asked}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
                 f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{quantile(asked, 0.5) * 1000:.1f}",
--- a/juniperward/rigs/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -13,16 +13,16 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.agent.client import AgentRefused, AgentSilent
-from juniperward.kept.decisions import Stand
-from juniperward.kept.spool import Attempt, Kept, Spool
-from juniperward.kept.store import Filter, KeptStore
-from juniperward.rigs.measure import Report, quantile
-from juniperward.rigs.yard import Yard
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.benchmarks.measure import Report, quantile
+from juniperward.dead_letters.decisions import Status
+from juniperward.dead_letters.spool import Spool, SpooledAttempt, SpooledMessage
+from juniperward.dead_letters.store import DeadLetterStore, Filter
+from juniperward.fakes.checker import Verdict, check
+from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.records import Effect, Handed, Heard
 from juniperward.settings import fleet_pb2
-from juniperward.standins.checker import Verdict, check
-from juniperward.standins.partners import PartnerSpec
-from juniperward.standins.records import Effect, Handed, Heard
 
 AT_ONCE = 10  # runs of the acceptance
 AWAY = 10.0  # seconds, unless told otherwise, for which the partner is down
@@ -31,106 +31,106 @@
 SUMMED = ("runs", *COUNTED, "fell over", "rules broken")
 
 
-def kept_yard(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> Yard:
-    """A yard whose messages live for four seconds, and are kept."""
+def kept_yard(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> LocalCluster:
+    """A cluster whose messages live for four seconds, and are kept."""
     partners = [PartnerSpec(d, latency=0.03, warm=WARM, at_once=8) for d in (1, 2, 3)]
-    yard = Yard(folder, instances, partners, seed)
-    yard.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
-    yard.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
+    cluster = LocalCluster(folder, instances, partners, seed)
+    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
+    cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
     if keep:
         pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
-        yard.keep = fleet_pb2.Kept(on=True, pace=pace)
-        yard.keep.rule.add(name="all", most_resends=20)
-    return yard
+        cluster.keep = fleet_pb2.Kept(on=True, pace=pace)
+        cluster.keep.rule.add(name="all", most_resends=20)
+    return cluster
 
 
-def all_kept(yard: Yard) -> list[dict[str, Any]]:
+def all_kept(cluster: LocalCluster) -> list[dict[str, Any]]:
     """Every message of the store."""
     rows: list[dict[str, Any]] = []
     after: Any = None
     while True:
-        found = yard.ask("kept", action="list", limit=500, after=after)
+        found = cluster.ask("kept", action="list", limit=500, after=after)
         rows += found["messages"]
         after = found["next"]
         if after is None:
             return rows
 
 
-def settled(yard: Yard, patience: float) -> None:
+def settled(cluster: LocalCluster, patience: float) -> None:
     """Wait until nothing that may go is left."""
     calm = time.monotonic()
     until = calm + patience
     while time.monotonic() < until:
         try:
-            busy = yard.ask("kept", action="stats")["open"]
-            if busy or any(r["stand"] == Stand.KEPT and r["kind"] != "uncertain" for r in all_kept(yard)):
+            busy = cluster.ask("kept", action="stats")["open"]
+            if busy or any(r["stand"] == Status.KEPT and r["kind"] != "uncertain" for r in all_kept(cluster)):
                 calm = time.monotonic()
             elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be taken in
                 return
-        except (AgentSilent, AgentRefused):
+        except (AgentUnreachableError, AgentRejectedError):
             pass
         time.sleep(0.25)
 
 
-def judged(yard: Yard) -> tuple[Verdict, dict[str, int]]:
+def judged(cluster: LocalCluster) -> tuple[Verdict, dict[str, int]]:
     """The checker's verdict with the resends among the clients, and how the kept messages ended."""
-    rows = all_kept(yard)
+    rows = all_kept(cluster)
     effects: dict[str, int] = {}
-    for r in yard.recorder.records:
+    for r in cluster.recorder.records:
         if isinstance(r, Effect):
             effects[r.key] = effects.get(r.key, 0) + 1
     counts = dict.fromkeys(COUNTED, 0) | {"kept": len(rows)}
     for row in rows:
         times = effects.get(row["key"], 0)
         counts["twice"] += times > 1
-        if row["stand"] == Stand.DELIVERED:
+        if row["stand"] == Status.DELIVERED:
             counts["once"] += times == 1
             counts["missing"] += times == 0
         elif row["kind"] == "uncertain":
             counts["uncertain"] += 1
         else:
             counts["missing"] += 1
-        for n, resend in enumerate(yard.ask("kept", action="show", id=row["id"])["resent"]):
+        for n, resend in enumerate(cluster.ask("kept", action="show", id=row["id"])["resent"]):
             at = resend["claimed_at"] - time.time() + time.monotonic()
             first = f"{row['id']}r{n}"
-            yard.recorder.add(
+            cluster.recorder.add(
                 Handed(at, resend["id"], first, row["key"], "booking-update", row["account"], row["destination"],
                        resend["forwarder"], at, at + 4.0)
             )  # fmt: skip
             taken = resend["end"] not in ("refused", "never taken")
-            yard.recorder.add(Heard(at + 0.01, resend["id"], 202 if taken else 503))
-    return yard.verdict(), counts
+            cluster.recorder.add(Heard(at + 0.01, resend["id"], 202 if taken else 503))
+    return cluster.verdict(), counts
 
 
 def _one(seed: int, kills: bool, away: float) -> list[Any]:
     dice = random.Random(seed)
-    with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as yard:
-        yard.start()
-        clients = yard.clients(40.0, away + 8.0, threads=48)
+    with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as cluster:
+        cluster.start()
+        clients = cluster.clients(40.0, away + 8.0, threads=48)
         time.sleep(2.0)
         mode = dice.choice(["down", "failing", "shut"])
-        yard.partners[1].trouble(mode, away, share=0.9)
+        cluster.partners[1].trouble(mode, away, share=0.9)
         back = time.monotonic() + away
         killed = 0
         while time.monotonic() < back:
             time.sleep(dice.uniform(0.5, 2.0))
-        yard.partners[1].trouble("well")
+        cluster.partners[1].trouble("well")
         for _ in range(6 if kills else 0):
             time.sleep(dice.uniform(0.2, 1.5))
             if dice.random() < 0.5:
-                yard.kill_agent()
-                yard.start_agent()
+                cluster.kill_agent()
+                cluster.start_agent()
             else:
-                name = dice.choice(yard.names)
-                if name in yard.pids:
-                    os.kill(yard.pids[name], signal.SIGKILL)
+                name = dice.choice(cluster.names)
+                if name in cluster.pids:
+                    os.kill(cluster.pids[name], signal.SIGKILL)
             killed += 1
         clients.done.wait(60.0)
-        yard.until(lambda s: s["ready"] == 3, 30.0)
-        yard.settle()
-        settled(yard, 50.0 + away)
-        verdict, counts = judged(yard)
-        return [seed, mode, killed, counts, verdict.good, yard.partners[1].fallen, verdict.lines()]
+        cluster.until(lambda s: s["ready"] == 3, 30.0)
+        cluster.settle()
+        settled(cluster, 50.0 + away)
+        verdict, counts = judged(cluster)
+        return [seed, mode, killed, counts, verdict.good, cluster.partners[1].fallen, verdict.lines()]
 
 
 def acceptance(seed: int, out: Path, rounds: int = 8, away: float = AWAY) -> bool:
@@ -202,21 +202,21 @@
     """Live traffic's worth while so many wait to be sent again."""
     rows = []
     for waiting in (0, 1000, 10000):
-        with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as yard:
+        with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as cluster:
             spool = Spool(Path(folder) / "run" / "spool" / "n0", 100_000_000)
             for n in range(waiting):
                 at = time.time() - 60.0 + n * 1e-4
-                attempt = (Attempt("s-2-0", at, "full", False),)
+                attempt = (SpooledAttempt("s-2-0", at, "full", False),)
                 spool.keep(
-                    Kept(f"w{n}", "booking-update", "valiya-yard", 1 + n % 3, f"kw{n}", b"x" * 50, at - 4, at,
+                    SpooledMessage(f"w{n}", "booking-update", "valiya-cluster", 1 + n % 3, f"kw{n}", b"x" * 50, at - 4, at,
                          attempt, "by_key", 12.0, tuple(f"s-{1 + n % 3}-{w}" for w in (0, 1)))
                 )  # fmt: skip
             spool.close()
-            yard.start()
-            clients = yard.clients(100.0, 12.0, threads=48)
+            cluster.start()
+            clients = cluster.clients(100.0, 12.0, threads=48)
             clients.done.wait(60.0)
-            stats = yard.ask("kept", action="stats")
-            live = [r for r in list(yard.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
+            stats = cluster.ask("kept", action="stats")
+            live = [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             v = check(live)
             sent = stats["stands"].get("delivered", 0)
             rows.append([
@@ -233,20 +233,20 @@
     for keep in (False, True, False, True):
         with (
             tempfile.TemporaryDirectory(prefix="jw-") as folder,
-            kept_yard(Path(folder), seed, 1, keep) as yard,
+            kept_yard(Path(folder), seed, 1, keep) as cluster,
         ):
-            yard.start()
-            yard.partners[1].trouble("down")
-            before = yard.ask("inspect", ["n0"])["status"]["pid"]
+            cluster.start()
+            cluster.partners[1].trouble("down")
+            before = cluster.ask("inspect", ["n0"])["status"]["pid"]
             cpu = processes.usage(before)[0]
-            clients = yard.clients(150.0, 12.0, threads=64)
+            clients = cluster.clients(150.0, 12.0, threads=64)
             clients.done.wait(60.0)
             time.sleep(5.0)
             spent = processes.usage(before)[0] - cpu
             v = check(
-                [r for r in list(yard.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
+                [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             )
-            kept = yard.ask("inspect", ["n0"])["status"]["kept"]
+            kept = cluster.ask("inspect", ["n0"])["status"]["kept"]
             rows.append([
                 "on" if keep else "off", f"{kept}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
                 f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{1000 * spent / v.asked:.2f}",
@@ -267,12 +267,12 @@
         rows.append([what, f"{times / spent:,.0f}", f"{1000 * spent / times:.2f}"])
 
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:
-        made = KeptStore(Path(folder) / "kept.db")
-        attempt = (Attempt("s-1", 1.0, "full", False),)
+        made = DeadLetterStore(Path(folder) / "kept.db")
+        attempt = (SpooledAttempt("s-1", 1.0, "full", False),)
 
-        def batch(first: int) -> list[Kept]:
+        def batch(first: int) -> list[SpooledMessage]:
             return [
-                Kept(f"m{n}", f"c{n % 7}", f"yard-{n % 40}", n % 500, f"k{n}", b"x" * 200, float(n), float(n),
+                SpooledMessage(f"m{n}", f"c{n % 7}", f"cluster-{n % 40}", n % 500, f"k{n}", b"x" * 200, float(n), float(n),
                      attempt, "by_key", 12.0, ())
                 for n in range(first, first + 1000)
             ]  # fmt: skip
@@ -288,7 +288,7 @@
         spent = time.monotonic() - began
         rows.append(["listed, pages of 500", f"{seen / spent:,.0f}", f"{1000 * spent / max(seen, 1):.3f}"])
         timed("search by destination, 100 found", 500, lambda n: made.facts(Filter(destination=n), 100))
-        timed("search by account, 100 found", 40, lambda n: made.facts(Filter(account=f"yard-{n}"), 100))
+        timed("search by account, 100 found", 40, lambda n: made.facts(Filter(account=f"cluster-{n}"), 100))
         timed("search by key", 1000, lambda n: made.facts(Filter(key=f"k{n * (count // 1000)}"), 100))
         timed("search by class, 100 found", 7, lambda n: made.facts(Filter(cls=f"c{n}"), 100))
         timed("search for a class that is not there", 2, lambda n: made.facts(Filter(cls=f"none{n}"), 100))
--- a/juniperward/rigs/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -17,6 +17,7 @@
 from pathlib import Path
 from typing import Any
 
+from juniperward.benchmarks.measure import Report
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.effects import AcceptMessage, SetTimer, StartAttempt
@@ -30,7 +31,6 @@
 )
 from juniperward.forwarder.model import ItemOutcome, Message
 from juniperward.forwarder.reducer import Reducer
-from juniperward.rigs.measure import Report
 from juniperward.scheduler.events import Outcome
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
--- a/juniperward/rigs/start_parts.py
+++ b/juniperward/benchmarks/start_parts.py
@@ -1,4 +1,4 @@
-"""Runs one forwarder and prints what each part of its start took: `python -m juniperward.rigs.start_parts SPAWNED`.
+"""Runs one forwarder and prints what each part of its start took: `python -m juniperward.benchmarks.start_parts SPAWNED`.
 
 SPAWNED is when the parent began to start it, by the monotonic clock. The one line on standard output is a JSON object
 of [wall seconds, CPU seconds] a part, in order; the forwarder then goes on until a signal ends it.
--- a/juniperward/rigs/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -18,13 +18,13 @@
 from typing import Any
 
 from juniperward.agent import processes
+from juniperward.benchmarks.local_cluster import BASE, ROOT, LocalCluster
+from juniperward.benchmarks.measure import PARTNERS, Report, quantile
+from juniperward.fakes.clients import ready
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.journal import NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord
-from juniperward.rigs.measure import PARTNERS, Report, quantile
-from juniperward.rigs.yard import BASE, ROOT, Yard
-from juniperward.standins.clients import ready
 
 READY_WITHIN_S = 60.0  # after that a start has failed
 BODY = bytes(400)
@@ -169,7 +169,9 @@
     """From a forwarder's start to its ready page, what its parts take, and its memory with a control channel."""
     command = f"juniperward measure starts --seed {seed}"
     if most_running:
-        command = f"juniperward.rigs.starts.starts({seed}, out, times={times}, most_running={most_running})"
+        command = (
+            f"juniperward.benchmarks.starts.starts({seed}, out, times={times}, most_running={most_running})"
+        )
     report = Report("A forwarder's start", command, seed)
     _report_memory(report, seed, times)
     good = _report_parts(report, (1, 40, 200), most_running)
@@ -190,7 +192,7 @@
     for size in sizes:
         for full in (False, True):
             with tempfile.TemporaryDirectory(prefix="jw-") as folder:
-                command = ("-m", "juniperward.rigs.start_parts")
+                command = ("-m", "juniperward.benchmarks.start_parts")
                 fleet = Fleet(Path(folder), BASE, dead_address(), command=command)
                 names = [f"n{n}" for n in range(size)]
                 held = [len(fleet.fill(name)) for name in names] if full else [0]
@@ -227,14 +229,21 @@
 
 def _report_memory(report: Report, seed: int, times: int) -> None:
     rows = []
-    with tempfile.TemporaryDirectory(prefix="jw-") as name, Yard(Path(name), 1, PARTNERS[:2], seed) as yard:
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as name,
+        LocalCluster(Path(name), 1, PARTNERS[:2], seed) as cluster,
+    ):
         for kind in ("without", "with"):
-            base = {**yard.base, "control": str(Path(name) / "ctl" / "n0")} if kind == "with" else yard.base
+            base = (
+                {**cluster.base, "control": str(Path(name) / "ctl" / "n0")}
+                if kind == "with"
+                else cluster.base
+            )
             taken, memory = [], []
             for n in range(times):
                 folder = Path(name) / f"{kind}{n}"
                 folder.mkdir()
-                fleet = Fleet(folder, base, yard.registry.door("n0"))
+                fleet = Fleet(folder, base, cluster.registry.door("n0"))
                 try:
                     taken.append(fleet.wait_ready("n0", fleet.spawn("n0")))
                     memory.append(processes.usage(fleet.children["n0"].pid)[1] / 2**20)
--- a/juniperward/cli/kept.py
+++ b/juniperward/cli/dead_letters.py
@@ -1,4 +1,4 @@
-"""`juniperward kept`: messages that were given up, looked at and sent again."""
+"""`juniperward dead-letters`: messages that were given up, looked at and sent again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import typer
 from rich.progress import Progress
 
-from juniperward.agent.client import AgentRefused, AgentSilent, ask
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
 from juniperward.cli.shared import (
     REFUSED,
     SILENT,
@@ -46,14 +46,14 @@
     """Ask the one agent meant; ends with the exit code where it will not or does not answer."""
     paths = sockets_of(agent)
     if len(paths) != 1:
-        errors.print("kept messages belong to one agent: name it with --agent")
+        errors.print("dead letters belong to one agent: name it with --agent")
         raise typer.Exit(USAGE)
     try:
         return ask(paths[0], "kept", None, timeout, action=action, **options)
-    except AgentSilent as error:
+    except AgentUnreachableError as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(SILENT) from None
-    except AgentRefused as error:
+    except AgentRejectedError as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(REFUSED) from None
 
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -10,7 +10,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from juniperward.agent.client import AgentRefused, AgentSilent, Told, ask, ask_all
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, InstanceReply, ask, ask_all
 from juniperward.cli.shared import (
     DONE,
     PAUSED,
@@ -36,7 +36,7 @@
 EVERY = 0.3  # seconds between looks at a roll
 
 
-def status_table(told: list[Told]) -> Table:
+def status_table(told: list[InstanceReply]) -> Table:
     """One row an instance; an agent without an answer is one row that says so."""
     made = table(
         "agent", "instance", "state", ">up", ">held", ">out", ">taken", ">delivered", ">failed", ">turned away",
@@ -57,7 +57,7 @@
     return made
 
 
-def told_json(told: list[Told]) -> list[dict[str, Any]]:
+def told_json(told: list[InstanceReply]) -> list[dict[str, Any]]:
     """The stable form of several agents' answers."""
     return [{"agent": str(t.agent), "error": t.error or None, **t.body} for t in told]
 
@@ -105,11 +105,11 @@
     told = []
     for path, mine in _owners(paths, names or [], timeout):
         try:
-            told.append(Told(path, ask(path, verb, mine, timeout)))
-        except AgentSilent as error:
-            told.append(Told(path, error=str(error), silent=True))
-        except AgentRefused as error:
-            told.append(Told(path, error=str(error)))
+            told.append(InstanceReply(path, ask(path, verb, mine, timeout)))
+        except AgentUnreachableError as error:
+            told.append(InstanceReply(path, error=str(error), silent=True))
+        except AgentRejectedError as error:
+            told.append(InstanceReply(path, error=str(error)))
     if output is Output.JSON:
         print_json(told_json(told))
     else:
@@ -214,10 +214,10 @@
         found = ask(path, verb, names, timeout, **options)
         if wait:
             found = _until_over(path, found, output, timeout)
-    except AgentSilent as error:
+    except AgentUnreachableError as error:
         errors.print(f"{short(path)}: {error}", markup=False)
         raise typer.Exit(SILENT) from None
-    except AgentRefused as error:
+    except AgentRejectedError as error:
         errors.print(f"{short(path)}: {error}", markup=False)
         raise typer.Exit(REFUSED) from None
     if output is Output.JSON:
@@ -241,7 +241,7 @@
             try:
                 found = ask(path, "roll_show", None, timeout)
                 misses = 0
-            except AgentSilent:
+            except AgentUnreachableError:
                 misses += 1  # an agent that is started anew takes the roll up again
                 if misses * (timeout + EVERY) > 30:
                     raise
@@ -269,9 +269,9 @@
     ((path, _),) = _owners(sockets_of(agent), [name], timeout)[:1]
     try:
         found = ask(path, "inspect", [name], timeout)
-    except (AgentSilent, AgentRefused) as error:
+    except (AgentUnreachableError, AgentRejectedError) as error:
         errors.print(str(error), markup=False)
-        raise typer.Exit(SILENT if isinstance(error, AgentSilent) else REFUSED) from None
+        raise typer.Exit(SILENT if isinstance(error, AgentUnreachableError) else REFUSED) from None
     if output is Output.JSON:
         print_json(found)
     else:
@@ -313,9 +313,9 @@
     try:
         for line in ask(path, "logs", [name], timeout, lines=lines)["lines"]:
             typer.echo(line)
-    except (AgentSilent, AgentRefused) as error:
+    except (AgentUnreachableError, AgentRejectedError) as error:
         errors.print(str(error), markup=False)
-        raise typer.Exit(SILENT if isinstance(error, AgentSilent) else REFUSED) from None
+        raise typer.Exit(SILENT if isinstance(error, AgentUnreachableError) else REFUSED) from None
 
 
 @app.command()
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from juniperward.cli import config, fleet, kept, lab
+from juniperward.cli import config, dead_letters, fleet, simulation
 
 app = typer.Typer(
     name="juniperward",
@@ -19,8 +19,11 @@
 app.add_typer(agent, name="agent")
 app.add_typer(fleet.app, name="fleet")
 app.add_typer(config.app, name="config")
-app.add_typer(kept.app, name="kept")
-app.add_typer(lab.app, name="lab")
+app.add_typer(dead_letters.app, name="dead-letters")
+app.add_typer(simulation.app, name="simulate")
+# The names of before, read for one release.
+app.add_typer(dead_letters.app, name="kept", hidden=True, deprecated=True)
+app.add_typer(simulation.app, name="lab", hidden=True, deprecated=True)
 
 
 @agent.command("run")
@@ -40,7 +43,7 @@
     keep: Annotated[Path | None, typer.Option(help="Keep all files in this folder.")] = None,
 ) -> None:
     """Start an agent, three forwarders, a registry and partners; roll all three under load; judge the run."""
-    from juniperward.rigs.demo import demo as play
+    from juniperward.benchmarks.demo import demo as play
 
     raise typer.Exit(play(rate, keep))
 
@@ -57,7 +60,7 @@
     away: Annotated[float | None, typer.Option(help="kept: seconds for which the partner is away.")] = None,
 ) -> None:
     """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
-    from juniperward.rigs.all import ALL
+    from juniperward.benchmarks.all import ALL
 
     if name not in ALL:
         raise typer.BadParameter(f"{name!r} is none of {', '.join(ALL)}", param_hint="NAME")
--- a/juniperward/cli/shared.py
+++ b/juniperward/cli/shared.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from juniperward.agent.client import Told
+from juniperward.agent.client import InstanceReply
 from juniperward.settings.load import SettingsError, load
 
 DONE, REFUSED, USAGE, SILENT, PAUSED = 0, 1, 2, 3, 4  # exit codes, as docs/operators.md has them
@@ -68,7 +68,7 @@
     return found
 
 
-def code_of(told: list[Told]) -> int:
+def code_of(told: list[InstanceReply]) -> int:
     """The exit code that several answers make together: silence counts most."""
     if any(t.silent for t in told):
         return SILENT
--- a/juniperward/cli/lab.py
+++ b/juniperward/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`juniperward lab`: experiments in simulated time."""
+"""`juniperward simulate`: experiments in simulated time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def _scenarios(files: list[Path] | None) -> list[Any]:
-    from juniperward.lab.scenario import FOLDER, load
+    from juniperward.simulation.scenario import FOLDER, load
 
     try:
         return [load(f) for f in (files or sorted(FOLDER.glob("*.textproto")))]
@@ -36,7 +36,7 @@
 
 
 def _policies(names: list[str] | None) -> list[str]:
-    from juniperward.lab.policies import POLICIES
+    from juniperward.simulation.policies import POLICIES
 
     unknown = [n for n in names or [] if n not in POLICIES]
     if unknown:
@@ -49,7 +49,7 @@
 def _sweep(
     files: list[Path] | None, policies: list[str] | None, seeds: int, out: Path, processes: int | None
 ) -> list[Any]:
-    from juniperward.lab.experiment import Busy, sweep
+    from juniperward.simulation.experiment import ExperimentRunningError, sweep
 
     scenarios, chosen = _scenarios(files), _policies(policies)
     with Progress(console=errors, transient=True) as progress:
@@ -59,7 +59,7 @@
                 out, scenarios, chosen, range(1, seeds + 1), processes,
                 lambda done, total, result: progress.update(task, completed=done),
             )  # fmt: skip
-        except (Busy, OSError) as error:
+        except (ExperimentRunningError, OSError) as error:
             errors.print(str(error), markup=False)
             raise typer.Exit(REFUSED) from None
 
@@ -67,7 +67,7 @@
 @app.command("list")
 def list_(output: OutputOption = Output.TABLE) -> None:
     """Name the scenarios and policies."""
-    from juniperward.lab.policies import POLICIES
+    from juniperward.simulation.policies import POLICIES
 
     scenarios = _scenarios(None)
     if output is Output.JSON:
@@ -89,7 +89,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Run one scenario once and show all that came of it. The same seed gives the same run."""
-    from juniperward.lab.experiment import Result, one
+    from juniperward.simulation.experiment import Result, one
 
     (s,), (p,) = _scenarios([scenario]), _policies([policy])
     result = one(s.text, str(scenario), p, seed)
@@ -109,8 +109,8 @@
     out: OutOption = Path("lab.run"), processes: ProcessesOption = None, output: OutputOption = Output.TABLE,
 ) -> None:  # fmt: skip
     """Run scenarios under policies over seeds; what is in the folder already is not run again."""
-    from juniperward.lab.report import markdown
-    from juniperward.lab.report import table as worth_table
+    from juniperward.simulation.report import markdown
+    from juniperward.simulation.report import table as worth_table
 
     results = _sweep(files, policy, seeds, out, processes)
     if output is Output.JSON:
@@ -135,8 +135,8 @@
     output: OutputOption = Output.TABLE,
 ) -> None:  # fmt: skip
     """Compare two policies, paired by seed, with bootstrap intervals."""
-    from juniperward.lab.experiment import Comparison
-    from juniperward.lab.experiment import compare as pair
+    from juniperward.simulation.experiment import Comparison
+    from juniperward.simulation.experiment import compare as pair
 
     found = pair(_sweep(files, [one, other], seeds, out, processes), one, other)
     if output is Output.JSON:
@@ -156,7 +156,7 @@
     processes: ProcessesOption = None,
 ) -> None:  # fmt: skip
     """Write one self-contained HTML page with tables and charts."""
-    from juniperward.lab.report import write
+    from juniperward.simulation.report import write
 
     results = _sweep(files, policy, seeds, out, processes)
     shows = {s.name: s.shows for s in _scenarios(files)}
@@ -172,8 +172,8 @@
     out: OutOption = Path("lab.run"),
 ) -> None:
     """Run one kept result again from its own text. Exit code 1, and what differs, if it comes out otherwise."""
-    from juniperward.lab.experiment import read_parquet, revision
-    from juniperward.lab.experiment import replay as again
+    from juniperward.simulation.experiment import read_parquet, revision
+    from juniperward.simulation.experiment import replay as again
 
     try:
         rows = read_parquet(out / "results.parquet")
@@ -203,8 +203,8 @@
     processes: ProcessesOption = None,
 ) -> None:
     """Look for days on which a policy keeps much less than the oracle; make the worst small, and keep them."""
-    from juniperward.lab.search import keep, shrink
-    from juniperward.lab.search import search as search_days
+    from juniperward.simulation.search import keep, shrink
+    from juniperward.simulation.search import search as search_days
 
     (chosen,) = _policies([policy])
     with Progress(console=errors, transient=True) as progress:
@@ -230,7 +230,7 @@
     partner: Annotated[int | None, typer.Option(help="Only this partner, by second.")] = None,
 ) -> None:
     """Count what a whole fleet did, by second and by partner, from the traces of its forwarders."""
-    from juniperward.rigs.traces import read_folder, text
+    from juniperward.benchmarks.traces import read_folder, text
 
     if not any(folder.glob("*.log")):
         errors.print(f"{folder}: no *.log in it", markup=False)
--- a/juniperward/kept/decisions.py
+++ b/juniperward/dead_letters/decisions.py
@@ -1,7 +1,7 @@
 """What may be sent again, which of it goes now, and how fast. Pure: no clock, no I/O.
 
 All moments are Unix time by the clock of the machine on which the message was given up. The one who asks brings a
-`now` that he is sure of (`sure_now`): a window that has closed must not open again because a clock was set back.
+`now` that he is sure of (`certain_now`): a window that has closed must not open again because a clock was set back.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 LEAST_LEFT = 0.5  # seconds of a window that must be left for a resend to be begun
 
 
-class Kind(StrEnum):
+class RedriveSafety(StrEnum):
     """What is known of whether a message has taken effect."""
 
     SAFE = "safe"  # no attempt may have run, or repeats do no harm
@@ -25,7 +25,7 @@
     UNCERTAIN = "uncertain"  # one may have run, and a repeat could take a second effect
 
 
-class Stand(StrEnum):
+class Status(StrEnum):
     """Where a kept message stands."""
 
     KEPT = "kept"
@@ -35,11 +35,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class DeadLetter:
     """What decides about one message; times are Unix time."""
 
     id: str
-    stand: Stand
+    stand: Status
     effect: str  # repeatable, by_key or once
     window: float
     ran_at: float | None  # when it first may have run, over all attempts and resends; None: it never did
@@ -58,7 +58,7 @@
 class Judgement:
     """Whether a message may be sent again, until when, and why or why not."""
 
-    kind: Kind
+    kind: RedriveSafety
     may_go: bool
     until: float = math.inf  # a resend must be over by then
     why: str = ""
@@ -73,7 +73,7 @@
     boot_id: str
 
 
-def sure_now(clock: Clock, seen: Clock | None) -> float:
+def certain_now(clock: Clock, seen: Clock | None) -> float:
     """The latest that it can be: never earlier than what was seen before and what has passed since.
 
     Where the machine was started anew and its wall clock stands before what was seen, what passed meanwhile
@@ -86,16 +86,16 @@
     return clock.wall if clock.wall >= seen.wall else math.inf
 
 
-def judge(m: Facts, now: float, listed: frozenset[str] | None, allowance: float) -> Judgement:
+def judge_redrive(m: DeadLetter, now: float, listed: frozenset[str] | None, allowance: float) -> Judgement:
     """The verdict on one message.
 
     `listed` are the workers that its destination has now (None: not known), `allowance` the seconds by which
     the clocks that took part may differ.
     """
     kind, until, why = _kind(m, now, allowance)
-    if m.stand is not Stand.KEPT:
+    if m.stand is not Status.KEPT:
         return Judgement(kind, False, until, f"it is {m.stand.value}")
-    if kind is Kind.UNCERTAIN:
+    if kind is RedriveSafety.UNCERTAIN:
         return Judgement(kind, False, until, why)
     if listed is None:
         return Judgement(kind, False, until, "no forwarder has told who its destination is")
@@ -107,23 +107,31 @@
     return Judgement(kind, True, until, why)
 
 
-def _kind(m: Facts, now: float, allowance: float) -> tuple[Kind, float, str]:
+def _kind(m: DeadLetter, now: float, allowance: float) -> tuple[RedriveSafety, float, str]:
     if m.effect == "repeatable":
-        return Kind.SAFE, math.inf, "its class may be repeated"
+        return RedriveSafety.SAFE, math.inf, "its class may be repeated"
     if m.ran_at is None:
-        return Kind.SAFE, math.inf, "no attempt may have run"
+        return RedriveSafety.SAFE, math.inf, "no attempt may have run"
     if m.effect != "by_key" or m.key is None:
-        return Kind.UNCERTAIN, 0.0, "an attempt may have run, and its class may not be repeated"
+        return RedriveSafety.UNCERTAIN, 0.0, "an attempt may have run, and its class may not be repeated"
     until = m.ran_at + m.window - MARGIN - allowance
     if now < m.ran_at - allowance:
-        return Kind.UNCERTAIN, 0.0, "an attempt may have run, at a time that this clock has not reached"
+        return (
+            RedriveSafety.UNCERTAIN,
+            0.0,
+            "an attempt may have run, at a time that this clock has not reached",
+        )
     if now + LEAST_LEFT >= until:
         return (
-            Kind.UNCERTAIN,
+            RedriveSafety.UNCERTAIN,
             until,
             "an attempt may have run, and its partner may not drop a repeat any more",
         )
-    return Kind.IN_WINDOW, until, f"an attempt may have run; a repeat is dropped for {until - now:.1f} s more"
+    return (
+        RedriveSafety.IN_WINDOW,
+        until,
+        f"an attempt may have run; a repeat is dropped for {until - now:.1f} s more",
+    )
 
 
 # --- rules ---------------------------------------------------------------------------------------------------
@@ -144,7 +152,7 @@
     to_hour: float = 24.0
 
 
-def matches(rule: Rule, m: Facts, now: float) -> bool:
+def matches(rule: Rule, m: DeadLetter, now: float) -> bool:
     """Whether a rule would have this message go now, if it may."""
     age = now - m.given_up_at
     hour = now / 3600 % 24 if math.isfinite(now) else 0.0
@@ -161,7 +169,7 @@
     )
 
 
-def wanted_by(m: Facts, rules: Iterable[Rule], now: float) -> str:
+def wanted_by(m: DeadLetter, rules: Iterable[Rule], now: float) -> str:
     """Who wants it sent: `a person`, a rule's name, or nobody (empty)."""
     if m.wished:
         return "a person"
@@ -184,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class DestinationView:
     """What one instance tells of a destination."""
 
     health: str
@@ -207,7 +215,9 @@
     why: str = "not looked at yet"
 
 
-def look(pace: Pace, sights: list[Sight], refused: bool, now: float, rules: PaceRules) -> Pace:
+def adjust_pace(
+    pace: Pace, sights: list[DestinationView], refused: bool, now: float, rules: PaceRules
+) -> Pace:
     """The pace after a look at all instances; `now` here is any clock that does not jump.
 
     A destination that any instance holds to trials or warms up gets nothing: it is cold, and what the forwarders
--- a/juniperward/kept/resender.py
+++ b/juniperward/dead_letters/redriver.py
@@ -13,24 +13,24 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from juniperward.kept.decisions import (
+from juniperward.dead_letters.decisions import (
     Clock,
-    Facts,
+    DeadLetter,
+    DestinationView,
     Judgement,
-    Kind,
     Pace,
     PaceRules,
+    RedriveSafety,
     Rule,
-    Sight,
-    judge,
-    look,
+    adjust_pace,
+    certain_now,
+    judge_redrive,
     may_have_out,
     spend,
-    sure_now,
     wanted_by,
 )
-from juniperward.kept.handin import HandIn
-from juniperward.kept.store import Claim, Filter, KeptStore, Lost
+from juniperward.dead_letters.resubmission import Resubmission
+from juniperward.dead_letters.store import Claim, ClaimLostError, DeadLetterStore, Filter
 
 PAGE = 500  # messages looked at at once
 PAGES = 4  # of them for one destination in a round
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReportedOutcomes:
     """What a forwarder says became of a resend; of before `complete_since` an unknown id says nothing."""
 
     end: str
@@ -56,7 +56,7 @@
     def forwarders(self) -> list[str]:
         """Those that take messages now."""
 
-    def sights(self, destination: int) -> list[Sight]:
+    def sights(self, destination: int) -> list[DestinationView]:
         """What each forwarder that answers tells of a destination."""
 
     def workers(self, destination: int) -> frozenset[str] | None:
@@ -65,13 +65,13 @@
     def slots(self) -> int:
         """All slots of the fleet."""
 
-    def take_in(self, store: KeptStore) -> int:
+    def take_in(self, store: DeadLetterStore) -> int:
         """Take the spools in; how many messages were new."""
 
-    def hand_in(self, forwarder: str, h: HandIn) -> tuple[int, float]:
+    def hand_in(self, forwarder: str, h: Resubmission) -> tuple[int, float]:
         """Status and told wait, as `handin.hand_in` has them."""
 
-    def fates(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, Told] | None:
+    def fates(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """What became of resends; None where the forwarder does not answer."""
 
 
@@ -101,10 +101,10 @@
     )  # resends whose forwarder does not remember so far back
 
 
-class Resender:
+class Redriver:
     """Holds the pace of each destination; everything else is in the store."""
 
-    def __init__(self, store: KeptStore, world: World, rules: ResendRules) -> None:
+    def __init__(self, store: DeadLetterStore, world: World, rules: ResendRules) -> None:
         self.store, self.world, self.rules = store, world, rules
         self.paces: dict[int, Pace] = {}
         self.refused: set[int] = set()  # destinations whose resend came back refused since the last look
@@ -115,7 +115,7 @@
         """Do all that can be done now."""
         done = Round()
         clock = self.world.clock()
-        now = sure_now(clock, self.store.seen())
+        now = certain_now(clock, self.store.seen())
         self.store.see(Clock(now, clock.boot, clock.boot_id))
         done.taken_in = self.world.take_in(self.store)
         self._settle(done, now)
@@ -124,7 +124,7 @@
 
     def sweep(self) -> int:
         """Drop what the settings do not want kept any longer; how many."""
-        now = sure_now(self.world.clock(), self.store.seen())
+        now = certain_now(self.world.clock(), self.store.seen())
         r = self.rules
         return self.store.sweep(now, r.most_age, r.most, r.most_bytes) if math.isfinite(now) else 0
 
@@ -144,7 +144,7 @@
                 for claim in part:
                     self._one_fate(done, claim, told.get(claim.resend), now)
 
-    def _one_fate(self, done: Round, claim: Claim, told: Told | None, now: float) -> None:
+    def _one_fate(self, done: Round, claim: Claim, told: ReportedOutcomes | None, now: float) -> None:
         if told is None or told.end == HELD:
             return
         end, ran_at = told.end, told.ran_at
@@ -157,7 +157,7 @@
             self.store.settle_resend(claim, end, ran_at, now)
             done.settled += 1
             done.open -= 1
-        except Lost:
+        except ClaimLostError:
             pass  # a person settled it meanwhile
 
     # --- what goes now ------------------------------------------------------------------------------------------
@@ -169,7 +169,7 @@
         for destination in sorted(waiting, key=lambda d: (d + self.turn) % 1009):
             if not self.rules.rules and destination not in wished:
                 continue  # nobody wants any of them sent
-            pace = look(
+            pace = adjust_pace(
                 self.paces.get(destination, Pace()), self.world.sights(destination), destination in self.refused,
                 steady, self.rules.pace,
             )  # fmt: skip
@@ -189,7 +189,7 @@
             self.places.pop(gone, None)
         self.turn += 1
 
-    def _candidates(self, destination: int, most: int, now: float) -> list[Facts]:
+    def _candidates(self, destination: int, most: int, now: float) -> list[DeadLetter]:
         """Messages that may go and are wanted: those a window is closing on first, then the oldest.
 
         A few pages are looked at in a round, and the next round goes on behind them: what cannot go must not
@@ -216,12 +216,12 @@
         return chosen[:most]
 
     def _judged(
-        self, page: list[Facts], listed: frozenset[str] | None, now: float
-    ) -> list[tuple[Facts, Judgement]]:
-        judged = [(f, judge(f, now, listed, self.rules.allowance)) for f in page]
+        self, page: list[DeadLetter], listed: frozenset[str] | None, now: float
+    ) -> list[tuple[DeadLetter, Judgement]]:
+        judged = [(f, judge_redrive(f, now, listed, self.rules.allowance)) for f in page]
         return [(f, j) for f, j in judged if j.may_go and wanted_by(f, self.rules.rules, now)]
 
-    def _send(self, facts: Facts, now: float) -> bool | None:
+    def _send(self, facts: DeadLetter, now: float) -> bool | None:
         """Claim it and hand it in; whether it was taken or may have been, None where nothing could be begun."""
         forwarders = self.world.forwarders()
         if not forwarders:
@@ -231,20 +231,20 @@
         by = wanted_by(facts, self.rules.rules, now)
         try:
             claim = self.store.claim(facts.id, None, forwarder, now, by)
-        except Lost:
+        except ClaimLostError:
             return True  # somebody else was first; the next one is looked for
         body = self.store.db.execute("SELECT body FROM message WHERE id = ?", (facts.id,)).fetchone()
         assert body is not None
         # What has been read may be older than the claim: the clock is asked once more, and judged by anew.
-        later = sure_now(self.world.clock(), self.store.seen())
-        judged = judge(facts, later, frozenset(facts.workers) or frozenset("?"), self.rules.allowance)
-        if judged.kind is Kind.UNCERTAIN:
+        later = certain_now(self.world.clock(), self.store.seen())
+        judged = judge_redrive(facts, later, frozenset(facts.workers) or frozenset("?"), self.rules.allowance)
+        if judged.kind is RedriveSafety.UNCERTAIN:
             self._settled(claim, "never taken", later)
             return True
         left = self.rules.time_left.get(facts.cls, 20.0)
         left = min(left, judged.until - later)
         ran = later - claim.ran_at if claim.ran_at is not None and facts.effect != "repeatable" else None
-        h = HandIn(
+        h = Resubmission(
             claim.resend, facts.cls, facts.account, facts.destination, facts.key, bytes(body[0]), left, ran
         )
         status, _ = self.world.hand_in(forwarder, h)
@@ -256,5 +256,5 @@
         return False
 
     def _settled(self, claim: Claim, end: str, now: float) -> None:
-        with contextlib.suppress(Lost):
+        with contextlib.suppress(ClaimLostError):
             self.store.settle_resend(claim, end, None, now)
--- a/juniperward/kept/handin.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -16,11 +16,11 @@
     read_response,
 )
 
-PATIENCE = 0.4  # seconds for the forwarder's answer
+ANSWER_TIMEOUT_S = 0.4  # seconds for the forwarder's answer
 
 
 @dataclass(frozen=True, slots=True)
-class HandIn:
+class Resubmission:
     """A resend as it is written; `ran_ago` is the time since the message first may have run."""
 
     id: str
@@ -33,7 +33,7 @@
     ran_ago: float | None
 
 
-def encode(h: HandIn, host: str) -> bytes:
+def encode(h: Resubmission, host: str) -> bytes:
     """The call; the forwarder's decision module counts the window of repeats from `X-Kept-Ran`."""
     headers = {
         "X-Correlation-Id": h.id, "X-Service-Class": h.cls, "X-Account": h.account,
@@ -46,7 +46,9 @@
     return encode_request("POST", "/api", host, headers, h.body)
 
 
-def hand_in(address: tuple[str, int], h: HandIn, patience: float = PATIENCE) -> tuple[int, float]:
+def resubmit(
+    address: tuple[str, int], h: Resubmission, patience: float = ANSWER_TIMEOUT_S
+) -> tuple[int, float]:
     """Status and told wait; status 0 where there was no answer, and what became of it is not known.
 
     Status -1: nobody was there to connect to, so it was never taken.
--- a/juniperward/kept/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -1,7 +1,7 @@
 """The spool between a forwarder and its agent: what was given up, and what became of resends. Standard library only.
 
 A forwarder appends to segments `00000001.kept`, …: a line a message, with a checksum as in the journal. A new
-process begins a new segment. The agent reads segments in order and says in the file `acked` which of them are in
+process begins a new segment. The agent reads segments in order and says in the file `acknowledged_segment` which of them are in
 its store; only the forwarder deletes, after it has read at a start which messages the segments name. So neither
 needs the other to run, a segment is never gone before both have seen it, and one that is read twice says the same.
 
@@ -22,18 +22,20 @@
 from pathlib import Path
 from typing import Any
 
-SEGMENT = 1_000_000  # bytes of a segment before the next one is begun
-MOST_FATES = 100_000  # ends remembered; beyond it the oldest half is forgotten, and `complete_since` says so
+SEGMENT_BYTES = 1_000_000  # bytes of a segment before the next one is begun
+MAX_OUTCOMES = (
+    100_000  # ends remembered; beyond it the oldest half is forgotten, and `complete_since` says so
+)
 
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
 
-class SpoolFull(OSError):
+class SpoolFullError(OSError):
     """The spool has all the bytes that the settings give it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class SpooledAttempt:
     """One attempt of a message; `at` is Unix time."""
 
     worker: str
@@ -43,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class SpooledMessage:
     """A message that was given up, whole; times are Unix time, by the forwarder's clock."""
 
     id: str
@@ -54,14 +56,14 @@
     body: bytes
     taken_at: float
     given_up_at: float
-    attempts: tuple[Attempt, ...]
+    attempts: tuple[SpooledAttempt, ...]
     effect: str  # of its class: repeatable, by_key or once
     window: float  # seconds for which its partner drops a repeat
     workers: tuple[str, ...]  # those that the list had for its destination then: who the number meant
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class RedriveOutcome:
     """What became of a resend: delivered, undeliverable or deferred, and when it first may have run."""
 
     end: str
@@ -83,21 +85,21 @@
         return None
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: SpooledMessage) -> bytes:
     """A message as a line of a segment."""
     row = asdict(kept)
     row["body"] = base64.b64encode(kept.body).decode()
     return line(row)
 
 
-def decode(data: bytes) -> Kept | None:
+def decode(data: bytes) -> SpooledMessage | None:
     """The message of a line, or None for one that is damaged or not ours."""
     row = unline(data)
     try:
         row["body"] = base64.b64decode(row["body"])
-        row["attempts"] = tuple(Attempt(**a) for a in row["attempts"])
+        row["attempts"] = tuple(SpooledAttempt(**a) for a in row["attempts"])
         row["workers"] = tuple(row["workers"])
-        return Kept(**row)
+        return SpooledMessage(**row)
     except (TypeError, KeyError, ValueError):
         return None
 
@@ -112,7 +114,7 @@
     return sorted(found)
 
 
-def read(path: Path, offset: int) -> Iterator[tuple[Kept | None, int]]:
+def read(path: Path, offset: int) -> Iterator[tuple[SpooledMessage | None, int]]:
     """Messages of a segment from an offset on, each with the offset behind it; None for a damaged line.
 
     A last line without its end is not given: it is being written, or was torn; the next read tells.
@@ -126,7 +128,7 @@
             yield decode(data[:-1]), offset
 
 
-def acked(folder: Path) -> int:
+def acknowledged_segment(folder: Path) -> int:
     """The last segment that the agent has taken in whole; 0 where it has none."""
     try:
         return int((folder / "acked").read_text())
@@ -134,7 +136,7 @@
         return 0
 
 
-def ack(folder: Path, number: int) -> None:
+def acknowledge_segment(folder: Path, number: int) -> None:
     """Say that all segments up to this one are in the store."""
     fresh = folder / "acked.new"
     fresh.write_text(str(number))
@@ -147,7 +149,7 @@
     def __init__(self, folder: Path, most_bytes: int) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.folder, self.most = folder, most_bytes
-        done = acked(folder)
+        done = acknowledged_segment(folder)
         self.ids: set[str] = set()  # that the segments name: a message among them was given up already
         found = segments(folder)
         for number, path in found:
@@ -158,11 +160,11 @@
         self.bytes = sum(p.stat().st_size for _, p in segments(folder))
         self.file = -1
         self.size = 0
-        self.fates: dict[str, Fate] = {}
+        self.fates: dict[str, RedriveOutcome] = {}
         self.complete_since = time.time()
         self._load_fates()
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SpooledMessage) -> None:
         """Write a message down; raises OSError (SpoolFull among them), and then nothing of it is kept."""
         if kept.id in self.ids:
             return
@@ -170,8 +172,8 @@
         if self.bytes + len(data) > self.most:
             self.drop_acked()
         if self.bytes + len(data) > self.most:
-            raise SpoolFull(28, f"the spool has its {self.most} bytes")
-        if self.file < 0 or self.size > SEGMENT:
+            raise SpoolFullError(28, f"the spool has its {self.most} bytes")
+        if self.file < 0 or self.size > SEGMENT_BYTES:
             self._next()
         start = self.size
         try:
@@ -184,18 +186,18 @@
         self.size += len(data)
         self.bytes += len(data)
 
-    def remember(self, name: str, fate: Fate) -> None:
+    def remember(self, name: str, fate: RedriveOutcome) -> None:
         """Write down what became of a resend; the first end that is known of it stays. Raises OSError."""
         if name in self.fates:
             return
         _write(self.fate_file, line([name, fate.end, fate.ran_at]))
         self.fates[name] = fate
-        if len(self.fates) > MOST_FATES:
+        if len(self.fates) > MAX_OUTCOMES:
             self._forget_fates()
 
     def drop_acked(self) -> None:
         """Delete segments that the agent has, but for the one that is open."""
-        done = acked(self.folder)
+        done = acknowledged_segment(self.folder)
         for number, path in segments(self.folder):
             if number <= done and (number != self.number or self.file < 0):
                 self.bytes -= path.stat().st_size
@@ -226,7 +228,7 @@
                 if isinstance(row, float | int):
                     self.complete_since = float(row)
                 elif isinstance(row, list) and len(row) == 3:
-                    self.fates.setdefault(row[0], Fate(row[1], row[2]))
+                    self.fates.setdefault(row[0], RedriveOutcome(row[1], row[2]))
                 else:
                     continue
                 good += data + b"\n"
@@ -245,7 +247,7 @@
         self.fate_file = os.open(self.folder / "fates", flags)
 
     def _forget_fates(self) -> None:
-        for name in list(self.fates)[: MOST_FATES // 2]:
+        for name in list(self.fates)[: MAX_OUTCOMES // 2]:
             del self.fates[name]
         self.complete_since = time.time()
         rows = [line(self.complete_since), *(line([n, f.end, f.ran_at]) for n, f in self.fates.items())]
--- a/juniperward/kept/store.py
+++ b/juniperward/dead_letters/store.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.kept.decisions import Clock, Facts, Stand
-from juniperward.kept.ownership import REDRIVE_PREFIX
-from juniperward.kept.spool import Kept
+from juniperward.dead_letters.decisions import Clock, DeadLetter, Status
+from juniperward.dead_letters.ownership import REDRIVE_PREFIX
+from juniperward.dead_letters.spool import SpooledMessage
 
 MIGRATIONS = (
     # 1: messages, attempts, resends, the audit trail, how far each spool has been read
@@ -78,7 +78,7 @@
     """The store cannot be used: damaged, or of a newer version; the text says which and what to do."""
 
 
-class Lost(Exception):
+class ClaimLostError(Exception):
     """A claim, or what was to be done under one, came second: the message is not as it was."""
 
 
@@ -134,12 +134,12 @@
         return " AND ".join(parts) or "1", values
 
 
-def resend_id(message: str, number: int) -> str:
+def redrive_id(message: str, number: int) -> str:
     """The id of a message's resend with this fence: the same for whoever makes it."""
     return f"{REDRIVE_PREFIX}{hashlib.sha256(message.encode()).hexdigest()[:20]}-{number}"
 
 
-class KeptStore:
+class DeadLetterStore:
     """The database; methods may be called by any thread, each has a connection of its own."""
 
     def __init__(self, file: Path, synchronous: str = "FULL") -> None:
@@ -236,7 +236,7 @@
         ).fetchone()
         return (row[0], row[1]) if row is not None else (0, 0)
 
-    def take_in(self, forwarder: str, messages: Iterable[Kept], segment: int, offset: int) -> int:
+    def take_in(self, forwarder: str, messages: Iterable[SpooledMessage], segment: int, offset: int) -> int:
         """Put messages in, and how far the spool is read, in one transaction; how many were new."""
         new = 0
         with self.change() as db:
@@ -262,7 +262,9 @@
 
     # --- looking --------------------------------------------------------------------------------------------
 
-    def facts(self, chosen: Filter, limit: int = 1000, after: tuple[float, str] = (-1.0, "")) -> list[Facts]:
+    def facts(
+        self, chosen: Filter, limit: int = 1000, after: tuple[float, str] = (-1.0, "")
+    ) -> list[DeadLetter]:
         """What decides about the messages meant, in the order given up, a page at a time."""
         where, values = chosen.sql()
         rows = self.db.execute(
@@ -325,10 +327,10 @@
             row = db.execute(
                 "SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)
             ).fetchone()
-            if row is None or row["stand"] != Stand.KEPT or (fence is not None and row["fence"] != fence):
-                raise Lost(f"{message} is {row['stand'] if row is not None else 'not here'}")
+            if row is None or row["stand"] != Status.KEPT or (fence is not None and row["fence"] != fence):
+                raise ClaimLostError(f"{message} is {row['stand'] if row is not None else 'not here'}")
             new = row["fence"] + 1
-            name = resend_id(message, new)
+            name = redrive_id(message, new)
             db.execute(
                 "UPDATE message SET stand = 'claimed', fence = ?, resends = ? WHERE id = ?",
                 (new, row["resends"] + 1, message),
@@ -365,10 +367,10 @@
                 not done.rowcount
                 or row is None
                 or row["fence"] != claim.fence
-                or row["stand"] != Stand.CLAIMED
+                or row["stand"] != Status.CLAIMED
             ):
-                raise Lost(f"{claim.resend} is settled already")
-            stand = Stand.DELIVERED if end == "delivered" else Stand.KEPT
+                raise ClaimLostError(f"{claim.resend} is settled already")
+            stand = Status.DELIVERED if end == "delivered" else Status.KEPT
             ran = min((t for t in (row["ran_at"], ran_at) if t is not None), default=None)
             # One that cannot have reached the partner is none that counts, and the wish for it stands.
             nothing = end != "delivered" and (ran_at is None or ran_at == row["ran_at"])
@@ -401,13 +403,13 @@
         """A person's word on whether a message took effect. Raises Lost where there is nothing to settle."""
         with self.change() as db:
             row = db.execute("SELECT stand, fence FROM message WHERE id = ?", (message,)).fetchone()
-            if row is None or row["stand"] not in (Stand.KEPT, Stand.CLAIMED):
-                raise Lost(f"{message} is {row['stand'] if row is not None else 'not here'}")
+            if row is None or row["stand"] not in (Status.KEPT, Status.CLAIMED):
+                raise ClaimLostError(f"{message} is {row['stand'] if row is not None else 'not here'}")
             db.execute(
                 "UPDATE resend SET end = 'settled', ended_at = ? WHERE message = ? AND end IS NULL",
                 (now, message),
             )
-            stand = Stand.DELIVERED if delivered else Stand.KEPT
+            stand = Status.DELIVERED if delivered else Status.KEPT
             db.execute(
                 "UPDATE message SET stand = ?, fence = fence + 1, ran_at = NULL, wished = NULL WHERE id = ?",
                 (stand, message),
@@ -416,12 +418,12 @@
 
     def discard(self, ids: Iterable[str], who: str) -> int:
         """Have messages never sent again; `undo` takes it back. How many it took."""
-        return self._turn(ids, who, Stand.KEPT, Stand.DISCARDED, "discarded")
+        return self._turn(ids, who, Status.KEPT, Status.DISCARDED, "discarded")
 
     def undo(self, ids: Iterable[str], who: str) -> int:
         """Take back a discard, or a wish that has not begun."""
         taken = list(ids)
-        count = self._turn(taken, who, Stand.DISCARDED, Stand.KEPT, "undid the discard")
+        count = self._turn(taken, who, Status.DISCARDED, Status.KEPT, "undid the discard")
         with self.change() as db:
             for name in taken:
                 done = db.execute(
@@ -433,7 +435,7 @@
                     _audit(db, who, "took back the wish", name)
         return count
 
-    def _turn(self, ids: Iterable[str], who: str, old: Stand, new: Stand, what: str) -> int:
+    def _turn(self, ids: Iterable[str], who: str, old: Status, new: Status, what: str) -> int:
         count = 0
         with self.change() as db:
             for name in ids:
@@ -467,9 +469,9 @@
         return dropped
 
 
-def _facts(r: sqlite3.Row) -> Facts:
-    return Facts(
-        r["id"], Stand(r["stand"]), r["effect"], r["window"], r["ran_at"], r["destination"], r["cls"], r["account"],
+def _facts(r: sqlite3.Row) -> DeadLetter:
+    return DeadLetter(
+        r["id"], Status(r["stand"]), r["effect"], r["window"], r["ran_at"], r["destination"], r["cls"], r["account"],
         r["given_up_at"], r["resends"], r["wished"] is not None, bool(r["partner_sure"]),
         tuple(json.loads(r["workers"])), r["key"],
     )  # fmt: skip
--- a/juniperward/standins/checker.py
+++ b/juniperward/fakes/checker.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from juniperward.standins.records import (
+from juniperward.fakes.records import (
     AnyRecord,
     Called,
     Effect,
--- a/juniperward/standins/clients.py
+++ b/juniperward/fakes/clients.py
@@ -15,6 +15,7 @@
 import time
 from dataclasses import dataclass, field
 
+from juniperward.fakes.records import Handed, Heard, Recorder, now
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
@@ -24,10 +25,9 @@
     encode_request,
     read_response,
 )
-from juniperward.standins.records import Handed, Heard, Recorder, now
 
 ANSWER = 0.4  # seconds that a client waits for an answer
-BODY = b"a family of four, gate 3, yard of the third generation"
+BODY = b"a family of four, gate 3, cluster of the third generation"
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     rate: float = 50.0
     destinations: tuple[tuple[int, float], ...] = ((1, 1.0),)  # number and weight
-    accounts: tuple[tuple[str, float], ...] = (("valiya-yard", 1.0),)
+    accounts: tuple[tuple[str, float], ...] = (("valiya-cluster", 1.0),)
     cls: str = "booking-update"
     deadline: float = 20.0
     tries: int = 2  # of one message in all
--- a/juniperward/standins/load.py
+++ b/juniperward/fakes/load.py
@@ -19,6 +19,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from juniperward.fakes.records import now
+from juniperward.fakes.serving import Link, Serving
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
@@ -30,13 +32,11 @@
     encode_response,
     read_response,
 )
-from juniperward.standins.records import now
-from juniperward.standins.serving import Link, Serving
 
 MOST = 60_000_000  # the longest latency that is told apart, in microseconds
 ANSWER = 5.0  # seconds for an answer; beyond it the try counts as failed
 LATE = 0.005  # the rig was late when the 99th percentile of its own lateness is above this many seconds
-BODY = b"a family of four, gate 3, yard of the third generation"
+BODY = b"a family of four, gate 3, cluster of the third generation"
 
 
 def histogram() -> Any:
@@ -63,13 +63,13 @@
     destinations: tuple[int, ...] = (1,)
     threads: int = 16
     cls: str = "booking-update"
-    account: str = "valiya-yard"
+    account: str = "valiya-cluster"
     life: float = 20.0
     cores: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True)
-class Seen:
+class LoadResult:
     """What the load saw: seconds from due to 202, and how late it wrote."""
 
     accepted: Any = field(default_factory=histogram)
@@ -116,9 +116,9 @@
             self.dues.append((at, dice.choice(plan.destinations)))
         self.lock = threading.Lock()
         self.taken = 0
-        self.seen = Seen()
+        self.seen = LoadResult()
 
-    def run(self) -> Seen:
+    def run(self) -> LoadResult:
         threads = [threading.Thread(target=self._work) for _ in range(self.plan.threads)]
         for t in threads:
             t.start()
@@ -192,14 +192,14 @@
     out.put((seen.accepted.encode(), seen.lateness.encode(), seen.sent, seen.refused, seen.failed))
 
 
-def play(plans: list[Plan]) -> Seen:
+def play(plans: list[Plan]) -> LoadResult:
     """Run each plan in a process of its own; what all saw together. Raises RuntimeError when one dies."""
     context = multiprocessing.get_context("spawn")
     out = context.Queue()
     processes = [context.Process(target=_load, args=(p, out), daemon=True) for p in plans]
     for process in processes:
         process.start()
-    total = Seen()
+    total = LoadResult()
     for _ in plans:
         while True:
             try:
--- a/juniperward/standins/partners.py
+++ b/juniperward/fakes/partners.py
@@ -15,10 +15,10 @@
 from collections import deque
 from dataclasses import dataclass
 
+from juniperward.fakes.records import Called, Effect, Hung, Recorder, Replied, now
+from juniperward.fakes.registry import Entry
+from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http import HttpRequest, encode_response
-from juniperward.standins.records import Called, Effect, Hung, Recorder, Replied, now
-from juniperward.standins.registry import Entry
-from juniperward.standins.serving import Link, Serving
 
 FALL_TIMES, FALL_SPAN = (
     2.0,
--- a/juniperward/standins/registry.py
+++ b/juniperward/fakes/registry.py
@@ -6,9 +6,9 @@
 import threading
 from dataclasses import dataclass
 
+from juniperward.fakes.records import Noticed, Recorder, Told, now
+from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http import HttpRequest, encode_response
-from juniperward.standins.records import Noticed, Recorder, Told, now
-from juniperward.standins.serving import Link, Serving
 
 BEAT = 2.0  # seconds between empty lines on a quiet watch
 
--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from juniperward.fleet.model import Crashes, Instance, Patience, Phase, RestartRules, Wanted
+from juniperward.fleet.model import Crashes, DesiredState, Instance, Patience, Phase, RestartRules
 
 
 def phase(i: Instance, now: float, patience: Patience) -> Phase:
@@ -49,7 +49,7 @@
     An end that was asked for is no crash, and ends a drain too. One that was not is followed by a restart,
     later and later the more of them come in a row, and by none at all in a crash loop.
     """
-    asked = i.stopping_since is not None or i.wanted is Wanted.STOPPED
+    asked = i.stopping_since is not None or i.wanted is DesiredState.STOPPED
     ended = replace(
         i, process=None, reading=None, unanswered_since=None, was_ready=False, drain=i.drain and not asked,
         stopping_since=None, killed=False, exit=how,
@@ -70,7 +70,7 @@
 
 def start_due(i: Instance, now: float) -> bool:
     """Whether it is to be started now: wanted, without a process, not failed, its wait over."""
-    if i.wanted is not Wanted.RUNNING or i.process is not None or i.crashes.failed:
+    if i.wanted is not DesiredState.RUNNING or i.process is not None or i.crashes.failed:
         return False
     return i.crashes.restart_at is None or now >= i.crashes.restart_at
 
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -26,7 +26,7 @@
 AWAY = frozenset(set(Phase) - {Phase.READY})  # phases in which an instance takes no new messages
 
 
-class Wanted(StrEnum):
+class DesiredState(StrEnum):
     """What an instance is meant to be."""
 
     RUNNING = "running"
@@ -83,7 +83,7 @@
     """One instance as the agent knows it."""
 
     name: str
-    wanted: Wanted = Wanted.STOPPED
+    wanted: DesiredState = DesiredState.STOPPED
     process: Process | None = None
     started_at: float = 0.0
     edition: str = ""  # of the configuration that its process was started with
--- a/juniperward/fleet/roll.py
+++ b/juniperward/fleet/roll.py
@@ -16,11 +16,11 @@
 from enum import StrEnum
 
 from juniperward.fleet.decisions import overdue_start, phase
-from juniperward.fleet.model import AWAY, Instance, Patience, Phase, RollRules, Wanted
+from juniperward.fleet.model import AWAY, DesiredState, Instance, Patience, Phase, RollRules
 from juniperward.fleet.service import Meter, Tally, tally
 
 
-class Stage(StrEnum):
+class RollStage(StrEnum):
     """Where one instance is in a roll."""
 
     WAITING = "waiting"
@@ -44,7 +44,7 @@
 
 
 OVER = frozenset({Mode.DONE, Mode.UNDONE, Mode.ENDED})
-ACTIVE = frozenset({Stage.DRAINING, Stage.STOPPING, Stage.STARTING, Stage.SOAKING})
+ACTIVE = frozenset({RollStage.DRAINING, RollStage.STOPPING, RollStage.STARTING, RollStage.SOAKING})
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
     name: str
     before: str  # the edition that it ran when the roll was made; undoing goes back to it
-    stage: Stage = Stage.WAITING
+    stage: RollStage = RollStage.WAITING
     since: float = 0.0
     note: str = ""
 
@@ -81,7 +81,7 @@
         return step.before if self.mode is Mode.UNDOING else self.target
 
 
-class Do(StrEnum):
+class RollCommand(StrEnum):
     """What an order asks for."""
 
     DRAIN = "drain"
@@ -95,12 +95,12 @@
 class Order:
     """Something to be done to an instance; `edition` goes with a start."""
 
-    do: Do
+    do: RollCommand
     name: str
     edition: str = ""
 
 
-class Impossible(Exception):
+class RollRejectedError(Exception):
     """No such roll can be made; the text says why."""
 
 
@@ -117,15 +117,15 @@
     """
     unknown = [n for n in names if n not in fleet]
     if unknown:
-        raise Impossible(f"no such instance: {', '.join(unknown)}")
-    running = [n for n in dict.fromkeys(names) if fleet[n].wanted is Wanted.RUNNING]
+        raise RollRejectedError(f"no such instance: {', '.join(unknown)}")
+    running = [n for n in dict.fromkeys(names) if fleet[n].wanted is DesiredState.RUNNING]
     if not running:
-        raise Impossible("none of these instances is meant to run")
+        raise RollRejectedError("none of these instances is meant to run")
     if rules.at_once < 1:
-        raise Impossible("at_once: at least one instance at a time")
-    meant = sum(i.wanted is Wanted.RUNNING for i in fleet.values())
+        raise RollRejectedError("at_once: at least one instance at a time")
+    meant = sum(i.wanted is DesiredState.RUNNING for i in fleet.values())
     if rules.floor > meant - 1:
-        raise Impossible(f"floor: {rules.floor} of {meant} must stay ready, so none can be restarted")
+        raise RollRejectedError(f"floor: {rules.floor} of {meant} must stay ready, so none can be restarted")
     away = {n for n in running if phase(fleet[n], now, patience) in AWAY}
     order = [n for n in running if n in away] + [n for n in running if n not in away]
     steps = tuple(Step(n, fleet[n].edition or target) for n in order)
@@ -140,9 +140,9 @@
 def resume(roll: Roll) -> Roll:
     """Go on after a pause: the instance that failed is tried once more from the start."""
     if roll.mode is not Mode.PAUSED:
-        raise Impossible(f"roll {roll.id} is {roll.mode.value}, not paused")
+        raise RollRejectedError(f"roll {roll.id} is {roll.mode.value}, not paused")
     steps = tuple(
-        replace(s, stage=Stage.WAITING, note="") if s.note.startswith("!") else s for s in roll.steps
+        replace(s, stage=RollStage.WAITING, note="") if s.note.startswith("!") else s for s in roll.steps
     )
     return replace(roll, mode=Mode.GOING, why="", steps=steps, stuck_since=None)
 
@@ -154,18 +154,18 @@
     nothing to go back to, and is left as it is.
     """
     if roll.over:
-        raise Impossible(f"roll {roll.id} is over: {roll.mode.value}")
+        raise RollRejectedError(f"roll {roll.id} is over: {roll.mode.value}")
     steps, orders = [], []
     for s in reversed(roll.steps):
-        if s.stage is Stage.DRAINING:
-            orders.append(Order(Do.RESUME, s.name))
-            steps.append(replace(s, stage=Stage.LEFT_OUT, note="takes messages again"))
-        elif s.stage in (Stage.WAITING, Stage.LEFT_OUT):
-            steps.append(replace(s, stage=Stage.LEFT_OUT, note=s.note or "not begun"))
+        if s.stage is RollStage.DRAINING:
+            orders.append(Order(RollCommand.RESUME, s.name))
+            steps.append(replace(s, stage=RollStage.LEFT_OUT, note="takes messages again"))
+        elif s.stage in (RollStage.WAITING, RollStage.LEFT_OUT):
+            steps.append(replace(s, stage=RollStage.LEFT_OUT, note=s.note or "not begun"))
         elif s.before != roll.target:
-            steps.append(replace(s, stage=Stage.WAITING, note=""))
-        elif s.stage is Stage.DONE:
-            steps.append(replace(s, stage=Stage.LEFT_OUT, note="nothing to go back to"))
+            steps.append(replace(s, stage=RollStage.WAITING, note=""))
+        elif s.stage is RollStage.DONE:
+            steps.append(replace(s, stage=RollStage.LEFT_OUT, note="nothing to go back to"))
         else:
             steps.append(replace(s, note=""))
     roll = replace(roll, mode=Mode.UNDOING, why="undone by order", steps=tuple(steps), stuck_since=None)
@@ -175,15 +175,17 @@
 def end(roll: Roll) -> tuple[Roll, list[Order]]:
     """Leave all as it is, but for what is drained: that takes messages again."""
     if roll.over:
-        raise Impossible(f"roll {roll.id} is over: {roll.mode.value}")
-    orders = [Order(Do.RESUME, s.name) for s in roll.steps if s.stage is Stage.DRAINING]
+        raise RollRejectedError(f"roll {roll.id} is over: {roll.mode.value}")
+    orders = [Order(RollCommand.RESUME, s.name) for s in roll.steps if s.stage is RollStage.DRAINING]
     return replace(roll, mode=Mode.ENDED, why="ended by order"), orders
 
 
 def leave_out(roll: Roll, name: str, why: str) -> Roll:
     """An instance that was given another order meanwhile is this roll's business no longer."""
     steps = tuple(
-        replace(s, stage=Stage.LEFT_OUT, note=why) if s.name == name and s.stage is not Stage.DONE else s
+        replace(s, stage=RollStage.LEFT_OUT, note=why)
+        if s.name == name and s.stage is not RollStage.DONE
+        else s
         for s in roll.steps
     )
     return replace(roll, steps=steps)
@@ -203,7 +205,7 @@
     if roll.mode in (Mode.GOING, Mode.UNDOING):
         roll, more = _begin(roll, fleet, now, patience)
         orders += more
-    left = [s for s in roll.steps if s.stage not in (Stage.DONE, Stage.LEFT_OUT)]
+    left = [s for s in roll.steps if s.stage not in (RollStage.DONE, RollStage.LEFT_OUT)]
     if not left and roll.mode in (Mode.GOING, Mode.UNDOING):
         roll = replace(roll, mode=Mode.UNDONE if roll.mode is Mode.UNDOING else Mode.DONE)
     return roll, orders
@@ -214,7 +216,7 @@
     return {n for n, i in fleet.items() if phase(i, now, patience) is Phase.READY}
 
 
-def _put(roll: Roll, name: str, stage: Stage, now: float, note: str = "") -> Roll:
+def _put(roll: Roll, name: str, stage: RollStage, now: float, note: str = "") -> Roll:
     steps = tuple(replace(s, stage=stage, since=now, note=note) if s.name == name else s for s in roll.steps)
     return replace(roll, steps=steps)
 
@@ -225,7 +227,7 @@
     up = ready(fleet, now, patience)
     active = {s.name for s in roll.steps if s.stage in ACTIVE}
     why = ""
-    waiting = [s for s in roll.steps if s.stage is Stage.WAITING]
+    waiting = [s for s in roll.steps if s.stage is RollStage.WAITING]
     waiting.sort(
         key=lambda s: s.name in up
     )  # what is away by now costs nothing, and may be what holds the floor
@@ -233,8 +235,8 @@
         if len(active) >= roll.rules.at_once:
             break
         i = fleet.get(s.name)
-        if i is None or i.wanted is not Wanted.RUNNING:
-            roll = _put(roll, s.name, Stage.LEFT_OUT, now, "not meant to run any more")
+        if i is None or i.wanted is not DesiredState.RUNNING:
+            roll = _put(roll, s.name, RollStage.LEFT_OUT, now, "not meant to run any more")
             continue
         costs = s.name in up
         left = len(up - {s.name})
@@ -244,8 +246,13 @@
         active.add(s.name)
         up.discard(s.name)
         gentle = costs and not roll.rules.kill
-        roll = _put(roll, s.name, Stage.DRAINING if gentle else Stage.STOPPING, now)
-        orders.append(Order(Do.DRAIN if gentle else Do.KILL if roll.rules.kill else Do.STOP, s.name))
+        roll = _put(roll, s.name, RollStage.DRAINING if gentle else RollStage.STOPPING, now)
+        orders.append(
+            Order(
+                RollCommand.DRAIN if gentle else RollCommand.KILL if roll.rules.kill else RollCommand.STOP,
+                s.name,
+            )
+        )
     if not why or active:
         return replace(roll, stuck_since=None), orders
     since = roll.stuck_since if roll.stuck_since is not None else now
@@ -272,20 +279,20 @@
 ) -> tuple[Roll, list[Order]]:
     """One instance that is under way; orders that it has not followed yet are given again."""
     i = fleet.get(s.name)
-    if i is None or i.wanted is not Wanted.RUNNING:
-        return _put(roll, s.name, Stage.LEFT_OUT, now, "stopped by order"), []
+    if i is None or i.wanted is not DesiredState.RUNNING:
+        return _put(roll, s.name, RollStage.LEFT_OUT, now, "stopped by order"), []
     is_now = phase(i, now, patience)
     match s.stage:
-        case Stage.DRAINING:
+        case RollStage.DRAINING:
             return _draining(roll, s, i, is_now, now)
-        case Stage.STOPPING:
+        case RollStage.STOPPING:
             if i.process is None or (i.started_at > s.since and i.edition == roll.goal(s)):
-                start = Order(Do.START, s.name, roll.goal(s))
-                return _put(roll, s.name, Stage.STARTING, now), [start]
-            return roll, [Order(Do.KILL if roll.rules.kill else Do.STOP, s.name)]
-        case Stage.STARTING:
+                start = Order(RollCommand.START, s.name, roll.goal(s))
+                return _put(roll, s.name, RollStage.STARTING, now), [start]
+            return roll, [Order(RollCommand.KILL if roll.rules.kill else RollCommand.STOP, s.name)]
+        case RollStage.STARTING:
             return _starting(roll, s, i, is_now, now, patience)
-        case Stage.SOAKING:
+        case RollStage.SOAKING:
             return _soaking(roll, s, i, is_now, now)
     return roll, []
 
@@ -293,23 +300,25 @@
 def _draining(roll: Roll, s: Step, i: Instance, is_now: Phase, now: float) -> tuple[Roll, list[Order]]:
     if i.process is None:
         note = f"ended while draining: {i.exit}"
-        return _put(roll, s.name, Stage.STARTING, now, note), [Order(Do.START, s.name, roll.goal(s))]
+        return _put(roll, s.name, RollStage.STARTING, now, note), [
+            Order(RollCommand.START, s.name, roll.goal(s))
+        ]
     owing = i.reading.owing if i.reading is not None else 0
     if is_now is Phase.DRAINED:
-        return _put(roll, s.name, Stage.STOPPING, now), [Order(Do.STOP, s.name)]
+        return _put(roll, s.name, RollStage.STOPPING, now), [Order(RollCommand.STOP, s.name)]
     if now - s.since >= roll.rules.drain:
         # What it holds is in its journal: the next process goes on with it.
         why = "silent" if is_now is Phase.SILENT else f"{owing} still owed"
         note = f"not drained within {roll.rules.drain:g} s ({why})"
-        return _put(roll, s.name, Stage.STOPPING, now, note), [Order(Do.STOP, s.name)]
-    return roll, [] if i.drain else [Order(Do.DRAIN, s.name)]
+        return _put(roll, s.name, RollStage.STOPPING, now, note), [Order(RollCommand.STOP, s.name)]
+    return roll, [] if i.drain else [Order(RollCommand.DRAIN, s.name)]
 
 
 def _starting(
     roll: Roll, s: Step, i: Instance, is_now: Phase, now: float, patience: Patience
 ) -> tuple[Roll, list[Order]]:
     if is_now is Phase.READY:
-        return _put(roll, s.name, Stage.SOAKING, now), []
+        return _put(roll, s.name, RollStage.SOAKING, now), []
     if s.note.startswith("!"):
         return roll, []  # told already
     why = ""
@@ -320,9 +329,9 @@
     elif overdue_start(i, now, patience) or (i.process is None and now - s.since >= patience.start):
         why = f"not ready {patience.start:g} s after its start"
     if why:
-        roll = _put(roll, s.name, Stage.STARTING, s.since, "!" + why)
+        roll = _put(roll, s.name, RollStage.STARTING, s.since, "!" + why)
         return pause(roll, f"{s.name} does not come up: {why}"), []
-    return roll, [Order(Do.START, s.name, roll.goal(s))] if i.process is None else []
+    return roll, [Order(RollCommand.START, s.name, roll.goal(s))] if i.process is None else []
 
 
 def _soaking(roll: Roll, s: Step, i: Instance, is_now: Phase, now: float) -> tuple[Roll, list[Order]]:
@@ -332,9 +341,9 @@
     if is_now is not Phase.READY:
         if is_now is Phase.SILENT or i.process is None:
             why = i.exit or is_now.value
-            roll = _put(roll, s.name, Stage.SOAKING, s.since, "!" + why)
+            roll = _put(roll, s.name, RollStage.SOAKING, s.since, "!" + why)
             return pause(roll, f"{s.name} was ready and is {is_now.value}: {why}"), []
-        return _put(roll, s.name, Stage.SOAKING, now, s.note), []
+        return _put(roll, s.name, RollStage.SOAKING, now, s.note), []
     assert i.reading is not None
     done, long = tally(i.reading), now - s.since
     need = roll.rules.soak_share * (roll.baseline if roll.baseline is not None else 0.5)
@@ -342,11 +351,11 @@
         if long < roll.rules.soak:
             return roll, []
         why = f"{done.good} of {done.ended} calls deliver, {need:.2f} of them must"
-        roll = _put(roll, s.name, Stage.SOAKING, s.since, "!" + why)
+        roll = _put(roll, s.name, RollStage.SOAKING, s.since, "!" + why)
         return pause(roll, f"{s.name} is ready but {why}"), []
     if long >= roll.rules.soak_most or (long >= roll.rules.soak and _enough(done, roll)):
         few = "" if done.ended >= roll.rules.least_calls else f"only {done.ended} calls to judge it by"
-        return _put(roll, s.name, Stage.DONE, now, few), []
+        return _put(roll, s.name, RollStage.DONE, now, few), []
     return roll, []
 
 
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -41,8 +41,8 @@
     if config.spool is None:
         return None
     # Not loaded where they are not used.
+    from juniperward.dead_letters.spool import Spool
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
-    from juniperward.kept.spool import Spool
 
     return DeadLetterWriter(Spool(config.spool, config.spool_bytes), config.settings, config.names, to_unix)
 
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -7,9 +7,9 @@
 
 import re
 
+from juniperward.dead_letters.ownership import is_redrive_id
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.model import Message
-from juniperward.kept.ownership import is_redrive_id
 from juniperward.net.http import DECIMAL, HttpRequest, encode_response
 
 MESSAGE_PATH = "/api"
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -6,10 +6,10 @@
 from dataclasses import replace
 
 from juniperward.control.protocol import FateRow, Fates
+from juniperward.dead_letters.spool import RedriveOutcome, Spool, SpooledAttempt, SpooledMessage
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
 from juniperward.forwarder.telemetry import increment, log
-from juniperward.kept.spool import Attempt, Fate, Kept, Spool
 from juniperward.scheduler.settings import SchedulerSettings
 
 LARGEST_UNIX_TIME = 1e18  # JSON has no infinity
@@ -32,13 +32,15 @@
             increment("dead_letters_failed")
             log("dead_letters", "store failed", message=effect.message.id, error=error)
 
-    def _dead_letter(self, effect: StoreDeadLetter) -> Kept:
+    def _dead_letter(self, effect: StoreDeadLetter) -> SpooledMessage:
         message, message_class = effect.message, self._settings.classes[effect.message.class_index]
         attempts = tuple(
-            Attempt(past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed)
+            SpooledAttempt(
+                past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed
+            )
             for past in effect.attempts
         )
-        return Kept(
+        return SpooledMessage(
             message.id,
             self._names.classes[message.class_index],
             self._names.tenants[message.tenant] if self._names.tenants else "",
@@ -57,7 +59,7 @@
         """Write down what became of a redrive."""
         executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
         try:
-            self.spool.remember(effect.id, Fate(effect.outcome, executed_at))
+            self.spool.remember(effect.id, RedriveOutcome(effect.outcome, executed_at))
         except OSError as error:
             increment("dead_letters_failed")
             log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
--- a/juniperward/forwarder/reducer/completion.py
+++ b/juniperward/forwarder/reducer/completion.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 
+from juniperward.dead_letters.ownership import is_redrive_id, is_stored
 from juniperward.forwarder.effects import (
     AppendRecord,
     RecordRedriveOutcome,
@@ -15,7 +16,6 @@
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import PendingMessage
 from juniperward.forwarder.telemetry import increment
-from juniperward.kept.ownership import is_redrive_id, is_stored
 
 MAX_COMPLETED_IDS = 8192  # ids of messages that are over: 1.5 MiB
 
--- a/juniperward/settings/editions.py
+++ b/juniperward/settings/configuration_versions.py
@@ -14,13 +14,13 @@
 KEEP = 8  # editions kept beside those in use
 
 
-def edition_of(settings: FleetSettings) -> str:
+def version_of(settings: FleetSettings) -> str:
     """A short name for what the instances' configurations say; equal where they are."""
     text = json.dumps({i.name: i.config for i in settings.instances}, sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:10]
 
 
-class Editions:
+class ConfigurationVersions:
     """The folder of editions; one file an instance and edition."""
 
     def __init__(self, folder: Path) -> None:
@@ -28,7 +28,7 @@
 
     def keep(self, settings: FleetSettings, in_use: set[str]) -> str:
         """Write the edition down, if it is new, and drop the oldest; raises OSError."""
-        name = edition_of(settings)
+        name = version_of(settings)
         target = self.folder / name
         if not target.is_dir():
             fresh = self.folder / f".{name}.{os.getpid()}"
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -11,9 +11,9 @@
 
 from google.protobuf import text_format
 
+from juniperward.dead_letters.decisions import PaceRules, Rule
+from juniperward.dead_letters.redriver import ResendRules
 from juniperward.fleet.model import Patience, RestartRules, RollRules
-from juniperward.kept.decisions import PaceRules, Rule
-from juniperward.kept.resender import ResendRules
 from juniperward.settings import fleet_pb2
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,31}")
--- a/juniperward/lab/cold_return.py
+++ b/juniperward/simulation/cold_return.py
@@ -15,7 +15,6 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from juniperward.lab.cold_budget import TOLD_SHARE_THAT_BREAKS, ColdBudget
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.actions import (
     CancelAttempt,
@@ -38,6 +37,7 @@
     TimerFired,
 )
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
+from juniperward.simulation.cold_budget import TOLD_SHARE_THAT_BREAKS, ColdBudget
 
 NETWORK_S = 0.002
 ANSWER_S = 0.001  # that a refusal or an error takes at the destination
@@ -161,7 +161,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class SimulatedCall:
     """A call out: its messages with their attempt numbers; no message means a probe."""
 
     forwarder: Forwarder
@@ -178,7 +178,7 @@
     scheduler: DeliveryScheduler
     told: bool = False
     messages: dict[int, Message] = field(default_factory=dict)
-    out: dict[tuple[int, int], Call] = field(default_factory=dict)
+    out: dict[tuple[int, int], SimulatedCall] = field(default_factory=dict)
 
 
 class ColdReturn:
@@ -206,7 +206,7 @@
         self.lately: deque[tuple[float, bool]] = deque()  # calls that it got cold: when, whether by one told
         self.before: deque[float] = deque()  # calls that it got in the outage
         self.limited: deque[float] = deque()  # calls of the last second that count against its limit
-        self.hung: list[Call] = []
+        self.hung: list[SimulatedCall] = []
         self.worth = 0.0
 
     def _draw_day(self, forwarders: int) -> None:
@@ -303,7 +303,7 @@
                     if (call := forwarder.out.get((message, attempt))) is not None:
                         self._at(self.now, self._end, call, Outcome.CANCELLED)
                 case StartHealthCheck(endpoint=endpoint):
-                    self._send(Call(forwarder, endpoint, self.now, []), 1.0)
+                    self._send(SimulatedCall(forwarder, endpoint, self.now, []), 1.0)
                 case _:
                     pass
         for endpoint, asked in sends.items():
@@ -311,7 +311,7 @@
                 self._send_batch(forwarder, endpoint, asked[first : first + self.case.batch])
 
     def _send_batch(self, forwarder: Forwarder, endpoint: int, asked: list[StartAttempt]) -> None:
-        call = Call(forwarder, endpoint, self.now, [])
+        call = SimulatedCall(forwarder, endpoint, self.now, [])
         for send in asked:
             message = forwarder.messages[send.message]
             call.members.append((send.message, message.attempts))
@@ -319,14 +319,14 @@
             message.attempts += 1
         self._send(call, min(send.timeout_s for send in asked))
 
-    def _send(self, call: Call, timeout: float) -> None:
+    def _send(self, call: SimulatedCall, timeout: float) -> None:
         self._at(self.now + timeout, self._end, call, Outcome.TIMEOUT)
         self._at(self.now + self._network(), self._reach, call, call.forwarder.told)
 
     def _network(self) -> float:
         return NETWORK_S * self.random.uniform(0.7, 1.3)
 
-    def _end(self, call: Call, outcome: Outcome, wait: float = 0.0) -> None:
+    def _end(self, call: SimulatedCall, outcome: Outcome, wait: float = 0.0) -> None:
         """A call is over for its forwarder; the first end counts."""
         if call.over:
             return
@@ -354,7 +354,7 @@
 
     # --- the destination ----------------------------------------------------------------------------------------
 
-    def _reach(self, call: Call, told: bool) -> None:
+    def _reach(self, call: SimulatedCall, told: bool) -> None:
         """A call comes to the destination."""
         outage = self.case.outage
         if self.away and outage is Outage.DOWN:
@@ -368,7 +368,7 @@
         else:
             self._serve(call)
 
-    def _reach_away(self, call: Call) -> None:
+    def _reach_away(self, call: SimulatedCall) -> None:
         match self.case.outage:
             case Outage.FAILING:
                 self._answer(call, Outcome.ERROR)
@@ -392,7 +392,7 @@
         self.limited.append(self.now)
         return True
 
-    def _serve(self, call: Call) -> None:
+    def _serve(self, call: SimulatedCall) -> None:
         """A cold destination is as much slower as it can do less."""
         slower = 1.0
         if self.now >= self.returns:
@@ -402,7 +402,7 @@
         mean = SERVICE_S * slower * (1.0 + 0.1 * max(len(call.members) - 1, 0))
         self._at(self.now + self.random.gammavariate(4.0, mean / 4.0), self._answer, call, Outcome.OK)
 
-    def _answer(self, call: Call, outcome: Outcome, wait: float = 0.0) -> None:
+    def _answer(self, call: SimulatedCall, outcome: Outcome, wait: float = 0.0) -> None:
         if outcome is Outcome.OK and self.away and self.case.outage is Outage.SILENT:
             self.hung.append(call)
             return
--- a/juniperward/lab/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -27,9 +27,9 @@
 from pyarrow import parquet
 from scipy import stats
 
-from juniperward.lab.policies import POLICIES
-from juniperward.lab.scenario import Scenario, parse
-from juniperward.lab.world import World
+from juniperward.simulation.policies import POLICIES
+from juniperward.simulation.scenario import Scenario, parse
+from juniperward.simulation.world import World
 
 VERSION = 2  # 1 had neither the scenario's text nor where and from what it was run
 
@@ -139,7 +139,7 @@
     return found
 
 
-class Busy(Exception):
+class ExperimentRunningError(Exception):
     """Another experiment writes to this folder."""
 
 
@@ -154,7 +154,7 @@
             fcntl.flock(self.handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.handle.close()
-            raise Busy(f"{folder}: another experiment writes there") from None
+            raise ExperimentRunningError(f"{folder}: another experiment writes there") from None
         self.found: dict[tuple[str, str, int], Result] = {}
         good = 0
         self.handle.seek(0)
--- a/juniperward/lab/observation.py
+++ b/juniperward/simulation/observation.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from juniperward.lab.world import FALL_SPAN, FALL_TIMES, NET, WARM, World
+from juniperward.simulation.world import FALL_SPAN, FALL_TIMES, NET, WARM, World
 
 CLOSED = ("DOWN", "SILENT", "SHUT", "FAILING")
 
--- a/juniperward/lab/policies.py
+++ b/juniperward/simulation/policies.py
@@ -14,7 +14,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from juniperward.lab.observation import Observation
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.actions import Action, Fail, Reject, SetTimer, StartAttempt
 from juniperward.scheduler.events import (
@@ -27,13 +26,14 @@
     TimerFired,
 )
 from juniperward.scheduler.settings import SchedulerSettings
+from juniperward.simulation.observation import Observation
 
 MARGIN = 0.02
 RETRY = 0.2
 
 
 @dataclass(slots=True)
-class Held:
+class PendingMessage:
     """A message and its attempts."""
 
     number: int
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class DestinationQueue:
     """What a baseline keeps of one destination."""
 
     endpoints: list[int] = field(default_factory=list)
@@ -77,8 +77,8 @@
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         self.set, self.random = settings, random.Random(seed)
-        self.held: dict[int, Held] = {}
-        self.lanes: dict[int, Lane] = {}
+        self.held: dict[int, PendingMessage] = {}
+        self.lanes: dict[int, DestinationQueue] = {}
         self.home: dict[int, int] = {}
         self.slots = 0
         self.now = 0.0
@@ -94,15 +94,15 @@
             match e:
                 case EndpointListUpdated():
                     for x in e.entries:
-                        lane = self.lanes.setdefault(x.destination, Lane())
+                        lane = self.lanes.setdefault(x.destination, DestinationQueue())
                         if x.phase is EndpointPhase.READY and x.endpoint not in lane.endpoints:
                             lane.endpoints.append(x.endpoint)
                             lane.rating = x.listed_rate
                         self.home[x.endpoint] = x.destination
                 case MessageAdmitted():
-                    m = Held(e.message, e.destination, now + e.time_left_s)
+                    m = PendingMessage(e.message, e.destination, now + e.time_left_s)
                     self.held[m.number] = m
-                    self.lanes.setdefault(m.partner, Lane()).queue.append(m.number)
+                    self.lanes.setdefault(m.partner, DestinationQueue()).queue.append(m.number)
                     heapq.heappush(self.due, (m.expires - MARGIN, m.number))
                 case AttemptFinished():
                     self._settled(e)
@@ -135,7 +135,7 @@
                     found.append(at)
         return found
 
-    def _give_up(self, m: Held, actions: list[Action]) -> None:
+    def _give_up(self, m: PendingMessage, actions: list[Action]) -> None:
         del self.held[m.number]
         actions.append(Reject(m.number, 1.0) if m.first_ran is None else Fail(m.number))
 
@@ -158,7 +158,7 @@
         m.not_before = self.now + (RETRY * 2 ** min(m.sends - 1, 3) if self.keeps_on else math.inf)
         lane.queue.append(m.number)
 
-    def _release(self, partner: int, lane: Lane, actions: list[Action]) -> None:
+    def _release(self, partner: int, lane: DestinationQueue, actions: list[Action]) -> None:
         for _ in range(len(lane.queue)):
             if self.slots >= self.set.slots or self.now < max(lane.wait_until, lane.open_until):
                 return
@@ -190,29 +190,29 @@
 
     # --- what a baseline says of its own ------------------------------------------------------------------------
 
-    def choose(self, lane: Lane, m: Held) -> int | None:
+    def choose(self, lane: DestinationQueue, m: PendingMessage) -> int | None:
         """The endpoint for a call: in turn."""
         if not lane.endpoints:
             return None
         lane.turn += 1
         return lane.endpoints[lane.turn % len(lane.endpoints)]
 
-    def admits(self, lane: Lane) -> bool:
+    def admits(self, lane: DestinationQueue) -> bool:
         """Whether one more call may go now."""
         return True
 
-    def ready_at(self, lane: Lane) -> float:
+    def ready_at(self, lane: DestinationQueue) -> float:
         """When `admits` may say yes by itself."""
         return 0.0
 
-    def spent(self, lane: Lane) -> None:
+    def spent(self, lane: DestinationQueue) -> None:
         """A call goes."""
 
-    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+    def learn(self, lane: DestinationQueue, e: AttemptFinished) -> None:
         """A call has ended."""
 
 
-class OneTry(Baseline):
+class NoRetry(Baseline):
     """One try for each message, in the order of arrival."""
 
     keeps_on = False
@@ -225,10 +225,10 @@
 class LeastOutstanding(Baseline):
     """The endpoint with the fewest calls out, behind a circuit breaker: five failures in a row open it for 2 s."""
 
-    def choose(self, lane: Lane, m: Held) -> int | None:
+    def choose(self, lane: DestinationQueue, m: PendingMessage) -> int | None:
         return min(lane.endpoints, key=lambda x: (lane.out.get(x, 0), x), default=None)
 
-    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+    def learn(self, lane: DestinationQueue, e: AttemptFinished) -> None:
         if e.outcome is Outcome.OK:
             lane.fails = 0
         elif e.outcome is not Outcome.OVERLOADED:
@@ -238,23 +238,23 @@
                 lane.fails = 4  # half open: one more failure opens it again
 
 
-class Aimd(Baseline):
+class AdditiveIncrease(Baseline):
     """A concurrency limit a destination: one more for each limit's worth of answers, half at a refusal."""
 
-    def admits(self, lane: Lane) -> bool:
+    def admits(self, lane: DestinationQueue) -> bool:
         return lane.calls < lane.limit
 
-    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+    def learn(self, lane: DestinationQueue, e: AttemptFinished) -> None:
         if e.outcome is Outcome.OK:
             lane.limit = min(lane.limit + 1 / max(lane.limit, 1.0), 256.0)
         elif e.outcome is not Outcome.NOT_SENT and self.now - lane.cut_at > 0.1:
             lane.limit, lane.cut_at = max(lane.limit / 2, 1.0), self.now
 
 
-class Gradient(Aimd):
+class Gradient(AdditiveIncrease):
     """The limit follows the ratio of the least latency to the present one, with room for the root of it."""
 
-    def learn(self, lane: Lane, e: AttemptFinished) -> None:
+    def learn(self, lane: DestinationQueue, e: AttemptFinished) -> None:
         if e.outcome is Outcome.OK:
             lane.least = min(lane.least * 1.001, e.latency_s)
             gradient = max(0.5, min(1.0, 2.0 * lane.least / max(e.latency_s, 1e-6)))
@@ -267,19 +267,19 @@
 class TokenBucket(Baseline):
     """A queue a destination, calls at its share of the listed rate, a second's worth at once at the most."""
 
-    def _rate(self, lane: Lane) -> float:
+    def _rate(self, lane: DestinationQueue) -> float:
         return lane.rating / max(self.set.instances, 1) if lane.rating else 1000.0
 
-    def admits(self, lane: Lane) -> bool:
+    def admits(self, lane: DestinationQueue) -> bool:
         rate = self._rate(lane)
         lane.tokens = min(lane.tokens + (self.now - lane.tokens_at) * rate, max(rate, 1.0))
         lane.tokens_at = self.now
         return lane.tokens >= 1.0
 
-    def ready_at(self, lane: Lane) -> float:
+    def ready_at(self, lane: DestinationQueue) -> float:
         return lane.tokens_at + max(1.0 - lane.tokens, 0.0) / self._rate(lane)
 
-    def spent(self, lane: Lane) -> None:
+    def spent(self, lane: DestinationQueue) -> None:
         lane.tokens -= 1.0
 
 
@@ -299,7 +299,7 @@
         self.observation = observation
         self.shared: dict[int, tuple[float, int]] = {}  # the call that others may join: its moment, its room
 
-    def _release(self, partner: int, lane: Lane, actions: list[Action]) -> None:
+    def _release(self, partner: int, lane: DestinationQueue, actions: list[Action]) -> None:
         aim = self.set.classes[0].deadline_s - self.set.classes[0].latency_objective_s
         held = self.held
         lane.queue = deque(sorted(
@@ -310,7 +310,7 @@
             held[n].not_before = 0.0
         super()._release(partner, lane, actions)
 
-    def choose(self, lane: Lane, m: Held) -> int | None:
+    def choose(self, lane: DestinationQueue, m: PendingMessage) -> int | None:
         for endpoint in lane.endpoints:
             at, room = self.shared.get(endpoint, (-1.0, 0))
             if at == self.now and room > 0:
@@ -322,12 +322,12 @@
                 return endpoint
         return None
 
-    def ready_at(self, lane: Lane) -> float:
+    def ready_at(self, lane: DestinationQueue) -> float:
         return self.now + self.poll
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "nickelscale": DeliveryScheduler,
-    "one-try": OneTry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
-    "aimd": Aimd, "gradient": Gradient, "token-bucket": TokenBucket, "oracle": Oracle,
+    "one-try": NoRetry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
+    "aimd": AdditiveIncrease, "gradient": Gradient, "token-bucket": TokenBucket, "oracle": Oracle,
 }  # fmt: skip
--- a/juniperward/lab/report.py
+++ b/juniperward/simulation/report.py
@@ -11,7 +11,7 @@
 import numpy as np
 from markupsafe import Markup
 
-from juniperward.lab.experiment import Comparison, Result, compare
+from juniperward.simulation.experiment import Comparison, Result, compare
 
 matplotlib.use("svg")
 import matplotlib.pyplot as plt  # noqa: E402
--- a/juniperward/lab/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -8,8 +8,8 @@
 
 from google.protobuf import text_format
 
-from juniperward.lab import scenario_pb2
 from juniperward.settings.load import Fault, SettingsError, lines
+from juniperward.simulation import scenario_pb2
 
 FOLDER = Path(__file__).parent.parent.parent / "scenarios"
 DEFAULTS: dict[str, Any] = {
--- a/juniperward/lab/search.py
+++ b/juniperward/simulation/search.py
@@ -15,10 +15,10 @@
 
 from google.protobuf import text_format
 
-from juniperward.lab import scenario_pb2
-from juniperward.lab.experiment import one
-from juniperward.lab.scenario import parse
 from juniperward.settings.load import SettingsError
+from juniperward.simulation import scenario_pb2
+from juniperward.simulation.experiment import one
+from juniperward.simulation.scenario import parse
 
 KINDS = ("DOWN", "FAILING", "SHUT", "SLOW", "SILENT", "HOT", "KILL")
 KEPT = 8  # days that the next ones are made from
--- a/juniperward/lab/world.py
+++ b/juniperward/simulation/world.py
@@ -16,8 +16,6 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from juniperward.lab.cold_budget import ColdBudget
-from juniperward.lab.scenario import Scenario, Trouble
 from juniperward.scheduler.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
 from juniperward.scheduler.events import (
     AttemptFinished,
@@ -31,6 +29,8 @@
     TimerFired,
 )
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
+from juniperward.simulation.cold_budget import ColdBudget
+from juniperward.simulation.scenario import Scenario, Trouble
 
 NET = 0.002  # seconds one way, in the mean
 REFUSE = 0.001  # seconds that a refusal or a failure takes at the partner
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Worker:
+class SimulatedEndpoint:
     """One endpoint of a partner."""
 
     number: int
@@ -101,7 +101,7 @@
     kind: int
     spec: Any
     weight: float
-    workers: list[Worker] = field(default_factory=list)
+    workers: list[SimulatedEndpoint] = field(default_factory=list)
     mode: str = ""
     size: float = 1.0
     until: float = 0.0
@@ -247,7 +247,7 @@
             for _ in range(group.count):
                 p = Partner(len(made) + 1, kind, group, group.share / group.count)
                 for _ in range(group.workers):
-                    p.workers.append(Worker(count, p.number))
+                    p.workers.append(SimulatedEndpoint(count, p.number))
                     count += 1
                 made.append(p)
         return made
@@ -445,7 +445,7 @@
         else:
             w.queue.append(call)
 
-    def _full(self, p: Partner, w: Worker) -> float | None:
+    def _full(self, p: Partner, w: SimulatedEndpoint) -> float | None:
         """None where it is taken, else the wait that is told (0: none)."""
         now, spec, told = self.now, p.spec, self.draw["refusals"].uniform() < p.spec.tells_wait
         pushes = p.pushes
@@ -469,14 +469,14 @@
         taken = w.busy + len(w.queue) + len(w.hung)
         return 0.0 if taken >= spec.at_once + spec.queue else None
 
-    def _serve(self, f: Forwarder, call: Attempt, w: Worker, p: Partner) -> None:
+    def _serve(self, f: Forwarder, call: Attempt, w: SimulatedEndpoint, p: Partner) -> None:
         w.busy += 1
         mean = p.spec.latency * (p.size if p.mode == "SLOW" else 1.0)
         mean *= min(p.capacity() / max(p.present(self.now), 0.01), 20.0)
         mean *= 1 + 0.1 * (len(call.members) - 1)
         self.at(self.now + self.draw["service"].gamma(mean, p.spec.spread), self._served, f, call, w, p)
 
-    def _served(self, f: Forwarder, call: Attempt, w: Worker, p: Partner) -> None:
+    def _served(self, f: Forwarder, call: Attempt, w: SimulatedEndpoint, p: Partner) -> None:
         """It takes effect whether anybody still waits for it or not."""
         w.busy -= 1
         if p.mode not in ("DOWN", "SILENT"):
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -15,26 +15,26 @@
 import msgspec
 
 from juniperward.agent.messages import (
-    Answered,
-    Asked,
-    Configured,
-    Durable,
+    ControlRequest,
     Effect,
     Event,
-    Exited,
-    Note,
-    Reply,
-    Restored,
+    InstanceAnswered,
+    InstanceUnanswered,
+    LogEvent,
+    PersistentState,
+    ProcessExited,
+    ProcessSpawned,
+    ReplyToClient,
     Rules,
-    Save,
-    Saved,
-    Signal,
-    Spawn,
-    Spawned,
-    Tell,
-    Ticked,
-    Unanswered,
-    Watch,
+    SaveState,
+    SendOrder,
+    SendSignal,
+    SettingsLoaded,
+    SpawnProcess,
+    StateRestored,
+    StateSaved,
+    Tick,
+    WatchInstance,
 )
 from juniperward.agent.reducer import Reducer
 from juniperward.fleet.model import Patience, Process, Reading, RestartRules, RollRules
@@ -71,8 +71,8 @@
         self.now, self.pid, self.effects_done, self.saves = 1000.0, 100, 0, 0
         self.machines: dict[str, Machine] = {}
         self.disk, self.old = b"", b""  # the state file and the one before
-        self.replies: list[Reply] = []
-        self.notes: list[Note] = []
+        self.replies: list[ReplyToClient] = []
+        self.notes: list[LogEvent] = []
         self.edition = "a"
         self.broken_editions: dict[str, str] = {}  # edition to how its processes end at once
         self.hopeless: set[str] = set()  # instances that cannot be spawned
@@ -97,20 +97,20 @@
         self.reducer = Reducer(self.seed)
         self.watched.clear()
         self.unanswered.clear()
-        durable = Durable()
+        durable = PersistentState()
         for text in (self.disk, self.old):
             try:
-                durable = msgspec.json.decode(text, type=Durable)
+                durable = msgspec.json.decode(text, type=PersistentState)
                 break
             except msgspec.DecodeError:
                 continue
         running = tuple((n, m.process, m.born) for n, m in sorted(self.machines.items()))
-        self.round([Restored(durable, running)])
+        self.round([StateRestored(durable, running)])
         self.configure()
 
     def configure(self, names: tuple[str, ...] | None = None) -> None:
         self.names = names or self.names
-        self.round([Configured(self.names, frozenset(), self.edition, RULES)])
+        self.round([SettingsLoaded(self.names, frozenset(), self.edition, RULES)])
 
     def round(self, events: list[Event]) -> None:
         while events:
@@ -125,41 +125,41 @@
 
     def perform(self, effect: Effect) -> list[Event]:
         match effect:
-            case Save(durable=durable):
+            case SaveState(durable=durable):
                 self.saves += 1
                 if self.full(self.saves):
-                    return [Saved(durable, "No space left on device")]
+                    return [StateSaved(durable, "No space left on device")]
                 text = msgspec.json.encode(durable)
                 if self.tear_at == self.saves:
                     self.tear_at = None
                     self.old, self.disk = self.disk, text[: len(text) // 2]
                     raise Died
                 self.old, self.disk = self.disk, text
-                return [Saved(durable)]
-            case Spawn(name=name, edition=edition):
+                return [StateSaved(durable)]
+            case SpawnProcess(name=name, edition=edition):
                 if name in self.hopeless:
-                    return [Spawned(name, edition, None, "cannot be started")]
+                    return [ProcessSpawned(name, edition, None, "cannot be started")]
                 assert name not in self.machines, f"{name} runs already: started twice"
                 self.pid += 1
                 self.machines[name] = Machine(Process(self.pid, self.pid), edition, self.now)
-                return [Spawned(name, edition, self.machines[name].process)]
-            case Signal(name=name, process=process, signal=number):
+                return [ProcessSpawned(name, edition, self.machines[name].process)]
+            case SendSignal(name=name, process=process, signal=number):
                 m = self.machines.get(name)
                 if m is not None and m.process == process:
                     if number == signal.SIGKILL:
                         self.end(name, "signal 9")
                     elif name not in self.stubborn and m.term_at is None:
                         m.term_at = self.now
-            case Tell(name=name, verb=verb):
+            case SendOrder(name=name, verb=verb):
                 m = self.machines.get(name)
                 if m is not None and not m.stopped:
                     m.drained = verb == "drain"
-            case Watch(name=name, process=watched):
+            case WatchInstance(name=name, process=watched):
                 self.watched[name] = watched
                 self.unanswered.pop(name, None)
-            case Reply():
+            case ReplyToClient():
                 self.replies.append(effect)
-            case Note():
+            case LogEvent():
                 self.notes.append(effect)
         return []
 
@@ -199,15 +199,15 @@
                 continue
             m2 = self.machines.get(name)
             if m2 is None or m2.process != process:
-                events.append(Exited(name, process, getattr(self, "ends", {}).get(name, "gone")))
+                events.append(ProcessExited(name, process, getattr(self, "ends", {}).get(name, "gone")))
             elif m2.stopped:
                 since = self.unanswered.setdefault(name, self.now)
-                events.append(Unanswered(name, process, since, "no answer"))
+                events.append(InstanceUnanswered(name, process, since, "no answer"))
             else:
                 self.unanswered.pop(name, None)
-                events.append(Answered(name, self.reading(m2)))
+                events.append(InstanceAnswered(name, self.reading(m2)))
         try:
-            self.round([*events, Ticked()])
+            self.round([*events, Tick()])
         except Died:
             self.deaths += 1
             self.now += 0.5
@@ -225,21 +225,21 @@
 
     # --- orders -----------------------------------------------------------------------------------------------
 
-    def ask(self, verb: str, *names: str, **options: Any) -> Reply:
+    def ask(self, verb: str, *names: str, **options: Any) -> ReplyToClient:
         """The reply to an order; an agent that dies of it is started again and asked once more."""
         before = len(self.replies)
         for _ in range(2):
             try:
-                self.round([Asked(1, verb, names, options)])
+                self.round([ControlRequest(1, verb, names, options)])
             except Died:
                 self.deaths += 1
                 self.begin()
                 roll = self.reducer.state.roll
                 if verb == "roll" and roll is not None and not roll.over:
-                    return Reply(1, 200, {})
+                    return ReplyToClient(1, 200, {})
                 continue
             break
-        return self.replies[-1] if len(self.replies) > before else Reply(1, 504, {})
+        return self.replies[-1] if len(self.replies) > before else ReplyToClient(1, 504, {})
 
     @property
     def mode(self) -> str:
