--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -26,7 +26,7 @@
 from juniperward.simulation.scenario import FOLDER, Scenario, Trouble, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
-POLICIES = ("nickelscale", "round-robin", "one-try")
+POLICIES = ("juniperward", "round-robin", "one-try")
 MODES = {"DOWN": "down", "FAILING": "failing", "SHUT": "shut", "SILENT": "silent"}
 WITHIN = 0.03  # of worth, that model and sockets may differ by
 APART = 0.01  # policies closer than this in either are not ordered
@@ -81,7 +81,7 @@
 def wrapped(policy: str, folder: Path) -> Iterator[None]:
     """Forwarders that are started meanwhile decide by this policy."""
     before = os.environ.get("PYTHONPATH")
-    if policy != "nickelscale":
+    if policy != "juniperward":
         (folder / "sitecustomize.py").write_text(WRAPPER.format(policy=policy))
         os.environ["PYTHONPATH"] = os.pathsep.join([str(folder), *([before] if before else [])])
     try:
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -36,9 +36,10 @@
 
 
 def _policies(names: list[str] | None) -> list[str]:
-    from juniperward.simulation.policies import POLICIES
+    from juniperward.simulation.policies import POLICIES, policy_name
 
-    unknown = [n for n in names or [] if n not in POLICIES]
+    names = [policy_name(name) for name in names or []]
+    unknown = [name for name in names if name not in POLICIES]
     if unknown:
         raise typer.BadParameter(
             f"{', '.join(unknown)}: none of {', '.join(POLICIES)}", param_hint="--policy"
@@ -84,7 +85,7 @@
 @app.command()
 def run(
     scenario: Annotated[Path, typer.Argument(help="A scenario file.")],
-    policy: Annotated[str, typer.Option("--policy", "-p")] = "nickelscale",
+    policy: Annotated[str, typer.Option("--policy", "-p")] = "juniperward",
     seed: Annotated[int, typer.Option()] = 1,
     output: OutputOption = Output.TABLE,
 ) -> None:
@@ -167,7 +168,7 @@
 @app.command()
 def replay(
     scenario: Annotated[str, typer.Argument(help="A scenario's name, as in the results.")],
-    policy: Annotated[str, typer.Option("--policy", "-p")] = "nickelscale",
+    policy: Annotated[str, typer.Option("--policy", "-p")] = "juniperward",
     seed: Annotated[int, typer.Option()] = 1,
     out: OutOption = Path("lab.run"),
 ) -> None:
@@ -196,7 +197,7 @@
 @app.command()
 def search(
     rounds: Annotated[int, typer.Option(help="Days to play.")] = 200,
-    policy: Annotated[str, typer.Option("--policy", "-p")] = "nickelscale",
+    policy: Annotated[str, typer.Option("--policy", "-p")] = "juniperward",
     seed: Annotated[int, typer.Option()] = 1,
     keep_: Annotated[int, typer.Option("--keep", help="So many of the worst are made small and kept.")] = 2,
     folder: Annotated[Path, typer.Option(help="Where they are kept.")] = Path("scenarios/found"),
--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -27,7 +27,7 @@
 from pyarrow import parquet
 from scipy import stats
 
-from juniperward.simulation.policies import POLICIES
+from juniperward.simulation.policies import POLICIES, policy_name
 from juniperward.simulation.scenario import Scenario, parse
 from juniperward.simulation.world import World
 
@@ -135,7 +135,8 @@
         if row["v"] > VERSION:
             raise ValueError(f"{file}: written by version {row['v']}; this one reads up to {VERSION}")
         row["lost"] = {x["why"]: x["share"] for x in row["lost"]}
-        found.append(Result(**{k: v for k, v in row.items() if k in Result.__slots__}))
+        known = {k: v for k, v in row.items() if k in Result.__slots__}
+        found.append(Result(**{**known, "policy": policy_name(row["policy"])}))
     return found
 
 
@@ -186,6 +187,7 @@
             return None
         row: dict[str, Any] = json.loads(text)
         known = {k: v for k, v in row.items() if k in Result.__slots__}
+        known["policy"] = policy_name(known["policy"])
         return Result(**known) if row["v"] <= VERSION else None
     except (ValueError, TypeError, KeyError):
         return None
--- a/juniperward/simulation/policies.py
+++ b/juniperward/simulation/policies.py
@@ -326,8 +326,16 @@
         return self.now + self.poll
 
 
+FORMER_NAMES = {"nickelscale": "juniperward"}  # of policies: results on disk and habits have them
+
+
+def policy_name(name: str) -> str:
+    """Return the present name of a policy."""
+    return FORMER_NAMES.get(name, name)
+
+
 POLICIES: dict[str, Callable[..., Any]] = {
-    "nickelscale": DeliveryScheduler,
+    "juniperward": DeliveryScheduler,
     "one-try": NoRetry, "round-robin": RoundRobin, "least-outstanding": LeastOutstanding,
     "aimd": AdditiveIncrease, "gradient": Gradient, "token-bucket": TokenBucket, "oracle": Oracle,
 }  # fmt: skip
--- a/juniperward/simulation/report.py
+++ b/juniperward/simulation/report.py
@@ -16,7 +16,7 @@
 matplotlib.use("svg")
 import matplotlib.pyplot as plt  # noqa: E402
 
-OURS = "nickelscale"
+OURS = "juniperward"
 RULES = ("fallen", "second_effects", "waits_broken")
 PAGE = """<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -77,14 +77,14 @@
 
         for policy in POLICIES:
             self.assertEqual(run(policy, 3), run(policy, 3), policy)
-        self.assertNotEqual(run("nickelscale", 3)["by_second"], run("nickelscale", 4)["by_second"])
+        self.assertNotEqual(run("juniperward", 3)["by_second"], run("juniperward", 4)["by_second"])
 
     def test_policies_of_one_seed_meet_the_same_arrivals(self) -> None:
         asked = {p: [a for a, _ in one(SMALL, "small", p, 5).by_second] for p in POLICIES}
         self.assertEqual(len({tuple(a) for a in asked.values()}), 1)
 
     def test_our_module_keeps_the_rules_and_beats_one_try(self) -> None:
-        ours, least = one(SMALL, "small", "nickelscale", 1), one(SMALL, "small", "one-try", 1)
+        ours, least = one(SMALL, "small", "juniperward", 1), one(SMALL, "small", "one-try", 1)
         self.assertEqual((ours.second_effects, ours.waits_broken, ours.fallen), (0, 0, 0))
         self.assertGreater(ours.worth, least.worth)
         self.assertAlmostEqual(ours.worth + sum(ours.lost.values()), 1.0, places=6)
@@ -141,7 +141,7 @@
         """As the stand-ins have it: a limit that shrank told waits that kept hammering policies from harm."""
         text = SMALL.replace("rate: 30", "rate: 90")
         self.assertEqual(World(parse(text, "s"), POLICIES["round-robin"], 1).run().fallen, 1)
-        self.assertEqual(World(parse(text, "s"), POLICIES["nickelscale"], 1).run().fallen, 0)
+        self.assertEqual(World(parse(text, "s"), POLICIES["juniperward"], 1).run().fallen, 0)
 
 
 class OracleTest(unittest.TestCase):
@@ -228,9 +228,9 @@
 
     def test_parquet_has_all_that_is_needed_to_repeat_a_run(self) -> None:
         s = parse(SMALL, "small.textproto")
-        sweep(self.folder, [s], ["nickelscale", "oracle"], [1], 1)
+        sweep(self.folder, [s], ["juniperward", "oracle"], [1], 1)
         kept = read_parquet(self.folder / "results.parquet")
-        self.assertEqual([(r.text, r.policy) for r in kept], [(SMALL, "nickelscale"), (SMALL, "oracle")])
+        self.assertEqual([(r.text, r.policy) for r in kept], [(SMALL, "juniperward"), (SMALL, "oracle")])
         self.assertIn("cores", kept[0].machine)
         self.assertEqual(replay(kept[0]), {})
         tampered = dataclasses.replace(kept[0], worth=0.5)
@@ -260,12 +260,12 @@
 
     def test_comparisons_are_paired_and_say_where_nothing_is_seen(self) -> None:
         noise = [0.0, 0.1, 0.2, 0.3, 0.1, 0.2]
-        results = [result("nickelscale", n, 0.6 + x) for n, x in enumerate(noise)]
+        results = [result("juniperward", n, 0.6 + x) for n, x in enumerate(noise)]
         results += [result("worse", n, 0.55 + x) for n, x in enumerate(noise)]
         results += [result("other", n, 0.6 + x) for n, x in enumerate(reversed(noise))]
-        (worse,) = compare(results, "nickelscale", "worse")
-        self.assertEqual((worse.says, round(worse.mean, 6), worse.seeds), ("nickelscale is better", 0.05, 6))
-        (other,) = compare(results, "nickelscale", "other")
+        (worse,) = compare(results, "juniperward", "worse")
+        self.assertEqual((worse.says, round(worse.mean, 6), worse.seeds), ("juniperward is better", 0.05, 6))
+        (other,) = compare(results, "juniperward", "other")
         self.assertEqual(other.says, "no difference seen")
         page = self.folder / "page.html"
         write(results, {"s": "x < y"}, page, "again")
@@ -288,3 +288,18 @@
         self.assertEqual(tool.invoke(app, ["simulate", "run", str(file), "-p", "x"]).exit_code, 2)
         self.assertIn("policies", tool.invoke(app, ["simulate", "list"]).output)
         self.assertIsInstance(NoRetry.keeps_on, bool)
+
+
+class FormerNamesTest(unittest.TestCase):
+    def test_results_and_commands_with_the_former_name_of_the_policy_are_read(self) -> None:
+        # Guards experiments on disk: their results would stand beside the new ones as another policy's.
+        with tempfile.TemporaryDirectory() as name:
+            file = Path(name) / "results.parquet"
+            result = one(SMALL, "small", "one-try", 1)
+            write_parquet(file, [dataclasses.replace(result, policy="nickelscale")])
+            self.assertEqual([r.policy for r in read_parquet(file)], ["juniperward"])
+        tool = CliRunner()
+        found = tool.invoke(
+            app, ["lab", "run", str(FOLDER / "calm.textproto"), "-p", "nickelscale", "-o", "json"]
+        )
+        self.assertEqual(found.exit_code, 0, found.output)
