--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import Any
 
 from pyrsistent import PMap, pmap
 
 from juniperward.fleet.model import Instance, Patience, Process, Reading, RestartRules, RollRules
-from juniperward.fleet.roll import Order, Roll
+from juniperward.fleet.roll_model import Order, Roll
 from juniperward.fleet.service import Meter
 
 
@@ -64,7 +64,16 @@
     save_again_at: float = 0.0  # after a failure
     leaving: frozenset[str] = frozenset()  # taken out of the settings; forgotten once ended
 
+    def with_instance(self, instance: Instance) -> State:
+        """Return the state with an instance in the place of what was known of it."""
+        return replace(self, instances=self.instances.set(instance.name, instance))
+
+    def without_instance(self, name: str) -> State:
+        """Return the state without an instance that was taken out of the settings."""
+        return replace(self, instances=self.instances.discard(name), leaving=self.leaving - {name})
+
     def durable(self) -> PersistentState:
+        """Return the part that outlasts the agent."""
         return PersistentState(
             tuple(persistent_part(self.instances[n]) for n in sorted(self.instances)),
             self.roll,
--- /dev/null
+++ b/juniperward/agent/reducer/instances.py
@@ -0,0 +1,215 @@
+"""What happens to an instance's process, and the orders that are carried out on it."""
+
+from __future__ import annotations
+
+import random
+import signal
+from dataclasses import replace
+
+from juniperward.agent.messages import (
+    InstanceAnswered,
+    InstanceUnanswered,
+    ProcessExited,
+    ProcessSpawned,
+    SendOrder,
+    SendSignal,
+    SpawnProcess,
+    WatchInstance,
+)
+from juniperward.agent.reducer.round import Round
+from juniperward.fleet.decisions import after_exit, kill_due, start_due
+from juniperward.fleet.model import Crashes, DesiredState, Instance, Phase
+from juniperward.fleet.roll_commands import leave_out
+from juniperward.fleet.roll_model import Order, Roll, RollCommand, RollStage
+
+
+class Instances:
+    """Follows the instances, and carries orders out on them."""
+
+    def __init__(self, round_: Round, seed: int) -> None:
+        """Draw the jitter of restarts from a generator of its own."""
+        self._round = round_
+        self._random = random.Random(seed)
+
+    # --- events --------------------------------------------------------------------------------------------
+
+    def answered(self, event: InstanceAnswered) -> None:
+        """Take in what an instance says of itself; an answer of an earlier process counts for nothing."""
+        round_, reading = self._round, event.reading
+        instance = round_.state.instances.get(event.name)
+        if instance is None or instance.process is None or instance.process.pid != reading.pid:
+            return
+        was_ready = instance.was_ready or (reading.ready and reading.heard)
+        if was_ready and not instance.was_ready:
+            seconds = round(round_.now - instance.started_at, 3)
+            round_.log("ready", instance=event.name, seconds=seconds)
+        elif instance.unanswered_since is not None and round_.phase_of(instance) is Phase.SILENT:
+            round_.log("answers again", instance=event.name)
+        round_.put(replace(instance, reading=reading, unanswered_since=None, was_ready=was_ready))
+
+    def unanswered(self, event: InstanceUnanswered) -> None:
+        """Remember since when an instance has not answered."""
+        round_ = self._round
+        instance = round_.state.instances.get(event.name)
+        if instance is None or instance.process != event.process:
+            return
+        before = round_.phase_of(instance)
+        since = instance.unanswered_since if instance.unanswered_since is not None else event.since
+        instance = replace(instance, unanswered_since=since)
+        round_.put(instance)
+        if round_.phase_of(instance) is Phase.SILENT and before is not Phase.SILENT:
+            round_.log("silent", "warning", instance=event.name, why=event.text)
+
+    def exited(self, event: ProcessExited) -> None:
+        """Decide what follows the end of a process."""
+        instance = self._round.state.instances.get(event.name)
+        if instance is not None and instance.process == event.process:
+            self._ended(instance, event.how)
+
+    def _ended(self, instance: Instance, how: str) -> None:
+        round_ = self._round
+        state = round_.state
+        ended = after_exit(instance, round_.now, how, state.rules.restart, self._random.random())
+        if instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED:
+            round_.log("ended", instance=instance.name, how=how)
+        else:
+            round_.log("crashed", "error", instance=instance.name, how=how)
+        if ended.crashes.failed and not instance.crashes.failed:
+            round_.log("failed", "error", instance=instance.name, why=ended.crashes.failed)
+        round_.emit(WatchInstance(instance.name, None))
+        if instance.name in state.leaving:
+            round_.state = state.without_instance(instance.name)
+        else:
+            round_.put(ended)
+
+    def spawned(self, event: ProcessSpawned) -> None:
+        """Take in a new process; one that cannot be started counts as crashed, so it is tried later and later."""
+        round_ = self._round
+        instance = round_.state.instances.get(event.name)
+        if instance is None:
+            return
+        if event.process is None:
+            instance = replace(instance, edition=event.edition)
+            round_.put(instance)
+            self._ended(instance, event.why)
+            return
+        fresh = Instance(
+            instance.name,
+            instance.wanted,
+            event.process,
+            started_at=round_.now,
+            edition=event.edition,
+            drain=instance.drain,
+            exit=instance.exit,
+            crashes=replace(instance.crashes, restart_at=None),
+        )
+        round_.put(fresh)
+        round_.emit(WatchInstance(event.name, event.process))
+        round_.log("started", instance=event.name, pid=event.process.pid, edition=event.edition)
+
+    # --- time ----------------------------------------------------------------------------------------------
+
+    def supervise(self) -> None:
+        """Start what is due, kill what does not end, drain again what came back meanwhile."""
+        for instance in list(self._round.state.instances.values()):
+            self._supervise(instance)
+
+    def _supervise(self, instance: Instance) -> None:
+        round_ = self._round
+        state = round_.state
+        if start_due(instance, round_.now) and not _started_by_roll(state.roll, instance):
+            round_.put(replace(instance, crashes=replace(instance.crashes, restart_at=None)))
+            round_.emit(SpawnProcess(instance.name, instance.edition or state.edition))
+        elif kill_due(instance, round_.now, state.rules.patience):
+            round_.log("does not end", "warning", instance=instance.name)
+            self._kill(instance)
+        elif _serves_though_drained(instance):
+            round_.emit(SendOrder(instance.name, RollCommand.DRAIN.value))
+
+    # --- orders --------------------------------------------------------------------------------------------
+
+    def carry_out(self, order: Order) -> None:
+        """Carry an order out, unless it has been: orders may come twice."""
+        instance = self._round.state.instances.get(order.name)
+        if instance is None:
+            return
+        match order.do:
+            case RollCommand.START:
+                self._start(instance, order.edition)
+            case RollCommand.STOP:
+                self._terminate(instance)
+            case RollCommand.KILL:
+                self._kill(instance)
+            case RollCommand.DRAIN | RollCommand.RESUME:
+                self._tell(instance, order.do)
+
+    def _start(self, instance: Instance, edition: str) -> None:
+        if instance.process is not None or instance.wanted is not DesiredState.RUNNING:
+            return
+        edition = edition or instance.edition
+        self._round.put(replace(instance, drain=False, edition=edition))
+        self._round.emit(SpawnProcess(instance.name, edition or self._round.state.edition))
+
+    def _terminate(self, instance: Instance) -> None:
+        if instance.process is None or instance.stopping_since is not None:
+            return
+        self._round.put(replace(instance, stopping_since=self._round.now))
+        self._round.emit(SendSignal(instance.name, instance.process, signal.SIGTERM))
+        self._round.log("stopping", instance=instance.name)
+
+    def _kill(self, instance: Instance) -> None:
+        if instance.process is None or instance.killed:
+            return
+        self._round.put(replace(instance, stopping_since=self._round.now, killed=True))
+        self._round.emit(SendSignal(instance.name, instance.process, signal.SIGKILL))
+        self._round.log("killed", "warning", instance=instance.name)
+
+    def _tell(self, instance: Instance, command: RollCommand) -> None:
+        if instance.process is None:
+            return
+        drain = command is RollCommand.DRAIN
+        self._round.put(replace(instance, drain=drain))
+        self._round.emit(SendOrder(instance.name, command.value))
+        self._round.log("told to drain" if drain else "told to resume", instance=instance.name)
+
+    def want_running(self, name: str) -> None:
+        """Mean an instance to run, and forget its crashes."""
+        instance = self._round.state.instances[name]
+        self._round.put(replace(instance, wanted=DesiredState.RUNNING, crashes=Crashes()))
+
+    def want_stopped(self, name: str, why: str) -> None:
+        """Mean an instance to be stopped; a roll under way has nothing more to do with it."""
+        round_ = self._round
+        roll = round_.state.roll
+        if roll is not None and not roll.over:
+            round_.state = replace(round_.state, roll=leave_out(roll, name, why))
+        instance = round_.state.instances[name]
+        crashes = replace(instance.crashes, restart_at=None)
+        instance = replace(instance, wanted=DesiredState.STOPPED, crashes=crashes)
+        round_.put(instance)
+        self._terminate(instance)
+        if instance.process is None and name in round_.state.leaving:
+            round_.state = round_.state.without_instance(name)
+
+
+def _started_by_roll(roll: Roll | None, instance: Instance) -> bool:
+    """Whether a roll is to start this one, after a stop that it ordered itself."""
+    if roll is None or roll.over:
+        return False
+    step = roll.step_of(instance.name)
+    if step is None:
+        return False
+    if step.stage is RollStage.STARTING:
+        return not instance.crashes.in_row
+    return step.stage in (RollStage.DRAINING, RollStage.STOPPING)
+
+
+def _serves_though_drained(instance: Instance) -> bool:
+    """Whether an instance that was told to drain takes messages, as its process is a new one."""
+    reading = instance.reading
+    return (
+        instance.drain
+        and instance.stopping_since is None
+        and reading is not None
+        and reading.phase == "serving"
+    )
--- /dev/null
+++ b/juniperward/agent/reducer/requests.py
@@ -0,0 +1,111 @@
+"""The orders of clients: status, orders to instances, and orders to rolls."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from juniperward.agent import views
+from juniperward.agent.messages import ControlRequest
+from juniperward.agent.reducer.instances import Instances
+from juniperward.agent.reducer.roll_options import DRY_RUN, roll_rules
+from juniperward.agent.reducer.rolls import Rolls
+from juniperward.agent.reducer.round import Round
+from juniperward.fleet.roll_commands import check_not_over, end, pause, plan, resume, undo
+from juniperward.fleet.roll_errors import (
+    NoRollError,
+    RollBeingWrittenError,
+    RollRejectedError,
+    RollUnderWayError,
+    UnknownInstanceError,
+    UnknownOrderError,
+)
+from juniperward.fleet.roll_model import Order, Roll, RollCommand
+
+HTTP_NOT_FOUND = 404
+HTTP_CONFLICT = 409
+
+
+class Requests:
+    """Follows what clients ask for, or says why not."""
+
+    def __init__(self, round_: Round, instances: Instances, rolls: Rolls) -> None:
+        """Order instances through `instances` and change the roll through `rolls`."""
+        self._round, self._instances, self._rolls = round_, instances, rolls
+
+    def requested(self, event: ControlRequest) -> None:
+        """Follow one request; each gets one reply, that of a changed roll once it is written down."""
+        round_ = self._round
+        known = round_.state.instances
+        if event.verb == "status":
+            round_.reply(event.client, views.status(round_.state, round_.now))
+            return
+        unknown = [name for name in event.names if name not in known]
+        if unknown:
+            why = str(UnknownInstanceError(unknown))
+            round_.reply(event.client, {"error": why}, HTTP_NOT_FOUND)
+            return
+        names = list(event.names or sorted(known))
+        try:
+            if event.verb.startswith("roll"):
+                self._roll_requested(event, names)
+                return
+            for name in names:
+                self._order(event.verb, name)
+        except RollRejectedError as error:
+            round_.reply(event.client, {"error": str(error)}, HTTP_CONFLICT)
+            return
+        round_.reply(event.client, {"done": event.verb, "instances": names})
+
+    def _order(self, verb: str, name: str) -> None:
+        match verb:
+            case "start":
+                self._instances.want_running(name)
+            case "stop":
+                self._instances.want_stopped(name, "stopped by order")
+            case "kill" | "drain" | "resume":
+                self._instances.carry_out(Order(RollCommand(verb), name))
+            case _:
+                raise UnknownOrderError(verb)
+
+    def _roll_requested(self, event: ControlRequest, names: list[str]) -> None:
+        state = self._round.state
+        if state.writing:
+            raise RollBeingWrittenError
+        if event.verb == "roll":
+            self._new_roll(event, names)
+        elif state.roll is None:
+            raise NoRollError
+        elif event.verb == "roll_show":
+            self._round.reply(event.client, views.roll_view(state.roll))
+        else:
+            changed, orders = _change(state.roll, event.verb)
+            self._rolls.write(changed, orders, event.client)
+
+    def _new_roll(self, event: ControlRequest, names: list[str]) -> None:
+        state = self._round.state
+        if state.roll is not None and not state.roll.over:
+            raise RollUnderWayError(state.roll.id, state.roll.mode.value)
+        rules = roll_rules(state.rules.roll, event.options, len(names))
+        number = state.rolls + 1
+        roll = plan(f"r{number}", state.edition, names, rules, self._round.fleet())
+        if event.options.get(DRY_RUN):
+            self._round.reply(event.client, views.roll_view(roll))
+            return
+        self._round.state = replace(state, rolls=number)
+        self._rolls.write(roll, [], event.client)
+
+
+def _change(roll: Roll, verb: str) -> tuple[Roll, list[Order]]:
+    """Return the roll as a client changes it, and the orders to instances; raises RollRejectedError."""
+    match verb:
+        case "roll_pause":
+            check_not_over(roll)
+            return pause(roll, "paused by order"), []
+        case "roll_resume":
+            return resume(roll), []
+        case "roll_undo":
+            return undo(roll)
+        case "roll_end":
+            return end(roll)
+        case _:
+            raise UnknownOrderError(verb)
--- /dev/null
+++ b/juniperward/agent/reducer/round.py
@@ -0,0 +1,53 @@
+"""What the handlers of one round share: the state, the time and the effects asked for so far."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from juniperward.agent.messages import Effect, LogEvent, ReplyToClient, State
+from juniperward.fleet.decisions import phase
+from juniperward.fleet.model import Instance, Phase
+from juniperward.fleet.roll_model import ACTIVE, FleetView
+
+
+class Round:
+    """The agent's state, changed by the handlers alone, and the round that is being reduced."""
+
+    def __init__(self) -> None:
+        """Begin with an empty state."""
+        self.state = State()
+        self.now = 0.0  # seconds of the machine's monotonic clock
+        self.effects: list[Effect] = []
+
+    def begin(self, now: float) -> None:
+        """Start a round."""
+        self.now, self.effects = now, []
+
+    def emit(self, *effects: Effect) -> None:
+        """Ask for effects; they are carried out in their order."""
+        self.effects += effects
+
+    def put(self, instance: Instance) -> None:
+        """Put an instance in the place of what was known of it."""
+        self.state = self.state.with_instance(instance)
+
+    def phase_of(self, instance: Instance) -> Phase:
+        """Return the observed state of an instance."""
+        return phase(instance, self.now, self.state.rules.patience)
+
+    def fleet(self) -> FleetView:
+        """Return the fleet as a decision about a roll sees it."""
+        return FleetView(self.state.instances, self.state.meter, self.now, self.state.rules.patience)
+
+    def log(self, event: str, level: str = "info", **fields: Any) -> None:
+        """Log an event; one of an instance that a roll is at names the roll and its stage."""
+        roll, name = self.state.roll, fields.get("instance")
+        if roll is not None and not roll.over and name is not None:
+            step = roll.step_of(name)
+            if step is not None and step.stage in ACTIVE:
+                fields.update(roll=roll.id, step=step.stage.value)
+        self.emit(LogEvent(event, fields, level))
+
+    def reply(self, client: int, body: dict[str, Any], status: int = 200) -> None:
+        """Answer a client."""
+        self.emit(ReplyToClient(client, status, body))
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -7,7 +7,7 @@
 from juniperward.agent.messages import State
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import DesiredState, Instance, Patience, Phase
-from juniperward.fleet.roll import Roll
+from juniperward.fleet.roll_model import Roll
 
 
 def status(s: State, now: float) -> dict[str, Any]:
--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -4,62 +4,69 @@
 
 from dataclasses import replace
 
-from juniperward.fleet.model import Crashes, DesiredState, Instance, Patience, Phase, RestartRules
+from juniperward.fleet.model import Crashes, DesiredState, Instance, Patience, Phase, Reading, RestartRules
 
+_PHASE_OF_READING = {"stopping": Phase.STOPPING, "drained": Phase.DRAINED, "draining": Phase.DRAINING}
 
-def phase(i: Instance, now: float, patience: Patience) -> Phase:
-    """The observed state of an instance.
+
+def phase(instance: Instance, now: float, patience: Patience) -> Phase:
+    """Return the observed state of an instance.
 
     Silence comes before what it last said: a reading is old by then. An instance that was told to stop is
     stopping whether it answers or not.
     """
-    if i.process is None:
-        return Phase.FAILED if i.crashes.failed else Phase.STOPPED
-    if i.stopping_since is not None:
+    if instance.process is None:
+        return Phase.FAILED if instance.crashes.failed else Phase.STOPPED
+    if instance.stopping_since is not None:
         return Phase.STOPPING
-    if i.unanswered_since is not None and now - i.unanswered_since >= patience.silent:
-        if i.was_ready or now - i.started_at >= patience.start:
-            return Phase.SILENT
-        return Phase.STARTING
-    r = i.reading
-    if r is None:
+    if instance.unanswered_since is not None and now - instance.unanswered_since >= patience.silent:
+        had_its_time = instance.was_ready or now - instance.started_at >= patience.start
+        return Phase.SILENT if had_its_time else Phase.STARTING
+    return _phase_told(instance.reading)
+
+
+def _phase_told(reading: Reading | None) -> Phase:
+    """Return the phase that an instance tells of itself."""
+    if reading is None:
         return Phase.STARTING
-    if r.phase == "stopping":
-        return Phase.STOPPING
-    if r.phase == "drained":
-        return Phase.DRAINED
-    if r.phase == "draining":
-        return Phase.DRAINING
-    return Phase.READY if r.ready and r.heard else Phase.STARTING
+    serving = Phase.READY if reading.ready and reading.heard else Phase.STARTING
+    return _PHASE_OF_READING.get(reading.phase, serving)
 
 
-def overdue_start(i: Instance, now: float, patience: Patience) -> bool:
-    """Whether it has had its time to become ready and has not."""
+def overdue_start(instance: Instance, now: float, patience: Patience) -> bool:
+    """Return whether it has had its time to become ready and has not."""
     return (
-        i.process is not None
-        and not i.was_ready
-        and i.stopping_since is None
-        and now - i.started_at >= patience.start
+        instance.process is not None
+        and not instance.was_ready
+        and instance.stopping_since is None
+        and now - instance.started_at >= patience.start
     )
 
 
-def after_exit(i: Instance, now: float, how: str, rules: RestartRules, chance: float) -> Instance:
-    """An instance whose process has ended; `chance` is random, from 0 to 1.
+def after_exit(instance: Instance, now: float, how: str, rules: RestartRules, chance: float) -> Instance:
+    """Return an instance whose process has ended; `chance` is random, from 0 to 1.
 
     An end that was asked for is no crash, and ends a drain too. One that was not is followed by a restart,
     later and later the more of them come in a row, and by none at all in a crash loop.
     """
-    asked = i.stopping_since is not None or i.wanted is DesiredState.STOPPED
+    asked = instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED
     ended = replace(
-        i, process=None, reading=None, unanswered_since=None, was_ready=False, drain=i.drain and not asked,
-        stopping_since=None, killed=False, exit=how,
-    )  # fmt: skip
+        instance,
+        process=None,
+        reading=None,
+        unanswered_since=None,
+        was_ready=False,
+        drain=instance.drain and not asked,
+        stopping_since=None,
+        killed=False,
+        exit=how,
+    )
     if asked:
         return replace(ended, crashes=Crashes())
-    c = i.crashes
-    steady = i.was_ready and now - i.started_at >= rules.steady
-    in_row = 1 if steady else c.in_row + 1
-    times = (*(t for t in c.times if now - t < rules.span), now)
+    crashes = instance.crashes
+    steady = instance.was_ready and now - instance.started_at >= rules.steady
+    in_row = 1 if steady else crashes.in_row + 1
+    times = (*(t for t in crashes.times if now - t < rules.span), now)
     if len(times) >= rules.crashes:
         why = f"{len(times)} crashes within {rules.span:g} s, the last: {how}"
         return replace(ended, crashes=Crashes(times, in_row, None, why))
@@ -68,18 +75,18 @@
     return replace(ended, crashes=Crashes(times, in_row, now + wait))
 
 
-def start_due(i: Instance, now: float) -> bool:
-    """Whether it is to be started now: wanted, without a process, not failed, its wait over."""
-    if i.wanted is not DesiredState.RUNNING or i.process is not None or i.crashes.failed:
+def start_due(instance: Instance, now: float) -> bool:
+    """Return whether it is to be started now: wanted, without a process, not failed, its wait over."""
+    if instance.wanted is not DesiredState.RUNNING or instance.process is not None or instance.crashes.failed:
         return False
-    return i.crashes.restart_at is None or now >= i.crashes.restart_at
+    return instance.crashes.restart_at is None or now >= instance.crashes.restart_at
 
 
-def kill_due(i: Instance, now: float, patience: Patience) -> bool:
-    """Whether it ignored SIGTERM for long enough; also one that is stopped by SIGSTOP ends by SIGKILL."""
+def kill_due(instance: Instance, now: float, patience: Patience) -> bool:
+    """Return whether it ignored SIGTERM for long enough; also one that is stopped by SIGSTOP ends by SIGKILL."""
     return (
-        i.process is not None
-        and i.stopping_since is not None
-        and not i.killed
-        and now - i.stopping_since >= patience.stop
+        instance.process is not None
+        and instance.stopping_since is not None
+        and not instance.killed
+        and now - instance.stopping_since >= patience.stop
     )
--- /dev/null
+++ b/juniperward/fleet/roll_progress.py
@@ -0,0 +1,242 @@
+"""How a roll goes on: one look at the fleet, the roll as it stands then, and the orders. No clock, no I/O.
+
+Orders may be carried out twice without harm: a roll that was written down before its orders were carried out can
+be taken up again by another process at any moment.
+
+A roll goes on by itself only while all is well. It pauses, and says why, where an instance does not come up, where
+one is up but does not deliver, where the fleet's service falls, and where going on would leave fewer ready
+instances than the floor. People then resume it, undo it or end it (`roll_commands`).
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from juniperward.fleet.decisions import overdue_start
+from juniperward.fleet.model import DesiredState, Instance, Phase
+from juniperward.fleet.roll_commands import pause
+from juniperward.fleet.roll_model import (
+    ACTIVE,
+    FAILURE_MARK,
+    FINISHED,
+    FleetView,
+    Mode,
+    Order,
+    Roll,
+    RollCommand,
+    RollStage,
+    Step,
+)
+from juniperward.fleet.service import Tally, tally
+
+SHARE_WITHOUT_BASELINE = 0.5  # of successful attempts, where nothing was known before the roll
+
+Progress = tuple[Roll, list[Order]]
+
+
+def advance(roll: Roll, fleet: FleetView) -> Progress:
+    """Take the roll on as far as the fleet's present state lets it go."""
+    if roll.over:
+        return roll, []
+    orders: list[Order] = []
+    for step in roll.steps:
+        if step.stage in ACTIVE:
+            roll, more = _advance_step(roll, step, fleet)
+            orders += more
+    if roll.advancing:
+        roll = _check_service(roll, fleet)
+    if roll.advancing:
+        roll, more = _begin_next(roll, fleet)
+        orders += more
+    if roll.advancing and all(step.stage in FINISHED for step in roll.steps):
+        roll = replace(roll, mode=Mode.UNDONE if roll.mode is Mode.UNDOING else Mode.DONE)
+    return roll, orders
+
+
+def _enter(roll: Roll, step: Step, stage: RollStage, now: float, note: str = "") -> Roll:
+    return roll.with_step(replace(step, stage=stage, since=now, note=note))
+
+
+def _fail(roll: Roll, step: Step, what: str, why: str) -> Progress:
+    """Pause the roll for an instance that did not do what it should."""
+    return pause(roll.with_step(replace(step, note=FAILURE_MARK + why)), f"{step.name} {what}{why}"), []
+
+
+# --- the next instances ------------------------------------------------------------------------------------
+
+
+def _begin_next(roll: Roll, fleet: FleetView) -> Progress:
+    """Begin with the next instances, as far as floor and batch allow."""
+    orders: list[Order] = []
+    ready = fleet.ready()
+    active = {step.name for step in roll.steps if step.stage in ACTIVE}
+    blocked = ""
+    waiting = [step for step in roll.steps if step.stage is RollStage.WAITING]
+    # What is away by now costs nothing, and may be what holds the floor.
+    for step in sorted(waiting, key=lambda step: step.name in ready):
+        if len(active) >= roll.rules.at_once:
+            break
+        if _stopped_by_order(step, fleet):
+            roll = _enter(roll, step, RollStage.LEFT_OUT, fleet.now, "not meant to run any more")
+            continue
+        left = len(ready - {step.name})
+        if step.name in ready and left < roll.rules.floor:
+            blocked = (
+                f"{step.name} cannot go: {left} ready ones would be left, the floor is {roll.rules.floor}"
+            )
+            break
+        roll, order = _begin(roll, step, step.name in ready, fleet.now)
+        orders.append(order)
+        active.add(step.name)
+        ready.discard(step.name)
+    if not blocked or active:
+        return replace(roll, stuck_since=None), orders
+    return _wait_for_floor(roll, blocked, fleet.now), orders
+
+
+def _begin(roll: Roll, step: Step, ready: bool, now: float) -> tuple[Roll, Order]:
+    """Drain an instance that takes messages, and end one that does not."""
+    if ready and not roll.rules.kill:
+        return _enter(roll, step, RollStage.DRAINING, now), Order(RollCommand.DRAIN, step.name)
+    return _enter(roll, step, RollStage.STOPPING, now), _stop_order(roll, step)
+
+
+def _stop_order(roll: Roll, step: Step) -> Order:
+    return Order(RollCommand.KILL if roll.rules.kill else RollCommand.STOP, step.name)
+
+
+def _wait_for_floor(roll: Roll, why: str, now: float) -> Roll:
+    """Pause where the floor has been in the way for too long."""
+    since = roll.stuck_since if roll.stuck_since is not None else now
+    if now - since >= roll.rules.patience:
+        return pause(roll, why)
+    return replace(roll, stuck_since=since)
+
+
+def _check_service(roll: Roll, fleet: FleetView) -> Roll:
+    """Pause where the fleet delivers less of what it attempts than before the roll."""
+    if roll.mode is Mode.UNDOING:
+        return roll  # going back is what mends it
+    lately = fleet.lately(roll.rules.window)
+    if roll.baseline is None or lately.ended < roll.rules.least_calls or lately.share is None:
+        return roll
+    if lately.share >= roll.rules.fall * roll.baseline:
+        return roll
+    return pause(
+        roll,
+        f"service fell: {lately.share:.2f} of the calls deliver, {roll.baseline:.2f} did before the roll",
+    )
+
+
+def _stopped_by_order(step: Step, fleet: FleetView) -> bool:
+    instance = fleet.instances.get(step.name)
+    return instance is None or instance.wanted is not DesiredState.RUNNING
+
+
+# --- an instance that is under way -------------------------------------------------------------------------
+
+
+def _advance_step(roll: Roll, step: Step, fleet: FleetView) -> Progress:
+    """Take one instance on; orders that it has not followed yet are given again."""
+    if _stopped_by_order(step, fleet):
+        return _enter(roll, step, RollStage.LEFT_OUT, fleet.now, "stopped by order"), []
+    instance = fleet.instances[step.name]
+    match step.stage:
+        case RollStage.DRAINING:
+            return _drain(roll, step, instance, fleet)
+        case RollStage.STOPPING:
+            return _stop(roll, step, instance, fleet.now)
+        case RollStage.STARTING:
+            return _start(roll, step, instance, fleet)
+        case RollStage.SOAKING:
+            return _soak(roll, step, instance, fleet)
+    return roll, []
+
+
+def _start_order(roll: Roll, step: Step) -> Order:
+    return Order(RollCommand.START, step.name, roll.goal(step))
+
+
+def _drain(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+    """Wait until nothing is owed any more, or its time is up."""
+    now = fleet.now
+    if instance.process is None:
+        note = f"ended while draining: {instance.exit}"
+        return _enter(roll, step, RollStage.STARTING, now, note), [_start_order(roll, step)]
+    observed = fleet.phase_of(instance)
+    stop = Order(RollCommand.STOP, step.name)
+    if observed is Phase.DRAINED:
+        return _enter(roll, step, RollStage.STOPPING, now), [stop]
+    if now - step.since >= roll.rules.drain:
+        # What it holds is in its journal: the next process goes on with it.
+        owing = instance.reading.owing if instance.reading is not None else 0
+        why = "silent" if observed is Phase.SILENT else f"{owing} still owed"
+        note = f"not drained within {roll.rules.drain:g} s ({why})"
+        return _enter(roll, step, RollStage.STOPPING, now, note), [stop]
+    return roll, [] if instance.drain else [Order(RollCommand.DRAIN, step.name)]
+
+
+def _stop(roll: Roll, step: Step, instance: Instance, now: float) -> Progress:
+    """Wait until its process has ended, or another one of the right version was started since."""
+    restarted = instance.started_at > step.since and instance.edition == roll.goal(step)
+    if instance.process is None or restarted:
+        return _enter(roll, step, RollStage.STARTING, now), [_start_order(roll, step)]
+    return roll, [_stop_order(roll, step)]
+
+
+def _start(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+    """Wait until it is ready; pause the roll where it does not come up."""
+    if fleet.phase_of(instance) is Phase.READY:
+        return _enter(roll, step, RollStage.SOAKING, fleet.now), []
+    if step.failed:
+        return roll, []
+    why = _start_failure(step, instance, fleet)
+    if why:
+        return _fail(roll, step, "does not come up: ", why)
+    return roll, [_start_order(roll, step)] if instance.process is None else []
+
+
+def _start_failure(step: Step, instance: Instance, fleet: FleetView) -> str:
+    """Return why an instance has not come up, or an empty text where it may still do so."""
+    crashes, patience = instance.crashes, fleet.patience
+    if crashes.failed:
+        return crashes.failed
+    if instance.process is None and crashes.in_row and crashes.times and crashes.times[-1] > step.since:
+        return f"it ended at its start: {instance.exit}"
+    never_started = instance.process is None and fleet.now - step.since >= patience.start
+    if never_started or overdue_start(instance, fleet.now, patience):
+        return f"not ready {patience.start:g} s after its start"
+    return ""
+
+
+def _soak(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+    """Watch whether it delivers: ready is only what it says of itself."""
+    if step.failed:
+        return roll, []
+    observed = fleet.phase_of(instance)
+    if observed is Phase.READY:
+        return _judge(roll, step, instance, fleet.now)
+    if observed is Phase.SILENT or instance.process is None:
+        return _fail(roll, step, f"was ready and is {observed.value}: ", instance.exit or observed.value)
+    return _enter(roll, step, RollStage.SOAKING, fleet.now, step.note), []
+
+
+def _judge(roll: Roll, step: Step, instance: Instance, now: float) -> Progress:
+    """Decide by its attempts whether a ready instance is good."""
+    assert instance.reading is not None
+    rules, done, soaked_s = roll.rules, tally(instance.reading), now - step.since
+    baseline = roll.baseline if roll.baseline is not None else SHARE_WITHOUT_BASELINE
+    least_share = rules.soak_share * baseline
+    if done.ended >= rules.least_calls and done.share is not None and done.share < least_share:
+        if soaked_s < rules.soak:
+            return roll, []
+        why = f"{done.good} of {done.ended} calls deliver, {least_share:.2f} of them must"
+        return _fail(roll, step, "is ready but ", why)
+    if soaked_s >= rules.soak_most or (soaked_s >= rules.soak and _enough(done, roll)):
+        few = "" if done.ended >= rules.least_calls else f"only {done.ended} calls to judge it by"
+        return _enter(roll, step, RollStage.DONE, now, few), []
+    return roll, []
+
+
+def _enough(done: Tally, roll: Roll) -> bool:
+    return done.ended >= roll.rules.least_calls or roll.baseline is None
--- a/juniperward/fleet/service.py
+++ b/juniperward/fleet/service.py
@@ -16,22 +16,25 @@
 
     @property
     def ended(self) -> int:
+        """All that ended."""
         return self.good + self.bad
 
     @property
     def share(self) -> float | None:
-        """Good ones of all; None where nothing has ended."""
+        """The part of successful ones, from 0 to 1; None where nothing has ended."""
         return self.good / self.ended if self.ended else None
 
     def __add__(self, other: Tally) -> Tally:
+        """Return the sum of both counts."""
         return Tally(self.good + other.good, self.bad + other.bad)
 
     def __sub__(self, other: Tally) -> Tally:
+        """Return what was counted since `other`."""
         return Tally(self.good - other.good, self.bad - other.bad)
 
 
 def tally(reading: Reading) -> Tally:
-    """What an instance has counted since its start; calls that a partner turned away are no failure."""
+    """What an instance has counted since its start; attempts that an endpoint rejected are no failure."""
     return Tally(reading.delivered, reading.calls_failed + reading.given_up)
 
 
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -25,7 +25,7 @@
 )
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Crashes, DesiredState, Instance, Process, RollRules
-from juniperward.fleet.roll import Mode, Roll, RollStage, Step
+from juniperward.fleet.roll_model import Mode, Roll, RollStage, Step
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.model import Message, OutcomeNotification
 from juniperward.forwarder.records import (
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -18,7 +18,7 @@
     StateSaved,
 )
 from juniperward.fleet.model import DesiredState, Instance, Phase, Process
-from juniperward.fleet.roll import Mode
+from juniperward.fleet.roll_model import Mode
 from tests.agent_world import World
 
 
@@ -227,7 +227,7 @@
             world.end(name, "exit 1")
         world.run(40.0)
         self.assertEqual(
-            {world.reducer._phase(i) for i in world.reducer.state.instances.values()}, {Phase.FAILED}
+            {world.reducer.phase_of(i) for i in world.reducer.state.instances.values()}, {Phase.FAILED}
         )
         world.broken_editions.clear()
         world.ask("start")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,20 +21,17 @@
     RestartRules,
     RollRules,
 )
-from juniperward.fleet.roll import (
+from juniperward.fleet.roll_commands import end, leave_out, plan, resume, undo
+from juniperward.fleet.roll_errors import RollRejectedError
+from juniperward.fleet.roll_model import (
+    FleetView,
     Mode,
     Order,
     Roll,
     RollCommand,
-    RollRejectedError,
     RollStage,
-    end,
-    leave_out,
-    plan,
-    resume,
-    step,
-    undo,
 )
+from juniperward.fleet.roll_progress import advance
 from juniperward.fleet.service import Meter, Tally
 
 PATIENCE = Patience()
@@ -126,14 +123,17 @@
     def up(self) -> int:
         return sum(phase(i, self.now, PATIENCE) is Phase.READY for i in self.fleet.values())
 
+    def view(self) -> FleetView:
+        return FleetView(self.fleet, self.meter, self.now, PATIENCE)
+
     def plan(self, target: str = "b", **rules: float) -> Roll:
         made = RollRules(**{"floor": len(self.fleet) - 1, "soak": 1.0, **rules})  # type: ignore[arg-type]
-        return plan("r1", target, list(self.fleet), self.fleet, made, self.meter, self.now, PATIENCE)
+        return plan("r1", target, list(self.fleet), made, self.view())
 
     def run(self, roll: Roll, seconds: float = 300.0, until: Mode | None = None) -> Roll:
         end_at = self.now + seconds
         while self.now < end_at and not roll.over and roll.mode is not until:
-            roll, orders = step(roll, self.fleet, self.meter, self.now, PATIENCE)
+            roll, orders = advance(roll, self.view())
             self.obey(orders)
             self.least = min(self.least, self.up())
             self.tick()
@@ -230,7 +230,7 @@
             with self.subTest(rule), self.assertRaises(RollRejectedError):
                 model.plan("b", **{rule: value})
         with self.assertRaisesRegex(RollRejectedError, "no such instance: n9"):
-            plan("r", "b", ["n9"], model.fleet, RollRules(), model.meter, model.now, PATIENCE)
+            plan("r", "b", ["n9"], RollRules(), model.view())
 
     def test_a_silent_one_goes_first_and_ends_by_sigkill(self) -> None:
         model = Model(4)
@@ -355,7 +355,7 @@
             model = Model(3)
             roll, steps, fired = model.plan(), 0, False
             while not roll.over and steps < 2000:
-                roll, orders = step(roll, model.fleet, model.meter, model.now, PATIENCE)
+                roll, orders = advance(roll, model.view())
                 if orders:
                     if steps == cut // 3 and not fired:
                         fired = True
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from juniperward.dead_letters.spool import Spool
 from juniperward.dead_letters.store import DeadLetterStore, Filter
 from juniperward.fleet.model import DesiredState
-from juniperward.fleet.roll import Mode, RollStage
+from juniperward.fleet.roll_model import Mode, RollStage
 from juniperward.forwarder import clock, journal_codec
 from juniperward.forwarder.effects import AppendRecord, Effect, SendNotifications, SetTimer, StartAttempt
 from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, Event, JournalReplayed
