--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MOST_UNFINISHED = 72  # entries of the list; it only shrinks
+MOST_UNFINISHED = 71
 
 
 def listed() -> dict[str, set[str]]:
