--- a/juniperward/settings/configuration_versions.py
+++ b/juniperward/settings/configuration_versions.py
@@ -1,4 +1,4 @@
-"""Editions: the settings of all instances as they were at a moment, kept so that a roll can go back to them."""
+"""Saved versions of a configuration: a roll can go back to each that an instance still runs."""
 
 from __future__ import annotations
 
@@ -11,42 +11,58 @@
 
 from juniperward.settings.load import FleetSettings
 
-KEEP = 8  # editions kept beside those in use
+MAX_UNUSED = 8  # versions kept beside those in use
+DIGEST_DIGITS = 10  # of a version's name
+PRIVATE_FOLDER = 0o700
+
+
+class SavedVersionError(ValueError):
+    """A saved configuration is no object."""
+
+    def __init__(self, version: str, instance: str) -> None:
+        """Name the file."""
+        super().__init__(f"edition {version}: {instance}.json holds no object")
 
 
 def version_of(settings: FleetSettings) -> str:
-    """A short name for what the instances' configurations say; equal where they are."""
-    text = json.dumps({i.name: i.config for i in settings.instances}, sort_keys=True)
-    return hashlib.sha256(text.encode()).hexdigest()[:10]
+    """Return a short name for what the instances' configurations say; equal where they are."""
+    text = json.dumps({instance.name: instance.config for instance in settings.instances}, sort_keys=True)
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
 
 
 class ConfigurationVersions:
-    """The folder of editions; one file an instance and edition."""
+    """A folder of versions; one file for each instance in each."""
 
     def __init__(self, folder: Path) -> None:
+        """Save versions in `folder`, which is made with the first."""
         self.folder = folder
 
     def keep(self, settings: FleetSettings, in_use: set[str]) -> str:
-        """Write the edition down, if it is new, and drop the oldest; raises OSError."""
+        """Save the configuration, if it is new, and drop the oldest; return its version. Raises OSError."""
         name = version_of(settings)
         target = self.folder / name
         if not target.is_dir():
             fresh = self.folder / f".{name}.{os.getpid()}"
-            fresh.mkdir(mode=0o700, parents=True)
-            for i in settings.instances:
-                (fresh / f"{i.name}.json").write_text(json.dumps(i.config, indent=1, sort_keys=True))
-            os.rename(fresh, target)
+            fresh.mkdir(mode=PRIVATE_FOLDER, parents=True)
+            for instance in settings.instances:
+                text = json.dumps(instance.config, indent=1, sort_keys=True)
+                (fresh / f"{instance.name}.json").write_text(text)
+            fresh.rename(target)
         else:
             os.utime(target)
-        found = sorted((p for p in self.folder.iterdir() if p.is_dir()), key=lambda p: p.stat().st_mtime)
-        for old in found[:-KEEP]:
-            if old.name not in in_use and old.name != name:
-                shutil.rmtree(old, ignore_errors=True)
+        self._drop_oldest(in_use | {name})
         return name
 
+    def _drop_oldest(self, in_use: set[str]) -> None:
+        saved = [path for path in self.folder.iterdir() if path.is_dir()]
+        saved.sort(key=lambda path: path.stat().st_mtime)
+        for old in saved[:-MAX_UNUSED]:
+            if old.name not in in_use:
+                shutil.rmtree(old, ignore_errors=True)
+
     def read(self, edition: str, instance: str) -> dict[str, Any]:
-        """The configuration of an instance in an edition; raises OSError or ValueError."""
+        """Return the configuration of an instance in a version; raises OSError or ValueError."""
         found = json.loads((self.folder / edition / f"{instance}.json").read_text())
         if not isinstance(found, dict):
-            raise ValueError(f"edition {edition}: {instance}.json holds no object")
+            raise SavedVersionError(edition, instance)
         return found
--- /dev/null
+++ b/juniperward/settings/fleet_settings.py
@@ -0,0 +1,40 @@
+"""The checked values of a fleet's settings."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from juniperward.dead_letters.redriver import ResendRules
+from juniperward.fleet.model import Patience, RestartRules, RollRules
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceSettings:
+    """One forwarder; `config` is what its process is given, whole, but for the seed of each start."""
+
+    name: str
+    listen: str
+    state: Path
+    control: Path
+    stopped: bool
+    config: dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class FleetSettings:
+    """A checked file."""
+
+    file: Path
+    name: str
+    folder: Path
+    socket: Path  # of the agent's API
+    instances: tuple[InstanceSettings, ...]
+    restart: RestartRules
+    patience: Patience
+    roll: RollRules
+    log_bytes: int
+    log_keep: int
+    log_json: bool | None
+    kept: ResendRules | None = None  # None: nothing is kept
--- /dev/null
+++ b/juniperward/settings/line_index.py
@@ -0,0 +1,45 @@
+"""Where each field of a text-format file stands, so that a fault can name its line."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from google.protobuf import text_format
+
+
+def lines(text: str) -> dict[str, int]:
+    """Return the line of each field, from 1, by its path as `instance[1].listen`."""
+    found: dict[str, int] = {}
+    seen: dict[str, int] = {}
+    stack: list[str] = []
+    for name, line, opens, closes in _fields(text):
+        if closes:
+            stack.pop()
+            continue
+        path = ".".join([*stack, name])
+        number = seen.get(path, 0)
+        seen[path] = number + 1
+        indexed = f"{path}[{number}]"
+        found[indexed] = line
+        found.setdefault(path, line)
+        if opens:
+            stack.append(f"{name}[{number}]")
+    return found
+
+
+def _fields(text: str) -> Iterator[tuple[str, int, bool, bool]]:
+    """Yield name, line, whether it opens a message, and whether a message ends here instead."""
+    tokens = text_format.Tokenizer(text.split("\n"))
+    while not tokens.AtEnd():
+        if tokens.TryConsume("}") or tokens.TryConsume(">"):
+            yield "", 0, False, True
+            continue
+        name, line = tokens.token, int(tokens._line) + 1  # type: ignore[attr-defined]
+        tokens.NextToken()
+        colon = tokens.TryConsume(":")
+        opens = tokens.TryConsume("{") or tokens.TryConsume("<")
+        yield name, line, opens, False
+        if not opens and colon:
+            tokens.NextToken()
+        if not tokens.TryConsume(","):
+            tokens.TryConsume(";")
