--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -7,6 +7,7 @@
 import socket
 import time
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -14,6 +15,7 @@
 
 from juniperward.net import sockets
 from juniperward.net.http import (
+    HttpResponse,
     IncompleteMessageError,
     MalformedMessageError,
     Stream,
@@ -21,7 +23,8 @@
     read_response,
 )
 
-MOST_ANSWER = 64 * 1024 * 1024
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+DEFAULT_TIMEOUT_S = 5.0
 
 
 class AgentUnreachableError(Exception):
@@ -32,45 +35,59 @@
     """The agent will not, and says why; `status` is the answer's."""
 
     def __init__(self, status: int, text: str) -> None:
+        """Take the answer's HTTP status, and its text."""
         super().__init__(text)
         self.status = status
 
 
-def ask(path: Path, verb: str, names: list[str] | None = None, patience: float = 5.0, **options: Any) -> Any:
-    """The answer to one call; raises AgentSilent or AgentRefused."""
-    until = time.monotonic() + patience
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    try:
-        sockets.limit(sock, socket.SO_SNDTIMEO, patience)
-        sock.connect(str(path))
-        body = msgspec.json.encode({"names": names or [], "options": options})
-        with contextlib.suppress(
-            BrokenPipeError
-        ):  # one that is turned away is answered before it has written
-            sock.sendall(encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body))
+def ask(
+    path: Path, verb: str, names: list[str] | None = None, patience: float = DEFAULT_TIMEOUT_S, **options: Any
+) -> Any:
+    """Return the answer to one request; `patience` is the time for all of it, in seconds.
 
-        def receive(size: int) -> bytes:
-            left = until - time.monotonic()
-            if left <= 0:
-                raise TimeoutError
-            sockets.limit(sock, socket.SO_RCVTIMEO, left)
-            return sock.recv(size)
+    Raises:
+        AgentUnreachableError: for no whole answer in time, or nobody there.
+        AgentRejectedError: where the agent will not.
 
-        answer = read_response(Stream(receive), most=MOST_ANSWER)
+    """
+    body = msgspec.json.encode({"names": names or [], "options": options})
+    request = encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body)
+    try:
+        answer = _exchange(path, request, patience)
         found = msgspec.json.decode(answer.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
-        raise AgentUnreachableError(f"no whole answer within {patience:g} s") from error
+        why = f"no whole answer within {patience:g} s"
+        raise AgentUnreachableError(why) from error
     except OSError as error:
-        raise AgentUnreachableError(f"{path}: {error.strerror or error}") from error
+        why = f"{path}: {error.strerror or error}"
+        raise AgentUnreachableError(why) from error
     except (MalformedMessageError, msgspec.DecodeError) as error:
-        raise AgentUnreachableError(f"an answer that cannot be read: {error}") from error
-    finally:
-        sock.close()
-    if answer.status != 200:
+        why = f"an answer that cannot be read: {error}"
+        raise AgentUnreachableError(why) from error
+    if answer.status != HTTPStatus.OK:
         raise AgentRejectedError(answer.status, str(found.get("error", f"answered {answer.status}")))
     return found
 
 
+def _exchange(path: Path, request: bytes, timeout_s: float) -> HttpResponse:
+    """Send a request on a connection of its own, and read the answer within the time for both."""
+    until = time.monotonic() + timeout_s
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
+        sockets.limit(sock, socket.SO_SNDTIMEO, timeout_s)
+        sock.connect(str(path))
+        with contextlib.suppress(BrokenPipeError):  # one that is rejected is answered before it has written
+            sock.sendall(request)
+
+        def receive(size: int) -> bytes:
+            left_s = until - time.monotonic()
+            if left_s <= 0:
+                raise TimeoutError
+            sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
+            return sock.recv(size)
+
+        return read_response(Stream(receive), most=MAX_ANSWER_BYTES)
+
+
 @dataclass(frozen=True, slots=True)
 class InstanceReply:
     """What one agent said: a body, or an error with whether it was silence."""
@@ -82,11 +99,15 @@
 
 
 def ask_all(
-    paths: list[Path], verb: str, names: list[str] | None = None, patience: float = 5.0, **options: Any
+    paths: list[Path],
+    verb: str,
+    names: list[str] | None = None,
+    patience: float = DEFAULT_TIMEOUT_S,
+    **options: Any,
 ) -> list[InstanceReply]:
     """Ask several agents at once; one row for each, in their order, whatever became of it."""
 
-    def one(path: Path) -> InstanceReply:
+    def ask_one(path: Path) -> InstanceReply:
         try:
             return InstanceReply(path, ask(path, verb, names, patience, **options))
         except AgentUnreachableError as error:
@@ -95,4 +116,4 @@
             return InstanceReply(path, error=str(error))
 
     with concurrent.futures.ThreadPoolExecutor(max(len(paths), 1)) as pool:
-        return list(pool.map(one, paths))
+        return list(pool.map(ask_one, paths))
--- /dev/null
+++ b/juniperward/agent/dead_letter_queries.py
@@ -0,0 +1,242 @@
+"""What clients ask about dead letters, by action.
+
+Actions: list, show, resend, settle, discard, undo, stats, audit, simulate, check, backup.
+"""
+
+from __future__ import annotations
+
+import base64
+from collections.abc import Callable
+from http import HTTPStatus
+from pathlib import Path
+from typing import Any
+
+from juniperward.agent.running_fleet import RunningFleet
+from juniperward.dead_letters.decisions import (
+    DeadLetter,
+    RedriveSafety,
+    Status,
+    certain_now,
+    judge_redrive,
+    wanted_by,
+)
+from juniperward.dead_letters.redriver import Redriver, ResendRules
+from juniperward.dead_letters.store import ClaimLostError, DeadLetterStore, Filter
+from juniperward.settings.load import SettingsError, load
+
+MAX_PAGE = 500
+DEFAULT_PAGE = 100
+BEFORE_ALL = (-1.0, "")  # the place before the first message: time given up, id
+CHANGES = frozenset({"resend", "settle", "discard", "undo"})
+FILTERS = ("stand", "destination", "cls", "account", "key", "since", "until", "wished")
+JUDGEMENT = ("kind", "may_go", "why", "wanted_by")
+
+Answer = tuple[int, dict[str, Any]]  # HTTP status, JSON object
+Options = dict[str, Any]
+
+
+class QuestionError(ValueError):
+    """A question that cannot be answered as it is put; the text goes to the client."""
+
+
+class PageSizeError(QuestionError):
+    """More ids than are taken in one request."""
+
+    def __init__(self, count: int) -> None:
+        """Tell how many."""
+        super().__init__(f"{count} ids; {MAX_PAGE} at most in one call")
+
+
+class ReasonMissingError(QuestionError):
+    """A message is settled without a reason."""
+
+    def __init__(self) -> None:
+        """Say what is needed."""
+        super().__init__("why: whoever settles a message says how he knows")
+
+
+class NothingStoredError(QuestionError):
+    """A settings file does not have dead letters stored."""
+
+    def __init__(self, file: Path) -> None:
+        """Name the file."""
+        super().__init__(f"{file}: nothing is kept: it has no kept {{ on: true }}")
+
+
+class DeadLetterQueries:
+    """Answers by the store and the redriver's rules; used by any thread."""
+
+    def __init__(
+        self,
+        store: DeadLetterStore,
+        fleet: RunningFleet,
+        redriver: Redriver,
+        progress: Callable[[], dict[str, Any]],
+    ) -> None:
+        """Take what `stats` tells of the redriver's thread from `progress`."""
+        self._store, self._fleet, self._redriver = store, fleet, redriver
+        self._progress = progress
+        self._questions: dict[str, Callable[[Options], dict[str, Any]]] = {
+            "list": self._list,
+            "stats": self._stats,
+            "audit": self._audit,
+            "simulate": self._simulate,
+            "check": self._check,
+            "backup": self._backup,
+        }
+
+    def answer(self, options: Options, who: str) -> Answer:
+        """Answer one question or order; `who` is the user at the other end."""
+        try:
+            return self._answer(str(options.get("action", "")), _ids(options), options, who)
+        except QuestionError as error:
+            return HTTPStatus.BAD_REQUEST, {"error": f"ValueError: {error}"}
+        except (TypeError, ValueError, KeyError) as error:
+            return HTTPStatus.BAD_REQUEST, {"error": f"{type(error).__name__}: {error}"}
+        except ClaimLostError as error:
+            return HTTPStatus.CONFLICT, {"error": str(error)}
+
+    def _answer(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> Answer:
+        if action == "show":
+            return self._show(options, who)
+        if action in CHANGES:
+            return HTTPStatus.OK, self._change(action, ids, options, who)
+        if (question := self._questions.get(action)) is not None:
+            return HTTPStatus.OK, question(options)
+        return HTTPStatus.NOT_FOUND, {"error": f"no such action: {action}"}
+
+    # --- orders --------------------------------------------------------------------------------------------
+
+    def _change(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> dict[str, Any]:
+        match action:
+            case "resend":
+                return {"asked": self._store.wish(ids, who, bool(options.get("partner_sure")))}
+            case "discard":
+                return {"discarded": self._store.discard(ids, who)}
+            case "undo":
+                return {"undone": self._store.undo(ids, who)}
+            case _:
+                return self._settle(options, who)
+
+    def _settle(self, options: Options, who: str) -> dict[str, Any]:
+        why = str(options.get("why") or "").strip()
+        if not why:
+            raise ReasonMissingError
+        message = str(options["id"])
+        self._store.settle(message, bool(options["delivered"]), who, why, self._now())
+        return {"settled": message}
+
+    # --- questions -----------------------------------------------------------------------------------------
+
+    def _now(self) -> float:
+        return certain_now(self._fleet.clock(), self._store.seen())
+
+    def _show(self, options: Options, who: str) -> Answer:
+        message = str(options["id"])
+        found = self._store.whole(message)
+        if found is None:
+            return HTTPStatus.NOT_FOUND, {"error": f"no such message: {message}"}
+        (row,) = self._list({"ids": [message]})["messages"]
+        found |= {name: row[name] for name in JUDGEMENT}
+        if options.get("body"):
+            found["body"] = base64.b64encode(self._store.body(message, who) or b"").decode()
+        return HTTPStatus.OK, found
+
+    def _stats(self, _: Options) -> dict[str, Any]:
+        paces = {str(destination): pace.why for destination, pace in self._redriver.paces.items()}
+        open_count = len(self._store.open_resends())
+        return {**self._store.stats(), "open": open_count, "paces": paces, **self._progress()}
+
+    def _list(self, options: Options) -> dict[str, Any]:
+        """Return a page of messages, each with its judgement; `next` begins the page after, null at the end."""
+        chosen = {name: options[name] for name in FILTERS if options.get(name) is not None}
+        limit = min(int(options.get("limit", DEFAULT_PAGE)), MAX_PAGE)
+        after = options.get("after") or BEFORE_ALL
+        selected = Filter(tuple(options.get("ids", ())), **chosen)
+        messages = self._store.facts(selected, limit, (float(after[0]), str(after[1])))
+        now = self._now()
+        destinations = {message.destination for message in messages}
+        listed = {number: self._fleet.known_endpoints(number) for number in destinations}
+        last = messages[-1] if len(messages) == limit else None
+        return {
+            "messages": [self._row(message, now, listed[message.destination]) for message in messages],
+            "next": [last.given_up_at, last.id] if last is not None else None,
+        }
+
+    def _row(self, message: DeadLetter, now: float, listed: frozenset[str] | None) -> dict[str, Any]:
+        rules = self._redriver.rules
+        judgement = judge_redrive(message, now, listed, rules.allowance)
+        return {
+            "id": message.id,
+            "stand": message.stand.value,
+            "kind": judgement.kind.value,
+            "may_go": judgement.may_go,
+            "why": judgement.why,
+            "wanted_by": wanted_by(message, rules.rules, now) if message.stand is Status.KEPT else "",
+            "destination": message.destination,
+            "class": message.cls,
+            "account": message.account,
+            "key": message.key,
+            "given_up_at": message.given_up_at,
+            "resends": message.resends,
+            "ran_at": message.ran_at,
+        }
+
+    def _audit(self, options: Options) -> dict[str, Any]:
+        return {"audit": self._store.audit(int(options.get("since", 0)))}
+
+    def _check(self, _: Options) -> dict[str, Any]:
+        return {"faults": self._store.check()}
+
+    def _backup(self, options: Options) -> dict[str, Any]:
+        file = str(options["file"])
+        self._store.backup(Path(file))
+        return {"file": file}
+
+    # --- what other rules would do -------------------------------------------------------------------------
+
+    def _simulate(self, options: Options) -> dict[str, Any]:
+        """Return what a file's rules would have go now, and what keeps the rest; nothing is sent."""
+        rules = _rules_of(Path(str(options["file"])))
+        now = self._now()
+        go: dict[str, dict[str, int]] = {}
+        stay: dict[str, int] = {}
+        after = BEFORE_ALL
+        while page := self._store.facts(Filter(stand="kept"), MAX_PAGE, after):
+            after = (page[-1].given_up_at, page[-1].id)
+            for message in page:
+                rule, why = self._verdict(message, now, rules)
+                if rule:
+                    destination = str(message.destination)
+                    count = go.setdefault(rule, {})
+                    count[destination] = count.get(destination, 0) + 1
+                else:
+                    stay[why] = stay.get(why, 0) + 1
+        return {"go": go, "stay": stay, "most_rate": rules.pace.most}
+
+    def _verdict(self, message: DeadLetter, now: float, rules: ResendRules) -> tuple[str, str]:
+        """Return the rule that would have a message go, or an empty text and why it stays."""
+        listed = self._fleet.known_endpoints(message.destination)
+        judgement = judge_redrive(message, now, listed, rules.allowance)
+        if judgement.may_go:
+            return wanted_by(message, rules.rules, now), "no rule takes it"
+        if judgement.kind is RedriveSafety.UNCERTAIN:
+            return "", judgement.kind.value
+        return "", judgement.why
+
+
+def _ids(options: Options) -> tuple[str, ...]:
+    ids = tuple(str(message) for message in options.get("ids", ()))
+    if len(ids) > MAX_PAGE:
+        raise PageSizeError(len(ids))
+    return ids
+
+
+def _rules_of(file: Path) -> ResendRules:
+    try:
+        rules = load(file).kept
+    except SettingsError as error:
+        raise QuestionError(str(error)) from error
+    if rules is None:
+        raise NothingStoredError(file)
+    return rules
--- /dev/null
+++ b/juniperward/agent/effect_executor.py
@@ -0,0 +1,91 @@
+"""Carries out what the agent's reducer asks for: files, processes, orders to instances, replies, log lines."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from juniperward.agent import processes
+from juniperward.agent.messages import (
+    Effect,
+    Event,
+    LogEvent,
+    ProcessSpawned,
+    ReplyToClient,
+    SaveState,
+    SendOrder,
+    SendSignal,
+    SpawnProcess,
+    StateSaved,
+    WatchInstance,
+)
+from juniperward.agent.processes import Launcher
+from juniperward.agent.store import StateStore
+from juniperward.agent.watch import Watcher
+from juniperward.settings.configuration_versions import ConfigurationVersions
+
+LogFunction = Callable[[str, str, dict[str, Any]], None]  # event, level, fields
+
+
+class EffectExecutor:
+    """Used by the loop's thread alone."""
+
+    def __init__(
+        self,
+        store: StateStore,
+        launcher: Launcher,
+        versions: ConfigurationVersions,
+        new_watcher: Callable[[str], Watcher],
+        log: LogFunction,
+    ) -> None:
+        """Make a watcher by `new_watcher` for each instance, when the first effect concerns it."""
+        self.reply: Callable[[int, int, dict[str, Any]], None] | None = None
+        self._store, self._launcher, self._versions = store, launcher, versions
+        self._new_watcher, self._log = new_watcher, log
+        self._watchers: dict[str, Watcher] = {}
+
+    def execute(self, effect: Effect) -> Event | None:
+        """Carry an effect out; return what is known of it at once, for the reducer."""
+        match effect:
+            case SaveState():
+                return self._save(effect)
+            case SpawnProcess():
+                return self._spawn(effect)
+            case SendSignal():
+                self._signal(effect)
+            case SendOrder(name=name, verb=verb):
+                self._watcher(name).tell(verb)
+            case WatchInstance(name=name, process=process):
+                self._watcher(name).watch(process)
+            case ReplyToClient(client=client, status=status, body=body):
+                if self.reply is not None:
+                    self.reply(client, status, body)
+            case LogEvent(event=event, fields=fields, level=level):
+                self._log(event, level, fields)
+        return None
+
+    def _save(self, effect: SaveState) -> StateSaved:
+        try:
+            self._store.save(effect.durable)
+        except OSError as error:
+            return StateSaved(effect.durable, error.strerror or str(error))
+        return StateSaved(effect.durable)
+
+    def _spawn(self, effect: SpawnProcess) -> ProcessSpawned:
+        name, version = effect.name, effect.edition
+        try:
+            process = self._launcher.start(name, self._versions.read(version, name))
+        except (OSError, ValueError, KeyError) as error:
+            return ProcessSpawned(name, version, None, f"cannot be started: {error}")
+        return ProcessSpawned(name, version, process)
+
+    def _signal(self, effect: SendSignal) -> None:
+        if not processes.send(effect.process, effect.signal):
+            fields = {"instance": effect.name, "pid": effect.process.pid}
+            self._log("signal found no process", "warning", fields)
+
+    def _watcher(self, name: str) -> Watcher:
+        if name not in self._watchers:
+            self._watchers[name] = self._new_watcher(name)
+            self._watchers[name].start()
+        return self._watchers[name]
--- a/juniperward/agent/log.py
+++ b/juniperward/agent/log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 import sys
 import threading
 import time
@@ -10,7 +11,8 @@
 
 import structlog
 
-KEEP = 2000  # events
+MAX_EVENTS = 2000
+LEAST_LEVEL = logging.INFO
 
 
 def configure(as_json: bool | None) -> None:
@@ -25,27 +27,36 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(20),
+        wrapper_class=structlog.make_filtering_bound_logger(LEAST_LEVEL),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
     )
 
 
-class Events:
-    """The latest events, numbered from 1; any thread."""
+def report_unexpected(where: str, error: Exception, **fields: Any) -> None:
+    """Log an error that nothing was prepared for, in one line."""
+    structlog.get_logger().error("unexpected", where=where, error=repr(error), **fields)
+
+
+class EventLog:
+    """The latest events, numbered from 1; for any thread."""
 
     def __init__(self) -> None:
-        self.lock = threading.Lock()
-        self.kept: deque[dict[str, Any]] = deque(maxlen=KEEP)
-        self.last = 0
+        """Begin with none."""
+        self._lock = threading.Lock()
+        self._events: deque[dict[str, Any]] = deque(maxlen=MAX_EVENTS)
+        self._last_number = 0
 
     def add(self, event: str, level: str, fields: dict[str, Any]) -> None:
-        with self.lock:
-            self.last += 1
-            row = {"seq": self.last, "at": round(time.time(), 3), "event": event, "level": level, **fields}
-            self.kept.append(row)
+        """Number an event and keep it; the oldest goes where there are too many."""
+        with self._lock:
+            self._last_number += 1
+            at = round(time.time(), 3)
+            self._events.append(
+                {"seq": self._last_number, "at": at, "event": event, "level": level, **fields}
+            )
 
     def since(self, seq: int) -> list[dict[str, Any]]:
-        """Those with a larger number."""
-        with self.lock:
-            return [e for e in self.kept if e["seq"] > seq]
+        """Return those with a larger number."""
+        with self._lock:
+            return [event for event in self._events if event["seq"] > seq]
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -10,24 +10,16 @@
 import structlog
 
 from juniperward.agent import processes
-from juniperward.agent.log import Events
+from juniperward.agent.effect_executor import EffectExecutor
+from juniperward.agent.log import EventLog
 from juniperward.agent.messages import (
     ControlRequest,
     Effect,
     Event,
-    LogEvent,
-    ProcessSpawned,
-    ReplyToClient,
     Rules,
-    SaveState,
-    SendOrder,
-    SendSignal,
     SettingsLoaded,
-    SpawnProcess,
     StateRestored,
-    StateSaved,
     Tick,
-    WatchInstance,
 )
 from juniperward.agent.processes import Launcher
 from juniperward.agent.reducer import Reducer
@@ -36,143 +28,130 @@
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import FleetSettings
 
-TICK = 0.1  # seconds between looks at what is due
-AT_ONCE = 1000
-ROTATE = 5.0  # seconds between looks at the logs' sizes
+TICK_S = 0.1  # between looks at what is due
+ROTATE_S = 5.0  # between looks at the logs' sizes
+MAX_EVENTS_A_ROUND = 1000
+LEAST_WATCH_INTERVAL_S = 0.2
+WATCH_INTERVAL_S_AN_INSTANCE = 0.005  # many instances are asked less often: the agent's CPU stays bounded
+HTTP_INTERNAL_ERROR = 500
 
 
 class Loop:
     """Owns the reducer; everything else only posts events to it."""
 
     def __init__(self, settings: FleetSettings, store: StateStore, seed: int) -> None:
-        self.settings, self.store = settings, store
+        """Begin with an empty state; `begin` takes up what is in `store`."""
+        self.settings, self._store = settings, store
         self.reducer = Reducer(seed)
         self.launcher = Launcher(settings.folder)
-        self.editions = ConfigurationVersions(settings.folder / "editions")
+        self.notes = EventLog()
         self.events: queue.SimpleQueue[Event] = queue.SimpleQueue()
-        self.notes = Events()
-        self.log = structlog.get_logger()
-        self.watchers: dict[str, Watcher] = {}
-        self.reply: Callable[[int, int, dict[str, Any]], None] = lambda client, status, body: None
-        self.follow: list[Event] = []
-        self.rotate_at = 0.0
         self.ended = False
+        self._versions = ConfigurationVersions(settings.folder / "editions")
+        self._executor = EffectExecutor(store, self.launcher, self._versions, self._new_watcher, self.note)
+        self._log = structlog.get_logger()
+        self._rotate_at = 0.0
 
     def post(self, event: Event) -> None:
-        """Any thread may call this."""
+        """Hand an event to the loop; any thread may."""
         self.events.put(event)
 
+    def reply_through(self, reply: Callable[[int, int, dict[str, Any]], None]) -> None:
+        """Have replies to clients go to `reply`: client, HTTP status, body."""
+        self._executor.reply = reply
+
     def begin(self) -> None:
         """Take up what an earlier agent left: its state, its processes, its roll."""
-        durable, told = self.store.load()
-        for text in told:
+        durable, damage = self._store.load()
+        for text in damage:
             self.note("state file is damaged", "error", {"why": text})
         running = processes.find(self.launcher.mark)
-        for i in durable.instances:
-            if i.process is not None and processes.alive(i.process):
-                running[i.name] = i.process
+        for instance in durable.instances:
+            if instance.process is not None and processes.alive(instance.process):
+                running[instance.name] = instance.process
         now = time.monotonic()
         started = [(name, p, min(processes.started_at(p), now)) for name, p in sorted(running.items())]
         self.round([StateRestored(durable, tuple(started))])
         self.round([self.configured(self.settings)])
 
     def configured(self, settings: FleetSettings, asked_by: int | None = None) -> SettingsLoaded:
-        """Keep the settings as an edition and tell the reducer; raises OSError."""
-        s = self.reducer.state
-        in_use = {i.edition for i in s.instances.values()} | ({s.roll.target} if s.roll else set())
-        if s.roll is not None:
-            in_use |= {x.before for x in s.roll.steps}
-        edition = self.editions.keep(settings, in_use)
+        """Save a version of the settings, and return the event for the reducer; raises OSError."""
+        state = self.reducer.state
+        in_use = {instance.edition for instance in state.instances.values()}
+        if state.roll is not None:
+            in_use |= {state.roll.target} | {step.before for step in state.roll.steps}
+        version = self._versions.keep(settings, in_use)
         self.settings = settings
         return SettingsLoaded(
-            tuple(i.name for i in settings.instances),
-            frozenset(i.name for i in settings.instances if i.stopped),
-            edition,
+            tuple(instance.name for instance in settings.instances),
+            frozenset(instance.name for instance in settings.instances if instance.stopped),
+            version,
             Rules(settings.restart, settings.patience, settings.roll),
             asked_by,
         )
 
     def run(self) -> None:
         """Go on until told to end; the instances go on after it."""
-        due = time.monotonic()
+        tick_at = time.monotonic()
         while not self.ended:
             now = time.monotonic()
-            if now >= due:
-                due = now + TICK
+            if now >= tick_at:
+                tick_at = now + TICK_S
                 self.round([Tick()])
-                if now >= self.rotate_at:
-                    self.rotate_at = now + ROTATE
-                    self._rotate()
-            events: list[Event] = []
-            try:
-                events.append(self.events.get(timeout=max(due - time.monotonic(), 0.0)))
-                while len(events) < AT_ONCE:
-                    events.append(self.events.get_nowait())
-            except queue.Empty:
-                pass
-            self.round(events)
+                self._rotate_if_due(now)
+            self.round(self._next_events(tick_at))
+
+    def _next_events(self, until: float) -> list[Event]:
+        """Wait for an event, and take all that are there."""
+        events: list[Event] = []
+        try:
+            events.append(self.events.get(timeout=max(until - time.monotonic(), 0.0)))
+            while len(events) < MAX_EVENTS_A_ROUND:
+                events.append(self.events.get_nowait())
+        except queue.Empty:
+            pass
+        return events
 
     def round(self, events: list[Event]) -> None:
         """Reduce, and carry out what follows until nothing more follows at once."""
         while events:
-            try:
-                effects = self.reducer.reduce(time.monotonic(), events)
-            except Exception as error:
-                self.note("unexpected", "error", {"where": "reducer", "error": repr(error)})
-                effects = self.reducer.effects
-                for e in events:
-                    if isinstance(e, ControlRequest):
-                        self.reply(e.client, 500, {"error": f"unexpected: {error!r}"})
-            self.follow = []
-            for effect in effects:
-                try:
-                    self._perform(effect)
-                except Exception as error:
-                    what = type(effect).__name__
-                    self.note("unexpected", "error", {"where": what, "error": repr(error)})
-            events = self.follow
+            following = (self._execute(effect) for effect in self._reduce(events))
+            events = [event for event in following if event is not None]
+
+    def _reduce(self, events: list[Event]) -> list[Effect]:
+        """Return the effects; after a fault of the reducer those that it had asked for by then."""
+        try:
+            return self.reducer.reduce(time.monotonic(), events)
+        except Exception as error:
+            self.note("unexpected", "error", {"where": "reducer", "error": repr(error)})
+            for event in events:
+                if isinstance(event, ControlRequest) and self._executor.reply is not None:
+                    body = {"error": f"unexpected: {error!r}"}
+                    self._executor.reply(event.client, HTTP_INTERNAL_ERROR, body)
+            return self.reducer.effects
+
+    def _execute(self, effect: Effect) -> Event | None:
+        try:
+            return self._executor.execute(effect)
+        except Exception as error:
+            self.note("unexpected", "error", {"where": type(effect).__name__, "error": repr(error)})
+            return None
 
     def note(self, event: str, level: str, fields: dict[str, Any]) -> None:
-        """A line of the log, kept as an event."""
+        """Log an event, and keep it for those who ask later."""
         self.notes.add(event, level, fields)
-        getattr(self.log, level)(event, **fields)
-
-    def _perform(self, effect: Effect) -> None:
-        match effect:
-            case SaveState(durable=durable):
-                error = ""
-                try:
-                    self.store.save(durable)
-                except OSError as failure:
-                    error = failure.strerror or str(failure)
-                self.follow.append(StateSaved(durable, error))
-            case SpawnProcess(name=name, edition=edition):
-                try:
-                    process = self.launcher.start(name, self.editions.read(edition, name))
-                    self.follow.append(ProcessSpawned(name, edition, process))
-                except (OSError, ValueError, KeyError) as failure:
-                    self.follow.append(ProcessSpawned(name, edition, None, f"cannot be started: {failure}"))
-            case SendSignal(name=name, process=process, signal=number):
-                if not processes.send(process, number):
-                    self.note("signal found no process", "warning", {"instance": name, "pid": process.pid})
-            case SendOrder(name=name, verb=verb):
-                self._watcher(name).tell(verb)
-            case WatchInstance(name=name, process=process):
-                self._watcher(name).watch(process)
-            case ReplyToClient(client=client, status=status, body=body):
-                self.reply(client, status, body)
-            case LogEvent(event=event, fields=fields, level=level):
-                self.note(event, level, fields)
-
-    def _watcher(self, name: str) -> Watcher:
-        if name not in self.watchers:
-            path = self.settings.folder / "run" / name
-            every = max(0.2, 0.005 * len(self.settings.instances))
-            self.watchers[name] = Watcher(name, path, every, self.post)
-            self.watchers[name].start()
-        return self.watchers[name]
-
-    def _rotate(self) -> None:
+        getattr(self._log, level)(event, **fields)
+
+    def _new_watcher(self, name: str) -> Watcher:
+        path = self.settings.folder / "run" / name
+        interval_s = max(LEAST_WATCH_INTERVAL_S, WATCH_INTERVAL_S_AN_INSTANCE * len(self.settings.instances))
+        return Watcher(name, path, interval_s, self.post)
+
+    def _rotate_if_due(self, now: float) -> None:
+        """Move logs aside that have grown too large."""
+        if now < self._rotate_at:
+            return
+        self._rotate_at = now + ROTATE_S
         for name in self.reducer.state.instances:
             try:
                 if self.launcher.rotate(name, self.settings.log_bytes, self.settings.log_keep):
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -22,11 +22,14 @@
 from juniperward.fleet.model import Process
 
 MARK = "JUNIPERWARD_INSTANCE"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+LINE_BYTES = 400  # of a log line, at a guess, where the last lines are looked for
+PRIVATE_FOLDER = 0o700
 
 
 def boot_id() -> str:
-    """Names this boot of the machine: monotonic times and start times mean nothing across boots."""
+    """Return the name of this boot of the machine: monotonic times and start times mean nothing across boots."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
@@ -41,24 +44,24 @@
 
 
 def identify(pid: int) -> Process | None:
-    """The process with this pid now."""
+    """Return the process with this pid now."""
     found = _stat(pid)
     return Process(pid, found[1]) if found is not None and found[0] not in "ZX" else None
 
 
 def alive(process: Process) -> bool:
-    """Whether exactly this process still runs; one that waits to be reaped does not."""
+    """Return whether exactly this process still runs; one that waits to be reaped does not."""
     return identify(process.pid) == process
 
 
 def started_at(process: Process) -> float:
-    """When it started, on the monotonic clock of this agent."""
-    since_boot = time.clock_gettime(time.CLOCK_BOOTTIME) - process.start / TICKS
+    """Return when it started, on the monotonic clock of this agent."""
+    since_boot = time.clock_gettime(time.CLOCK_BOOTTIME) - process.start / TICKS_A_SECOND
     return time.monotonic() - max(since_boot, 0.0)
 
 
 def reap(process: Process) -> str | None:
-    """How it ended, or None while it runs; `gone` where it is no child of ours."""
+    """Return how it ended, or None while it runs; `gone` where it is no child of ours."""
     running = alive(process)  # looked at first: what has ended before the wait below is told by it
     try:
         pid, status = os.waitpid(process.pid, os.WNOHANG)
@@ -70,25 +73,34 @@
     return f"exit {code}" if code >= 0 else f"signal {-code}"
 
 
+class NotStartedError(OSError):
+    """A process was gone as soon as it was started."""
+
+    def __init__(self, name: str) -> None:
+        """Name its instance."""
+        super().__init__(f"{name}: its process is gone at once")
+
+
 def send(process: Process, number: int) -> bool:
-    """Signal exactly this process; whether it was there. No other process can be hit, whatever its pid."""
+    """Signal exactly this process, and return whether it was there. No other one can be hit, whatever its pid."""
     try:
         handle = os.pidfd_open(process.pid)
     except OSError:
         return False
     try:
-        if not alive(process):
-            return False
-        signal.pidfd_send_signal(handle, number)
-        return True
+        running = alive(process)
+        if running:
+            signal.pidfd_send_signal(handle, number)
     except OSError:
         return False
+    else:
+        return running
     finally:
         os.close(handle)
 
 
 def find(mark: str) -> dict[str, Process]:
-    """Running processes of this user whose mark begins so, by the rest of the mark."""
+    """Return the running processes of this user whose mark begins so, by the rest of the mark."""
     found = {}
     start = f"{MARK}={mark}:".encode()
     for entry in os.scandir("/proc"):
@@ -110,27 +122,28 @@
     """Starts instances; their configuration and their log are files of the agent's folder."""
 
     def __init__(self, folder: Path) -> None:
+        """Start instances in the agent's folder."""
         self.folder = folder
         self.mark = str(folder)
-        self.children: dict[int, subprocess.Popen[bytes]] = {}
 
     def log_file(self, name: str) -> Path:
+        """Return the file that an instance writes its log to."""
         return self.folder / "logs" / f"{name}.log"
 
     def start(self, name: str, config: dict[str, Any]) -> Process:
-        """Start one; raises OSError or ValueError."""
+        """Start an instance; raises OSError, and KeyError or TypeError for a configuration that is none."""
         run = self.folder / "run"
         for path in (run, self.folder / "logs"):
-            path.mkdir(mode=0o700, parents=True, exist_ok=True)
-        Path(config["state"]).mkdir(mode=0o700, parents=True, exist_ok=True)
+            path.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+        Path(config["state"]).mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
         told = {**config, "seed": secrets.token_hex(8)}
         file = run / f"{name}.json"
         fresh = run / f"{name}.json.new"
         fresh.write_text(json.dumps(told))
-        os.replace(fresh, file)
+        fresh.replace(file)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         environment |= {"ROUTER_CONFIG": str(file), MARK: f"{self.mark}:{name}"}
-        with open(self.log_file(name), "ab") as log:
+        with self.log_file(name).open("ab") as log:
             child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "juniperward"],
                 stdin=subprocess.DEVNULL,
@@ -143,11 +156,11 @@
         child.returncode = 0  # `reap` waits for it; Popen must not
         process = identify(child.pid)
         if process is None:
-            raise OSError(f"{name}: its process is gone at once")
+            raise NotStartedError(name)
         return process
 
     def rotate(self, name: str, most: int, keep: int) -> bool:
-        """Move a log that has grown too large aside; whether it was.
+        """Move a log of more than `most` bytes aside, and return whether it was.
 
         The writer keeps its open file, which is cut to nothing after it is copied; as it appends, it goes on
         at the new end. Lines written between the copy and the cut are lost: a few microseconds' worth.
@@ -156,9 +169,9 @@
         try:
             if file.stat().st_size <= most:
                 return False
-            for n in range(keep, 1, -1):
+            for number in range(keep, 1, -1):
                 with contextlib.suppress(FileNotFoundError):
-                    os.replace(f"{file}.{n - 1}", f"{file}.{n}")
+                    Path(f"{file}.{number - 1}").replace(f"{file}.{number}")
             if keep:
                 shutil.copyfile(file, f"{file}.1")
             os.truncate(file, 0)
@@ -167,11 +180,11 @@
         return True
 
     def tail(self, name: str, lines: int) -> list[str]:
-        """The last lines of an instance's log."""
+        """Return the last lines of an instance's log."""
         try:
-            with open(self.log_file(name), "rb") as file:
+            with self.log_file(name).open("rb") as file:
                 file.seek(0, os.SEEK_END)
-                file.seek(max(0, file.tell() - 400 * lines))
+                file.seek(max(0, file.tell() - LINE_BYTES * lines))
                 found = file.read().decode(errors="replace").splitlines()
         except FileNotFoundError:
             return []
@@ -179,6 +192,6 @@
 
 
 def usage(pid: int) -> tuple[float, int]:
-    """CPU seconds and resident bytes of a process."""
+    """Return the CPU seconds and the resident bytes of a process."""
     parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(parts[11]) + int(parts[12])) / TICKS, int(parts[21]) * os.sysconf("SC_PAGE_SIZE")
+    return (int(parts[11]) + int(parts[12])) / TICKS_A_SECOND, int(parts[21]) * PAGE_BYTES
--- /dev/null
+++ b/juniperward/agent/running_fleet.py
@@ -0,0 +1,172 @@
+"""The running fleet as the redriver sees it: spools, control channels, and the forwarders' own front doors."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from juniperward.agent import processes
+from juniperward.control.client import ControlClient
+from juniperward.control.errors import ControlError
+from juniperward.control.protocol import Destination, Verb, WorkerRow
+from juniperward.dead_letters import spool
+from juniperward.dead_letters.decisions import Clock, DestinationView
+from juniperward.dead_letters.fleet import ReportedOutcomes
+from juniperward.dead_letters.resubmission import NOBODY_THERE, Resubmission, resubmit
+from juniperward.dead_letters.spool import SpooledMessage
+from juniperward.dead_letters.store import DeadLetterStore
+from juniperward.fleet.model import Reading
+
+MAX_AGE_S = 0.2  # for which what an instance told of its destinations is used
+ANSWER_TIMEOUT_S = 0.5  # for an instance's answer
+
+ReadyInstances = Callable[[], dict[str, tuple[tuple[str, int], Reading]]]  # by name: address, latest reading
+
+
+@dataclass(frozen=True, slots=True)
+class ToldDestinations:
+    """What an instance last told of its destinations and their endpoints."""
+
+    at: float = 0.0  # seconds of the monotonic clock
+    destinations: dict[int, Destination] = field(default_factory=dict)
+    endpoints: dict[int, set[str]] = field(default_factory=dict)  # ids of the ready ones
+
+
+class RunningFleet:
+    """Used by the redriver's thread; `known_endpoints` may be read by any."""
+
+    def __init__(self, folder: Path, names: Callable[[], list[str]], ready: ReadyInstances) -> None:
+        """Look in the agent's folder for spools and control channels."""
+        self.damaged_lines = 0  # of spools
+        self.told: dict[str, ToldDestinations] = {}
+        self._folder, self._names, self._ready = folder, names, ready
+        self._boot_id = processes.boot_id()
+        self._clients: dict[str, ControlClient] = {}
+
+    def clock(self) -> Clock:
+        """Return the present moment."""
+        return Clock(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), self._boot_id)
+
+    def forwarders(self) -> list[str]:
+        """Return the names of those that take messages now."""
+        return sorted(self._ready())
+
+    def slots(self) -> int:
+        """Return how many attempts the ready instances can have in flight."""
+        return sum(reading.slots for _, reading in self._ready().values())
+
+    # --- destinations --------------------------------------------------------------------------------------
+
+    def destination_views(self, destination: int) -> list[DestinationView]:
+        """Return what each ready instance that answers tells of a destination."""
+        found = []
+        for told, slots in self._ask_all():
+            row = told.destinations.get(destination)
+            if row is None:
+                found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
+            else:
+                paced = row.pace is not None
+                found.append(DestinationView(row.health, row.wait, paced, row.rating, row.waiting, slots))
+        return found
+
+    def endpoints(self, destination: int) -> frozenset[str] | None:
+        """Return the endpoints listed for a destination; None where no instance answers."""
+        told = [told for told, _ in self._ask_all()]
+        return _endpoints(told, destination) if told else None
+
+    def known_endpoints(self, destination: int) -> frozenset[str] | None:
+        """Return what the latest round had: other threads must not share its connections."""
+        told = list(self.told.values())
+        return _endpoints(told, destination) if told else None
+
+    def _ask_all(self) -> list[tuple[ToldDestinations, int]]:
+        """Return what each ready instance tells, and its slots; those that do not answer are left out."""
+        found = []
+        for name, (_, reading) in self._ready().items():
+            told = self.told.get(name, ToldDestinations())
+            if time.monotonic() - told.at > MAX_AGE_S:
+                try:
+                    told = self._ask(name)
+                except ControlError:
+                    continue
+                self.told[name] = told
+            found.append((told, reading.slots))
+        return found
+
+    def _ask(self, name: str) -> ToldDestinations:
+        client = self._client(name)
+        rows: tuple[Destination, ...] = client.rows(Verb.DESTINATIONS).destinations
+        listed: tuple[WorkerRow, ...] = client.rows(Verb.WORKERS).workers
+        endpoints: dict[int, set[str]] = {}
+        for endpoint in listed:
+            if endpoint.phase == "ready":
+                endpoints.setdefault(endpoint.destination, set()).add(endpoint.id)
+        return ToldDestinations(time.monotonic(), {row.destination: row for row in rows}, endpoints)
+
+    def _client(self, name: str) -> ControlClient:
+        if name not in self._clients:
+            self._clients[name] = ControlClient(self._folder / "run" / name, ANSWER_TIMEOUT_S)
+        return self._clients[name]
+
+    # --- spools --------------------------------------------------------------------------------------------
+
+    def read_spools(self, store: DeadLetterStore) -> int:
+        """Read on in the spools of all instances; return how many messages were new."""
+        return sum(self._read_spool(store, name) for name in self._names())
+
+    def _read_spool(self, store: DeadLetterStore, name: str) -> int:
+        """Read on in one; what is in the store is acknowledged, and the forwarder deletes it."""
+        folder = self._folder / "spool" / name
+        segments = spool.segments(folder)
+        if not segments:
+            return 0
+        current, offset = store.place(name)
+        new = 0
+        for number, path in segments:
+            if number < current:
+                continue
+            begin = offset if number == current else 0
+            try:
+                messages, end = self._read_segment(path, begin)
+            except FileNotFoundError:
+                continue
+            if end > begin or number > current:
+                new += store.take_in(name, messages, number, end)
+                current, offset = number, end
+        newest = segments[-1][0]
+        if newest > spool.acknowledged_segment(folder) + 1:
+            # All but the newest are whole: the forwarder writes to that one only.
+            spool.acknowledge_segment(folder, newest - 1)
+        return new
+
+    def _read_segment(self, path: Path, offset: int) -> tuple[list[SpooledMessage], int]:
+        """Return the messages from an offset on, and where the next one will begin."""
+        messages = []
+        for message, behind in spool.read(path, offset):
+            offset = behind
+            if message is None:
+                self.damaged_lines += 1
+            else:
+                messages.append(message)
+        return messages, offset
+
+    # --- redriven messages ---------------------------------------------------------------------------------
+
+    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
+        """Hand a message in; return status and told wait, as `resubmission.resubmit` does."""
+        ready = self._ready().get(forwarder)
+        return resubmit(ready[0], message) if ready is not None else (NOBODY_THERE, 0.0)
+
+    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
+        """Return what became of redriven messages; None where the forwarder does not answer."""
+        try:
+            told = self._client(forwarder).fates(ids)
+        except ControlError:
+            return None
+        return {row.id: ReportedOutcomes(row.end, row.ran_at, told.complete_since) for row in told.fates}
+
+
+def _endpoints(told: list[ToldDestinations], destination: int) -> frozenset[str]:
+    return frozenset().union(*(row.endpoints.get(destination, set()) for row in told))
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -20,31 +20,48 @@
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import ControlRequest
 from juniperward.agent.store import StateStore
-from juniperward.control.errors import ControlError
+from juniperward.control.errors import ControlSocketError
 from juniperward.dead_letters.redriver import ResendRules
 from juniperward.dead_letters.store import StoreError
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Phase, Reading
 from juniperward.settings.load import FleetSettings, SettingsError, load
 
-STACK = 512 * 1024  # bytes for each thread; structlog and msgspec go deeper than the forwarder's own code
-SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
+THREAD_STACK_BYTES = 512 * 1024  # structlog and msgspec go deeper than the forwarder's own code
+SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+PRIVATE_FOLDER = 0o700
+STOP_MARGIN_S = 2.0  # beyond twice the time from SIGTERM to SIGKILL, for all instances to end
+STOP_POLL_S = 0.05
+EXIT_ENDED, EXIT_CANNOT_START, EXIT_BAD_SETTINGS = 0, 1, 2
 
 
 class AgentRunningError(Exception):
     """Another agent looks after this fleet."""
 
+    def __init__(self, folder: Path) -> None:
+        """Name the folder that it holds."""
+        self.folder = folder
+        super().__init__(f"{folder}: another agent looks after this fleet")
+
+
+class FolderChangedError(ValueError):
+    """Settings that are read again name another folder."""
+
+    def __init__(self) -> None:
+        """Say what to do."""
+        super().__init__("folder: only the next start of the agent takes another one")
+
 
 def take(folder: Path) -> int:
-    """Hold the agent's folder for this process; raises Busy or OSError."""
-    folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    os.chmod(folder, 0o700)
+    """Hold the agent's folder for this process; raises AgentRunningError or OSError."""
+    folder.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+    folder.chmod(PRIVATE_FOLDER)
     file = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         os.close(file)
-        raise AgentRunningError(f"{folder}: another agent looks after this fleet") from None
+        raise AgentRunningError(folder) from None
     return file
 
 
@@ -52,60 +69,71 @@
     """The parts put together; `run` returns when it is told to end."""
 
     def __init__(self, settings: FleetSettings) -> None:
-        self.lock = take(settings.folder)
-        self.loop = Loop(settings, StateStore(settings.folder), secrets.randbits(64))
-        self.api = Api(settings.socket, self.loop, self.reload, self.shutdown)
-        self.kept: DeadLetterService | None = None
+        """Hold the folder and open the socket.
+
+        Raises AgentRunningError, ControlSocketError, StoreError or OSError.
+        """
+        self._lock = take(settings.folder)
+        self._loop = Loop(settings, StateStore(settings.folder), secrets.randbits(64))
+        self._api = Api(settings.socket, self._loop, self.reload, self.shutdown)
+        self._dead_letters: DeadLetterService | None = None
         if settings.kept is not None:
-            self._keep(settings.kept)
+            self._open_dead_letters(settings.kept)
 
-    def _keep(self, rules: ResendRules) -> DeadLetterService:
-        """Begin to look after kept messages; raises StoreError."""
-        self.kept = DeadLetterService(self.loop.settings.folder, rules, self._names, self._ready)
-        self.kept.note = self.loop.note
-        self.api.kept = self.kept
-        return self.kept
+    def _open_dead_letters(self, rules: ResendRules) -> DeadLetterService:
+        """Begin to look after dead letters; raises StoreError."""
+        folder = self._loop.settings.folder
+        service = DeadLetterService(folder, rules, self._names, self._ready, self._loop.note)
+        self._dead_letters = service
+        self._api.serve_dead_letters(service)
+        return service
 
     def _names(self) -> list[str]:
-        return list(self.loop.reducer.state.instances)
+        return list(self._loop.reducer.state.instances)
 
     def _ready(self) -> dict[str, tuple[tuple[str, int], Reading]]:
-        """Instances that take messages: where, and what they last said. The state is a value, read at once."""
-        s = self.loop.reducer.state
-        addresses = {i.name: i.listen for i in self.loop.settings.instances}
+        """Return the instances that take messages: where, and what they last said."""
+        state = self._loop.reducer.state  # a value: read by any thread, at once
+        addresses = {instance.name: instance.listen for instance in self._loop.settings.instances}
         found = {}
-        for name, i in s.instances.items():
-            if name not in addresses or i.reading is None:
+        for name, instance in state.instances.items():
+            if name not in addresses or instance.reading is None:
                 continue
-            if phase(i, time.monotonic(), s.rules.patience) is Phase.READY:
+            if phase(instance, time.monotonic(), state.rules.patience) is Phase.READY:
                 host, _, port = addresses[name].rpartition(":")
-                found[name] = ((host, int(port)), i.reading)
+                found[name] = ((host, int(port)), instance.reading)
         return found
 
-    def reload(self, _: int = 0) -> dict[str, Any]:
+    def reload(self) -> dict[str, Any]:
         """Read the settings again; what cannot be used changes nothing and is told."""
         try:
-            settings = load(self.loop.settings.file)
-            if settings.folder != self.loop.settings.folder:
-                raise ValueError("folder: only the next start of the agent takes another one")
-            event = self.loop.configured(settings)
+            event = self._loop.configured(self._load_again())
         except SettingsError as error:
-            self.loop.note("settings stay as they were", "warning", {"why": str(error)})
-            return {"error": str(error), "faults": [str(f) for f in error.faults]}
+            self._loop.note("settings stay as they were", "warning", {"why": str(error)})
+            return {"error": str(error), "faults": [str(fault) for fault in error.faults]}
         except (OSError, ValueError) as error:
-            self.loop.note("settings stay as they were", "warning", {"why": str(error)})
+            self._loop.note("settings stay as they were", "warning", {"why": str(error)})
             return {"error": str(error)}
-        self.loop.post(event)
-        if self.kept is not None:
-            # Switched off, what is kept stays, and nothing goes by rule.
-            off = ResendRules(rules=(), pace=self.kept.resender.rules.pace)
-            self.kept.configure(settings.kept if settings.kept is not None else off)
-        elif settings.kept is not None:
+        self._loop.post(event)
+        self._configure_dead_letters(self._loop.settings.kept)
+        return {"edition": event.edition}
+
+    def _load_again(self) -> FleetSettings:
+        settings = load(self._loop.settings.file)
+        if settings.folder != self._loop.settings.folder:
+            raise FolderChangedError
+        return settings
+
+    def _configure_dead_letters(self, rules: ResendRules | None) -> None:
+        """Take new rules; where dead letters are switched off, what is stored stays, and nothing goes by rule."""
+        service = self._dead_letters
+        if service is not None:
+            service.configure(rules or ResendRules(rules=(), pace=service.resender.rules.pace))
+        elif rules is not None:
             try:
-                self._keep(settings.kept).start()
+                self._open_dead_letters(rules).start()
             except StoreError as error:
-                self.loop.note("kept messages cannot be looked after", "error", {"why": str(error)})
-        return {"edition": event.edition}
+                self._loop.note("kept messages cannot be looked after", "error", {"why": str(error)})
 
     def shutdown(self, instances: bool) -> None:
         """End the agent; the instances go on, unless they are to be stopped first."""
@@ -113,63 +141,78 @@
 
     def _shutdown(self, instances: bool) -> None:
         if instances:
-            self.loop.post(ControlRequest(0, "stop"))
-            until = time.monotonic() + 2 * self.loop.settings.patience.stop + 2.0
-            while time.monotonic() < until:
-                if all(i.process is None for i in self.loop.reducer.state.instances.values()):
-                    break
-                time.sleep(0.05)
-        self.loop.ended = True
+            self._stop_instances()
+        self._loop.ended = True
+
+    def _stop_instances(self) -> None:
+        """Have all instances stopped, and wait for it within a bound."""
+        self._loop.post(ControlRequest(0, "stop"))
+        until = time.monotonic() + 2 * self._loop.settings.patience.stop + STOP_MARGIN_S
+        while time.monotonic() < until:
+            instances = self._loop.reducer.state.instances.values()
+            if all(instance.process is None for instance in instances):
+                return
+            time.sleep(STOP_POLL_S)
 
     def run(self) -> None:
         """Take up what was left, serve, and end; signals are the caller's business."""
-        self.loop.begin()
-        self.api.start()
-        if self.kept is not None:
-            self.kept.start()
-        s = self.loop.settings
-        self.loop.note("agent serves", "info", {"fleet": s.name, "socket": str(s.socket)})
+        self._loop.begin()
+        self._api.start()
+        if self._dead_letters is not None:
+            self._dead_letters.start()
+        settings = self._loop.settings
+        self._loop.note("agent serves", "info", {"fleet": settings.name, "socket": str(settings.socket)})
         try:
-            self.loop.run()
+            self._loop.run()
         finally:
-            self.api.close()
-            if self.kept is not None:
-                self.kept.ended.set()
-            self.loop.note("agent ended", "info", {"fleet": s.name})
-            os.close(self.lock)
+            self._api.close()
+            if self._dead_letters is not None:
+                self._dead_letters.ended.set()
+            self._loop.note("agent ended", "info", {"fleet": settings.name})
+            os.close(self._lock)
 
 
-def main(file: Path, as_json: bool | None = None) -> int:
-    """The exit code: 0 ended, 1 cannot start, 2 settings that cannot be used."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+def _follow_signals(agent: Agent) -> None:
+    """SIGHUP reads the settings again, SIGTERM and SIGINT end the agent."""
+    while True:
+        if signal.sigwait(SIGNALS) == signal.SIGHUP:
+            agent.reload()
+        else:
+            agent.shutdown(False)
+
+
+def _load(file: Path) -> FleetSettings | SettingsError:
     try:
-        settings = load(file)
+        return load(file)
     except SettingsError as error:
+        return error
+
+
+def _open(settings: FleetSettings) -> Agent | str:
+    """Return the agent, or why it cannot start."""
+    try:
+        return Agent(settings)
+    except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
+        return str(error)
+
+
+def main(file: Path, as_json: bool | None = None) -> int:
+    """Run an agent and return the exit code: 0 ended, 1 cannot start, 2 settings that cannot be used."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    settings = _load(file)
+    if isinstance(settings, SettingsError):
         configure(as_json)
-        log = structlog.get_logger()
-        for f in error.faults:
-            log.error("settings", file=f.file, line=f.line, field=f.field, why=f.text)
-        return 2
+        for fault in settings.faults:
+            log = structlog.get_logger()
+            log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
+        return EXIT_BAD_SETTINGS
     configure(as_json if as_json is not None else settings.log_json)
-    threading.stack_size(STACK)
-    try:
-        agent = Agent(settings)
-    except (AgentRunningError, ControlError, StoreError, OSError) as error:
-        structlog.get_logger().error("cannot start", why=str(error))
-        return 1
-
-    def signals() -> None:
-        while True:
-            got = signal.sigwait(SIGNALS)
-            if got == signal.SIGHUP:
-                agent.reload()
-            else:
-                agent.shutdown(False)
-
-    threading.Thread(target=signals, name="signals", daemon=True).start()
+    threading.stack_size(THREAD_STACK_BYTES)
+    agent = _open(settings)
+    if isinstance(agent, str):
+        structlog.get_logger().error("cannot start", why=agent)
+        return EXIT_CANNOT_START
+    threading.Thread(target=_follow_signals, args=(agent,), name="signals", daemon=True).start()
     with contextlib.suppress(KeyboardInterrupt):
         agent.run()
-    return 0
-
-
-__all__ = ["Agent", "Busy", "main", "take"]
+    return EXIT_ENDED
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -20,6 +20,23 @@
     """A file is not a whole state of ours; the text says why."""
 
 
+class StateVersionError(DamagedStateError):
+    """The file was written by a version of the agent that writes it in another form."""
+
+    def __init__(self, version: int) -> None:
+        """Tell the form's version."""
+        self.version = version
+        super().__init__(f"version {version}; this agent reads {VERSION}")
+
+
+class StateChecksumError(DamagedStateError):
+    """The file was not written whole, or was changed."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("its checksum does not match")
+
+
 class Header(msgspec.Struct, frozen=True):
     """The first line of the file."""
 
@@ -32,6 +49,7 @@
     """The files `state.json` and `state.json.old` in the agent's folder."""
 
     def __init__(self, folder: Path) -> None:
+        """Name the files; nothing is read or written yet."""
         self.file, self.old = folder / "state.json", folder / "state.json.old"
         self.fresh = folder / "state.json.new"
 
@@ -39,13 +57,13 @@
         """Write it so that it survives the machine; raises OSError, and then the file before still counts."""
         body = msgspec.json.encode(durable)
         head = msgspec.json.encode(Header(VERSION, zlib.crc32(body), boot_id()))
-        with open(self.fresh, "wb") as file:
+        with self.fresh.open("wb") as file:
             file.write(head + b"\n" + body)
             file.flush()
             os.fsync(file.fileno())
         if self.file.exists():
-            os.replace(self.file, self.old)
-        os.replace(self.fresh, self.file)
+            self.file.replace(self.old)
+        self.fresh.replace(self.file)
         folder = os.open(self.file.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -69,24 +87,30 @@
         head, _, body = file.read_bytes().partition(b"\n")
         try:
             header = msgspec.json.decode(head, type=Header)
-            if header.v != VERSION:
-                raise DamagedStateError(f"version {header.v}; this agent reads {VERSION}")
-            if zlib.crc32(body) != header.crc:
-                raise DamagedStateError("its checksum does not match")
+            _check(header, body)
             durable = msgspec.json.decode(body, type=PersistentState)
         except msgspec.DecodeError as error:
             raise DamagedStateError(str(error)) from error
-        if header.boot != boot_id():
-            # The machine was started anew: no process of before runs, and no time of before means anything.
-            instances = tuple(
-                replace(
-                    i, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes()
-                )
-                for i in durable.instances
-            )
-            roll = durable.roll
-            if roll is not None:
-                steps = tuple(replace(s, since=0.0) for s in roll.steps)
-                roll = replace(roll, steps=steps, made_at=0.0, stuck_since=None)
-            durable = replace(durable, instances=instances, roll=roll)
-        return durable
+        return durable if header.boot == boot_id() else _after_reboot(durable)
+
+
+def _check(header: Header, body: bytes) -> None:
+    if header.v != VERSION:
+        raise StateVersionError(header.v)
+    if zlib.crc32(body) != header.crc:
+        raise StateChecksumError
+
+
+def _after_reboot(durable: PersistentState) -> PersistentState:
+    """Return the state without what means nothing on a machine started anew: its processes and its times."""
+    instances = tuple(
+        replace(
+            instance, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes()
+        )
+        for instance in durable.instances
+    )
+    roll = durable.roll
+    if roll is not None:
+        steps = tuple(replace(step, since=0.0) for step in roll.steps)
+        roll = replace(roll, steps=steps, made_at=0.0, stuck_since=None)
+    return replace(durable, instances=instances, roll=roll)
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -8,24 +8,28 @@
 from collections.abc import Callable
 from pathlib import Path
 
-import structlog
-
 from juniperward.agent import processes
+from juniperward.agent.log import report_unexpected
 from juniperward.agent.messages import Event, InstanceAnswered, InstanceUnanswered, ProcessExited
-from juniperward.control.client import ControlClient, Refused, Silent
-from juniperward.control.protocol import ProtocolError, Status, Verb
+from juniperward.control.client import ControlClient
+from juniperward.control.errors import (
+    ControlError,
+    ControlUnreachableError,
+)
+from juniperward.control.protocol import Status, Verb
 from juniperward.fleet.model import Process, Reading
 
-PATIENCE = 1.0  # seconds for an answer
-LOOK = 0.05  # seconds between looks at a process whose instance does not answer yet
+ANSWER_TIMEOUT_S = 1.0
+POLL_STARTING_S = 0.05  # between questions to a process that does not answer yet
 
 
 class Watcher:
     """One instance's thread; `process` may be changed by the loop at any time."""
 
-    def __init__(self, name: str, path: Path, every: float, post: Callable[[Event], None]) -> None:
-        self.name, self.every, self.post = name, every, post
-        self.client = ControlClient(path, PATIENCE)
+    def __init__(self, name: str, path: Path, interval_s: float, post: Callable[[Event], None]) -> None:
+        """Ask at `path` every `interval_s` seconds; what is found goes to `post`."""
+        self.name, self.interval_s, self.post = name, interval_s, post
+        self.client = ControlClient(path, ANSWER_TIMEOUT_S)
         self.orders: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.process: Process | None = None
         self.since: float | None = None  # first asked in vain
@@ -33,6 +37,7 @@
         self.ended = False
 
     def start(self) -> None:
+        """Begin the thread; it watches nothing yet."""
         threading.Thread(target=self._run, name=f"watch-{self.name}", daemon=True).start()
 
     def watch(self, process: Process | None) -> None:
@@ -49,17 +54,11 @@
             try:
                 self._round()
             except Exception as error:
-                structlog.get_logger().error(
-                    "unexpected", where="watcher", instance=self.name, error=repr(error)
-                )
-                time.sleep(self.every)
+                report_unexpected("watcher", error, instance=self.name)
+                time.sleep(self.interval_s)
 
     def _round(self) -> None:
-        quick = self.process is not None and self.since is not None
-        try:
-            order = self.orders.get(timeout=LOOK if quick else self.every)
-        except queue.Empty:
-            order = None
+        order = self._next_order()
         process = self.process
         if process is None:
             return
@@ -72,17 +71,25 @@
             return
         self._ask(process, Verb(order) if order else Verb.STATUS)
 
+    def _next_order(self) -> str | None:
+        """Wait for an order, or until the next question is due."""
+        unanswered = self.process is not None and self.since is not None
+        try:
+            return self.orders.get(timeout=POLL_STARTING_S if unanswered else self.interval_s)
+        except queue.Empty:
+            return None
+
     def _ask(self, process: Process, verb: Verb) -> None:
         began = time.monotonic()
         try:
             status = self.client.status() if verb is Verb.STATUS else self.client.order(verb)
-        except (Silent, Refused, ProtocolError) as error:
+        except ControlError as error:
             if self.process != process:
                 return
             self.since = self.since if self.since is not None else began
             self.post(InstanceUnanswered(self.name, process, self.since, str(error)))
-            if verb is not Verb.STATUS and isinstance(error, Silent):
-                time.sleep(LOOK)
+            if verb is not Verb.STATUS and isinstance(error, ControlUnreachableError):
+                time.sleep(POLL_STARTING_S)
             return
         if status.pid != process.pid:
             # Another process has the socket: one started by hand, or one that is on its way out.
@@ -96,12 +103,13 @@
         self.post(InstanceAnswered(self.name, reading(status, time.monotonic())))
 
 
-def reading(s: Status, now: float) -> Reading:
-    """What decisions need of a status."""
+def reading(status: Status, now: float) -> Reading:
+    """Return what decisions need of a status."""
     return Reading(
-        at=now, pid=s.pid, phase=s.phase, ready=s.ready, heard=s.registry_age >= 0, owing=s.owing, held=s.held,
-        slots=s.slots, calls_out=s.calls_out, delivered=s.delivered, calls_failed=s.calls_failed,
-        given_up=s.given_up, taken_on=s.taken_on, turned_away=s.turned_away, restored=s.restored,
-        broken=s.broken, oldest_held=s.oldest_held, journal_bytes=s.journal_bytes,
-        registry_age=s.registry_age, sick=s.destinations_sick, version=s.version,
+        at=now, pid=status.pid, phase=status.phase, ready=status.ready, heard=status.registry_age >= 0,
+        owing=status.owing, held=status.held, slots=status.slots, calls_out=status.calls_out,
+        delivered=status.delivered, calls_failed=status.calls_failed,
+        given_up=status.given_up, taken_on=status.taken_on, turned_away=status.turned_away, restored=status.restored,
+        broken=status.broken, oldest_held=status.oldest_held, journal_bytes=status.journal_bytes,
+        registry_age=status.registry_age, sick=status.destinations_sick, version=status.version,
     )  # fmt: skip
--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
-from juniperward.benchmarks.measure import Report
+from juniperward.benchmarks.report import Report
 from juniperward.fakes.checker import Bounds
 from juniperward.fakes.clients import Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -18,7 +18,7 @@
 
 from juniperward.agent import processes
 from juniperward.benchmarks.local_cluster import BASE, ROOT, reserve
-from juniperward.benchmarks.measure import Report
+from juniperward.benchmarks.report import Report
 from juniperward.fakes.clients import ready
 from juniperward.fakes.load import LoadResult, Plan, Sinks, play, quantile
 from juniperward.fakes.records import Recorder, now
--- /dev/null
+++ b/juniperward/benchmarks/chaos.py
@@ -0,0 +1,173 @@
+"""The agent killed at random moments of rolls."""
+
+from __future__ import annotations
+
+import random
+import signal
+import statistics
+import tempfile
+import threading
+import time
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from juniperward.agent import processes
+from juniperward.agent.client import AgentUnreachableError
+from juniperward.benchmarks.loaded_cluster import PARTNERS, VERDICT_HEAD, verdict_row
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.benchmarks.report import Report
+from juniperward.fleet.model import Process
+
+STORY_CHARACTERS = 3000  # of a violation in a report
+
+
+SETTINGS = {"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}}
+LOAD_S = 10.0  # of one batch of clients; the next begins when it is done
+STOP_SHARE = 0.25  # of the rounds in which an instance is stopped
+
+
+class _Load:
+    """Clients, batch after batch, until it is ended."""
+
+    def __init__(self, cluster: LocalCluster, rate: float) -> None:
+        self._cluster, self._rate = cluster, rate
+        self._end = threading.Event()
+        self._batches = [cluster.clients(rate, LOAD_S, threads=64, name="c0-")]
+        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread.start()
+
+    def _run(self) -> None:
+        number = 1
+        while not self._end.is_set():
+            self._batches[-1].done.wait(LOAD_S + 2.0)
+            if not self._end.is_set():
+                self._batches.append(
+                    self._cluster.clients(self._rate, LOAD_S, threads=64, name=f"c{number}-")
+                )
+            number += 1
+
+    def end(self) -> None:
+        """Begin no further batch, and wait for those that run."""
+        self._end.set()
+        self._thread.join(15.0)
+        for batch in self._batches:
+            batch.done.wait(40.0)
+
+    def lateness(self) -> list[float]:
+        """Return by how much messages were late at their clients, in seconds."""
+        return [late_s for batch in self._batches for late_s in batch.lateness]
+
+
+@dataclass(slots=True)
+class _Tally:
+    """What was done to the fleet."""
+
+    stops: int = 0
+    rolls_done: int = 0
+    pauses: int = 0
+    restarts_s: list[float] = field(default_factory=list)  # of the agent
+
+
+class _Chaos:
+    """Kills the agent and stops instances at random moments of rolls."""
+
+    def __init__(self, cluster: LocalCluster, instances: int, seed: int) -> None:
+        self.tally = _Tally()
+        self._cluster, self._instances = cluster, instances
+        self._random = random.Random(seed)
+        self._stopped: Process | None = None
+
+    def round(self) -> bool:
+        """Keep a roll going, perhaps stop an instance, and kill the agent; False where it did not answer."""
+        try:
+            status = self._cluster.ask("status")
+        except AgentUnreachableError:
+            return False
+        self._keep_rolling(status["roll"])
+        if self._random.random() < STOP_SHARE:
+            self._stop_one([row for row in status["instances"] if row["state"] == "ready"])
+        time.sleep(self._random.uniform(0.05, 1.5))
+        self._cluster.kill_agent()
+        time.sleep(self._random.uniform(0.0, 0.5))
+        began = time.monotonic()
+        self._cluster.start_agent()
+        self.tally.restarts_s.append(time.monotonic() - began)
+        return True
+
+    def _keep_rolling(self, roll: dict[str, Any] | None) -> None:
+        if roll is None or roll["over"]:
+            self.tally.rolls_done += roll is not None and roll["mode"] == "done"
+            floor = self._instances - 3
+            self._cluster.ask("roll", soak=0.0, drain=2.0, at_once=2, floor=floor, soak_most=1.0)
+        elif roll["mode"] == "paused":
+            self.tally.pauses += 1
+            self._cluster.ask("roll_resume")
+
+    def _stop_one(self, ready: list[dict[str, Any]]) -> None:
+        """Stop a ready instance by SIGSTOP, unless one is stopped."""
+        if ready and (self._stopped is None or not processes.alive(self._stopped)):
+            self._stopped = processes.identify(self._random.choice(ready)["pid"])
+            if self._stopped is not None:
+                self.tally.stops += processes.send(self._stopped, signal.SIGSTOP)
+
+
+def chaos(seed: int, out: Path, rounds: int = 50, instances: int = 10, rate: float = 60.0) -> bool:
+    """Kill the agent at random moments of rolls, with one instance stopped by SIGSTOP at a time."""
+    command = f"juniperward measure chaos --seed {seed} --rounds {rounds}"
+    report = Report("The agent killed amid rolls", command, seed)
+    report.say(
+        f"{instances} forwarders under load at {rate:g} messages a second; roll after roll, while a random one is "
+        f"stopped by SIGSTOP and the agent is killed by SIGKILL at random moments, {rounds} times, and started again."
+    )
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as folder,
+        LocalCluster(Path(folder), instances, PARTNERS, seed, settings=SETTINGS) as cluster,
+    ):
+        cluster.start()
+        load, run = _Load(cluster, rate), _Chaos(cluster, instances, seed)
+        kills = 0
+        while kills < rounds:
+            kills += run.round()
+        load.end()
+        _settle(cluster, instances)
+        verdict = cluster.verdict()
+        running = processes.find(str(cluster.folder / "run"))
+    report.table(VERDICT_HEAD, [verdict_row("chaos", verdict, 0.0, load.lateness())])
+    _report_tally(report, run.tally, kills, len(running))
+    for violation in verdict.violations[:5]:
+        report.say("```\n" + str(violation)[:STORY_CHARACTERS] + "\n```")
+    report.write(out / "chaos.md")
+    return verdict.good and len(running) == instances
+
+
+def _settle(cluster: LocalCluster, instances: int) -> None:
+    """Let the last roll end, and bring all instances back."""
+    cluster.roll_end(90.0)
+    for row in cluster.ask("status")["instances"]:
+        if row["state"] == "silent":
+            cluster.ask("kill", [row["name"]])
+    cluster.until(lambda status: status["ready"] == instances, 90.0)
+    cluster.settle(60.0)
+
+
+def _report_tally(report: Report, tally: _Tally, kills: int, running: int) -> None:
+    head = [
+        "agent killed",
+        "instances stopped by SIGSTOP",
+        "rolls ended",
+        "pauses",
+        "agent back, median s",
+        "worst s",
+        "processes of the fleet at the end",
+    ]
+    row = [
+        f"{kills}",
+        f"{tally.stops}",
+        f"{tally.rolls_done}",
+        f"{tally.pauses}",
+        f"{statistics.median(tally.restarts_s):.2f}",
+        f"{max(tally.restarts_s):.2f}",
+        f"{running}",
+    ]
+    report.table(head, [row])
--- a/juniperward/benchmarks/cold.py
+++ b/juniperward/benchmarks/cold.py
@@ -9,7 +9,7 @@
 import concurrent.futures
 from pathlib import Path
 
-from juniperward.benchmarks.measure import Report
+from juniperward.benchmarks.report import Report
 from juniperward.simulation.cold_return import CASES, ColdCase, ColdReturn, ColdReturnResult
 
 FLEET_SIZES = (1, 3, 20, 30, 200, 230)
--- a/juniperward/benchmarks/cost.py
+++ b/juniperward/benchmarks/cost.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from juniperward.benchmarks.measure import Report
+from juniperward.benchmarks.report import Report
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.actions import SetTimer, StartAttempt
 from juniperward.scheduler.events import (
--- /dev/null
+++ b/juniperward/benchmarks/fleet_status.py
@@ -0,0 +1,78 @@
+"""How long `fleet status` takes, and what an agent costs."""
+
+from __future__ import annotations
+
+import os
+import signal
+import statistics
+import subprocess
+import sys
+import tempfile
+import time
+from pathlib import Path
+
+from juniperward.benchmarks.loaded_cluster import PARTNERS
+from juniperward.benchmarks.local_cluster import ROOT, LocalCluster
+from juniperward.benchmarks.report import Report, Row
+
+
+def status(seed: int, out: Path, sizes: tuple[int, ...] = (10, 100), times: int = 20) -> bool:
+    """How long `fleet status` takes, with all instances well and with one and ten silent; what the agent costs."""
+    report = Report(
+        "fleet status, and what an agent costs", f"juniperward measure status --seed {seed}", seed
+    )
+    report.say("The whole command, from its process's start to its end; CPU is that of the agent over 10 s.")
+    rows: list[Row] = []
+    good = True
+    for size in sizes:
+        with tempfile.TemporaryDirectory(prefix="jw-") as folder:
+            patience = {"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}}
+            with LocalCluster(Path(folder), size, PARTNERS[:2], seed, settings=patience) as cluster:
+                began = time.monotonic()
+                cluster.start(ready=False)
+                cluster.until(lambda s, n=size: s["ready"] == n, 120.0)
+                up = time.monotonic() - began
+                for silent in (0, 1, 10):
+                    for name in cluster.names[:silent]:
+                        os.kill(cluster.row(name)["pid"], signal.SIGSTOP)
+                    cluster.until(
+                        lambda s, n=silent: sum(r["state"] == "silent" for r in s["instances"]) == n, 30.0
+                    )
+                    taken = [_timed_status(cluster) for _ in range(times)]
+                    before = cluster.ask("agent")
+                    time.sleep(10.0)
+                    after = cluster.ask("agent")
+                    cpu = (after["cpu_seconds"] - before["cpu_seconds"]) / 10.0
+                    limit = 1.5 if silent else 1.0
+                    good &= max(taken) < limit
+                    rows.append([
+                        f"{size}", f"{silent}", f"{statistics.median(taken):.2f}", f"{max(taken):.2f}",
+                        f"{after['resident_bytes'] / 2**20:.0f}", f"{100 * cpu:.1f}", f"{up:.1f}",
+                    ])  # fmt: skip
+                for name in cluster.names[:10]:
+                    pid = cluster.row(name)["pid"]
+                    if pid is not None:
+                        os.kill(pid, signal.SIGCONT)
+    report.table(
+        [
+            "instances",
+            "silent",
+            "status median s",
+            "worst s",
+            "agent MiB",
+            "agent CPU %",
+            "all ready after s",
+        ],
+        rows,
+    )
+    report.write(out / "status.md")
+    return good
+
+
+def _timed_status(cluster: LocalCluster) -> float:
+    began = time.monotonic()
+    subprocess.run(
+        [sys.executable, "-m", "juniperward", "fleet", "status", "-a", str(cluster.socket), "-o", "json"],
+        cwd=ROOT, stdout=subprocess.DEVNULL, check=True,
+    )  # fmt: skip
+    return time.monotonic() - began
--- /dev/null
+++ b/juniperward/benchmarks/flood.py
@@ -0,0 +1,119 @@
+"""A forwarder whose control channel is flooded."""
+
+from __future__ import annotations
+
+import socket
+import tempfile
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from juniperward.benchmarks.loaded_cluster import PARTNERS
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.benchmarks.report import Report, Row, quantile
+from juniperward.control.client import ControlClient
+from juniperward.control.errors import ControlError
+from juniperward.control.protocol import Request, Verb, encode_request
+
+
+def flood(seed: int, out: Path, seconds: float = 10.0) -> bool:
+    """What clients of the control channel that flood it, stall or send rubbish do to the loop and to messages."""
+    report = Report(
+        "A forwarder whose control channel is flooded", f"juniperward measure flood --seed {seed}", seed
+    )
+    report.say(
+        "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
+        "to its answer, asked by one honest client ten times a second; the messages' is from due to effect."
+    )
+    rows: list[Row] = []
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as folder,
+        LocalCluster(Path(folder), 1, PARTNERS, seed) as cluster,
+    ):
+        cluster.start()
+        path = cluster.folder / "run" / "run" / "n0"
+        attacks: list[tuple[str, Callable[[threading.Event], None] | None]] = [
+            ("nothing", None), ("requests without a pause", lambda e: _flood(path, e)),
+            ("connections that say nothing", lambda e: _mute(path, e)), ("rubbish", lambda e: _rubbish(path, e)),
+            ("requests, answers not read", lambda e: _deaf(path, e)), ("nothing, again", None),
+        ]  # fmt: skip
+        for name, attack in attacks:
+            end = threading.Event()
+            threads = [
+                threading.Thread(target=attack, args=(end,), daemon=True) for _ in range(8 if attack else 0)
+            ]
+            cluster.recorder.records.clear()
+            clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
+            for thread in threads:
+                thread.start()
+            asked, missed = _honest(path, seconds)
+            end.set()
+            clients.done.wait(30.0)
+            for thread in threads:
+                thread.join(10.0)
+            cluster.settle()
+            v = cluster.verdict()
+            rows.append([
+                name, f"{v.delivered}/{v.asked}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
+                f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{quantile(asked, 0.5) * 1000:.1f}",
+                f"{quantile(asked, 0.99) * 1000:.1f}", f"{missed}",
+            ])  # fmt: skip
+    report.table(
+        ["eight clients send", "delivered", "message median ms", "p99 ms", "honest request median ms", "p99 ms",
+         "honest requests unanswered"], rows,
+    )  # fmt: skip
+    report.write(out / "flood.md")
+    return True
+
+
+def _honest(path: Path, seconds: float) -> tuple[list[float], int]:
+    client, taken, missed = ControlClient(path, 1.0), [], 0
+    until = time.monotonic() + seconds
+    while time.monotonic() < until:
+        began = time.monotonic()
+        try:
+            client.status()
+            taken.append(time.monotonic() - began)
+        except ControlError:
+            missed += 1
+        time.sleep(0.1)
+    client.close()
+    return taken, missed
+
+
+def _attack(path: Path, end: threading.Event, act: Callable[[Any], None]) -> None:
+    while not end.is_set():
+        try:
+            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
+                sock.settimeout(0.5)
+                sock.connect(str(path))
+                act(sock)
+        except OSError:
+            time.sleep(0.001)
+
+
+def _flood(path: Path, end: threading.Event) -> None:
+    def act(sock: Any) -> None:
+        while not end.is_set():
+            sock.sendall(encode_request(Request(1, Verb.DESTINATIONS)))
+            sock.recv(65536)
+
+    _attack(path, end, act)
+
+
+def _mute(path: Path, end: threading.Event) -> None:
+    _attack(path, end, lambda sock: sock.recv(1))
+
+
+def _rubbish(path: Path, end: threading.Event) -> None:
+    _attack(path, end, lambda sock: sock.sendall(b"\xff" * 65536))
+
+
+def _deaf(path: Path, end: threading.Event) -> None:
+    def act(sock: Any) -> None:
+        for _ in range(1000):
+            sock.sendall(encode_request(Request(1, Verb.COUNTERS)))
+
+    _attack(path, end, act)
--- /dev/null
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -0,0 +1,64 @@
+"""A local cluster under load, its partners, and the row of a table that says how a run went."""
+
+from __future__ import annotations
+
+import tempfile
+import time
+from collections.abc import Callable
+from pathlib import Path
+
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.benchmarks.report import Row, quantile
+from juniperward.fakes.checker import Verdict
+from juniperward.fakes.partners import PartnerSpec
+
+PARTNERS = [
+    PartnerSpec(1, "booking-sites", workers=2, latency=0.06, rate=120.0, batch=20),
+    *(PartnerSpec(d, workers=2, latency=0.02 + 0.01 * d) for d in range(2, 9)),
+]
+
+
+VERDICT_HEAD = [
+    "run", "messages", "taken", "delivered", "ended by notice", "turned away", "no answer", "repeats",
+    "share of worth", "median ms", "p99 ms", "roll s", "rules", "rig's own lateness p99 ms",
+]  # fmt: skip
+
+
+def verdict_row(name: str, verdict: Verdict, seconds: float, lateness: list[float]) -> Row:
+    """Return a row under VERDICT_HEAD; `lateness` is that of the clients, in seconds."""
+    rules = "held" if verdict.good else f"{len(verdict.violations)} broken"
+    return [
+        name,
+        f"{verdict.asked}",
+        f"{verdict.taken}",
+        f"{verdict.delivered}",
+        f"{verdict.noticed}",
+        f"{verdict.refused}",
+        f"{verdict.unanswered}",
+        f"{verdict.repeats}",
+        f"{verdict.worth:.4f}",
+        f"{quantile(verdict.latencies, 0.5) * 1000:.0f}",
+        f"{quantile(verdict.latencies, 0.99) * 1000:.0f}",
+        f"{seconds:.1f}" if seconds else "-",
+        rules,
+        f"{quantile(lateness, 0.99) * 1000:.0f}",
+    ]
+
+
+def under_load(
+    instances: int, rate: float, seconds: float, seed: int, during: Callable[[LocalCluster], float]
+) -> tuple[Verdict, float, list[float]]:
+    """Load a cluster for so long with something done amid it.
+
+    Returns the verdict, how long that took, and the clients' lateness, in seconds.
+    """
+    with tempfile.TemporaryDirectory(prefix="jw-") as folder:  # noqa: SIM117
+        with LocalCluster(Path(folder), instances, PARTNERS, seed) as cluster:
+            cluster.start()
+            clients = cluster.clients(rate, seconds, threads=96)
+            time.sleep(2.0)
+            took = during(cluster)
+            clients.done.wait(seconds + 60.0)
+            cluster.until(lambda s: s["ready"] == instances, 60.0)
+            cluster.settle(40.0)
+            return cluster.verdict(), took, clients.lateness
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -15,7 +15,7 @@
 from juniperward.agent import processes
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError
 from juniperward.benchmarks.local_cluster import LocalCluster
-from juniperward.benchmarks.measure import Report, quantile
+from juniperward.benchmarks.report import Report, quantile
 from juniperward.dead_letters.decisions import Status
 from juniperward.dead_letters.spool import Spool, SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore, Filter
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.benchmarks.measure import Report
+from juniperward.benchmarks.report import Report
 from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.effects import AcceptMessage, SetTimer, StartAttempt
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -18,8 +18,9 @@
 from typing import Any
 
 from juniperward.agent import processes
+from juniperward.benchmarks.loaded_cluster import PARTNERS
 from juniperward.benchmarks.local_cluster import BASE, ROOT, LocalCluster
-from juniperward.benchmarks.measure import PARTNERS, Report, quantile
+from juniperward.benchmarks.report import Report, quantile
 from juniperward.fakes.clients import ready
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.journal import NAME, Journal, JournalFullError
--- a/juniperward/cli/dead_letters.py
+++ b/juniperward/cli/dead_letters.py
@@ -5,17 +5,29 @@
 import base64
 import json
 import time
-from collections.abc import Iterator
 from pathlib import Path
 from typing import Annotated, Any
 
 import typer
 from rich.progress import Progress
 
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.cli import dead_letter_rules
+from juniperward.cli.dead_letter_access import (
+    PAGE_SIZE,
+    AccountOption,
+    ClassOption,
+    DestinationOption,
+    IdsArgument,
+    KeyOption,
+    SinceOption,
+    StandOption,
+    call,
+    pages,
+    print_messages,
+    selection,
+)
 from juniperward.cli.shared import (
     REFUSED,
-    SILENT,
     USAGE,
     AgentOption,
     Output,
@@ -24,81 +36,12 @@
     console,
     errors,
     print_json,
-    sockets_of,
     table,
     width,
 )
-from juniperward.settings.load import SettingsError, load
 
 app = typer.Typer(help="Messages that were given up: look at them, send them again.", no_args_is_help=True)
-BULK = 200  # messages of one call in bulk orders
-
-StandOption = Annotated[str | None, typer.Option(help="kept, claimed, delivered or discarded.")]
-DestinationOption = Annotated[int | None, typer.Option(help="Only for this destination.")]
-ClassOption = Annotated[str | None, typer.Option("--class", help="Only of this class.")]
-AccountOption = Annotated[str | None, typer.Option(help="Only of this account.")]
-KeyOption = Annotated[str | None, typer.Option(help="Only with this idempotency key.")]
-SinceOption = Annotated[float | None, typer.Option(help="Given up in the last so many seconds.")]
-IdsArgument = Annotated[list[str] | None, typer.Argument(help="Messages, by id; or use filters.")]
-
-
-def call(agent: list[Path] | None, timeout: float, action: str, **options: Any) -> Any:
-    """Ask the one agent meant; ends with the exit code where it will not or does not answer."""
-    paths = sockets_of(agent)
-    if len(paths) != 1:
-        errors.print("dead letters belong to one agent: name it with --agent")
-        raise typer.Exit(USAGE)
-    try:
-        return ask(paths[0], "kept", None, timeout, action=action, **options)
-    except AgentUnreachableError as error:
-        errors.print(str(error), markup=False)
-        raise typer.Exit(SILENT) from None
-    except AgentRejectedError as error:
-        errors.print(str(error), markup=False)
-        raise typer.Exit(REFUSED) from None
-
-
-def pages(agent: list[Path] | None, timeout: float, most: int | None = None, **chosen: Any) -> Iterator[Any]:
-    """All messages meant, page by page."""
-    after: Any = None
-    left = most
-    while left is None or left > 0:
-        limit = min(BULK, left) if left is not None else BULK
-        found = call(agent, timeout, "list", after=after, limit=limit, **chosen)
-        yield from found["messages"]
-        after = found["next"]
-        if after is None:
-            return
-        left = left - limit if left is not None else None
-
-
-def _chosen(
-    stand: str | None, destination: int | None, cls: str | None, account: str | None, key: str | None,
-    since: float | None,
-) -> dict[str, Any]:  # fmt: skip
-    chosen: dict[str, Any] = {
-        "stand": stand,
-        "destination": destination,
-        "cls": cls,
-        "account": account,
-        "key": key,
-    }
-    if since is not None:
-        chosen["since"] = time.time() - since
-    return {k: v for k, v in chosen.items() if v is not None}
-
-
-def _rows(rows: list[Any], output: Output) -> None:
-    if output is Output.JSON:
-        print_json(rows)
-        return
-    made = table("id", "stand", "kind", "goes", ">to", "class", "account", ">age s", ">resends", "why")
-    for r in rows:
-        made.add_row(
-            r["id"], r["stand"], r["kind"], r["wanted_by"] or "-" if r["may_go"] else "no", str(r["destination"]),
-            r["class"], r["account"], f"{time.time() - r['given_up_at']:.0f}", str(r["resends"]), r["why"],
-        )  # fmt: skip
-    console.print(made)
+app.add_typer(dead_letter_rules.app, name="rules")
 
 
 @app.command("list")
@@ -109,8 +52,8 @@
     most: Annotated[int, typer.Option("--most", "-n", help="How many at the most.")] = 100,
 ) -> None:  # fmt: skip
     """List messages, the oldest first, each with whether it may go again and why."""
-    chosen = _chosen(stand, destination, cls, account, key, since)
-    _rows(list(pages(agent, timeout, most, **chosen)), output)
+    chosen = selection(since, stand=stand, destination=destination, cls=cls, account=account, key=key)
+    print_messages(list(pages(agent, timeout, most, **chosen)), output)
 
 
 @app.command()
@@ -140,34 +83,19 @@
 
 
 def _bulk(
-    action: str, told: str, ids: list[str] | None, chosen: dict[str, Any], agent: list[Path] | None,
+    action: str, told: str, ids: list[str] | None, chosen: dict[str, Any] | None, agent: list[Path] | None,
     timeout: float, dry_run: bool, output: Output, **options: Any,
 ) -> None:  # fmt: skip
-    """An order for many, in parts: what was done stays done when it is interrupted, and may be asked for again."""
-    if not ids and not chosen:
-        errors.print(
-            "name messages, or choose them with filters (--destination, --class, --account, --since, --all)"
-        )
-        raise typer.Exit(USAGE)
-    chosen.pop("all", None)
-    rows: list[Any] = []
-    if ids:
-        for first in range(0, len(ids), BULK):
-            rows += pages(agent, timeout, ids=ids[first : first + BULK])
-        missing = set(ids) - {r["id"] for r in rows}
-        if missing:
-            errors.print(f"no such message: {', '.join(sorted(missing))}", markup=False)
-            raise typer.Exit(REFUSED)
-    else:
-        rows = list(pages(agent, timeout, **chosen))
+    """Give an order for many, in parts: what was done when it is interrupted stays done."""
+    rows = _messages(ids, chosen, agent, timeout)
     if dry_run:
-        _rows(rows, output)
+        print_messages(rows, output)
         return
     done = 0
     with Progress(console=errors, transient=True) as progress:
         task = progress.add_task(action, total=len(rows))
-        for first in range(0, len(rows), BULK):
-            part = [r["id"] for r in rows[first : first + BULK]]
+        for first in range(0, len(rows), PAGE_SIZE):
+            part = [row["id"] for row in rows[first : first + PAGE_SIZE]]
             done += call(agent, timeout, action, ids=part, **options)[told]
             progress.advance(task, len(part))
     if output is Output.JSON:
@@ -176,6 +104,32 @@
         console.print(f"{told}: {done} of {len(rows)}")
 
 
+def _messages(
+    ids: list[str] | None, chosen: dict[str, Any] | None, agent: list[Path] | None, timeout: float
+) -> list[Any]:
+    """Return the messages that a bulk order means: those named, or else those selected."""
+    if not ids:
+        if chosen is None:
+            filters = "--destination, --class, --account, --since, --all"
+            errors.print(f"name messages, or choose them with filters ({filters})")
+            raise typer.Exit(USAGE)
+        return list(pages(agent, timeout, **chosen))
+    rows: list[Any] = []
+    for first in range(0, len(ids), PAGE_SIZE):
+        rows += pages(agent, timeout, ids=ids[first : first + PAGE_SIZE])
+    missing = set(ids) - {row["id"] for row in rows}
+    if missing:
+        errors.print(f"no such message: {', '.join(sorted(missing))}", markup=False)
+        raise typer.Exit(REFUSED)
+    return rows
+
+
+def _selected(all_: bool, since: float | None, **filters: str | int | None) -> dict[str, Any] | None:
+    """Return the selection of a bulk order; None where neither a filter nor `--all` is given."""
+    chosen = selection(since, **filters)
+    return {**chosen, "stand": "kept"} if chosen or all_ else None
+
+
 AllOption = Annotated[bool, typer.Option("--all", help="All that the filters leave.")]
 DryOption = Annotated[bool, typer.Option("--dry-run", help="Only say what would go, and why or why not.")]
 
@@ -190,8 +144,7 @@
     ] = False,
 ) -> None:  # fmt: skip
     """Have messages sent again as soon as their partner can take them. What is uncertain is never sent."""
-    chosen = _chosen("kept", destination, cls, account, None, since)
-    chosen = {**chosen, "all": True} if all_ else {} if len(chosen) == 1 else chosen
+    chosen = _selected(all_, since, destination=destination, cls=cls, account=account)
     _bulk("resend", "asked", ids, chosen, agent, timeout, dry_run, output, partner_sure=partner_sure)
 
 
@@ -202,8 +155,7 @@
     account: AccountOption = None, since: SinceOption = None, all_: AllOption = False, dry_run: DryOption = False,
 ) -> None:  # fmt: skip
     """Have messages never sent again; `undo` takes it back."""
-    chosen = _chosen("kept", destination, cls, account, None, since)
-    chosen = {**chosen, "all": True} if all_ else {} if len(chosen) == 1 else chosen
+    chosen = _selected(all_, since, destination=destination, cls=cls, account=account)
     _bulk("discard", "discarded", ids, chosen, agent, timeout, dry_run, output)
 
 
@@ -215,7 +167,7 @@
     timeout: TimeOption = 5.0,
 ) -> None:
     """Take back a discard, or a resend that has not begun."""
-    _bulk("undo", "undone", ids, {}, agent, timeout, False, output)
+    _bulk("undo", "undone", ids, None, agent, timeout, False, output)
 
 
 @app.command()
@@ -243,41 +195,6 @@
     console.print(made)
 
 
-rules = typer.Typer(help="Rules of resends.", no_args_is_help=True)
-app.add_typer(rules, name="rules")
-
-
-@rules.command("check")
-def rules_check(file: Annotated[Path, typer.Argument(help="A fleet's settings.")]) -> None:
-    """Say what is wrong with a file's rules, with line and field. Exit code 2 if anything is."""
-    try:
-        found = load(file).kept
-    except SettingsError as error:
-        console.print(str(error), markup=False, highlight=False, soft_wrap=True)
-        raise typer.Exit(USAGE) from None
-    count = len(found.rules) if found is not None else 0
-    console.print(f"{file}: good, {count} rules" if found else f"{file}: nothing is kept", markup=False)
-
-
-@rules.command("simulate")
-def rules_simulate(
-    file: Annotated[Path, typer.Argument(help="A fleet's settings.")],
-    agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 30.0,
-) -> None:  # fmt: skip
-    """Say what a file's rules would have go now, and what keeps the rest, without sending anything."""
-    found = call(agent, timeout, "simulate", file=str(file.resolve()))
-    if output is Output.JSON:
-        print_json(found)
-        return
-    made = table("rule", ">destination", ">messages")
-    for rule, counts in found["go"].items():
-        for destination, count in counts.items():
-            made.add_row(rule, destination, str(count))
-    console.print(made)
-    for why, count in found["stay"].items():
-        console.print(f"{count} stay: {why}", markup=False)
-
-
 @app.command()
 def export(
     file: Annotated[Path, typer.Argument(help="JSON lines; one message with its body a line.")],
@@ -286,11 +203,10 @@
 ) -> None:  # fmt: skip
     """Write messages with their bodies to a file; each showing is written down."""
     count = 0
-    with open(file, "w") as out:
-        for row in pages(agent, timeout, **_chosen(stand, destination, None, None, None, since)):
-            out.write(
-                json.dumps(call(agent, timeout, "show", id=row["id"], body=True), sort_keys=True) + "\n"
-            )
+    with file.open("w") as out:
+        for row in pages(agent, timeout, **selection(since, stand=stand, destination=destination)):
+            message = call(agent, timeout, "show", id=row["id"], body=True)
+            out.write(json.dumps(message, sort_keys=True) + "\n")
             count += 1
     console.print(f"{file}: {count} messages", markup=False)
 
@@ -306,9 +222,9 @@
         print_json(rows)
         return
     made = table(">seq", "at", "who", "what", "message", "detail")
-    for r in rows:
-        at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(r["at"]))
-        made.add_row(str(r["seq"]), at, r["who"], r["what"], r["message"] or "", r["detail"])
+    for row in rows:
+        at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["at"]))
+        made.add_row(str(row["seq"]), at, row["who"], row["what"], row["message"] or "", row["detail"])
     console.print(made)
 
 
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -7,11 +7,17 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
+from juniperward.control.errors import (
+    AnswerTypeError,
+    ControlRejectedError,
+    ControlUnreachableError,
+    ProtocolError,
+)
 from juniperward.control.protocol import (
-    MOST_ANSWER,
+    MAX_ANSWER_BYTES,
+    Answer,
     Counters,
     Fates,
-    ProtocolError,
     Request,
     Rows,
     Status,
@@ -24,22 +30,19 @@
 
 T = TypeVar("T")
 
-
-class Silent(Exception):
-    """There was no answer in time, or nobody listens; the text says which."""
-
-
-class Refused(Exception):
-    """The forwarder answered that it will not."""
+DEFAULT_TIMEOUT_S = 1.0
+LEAST_TIMEOUT_S = 0.001
+READ_BYTES = 64 * 1024
 
 
 class ControlClient:
     """Used by one thread; connects at the first request and again after a failure."""
 
-    def __init__(self, path: Path, patience: float = 1.0) -> None:
-        self.path, self.patience = path, patience
+    def __init__(self, path: Path, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+        """Ask the forwarder that listens at `path`; each request has `timeout_s` seconds in all."""
+        self.path, self.timeout_s = path, timeout_s
         self.sock: socket.socket | None = None
-        self.last = 0
+        self._last_id = 0
 
     def close(self) -> None:
         """End the connection, if there is one."""
@@ -48,78 +51,98 @@
             self.sock = None
 
     def status(self) -> Status:
-        """The forwarder's state; raises Silent, Refused or ProtocolError, as all requests do."""
+        """Return the forwarder's state.
+
+        Raises:
+            ControlUnreachableError: for no answer in time, or nobody there; so do all requests.
+            ControlRejectedError: where the forwarder will not.
+            ProtocolError: for an answer that cannot be read.
+
+        """
         return self._typed(Verb.STATUS, Status)
 
     def rows(self, verb: Verb) -> Rows:
-        """The destinations or the workers."""
+        """Return the destinations or the endpoints."""
         return self._typed(verb, Rows)
 
     def counters(self) -> dict[str, int]:
-        """All counters that are not zero."""
+        """Return all counters that are not zero."""
         return self._typed(Verb.COUNTERS, Counters).counters
 
     def order(self, verb: Verb) -> Status:
-        """Drain, resume or stop; the state right after."""
+        """Have it drain, resume or stop; the state right after."""
         return self._typed(verb, Status)
 
     def fates(self, ids: tuple[str, ...]) -> Fates:
-        """What became of resends; ids that are not known here will never be taken here."""
+        """Return what became of redriven messages; ids that are not known there will never be accepted there."""
         return self._typed(Verb.FATE, Fates, ids)
 
     def _typed(self, verb: Verb, kind: type[T], ids: tuple[str, ...] = ()) -> T:
         body = self.ask(verb, ids)
         if not isinstance(body, kind):
-            raise ProtocolError(f"{verb.value} was answered with another type")
+            raise AnswerTypeError(verb.value)
         return body
 
     def ask(self, verb: Verb, ids: tuple[str, ...] = ()) -> Any:
-        """The body of the answer, within `patience` seconds in all."""
-        until = time.monotonic() + self.patience
+        """Return the body of the answer to any request; raises as `status` does."""
+        until = time.monotonic() + self.timeout_s
         fresh = self.sock is None
         try:
             return self._ask(verb, ids, until)
-        except Silent:
+        except ControlUnreachableError:
             # A connection kept from before may belong to a process that is gone: try once on a new one.
             if fresh or time.monotonic() >= until:
                 raise
             return self._ask(verb, ids, until)
 
     def _ask(self, verb: Verb, ids: tuple[str, ...], until: float) -> Any:
-        self.last += 1
+        self._last_id += 1
+        answer = self._exchange(Request(self._last_id, verb, ids), until)
+        if answer.id != self._last_id:
+            self.close()
+            raise ControlRejectedError(answer.error or "an answer to another request")
+        if answer.body is None:
+            raise ControlRejectedError(answer.error)
+        return answer.body
+
+    def _exchange(self, request: Request, until: float) -> Answer:
+        """Send a request and read the next answer; after an error the connection is closed."""
         try:
-            if self.sock is None:
-                self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                sockets.limit(self.sock, socket.SO_SNDTIMEO, max(until - time.monotonic(), 0.001))
-                self.sock.connect(str(self.path))
-            self.sock.sendall(encode_request(Request(self.last, verb, ids)))
-            answer = decode_answer(read_frame(lambda n: self._exactly(n, until), MOST_ANSWER), verb)
+            sock = self._connected(until)
+            sock.sendall(encode_request(request))
+            text = read_frame(lambda length: _exactly(sock, length, until), MAX_ANSWER_BYTES)
+            return decode_answer(text, request.verb)
         except (BlockingIOError, TimeoutError) as error:
             self.close()
-            raise Silent(f"no answer within {self.patience:g} s") from error
+            why = f"no answer within {self.timeout_s:g} s"
+            raise ControlUnreachableError(why) from error
         except (OSError, EOFError) as error:
             self.close()
-            raise Silent(f"nobody listens: {getattr(error, 'strerror', None) or 'it hung up'}") from error
+            why = f"nobody listens: {getattr(error, 'strerror', None) or 'it hung up'}"
+            raise ControlUnreachableError(why) from error
         except ProtocolError:
             self.close()
             raise
-        if answer.id != self.last:
-            self.close()
-            raise Refused(answer.error or "an answer to another request")
-        if answer.body is None:
-            raise Refused(answer.error)
-        return answer.body
 
-    def _exactly(self, length: int, until: float) -> bytes:
-        assert self.sock is not None
-        data = bytearray()
-        while len(data) < length:
-            left = until - time.monotonic()
-            if left <= 0:
-                raise TimeoutError
-            sockets.limit(self.sock, socket.SO_RCVTIMEO, left)
-            piece = self.sock.recv(min(length - len(data), 65536))
-            if not piece:
-                raise EOFError
-            data += piece
-        return bytes(data)
+    def _connected(self, until: float) -> socket.socket:
+        if self.sock is None:
+            self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+            left_s = max(until - time.monotonic(), LEAST_TIMEOUT_S)
+            sockets.limit(self.sock, socket.SO_SNDTIMEO, left_s)
+            self.sock.connect(str(self.path))
+        return self.sock
+
+
+def _exactly(sock: socket.socket, length: int, until: float) -> bytes:
+    """Return so many bytes; raises TimeoutError, EOFError or OSError."""
+    data = bytearray()
+    while len(data) < length:
+        left_s = until - time.monotonic()
+        if left_s <= 0:
+            raise TimeoutError
+        sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
+        piece = sock.recv(min(length - len(data), READ_BYTES))
+        if not piece:
+            raise EOFError
+        data += piece
+    return bytes(data)
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -9,6 +9,7 @@
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
+    HttpResponse,
     IncompleteMessageError,
     MalformedMessageError,
     Stream,
@@ -16,7 +17,9 @@
     read_response,
 )
 
-ANSWER_TIMEOUT_S = 0.4  # seconds for the forwarder's answer
+ANSWER_TIMEOUT_S = 0.4  # for the forwarder's answer
+NOBODY_THERE = -1  # in the place of a status: it was never accepted
+NO_ANSWER = 0  # in the place of a status: what became of it is not known
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,46 +36,51 @@
     ran_ago: float | None
 
 
-def encode(h: Resubmission, host: str) -> bytes:
-    """The call; the forwarder's decision module counts the window of repeats from `X-Kept-Ran`."""
+def encode(message: Resubmission, host: str) -> bytes:
+    """Return the request; the forwarder's scheduler counts the window of repeats from `X-Kept-Ran`."""
     headers = {
-        "X-Correlation-Id": h.id, "X-Service-Class": h.cls, "X-Account": h.account,
-        "X-Time-Left": f"{h.time_left:.3f}", "X-Addressing": f"dest={h.destination}", "Connection": "close",
-    }  # fmt: skip
-    if h.key is not None:
-        headers["Idempotency-Key"] = h.key
-    if h.ran_ago is not None:
-        headers["X-Kept-Ran"] = f"{max(h.ran_ago, 0.0):.3f}"
-    return encode_request("POST", "/api", host, headers, h.body)
+        "X-Correlation-Id": message.id,
+        "X-Service-Class": message.cls,
+        "X-Account": message.account,
+        "X-Time-Left": f"{message.time_left:.3f}",
+        "X-Addressing": f"dest={message.destination}",
+        "Connection": "close",
+    }
+    if message.key is not None:
+        headers["Idempotency-Key"] = message.key
+    if message.ran_ago is not None:
+        headers["X-Kept-Ran"] = f"{max(message.ran_ago, 0.0):.3f}"
+    return encode_request("POST", "/api", host, headers, message.body)
 
 
 def resubmit(
-    address: tuple[str, int], h: Resubmission, patience: float = ANSWER_TIMEOUT_S
+    address: tuple[str, int], message: Resubmission, timeout_s: float = ANSWER_TIMEOUT_S
 ) -> tuple[int, float]:
-    """Status and told wait; status 0 where there was no answer, and what became of it is not known.
+    """Hand a message in; return the HTTP status and the told wait in seconds.
 
-    Status -1: nobody was there to connect to, so it was never taken.
+    NO_ANSWER and NOBODY_THERE stand in the place of a status where there is none.
     """
-    until = time.monotonic() + patience
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    try:
+    until = time.monotonic() + timeout_s
+    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         try:
-            sockets.connect(*address, patience, sock)
+            sockets.connect(*address, timeout_s, sock)
         except OSError:
-            return -1, 0.0
+            return NOBODY_THERE, 0.0
+        try:
+            answer = _exchange(sock, encode(message, f"{address[0]}:{address[1]}"), until)
+        except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
+            return NO_ANSWER, 0.0
+    wait = answer.headers.get("retry-after", "")
+    return answer.status, float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
+
 
-        def receive(size: int) -> bytes:
-            left = until - time.monotonic()
-            if left <= 0:
-                raise TimeoutError
-            sockets.limit(sock, socket.SO_RCVTIMEO, left)
-            return sock.recv(size)
+def _exchange(sock: socket.socket, request: bytes, until: float) -> HttpResponse:
+    def receive(size: int) -> bytes:
+        left_s = until - time.monotonic()
+        if left_s <= 0:
+            raise TimeoutError
+        sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
+        return sock.recv(size)
 
-        sock.sendall(encode(h, f"{address[0]}:{address[1]}"))
-        answer = read_response(Stream(receive))
-        wait = answer.headers.get("retry-after", "")
-        return answer.status, float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
-    except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
-        return 0, 0.0
-    finally:
-        sock.close()
+    sock.sendall(request)
+    return read_response(Stream(receive))
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -1,8 +1,8 @@
 """The spool between a forwarder and its agent: what was given up, and what became of resends. Standard library only.
 
 A forwarder appends to segments `00000001.kept`, …: a line a message, with a checksum as in the journal. A new
-process begins a new segment. The agent reads segments in order and says in the file `acknowledged_segment` which of them are in
-its store; only the forwarder deletes, after it has read at a start which messages the segments name. So neither
+process begins a new segment. The agent reads segments in order and says in the file `acked` which of them are in its
+store; only the forwarder deletes, after it has read at a start which messages the segments name. So neither
 needs the other to run, a segment is never gone before both have seen it, and one that is read twice says the same.
 
 The file `fates` has the end of each resend, for the agent to ask for: an end that is not written down here before
@@ -13,6 +13,7 @@
 
 import base64
 import contextlib
+import errno
 import json
 import os
 import time
@@ -22,10 +23,10 @@
 from pathlib import Path
 from typing import Any
 
-SEGMENT_BYTES = 1_000_000  # bytes of a segment before the next one is begun
-MAX_OUTCOMES = (
-    100_000  # ends remembered; beyond it the oldest half is forgotten, and `complete_since` says so
-)
+SEGMENT_BYTES = 1_000_000  # of a segment before the next one is begun
+MAX_OUTCOMES = 100_000  # remembered; beyond it the oldest half is forgotten, and `complete_since` says so
+OUTCOME_FIELDS = 3
+PRIVATE_FOLDER, PRIVATE_FILE = 0o700, 0o600
 
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -33,6 +34,10 @@
 class SpoolFullError(OSError):
     """The spool has all the bytes that the settings give it."""
 
+    def __init__(self, limit_bytes: int) -> None:
+        """Tell the limit."""
+        super().__init__(errno.ENOSPC, f"the spool has its {limit_bytes} bytes")
+
 
 @dataclass(frozen=True, slots=True)
 class SpooledAttempt:
@@ -71,13 +76,13 @@
 
 
 def line(value: Any) -> bytes:
-    """One checked line."""
+    """Return a value as a line with its checksum."""
     text = _encode(value).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
 def unline(data: bytes) -> Any:
-    """The value of a line, or None for one that is damaged."""
+    """Return the value of a line, or None for one that is damaged."""
     try:
         total, text = data.split(b" ", 1)
         return json.loads(text) if int(total, 16) == zlib.crc32(text) else None
@@ -86,14 +91,14 @@
 
 
 def encode(kept: SpooledMessage) -> bytes:
-    """A message as a line of a segment."""
+    """Return a message as a line of a segment."""
     row = asdict(kept)
     row["body"] = base64.b64encode(kept.body).decode()
     return line(row)
 
 
 def decode(data: bytes) -> SpooledMessage | None:
-    """The message of a line, or None for one that is damaged or not ours."""
+    """Return the message of a line, or None for one that is damaged or not ours."""
     row = unline(data)
     try:
         row["body"] = base64.b64decode(row["body"])
@@ -105,7 +110,7 @@
 
 
 def segments(folder: Path) -> list[tuple[int, Path]]:
-    """All segments, the oldest first."""
+    """Return all segments with their numbers, the oldest first."""
     found = []
     with contextlib.suppress(FileNotFoundError):
         for path in folder.glob("*.kept"):
@@ -115,11 +120,11 @@
 
 
 def read(path: Path, offset: int) -> Iterator[tuple[SpooledMessage | None, int]]:
-    """Messages of a segment from an offset on, each with the offset behind it; None for a damaged line.
+    """Yield the messages of a segment from an offset on, each with the offset behind it; None for a damaged line.
 
     A last line without its end is not given: it is being written, or was torn; the next read tells.
     """
-    with open(path, "rb") as file:
+    with path.open("rb") as file:
         file.seek(offset)
         for data in file:
             if not data.endswith(b"\n"):
@@ -129,7 +134,7 @@
 
 
 def acknowledged_segment(folder: Path) -> int:
-    """The last segment that the agent has taken in whole; 0 where it has none."""
+    """Return the last segment that the agent has in its store whole; 0 where it has none."""
     try:
         return int((folder / "acked").read_text())
     except (FileNotFoundError, ValueError):
@@ -140,15 +145,16 @@
     """Say that all segments up to this one are in the store."""
     fresh = folder / "acked.new"
     fresh.write_text(str(number))
-    os.replace(fresh, folder / "acked")
+    fresh.replace(folder / "acked")
 
 
 class Spool:
     """The forwarder's end; used by its loop only."""
 
-    def __init__(self, folder: Path, most_bytes: int) -> None:
-        folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.folder, self.most = folder, most_bytes
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        """Read which messages are in the spool, and drop what the agent has; raises OSError."""
+        folder.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+        self.folder, self.max_bytes = folder, max_bytes
         done = acknowledged_segment(folder)
         self.ids: set[str] = set()  # that the segments name: a message among them was given up already
         found = segments(folder)
@@ -157,22 +163,22 @@
             if number <= done:
                 path.unlink()
         self.number = found[-1][0] if found else done
-        self.bytes = sum(p.stat().st_size for _, p in segments(folder))
-        self.file = -1
+        self.bytes = sum(path.stat().st_size for _, path in segments(folder))
+        self.file = self.fate_file = -1
         self.size = 0
         self.fates: dict[str, RedriveOutcome] = {}
         self.complete_since = time.time()
         self._load_fates()
 
     def keep(self, kept: SpooledMessage) -> None:
-        """Write a message down; raises OSError (SpoolFull among them), and then nothing of it is kept."""
+        """Write a message down; raises OSError (SpoolFullError among them), and then nothing of it is there."""
         if kept.id in self.ids:
             return
         data = encode(kept)
-        if self.bytes + len(data) > self.most:
+        if self.bytes + len(data) > self.max_bytes:
             self.drop_acked()
-        if self.bytes + len(data) > self.most:
-            raise SpoolFullError(28, f"the spool has its {self.most} bytes")
+        if self.bytes + len(data) > self.max_bytes:
+            raise SpoolFullError(self.max_bytes)
         if self.file < 0 or self.size > SEGMENT_BYTES:
             self._next()
         start = self.size
@@ -216,7 +222,7 @@
             self.drop_acked()
         self.number += 1
         path = self.folder / f"{self.number:08d}.kept"
-        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, PRIVATE_FILE)
         self.size = 0
 
     def _load_fates(self) -> None:
@@ -227,7 +233,7 @@
                 row = unline(data)
                 if isinstance(row, float | int):
                     self.complete_since = float(row)
-                elif isinstance(row, list) and len(row) == 3:
+                elif isinstance(row, list) and len(row) == OUTCOME_FIELDS:
                     self.fates.setdefault(row[0], RedriveOutcome(row[1], row[2]))
                 else:
                     continue
@@ -239,10 +245,9 @@
     def _rewrite_fates(self, data: bytes) -> None:
         fresh = self.folder / "fates.new"
         fresh.write_bytes(data)
-        os.replace(fresh, self.folder / "fates")
-        old = getattr(self, "fate_file", -1)
-        if old >= 0:
-            os.close(old)
+        fresh.replace(self.folder / "fates")
+        if self.fate_file >= 0:
+            os.close(self.fate_file)
         flags = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC
         self.fate_file = os.open(self.folder / "fates", flags)
 
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -9,7 +9,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from juniperward.control.errors import ControlError
+from juniperward.control.errors import ControlSocketError
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.events import (
@@ -36,7 +36,7 @@
 
 
 def open_control(config: Config, loop: Loop) -> ControlServer | None:
-    """Open the control channel where the settings name its path; raises ControlError."""
+    """Open the control channel where the settings name its path; raises ControlSocketError."""
     if config.control is None:
         return None
     # Not loaded where they are not used.
@@ -144,6 +144,6 @@
         return EXIT_BAD_CONFIGURATION
     try:
         return run(config)
-    except (OSError, ControlError) as error:
+    except (OSError, ControlSocketError) as error:
         print(f"juniperward: cannot start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -61,7 +61,7 @@
 
     def test_a_full_disk_at_any_step_leaves_the_state_before(self) -> None:
         self.store.save(self.one)
-        for name in ("os.fsync", "os.replace", "builtins.open"):
+        for name in ("os.fsync", "os.replace", "io.open"):
             full = mock.patch(name, side_effect=OSError(28, "No space left on device"))
             with full, self.assertRaises(OSError):
                 self.store.save(self.two)
@@ -150,7 +150,7 @@
         self.settings = load(self.folder / "f.textproto")
         self.settings.folder.mkdir(mode=0o700)
         self.loop = Loop(self.settings, StateStore(self.settings.folder), 1)
-        self.api = api.Api(self.settings.socket, self.loop, lambda _: {"error": "no"}, lambda _: None)
+        self.api = api.Api(self.settings.socket, self.loop, lambda: {"error": "no"}, lambda _: None)
         self.api.start()
         self.addCleanup(self.api.close)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from typer.testing import CliRunner, Result
 
 from juniperward.agent.views import status as status_view
-from juniperward.cli import fleet
+from juniperward.cli import roll
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
 from juniperward.net.http import ConnectionClosedError, Stream, encode_response, read_request
@@ -130,7 +130,7 @@
                 roll=lambda _: (200, view("going", "draining")),
                 roll_show=lambda _, e=end: (200, e),  # type: ignore[misc]
             )
-            with mock.patch.object(fleet, "EVERY", 0.0):
+            with mock.patch.object(roll, "POLL_INTERVAL_S", 0.0):
                 result = self.run_tool("fleet", "roll", "-a", path)
             self.assertEqual(result.exit_code, code)
             self.assertIn(f"roll r1 is {last}", result.output)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -13,6 +13,7 @@
 from juniperward.agent import api
 from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.loop import Loop
+from juniperward.agent.running_fleet import ToldDestinations
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
@@ -33,20 +34,18 @@
         self.file.write_text(GOOD)
         fleet = load(self.file)
         fleet.folder.mkdir(mode=0o700)
-        self.api = api.Api(
-            fleet.socket, Loop(fleet, StateStore(fleet.folder), 1), lambda _: {}, lambda _: None
-        )
+        self.api = api.Api(fleet.socket, Loop(fleet, StateStore(fleet.folder), 1), lambda: {}, lambda _: None)
         rules = ResendRules((Rule("seven", frozenset({7})),))
-        self.service = DeadLetterService(fleet.folder, rules, lambda: [], lambda: {})
+        self.service = DeadLetterService(fleet.folder, rules, list, dict)
         self.addCleanup(self.service.store.close)
-        self.api.kept = self.service
+        self.api.serve_dead_letters(self.service)
         self.api.start()
         self.addCleanup(self.api.close)
         messages = [
             kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
         ]
         self.service.store.take_in("n0", messages, 1, 1)
-        self.service.world.told["n0"] = (1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
+        self.service.fleet.told["n0"] = ToldDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
 
     def run_tool(self, *words: object, code: int = 0) -> Result:
         console.width = 240
@@ -85,12 +84,13 @@
 
     def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(self) -> None:
         """Two parts of up to 200: it dies before or after either of them has come to the agent."""
+        from juniperward.cli import dead_letter_access as access
         from juniperward.cli import dead_letters as tool
 
         class Dies(BaseException):
             """As SIGKILL: nothing of the tool's own runs after it."""
 
-        real = tool.call
+        real = access.call
         for late in (False, True):
             for dies_at in (1, 2):
                 calls = 0
@@ -152,5 +152,5 @@
         self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 0)
 
     def test_an_agent_that_keeps_nothing_says_so(self) -> None:
-        self.api.kept = None
+        self.api.queries.dead_letters = None
         self.assertIn("nothing is kept", self.run_tool("stats", code=1).output)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -21,13 +21,17 @@
 from hypothesis import strategies as st
 
 from juniperward.control import protocol, server
-from juniperward.control.client import ControlClient, Refused, Silent
-from juniperward.control.errors import ControlError
+from juniperward.control.client import ControlClient
+from juniperward.control.errors import (
+    ControlRejectedError,
+    ControlSocketError,
+    ControlUnreachableError,
+    ProtocolError,
+)
 from juniperward.control.protocol import (
     Answer,
     Counters,
     Destination,
-    ProtocolError,
     Request,
     Rows,
     Verb,
@@ -95,50 +99,52 @@
         with open_socket(self.path):
             self.assertEqual(stat.S_IMODE(self.path.stat().st_mode), 0o600)
             self.assertEqual(stat.S_IMODE(self.path.parent.stat().st_mode), 0o700)
-            with self.assertRaisesRegex(ControlError, "another process listens"):
+            with self.assertRaisesRegex(ControlSocketError, "another process listens"):
                 open_socket(self.path)
         open_socket(self.path).close()  # what a killed process left is taken away
         os.chmod(self.path.parent, 0o755)
-        with self.assertRaisesRegex(ControlError, "mode 0700"):
+        with self.assertRaisesRegex(ControlSocketError, "mode 0700"):
             open_socket(self.path)
-        with self.assertRaisesRegex(ControlError, "107 bytes"):
+        with self.assertRaisesRegex(ControlSocketError, "107 bytes"):
             open_socket(self.folder / ("x" * 120))
         (self.folder / "plain").write_text("")
         os.chmod(self.folder, 0o700)
-        with self.assertRaisesRegex(ControlError, "something else"):
+        with self.assertRaisesRegex(ControlSocketError, "something else"):
             open_socket(self.folder / "plain")
 
     def test_a_client_that_hears_nothing_gives_up_in_its_time(self) -> None:
         self.serve(lambda mine, client, request: None)
         began = time.monotonic()
-        with self.assertRaisesRegex(Silent, "no answer within 0.2 s"):
+        with self.assertRaisesRegex(ControlUnreachableError, "no answer within 0.2 s"):
             ControlClient(self.path, 0.2).status()
         self.assertLess(time.monotonic() - began, 1.5)
-        with self.assertRaisesRegex(Silent, "nobody listens"):
+        with self.assertRaisesRegex(ControlUnreachableError, "nobody listens"):
             ControlClient(self.folder / "none", 0.2).status()
 
     def test_an_answer_to_an_earlier_request_is_not_taken_for_this_ones(self) -> None:
         self.serve(lambda mine, client, request: mine.tell(client, Answer(request.id - 1, Counters({}))))
-        with self.assertRaises(Silent):
+        with self.assertRaises(ControlUnreachableError):
             ControlClient(self.path, 0.2).counters()
 
     def test_a_full_table_lets_the_one_idle_longest_go(self) -> None:
         mine = self.serve(lambda me, client, request: me.tell(client, Answer(request.id, Counters({}))))
         silent = []
-        for _ in range(server.MOST_CLIENTS):
+        for _ in range(server.MAX_CLIENTS):
             silent.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
             silent[-1].connect(str(self.path))
-        with self.assertRaises(Silent):  # it hears nothing before its turn to be admitted, then is served
+        with self.assertRaises(
+            ControlUnreachableError
+        ):  # it hears nothing before its turn to be admitted, then is served
             ControlClient(self.folder / "none", 0.1).counters()
         self.assertEqual(ControlClient(self.path, WAIT).counters(), {})
         silent[0].settimeout(WAIT)
         self.assertEqual(silent[0].recv(1), b"")
-        self.assertLessEqual(len(mine.clients), server.MOST_CLIENTS)
+        self.assertLessEqual(len(mine.clients), server.MAX_CLIENTS)
         for sock in silent:
             sock.close()
 
     def test_a_flood_is_paced(self) -> None:
-        # Guards the loop: one client gets its burst, then PACE requests a second, however fast it asks.
+        # Guards the loop: one client gets its burst, then REQUESTS_PER_S requests a second, however fast it asks.
         asked: list[float] = []
 
         def ask(mine: ControlServer, client: int, request: Request) -> None:
@@ -147,14 +153,17 @@
 
         self.serve(ask)
         client = ControlClient(self.path, WAIT)
-        with mock.patch.object(server, "BURST", 3.0), mock.patch.object(server, "PACE", 50.0):
+        with (
+            mock.patch.object(server, "REQUEST_BURST", 3.0),
+            mock.patch.object(server, "REQUESTS_PER_S", 50.0),
+        ):
             for _ in range(8):
                 client.counters()
         client.close()
         self.assertEqual(len(asked), 8)
         one = server.Client(1, mock.Mock())
-        one.tokens, one.tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
-        self.assertGreater(one.pause(), 0.0)
+        one._tokens, one._tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
+        self.assertGreater(one.pause_s(), 0.0)
 
     def test_rubbish_is_answered_and_ended(self) -> None:
         self.serve(lambda mine, client, request: None)
@@ -164,7 +173,7 @@
                 sock.connect(str(self.path))
                 sock.sendall(text)
                 answer = decode_answer(
-                    protocol.read_frame(Line(sock).take, protocol.MOST_ANSWER), Verb.STATUS
+                    protocol.read_frame(Line(sock).take, protocol.MAX_ANSWER_BYTES), Verb.STATUS
                 )
                 self.assertIsNone(answer.body)
 
@@ -226,7 +235,7 @@
         assert self.program.process is not None
         self.assertEqual(self.program.process.wait(WAIT), 0)
         self.assertFalse(self.client.path.exists())
-        with self.assertRaises(Silent):
+        with self.assertRaises(ControlUnreachableError):
             self.client.status()
 
     def test_a_second_one_on_the_same_folder_does_not_start(self) -> None:
@@ -245,7 +254,7 @@
         self.client.status()
         process.send_signal(signal.SIGSTOP)
         try:
-            with self.assertRaises(Silent):
+            with self.assertRaises(ControlUnreachableError):
                 ControlClient(self.client.path, 0.2).status()
         finally:
             process.send_signal(signal.SIGCONT)
@@ -285,6 +294,6 @@
             say = mock.Mock()
             mine = ControlServer(path, lambda c, r: mine.tell(c, Answer(r.id, None, "no")), say, say)
             mine.start()
-            with self.assertRaisesRegex(Refused, "no"):
+            with self.assertRaisesRegex(ControlRejectedError, "no"):
                 ControlClient(path, WAIT).status()
             mine.close()
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -13,6 +13,7 @@
 
 from juniperward.dead_letters import spool as spools
 from juniperward.dead_letters.decisions import Clock, Status
+from juniperward.dead_letters.schema import MIGRATIONS, statements
 from juniperward.dead_letters.spool import (
     RedriveOutcome,
     Spool,
@@ -23,14 +24,7 @@
     read,
     segments,
 )
-from juniperward.dead_letters.store import (
-    MIGRATIONS,
-    ClaimLostError,
-    DeadLetterStore,
-    Filter,
-    StoreError,
-    _statements,
-)
+from juniperward.dead_letters.store import ClaimLostError, DeadLetterStore, Filter, StoreError
 
 
 def kept(
@@ -267,7 +261,7 @@
     def test_an_older_schema_is_taken_over_and_a_newer_one_refused(self) -> None:
         old = self.file.parent / "old.db"
         db = sqlite3.connect(old)
-        for statement in _statements(MIGRATIONS[0]):
+        for statement in statements(MIGRATIONS[0]):
             db.execute(statement)
         db.execute("PRAGMA user_version=1")
         db.execute(
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -30,7 +30,7 @@
                     name = (
                         function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
                     )
-                    yield name, node.args
+                    yield name.lstrip("_"), node.args
 
 
 def texts(argument: ast.expr) -> set[str]:
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -26,7 +26,8 @@
     RedriveSafety,
     Rule,
 )
-from juniperward.dead_letters.redriver import Redriver, ReportedOutcomes, ResendRules
+from juniperward.dead_letters.fleet import ReportedOutcomes
+from juniperward.dead_letters.redriver import Redriver, ResendRules
 from juniperward.dead_letters.resubmission import Resubmission
 from juniperward.dead_letters.spool import SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import Claim, ClaimLostError, DeadLetterStore, Filter
@@ -118,34 +119,34 @@
     def forwarders(self) -> list[str]:
         return sorted(n for n, alive in self.alive.items() if alive)
 
-    def sights(self, destination: int) -> list[DestinationView]:
+    def destination_views(self, destination: int) -> list[DestinationView]:
         return [DestinationView("well", 0.0, False, 50.0, 0, 8)]
 
-    def workers(self, destination: int) -> frozenset[str] | None:
+    def endpoints(self, destination: int) -> frozenset[str] | None:
         return frozenset({"s-1"})
 
     def slots(self) -> int:
         return 16
 
-    def take_in(self, store: DeadLetterStore) -> int:
+    def read_spools(self, store: DeadLetterStore) -> int:
         self._operation()
         return 0
 
-    def hand_in(self, forwarder: str, h: Resubmission) -> tuple[int, float]:
+    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
         self._operation()
         what = self.door.pop(0) if self.door else "ok"
         if what == "refused" or not self.alive[forwarder]:
             status = 503 if self.alive[forwarder] else -1
         elif what == "late":
-            self.late.append((forwarder, h))
+            self.late.append((forwarder, message))
             status = 0
         else:
-            self.take(forwarder, h)
+            self.take(forwarder, message)
             status = 0 if what == "lost" else 202
         self._operation()  # and after it: it was taken, and nobody noted that
         return status, 0.0
 
-    def fates(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
+    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         self._operation()
         if not self.alive[forwarder]:
             return None
@@ -303,14 +304,14 @@
             self.explore(forgetful, pairs=False)
 
     def test_it_finds_silence_taken_for_never_taken(self) -> None:
-        real = Redriver._one_fate
+        real = Redriver._settle_one
 
         def guess(self: Redriver, done: Any, claim: Claim, told: ReportedOutcomes | None, now: float) -> None:
             if told is not None and told.end == "held":
                 told = ReportedOutcomes("unknown", None, 0.0)
             real(self, done, claim, told, now)
 
-        with mock.patch.object(Redriver, "_one_fate", guess), self.assertRaises(AssertionError):
+        with mock.patch.object(Redriver, "_settle_one", guess), self.assertRaises(AssertionError):
             self.explore(pairs=False)
 
     def test_it_finds_a_window_that_is_not_looked_at(self) -> None:
@@ -385,7 +386,7 @@
         sim.round()
         (claim, *_) = sim.store.open_resends()
         sim.held[claim.forwarder].clear()
-        real = sim.fates
+        real = sim.outcomes
 
         def forgot(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
             found = real(forwarder, ids) or {}
@@ -394,13 +395,13 @@
                 for k, t in found.items()
             }
 
-        sim.fates = forgot  # type: ignore[method-assign]
+        sim.outcomes = forgot  # type: ignore[method-assign]
         sim.run(20)
         self.assertIn(claim.resend, sim.resender.round().lost_memory)
         (facts,) = sim.store.facts(Filter(ids=(claim.message,)))
         self.assertEqual(facts.stand, "claimed")
         sim.store.settle(claim.message, False, "ann", "the partner never saw it", sim.now)
-        sim.fates = real  # type: ignore[method-assign]
+        sim.outcomes = real  # type: ignore[method-assign]
         sim.finish()
 
     def test_a_window_that_closes_between_decision_and_hand_in(self) -> None:
