--- a/juniperward/benchmarks/cold.py
+++ b/juniperward/benchmarks/cold.py
@@ -10,7 +10,8 @@
 from pathlib import Path
 
 from juniperward.benchmarks.report import Report
-from juniperward.simulation.cold_return import CASES, ColdCase, ColdReturn, ColdReturnResult
+from juniperward.simulation.cold_cases import CASES, ColdCase, ColdReturnResult
+from juniperward.simulation.cold_return import ColdReturn
 
 FLEET_SIZES = (1, 3, 20, 30, 200, 230)
 PROCESSES = 2
--- a/juniperward/simulation/observation.py
+++ b/juniperward/simulation/observation.py
@@ -4,45 +4,55 @@
 
 from collections import deque
 
-from juniperward.simulation.world import FALL_SPAN, FALL_TIMES, NET, WARM, World
+from juniperward.simulation.model import ONE_WAY_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S, WARM_UP_S, Partner
+from juniperward.simulation.world import World
 
 CLOSED = ("DOWN", "SILENT", "SHUT", "FAILING")
+ROUND_TRIP_S = 2 * ONE_WAY_S
 
 
 class Observation:
     """One for each world: all forwarders' oracles share it, as they would have to agree on who calls."""
 
     def __init__(self, world: World) -> None:
-        self.world = world
-        self.coming: dict[int, deque[float]] = {}  # until when calls count as on their way; partners below 0
-
-    def might_serve(self, worker: int) -> bool:
-        """Whether a call that goes now would be served at once, and well; if so, its place is held for it."""
-        world = self.world
-        now, w = world.now, world.workers[worker]
-        p = world.partners[w.partner - 1]
-        if p.mode in CLOSED or p.fallen:
+        """Look at this world."""
+        self._world = world
+        self._coming: dict[int, deque[float]] = {}  # until when calls count as on their way; partners below 0
+
+    def might_serve(self, number: int) -> bool:
+        """Return whether a call that goes now would be served at once, and well; if so, its place is held for it."""
+        now, endpoint = self._world.now, self._world.endpoints[number]
+        partner = self._world.partners[endpoint.partner - 1]
+        if partner.mode in CLOSED or partner.fallen:
             return False
-        held, whole = self._coming(w.number), self._coming(-p.number)
-        if w.busy + len(w.queue) + len(held) >= p.spec.at_once:
+        to_endpoint, to_partner = self._on_their_way(endpoint.number), self._on_their_way(-partner.number)
+        if endpoint.busy + len(endpoint.queue) + len(to_endpoint) >= partner.spec.at_once:
             return False
-        recent = sum(t > now - 1.0 + 2 * NET for t in p.span)
-        if p.spec.rate and recent + len(whole) + 1 > p.spec.rate:
+        if self._over_limit(partner, now, len(to_partner)) or _would_fall(partner, now, len(to_partner)):
             return False
-        if p.back_at is not None and now - p.back_at < WARM:
-            pushed = sum(now - t <= FALL_SPAN for t in p.pushes) + len(whole)
-            if pushed + 1 > FALL_TIMES * p.present(now) * FALL_SPAN:
-                return False
-        held.append(now + 2 * NET)
-        whole.append(now + 2 * NET)
+        to_endpoint.append(now + ROUND_TRIP_S)
+        to_partner.append(now + ROUND_TRIP_S)
         return True
 
-    def _coming(self, number: int) -> deque[float]:
-        found = self.coming.setdefault(number, deque())
-        while found and found[0] <= self.world.now:  # it has come, and is counted where it is
+    @staticmethod
+    def _over_limit(partner: Partner, now: float, coming: int) -> bool:
+        recent = sum(at > now - 1.0 + ROUND_TRIP_S for at in partner.span)
+        return bool(partner.spec.rate and recent + coming + 1 > partner.spec.rate)
+
+    def _on_their_way(self, number: int) -> deque[float]:
+        found = self._coming.setdefault(number, deque())
+        while found and found[0] <= self._world.now:  # it has come, and is counted where it is
             found.popleft()
         return found
 
-    def batch(self, worker: int) -> int:
-        """Messages that one call to it carries."""
-        return max(int(self.world.partners[self.world.workers[worker].partner - 1].spec.batch), 1)
+    def batch(self, number: int) -> int:
+        """Return how many messages one call to an endpoint carries."""
+        return self._world.partners[self._world.endpoints[number].partner - 1].batch
+
+
+def _would_fall(partner: Partner, now: float, coming: int) -> bool:
+    """Return whether one more call would push a cold partner over."""
+    if partner.back_at is None or now - partner.back_at >= WARM_UP_S:
+        return False
+    pushed = sum(now - at <= OVERLOAD_SPAN_S for at in partner.pushes) + coming
+    return pushed + 1 > OVERLOAD_MULTIPLE * partner.present(now) * OVERLOAD_SPAN_S
--- /dev/null
+++ b/juniperward/simulation/policies/__init__.py
@@ -0,0 +1,32 @@
+"""Policies of delivery that experiments compare: our scheduler, baselines, and an oracle."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from juniperward.scheduler import DeliveryScheduler
+from juniperward.simulation.policies.baseline import Baseline, DestinationQueue
+from juniperward.simulation.policies.limits import AdditiveIncrease, Gradient, TokenBucket
+from juniperward.simulation.policies.oracle import Oracle
+from juniperward.simulation.policies.simple import LeastOutstanding, NoRetry, RoundRobin
+
+__all__ = ["POLICIES", "Baseline", "DestinationQueue", "NoRetry", "policy_name"]
+
+FORMER_NAMES = {"nickelscale": "juniperward"}  # of policies: results on disk and habits have them
+
+POLICIES: dict[str, Callable[..., Any]] = {
+    "juniperward": DeliveryScheduler,
+    "one-try": NoRetry,
+    "round-robin": RoundRobin,
+    "least-outstanding": LeastOutstanding,
+    "aimd": AdditiveIncrease,
+    "gradient": Gradient,
+    "token-bucket": TokenBucket,
+    "oracle": Oracle,
+}
+
+
+def policy_name(name: str) -> str:
+    """Return the present name of a policy."""
+    return FORMER_NAMES.get(name, name)
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -20,7 +20,8 @@
 from juniperward.scheduler.records import Endpoint
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.simulation.cold_budget import ColdBudget, with_chance
-from juniperward.simulation.cold_return import CASES, ColdCase, ColdReturn, Outage, Span
+from juniperward.simulation.cold_cases import CASES, ColdCase, Outage, Span
+from juniperward.simulation.cold_return import ColdReturn
 from juniperward.simulation.scenario import parse
 from juniperward.simulation.world import World
 
@@ -60,13 +61,13 @@
     def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
         world = World(parse(FALLING, "falling.textproto"), DeliveryScheduler, 1)
         partner = world.partners[0]
-        partner.back_at, world.now = 0.0, 1.0
+        partner.back_at, world.timeline.now = 0.0, 1.0
         borne = int(partner.budget.most(1.0))
         for n in range(borne):
-            world._full(partner, partner.workers[0])
+            world.destinations.rejection(partner, partner.workers[0])
             self.assertFalse(partner.fallen, n)
         self.assertEqual(borne, 8)  # N = 2 x 3 x 2 x 0.262
-        world._full(partner, partner.workers[0])
+        world.destinations.rejection(partner, partner.workers[0])
         self.assertTrue(partner.fallen)
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -95,10 +95,10 @@
 
             tries = 1000
 
-            def _settled(self, e: AttemptFinished) -> None:
-                super()._settled(e)
-                lane = self.lanes[self.home[e.endpoint]]
-                lane.wait_until = 0.0
+            def _finished(self, e: AttemptFinished) -> None:
+                super()._finished(e)
+                destination = self.destinations[self._destination_of[e.endpoint]]
+                destination.wait_until = 0.0
                 if (m := self.held.get(e.message)) is not None:
                     m.not_before, m.first_ran = self.now, None
 
@@ -124,7 +124,7 @@
         class Noting(NoRetry):
             """Notes how calls end."""
 
-            def learn(self, lane: DestinationQueue, e: AttemptFinished) -> None:
+            def learn(self, destination: DestinationQueue, e: AttemptFinished, /) -> None:
                 ended.append((e.outcome, self.now))
 
         world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Noting, 1)
@@ -133,7 +133,7 @@
         self.assertGreater(len(reset), 5)
         self.assertTrue(all(7.0 <= at <= 7.1 for at in reset))
         self.assertNotIn(Outcome.TIMEOUT, [outcome for outcome, _ in ended])
-        self.assertFalse([w for w in world.workers if w.hung])
+        self.assertFalse([w for w in world.endpoints if w.hung])
 
 
 class ColdTest(unittest.TestCase):
