--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -5,7 +5,6 @@
 import concurrent.futures
 import contextlib
 import socket
-import time
 from dataclasses import dataclass, field
 from http import HTTPStatus
 from pathlib import Path
@@ -71,21 +70,13 @@
 
 def _exchange(path: Path, request: bytes, timeout_s: float) -> HttpResponse:
     """Send a request on a connection of its own, and read the answer within the time for both."""
-    until = time.monotonic() + timeout_s
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
+        timed = sockets.Timed(sock, timeout_s)
         sockets.limit(sock, socket.SO_SNDTIMEO, timeout_s)
         sock.connect(str(path))
         with contextlib.suppress(BrokenPipeError):  # one that is rejected is answered before it has written
             sock.sendall(request)
-
-        def receive(size: int) -> bytes:
-            left_s = until - time.monotonic()
-            if left_s <= 0:
-                raise TimeoutError
-            sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
-            return sock.recv(size)
-
-        return read_response(Stream(receive), most=MAX_ANSWER_BYTES)
+        return read_response(Stream(timed.receive), most=MAX_ANSWER_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -71,6 +71,7 @@
     """A forwarder on a core of its own, with its world; a context."""
 
     def __init__(self, folder: Path, keep: bool = False, root: Path = ROOT) -> None:
+        """Take the first core for the forwarder and the others for its world; `root` has its code."""
         self.folder, self.keep, self.root = folder, keep, root
         cores = sorted(os.sched_getaffinity(0))
         self.own, self.others = frozenset(cores[:1]), frozenset(cores[1:])
@@ -80,6 +81,7 @@
         self.address: tuple[str, int] = self.port.getsockname()
 
     def __enter__(self) -> Bench:
+        """Start the forwarder; raises RuntimeError with its log where it does not get ready."""
         for n, address in enumerate(self.sinks.addresses, 1):
             self.registry.put(Entry(f"s-{n}", address, n, "small-partners", 0.0))
         state = self.folder / "state"
@@ -92,7 +94,7 @@
             config["kept"] = {"spool": str(self.folder / "spool")}
         file = self.folder / "one.json"
         file.write_text(json.dumps(config))
-        with open(self.folder / "forwarder.log", "wb") as log:
+        with (self.folder / "forwarder.log").open("wb") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "juniperward"], cwd=self.root, stderr=log,
                 env={**os.environ, "ROUTER_CONFIG": str(file), "PYTHONPATH": str(self.root)},
@@ -107,6 +109,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
+        """End the forwarder and its world."""
         self.child.terminate()
         self.child.wait(10.0)
         self.sinks.close()
--- a/juniperward/benchmarks/cost.py
+++ b/juniperward/benchmarks/cost.py
@@ -41,6 +41,7 @@
     """A module and its simulated surroundings; `spent` is CPU seconds within it, `answered` messages delivered."""
 
     def __init__(self, destinations: int, workers: int) -> None:
+        """Begin with so many destinations, and so many endpoints of each."""
         classes = (
             MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
         )
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -14,8 +14,9 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report, Row, quantile
 from juniperward.control.client import ControlClient
+from juniperward.control.codec import encode_request
 from juniperward.control.errors import ControlError
-from juniperward.control.protocol import Request, Verb, encode_request
+from juniperward.control.protocol import Request, Verb
 
 
 def flood(seed: int, out: Path, seconds: float = 10.0) -> bool:
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -74,6 +74,22 @@
     return held
 
 
+class AgentStartError(RuntimeError):
+    """The agent did not answer after its start."""
+
+    def __init__(self, log: Path) -> None:
+        """Tell the end of its log."""
+        super().__init__(f"the agent does not answer: {log.read_text()[-2000:]}")
+
+
+class StatusTimeoutError(TimeoutError):
+    """What was waited for did not hold in time."""
+
+    def __init__(self, patience_s: float, status: dict[str, Any]) -> None:
+        """Tell the latest status."""
+        super().__init__(f"not within {patience_s} s: {json.dumps(status)}")
+
+
 class LocalCluster:
     """A fleet and its world; use it as a context, so that nothing is left behind."""
 
@@ -81,6 +97,7 @@
         self, folder: Path, instances: int = 3, partners: list[PartnerSpec] | None = None, seed: int = 1,
         late: float = 0.0, settings: dict[str, dict[str, float]] | None = None,
     ) -> None:  # fmt: skip
+        """Prepare it in `folder`; `late` is the registry's delay in seconds, `settings` go into the fleet's file."""
         self.folder, self.seed = folder, seed
         self.recorder = Recorder()
         self.registry = Registry(self.recorder, late)
@@ -102,13 +119,16 @@
         self.events_at = 0
 
     def __enter__(self) -> LocalCluster:
+        """Return the cluster; `start` starts it."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """End all of it."""
         self.close()
 
     @property
     def socket(self) -> Path:
+        """The socket of the agent's API."""
         return self.folder / "run" / "agent.sock"
 
     def write_settings(self, names: list[str] | None = None, **more: dict[str, float]) -> None:
@@ -142,8 +162,7 @@
 
     def start_agent(self) -> None:
         """Start the agent's process and wait until it answers."""
-        log = open(self.folder / "agent.log", "ab")  # noqa: SIM115
-        with log:
+        with (self.folder / "agent.log").open("ab") as log:
             self.agent = subprocess.Popen(
                 [sys.executable, "-m", "juniperward", "agent", "run", str(self.file), "--json"],
                 cwd=ROOT, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
@@ -155,8 +174,7 @@
                 break
             except (AgentUnreachableError, AgentRejectedError):
                 if self.agent.poll() is not None or time.monotonic() > until:
-                    told = (self.folder / "agent.log").read_text()[-2000:]
-                    raise RuntimeError(f"the agent does not answer: {told}") from None
+                    raise AgentStartError(self.folder / "agent.log") from None
                 time.sleep(0.02)
         self.events_at = 0
         threading.Thread(target=self._lives, args=(self.agent,), daemon=True).start()
@@ -169,7 +187,7 @@
         self.agent.wait()
 
     def ask(self, verb: str, names: list[str] | None = None, **options: Any) -> Any:
-        """Ask the agent; raises AgentSilent or AgentRefused."""
+        """Ask the agent; raises AgentUnreachableError or AgentRejectedError."""
         return ask(self.socket, verb, names, 10.0, **options)
 
     def row(self, name: str) -> dict[str, Any]:
@@ -187,7 +205,7 @@
                 if holds(status):
                     return status
             time.sleep(0.05)
-        raise TimeoutError(f"not within {patience} s: {json.dumps(status)}")
+        raise StatusTimeoutError(patience, status)
 
     def roll(self, patience: float = 120.0, **options: Any) -> dict[str, Any]:
         """Roll, and wait until it is over or has paused."""
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -207,9 +207,14 @@
             for n in range(waiting):
                 at = time.time() - 60.0 + n * 1e-4
                 attempt = (SpooledAttempt("s-2-0", at, "full", False),)
+                destination = 1 + n % 3
+                workers = tuple(f"s-{destination}-{worker}" for worker in (0, 1))
+                name, key, body = f"w{n}", f"kw{n}", b"x" * 50
                 spool.keep(
-                    SpooledMessage(f"w{n}", "booking-update", "valiya-cluster", 1 + n % 3, f"kw{n}", b"x" * 50, at - 4, at,
-                         attempt, "by_key", 12.0, tuple(f"s-{1 + n % 3}-{w}" for w in (0, 1)))
+                    SpooledMessage(
+                        name, "booking-update", "valiya-cluster", destination, key, body, at - 4, at,
+                        attempt, "by_key", 12.0, workers,
+                    )
                 )  # fmt: skip
             spool.close()
             cluster.start()
@@ -272,8 +277,10 @@
 
         def batch(first: int) -> list[SpooledMessage]:
             return [
-                SpooledMessage(f"m{n}", f"c{n % 7}", f"cluster-{n % 40}", n % 500, f"k{n}", b"x" * 200, float(n), float(n),
-                     attempt, "by_key", 12.0, ())
+                SpooledMessage(
+                    f"m{n}", f"c{n % 7}", f"cluster-{n % 40}", n % 500, f"k{n}", b"x" * 200, float(n), float(n),
+                    attempt, "by_key", 12.0, (),
+                )
                 for n in range(first, first + 1000)
             ]  # fmt: skip
 
@@ -296,9 +303,9 @@
         timed("claim, each durable", 1000, lambda n: made.claim(f"m{n}", None, "n0", 1.0, "rule"))
         many = [[f"m{5000 + n * 200 + k}" for k in range(200)] for n in range(20)]
         timed("wish for 200, one transaction", 20, lambda n: made.wish(many[n], "me"))
-        timed("counts by stand", 3, lambda n: made.stats())
-        timed("integrity check", 1, lambda n: made.check())
-        timed("backup while in use", 1, lambda n: made.backup(Path(folder) / "copy.db"))
+        timed("counts by stand", 3, lambda _: made.stats())
+        timed("integrity check", 1, lambda _: made.check())
+        timed("backup while in use", 1, lambda _: made.backup(Path(folder) / "copy.db"))
         size = (Path(folder) / "kept.db").stat().st_size / 2**20
         made.close()
     report.say(f"The store with {count:,} messages of 200 bytes and one attempt ({size:.0f} MiB):")
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -55,6 +55,7 @@
     """A reducer and its clock; what it asks for is answered at once."""
 
     def __init__(self, servers: int, forwarders: int, seed: int) -> None:
+        """Begin with a list of so many servers, as one of so many forwarders."""
         classes = (
             MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
         )
--- a/juniperward/benchmarks/start_parts.py
+++ b/juniperward/benchmarks/start_parts.py
@@ -1,4 +1,6 @@
-"""Runs one forwarder and prints what each part of its start took: `python -m juniperward.benchmarks.start_parts SPAWNED`.
+"""Runs one forwarder and prints what each part of its start took.
+
+Started as `python -m juniperward.benchmarks.start_parts SPAWNED`.
 
 SPAWNED is when the parent began to start it, by the monotonic clock. The one line on standard output is a JSON object
 of [wall seconds, CPU seconds] a part, in order; the forwarder then goes on until a signal ends it.
@@ -21,6 +23,7 @@
     """Splits the time since the start at marks."""
 
     def __init__(self, spawned: float) -> None:
+        """Count the interpreter's own start since `spawned`, by the monotonic clock."""
         self.parts: dict[str, tuple[float, float]] = {"interpreter": (BEGUN - spawned, BEGUN_CPU)}
         self.wall, self.cpu = BEGUN, BEGUN_CPU
 
--- a/juniperward/benchmarks/traces.py
+++ b/juniperward/benchmarks/traces.py
@@ -13,6 +13,8 @@
 from pathlib import Path
 
 AIM = 3.0  # seconds within which a delivery is in time, where no forwarder told its settings
+TRACE_MARK = "juniperward: trace:"
+MAX_UNREAD_SHOWN = 5
 TRACED = re.compile(r"juniperward: trace: (\d+(?:\.\d+)?) (\w+) ?(.*)$")
 TOLD = re.compile(
     r"juniperward: trace: (?:settings value=.?\w+|Settings)\(.*?\b(?:latency_objective_s|aim)=([0-9.]+)"
@@ -57,11 +59,11 @@
 
     def rows(self, destination: int | None = None) -> list[tuple[int, dict[str, int]]]:
         """By second, of one partner or of all together."""
-        return self._summed(lambda second, d: second if destination in (None, d) else None)
+        return self._summed(lambda second, partner: second if destination in (None, partner) else None)
 
     def partners(self) -> list[tuple[int, dict[str, int]]]:
         """By partner, over the whole day."""
-        return self._summed(lambda second, d: d)
+        return self._summed(lambda _, partner: partner)
 
     def peak(self, destination: int) -> int:
         """Most calls that all forwarders made to a partner within a second."""
@@ -77,6 +79,30 @@
         return sorted(sums.items())
 
 
+class UnknownWordError(ValueError):
+    """A line of a trace begins with a word that has no meaning here."""
+
+    def __init__(self, word: str) -> None:
+        """Tell the word."""
+        super().__init__(f"no such word: {word}")
+
+
+class TooManyEndsError(ValueError):
+    """A call has more ends than messages."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("more ends than messages")
+
+
+class NotTracedError(ValueError):
+    """A line is not one of a trace."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("not a line of a trace")
+
+
 class _Reader:
     """Follows one forwarder's trace over all its lives."""
 
@@ -90,46 +116,61 @@
         self.calls.clear()
 
     def take(self, at: float, word: str, rest: list[str], text: str) -> None:
-        """One line; raises ValueError, IndexError or KeyError where it makes no sense."""
-        f = self.fleet
+        """Take in one line; raises ValueError, IndexError or KeyError where it makes no sense."""
+        fleet = self.fleet
         match word:
             case "handed":
-                f.add(at, int(rest[0]), "asked")
+                fleet.add(at, int(rest[0]), "asked")
             case "taken":
                 self.messages[rest[1]] = Story(int(rest[0]), at)
             case "refused":
                 if rest[0] != "?":
-                    f.add(at, int(rest[0]), "door")
+                    fleet.add(at, int(rest[0]), "door")
             case "listed":
-                f.rates[int(rest[1])] = float(rest[4])
+                fleet.rates[int(rest[1])] = float(rest[4])
+            case "say":
+                if found := SAID.match(text):
+                    fleet.add(at, int(found[2]), "sick", CHANGES[found[1]])
+            case "up" | "struck" | "off" | "close" | "noticed" | "untold":
+                pass
+            case _:
+                self._take_of_calls(at, word, rest)
+
+    def _take_of_calls(self, at: float, word: str, rest: list[str]) -> None:
+        match word:
             case "call":
-                d, ids = int(rest[1]), rest[4].split(",")
-                self.calls[rest[0]] = (d, ids, set())
-                f.add(at, d, "calls")
-                for name in ids:
-                    story = self.messages.setdefault(name, Story(d, at))
-                    story.calls += 1
-                    f.add(at, d, "again", int(story.calls > 1))
+                self._called(at, rest)
             case "answer":
-                d = self.calls[rest[0]][0]
-                if rest[1] == "fresh":
-                    f.add(at, d, "opened")
-                if rest[1] == "fresh" and rest[2] == "503" and rest[3] == "closes":
-                    f.add(at, d, "tables")
+                self._answered(at, rest)
             case "ended":
                 self._ended(at, rest)
             case "given_up":
-                given = self.messages.get(rest[0])
-                if given is not None and not given.over:
-                    given.over = True
-                    f.add(at, given.destination, "given_up")
-            case "say":
-                if found := SAID.match(text):
-                    f.add(at, int(found[2]), "sick", CHANGES[found[1]])
-            case "up" | "struck" | "off" | "close" | "noticed" | "untold":
-                pass
+                self._given_up(at, rest[0])
             case _:
-                raise ValueError(f"no such word: {word}")
+                raise UnknownWordError(word)
+
+    def _called(self, at: float, rest: list[str]) -> None:
+        destination, ids = int(rest[1]), rest[4].split(",")
+        self.calls[rest[0]] = (destination, ids, set())
+        self.fleet.add(at, destination, "calls")
+        for name in ids:
+            story = self.messages.setdefault(name, Story(destination, at))
+            story.calls += 1
+            self.fleet.add(at, destination, "again", int(story.calls > 1))
+
+    def _answered(self, at: float, rest: list[str]) -> None:
+        destination = self.calls[rest[0]][0]
+        if rest[1] != "fresh":
+            return
+        self.fleet.add(at, destination, "opened")
+        if rest[2] == "503" and rest[3] == "closes":
+            self.fleet.add(at, destination, "tables")
+
+    def _given_up(self, at: float, name: str) -> None:
+        given_up = self.messages.get(name)
+        if given_up is not None and not given_up.over:
+            given_up.over = True
+            self.fleet.add(at, given_up.destination, "given_up")
 
     def _ended(self, at: float, rest: list[str]) -> None:
         """One message's end in a call; the ends stand in the order of the call's messages or all fare alike."""
@@ -137,7 +178,7 @@
         d, ids, done = self.calls[rest[0]]
         left = [name for name in ids if name not in done]
         if not left:
-            raise ValueError("more ends than messages")
+            raise TooManyEndsError
         name = left[0]
         done.add(name)
         outcome, wait = rest[1], float(rest[2])
@@ -162,32 +203,40 @@
     fleet = Fleet(forwarders=len(logs))
     lines = {name: list(log) for name, log in logs.items()}
     for log in lines.values():
-        for line in log:
-            if found := TRACED.search(line):
-                fleet.began = min(fleet.began, float(found[1]))
-                break
+        first = next((found for line in log if (found := TRACED.search(line))), None)
+        if first is not None:
+            fleet.began = min(fleet.began, float(first[1]))
     for name, log in lines.items():
         reader = _Reader(fleet, name)
         for number, line in enumerate(log, 1):
-            if "juniperward: trace:" not in line:
-                continue
-            fleet.lines += 1
-            if told := TOLD.search(line):
-                fleet.aim = float(told[1])
-                reader.life()
-                continue
-            found = TRACED.search(line.rstrip())
-            try:
-                if not found:
-                    raise ValueError("not a line of a trace")
-                reader.take(float(found[1]), found[2], found[3].split(" "), found[3])
-            except (ValueError, IndexError, KeyError) as error:
-                fleet.unread_count += 1
-                if len(fleet.unread) < 5:
-                    fleet.unread.append(f"{name}:{number}: {error}: {line.strip()[:100]}")
+            if TRACE_MARK in line:
+                _read_line(fleet, reader, f"{name}:{number}", line)
     return fleet
 
 
+def _read_line(fleet: Fleet, reader: _Reader, place: str, line: str) -> None:
+    fleet.lines += 1
+    if told := TOLD.search(line):
+        fleet.aim = float(told[1])
+        reader.life()
+        return
+    try:
+        at, word, text = _split(line.rstrip())
+        reader.take(at, word, text.split(" "), text)
+    except (ValueError, IndexError, KeyError) as error:
+        fleet.unread_count += 1
+        if len(fleet.unread) < MAX_UNREAD_SHOWN:
+            fleet.unread.append(f"{place}: {error}: {line.strip()[:100]}")
+
+
+def _split(line: str) -> tuple[float, str, str]:
+    """Return a line's time, its word, and the rest."""
+    found = TRACED.search(line)
+    if not found:
+        raise NotTracedError
+    return float(found[1]), found[2], found[3]
+
+
 def read_folder(folder: Path) -> Fleet:
     """Count over all `*.log` of a folder, a forwarder each."""
     return read({p.stem: p.read_text(errors="replace").splitlines() for p in sorted(folder.glob("*.log"))})
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -63,7 +63,8 @@
     from juniperward.benchmarks.all import ALL
 
     if name not in ALL:
-        raise typer.BadParameter(f"{name!r} is none of {', '.join(ALL)}", param_hint="NAME")
+        why = f"{name!r} is none of {', '.join(ALL)}"
+        raise typer.BadParameter(why, param_hint="NAME")
     more = {k: v for k, v in (("rounds", rounds), ("rate", rate), ("away", away)) if v is not None}
     raise typer.Exit(0 if ALL[name](seed, out, **more) else 1)
 
--- a/juniperward/cli/shared.py
+++ b/juniperward/cli/shared.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 from enum import StrEnum
 from pathlib import Path
 from typing import Annotated, Any
@@ -50,7 +49,7 @@
 def sockets_of(agents: list[Path] | None) -> list[Path]:
     """The sockets meant; exit code 2 where a settings file cannot be read or nothing is named."""
     if not agents:
-        here = sorted(Path(".").glob("*.textproto"))
+        here = sorted(Path().glob("*.textproto"))
         if len(here) != 1:
             errors.print("name an agent: --agent SOCKET or --agent FILE.textproto, or set JUNIPERWARD_AGENT")
             raise typer.Exit(USAGE)
@@ -94,4 +93,4 @@
 
 def short(path: Path) -> str:
     """An agent's name in a table: its fleet's folder."""
-    return os.path.basename(path.parent) or str(path)
+    return path.parent.name or str(path)
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -41,9 +41,8 @@
     names = [policy_name(name) for name in names or []]
     unknown = [name for name in names if name not in POLICIES]
     if unknown:
-        raise typer.BadParameter(
-            f"{', '.join(unknown)}: none of {', '.join(POLICIES)}", param_hint="--policy"
-        )
+        why = f"{', '.join(unknown)}: none of {', '.join(POLICIES)}"
+        raise typer.BadParameter(why, param_hint="--policy")
     return names or list(POLICIES)
 
 
@@ -58,7 +57,7 @@
         try:
             return sweep(
                 out, scenarios, chosen, range(1, seeds + 1), processes,
-                lambda done, total, result: progress.update(task, completed=done),
+                lambda done, _total, _result: progress.update(task, completed=done),
             )  # fmt: skip
         except (ExperimentRunningError, OSError) as error:
             errors.print(str(error), markup=False)
@@ -165,6 +164,22 @@
     console.print(f"{file}: {len(results)} runs", markup=False)
 
 
+class NoResultError(ValueError):
+    """A folder has no such result."""
+
+    def __init__(self, out: Path, scenario: str, policy: str, seed: int) -> None:
+        """Tell what was looked for."""
+        super().__init__(f"{out}: no result of {scenario} under {policy} with seed {seed}")
+
+
+def _find(rows: list[Any], out: Path, scenario: str, policy: str, seed: int) -> Any:
+    """Return the latest result of a run; raises NoResultError."""
+    wanted = [row for row in rows if (row.scenario, row.policy, row.seed) == (scenario, policy, seed)]
+    if not wanted:
+        raise NoResultError(out, scenario, policy, seed)
+    return wanted[-1]
+
+
 @app.command()
 def replay(
     scenario: Annotated[str, typer.Argument(help="A scenario's name, as in the results.")],
@@ -178,14 +193,12 @@
 
     try:
         rows = read_parquet(out / "results.parquet")
-        wanted = [r for r in rows if (r.scenario, r.policy, r.seed) == (scenario, policy, seed)]
-        if not wanted:
-            raise ValueError(f"{out}: no result of {scenario} under {policy} with seed {seed}")
-        differs = again(wanted[-1])
+        kept = _find(rows, out, scenario, policy, seed)
+        differs = again(kept)
     except (OSError, ValueError) as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(REFUSED) from None
-    console.print(f"then: {wanted[-1].revision} on {wanted[-1].machine}", markup=False, highlight=False)
+    console.print(f"then: {kept.revision} on {kept.machine}", markup=False, highlight=False)
     console.print(f"now:  {revision()}", markup=False, highlight=False)
     for field, (then, now) in differs.items():
         console.print(f"{field}: {str(then)[:60]} then, {str(now)[:60]} now", markup=False)
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -7,25 +7,14 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
+from juniperward.control.codec import MAX_ANSWER_BYTES, decode_answer, encode_request, read_frame
 from juniperward.control.errors import (
     AnswerTypeError,
     ControlRejectedError,
     ControlUnreachableError,
     ProtocolError,
 )
-from juniperward.control.protocol import (
-    MAX_ANSWER_BYTES,
-    Answer,
-    Counters,
-    Fates,
-    Request,
-    Rows,
-    Status,
-    Verb,
-    decode_answer,
-    encode_request,
-    read_frame,
-)
+from juniperward.control.protocol import Answer, Counters, Fates, Request, Rows, Status, Verb
 from juniperward.net import sockets
 
 T = TypeVar("T")
--- a/juniperward/control/errors.py
+++ b/juniperward/control/errors.py
@@ -72,10 +72,17 @@
         super().__init__(f"{place}: {needed}")
 
 
-class MalformedFrameError(ProtocolError):
-    """The text of a frame is no request or no answer."""
+class MalformedRequestError(ProtocolError):
+    """The text of a frame is no request."""
 
-    def __init__(self, expected: str, error: Exception) -> None:
-        """Tell what was expected, and the decoder's error."""
-        self.expected = expected
-        super().__init__(f"{expected}: {type(error).__name__}: {error}")
+    def __init__(self, error: Exception) -> None:
+        """Tell the decoder's error."""
+        super().__init__(f"not a request: {type(error).__name__}: {error}")
+
+
+class MalformedAnswerError(ProtocolError):
+    """The text of a frame is no answer."""
+
+    def __init__(self, error: Exception) -> None:
+        """Tell the decoder's error."""
+        super().__init__(f"not an answer: {type(error).__name__}: {error}")
--- a/juniperward/control/server.py
+++ b/juniperward/control/server.py
@@ -16,16 +16,15 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from juniperward.control.errors import ControlSocketError, ProtocolError
-from juniperward.control.protocol import (
+from juniperward.control.codec import (
     FRAME_HEADER,
     MAX_REQUEST_BYTES,
-    Answer,
-    Request,
     decode_request,
     encode_answer,
     read_frame,
 )
+from juniperward.control.errors import ControlSocketError, ProtocolError
+from juniperward.control.protocol import Answer, Request
 from juniperward.net import sockets
 
 MAX_CLIENTS = 8  # at once; with all there, the one that has been idle for the longest leaves
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import socket
-import time
 from dataclasses import dataclass
 
 from juniperward.net import sockets
 from juniperward.net.http import (
     ConnectionClosedError,
-    HttpResponse,
     IncompleteMessageError,
     MalformedMessageError,
     Stream,
@@ -60,27 +58,16 @@
 
     NO_ANSWER and NOBODY_THERE stand in the place of a status where there is none.
     """
-    until = time.monotonic() + timeout_s
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
+        timed = sockets.Timed(sock, timeout_s)
         try:
             sockets.connect(*address, timeout_s, sock)
         except OSError:
             return NOBODY_THERE, 0.0
         try:
-            answer = _exchange(sock, encode(message, f"{address[0]}:{address[1]}"), until)
+            sock.sendall(encode(message, f"{address[0]}:{address[1]}"))
+            answer = read_response(Stream(timed.receive))
         except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
             return NO_ANSWER, 0.0
     wait = answer.headers.get("retry-after", "")
     return answer.status, float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
-
-
-def _exchange(sock: socket.socket, request: bytes, until: float) -> HttpResponse:
-    def receive(size: int) -> bytes:
-        left_s = until - time.monotonic()
-        if left_s <= 0:
-            raise TimeoutError
-        sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
-        return sock.recv(size)
-
-    sock.sendall(request)
-    return read_response(Stream(receive))
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -61,12 +61,14 @@
     """Spreads clients over the forwarders that say they are ready; learns of changes by looking."""
 
     def __init__(self, forwarders: dict[str, tuple[str, int]], every: float = 0.1) -> None:
+        """Look at the ready pages of `forwarders` every so many seconds."""
         self.forwarders, self.every = forwarders, every
         self.up: tuple[str, ...] = tuple(forwarders)
         self.turn = 0
         self.closed = False
 
     def start(self) -> None:
+        """Begin to look."""
         threading.Thread(target=self._look, daemon=True).start()
 
     def next(self, avoid: frozenset[str] = frozenset()) -> str:
@@ -104,6 +106,7 @@
         threads: int = 48,
         name: str = "c",
     ) -> None:
+        """Draw messages from a seed; `name` begins their ids."""
         self.traffic, self.front, self.recorder = traffic, front, recorder
         self.random, self.name = random.Random(seed), name
         self.threads = threads
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -192,8 +192,16 @@
     out.put((seen.accepted.encode(), seen.lateness.encode(), seen.sent, seen.refused, seen.failed))
 
 
+class LoadDiedError(RuntimeError):
+    """A process of the load has ended before its time."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("a process of the load has died")
+
+
 def play(plans: list[Plan]) -> LoadResult:
-    """Run each plan in a process of its own; what all saw together. Raises RuntimeError when one dies."""
+    """Run each plan in a process of its own; what all saw together. Raises LoadDiedError when one dies."""
     context = multiprocessing.get_context("spawn")
     out = context.Queue()
     processes = [context.Process(target=_load, args=(p, out), daemon=True) for p in plans]
@@ -207,7 +215,7 @@
                 break
             except queue.Empty:
                 if any(p.exitcode for p in processes):
-                    raise RuntimeError("a process of the load has died") from None
+                    raise LoadDiedError from None
     for process in processes:
         process.join()
     return total
@@ -217,6 +225,7 @@
     """Workers in a process of their own that answer every call at once, and note how old its message is."""
 
     def __init__(self, count: int, cores: frozenset[int] = frozenset()) -> None:
+        """Start so many, on these cores where any are given."""
         context = multiprocessing.get_context("spawn")
         self.pipe, theirs = context.Pipe()
         self.process = context.Process(target=_sink, args=(count, theirs, cores), daemon=True)
@@ -246,7 +255,7 @@
     state = {"ages": histogram(), "since": 0.0}
     good = encode_response(200, {}, b"", False)
 
-    def handle(link: Link, asked: HttpRequest, began: float) -> bool:
+    def handle(link: Link, asked: HttpRequest, _began: float) -> bool:
         due = int(asked.headers["x-correlation-id"].partition("-")[0]) / 1e6
         with lock:
             if due >= state["since"]:
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -55,6 +55,7 @@
     """One partner and its workers."""
 
     def __init__(self, spec: PartnerSpec, recorder: Recorder, seed: int) -> None:
+        """Draw service times from a seed; what happens goes to `recorder`."""
         self.spec, self.recorder = spec, recorder
         self.random = random.Random(seed)
         self.lock = threading.Lock()
@@ -79,6 +80,7 @@
         return self.entries()
 
     def worker(self, number: int) -> str:
+        """Return the id of an endpoint."""
         return f"s-{self.spec.destination}-{number}"
 
     def entries(self, state: str = "Ready", number: int | None = None) -> list[Entry]:
@@ -144,13 +146,13 @@
             status, wait = refused
             return self._answer(link, call, status, "later", rows, wait)
         try:
-            return self._work(number, link, call, rows, many, busy, chance, latency)
+            return self._work(link, call, rows, many, busy, chance, latency)
         finally:
             with self.lock:
                 self.busy[number] -= 1
 
     def _work(
-        self, number: int, link: Link, call: int, rows: list[tuple[str, str]], many: bool, busy: int,
+        self, link: Link, call: int, rows: list[tuple[str, str]], many: bool, busy: int,
         chance: float, latency: float,
     ) -> bool:  # fmt: skip
         s = self.spec
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -105,11 +105,13 @@
     """Keeps records in memory; any thread may add to it."""
 
     def __init__(self) -> None:
+        """Begin with none."""
         self.records: list[AnyRecord] = []
         self.lock = threading.Lock()
         self.calls = 0
 
     def add(self, record: AnyRecord) -> None:
+        """Add a record."""
         self.records.append(record)  # one list operation: whole under the interpreter's own lock
 
     def call(self) -> int:
@@ -121,7 +123,7 @@
     def write(self, file: Path) -> None:
         """All records so far, one JSON object a line."""
         encode = msgspec.json.Encoder().encode
-        with open(file, "wb") as out:
+        with file.open("wb") as out:
             out.writelines(encode(r) + b"\n" for r in list(self.records))
 
 
@@ -129,7 +131,7 @@
     """The records of several files."""
     decoder = msgspec.json.Decoder(AnyRecord)
     for file in files:
-        with open(file, "rb") as lines:
+        with file.open("rb") as lines:
             for line in lines:
                 yield decoder.decode(line)
 
--- a/juniperward/fakes/registry.py
+++ b/juniperward/fakes/registry.py
@@ -29,6 +29,7 @@
     """The list, its watches and the notices; `late` is the time from a change until it is told."""
 
     def __init__(self, recorder: Recorder, late: float = 0.0) -> None:
+        """Tell changes `late` seconds after they are made."""
         self.recorder, self.late = recorder, late
         self.changed = threading.Condition()
         self.version = 1
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -25,6 +25,7 @@
     """One connection; knows when the call that is being read began."""
 
     def __init__(self, sock: socket.socket) -> None:
+        """Read requests from a connection."""
         self.sock = sock
         self.stream = Stream(self._receive)
         self.began: float | None = None
@@ -59,6 +60,7 @@
     """Listens and hands each call to `handle`, which writes the answer; False from it ends the connection."""
 
     def __init__(self, handle: Callable[[Link, HttpRequest, float], bool], most: int = 10_000) -> None:
+        """Serve at most `most` connections at once; more are refused."""
         self.handle, self.most = handle, most
         self.lock = threading.Lock()
         self.links: set[Link] = set()
@@ -68,6 +70,7 @@
 
     @property
     def address(self) -> str:
+        """Where it listens, as host:port."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -65,6 +65,7 @@
 
     @property
     def key(self) -> tuple[str, str, int]:
+        """What names a run: the scenario's digest, the policy and the seed."""
         return self.digest, self.policy, self.seed
 
 
@@ -109,10 +110,26 @@
 )  # fmt: skip
 
 
+class NoTextError(ValueError):
+    """A result of an early version cannot be replayed."""
+
+    def __init__(self) -> None:
+        """Say why."""
+        super().__init__("a result of version 1 has no text of its scenario: it cannot be replayed")
+
+
+class ResultVersionError(ValueError):
+    """A newer version wrote the results."""
+
+    def __init__(self, file: Path, version: int) -> None:
+        """Name the file and its version."""
+        super().__init__(f"{file}: written by version {version}; this one reads up to {VERSION}")
+
+
 def replay(result: Result) -> dict[str, tuple[Any, Any]]:
     """Run a kept result once more from its own text: what came out otherwise, then and now. Raises ValueError."""
     if not result.text:
-        raise ValueError("a result of version 1 has no text of its scenario: it cannot be replayed")
+        raise NoTextError
     again = one(result.text, f"{result.scenario}.textproto", result.policy, result.seed)
     pairs = {f: (getattr(result, f), getattr(again, f)) for f in FIGURES}
     return {f: (a, b) for f, (a, b) in pairs.items() if a != b}
@@ -133,7 +150,7 @@
     found = []
     for row in parquet.read_table(file).to_pylist():
         if row["v"] > VERSION:
-            raise ValueError(f"{file}: written by version {row['v']}; this one reads up to {VERSION}")
+            raise ResultVersionError(file, row["v"])
         row["lost"] = {x["why"]: x["share"] for x in row["lost"]}
         known = {k: v for k, v in row.items() if k in Result.__slots__}
         found.append(Result(**{**known, "policy": policy_name(row["policy"])}))
@@ -143,19 +160,24 @@
 class ExperimentRunningError(Exception):
     """Another experiment writes to this folder."""
 
+    def __init__(self, folder: Path) -> None:
+        """Name the folder."""
+        super().__init__(f"{folder}: another experiment writes there")
+
 
 class Results:
     """The folder of an experiment; one writer."""
 
     def __init__(self, folder: Path) -> None:
+        """Read what is there, and hold the folder; raises ExperimentRunningError or OSError."""
         folder.mkdir(parents=True, exist_ok=True)
         self.file = folder / "results.jsonl"
-        self.handle = open(self.file, "a+b")  # noqa: SIM115
+        self.handle = self.file.open("a+b")
         try:
             fcntl.flock(self.handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.handle.close()
-            raise ExperimentRunningError(f"{folder}: another experiment writes there") from None
+            raise ExperimentRunningError(folder) from None
         self.found: dict[tuple[str, str, int], Result] = {}
         good = 0
         self.handle.seek(0)
@@ -177,6 +199,7 @@
         self.found[result.key] = result
 
     def close(self) -> None:
+        """Let go of the folder."""
         self.handle.close()
 
 
@@ -195,7 +218,7 @@
 
 def sweep(
     folder: Path, scenarios: Iterable[Scenario], policies: Iterable[str], seeds: Iterable[int],
-    processes: int | None = None, told: Callable[[int, int, Result], None] = lambda done, total, result: None,
+    processes: int | None = None, told: Callable[[int, int, Result], None] = lambda _done, _total, _result: None,
 ) -> list[Result]:  # fmt: skip
     """Run what is not there yet; all results that were asked for. A run whose process dies is tried once more."""
     asked = [(s, p, n) for s in scenarios for p in policies for n in seeds]
--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -20,6 +20,9 @@
 }  # fmt: skip
 
 
+DEFAULT_SIZES = {"SLOW": 4.0, "KILL": 0.3, "HOT": 0.2}  # of troubles; others have 1.0
+
+
 @dataclass(frozen=True, slots=True)
 class Trouble:
     """A trouble of the timetable; `partner` are numbers from 1."""
@@ -57,54 +60,90 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """The scenario of a text; `name` is for its faults, and the stem of it its own name."""
+    """Return the scenario of a text; `name` is for its faults, and the stem of it its own name.
+
+    Raises:
+        SettingsError: with every fault.
+
+    """
     try:
-        m = text_format.Parse(text, scenario_pb2.Scenario())
+        message = text_format.Parse(text, scenario_pb2.Scenario())
     except text_format.ParseError as error:
         raise SettingsError([Fault(name, error.GetLine() or 0, "", str(error))]) from error
-    places = lines(text)
-    faults: list[Fault] = []
-
-    def fault(field: str, why: str) -> None:
-        line = places.get(field) or places.get(field.rpartition(".")[0]) or 0
-        faults.append(Fault(name, line, field, why))
-
-    for field in ("seconds", "forwarders", "slots", "max_open"):
-        if not getattr(m, field) > 0:
-            fault(field, "must be above 0")
-    if not m.shows:
-        fault("shows", "a scenario says in one line what it is meant to show")
-    if not m.partners:
-        fault("partners", "one group of partners at least")
-    for n, group in enumerate(m.partners):
-        _fill(group, DEFAULTS["partners"])
-        for field in ("count", "share", "latency"):
-            if not getattr(group, field) > 0:
-                fault(f"partners[{n}].{field}", "must be above 0")
-    _fill(m.traffic, DEFAULTS["traffic"])
-    if not m.traffic.rate > 0:
-        fault("traffic[0].rate", "must be above 0")
-    for field in ("swing", "clumps", "again", "late_worth"):
-        if not 0 <= getattr(m.traffic, field) <= 1:
-            fault(f"traffic[0].{field}", "a share is needed, from 0 to 1")
-    count = sum(g.count for g in m.partners)
-    troubles = []
-    for n, t in enumerate(m.trouble):
-        kind = scenario_pb2.Trouble.Kind.Name(t.kind)
+    return _Checker(name, text, message).scenario()
+
+
+class _Checker:
+    """Goes through a parsed scenario once and gathers what is wrong with it."""
+
+    def __init__(self, name: str, text: str, message: Any) -> None:
+        self._name, self._text, self._message = name, text, message
+        self._lines = lines(text)
+        self._faults: list[Fault] = []
+
+    def scenario(self) -> Scenario:
+        message = self._message
+        self._check_numbers()
+        self._check_partners()
+        self._check_traffic()
+        troubles = tuple(self._trouble(number, trouble) for number, trouble in enumerate(message.trouble))
+        if self._faults:
+            raise SettingsError(self._faults)
+        return Scenario(
+            Path(self._name).stem,
+            message.shows,
+            message.seconds,
+            message.forwarders,
+            message.slots,
+            message.max_open,
+            tuple(message.partners),
+            message.traffic,
+            troubles,
+            self._text,
+        )
+
+    def _fault(self, field: str, why: str) -> None:
+        line = self._lines.get(field) or self._lines.get(field.rpartition(".")[0]) or 0
+        self._faults.append(Fault(self._name, line, field, why))
+
+    def _check_numbers(self) -> None:
+        for field in ("seconds", "forwarders", "slots", "max_open"):
+            if not getattr(self._message, field) > 0:
+                self._fault(field, "must be above 0")
+        if not self._message.shows:
+            self._fault("shows", "a scenario says in one line what it is meant to show")
+
+    def _check_partners(self) -> None:
+        if not self._message.partners:
+            self._fault("partners", "one group of partners at least")
+        for number, group in enumerate(self._message.partners):
+            _fill(group, DEFAULTS["partners"])
+            for field in ("count", "share", "latency"):
+                if not getattr(group, field) > 0:
+                    self._fault(f"partners[{number}].{field}", "must be above 0")
+
+    def _check_traffic(self) -> None:
+        traffic = self._message.traffic
+        _fill(traffic, DEFAULTS["traffic"])
+        if not traffic.rate > 0:
+            self._fault("traffic[0].rate", "must be above 0")
+        for field in ("swing", "clumps", "again", "late_worth"):
+            if not 0 <= getattr(traffic, field) <= 1:
+                self._fault(f"traffic[0].{field}", "a share is needed, from 0 to 1")
+
+    def _trouble(self, number: int, given: Any) -> Trouble:
+        kind = scenario_pb2.Trouble.Kind.Name(given.kind)
+        partners = sum(group.count for group in self._message.partners)
+        place = f"trouble[{number}]"
         if kind == "NONE":
-            fault(f"trouble[{n}].kind", "a kind of trouble is needed")
-        if kind != "KILL" and (not t.partner or not all(1 <= p <= count for p in t.partner)):
-            fault(f"trouble[{n}].partner", f"numbers of partners are needed, from 1 to {count}")
-        if not t.seconds > 0 or t.at < 0:
-            fault(f"trouble[{n}].seconds", "a time and a length above 0 are needed")
-        size = t.size or {"SLOW": 4.0, "KILL": 0.3, "HOT": 0.2}.get(kind, 1.0)
-        troubles.append(Trouble(kind, t.at, t.seconds, tuple(t.partner), size))
-    if faults:
-        raise SettingsError(faults)
-    return Scenario(
-        Path(name).stem, m.shows, m.seconds, m.forwarders, m.slots, m.max_open, tuple(m.partners), m.traffic,
-        tuple(troubles), text,
-    )  # fmt: skip
+            self._fault(f"{place}.kind", "a kind of trouble is needed")
+        named = given.partner and all(1 <= partner <= partners for partner in given.partner)
+        if kind != "KILL" and not named:
+            self._fault(f"{place}.partner", f"numbers of partners are needed, from 1 to {partners}")
+        if not given.seconds > 0 or given.at < 0:
+            self._fault(f"{place}.seconds", "a time and a length above 0 are needed")
+        size = given.size or DEFAULT_SIZES.get(kind, 1.0)
+        return Trouble(kind, given.at, given.seconds, tuple(given.partner), size)
 
 
 def _fill(message: Any, defaults: dict[str, Any]) -> None:
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -176,7 +176,7 @@
 
 def search(
     policy: str, rounds: int, seed: int, processes: int | None = None,
-    told: Callable[[int, Found], None] = lambda done, worst: None,
+    told: Callable[[int, Found], None] = lambda _done, _worst: None,
 ) -> list[Found]:  # fmt: skip
     """Play so many days in parts of 16, each part made from the worst so far; the worst first.
 
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -46,7 +46,7 @@
 )  # fmt: skip
 
 
-class Died(Exception):
+class AgentDiedError(Exception):
     """The agent's process is gone."""
 
 
@@ -78,7 +78,7 @@
         self.hopeless: set[str] = set()  # instances that cannot be spawned
         self.stubborn: set[str] = set()  # ignore SIGTERM
         self.die_at: int | None = None  # effect before which the agent dies
-        self.full: Callable[[int], bool] = lambda save: False
+        self.full: Callable[[int], bool] = lambda _: False
         self.tear_at: int | None = None  # save that is cut off half way, with the agent's death
         self.deaths = 0
         self.least = len(names)
@@ -118,7 +118,7 @@
             for effect in self.reducer.reduce(self.now, events):
                 if self.die_at is not None and self.effects_done >= self.die_at:
                     self.die_at = None
-                    raise Died
+                    raise AgentDiedError
                 self.effects_done += 1
                 follow += self.perform(effect)
             events = follow
@@ -133,7 +133,7 @@
                 if self.tear_at == self.saves:
                     self.tear_at = None
                     self.old, self.disk = self.disk, text[: len(text) // 2]
-                    raise Died
+                    raise AgentDiedError
                 self.old, self.disk = self.disk, text
                 return [StateSaved(durable)]
             case SpawnProcess(name=name, edition=edition):
@@ -208,7 +208,7 @@
                 events.append(InstanceAnswered(name, self.reading(m2)))
         try:
             self.round([*events, Tick()])
-        except Died:
+        except AgentDiedError:
             self.deaths += 1
             self.now += 0.5
             self.begin()
@@ -231,7 +231,7 @@
         for _ in range(2):
             try:
                 self.round([ControlRequest(1, verb, names, options)])
-            except Died:
+            except AgentDiedError:
                 self.deaths += 1
                 self.begin()
                 roll = self.reducer.state.roll
--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -1,4 +1,4 @@
-"""Rigs that several test modules share: an endpoint client in front of a listening socket of the system's choosing."""
+"""An endpoint client in front of a listening socket, for several test modules."""
 
 from __future__ import annotations
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from pathlib import Path
 from random import Random
 from typing import Any
 
@@ -161,3 +162,8 @@
 
 def gone(number: int, destination: int) -> EndpointEntry:
     return EndpointEntry(number, destination, EndpointPhase.DRAINING)
+
+
+def open_descriptors(process: int | str = "self") -> int:
+    """Return how many descriptors a process has open, by its pid."""
+    return len(list(Path(f"/proc/{process}/fd").iterdir()))
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -72,7 +72,7 @@
     journal.append(AcceptedRecord(message("kept-0123456789abcdef0123-1", BY_KEY), 20.0, -3.0))
     journal.append(AcceptedRecord(message("overdue", REPEATABLE), 0.5))
     journal.close()
-    with open(folder / "journal", "ab") as file:
+    with (folder / "journal").open("ab") as file:
         file.write(b'00000000 ["over","by-key-started"]\n')  # damaged: its sum does not match
         file.write(b"c0ffee")  # a torn tail
     (folder / "clock").write_text(json.dumps([BOOT_ID, WRITTEN_AT]), encoding="ascii")
@@ -100,10 +100,10 @@
         spool.remember("kept-c-2", RedriveOutcome("deferred", WRITTEN_AT - 3.0))
         spool.close()
     acknowledge_segment(folder, 1)
-    with open(folder / "00000002.kept", "ab") as file:
+    with (folder / "00000002.kept").open("ab") as file:
         file.write(b"00000000 {}\n")
         file.write(b"1234")
-    with open(folder / "fates", "ab") as file:
+    with (folder / "fates").open("ab") as file:
         file.write(b'00000000 ["kept-d-1","delivered",null]\n')
 
 
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -127,7 +127,7 @@
             file = launcher.log_file("a")
             file.parent.mkdir()
             self.assertFalse(launcher.rotate("a", 10, 2))
-            with open(file, "ab", buffering=0) as writer:
+            with file.open("ab", buffering=0) as writer:
                 for n in range(4):
                     writer.write(b"line %d of the log\n" % n)
                     self.assertTrue(launcher.rotate("a", 10, 2))
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -93,7 +93,7 @@
                 if begun.status != 200:
                     self.assertEqual(begun.status, 503)
                     self.assertEqual({m.edition for m in world.machines.values()}, {"a"})
-                    world.full = lambda n: False
+                    world.full = lambda _: False
                     self.assertEqual(world.ask("roll").status, 200)
                     self.assertTrue(world.run(60.0, world.over))
                     continue
@@ -102,7 +102,7 @@
                     self.assertEqual(world.mode, "paused")
                     assert world.reducer.state.roll is not None
                     self.assertIn("No space left", world.reducer.state.roll.why)
-                    world.full = lambda n: False
+                    world.full = lambda _: False
                     world.run(3.0)
                     self.assertEqual(world.ask("roll_resume").status, 200)
                 self.assertTrue(world.run(60.0, lambda w=world: w.over() and rolled(w)))  # type: ignore[misc]
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -118,9 +118,9 @@
             return [*run(), *message("z", 20.0 + after - 0.02, 91)]
 
         self.assertTrue(check(late(0.24)).good)
-        self.plant("drain", "s-1-0", lambda rs: late(0.26))
+        self.plant("drain", "s-1-0", lambda _: late(0.26))
         # Told again that it drains, it is not given another quarter of a second.
-        self.plant("drain", "s-1-0", lambda rs: [*late(5.0), Told(24.9, "n0", "s-1-0", "Gone")])
+        self.plant("drain", "s-1-0", lambda _: [*late(5.0), Told(24.9, "n0", "s-1-0", "Gone")])
         self.assertTrue(check([*late(5.0), Told(24.0, "n0", "s-1-0", "Ready")]).good)
 
     def test_a_call_within_a_wait_is_seen(self) -> None:
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -4,7 +4,6 @@
 
 import contextlib
 import itertools
-import os
 import queue
 import random
 import socket
@@ -24,6 +23,7 @@
 from juniperward.forwarder.server import Server
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_request, read_response
+from tests.helpers import open_descriptors
 from tests.player import WAIT, Line, Program
 
 NAMES = Names(("c",), (12.0,), ("acme",), (), ())
@@ -135,7 +135,7 @@
     def descriptors(self, most: int) -> int:
         """How many descriptors are open, once every connection has ended and there are so few."""
         until = time.monotonic() + WAIT
-        while (found := len(os.listdir("/proc/self/fd"))) > most and time.monotonic() < until:
+        while (found := open_descriptors()) > most and time.monotonic() < until:
             self.nobody()
         return found
 
@@ -157,7 +157,7 @@
 
     def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(self) -> None:
         # Guards join: a megabyte of commands, of one head, of one body and of nonsense, ended in every way.
-        before = len(os.listdir("/proc/self/fd"))
+        before = open_descriptors()
         floods = (
             request("n1") * 5000,
             b"POST /api HTTP/1.1\r\n" + b"A: b\r\n" * 200_000,
@@ -185,7 +185,7 @@
 
     def test_clients_that_leave_in_a_burst_leave_nothing_behind(self) -> None:
         # Guards zone: clients that go at once at each point of a request, before its answer and after it.
-        before = len(os.listdir("/proc/self/fd"))
+        before = open_descriptors()
         text = request("n1")
         socks = [self.connect() for _ in range(18)]
         for number, sock in enumerate(socks):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,26 +20,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.control import protocol, server
+from juniperward.control import codec, server
 from juniperward.control.client import ControlClient
+from juniperward.control.codec import decode_answer, decode_request, encode_answer, encode_request
 from juniperward.control.errors import (
     ControlRejectedError,
     ControlSocketError,
     ControlUnreachableError,
     ProtocolError,
 )
-from juniperward.control.protocol import (
-    Answer,
-    Counters,
-    Destination,
-    Request,
-    Rows,
-    Verb,
-    decode_answer,
-    decode_request,
-    encode_answer,
-    encode_request,
-)
+from juniperward.control.protocol import Answer, Counters, Destination, Request, Rows, Verb
 from juniperward.control.server import ControlServer, open_socket
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
 from tests.player import ROOT, WAIT, Line, Player, Program
@@ -102,18 +92,18 @@
             with self.assertRaisesRegex(ControlSocketError, "another process listens"):
                 open_socket(self.path)
         open_socket(self.path).close()  # what a killed process left is taken away
-        os.chmod(self.path.parent, 0o755)
+        self.path.parent.chmod(0o755)
         with self.assertRaisesRegex(ControlSocketError, "mode 0700"):
             open_socket(self.path)
         with self.assertRaisesRegex(ControlSocketError, "107 bytes"):
             open_socket(self.folder / ("x" * 120))
         (self.folder / "plain").write_text("")
-        os.chmod(self.folder, 0o700)
+        self.folder.chmod(0o700)
         with self.assertRaisesRegex(ControlSocketError, "something else"):
             open_socket(self.folder / "plain")
 
     def test_a_client_that_hears_nothing_gives_up_in_its_time(self) -> None:
-        self.serve(lambda mine, client, request: None)
+        self.serve(lambda _mine, _client, _request: None)
         began = time.monotonic()
         with self.assertRaisesRegex(ControlUnreachableError, "no answer within 0.2 s"):
             ControlClient(self.path, 0.2).status()
@@ -166,15 +156,13 @@
         self.assertGreater(one.pause_s(), 0.0)
 
     def test_rubbish_is_answered_and_ended(self) -> None:
-        self.serve(lambda mine, client, request: None)
+        self.serve(lambda _mine, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
             with self.subTest(text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
                 sock.settimeout(WAIT)
                 sock.connect(str(self.path))
                 sock.sendall(text)
-                answer = decode_answer(
-                    protocol.read_frame(Line(sock).take, protocol.MAX_ANSWER_BYTES), Verb.STATUS
-                )
+                answer = decode_answer(codec.read_frame(Line(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS)
                 self.assertIsNone(answer.body)
 
 
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -284,11 +284,11 @@
         cluster.partners[1].trouble("down")
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
-        cluster.until(lambda s: True)
+        cluster.until(lambda _: True)
         # The spools are taken in some time after the last message was given up.
         kept = sum(cluster.ask("inspect", [n])["status"]["kept"] for n in cluster.names)
         self.assertGreater(kept, 10)
-        cluster.until(lambda s: cluster.ask("kept", action="stats")["messages"] == kept)
+        cluster.until(lambda _: cluster.ask("kept", action="stats")["messages"] == kept)
         found = cluster.ask("kept", action="list", limit=500)["messages"]
         cluster.partners[1].trouble("well")
         ids = [r["id"] for r in found]
@@ -302,7 +302,7 @@
             person.start()
         for person in people:
             person.join()
-        cluster.until(lambda s: cluster.ask("kept", action="stats")["stands"].get("delivered", 0) > 0, 30.0)
+        cluster.until(lambda _: cluster.ask("kept", action="stats")["stands"].get("delivered", 0) > 0, 30.0)
         cluster.kill_agent()
         os.kill(cluster.pids["n0"], signal.SIGKILL)
         cluster.start_agent()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import os
 import queue
 import re
 import resource
@@ -40,6 +39,7 @@
 )
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import EndpointClientRig
+from tests.helpers import open_descriptors
 from tests.player import ROOT, Program
 
 WAIT = 20.0
@@ -260,7 +260,7 @@
             self.assertNotIn(fault, after)
         self.assertNotIn("Too many open files", "".join(self.output))
         assert program.process is not None
-        self.assertLessEqual(len(os.listdir(f"/proc/{program.process.pid}/fd")), 256)
+        self.assertLessEqual(open_descriptors(program.process.pid), 256)
 
     def test_a_listener_without_descriptors_goes_on(self) -> None:
         # The process is given fewer than its settings say: accepting fails, costs little, and comes back.
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -43,8 +43,8 @@
 DEADLINE = 6.0  # seconds after which a change counts as told
 MARGIN = 0.25  # seconds kept for the call that tells it, and for a busy machine
 SPREAD = 1.25  # the longest of the module's random spread of a wait
-# Seconds by which the kernel may end a wait of SILENCE_TIMEOUT_S late: its timers of 512 ticks and more are kept to 64 ticks,
-# which at 250 ticks a second is most.
+# Seconds by which the kernel may end a wait of SILENCE_TIMEOUT_S late: its timers of 512 ticks and more are kept to
+# 64 ticks, which at 250 ticks a second is most.
 TIMER_LATE = 64 / 250
 
 REFUSED, BLACKHOLED = Unreachable.REFUSED, Unreachable.BLACKHOLED
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import os
 import queue
 import socket
 import threading
@@ -19,6 +18,7 @@
 from juniperward.net.http import Stream
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import EndpointClientRig
+from tests.helpers import open_descriptors
 
 WORKER = 3
 DESTINATION = 7
@@ -151,7 +151,7 @@
         port = silent.getsockname()[1]
         self.client.start(delegate(0, port))
         self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
-        before = len(os.listdir("/proc/self/fd"))
+        before = open_descriptors()
         for number in range(1, 301):
             self.client.start(delegate(number, port))
             if number % 4 == 0:
@@ -171,7 +171,7 @@
         self.assertLessEqual(self.client.threads, 4)
         self.assertEqual((self.client.active, self.client.submitted.qsize()), ({}, 0))
         # The one connection that is kept, its other end and nothing else.
-        self.assertLessEqual(len(os.listdir("/proc/self/fd")), before + 2)
+        self.assertLessEqual(open_descriptors(), before + 2)
 
 
 class EndlessAnswerTest(EndpointRig):
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -20,7 +20,7 @@
         answers = list(statuses)
         lock = threading.Lock()
 
-        def handle(link, asked, began):  # type: ignore[no-untyped-def]
+        def handle(link, asked, _began):  # type: ignore[no-untyped-def]
             if asked.path == "/health/ready":
                 return link.write(encode_response(200, {}, b"", False))
             with lock:
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -153,7 +153,7 @@
         taken = socket.create_server(cluster.addresses["n0"])
         self.addCleanup(taken.close)
         (cluster.folder / "run" / "state").mkdir(parents=True)
-        os.chmod(cluster.folder / "run", 0o700)
+        (cluster.folder / "run").chmod(0o700)
         (cluster.folder / "run" / "state" / "n1").write_text("a file where the folder should be")
         cluster.start(ready=False)
         cluster.until(lambda s: s["instances"][0]["crashes"] and s["instances"][1]["crashes"])
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -47,7 +47,7 @@
     def test_the_journal_comes_before_the_answer_and_that_before_the_call(self) -> None:
         written: list[bytes] = []
 
-        def note(*args: object) -> bool:
+        def note(*_args: object) -> bool:
             written.append(self.path.read_bytes())
             return True
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -183,7 +183,7 @@
     def test_a_client_that_left_is_not_told_that_its_message_is_taken_on(self) -> None:
         # Guards order: the 202 must have reached somebody, or the message is withdrawn; a client that only
         # ended its sending still gets an answer.
-        server = Server(("127.0.0.1", 0), NAMES, 10, lambda event: None)
+        server = Server(("127.0.0.1", 0), NAMES, 10, lambda _: None)
         self.addCleanup(server.close)
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
@@ -208,7 +208,7 @@
     def test_who_is_being_let_in_at_the_close_is_somebody(self) -> None:
         # Guards the end of the process between accept and the table of clients: nobody seemed to be here, and the
         # connection was reset with its call in it.
-        server = Server(("127.0.0.1", 0), NAMES, 10, lambda event: None)
+        server = Server(("127.0.0.1", 0), NAMES, 10, lambda _: None)
         accepted, go_on, admit = threading.Event(), threading.Event(), server._admit
 
         def late(sock: socket.socket) -> None:
@@ -260,7 +260,7 @@
 
     def test_an_answer_is_written_whole_or_its_connection_is_ended(self) -> None:
         # Guards a client that waits for the rest of an answer: its message counted as withdrawn, and it sat there.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda event: None)
+        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
         self.addCleanup(server.close)
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
@@ -277,7 +277,7 @@
     def test_a_full_table_lets_the_longest_idle_of_those_answered_go(self) -> None:
         # Guards usual clients: those that asked once and stayed, or never asked, kept all places. A crowd
         # with a connection for each message was turned away when each had to stay idle for seconds.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda event: None)
+        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
         self.addCleanup(server.close)
         now = time.monotonic()
         theirs = []
@@ -295,7 +295,7 @@
 
     def test_a_call_must_be_whole_in_its_time(self) -> None:
         # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda event: None)
+        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
         self.addCleanup(server.close)
         for sent, told in ((b"", b""), (b"POST /api HTTP/1.1\r\nA: b", b"HTTP/1.1 408 ")):
             ours, theirs = socket.socketpair()
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -39,7 +39,7 @@
 )  # fmt: skip
 
 
-class Crash(Exception):
+class CrashError(Exception):
     """The resender's process is gone."""
 
 
@@ -109,7 +109,7 @@
     def _operation(self) -> None:
         self.operations += 1
         if self.operations in self.crash_at:
-            raise Crash
+            raise CrashError
 
     # --- what the resender sees ----------------------------------------------------------------------------------
 
@@ -214,7 +214,7 @@
     def round(self) -> None:
         try:
             self.resender.round()
-        except Crash:
+        except CrashError:
             self.restart()
 
     def run(self, rounds: int, seconds: float = 0.25) -> None:
@@ -253,7 +253,7 @@
         folder.mkdir()
         return Sim(folder)
 
-    def explore(self, prepare: Callable[[Sim], None] = lambda s: None, pairs: bool = True) -> int:
+    def explore(self, prepare: Callable[[Sim], None] = lambda _: None, pairs: bool = True) -> int:
         """Each crash alone, and each with a second soon after it, under each fault of door and call."""
         calm = self.sim()
         prepare(calm)
@@ -316,7 +316,7 @@
 
     def test_it_finds_a_window_that_is_not_looked_at(self) -> None:
         # Two hold it: the resender's judgement, and the forwarder's module, which is told when it may have run.
-        def always(m: DeadLetter, now: float, listed: Any, allowance: float) -> Judgement:
+        def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> Judgement:
             return Judgement(RedriveSafety.SAFE, m.stand == "kept")
 
         def hasty(sim: Sim) -> None:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -187,7 +187,7 @@
     def spawn(self) -> subprocess.Popen[bytes]:
         popen = subprocess.Popen
 
-        def start(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
+        def start(_command: list[str], **options: Any) -> subprocess.Popen[bytes]:
             return popen([sys.executable, "-c", STEP_AND_RUN, str(self.step)], **options)
 
         with mock.patch("tests.player.subprocess.Popen", start):
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,6 +20,7 @@
     "sqlite3",
     "pyrsistent",
     "juniperward.control.server",
+    "juniperward.control.codec",
     "juniperward.control.protocol",
     "juniperward.dead_letters.spool",
     "juniperward.dead_letters.decisions",
@@ -44,7 +45,7 @@
             program.start()
             assert program.process is not None
             folder = Path(f"/proc/{program.process.pid}/fd")
-            open_files = [os.readlink(folder / n) for n in os.listdir(folder)]
+            open_files = [str(path.readlink()) for path in folder.iterdir()]
             state = sorted(p.name for p in program.state.iterdir())
             program.close()
         ours = [f for f in open_files if name in f]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -124,7 +124,7 @@
         class Noting(NoRetry):
             """Notes how calls end."""
 
-            def learn(self, destination: DestinationQueue, e: AttemptFinished, /) -> None:
+            def learn(self, _destination: DestinationQueue, e: AttemptFinished, /) -> None:
                 ended.append((e.outcome, self.now))
 
         world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Noting, 1)
@@ -210,10 +210,10 @@
         whole = file.read_bytes()
         file.write_bytes(whole[:-20])  # the second was torn by a kill
         ran: list[int] = []
-        again = sweep(self.folder, [s], ["one-try"], [1, 2], 1, lambda done, total, r: ran.append(r.seed))
+        again = sweep(self.folder, [s], ["one-try"], [1, 2], 1, lambda _done, _total, r: ran.append(r.seed))
         self.assertEqual([(r.seed, r.worth) for r in again], [(r.seed, r.worth) for r in first])
         self.assertEqual(len(ran), 1)
-        sweep(self.folder, [s], ["one-try"], [1, 2], 1, lambda done, total, r: ran.append(r.seed))
+        sweep(self.folder, [s], ["one-try"], [1, 2], 1, lambda _done, _total, r: ran.append(r.seed))
         self.assertEqual(len(ran), 1)
 
     def test_two_in_one_folder_and_a_newer_or_older_result(self) -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -108,7 +108,7 @@
 
 
 def test_a_failure_in_the_rules_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*args: object) -> None:
+    def broken(*_args: object) -> None:
         raise IndexError("no such place")
 
     monkeypatch.setattr("juniperward.scheduler.DeliveryScheduler.handle", broken)
