--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -24,15 +24,8 @@
 from juniperward.agent.queries import Answer, Queries, Question
 from juniperward.control.server import open_socket
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    HttpRequest,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_response,
-    read_request,
-)
+from juniperward.net.http import HttpRequest, Stream, encode_response, read_request
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 
 MAX_CLIENTS = 32
 IDLE_TIMEOUT_S = 30.0
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -13,14 +13,8 @@
 import msgspec
 
 from juniperward.net import sockets
-from juniperward.net.http import (
-    HttpResponse,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import HttpResponse, Stream, encode_request, read_response
+from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 DEFAULT_TIMEOUT_S = 5.0
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -22,6 +22,7 @@
 
 from juniperward.agent import processes
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import Bounds, Verdict, check
 from juniperward.fakes.clients import Clients, Front, Traffic
 from juniperward.fakes.partners import Partner, PartnerSpec
@@ -74,22 +75,6 @@
     return held
 
 
-class AgentStartError(RuntimeError):
-    """The agent did not answer after its start."""
-
-    def __init__(self, log: Path) -> None:
-        """Tell the end of its log."""
-        super().__init__(f"the agent does not answer: {log.read_text()[-2000:]}")
-
-
-class StatusTimeoutError(TimeoutError):
-    """What was waited for did not hold in time."""
-
-    def __init__(self, patience_s: float, status: dict[str, Any]) -> None:
-        """Tell the latest status."""
-        super().__init__(f"not within {patience_s} s: {json.dumps(status)}")
-
-
 class LocalCluster:
     """A fleet and its world; use it as a context, so that nothing is left behind."""
 
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -6,14 +6,8 @@
 from dataclasses import dataclass
 
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import Stream, encode_request, read_response
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 
 ANSWER_TIMEOUT_S = 0.4  # for the forwarder's answer
 NOBODY_THERE = -1  # in the place of a status: it was never accepted
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -17,14 +17,8 @@
 
 from juniperward.fakes.records import Handed, Heard, Recorder, now
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import Stream, encode_request, read_response
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 
 ANSWER = 0.4  # seconds that a client waits for an answer
 BODY = b"a family of four, gate 3, cluster of the third generation"
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -22,16 +22,8 @@
 from juniperward.fakes.records import now
 from juniperward.fakes.serving import Link, Serving
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    HttpRequest,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    encode_response,
-    read_response,
-)
+from juniperward.net.http import HttpRequest, Stream, encode_request, encode_response, read_response
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 
 MOST = 60_000_000  # the longest latency that is told apart, in microseconds
 ANSWER = 5.0  # seconds for an answer; beyond it the try counts as failed
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -9,14 +9,8 @@
 from collections.abc import Callable
 
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    HttpRequest,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    read_request,
-)
+from juniperward.net.http import HttpRequest, Stream, read_request
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 
 BACKLOG = 256
 
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -13,14 +13,12 @@
 from juniperward.forwarder.health_page import answer_page
 from juniperward.forwarder.telemetry import increment, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import (
+from juniperward.net.http import HttpRequest, Stream, read_request
+from juniperward.net.http_errors import (
     ConnectionClosedError,
-    HttpRequest,
     IncompleteMessageError,
     MalformedMessageError,
     MessageTimeoutError,
-    Stream,
-    read_request,
 )
 
 ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -14,14 +14,8 @@
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import (
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_chunks,
-    read_head,
-)
+from juniperward.net.http import Stream, encode_request, read_chunks, read_head
+from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 
 # After which a watch is dead on which nothing has come, or nothing whole: a line comes every 2 s. A call has as long
 # for its dial and the head of its answer together: docs/design/discovery-deadline.md adds up the worst cases.
--- a/juniperward/forwarder/endpoint_call.py
+++ b/juniperward/forwarder/endpoint_call.py
@@ -24,13 +24,8 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
-from juniperward.net.http import (
-    HttpResponse,
-    IncompleteMessageError,
-    MalformedMessageError,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import HttpResponse, encode_request, read_response
+from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 from juniperward.scheduler.events import Outcome
 
 HTTP_OK = 200
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -14,14 +14,8 @@
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import (
-    HttpResponse,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import HttpResponse, Stream, encode_request, read_response
+from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 
 # For a connection, and for the answer, which comes straight away. Beyond that they go again by another connection:
 # twice this fits between a message's last moment and 0.3 s after its time.
--- a/juniperward/net/http.py
+++ b/juniperward/net/http.py
@@ -6,6 +6,13 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
+from juniperward.net.http_errors import (
+    ConnectionClosedError,
+    IncompleteMessageError,
+    MalformedMessageError,
+    MessageTimeoutError,
+)
+
 MOST_HEAD, MOST_BODY, MOST_CHUNK = 16 * 1024, 64 * 1024, 4 * 1024 * 1024  # a chunk holds a whole list
 WITHOUT_BODY = (204, 304)  # statuses
 MOST_INTERIM = 16  # 1xx answers ahead of one that counts
@@ -25,40 +32,6 @@
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
-class ConnectionClosedError(Exception):
-    """The other side closed between messages."""
-
-
-class IncompleteMessageError(Exception):
-    """The other side closed or reset inside a message; `status` is known where its first line had come."""
-
-    status: int | None = None
-
-    @classmethod
-    def after(cls, status: int, error: Exception) -> IncompleteMessageError:
-        """Return the error of a response whose status line had come."""
-        incomplete = cls(str(error))
-        incomplete.status = status
-        return incomplete
-
-
-class MessageTimeoutError(IncompleteMessageError):
-    """A message was not whole in its time."""
-
-    def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("not whole in its time")
-
-
-class MalformedMessageError(Exception):
-    """What came is not HTTP as we take it; `status` is the answer to a call of this form."""
-
-    def __init__(self, status: int, text: str) -> None:
-        """Give the status of the answer, and its text."""
-        super().__init__(text)
-        self.status = status
-
-
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
     """A call with its whole body."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,8 @@
 from juniperward.cli import roll
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
-from juniperward.net.http import ConnectionClosedError, Stream, encode_response, read_request
+from juniperward.net.http import Stream, encode_response, read_request
+from juniperward.net.http_errors import ConnectionClosedError
 from tests.agent_world import World
 from tests.test_settings import GOOD
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -29,14 +29,8 @@
 from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
 from juniperward.forwarder.telemetry import counters
 from juniperward.net import sockets
-from juniperward.net.http import (
-    ConnectionClosedError,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    encode_request,
-    read_response,
-)
+from juniperward.net.http import Stream, encode_request, read_response
+from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import open_descriptors
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -26,15 +26,8 @@
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Server
 from juniperward.net import sockets
-from juniperward.net.http import (
-    HttpRequest,
-    HttpResponse,
-    IncompleteMessageError,
-    MalformedMessageError,
-    Stream,
-    read_request,
-    read_response,
-)
+from juniperward.net.http import HttpRequest, HttpResponse, Stream, read_request, read_response
+from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
 
