--- a/juniperward/scheduler/turns.py
+++ b/juniperward/scheduler/turns.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: cost-charged deficit round robin into free slots, the ordinary path of every message."""
+"""Whose turn it is: cost-charged deficit round robin. The policy's interface: events.py and actions.py."""
 
 from juniperward.scheduler.batching import Batching
 from juniperward.scheduler.outlier_detection import OutlierDetection
--- a/tests/test_scheduler_policy.py
+++ b/tests/test_scheduler_policy.py
@@ -42,6 +42,13 @@
         assert [ROOT / name for name in tomllib.load(file)["policy"]] == policy()
 
 
+def test_the_policy_names_its_interface_first() -> None:
+    first_line = policy()[0].read_text().splitlines()[0]
+    for name in ("events.py", "actions.py"):
+        assert name in first_line
+        assert (SCHEDULER / name).is_file()
+
+
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 def test_the_scheduler_knows_no_clock_and_no_io(path: Path) -> None:
     tree = ast.parse(path.read_text())
