--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,6 +12,18 @@
 from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, gone, refused, sends, settings
 
 
+def zone_scoped_node() -> Node:
+    """A node whose one class deduplicates per zone, with endpoint 10 in zone 0 and endpoint 11 in zone 1."""
+    zone_keyed = MessageClass(
+        latency_objective_s=4.0,
+        deadline_s=20.0,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        deduplication_window_s=5.0,
+        deduplication_scope=DeduplicationScope.ZONE,
+    )
+    return Node(settings(zone_keyed), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
+
+
 def test_1_a_held_message_is_answered_before_its_time_is_up() -> None:
     node = Node(endpoints=())
     node.arrive(destination=9)
@@ -79,14 +91,7 @@
 
 
 def test_2_a_zone_scoped_repeat_stays_in_its_zone() -> None:
-    cls = MessageClass(
-        latency_objective_s=4.0,
-        deadline_s=20.0,
-        idempotency=Idempotency.IDEMPOTENCY_KEY,
-        deduplication_window_s=5.0,
-        deduplication_scope=DeduplicationScope.ZONE,
-    )
-    node = Node(settings(cls), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
+    node = zone_scoped_node()
     node.arrive()
     first = node.endpoint[1, 0]
     node.run(0.05)
@@ -101,14 +106,7 @@
 
 def test_2_after_a_restart_a_zone_that_is_not_known_any_more_is_no_zone() -> None:
     # Guards a restart whose list lacks the endpoint that had the call: the repeat went to the zone with number 0.
-    cls = MessageClass(
-        latency_objective_s=4.0,
-        deadline_s=20.0,
-        idempotency=Idempotency.IDEMPOTENCY_KEY,
-        deduplication_window_s=5.0,
-        deduplication_scope=DeduplicationScope.ZONE,
-    )
-    node = Node(settings(cls), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
+    node = zone_scoped_node()
     node.arrive(history=(PastAttempt(0, 99.0),))
     assert (sends(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
     node.arrive(
