--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -26,6 +26,15 @@
     return {m.edition for m in world.machines.values()} == {"b"}
 
 
+def configure_or_restart(world: World) -> None:
+    """Load the new settings; if the agent dies on the way, count the death and start a new agent from disk."""
+    try:
+        world.configure()
+    except Exception:
+        world.deaths += 1
+        world.begin()
+
+
 def roll(world: World, **options: object) -> None:
     """Settings change, and a roll to them is begun."""
     world.edition = "b"
@@ -48,11 +57,7 @@
                 world = World()
                 world.edition = "b"
                 world.die_at = place
-                try:
-                    world.configure()
-                except Exception:
-                    world.deaths += 1
-                    world.begin()
+                configure_or_restart(world)
                 self.assertEqual(world.ask("roll").status, 200)
                 self.assertTrue(world.run(120.0, world.over), world.notes[-5:])
                 self.assertEqual((world.mode, world.deaths, rolled(world)), ("done", 1, True))
@@ -67,11 +72,7 @@
                 world = World()
                 world.edition = "b"
                 world.tear_at = place
-                try:
-                    world.configure()
-                except Exception:
-                    world.deaths += 1
-                    world.begin()
+                configure_or_restart(world)
                 reply = world.ask("roll")
                 self.assertEqual(reply.status, 200, reply)
                 if not world.run(120.0, lambda w=world: w.over() and rolled(w)):  # type: ignore[misc]
