--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -62,7 +62,7 @@
 
 def reap(process: Process) -> str | None:
     """Return how it ended, or None while it runs; `gone` where it is no child of ours."""
-    running = alive(process)  # looked at first: what has ended before the wait below is told by it
+    running = alive(process)  # looked at first: what has ended before the wait below is reported by it
     try:
         pid, status = os.waitpid(process.pid, os.WNOHANG)
     except ChildProcessError:
@@ -136,10 +136,10 @@
         for path in (run, self.folder / "logs"):
             path.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
         Path(config["state"]).mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
-        told = {**config, "seed": secrets.token_hex(8)}
+        instance_config = {**config, "seed": secrets.token_hex(8)}
         file = run / f"{name}.json"
         fresh = run / f"{name}.json.new"
-        fresh.write_text(json.dumps(told))
+        fresh.write_text(json.dumps(instance_config))
         fresh.replace(file)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         environment |= {"ROUTER_CONFIG": str(file), MARK: f"{self.mark}:{name}"}
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -19,15 +19,15 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Reading
 
-MAX_AGE_S = 0.2  # for which what an instance told of its destinations is used
+MAX_AGE_S = 0.2  # for which what an instance reported of its destinations is used
 ANSWER_TIMEOUT_S = 0.5  # for an instance's answer
 
 ReadyInstances = Callable[[], dict[str, tuple[tuple[str, int], Reading]]]  # by name: address, latest reading
 
 
 @dataclass(frozen=True, slots=True)
-class ToldDestinations:
-    """What an instance last told of its destinations and their endpoints."""
+class NotifiedDestinations:
+    """What an instance last reported, when polled, of its destinations and their endpoints."""
 
     at: float = 0.0  # seconds of the monotonic clock
     destinations: dict[int, Destination] = field(default_factory=dict)
@@ -40,7 +40,7 @@
     def __init__(self, folder: Path, names: Callable[[], list[str]], ready: ReadyInstances) -> None:
         """Look in the agent's folder for spools and control channels."""
         self.damaged_lines = 0  # of spools
-        self.told: dict[str, ToldDestinations] = {}
+        self.notified: dict[str, NotifiedDestinations] = {}
         self._folder, self._names, self._ready = folder, names, ready
         self._boot_id = processes.boot_id()
         self._clients: dict[str, ControlClient] = {}
@@ -60,10 +60,10 @@
     # --- destinations --------------------------------------------------------------------------------------
 
     def destination_views(self, destination: int) -> list[DestinationView]:
-        """Return what each ready instance that answers tells of a destination."""
+        """Return what each ready instance that answers reports of a destination."""
         found = []
-        for told, slots in self._ask_all():
-            row = told.destinations.get(destination)
+        for notified, slots in self._poll_all():
+            row = notified.destinations.get(destination)
             if row is None:
                 found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
             else:
@@ -73,29 +73,29 @@
 
     def endpoints(self, destination: int) -> frozenset[str] | None:
         """Return the endpoints listed for a destination; None where no instance answers."""
-        told = [told for told, _ in self._ask_all()]
-        return _endpoints(told, destination) if told else None
+        notified = [snapshot for snapshot, _ in self._poll_all()]
+        return _endpoints(notified, destination) if notified else None
 
     def known_endpoints(self, destination: int) -> frozenset[str] | None:
         """Return what the latest round had: other threads must not share its connections."""
-        told = list(self.told.values())
-        return _endpoints(told, destination) if told else None
+        notified = list(self.notified.values())
+        return _endpoints(notified, destination) if notified else None
 
-    def _ask_all(self) -> list[tuple[ToldDestinations, int]]:
-        """Return what each ready instance tells, and its slots; those that do not answer are left out."""
+    def _poll_all(self) -> list[tuple[NotifiedDestinations, int]]:
+        """Return what each ready instance reports, and its slots; those that do not answer are left out."""
         found = []
         for name, (_, reading) in self._ready().items():
-            told = self.told.get(name, ToldDestinations())
-            if time.monotonic() - told.at > MAX_AGE_S:
+            notified = self.notified.get(name, NotifiedDestinations())
+            if time.monotonic() - notified.at > MAX_AGE_S:
                 try:
-                    told = self._ask(name)
+                    notified = self._poll(name)
                 except ControlError:
                     continue
-                self.told[name] = told
-            found.append((told, reading.slots))
+                self.notified[name] = notified
+            found.append((notified, reading.slots))
         return found
 
-    def _ask(self, name: str) -> ToldDestinations:
+    def _poll(self, name: str) -> NotifiedDestinations:
         client = self._client(name)
         rows: tuple[Destination, ...] = client.rows(Verb.DESTINATIONS).destinations
         listed: tuple[WorkerRow, ...] = client.rows(Verb.WORKERS).workers
@@ -103,7 +103,7 @@
         for endpoint in listed:
             if endpoint.phase == "ready":
                 endpoints.setdefault(endpoint.destination, set()).add(endpoint.id)
-        return ToldDestinations(time.monotonic(), {row.destination: row for row in rows}, endpoints)
+        return NotifiedDestinations(time.monotonic(), {row.destination: row for row in rows}, endpoints)
 
     def _client(self, name: str) -> ControlClient:
         if name not in self._clients:
@@ -155,18 +155,18 @@
     # --- redriven messages ---------------------------------------------------------------------------------
 
     def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
-        """Hand a message in; return status and told wait, as `resubmission.resubmit` does."""
+        """Hand a message in; return status and Retry-After (s), as `resubmission.resubmit` does."""
         ready = self._ready().get(forwarder)
         return resubmit(ready[0], message) if ready is not None else (NOBODY_THERE, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """Return what became of redriven messages; None where the forwarder does not answer."""
         try:
-            told = self._client(forwarder).fates(ids)
+            answer = self._client(forwarder).fates(ids)
         except ControlError:
             return None
-        return {row.id: ReportedOutcomes(row.end, row.ran_at, told.complete_since) for row in told.fates}
+        return {row.id: ReportedOutcomes(row.end, row.ran_at, answer.complete_since) for row in answer.fates}
 
 
-def _endpoints(told: list[ToldDestinations], destination: int) -> frozenset[str]:
-    return frozenset().union(*(row.endpoints.get(destination, set()) for row in told))
+def _endpoints(notified: list[NotifiedDestinations], destination: int) -> frozenset[str]:
+    return frozenset().union(*(row.endpoints.get(destination, set()) for row in notified))
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -17,7 +17,7 @@
 
 
 class DamagedStateError(Exception):
-    """A file is not a whole state of ours; the text says why."""
+    """A file is not a complete state of ours; the text says why."""
 
 
 class StateVersionError(DamagedStateError):
@@ -30,7 +30,7 @@
 
 
 class StateChecksumError(DamagedStateError):
-    """The file was not written whole, or was changed."""
+    """The file was not written completely, or was changed."""
 
     def __init__(self) -> None:
         """Say so."""
@@ -71,16 +71,16 @@
             os.close(folder)
 
     def load(self) -> tuple[PersistentState, list[str]]:
-        """The newest state that is whole, and what was wrong with others; an empty one where there is none."""
-        told: list[str] = []
+        """The newest state that is complete, and what was wrong with others; an empty one where there is none."""
+        problems: list[str] = []
         for file in (self.file, self.old):
             try:
-                return self._read(file), told
+                return self._read(file), problems
             except FileNotFoundError:
                 continue
             except DamagedStateError as error:
-                told.append(f"{file.name}: {error}")
-        return PersistentState(), told
+                problems.append(f"{file.name}: {error}")
+        return PersistentState(), problems
 
     @staticmethod
     def _read(file: Path) -> PersistentState:
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -107,9 +107,9 @@
     """Return what decisions need of a status."""
     return Reading(
         at=now, pid=status.pid, phase=status.phase, ready=status.ready, heard=status.registry_age >= 0,
-        owing=status.owing, held=status.held, slots=status.slots, calls_out=status.calls_out,
+        owing=status.owing, pending=status.held, slots=status.slots, calls_out=status.calls_out,
         delivered=status.delivered, calls_failed=status.calls_failed,
-        given_up=status.given_up, taken_on=status.taken_on, turned_away=status.turned_away, restored=status.restored,
-        broken=status.broken, oldest_held=status.oldest_held, journal_bytes=status.journal_bytes,
-        registry_age=status.registry_age, sick=status.destinations_sick, version=status.version,
+        given_up=status.given_up, taken_on=status.taken_on, rejected=status.turned_away, restored=status.restored,
+        broken=status.broken, oldest_pending_age_s=status.oldest_held, journal_bytes=status.journal_bytes,
+        registry_age=status.registry_age, ejected_destinations=status.destinations_sick, version=status.version,
     )  # fmt: skip
--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -12,7 +12,7 @@
 def phase(instance: Instance, now: float, patience: Patience) -> Phase:
     """Return the observed state of an instance.
 
-    Silence comes before what it last said: a reading is old by then. An instance that was told to stop is
+    Silence comes before what it last said: a reading is old by then. An instance that was ordered to stop is
     stopping whether it answers or not.
     """
     if instance.process is None:
@@ -22,11 +22,11 @@
     if instance.unanswered_since is not None and now - instance.unanswered_since >= patience.silent:
         had_its_time = instance.was_ready or now - instance.started_at >= patience.start
         return Phase.SILENT if had_its_time else Phase.STARTING
-    return _phase_told(instance.reading)
+    return _reported_phase(instance.reading)
 
 
-def _phase_told(reading: Reading | None) -> Phase:
-    """Return the phase that an instance tells of itself."""
+def _reported_phase(reading: Reading | None) -> Phase:
+    """Return the phase that an instance reports of itself."""
     if reading is None:
         return Phase.STARTING
     serving = Phase.READY if reading.ready and reading.heard else Phase.STARTING
@@ -46,22 +46,22 @@
 def after_exit(instance: Instance, now: float, how: str, rules: RestartRules, chance: float) -> Instance:
     """Return an instance whose process has ended; `chance` is random, from 0 to 1.
 
-    An end that was asked for is no crash, and ends a drain too. One that was not is followed by a restart,
+    An end that was requested is no crash, and ends a drain too. One that was not is followed by a restart,
     later and later the more of them come in a row, and by none at all in a crash loop.
     """
-    asked = instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED
+    requested = instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED
     ended = replace(
         instance,
         process=None,
         reading=None,
         unanswered_since=None,
         was_ready=False,
-        drain=instance.drain and not asked,
+        drain=instance.drain and not requested,
         stopping_since=None,
         killed=False,
         exit=how,
     )
-    if asked:
+    if requested:
         return replace(ended, crashes=Crashes())
     crashes = instance.crashes
     steady = instance.was_ready and now - instance.started_at >= rules.steady
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -51,20 +51,20 @@
     ready: bool
     heard: bool  # it has had news from the registry since its start
     owing: int
-    held: int
+    pending: int  # messages accepted and not yet at their end
     slots: int
     calls_out: int
     delivered: int
     calls_failed: int
     given_up: int
     taken_on: int
-    turned_away: int
+    rejected: int
     restored: int
     broken: int
-    oldest_held: float
+    oldest_pending_age_s: float
     journal_bytes: int
     registry_age: float
-    sick: int
+    ejected_destinations: int  # destinations with an ejected endpoint
     version: str = ""
 
 
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -13,7 +13,7 @@
 from juniperward.agent import api
 from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.loop import Loop
-from juniperward.agent.running_fleet import ToldDestinations
+from juniperward.agent.running_fleet import NotifiedDestinations
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
@@ -45,7 +45,7 @@
             kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
         ]
         self.service.store.take_in("n0", messages, 1, 1)
-        self.service.fleet.told["n0"] = ToldDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
+        self.service.fleet.notified["n0"] = NotifiedDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
 
     def run_tool(self, *words: object, code: int = 0) -> Result:
         console.width = 240
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,9 +36,9 @@
 
 PATIENCE = Patience()
 BLANK = Reading(
-    at=0.0, pid=1, phase="serving", ready=True, heard=True, owing=0, held=0, slots=4, calls_out=0,
-    delivered=0, calls_failed=0, given_up=0, taken_on=0, turned_away=0, restored=0, broken=0, oldest_held=0.0,
-    journal_bytes=0, registry_age=1.0, sick=0,
+    at=0.0, pid=1, phase="serving", ready=True, heard=True, owing=0, pending=0, slots=4, calls_out=0,
+    delivered=0, calls_failed=0, given_up=0, taken_on=0, rejected=0, restored=0, broken=0, oldest_pending_age_s=0.0,
+    journal_bytes=0, registry_age=1.0, ejected_destinations=0,
 )  # fmt: skip
 
 
