--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -33,20 +33,20 @@
         self.status = status
 
 
-def ask(
+def request(
     path: Path, verb: str, names: list[str] | None = None, patience: float = DEFAULT_TIMEOUT_S, **options: Any
 ) -> Any:
     """Return the answer to one request; `patience` is the time for all of it, in seconds.
 
     Raises:
-        AgentUnreachableError: for no whole answer in time, or nobody there.
+        AgentUnreachableError: for no complete answer in time, or nobody there.
         AgentRejectedError: where the agent will not.
 
     """
     body = msgspec.json.encode({"names": names or [], "options": options})
-    request = encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body)
+    encoded = encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body)
     try:
-        answer = _exchange(path, request, patience)
+        answer = _exchange(path, encoded, patience)
         found = msgspec.json.decode(answer.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
         why = f"no whole answer within {patience:g} s"
@@ -83,22 +83,22 @@
     silent: bool = False
 
 
-def ask_all(
+def request_all(
     paths: list[Path],
     verb: str,
     names: list[str] | None = None,
     patience: float = DEFAULT_TIMEOUT_S,
     **options: Any,
 ) -> list[InstanceReply]:
-    """Ask several agents at once; one row for each, in their order, whatever became of it."""
+    """Send one request to several agents at once; one row for each, in their order, whatever became of it."""
 
-    def ask_one(path: Path) -> InstanceReply:
+    def request_one(path: Path) -> InstanceReply:
         try:
-            return InstanceReply(path, ask(path, verb, names, patience, **options))
+            return InstanceReply(path, request(path, verb, names, patience, **options))
         except AgentUnreachableError as error:
             return InstanceReply(path, error=str(error), silent=True)
         except AgentRejectedError as error:
             return InstanceReply(path, error=str(error))
 
     with concurrent.futures.ThreadPoolExecutor(max(len(paths), 1)) as pool:
-        return list(pool.map(ask_one, paths))
+        return list(pool.map(request_one, paths))
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -21,7 +21,7 @@
 from google.protobuf import text_format
 
 from juniperward.agent import processes
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request
 from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import Bounds, Verdict, check
 from juniperward.fakes.clients import Clients, Front, Traffic
@@ -155,7 +155,7 @@
         until = time.monotonic() + 20.0
         while True:
             try:
-                ask(self.socket, "agent", patience=0.5)
+                request(self.socket, "agent", patience=0.5)
                 break
             except (AgentUnreachableError, AgentRejectedError):
                 if self.agent.poll() is not None or time.monotonic() > until:
@@ -173,7 +173,7 @@
 
     def ask(self, verb: str, names: list[str] | None = None, **options: Any) -> Any:
         """Ask the agent; raises AgentUnreachableError or AgentRejectedError."""
-        return ask(self.socket, verb, names, 10.0, **options)
+        return request(self.socket, verb, names, 10.0, **options)
 
     def row(self, name: str) -> dict[str, Any]:
         """An instance's row of the status."""
@@ -238,7 +238,7 @@
     def _take_events(self) -> None:
         """Starts and ends of forwarders, by what the processes themselves show."""
         try:
-            status = ask(self.socket, "status", patience=1.0)
+            status = request(self.socket, "status", patience=1.0)
         except (AgentUnreachableError, AgentRejectedError):
             return
         for r in status["instances"]:
@@ -267,7 +267,7 @@
         self.front.closed = True
         if self.agent is not None and self.agent.poll() is None:
             with contextlib.suppress(AgentUnreachableError, AgentRejectedError):
-                ask(self.socket, "shutdown", patience=2.0, instances=True)
+                request(self.socket, "shutdown", patience=2.0, instances=True)
             try:
                 self.agent.wait(15.0)
             except subprocess.TimeoutExpired:
--- a/juniperward/cli/dead_letter_access.py
+++ b/juniperward/cli/dead_letter_access.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request
 from juniperward.cli.shared import (
     REFUSED,
     SILENT,
@@ -40,7 +40,7 @@
         errors.print("dead letters belong to one agent: name it with --agent")
         raise typer.Exit(USAGE)
     try:
-        return ask(paths[0], "kept", None, timeout, action=action, **options)
+        return request(paths[0], "kept", None, timeout, action=action, **options)
     except AgentUnreachableError as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(SILENT) from None
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -9,7 +9,13 @@
 import typer
 from rich.live import Live
 
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, InstanceReply, ask, ask_all
+from juniperward.agent.client import (
+    AgentRejectedError,
+    AgentUnreachableError,
+    InstanceReply,
+    request,
+    request_all,
+)
 from juniperward.cli.fleet_tables import show_instance, status_table, told_json
 from juniperward.cli.owners import owner, owners
 from juniperward.cli.roll import restart, roll
@@ -36,7 +42,7 @@
 @app.command()
 def status(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 2.0) -> None:
     """Show every instance of every agent. Exit code 3 if an agent does not answer."""
-    told = ask_all(sockets_of(agent), "status", patience=timeout)
+    told = request_all(sockets_of(agent), "status", patience=timeout)
     if output is Output.JSON:
         print_json(told_json(told))
     else:
@@ -61,7 +67,7 @@
     until = time.monotonic() + seconds if seconds else float("inf")
     with Live(console=console, auto_refresh=False) as live:
         while True:
-            live.update(status_table(ask_all(paths, "status", patience=timeout)), refresh=True)
+            live.update(status_table(request_all(paths, "status", patience=timeout)), refresh=True)
             if time.monotonic() + every > until:
                 return
             time.sleep(every)
@@ -75,7 +81,7 @@
     told = []
     for path, mine in owners(paths, names or [], timeout):
         try:
-            told.append(InstanceReply(path, ask(path, verb, mine, timeout)))
+            told.append(InstanceReply(path, request(path, verb, mine, timeout)))
         except AgentUnreachableError as error:
             told.append(InstanceReply(path, error=str(error), silent=True))
         except AgentRejectedError as error:
@@ -121,7 +127,7 @@
     """Show all that one instance tells of itself: state, destinations, workers, counters."""
     path = owner(sockets_of(agent), name, timeout)
     try:
-        found = ask(path, "inspect", [name], timeout)
+        found = request(path, "inspect", [name], timeout)
     except (AgentUnreachableError, AgentRejectedError) as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(SILENT if isinstance(error, AgentUnreachableError) else REFUSED) from None
@@ -142,7 +148,7 @@
     """Print the last lines of an instance's log."""
     path = owner(sockets_of(agent), name, timeout)
     try:
-        for line in ask(path, "logs", [name], timeout, lines=lines)["lines"]:
+        for line in request(path, "logs", [name], timeout, lines=lines)["lines"]:
             typer.echo(line)
     except (AgentUnreachableError, AgentRejectedError) as error:
         errors.print(str(error), markup=False)
@@ -157,7 +163,7 @@
     since: Annotated[int, typer.Option(help="Only those after this number.")] = 0,
 ) -> None:
     """Print what the agents did and saw, the oldest first."""
-    told = ask_all(sockets_of(agent), "events", None, timeout, since=since)
+    told = request_all(sockets_of(agent), "events", None, timeout, since=since)
     if output is Output.JSON:
         print_json(told_json(told))
     else:
@@ -177,7 +183,7 @@
 @app.command()
 def reload(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
     """Have the agents read their settings again; a roll brings the instances to them."""
-    told = ask_all(sockets_of(agent), "reload", None, timeout)
+    told = request_all(sockets_of(agent), "reload", None, timeout)
     if output is Output.JSON:
         print_json(told_json(told))
     else:
@@ -195,7 +201,7 @@
     instances: Annotated[bool, typer.Option("--instances", help="Stop the instances as well.")] = False,
 ) -> None:
     """End the agents; their instances go on, unless --instances is given."""
-    told = ask_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
+    told = request_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
     for reply in told:
         console.print(f"{short(reply.agent)}: {reply.error or 'ends'}", markup=False)
     raise typer.Exit(code_of(told))
--- a/juniperward/cli/owners.py
+++ b/juniperward/cli/owners.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from juniperward.agent.client import ask_all
+from juniperward.agent.client import request_all
 from juniperward.cli.shared import REFUSED, SILENT, errors, short
 
 
@@ -16,7 +16,7 @@
         return [(path, names) for path in paths]
     found: list[tuple[Path, list[str]]] = []
     missing = set(names)
-    replies = ask_all(paths, "status", patience=timeout)
+    replies = request_all(paths, "status", patience=timeout)
     for reply in replies:
         here = {row["name"] for row in reply.body.get("instances", [])}
         mine = [name for name in names if name in here]
--- a/juniperward/cli/roll.py
+++ b/juniperward/cli/roll.py
@@ -9,7 +9,7 @@
 import typer
 from rich.live import Live
 
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request
 from juniperward.cli.fleet_tables import roll_table
 from juniperward.cli.owners import owners
 from juniperward.cli.shared import (
@@ -98,7 +98,7 @@
     wait: bool,
 ) -> None:  # fmt: skip
     try:
-        found = ask(path, verb, names, timeout, **options)
+        found = request(path, verb, names, timeout, **options)
         if wait:
             found = _until_over(path, found, output, timeout)
     except AgentUnreachableError as error:
@@ -126,7 +126,7 @@
                 return found
             time.sleep(POLL_INTERVAL_S)
             try:
-                found = ask(path, "roll_show", None, timeout)
+                found = request(path, "roll_show", None, timeout)
                 misses = 0
             except AgentUnreachableError:
                 misses += 1  # an agent that is started anew takes the roll up again
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from juniperward.agent import api, processes, store
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask, ask_all
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request, request_all
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import ControlRequest, PersistentState
 from juniperward.agent.processes import MARK, Launcher
@@ -165,7 +165,7 @@
 
         thread = threading.Thread(target=self.answer)
         thread.start()
-        found = ask(self.settings.socket, "status")
+        found = request(self.settings.socket, "status")
         thread.join()
         self.assertEqual((found["instances"], found["agent"]["name"]), ([], "cluster"))
 
@@ -174,7 +174,7 @@
         for verb, names, status in (("dance", [], 404), ("logs", [], 400), ("inspect", ["n9"], 404),
                                     ("logs", ["n9"], 404), ("reload", [], 400)):  # fmt: skip
             with self.subTest(verb), self.assertRaises(AgentRejectedError) as caught:
-                ask(path, verb, names)
+                request(path, verb, names)
             self.assertEqual(caught.exception.status, status)
         for body in (b"[", b'{"names": 5}', b"[" * 60000):
             with self.subTest(body[:20]), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
@@ -186,7 +186,7 @@
     def test_another_user_is_turned_away(self) -> None:
         other = mock.patch.object(api, "peer", return_value=(1, os.geteuid() + 1))
         with other, self.assertRaises(AgentRejectedError) as caught:
-            ask(self.settings.socket, "agent")
+            request(self.settings.socket, "agent")
         self.assertEqual(caught.exception.status, 403)
 
     def test_an_agent_that_does_not_answer_is_one_row(self) -> None:
@@ -195,13 +195,13 @@
             listener.bind(str(mute))
             listener.listen(8)
             began = time.monotonic()
-            told = ask_all([self.settings.socket, mute, self.folder / "none"], "agent", patience=0.5)
+            told = request_all([self.settings.socket, mute, self.folder / "none"], "agent", patience=0.5)
             self.assertLess(time.monotonic() - began, 3.0)
         self.assertEqual(
             [(bool(t.error), t.silent) for t in told], [(False, False), (True, True), (True, True)]
         )
         with self.assertRaises(AgentUnreachableError):
-            ask(self.folder / "none", "agent", patience=0.2)
+            request(self.folder / "none", "agent", patience=0.2)
 
     def test_one_agent_a_fleet(self) -> None:
         lock = take(self.settings.folder)
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.agent.client import AgentUnreachableError, ask
+from juniperward.agent.client import AgentUnreachableError, request
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.control.protocol import Fates, Request, Verb
 from juniperward.dead_letters.spool import RedriveOutcome, Spool, read, segments
@@ -295,7 +295,7 @@
 
         def wish() -> None:
             for first in range(0, len(ids), 50):
-                ask(cluster.socket, "kept", None, 10.0, action="resend", ids=ids[first : first + 50])
+                request(cluster.socket, "kept", None, 10.0, action="resend", ids=ids[first : first + 50])
 
         people = [threading.Thread(target=wish) for _ in range(2)]
         for person in people:
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.agent.client import AgentRejectedError, ask
+from juniperward.agent.client import AgentRejectedError, request
 from juniperward.benchmarks.local_cluster import ROOT, LocalCluster, reserve
 from juniperward.fakes.partners import PartnerSpec
 
@@ -98,7 +98,7 @@
 
         def roll() -> None:
             try:
-                ask(cluster.socket, "roll", None, 10.0, soak=0.0)
+                request(cluster.socket, "roll", None, 10.0, soak=0.0)
                 codes.append(200)
             except AgentRejectedError as error:
                 codes.append(error.status)
