--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -73,18 +73,18 @@
                 # A full disk, a damaged file: nothing is begun, claims stay, the next round tries again.
                 if str(error) != self.fault:
                     why = f"{type(error).__name__}: {error}"
-                    self._log("resends stand still", "error", {"why": why})
+                    self._log("redrive stalled", "error", {"why": why})
                 self.fault = str(error)
                 self.ended.wait(ERROR_PAUSE_S)
 
     def _round(self) -> None:
         self.latest = self.resender.round()
         if self.latest.taken_in:
-            self._log("kept", "info", {"messages": self.latest.taken_in})
+            self._log("dead letters stored", "info", {"messages": self.latest.taken_in})
         if time.monotonic() >= self._sweep_at:
             self._sweep_at = time.monotonic() + SWEEP_INTERVAL_S
             if dropped := self.resender.sweep():
-                self._log("kept messages dropped", "warning", {"messages": dropped})
+                self._log("dead letters dropped", "warning", {"messages": dropped})
         if self.fault:
-            self._log("resends go on", "info", {})
+            self._log("redrive resumed", "info", {})
         self.fault = ""
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -74,7 +74,7 @@
         self.round([StateRestored(durable, tuple(started))])
         self.round([self.configured(self.settings)])
 
-    def configured(self, settings: FleetSettings, asked_by: int | None = None) -> SettingsLoaded:
+    def configured(self, settings: FleetSettings, requested_by: int | None = None) -> SettingsLoaded:
         """Save a version of the settings, and return the event for the reducer; raises OSError."""
         state = self.reducer.state
         in_use = {instance.edition for instance in state.instances.values()}
@@ -87,7 +87,7 @@
             frozenset(instance.name for instance in settings.instances if instance.stopped),
             version,
             Rules(settings.restart, settings.patience, settings.roll),
-            asked_by,
+            requested_by,
         )
 
     def run(self) -> None:
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -98,7 +98,7 @@
     stopped: frozenset[str]
     edition: str
     rules: Rules
-    asked_by: int | None = None
+    requested_by: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -38,8 +38,8 @@
         changed = before.edition != event.edition
         if before.edition and changed:
             self._log_change(event.edition, before.edition, before.roll)
-        if event.asked_by is not None:
-            round_.reply(event.asked_by, {"edition": event.edition, "changed": changed})
+        if event.requested_by is not None:
+            round_.reply(event.requested_by, {"edition": event.edition, "changed": changed})
 
     def _log_change(self, edition: str, before: str, roll: Roll | None) -> None:
         more = {}
--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -170,7 +170,7 @@
         drain = command is RollCommand.DRAIN
         self._round.put(replace(instance, drain=drain))
         self._round.emit(SendOrder(instance.name, command.value))
-        self._round.log("told to drain" if drain else "told to resume", instance=instance.name)
+        self._round.log("drain ordered" if drain else "resume ordered", instance=instance.name)
 
     def want_running(self, name: str) -> None:
         """Mean an instance to run, and forget its crashes."""
@@ -205,7 +205,7 @@
 
 
 def _serves_though_drained(instance: Instance) -> bool:
-    """Whether an instance that was told to drain takes messages, as its process is a new one."""
+    """Whether an instance that was ordered to drain takes messages, as its process is a new one."""
     reading = instance.reading
     return (
         instance.drain
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -133,7 +133,7 @@
             try:
                 self._open_dead_letters(rules).start()
             except StoreError as error:
-                self._loop.note("kept messages cannot be looked after", "error", {"why": str(error)})
+                self._loop.note("dead letters unavailable", "error", {"why": str(error)})
 
     def shutdown(self, instances: bool) -> None:
         """End the agent; the instances go on, unless they are to be stopped first."""
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -69,7 +69,7 @@
                 self.reported = process
                 self.post(ProcessExited(self.name, process, how))
             return
-        self._ask(process, Verb(order) if order else Verb.STATUS)
+        self._poll(process, Verb(order) if order else Verb.STATUS)
 
     def _next_order(self) -> str | None:
         """Wait for an order, or until the next question is due."""
@@ -79,7 +79,7 @@
         except queue.Empty:
             return None
 
-    def _ask(self, process: Process, verb: Verb) -> None:
+    def _poll(self, process: Process, verb: Verb) -> None:
         began = time.monotonic()
         try:
             status = self.client.status() if verb is Verb.STATUS else self.client.order(verb)
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -90,7 +90,7 @@
     reading: Reading | None = None  # of this process; None before its first
     unanswered_since: float | None = None  # since when it has not answered
     was_ready: bool = False  # this process was ready once
-    drain: bool = False  # told to drain, and not to resume
+    drain: bool = False  # ordered to drain, and not to resume
     stopping_since: float | None = None
     killed: bool = False  # SIGKILL was sent
     exit: str = ""  # how its last process ended
