--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -54,7 +54,7 @@
             case SendSignal():
                 self._signal(effect)
             case SendOrder(name=name, verb=verb):
-                self._watcher(name).tell(verb)
+                self._watcher(name).send_order(verb)
             case WatchInstance(name=name, process=process):
                 self._watcher(name).watch(process)
             case ReplyToClient(client=client, status=status, body=body):
--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -141,7 +141,7 @@
             case RollCommand.KILL:
                 self._kill(instance)
             case RollCommand.DRAIN | RollCommand.RESUME:
-                self._tell(instance, order.do)
+                self._send_order(instance, order.do)
 
     def _start(self, instance: Instance, edition: str) -> None:
         if instance.process is not None or instance.wanted is not DesiredState.RUNNING:
@@ -164,7 +164,7 @@
         self._round.emit(SendSignal(instance.name, instance.process, signal.SIGKILL))
         self._round.log("killed", "warning", instance=instance.name)
 
-    def _tell(self, instance: Instance, command: RollCommand) -> None:
+    def _send_order(self, instance: Instance, command: RollCommand) -> None:
         if instance.process is None:
             return
         drain = command is RollCommand.DRAIN
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -45,7 +45,7 @@
         self.process, self.since = process, None
         self.orders.put(None)
 
-    def tell(self, verb: str) -> None:
+    def send_order(self, verb: str) -> None:
         """Have an order given, before the next question."""
         self.orders.put(verb)
 
