--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -17,6 +17,7 @@
     Effect,
     Event,
     Rules,
+    RunningProcess,
     SettingsLoaded,
     StateRestored,
     Tick,
@@ -70,7 +71,9 @@
             if instance.process is not None and processes.alive(instance.process):
                 running[instance.name] = instance.process
         now = time.monotonic()
-        started = [(name, p, min(processes.started_at(p), now)) for name, p in sorted(running.items())]
+        started = [
+            RunningProcess(name, p, min(processes.started_at(p), now)) for name, p in sorted(running.items())
+        ]
         self.round([StateRestored(durable, tuple(started))])
         self.round([self.configured(self.settings)])
 
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -101,12 +101,21 @@
     requested_by: int | None = None
 
 
+@dataclass(frozen=True, slots=True)
+class RunningProcess:
+    """A process of an instance found running when the agent starts; `started_at` on the monotonic clock (s)."""
+
+    name: str
+    process: Process
+    started_at: float
+
+
 @dataclass(frozen=True, slots=True)
 class StateRestored:
     """What an earlier agent wrote down, and which of its processes run still; comes once, first of all."""
 
     durable: PersistentState
-    running: tuple[tuple[str, Process, float], ...]  # instance, process, when it started
+    running: tuple[RunningProcess, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -50,13 +50,13 @@
     def restored(self, event: StateRestored) -> None:
         """Take up what an earlier agent left. What it had told its processes is told again if need be."""
         round_, durable = self._round, event.durable
-        running = {name for name, _, _ in event.running}
+        running = {found.name for found in event.running}
         for instance in durable.instances:
             if instance.process is not None and instance.name not in running:
                 instance = _ended_unseen(instance)
             round_.put(instance)
-        for name, process, started_at in event.running:
-            self._adopt(name, process, started_at, durable.roll)
+        for found in event.running:
+            self._adopt(found.name, found.process, found.started_at, durable.roll)
         roll = durable.roll
         round_.state = replace(
             round_.state, roll=roll, rolls=durable.rolls, edition=durable.edition, saved=durable
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -26,6 +26,7 @@
     ProcessSpawned,
     ReplyToClient,
     Rules,
+    RunningProcess,
     SaveState,
     SendOrder,
     SendSignal,
@@ -104,7 +105,7 @@
                 break
             except msgspec.DecodeError:
                 continue
-        running = tuple((n, m.process, m.born) for n, m in sorted(self.machines.items()))
+        running = tuple(RunningProcess(n, m.process, m.born) for n, m in sorted(self.machines.items()))
         self.round([StateRestored(durable, running)])
         self.configure()
 
