--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -22,7 +22,16 @@
 MAX_AGE_S = 0.2  # for which what an instance reported of its destinations is used
 ANSWER_TIMEOUT_S = 0.5  # for an instance's answer
 
-ReadyInstances = Callable[[], dict[str, tuple[tuple[str, int], Reading]]]  # by name: address, latest reading
+
+@dataclass(frozen=True, slots=True)
+class ReadyInstance:
+    """An instance that takes messages: its HTTP address (host, port) and what it last reported."""
+
+    address: tuple[str, int]
+    reading: Reading
+
+
+ReadyInstances = Callable[[], dict[str, ReadyInstance]]  # by instance name
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +64,7 @@
 
     def slots(self) -> int:
         """Return how many attempts the ready instances can have in flight."""
-        return sum(reading.slots for _, reading in self._ready().values())
+        return sum(ready.reading.slots for ready in self._ready().values())
 
     # --- destinations --------------------------------------------------------------------------------------
 
@@ -84,7 +93,7 @@
     def _poll_all(self) -> list[tuple[NotifiedDestinations, int]]:
         """Return what each ready instance reports, and its slots; those that do not answer are left out."""
         found = []
-        for name, (_, reading) in self._ready().items():
+        for name, ready in self._ready().items():
             notified = self.notified.get(name, NotifiedDestinations())
             if time.monotonic() - notified.at > MAX_AGE_S:
                 try:
@@ -92,7 +101,7 @@
                 except ControlError:
                     continue
                 self.notified[name] = notified
-            found.append((notified, reading.slots))
+            found.append((notified, ready.reading.slots))
         return found
 
     def _poll(self, name: str) -> NotifiedDestinations:
@@ -157,7 +166,7 @@
     def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
         """Hand a message in; return status and Retry-After (s), as `resubmission.resubmit` does."""
         ready = self._ready().get(forwarder)
-        return resubmit(ready[0], message) if ready is not None else (NOBODY_THERE, 0.0)
+        return resubmit(ready.address, message) if ready is not None else (NOBODY_THERE, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """Return what became of redriven messages; None where the forwarder does not answer."""
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -19,12 +19,13 @@
 from juniperward.agent.log import configure
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import ControlRequest
+from juniperward.agent.running_fleet import ReadyInstance
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
 from juniperward.dead_letters.redriver import ResendRules
 from juniperward.dead_letters.store import StoreError
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import Phase, Reading
+from juniperward.fleet.model import Phase
 from juniperward.settings.load import FleetSettings, SettingsError, load
 
 THREAD_STACK_BYTES = 512 * 1024  # structlog and msgspec go deeper than the forwarder's own code
@@ -91,7 +92,7 @@
     def _names(self) -> list[str]:
         return list(self._loop.reducer.state.instances)
 
-    def _ready(self) -> dict[str, tuple[tuple[str, int], Reading]]:
+    def _ready(self) -> dict[str, ReadyInstance]:
         """Return the instances that take messages: where, and what they last said."""
         state = self._loop.reducer.state  # a value: read by any thread, at once
         addresses = {instance.name: instance.listen for instance in self._loop.settings.instances}
@@ -101,7 +102,7 @@
                 continue
             if phase(instance, time.monotonic(), state.rules.patience) is Phase.READY:
                 host, _, port = addresses[name].rpartition(":")
-                found[name] = ((host, int(port)), instance.reading)
+                found[name] = ReadyInstance((host, int(port)), instance.reading)
         return found
 
     def reload(self) -> dict[str, Any]:
