--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceAnswered:
-    """An instance has told its state."""
+    """An instance has reported its status."""
 
     name: str
     reading: Reading
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceUnanswered:
-    """An instance was asked and did not answer; `since` is when it was first asked in vain."""
+    """An instance was polled and did not answer; `since` is when it was first polled in vain."""
 
     name: str
     process: Process
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -48,7 +48,7 @@
         self._round.log("settings changed", edition=edition, before=before, **more)
 
     def restored(self, event: StateRestored) -> None:
-        """Take up what an earlier agent left. What it had told its processes is told again if need be."""
+        """Take up what an earlier agent left. Orders it had sent its processes are sent again if need be."""
         round_, durable = self._round, event.durable
         running = {found.name for found in event.running}
         for instance in durable.instances:
@@ -75,7 +75,7 @@
             instance = replace(instance, stopping_since=None, edition=edition, was_ready=False)
         round_.put(replace(instance, process=process, started_at=started_at))
         if instance.stopping_since is not None:
-            # Told to end: told again, as that may not have reached it, and killed at the time set before.
+            # Ordered to end: ordered again, as that may not have reached it, and killed at the time set before.
             round_.emit(SendSignal(name, process, signal.SIGTERM))
         round_.emit(WatchInstance(name, process))
         round_.emit(LogEvent("adopted", {"instance": name, "pid": process.pid}))
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -146,7 +146,7 @@
                 current, offset = number, end
         newest = segments[-1][0]
         if newest > spool.acknowledged_segment(folder) + 1:
-            # All but the newest are whole: the forwarder writes to that one only.
+            # All but the newest are complete: the forwarder writes to that one only.
             spool.acknowledge_segment(folder, newest - 1)
         return new
 
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -11,7 +11,7 @@
 
 
 def status(s: State, now: float) -> dict[str, Any]:
-    """The whole fleet of this agent."""
+    """The complete fleet of this agent."""
     rows = [instance(s.instances[n], now, s.rules.patience, s.edition) for n in sorted(s.instances)]
     lately = s.meter.lately(now, 10.0)
     return {
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -1,4 +1,4 @@
-"""Watching instances: a thread for each that asks it for its state, gives it orders and sees it end."""
+"""Watching instances: a thread for each that polls its status, sends it orders and sees it end."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.client = ControlClient(path, ANSWER_TIMEOUT_S)
         self.orders: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.process: Process | None = None
-        self.since: float | None = None  # first asked in vain
+        self.since: float | None = None  # first polled in vain
         self.reported: Process | None = None
         self.ended = False
 
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -11,11 +11,11 @@
 
 
 class Phase(StrEnum):
-    """What an instance is, as far as can be told from outside."""
+    """What an instance is, as far as can be seen from outside."""
 
     STARTING = "starting"  # its process runs and has not been ready yet
     READY = "ready"  # takes messages and has heard from the registry
-    DRAINING = "draining"  # turns new messages away, brings held ones to their end
+    DRAINING = "draining"  # rejects new messages, brings pending ones to their end
     DRAINED = "drained"  # owes nothing any more
     STOPPING = "stopping"  # told to end
     STOPPED = "stopped"  # no process
