--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -182,36 +182,28 @@
             agent.shutdown(False)
 
 
-def _load(file: Path) -> FleetSettings | SettingsError:
-    try:
-        return load(file)
-    except SettingsError as error:
-        return error
-
-
-def _open(settings: FleetSettings) -> Agent | str:
-    """Return the agent, or why it cannot start."""
-    try:
-        return Agent(settings)
-    except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
-        return str(error)
+def _log_settings_faults(error: SettingsError) -> None:
+    """Log each fault of a settings file with its file, line and field."""
+    log = structlog.get_logger()
+    for fault in error.faults:
+        log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
 
 
 def main(file: Path, as_json: bool | None = None) -> int:
     """Run an agent and return the exit code: 0 ended, 1 cannot start, 2 settings that cannot be used."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    settings = _load(file)
-    if isinstance(settings, SettingsError):
+    try:
+        settings = load(file)
+    except SettingsError as error:
         configure(as_json)
-        for fault in settings.faults:
-            log = structlog.get_logger()
-            log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
+        _log_settings_faults(error)
         return EXIT_BAD_SETTINGS
     configure(as_json if as_json is not None else settings.log_json)
     threading.stack_size(THREAD_STACK_BYTES)
-    agent = _open(settings)
-    if isinstance(agent, str):
-        structlog.get_logger().error("cannot start", why=agent)
+    try:
+        agent = Agent(settings)
+    except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
+        structlog.get_logger().error("cannot start", why=str(error))
         return EXIT_CANNOT_START
     threading.Thread(target=_follow_signals, args=(agent,), name="signals", daemon=True).start()
     with contextlib.suppress(KeyboardInterrupt):
