--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -98,7 +98,16 @@
     stopped: frozenset[str]
     edition: str
     rules: Rules
-    asked_by: int | None = None
+    requested_by: int | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class RunningProcess:
+    """A process of an instance found running when the agent starts; `started_at` on the monotonic clock (s)."""
+
+    name: str
+    process: Process
+    started_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,12 +115,12 @@
     """What an earlier agent wrote down, and which of its processes run still; comes once, first of all."""
 
     durable: PersistentState
-    running: tuple[tuple[str, Process, float], ...]  # instance, process, when it started
+    running: tuple[RunningProcess, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceAnswered:
-    """An instance has told its state."""
+    """An instance has reported its status."""
 
     name: str
     reading: Reading
@@ -119,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceUnanswered:
-    """An instance was asked and did not answer; `since` is when it was first asked in vain."""
+    """An instance was polled and did not answer; `since` is when it was first polled in vain."""
 
     name: str
     process: Process
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -38,8 +38,8 @@
         changed = before.edition != event.edition
         if before.edition and changed:
             self._log_change(event.edition, before.edition, before.roll)
-        if event.asked_by is not None:
-            round_.reply(event.asked_by, {"edition": event.edition, "changed": changed})
+        if event.requested_by is not None:
+            round_.reply(event.requested_by, {"edition": event.edition, "changed": changed})
 
     def _log_change(self, edition: str, before: str, roll: Roll | None) -> None:
         more = {}
@@ -48,15 +48,15 @@
         self._round.log("settings changed", edition=edition, before=before, **more)
 
     def restored(self, event: StateRestored) -> None:
-        """Take up what an earlier agent left. What it had told its processes is told again if need be."""
+        """Take up what an earlier agent left. Orders it had sent its processes are sent again if need be."""
         round_, durable = self._round, event.durable
-        running = {name for name, _, _ in event.running}
+        running = {found.name for found in event.running}
         for instance in durable.instances:
             if instance.process is not None and instance.name not in running:
                 instance = _ended_unseen(instance)
             round_.put(instance)
-        for name, process, started_at in event.running:
-            self._adopt(name, process, started_at, durable.roll)
+        for found in event.running:
+            self._adopt(found.name, found.process, found.started_at, durable.roll)
         roll = durable.roll
         round_.state = replace(
             round_.state, roll=roll, rolls=durable.rolls, edition=durable.edition, saved=durable
@@ -75,7 +75,7 @@
             instance = replace(instance, stopping_since=None, edition=edition, was_ready=False)
         round_.put(replace(instance, process=process, started_at=started_at))
         if instance.stopping_since is not None:
-            # Told to end: told again, as that may not have reached it, and killed at the time set before.
+            # Ordered to end: ordered again, as that may not have reached it, and killed at the time set before.
             round_.emit(SendSignal(name, process, signal.SIGTERM))
         round_.emit(WatchInstance(name, process))
         round_.emit(LogEvent("adopted", {"instance": name, "pid": process.pid}))
--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -141,7 +141,7 @@
             case RollCommand.KILL:
                 self._kill(instance)
             case RollCommand.DRAIN | RollCommand.RESUME:
-                self._tell(instance, order.do)
+                self._send_order(instance, order.do)
 
     def _start(self, instance: Instance, edition: str) -> None:
         if instance.process is not None or instance.wanted is not DesiredState.RUNNING:
@@ -164,13 +164,13 @@
         self._round.emit(SendSignal(instance.name, instance.process, signal.SIGKILL))
         self._round.log("killed", "warning", instance=instance.name)
 
-    def _tell(self, instance: Instance, command: RollCommand) -> None:
+    def _send_order(self, instance: Instance, command: RollCommand) -> None:
         if instance.process is None:
             return
         drain = command is RollCommand.DRAIN
         self._round.put(replace(instance, drain=drain))
         self._round.emit(SendOrder(instance.name, command.value))
-        self._round.log("told to drain" if drain else "told to resume", instance=instance.name)
+        self._round.log("drain ordered" if drain else "resume ordered", instance=instance.name)
 
     def want_running(self, name: str) -> None:
         """Mean an instance to run, and forget its crashes."""
@@ -205,7 +205,7 @@
 
 
 def _serves_though_drained(instance: Instance) -> bool:
-    """Whether an instance that was told to drain takes messages, as its process is a new one."""
+    """Whether an instance that was ordered to drain takes messages, as its process is a new one."""
     reading = instance.reading
     return (
         instance.drain
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -19,12 +19,13 @@
 from juniperward.agent.log import configure
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import ControlRequest
+from juniperward.agent.running_fleet import ReadyInstance
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
 from juniperward.dead_letters.redriver import ResendRules
 from juniperward.dead_letters.store import StoreError
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import Phase, Reading
+from juniperward.fleet.model import Phase
 from juniperward.settings.load import FleetSettings, SettingsError, load
 
 THREAD_STACK_BYTES = 512 * 1024  # structlog and msgspec go deeper than the forwarder's own code
@@ -91,7 +92,7 @@
     def _names(self) -> list[str]:
         return list(self._loop.reducer.state.instances)
 
-    def _ready(self) -> dict[str, tuple[tuple[str, int], Reading]]:
+    def _ready(self) -> dict[str, ReadyInstance]:
         """Return the instances that take messages: where, and what they last said."""
         state = self._loop.reducer.state  # a value: read by any thread, at once
         addresses = {instance.name: instance.listen for instance in self._loop.settings.instances}
@@ -101,7 +102,7 @@
                 continue
             if phase(instance, time.monotonic(), state.rules.patience) is Phase.READY:
                 host, _, port = addresses[name].rpartition(":")
-                found[name] = ((host, int(port)), instance.reading)
+                found[name] = ReadyInstance((host, int(port)), instance.reading)
         return found
 
     def reload(self) -> dict[str, Any]:
@@ -133,7 +134,7 @@
             try:
                 self._open_dead_letters(rules).start()
             except StoreError as error:
-                self._loop.note("kept messages cannot be looked after", "error", {"why": str(error)})
+                self._loop.note("dead letters unavailable", "error", {"why": str(error)})
 
     def shutdown(self, instances: bool) -> None:
         """End the agent; the instances go on, unless they are to be stopped first."""
@@ -181,36 +182,28 @@
             agent.shutdown(False)
 
 
-def _load(file: Path) -> FleetSettings | SettingsError:
-    try:
-        return load(file)
-    except SettingsError as error:
-        return error
-
-
-def _open(settings: FleetSettings) -> Agent | str:
-    """Return the agent, or why it cannot start."""
-    try:
-        return Agent(settings)
-    except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
-        return str(error)
+def _log_settings_faults(error: SettingsError) -> None:
+    """Log each fault of a settings file with its file, line and field."""
+    log = structlog.get_logger()
+    for fault in error.faults:
+        log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
 
 
 def main(file: Path, as_json: bool | None = None) -> int:
     """Run an agent and return the exit code: 0 ended, 1 cannot start, 2 settings that cannot be used."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    settings = _load(file)
-    if isinstance(settings, SettingsError):
+    try:
+        settings = load(file)
+    except SettingsError as error:
         configure(as_json)
-        for fault in settings.faults:
-            log = structlog.get_logger()
-            log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
+        _log_settings_faults(error)
         return EXIT_BAD_SETTINGS
     configure(as_json if as_json is not None else settings.log_json)
     threading.stack_size(THREAD_STACK_BYTES)
-    agent = _open(settings)
-    if isinstance(agent, str):
-        structlog.get_logger().error("cannot start", why=agent)
+    try:
+        agent = Agent(settings)
+    except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
+        structlog.get_logger().error("cannot start", why=str(error))
         return EXIT_CANNOT_START
     threading.Thread(target=_follow_signals, args=(agent,), name="signals", daemon=True).start()
     with contextlib.suppress(KeyboardInterrupt):
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -11,7 +11,7 @@
 
 
 def status(s: State, now: float) -> dict[str, Any]:
-    """The whole fleet of this agent."""
+    """The complete fleet of this agent."""
     rows = [instance(s.instances[n], now, s.rules.patience, s.edition) for n in sorted(s.instances)]
     lately = s.meter.lately(now, 10.0)
     return {
@@ -46,7 +46,7 @@
         "stale": bool(i.edition and i.edition != edition),
         "crashes": len(i.crashes.times),
         "age": round(now - r.at, 3) if r is not None else None,
-        "held": r.held if r is not None else None,
+        "held": r.pending if r is not None else None,
         "owing": r.owing if r is not None else None,
         "calls_out": r.calls_out if r is not None else None,
         "slots": r.slots if r is not None else None,
@@ -54,10 +54,10 @@
         "delivered": r.delivered if r is not None else None,
         "calls_failed": r.calls_failed if r is not None else None,
         "given_up": r.given_up if r is not None else None,
-        "turned_away": r.turned_away if r is not None else None,
-        "sick": r.sick if r is not None else None,
+        "turned_away": r.rejected if r is not None else None,
+        "sick": r.ejected_destinations if r is not None else None,
         "broken": r.broken if r is not None else None,
-        "oldest_held": round(r.oldest_held, 3) if r is not None else None,
+        "oldest_held": round(r.oldest_pending_age_s, 3) if r is not None else None,
         "journal_bytes": r.journal_bytes if r is not None else None,
         "registry_age": round(r.registry_age, 3) if r is not None and r.registry_age >= 0 else None,
     }
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -1,4 +1,4 @@
-"""Watching instances: a thread for each that asks it for its state, gives it orders and sees it end."""
+"""Watching instances: a thread for each that polls its status, sends it orders and sees it end."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.client = ControlClient(path, ANSWER_TIMEOUT_S)
         self.orders: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.process: Process | None = None
-        self.since: float | None = None  # first asked in vain
+        self.since: float | None = None  # first polled in vain
         self.reported: Process | None = None
         self.ended = False
 
@@ -45,7 +45,7 @@
         self.process, self.since = process, None
         self.orders.put(None)
 
-    def tell(self, verb: str) -> None:
+    def send_order(self, verb: str) -> None:
         """Have an order given, before the next question."""
         self.orders.put(verb)
 
@@ -69,7 +69,7 @@
                 self.reported = process
                 self.post(ProcessExited(self.name, process, how))
             return
-        self._ask(process, Verb(order) if order else Verb.STATUS)
+        self._poll(process, Verb(order) if order else Verb.STATUS)
 
     def _next_order(self) -> str | None:
         """Wait for an order, or until the next question is due."""
@@ -79,7 +79,7 @@
         except queue.Empty:
             return None
 
-    def _ask(self, process: Process, verb: Verb) -> None:
+    def _poll(self, process: Process, verb: Verb) -> None:
         began = time.monotonic()
         try:
             status = self.client.status() if verb is Verb.STATUS else self.client.order(verb)
@@ -107,9 +107,9 @@
     """Return what decisions need of a status."""
     return Reading(
         at=now, pid=status.pid, phase=status.phase, ready=status.ready, heard=status.registry_age >= 0,
-        owing=status.owing, held=status.held, slots=status.slots, calls_out=status.calls_out,
+        owing=status.owing, pending=status.held, slots=status.slots, calls_out=status.calls_out,
         delivered=status.delivered, calls_failed=status.calls_failed,
-        given_up=status.given_up, taken_on=status.taken_on, turned_away=status.turned_away, restored=status.restored,
-        broken=status.broken, oldest_held=status.oldest_held, journal_bytes=status.journal_bytes,
-        registry_age=status.registry_age, sick=status.destinations_sick, version=status.version,
+        given_up=status.given_up, taken_on=status.taken_on, rejected=status.turned_away, restored=status.restored,
+        broken=status.broken, oldest_pending_age_s=status.oldest_held, journal_bytes=status.journal_bytes,
+        registry_age=status.registry_age, ejected_destinations=status.destinations_sick, version=status.version,
     )  # fmt: skip
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -11,11 +11,11 @@
 
 
 class Phase(StrEnum):
-    """What an instance is, as far as can be told from outside."""
+    """What an instance is, as far as can be seen from outside."""
 
     STARTING = "starting"  # its process runs and has not been ready yet
     READY = "ready"  # takes messages and has heard from the registry
-    DRAINING = "draining"  # turns new messages away, brings held ones to their end
+    DRAINING = "draining"  # rejects new messages, brings pending ones to their end
     DRAINED = "drained"  # owes nothing any more
     STOPPING = "stopping"  # told to end
     STOPPED = "stopped"  # no process
@@ -51,20 +51,20 @@
     ready: bool
     heard: bool  # it has had news from the registry since its start
     owing: int
-    held: int
+    pending: int  # messages accepted and not yet at their end
     slots: int
     calls_out: int
     delivered: int
     calls_failed: int
     given_up: int
     taken_on: int
-    turned_away: int
+    rejected: int
     restored: int
     broken: int
-    oldest_held: float
+    oldest_pending_age_s: float
     journal_bytes: int
     registry_age: float
-    sick: int
+    ejected_destinations: int  # destinations with an ejected endpoint
     version: str = ""
 
 
@@ -90,7 +90,7 @@
     reading: Reading | None = None  # of this process; None before its first
     unanswered_since: float | None = None  # since when it has not answered
     was_ready: bool = False  # this process was ready once
-    drain: bool = False  # told to drain, and not to resume
+    drain: bool = False  # ordered to drain, and not to resume
     stopping_since: float | None = None
     killed: bool = False  # SIGKILL was sent
     exit: str = ""  # how its last process ended
