--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -20,8 +20,8 @@
     judge_redrive,
     wanted_by,
 )
-from juniperward.dead_letters.redriver import Redriver, ResendRules
-from juniperward.dead_letters.store import ClaimLostError, DeadLetterStore, Filter
+from juniperward.dead_letters.redriver import Redriver, RedriveRules
+from juniperward.dead_letters.store import DeadLetterStore, Filter, LeaseLostError
 from juniperward.settings.load import SettingsError, load
 
 MAX_PAGE = 500
@@ -93,7 +93,7 @@
             return HTTPStatus.BAD_REQUEST, {"error": f"ValueError: {error}"}
         except (TypeError, ValueError, KeyError) as error:
             return HTTPStatus.BAD_REQUEST, {"error": f"{type(error).__name__}: {error}"}
-        except ClaimLostError as error:
+        except LeaseLostError as error:
             return HTTPStatus.CONFLICT, {"error": str(error)}
 
     def _answer(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> Answer:
@@ -144,7 +144,7 @@
 
     def _stats(self, _: Options) -> dict[str, Any]:
         paces = {str(destination): pace.why for destination, pace in self._redriver.paces.items()}
-        open_count = len(self._store.open_resends())
+        open_count = len(self._store.open_redrives())
         return {**self._store.stats(), "open": open_count, "paces": paces, **self._progress()}
 
     def _list(self, options: Options) -> dict[str, Any]:
@@ -214,7 +214,7 @@
                     stay[why] = stay.get(why, 0) + 1
         return {"go": go, "stay": stay, "most_rate": rules.pace.most}
 
-    def _verdict(self, message: DeadLetter, now: float, rules: ResendRules) -> tuple[str, str]:
+    def _verdict(self, message: DeadLetter, now: float, rules: RedriveRules) -> tuple[str, str]:
         """Return the rule that would have a message go, or an empty text and why it stays."""
         listed = self._fleet.known_endpoints(message.destination)
         judgement = judge_redrive(message, now, listed, rules.allowance)
@@ -232,7 +232,7 @@
     return ids
 
 
-def _rules_of(file: Path) -> ResendRules:
+def _rules_of(file: Path) -> RedriveRules:
     try:
         rules = load(file).kept
     except SettingsError as error:
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -10,7 +10,7 @@
 
 from juniperward.agent.dead_letter_queries import Answer, DeadLetterQueries
 from juniperward.agent.running_fleet import ReadyInstances, RunningFleet
-from juniperward.dead_letters.redriver import Redriver, ResendRules, Round
+from juniperward.dead_letters.redriver import Redriver, RedriveRules, Round
 from juniperward.dead_letters.store import DeadLetterStore
 
 ROUND_INTERVAL_S = 0.25
@@ -30,7 +30,7 @@
     def __init__(
         self,
         folder: Path,
-        rules: ResendRules,
+        rules: RedriveRules,
         names: Callable[[], list[str]],
         ready: ReadyInstances,
         log: LogFunction = _log_nothing,
@@ -50,7 +50,7 @@
         """Begin rounds."""
         threading.Thread(target=self._run, name="resender", daemon=True).start()
 
-    def configure(self, rules: ResendRules) -> None:
+    def configure(self, rules: RedriveRules) -> None:
         """Take new rules, from the next round on."""
         self.resender.rules = rules
 
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -21,7 +21,7 @@
 from juniperward.agent.messages import ControlRequest
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
-from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.redriver import RedriveRules
 from juniperward.dead_letters.store import StoreError
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Phase, Reading
@@ -80,7 +80,7 @@
         if settings.kept is not None:
             self._open_dead_letters(settings.kept)
 
-    def _open_dead_letters(self, rules: ResendRules) -> DeadLetterService:
+    def _open_dead_letters(self, rules: RedriveRules) -> DeadLetterService:
         """Begin to look after dead letters; raises StoreError."""
         folder = self._loop.settings.folder
         service = DeadLetterService(folder, rules, self._names, self._ready, self._loop.note)
@@ -124,11 +124,11 @@
             raise FolderChangedError
         return settings
 
-    def _configure_dead_letters(self, rules: ResendRules | None) -> None:
+    def _configure_dead_letters(self, rules: RedriveRules | None) -> None:
         """Take new rules; where dead letters are switched off, what is stored stays, and nothing goes by rule."""
         service = self._dead_letters
         if service is not None:
-            service.configure(rules or ResendRules(rules=(), pace=service.resender.rules.pace))
+            service.configure(rules or RedriveRules(rules=(), pace=service.resender.rules.pace))
         elif rules is not None:
             try:
                 self._open_dead_letters(rules).start()
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -300,7 +300,7 @@
         timed("search by class, 100 found", 7, lambda n: made.facts(Filter(cls=f"c{n}"), 100))
         timed("search for a class that is not there", 2, lambda n: made.facts(Filter(cls=f"none{n}"), 100))
         timed("all about one", 1000, lambda n: made.whole(f"m{n}"))
-        timed("claim, each durable", 1000, lambda n: made.claim(f"m{n}", None, "n0", 1.0, "rule"))
+        timed("claim, each durable", 1000, lambda n: made.acquire_lease(f"m{n}", None, "n0", 1.0, "rule"))
         many = [[f"m{5000 + n * 200 + k}" for k in range(200)] for n in range(20)]
         timed("wish for 200, one transaction", 20, lambda n: made.wish(many[n], "me"))
         timed("counts by stand", 3, lambda _: made.stats())
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -29,7 +29,7 @@
 )
 from juniperward.dead_letters.fleet import Fleet, ReportedOutcomes
 from juniperward.dead_letters.resubmission import Resubmission
-from juniperward.dead_letters.store import Claim, ClaimLostError, DeadLetterStore, Filter
+from juniperward.dead_letters.store import DeadLetterStore, Filter, Lease, LeaseLostError
 
 PAGE_SIZE = 500  # messages looked at at once
 MAX_PAGES = 4  # for one destination in a round
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ResendRules:
+class RedriveRules:
     """The operator's settings for resends; times in seconds."""
 
     rules: tuple[Rule, ...] = ()
@@ -70,7 +70,7 @@
 class Redriver:
     """Holds the pace of each destination; everything else is in the store."""
 
-    def __init__(self, store: DeadLetterStore, fleet: Fleet, rules: ResendRules) -> None:
+    def __init__(self, store: DeadLetterStore, fleet: Fleet, rules: RedriveRules) -> None:
         """Begin with no pace to any destination; `rules` may be replaced between rounds."""
         self.store, self.fleet, self.rules = store, fleet, rules
         self.paces: dict[int, Pace] = {}
@@ -100,31 +100,31 @@
     # --- what became of them ----------------------------------------------------------------------------------
 
     def _settle(self, done: Round, now: float) -> None:
-        by_forwarder: dict[str, list[Claim]] = {}
-        for claim in self.store.open_resends():
-            by_forwarder.setdefault(claim.forwarder, []).append(claim)
+        by_forwarder: dict[str, list[Lease]] = {}
+        for lease in self.store.open_redrives():
+            by_forwarder.setdefault(lease.forwarder, []).append(lease)
             done.open += 1
-        for forwarder, claims in by_forwarder.items():
-            for first in range(0, len(claims), MAX_IDS_A_QUESTION):
-                part = claims[first : first + MAX_IDS_A_QUESTION]
-                told = self.fleet.outcomes(forwarder, tuple(claim.resend for claim in part))
-                if told is None:
+        for forwarder, leases in by_forwarder.items():
+            for first in range(0, len(leases), MAX_IDS_A_QUESTION):
+                part = leases[first : first + MAX_IDS_A_QUESTION]
+                reported = self.fleet.outcomes(forwarder, tuple(lease.redrive_id for lease in part))
+                if reported is None:
                     continue  # it stays claimed: nothing is concluded from silence
-                for claim in part:
-                    self._settle_one(done, claim, told.get(claim.resend), now)
+                for lease in part:
+                    self._settle_one(done, lease, reported.get(lease.redrive_id), now)
 
-    def _settle_one(self, done: Round, claim: Claim, told: ReportedOutcomes | None, now: float) -> None:
-        if told is None or told.end == PENDING:
+    def _settle_one(self, done: Round, lease: Lease, reported: ReportedOutcomes | None, now: float) -> None:
+        if reported is None or reported.end == PENDING:
             return
-        end = told.end
+        end = reported.end
         if end == UNKNOWN:
-            if told.complete_since > claim.claimed_at:
-                done.lost_memory.append(claim.resend)  # a person must settle it
+            if reported.complete_since > lease.claimed_at:
+                done.lost_memory.append(lease.redrive_id)  # a person must settle it
                 return
             end = NEVER_TAKEN  # and, having said so, the forwarder never will take it
         try:
-            self.store.settle_resend(claim, end, told.ran_at, now)
-        except ClaimLostError:
+            self.store.settle_redrive(lease, end, reported.ran_at, now)
+        except LeaseLostError:
             return  # a person settled it meanwhile
         done.settled += 1
         done.open -= 1
@@ -134,26 +134,26 @@
     def _begin(self, done: Round, now: float, steady: float) -> None:
         waiting = self.store.destinations()
         wished = self.store.destinations(wished=True)
-        room = may_have_out(self.fleet.slots(), self.rules.pace) - done.open
+        capacity = may_have_out(self.fleet.slots(), self.rules.pace) - done.open
         for destination in sorted(waiting, key=lambda number: (number + self.turn) % TURN_MODULUS):
             if not self.rules.rules and destination not in wished:
                 continue  # nobody wants any of them sent
-            begun = self._begin_destination(destination, room, now, steady)
-            room -= begun
+            begun = self._begin_destination(destination, capacity, now, steady)
+            capacity -= begun
             done.begun += begun
         for gone in set(self.paces) - set(waiting):
             del self.paces[gone]
             self.places.pop(gone, None)
         self.turn += 1
 
-    def _begin_destination(self, destination: int, room: int, now: float, steady: float) -> int:
-        """Send as many of one destination's as its pace and `room` allow; return how many."""
+    def _begin_destination(self, destination: int, capacity: int, now: float, steady: float) -> int:
+        """Send as many of one destination's as its pace and `capacity` allow; return how many."""
         views = self.fleet.destination_views(destination)
         refused = destination in self.refused
         pace = adjust_pace(self.paces.get(destination, Pace()), views, refused, steady, self.rules.pace)
         self.refused.discard(destination)
         count = 0
-        most = min(int(pace.tokens), room)
+        most = min(int(pace.tokens), capacity)
         for message in self._candidates(destination, most, now) if most > 0 else ():
             accepted = self._send(message, now)
             if accepted is None:
@@ -209,7 +209,7 @@
         ]
 
     def _send(self, message: DeadLetter, now: float) -> bool | None:
-        """Claim a message and hand it in.
+        """Lease a message and hand it in.
 
         Returns whether it was accepted or may have been, None where nothing could be begun.
         """
@@ -220,37 +220,37 @@
         self.turn += 1
         by = wanted_by(message, self.rules.rules, now)
         try:
-            claim = self.store.claim(message.id, None, forwarder, now, by)
-        except ClaimLostError:
+            lease = self.store.acquire_lease(message.id, None, forwarder, now, by)
+        except LeaseLostError:
             return True  # somebody else was first; the next one is looked for
-        return self._send_claimed(message, claim)
+        return self._send_claimed(message, lease)
 
-    def _send_claimed(self, message: DeadLetter, claim: Claim) -> bool:
+    def _send_claimed(self, message: DeadLetter, lease: Lease) -> bool:
         body = self.store.stored_body(message.id)
-        # What has been read may be older than the claim: the clock is asked once more, and judged by anew.
+        # What has been read may be older than the lease: the clock is asked once more, and judged by anew.
         now = certain_now(self.fleet.clock(), self.store.seen())
         listed = frozenset(message.workers) or frozenset("?")
         judgement = judge_redrive(message, now, listed, self.rules.allowance)
         if judgement.kind is RedriveSafety.UNCERTAIN:
-            self._release(claim, NEVER_TAKEN, now)
+            self._release(lease, NEVER_TAKEN, now)
             return True
-        resubmission = self._resubmission(message, claim, body, judgement.until, now)
-        status, _ = self.fleet.submit(claim.forwarder, resubmission)
+        resubmission = self._resubmission(message, lease, body, judgement.until, now)
+        status, _ = self.fleet.submit(lease.forwarder, resubmission)
         if status in ACCEPTED_OR_UNKNOWN:
             return True  # where it is not known, the forwarder is asked in the next round
-        self._release(claim, REFUSED if status > 0 else NEVER_TAKEN, now)
+        self._release(lease, REFUSED if status > 0 else NEVER_TAKEN, now)
         self.refused.add(message.destination)
         return False
 
     def _resubmission(
-        self, message: DeadLetter, claim: Claim, body: bytes, until: float, now: float
+        self, message: DeadLetter, lease: Lease, body: bytes, until: float, now: float
     ) -> Resubmission:
         time_left_s = min(self.rules.time_left.get(message.cls, DEFAULT_TIME_LEFT_S), until - now)
         ran_ago_s = (
-            now - claim.ran_at if claim.ran_at is not None and message.effect != "repeatable" else None
+            now - lease.ran_at if lease.ran_at is not None and message.effect != "repeatable" else None
         )
         return Resubmission(
-            claim.resend,
+            lease.redrive_id,
             message.cls,
             message.account,
             message.destination,
@@ -260,6 +260,6 @@
             ran_ago_s,
         )
 
-    def _release(self, claim: Claim, end: str, now: float) -> None:
-        with contextlib.suppress(ClaimLostError):
-            self.store.settle_resend(claim, end, None, now)
+    def _release(self, lease: Lease, end: str, now: float) -> None:
+        with contextlib.suppress(LeaseLostError):
+            self.store.settle_redrive(lease, end, None, now)
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -1,4 +1,4 @@
-"""The values that the dead letter store is asked with, and the claims that it gives."""
+"""The values that the dead letter store is asked with, and the leases that it gives."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class Lease:
     """The right to one resend; it is durable before anything is handed in."""
 
-    resend: str
+    redrive_id: str
     message: str
     fence: int
     forwarder: str
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -1,6 +1,6 @@
 """The store of dead letters: SQLite in WAL mode, owned by the agent.
 
-Every change of a message is one transaction with its line in the audit trail. A claim is a compare-and-set on the
+Every change of a message is one transaction with its line in the audit trail. A lease is a compare-and-set on the
 message's stand and fence; whoever comes second changes nothing.
 """
 
@@ -16,16 +16,16 @@
 from juniperward.dead_letters.decisions import Clock, DeadLetter, Status
 from juniperward.dead_letters.retention import Limits, drop_oldest
 from juniperward.dead_letters.rows import COLUMNS, ROW_BYTES, audit, dead_letter, redrive_id
-from juniperward.dead_letters.selection import Claim, Filter
+from juniperward.dead_letters.selection import Filter, Lease
 from juniperward.dead_letters.spool import SpooledMessage
 from juniperward.dead_letters.store_errors import (
-    ClaimLostError,
-    ClaimSettledError,
+    LeaseLostError,
+    LeaseSettledError,
     MessageChangedError,
     StoreError,
 )
 
-__all__ = ["Claim", "ClaimLostError", "DeadLetterStore", "Filter", "StoreError", "redrive_id"]
+__all__ = ["DeadLetterStore", "Filter", "Lease", "LeaseLostError", "StoreError", "redrive_id"]
 
 
 class DeadLetterStore(Database):
@@ -132,8 +132,8 @@
 
     # --- resends --------------------------------------------------------------------------------------------
 
-    def claim(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Claim:
-        """Take the right to send a message again; durable when this returns. Raises ClaimLostError."""
+    def acquire_lease(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Lease:
+        """Take the right to send a message again; durable when this returns. Raises LeaseLostError."""
         with self.change() as db:
             row = db.execute(
                 "SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)
@@ -151,45 +151,45 @@
                 (name, message, new, forwarder, now, by),
             )
             audit(db, by, "claimed", message, f"resend {name} through {forwarder}")
-        return Claim(name, message, new, forwarder, now, row["ran_at"])
+        return Lease(name, message, new, forwarder, now, row["ran_at"])
 
-    def open_resends(self) -> list[Claim]:
-        """Return the claims whose end is not known."""
+    def open_redrives(self) -> list[Lease]:
+        """Return the leases whose end is not known."""
         rows = self.db.execute(
             "SELECT r.id, r.message, r.fence, r.forwarder, r.claimed_at, m.ran_at FROM resend r"
             " JOIN message m ON m.id = r.message WHERE r.end IS NULL ORDER BY r.claimed_at"
         )
-        return [Claim(*r) for r in rows]
+        return [Lease(*r) for r in rows]
 
-    def settle_resend(self, claim: Claim, end: str, ran_at: float | None, now: float) -> None:
+    def settle_redrive(self, lease: Lease, end: str, ran_at: float | None, now: float) -> None:
         """Write down how a resend ended: delivered, undeliverable, deferred, refused or never taken.
 
-        Raises ClaimLostError where the claim is not the message's latest or was settled already.
+        Raises LeaseLostError where the lease is not the message's latest or was settled already.
         """
         with self.change() as db:
             done = db.execute(
                 "UPDATE resend SET end = ?, ended_at = ?, ran_at = ? WHERE id = ? AND end IS NULL",
-                (end, now, ran_at, claim.resend),
+                (end, now, ran_at, lease.redrive_id),
             )
             row = db.execute(
-                "SELECT stand, fence, ran_at FROM message WHERE id = ?", (claim.message,)
+                "SELECT stand, fence, ran_at FROM message WHERE id = ?", (lease.message,)
             ).fetchone()
             if (
                 not done.rowcount
                 or row is None
-                or row["fence"] != claim.fence
+                or row["fence"] != lease.fence
                 or row["stand"] != Status.CLAIMED
             ):
-                raise ClaimSettledError(claim.resend)
+                raise LeaseSettledError(lease.redrive_id)
             stand = Status.DELIVERED if end == "delivered" else Status.KEPT
             ran = min((t for t in (row["ran_at"], ran_at) if t is not None), default=None)
             # One that cannot have reached the partner is none that counts, and the wish for it stands.
             nothing = end != "delivered" and (ran_at is None or ran_at == row["ran_at"])
             more = ", resends = resends - 1" if nothing else ", wished = NULL"
             db.execute(
-                f"UPDATE message SET stand = ?, ran_at = ?{more} WHERE id = ?", (stand, ran, claim.message)
+                f"UPDATE message SET stand = ?, ran_at = ?{more} WHERE id = ?", (stand, ran, lease.message)
             )
-            audit(db, "agent", end, claim.message, claim.resend)
+            audit(db, "agent", end, lease.message, lease.redrive_id)
 
     # --- people ---------------------------------------------------------------------------------------------
 
@@ -211,7 +211,7 @@
         return count
 
     def settle(self, message: str, delivered: bool, who: str, why: str, now: float) -> None:
-        """Take a person's word on whether a message took effect; raises ClaimLostError where it is over."""
+        """Take a person's word on whether a message took effect; raises LeaseLostError where it is over."""
         with self.change() as db:
             row = db.execute("SELECT stand, fence FROM message WHERE id = ?", (message,)).fetchone()
             if row is None or row["stand"] not in (Status.KEPT, Status.CLAIMED):
--- a/juniperward/dead_letters/store_errors.py
+++ b/juniperward/dead_letters/store_errors.py
@@ -27,11 +27,11 @@
         super().__init__(f"{file}: schema {version}; this program knows {known} at most")
 
 
-class ClaimLostError(Exception):
-    """A claim, or what was to be done under one, came second: the message is not as it was."""
+class LeaseLostError(Exception):
+    """A lease, or what was to be done under one, came second: the message is not as it was."""
 
 
-class MessageChangedError(ClaimLostError):
+class MessageChangedError(LeaseLostError):
     """The message is not in the state that was expected."""
 
     def __init__(self, message: str, status: str | None) -> None:
@@ -40,8 +40,8 @@
         super().__init__(f"{message} is {status if status is not None else 'not here'}")
 
 
-class ClaimSettledError(ClaimLostError):
-    """A claim was settled already, or another one came after it."""
+class LeaseSettledError(LeaseLostError):
+    """A lease was settled already, or another one came after it."""
 
     def __init__(self, redrive: str) -> None:
         """Name the redrive."""
--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.redriver import RedriveRules
 from juniperward.fleet.model import Patience, RestartRules, RollRules
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
@@ -112,7 +112,7 @@
             self.fault("roll.floor", f"{given.floor} of {running} must stay ready: no roll can begin")
         return RollRules(**rules)
 
-    def _redrive_rules(self) -> ResendRules | None:
+    def _redrive_rules(self) -> RedriveRules | None:
         given = self._message.kept
         return redrive_rules(self, given, self._deadlines()) if given.on else None
 
--- a/juniperward/settings/fleet_settings.py
+++ b/juniperward/settings/fleet_settings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.redriver import RedriveRules
 from juniperward.fleet.model import Patience, RestartRules, RollRules
 
 
@@ -37,4 +37,4 @@
     log_bytes: int
     log_keep: int
     log_json: bool | None
-    kept: ResendRules | None = None  # None: nothing is kept
+    kept: RedriveRules | None = None  # None: nothing is kept
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -28,8 +28,8 @@
         message = text_format.Parse(text, fleet_pb2.Fleet())
     except text_format.ParseError as error:
         line = error.GetLine() or 0
-        told = re.sub(r"^\d+:\d+ : ", "", str(error))
-        raise SettingsError([Fault(str(file), line, "", told)]) from error
+        reason = re.sub(r"^\d+:\d+ : ", "", str(error))
+        raise SettingsError([Fault(str(file), line, "", reason)]) from error
     return FleetChecker(file, text, message).settings()
 
 
--- a/juniperward/settings/redrive_checker.py
+++ b/juniperward/settings/redrive_checker.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from juniperward.dead_letters.decisions import PaceRules, Rule
-from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.redriver import RedriveRules
 
 HOURS_A_DAY = 24
 SECONDS_A_DAY = 86400.0
@@ -28,22 +28,22 @@
         """Return the set numbers of a part, each within its bounds."""
 
 
-def redrive_rules(checker: Checker, given: Any, deadlines_s: Mapping[str, float]) -> ResendRules:
+def redrive_rules(checker: Checker, given: Any, deadlines_s: Mapping[str, float]) -> RedriveRules:
     """Return the rules; `deadlines_s` are the times of the classes, which a redrive never goes beyond."""
-    checker.numbers("kept", given, ResendRules, only_numbers=True)
+    checker.numbers("kept", given, RedriveRules, only_numbers=True)
     pace = PaceRules(**checker.numbers("kept.pace", given.pace, PaceRules))
     rules = tuple(_rule(checker, number, rule) for number, rule in enumerate(given.rule))
     _check_names(checker, [rule.name for rule in rules])
-    defaults, told = ResendRules(), _set_fields(given)
-    time_left_s = {name: min(told.get("time_left", own), own) for name, own in deadlines_s.items()}
-    return ResendRules(
+    defaults, set_fields = RedriveRules(), _set_fields(given)
+    time_left_s = {name: min(set_fields.get("time_left", own), own) for name, own in deadlines_s.items()}
+    return RedriveRules(
         rules,
         pace,
-        told.get("allowance", defaults.allowance),
+        set_fields.get("allowance", defaults.allowance),
         time_left_s,
-        told.get("most_days", DEFAULT_MAX_DAYS) * SECONDS_A_DAY,
-        told.get("most", defaults.most),
-        told.get("most_bytes", defaults.most_bytes),
+        set_fields.get("most_days", DEFAULT_MAX_DAYS) * SECONDS_A_DAY,
+        set_fields.get("most", defaults.most),
+        set_fields.get("most_bytes", defaults.most_bytes),
     )
 
 
@@ -56,14 +56,14 @@
 
 def _rule(checker: Checker, number: int, given: Any) -> Rule:
     place = f"kept.rule[{number}]"
-    told = _set_fields(given)
+    set_fields = _set_fields(given)
     for name in ("from_hour", "to_hour"):
-        if not 0 <= told.get(name, 0) <= HOURS_A_DAY:
-            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY}, not {told[name]:g}"
+        if not 0 <= set_fields.get(name, 0) <= HOURS_A_DAY:
+            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY}, not {set_fields[name]:g}"
             checker.fault(f"{place}.{name}", why)
-    if told.get("least_age", 0) > told.get("most_age", math.inf):
+    if set_fields.get("least_age", 0) > set_fields.get("most_age", math.inf):
         checker.fault(f"{place}.most_age", "below least_age: no message is ever of such an age")
-    plain = {name: value for name, value in told.items() if name not in SELECTORS}
+    plain = {name: value for name, value in set_fields.items() if name not in SELECTORS}
     classes = frozenset(getattr(given, "class"))
     return Rule(given.name, frozenset(given.destination), classes, frozenset(given.account), **plain)
 
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -116,12 +116,12 @@
         messages = [undelivered(f"m-{name}", "by_key", name != "waiting") for name in names]
         store.take_in("n1", messages, 2, 345)
         store.wish(["m-wished"], "anna", partner_sure=True)
-        store.claim("m-claimed", None, "n1", WRITTEN_AT + 1.0, "rule")
+        store.acquire_lease("m-claimed", None, "n1", WRITTEN_AT + 1.0, "rule")
         for name, end in (("delivered", "delivered"), ("deferred", "deferred")):
-            claim = store.claim(f"m-{name}", None, "n1", WRITTEN_AT + 2.0, "anna")
-            store.settle_resend(claim, end, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
+            lease = store.acquire_lease(f"m-{name}", None, "n1", WRITTEN_AT + 2.0, "anna")
+            store.settle_redrive(lease, end, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
         store.discard(["m-discarded"], "anna")
-        store.claim("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
+        store.acquire_lease("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
         store.settle("m-settled", True, "anna", "seen at the partner", WRITTEN_AT + 9.0)
         store.see(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
         store.close()
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -18,7 +18,7 @@
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
 from juniperward.dead_letters.decisions import Rule
-from juniperward.dead_letters.redriver import ResendRules
+from juniperward.dead_letters.redriver import RedriveRules
 from juniperward.settings.load import load
 from tests.test_dead_letter_store import kept
 from tests.test_settings import GOOD
@@ -35,7 +35,7 @@
         fleet = load(self.file)
         fleet.folder.mkdir(mode=0o700)
         self.api = api.Api(fleet.socket, Loop(fleet, StateStore(fleet.folder), 1), lambda: {}, lambda _: None)
-        rules = ResendRules((Rule("seven", frozenset({7})),))
+        rules = RedriveRules((Rule("seven", frozenset({7})),))
         self.service = DeadLetterService(fleet.folder, rules, list, dict)
         self.addCleanup(self.service.store.close)
         self.api.serve_dead_letters(self.service)
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -24,7 +24,7 @@
     read,
     segments,
 )
-from juniperward.dead_letters.store import ClaimLostError, DeadLetterStore, Filter, StoreError
+from juniperward.dead_letters.store import DeadLetterStore, Filter, LeaseLostError, StoreError
 
 
 def kept(
@@ -44,9 +44,9 @@
     store, won = DeadLetterStore(Path(file), "OFF"), 0
     for n in range(200):
         try:
-            store.claim(f"m{n}", None, "n0", 1.0, by)
+            store.acquire_lease(f"m{n}", None, "n0", 1.0, by)
             won += 1
-        except ClaimLostError:
+        except LeaseLostError:
             pass
     out.put(won)
 
@@ -185,38 +185,38 @@
         mine = 0
         for n in range(199, -1, -1):
             try:
-                self.store.claim(f"m{n}", None, "n1", 1.0, "rule")
+                self.store.acquire_lease(f"m{n}", None, "n1", 1.0, "rule")
                 mine += 1
-            except ClaimLostError:
+            except LeaseLostError:
                 pass
         for w in workers:
             w.join(60.0)
         self.assertEqual(mine + sum(out.get(timeout=10.0) for _ in workers), 200)
-        self.assertEqual(len(self.store.open_resends()), 200)
+        self.assertEqual(len(self.store.open_redrives()), 200)
 
     def test_a_claim_is_fenced(self) -> None:
         self.fill(1)
-        claim = self.store.claim("m0", 0, "n0", 1.0, "a")
-        with self.assertRaises(ClaimLostError):
-            self.store.claim("m0", 1, "n0", 1.0, "b")
-        self.store.settle_resend(claim, "refused", None, 2.0)
-        with self.assertRaises(ClaimLostError):
-            self.store.claim("m0", 0, "n0", 3.0, "c")  # by one who has looked before that
-        again = self.store.claim("m0", 1, "n1", 3.0, "c")
-        self.assertNotEqual(again.resend, claim.resend)
-        with self.assertRaises(ClaimLostError):
-            self.store.settle_resend(claim, "delivered", None, 4.0)  # an old claim says nothing any more
-        self.store.settle_resend(again, "undeliverable", 3.5, 4.0)
+        lease = self.store.acquire_lease("m0", 0, "n0", 1.0, "a")
+        with self.assertRaises(LeaseLostError):
+            self.store.acquire_lease("m0", 1, "n0", 1.0, "b")
+        self.store.settle_redrive(lease, "refused", None, 2.0)
+        with self.assertRaises(LeaseLostError):
+            self.store.acquire_lease("m0", 0, "n0", 3.0, "c")  # by one who has looked before that
+        again = self.store.acquire_lease("m0", 1, "n1", 3.0, "c")
+        self.assertNotEqual(again.redrive_id, lease.redrive_id)
+        with self.assertRaises(LeaseLostError):
+            self.store.settle_redrive(lease, "delivered", None, 4.0)  # an old lease says nothing any more
+        self.store.settle_redrive(again, "undeliverable", 3.5, 4.0)
         (facts,) = self.store.facts(Filter())
         self.assertEqual((facts.stand, facts.ran_at, facts.resends), (Status.KEPT, 3.5, 1))
 
     def test_people_settle_discard_and_undo_and_all_is_written_down(self) -> None:
         self.fill(3)
-        claim = self.store.claim("m0", None, "n0", 1.0, "rule")
+        lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
         self.store.settle("m0", True, "ann", "the partner has it", 2.0)
-        with self.assertRaises(ClaimLostError):
-            self.store.settle_resend(claim, "undeliverable", None, 3.0)
-        with self.assertRaises(ClaimLostError):
+        with self.assertRaises(LeaseLostError):
+            self.store.settle_redrive(lease, "undeliverable", None, 3.0)
+        with self.assertRaises(LeaseLostError):
             self.store.settle("m0", False, "bob", "no", 3.0)
         self.assertEqual(self.store.wish(["m1", "m0", "none"], "ann"), 1)
         self.assertEqual(self.store.wish(["m1"], "bob"), 0)
@@ -249,7 +249,7 @@
 
     def test_retention_drops_the_oldest_and_tells(self) -> None:
         self.fill(10)
-        self.store.claim("m0", None, "n0", 1.0, "rule")
+        self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
         self.assertEqual(self.store.sweep(1010.0, 5.5, 100, 10**9), 4)  # m1 to m4; m0 is under way
         self.assertEqual(self.store.sweep(1010.0, 1e9, 4, 10**9), 2)
         self.assertEqual(self.store.sweep(1010.0, 1e9, 100, 1100), 2)
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -1,4 +1,4 @@
-"""The protocol of claim, hand-in and fate, explored: every crash, every lost answer, and planted bugs it must find.
+"""The protocol of lease, hand-in and fate, explored: every crash, every lost answer, and planted bugs it must find.
 
 `Sim` is a small world of two forwarders and a partner, all in memory; the resender and its store are the real ones.
 A crash takes the resender away before any of its operations, and a new one begins with the store alone.
@@ -27,13 +27,13 @@
     Rule,
 )
 from juniperward.dead_letters.fleet import ReportedOutcomes
-from juniperward.dead_letters.redriver import Redriver, ResendRules
+from juniperward.dead_letters.redriver import Redriver, RedriveRules
 from juniperward.dead_letters.resubmission import Resubmission
 from juniperward.dead_letters.spool import SpooledAttempt, SpooledMessage
-from juniperward.dead_letters.store import Claim, ClaimLostError, DeadLetterStore, Filter
+from juniperward.dead_letters.store import DeadLetterStore, Filter, Lease, LeaseLostError
 
 WINDOW = 12.0
-RULES = ResendRules(
+RULES = RedriveRules(
     (Rule("all", most_resends=50),), PaceRules(first=4.0, most=50.0, share_of_rate=1.0, share_of_slots=1.0),
     allowance=0.5, time_left={"c": 5.0},
 )  # fmt: skip
@@ -95,7 +95,7 @@
         """A new resender with nothing but the store."""
         self.store.close()
         self.resender = Redriver(self.store, self, RULES)
-        for name in ("claim", "settle_resend", "open_resends", "see"):
+        for name in ("acquire_lease", "settle_redrive", "open_redrives", "see"):
             real: Callable[..., Any] = getattr(DeadLetterStore, name).__get__(self.store)
             setattr(self.store, name, self._counted(real))
 
@@ -289,16 +289,16 @@
 
     def test_it_finds_a_hand_in_before_the_claim_is_durable(self) -> None:
         def forgetful(sim: Sim) -> None:
-            real = sim.store.claim
+            real = sim.store.acquire_lease
 
-            def claim(*args: Any) -> Claim:
+            def lease(*args: Any) -> Lease:
                 made = real(*args)
                 with sim.store.change() as db:
                     db.execute("UPDATE message SET stand = 'kept' WHERE id = ?", (made.message,))
-                    db.execute("DELETE FROM resend WHERE id = ?", (made.resend,))
+                    db.execute("DELETE FROM resend WHERE id = ?", (made.redrive_id,))
                 return made
 
-            sim.store.claim = claim  # type: ignore[method-assign, assignment]
+            sim.store.acquire_lease = lease  # type: ignore[method-assign, assignment]
 
         with self.assertRaises(AssertionError):
             self.explore(forgetful, pairs=False)
@@ -306,10 +306,10 @@
     def test_it_finds_silence_taken_for_never_taken(self) -> None:
         real = Redriver._settle_one
 
-        def guess(self: Redriver, done: Any, claim: Claim, told: ReportedOutcomes | None, now: float) -> None:
+        def guess(self: Redriver, done: Any, lease: Lease, told: ReportedOutcomes | None, now: float) -> None:
             if told is not None and told.end == "held":
                 told = ReportedOutcomes("unknown", None, 0.0)
-            real(self, done, claim, told, now)
+            real(self, done, lease, told, now)
 
         with mock.patch.object(Redriver, "_settle_one", guess), self.assertRaises(AssertionError):
             self.explore(pairs=False)
@@ -384,8 +384,8 @@
         sim.round()
         sim.now += 0.25
         sim.round()
-        (claim, *_) = sim.store.open_resends()
-        sim.held[claim.forwarder].clear()
+        (lease, *_) = sim.store.open_redrives()
+        sim.held[lease.forwarder].clear()
         real = sim.outcomes
 
         def forgot(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
@@ -397,27 +397,27 @@
 
         sim.outcomes = forgot  # type: ignore[method-assign]
         sim.run(20)
-        self.assertIn(claim.resend, sim.resender.round().lost_memory)
-        (facts,) = sim.store.facts(Filter(ids=(claim.message,)))
+        self.assertIn(lease.redrive_id, sim.resender.round().lost_memory)
+        (facts,) = sim.store.facts(Filter(ids=(lease.message,)))
         self.assertEqual(facts.stand, "claimed")
-        sim.store.settle(claim.message, False, "ann", "the partner never saw it", sim.now)
+        sim.store.settle(lease.message, False, "ann", "the partner never saw it", sim.now)
         sim.outcomes = real  # type: ignore[method-assign]
         sim.finish()
 
     def test_a_window_that_closes_between_decision_and_hand_in(self) -> None:
         sim = Sim(self.folder, (-4.0,))
-        real = sim.store.claim
+        real = sim.store.acquire_lease
 
-        def slow(*args: Any) -> Claim:
-            made: Claim = real(*args)
+        def slow(*args: Any) -> Lease:
+            made: Lease = real(*args)
             sim.now += 9.0
             return made
 
-        sim.store.claim = slow  # type: ignore[method-assign, assignment]
+        sim.store.acquire_lease = slow  # type: ignore[method-assign, assignment]
         sim.run(8)
         self.assertEqual(sim.told, {"n0": {}, "n1": {}})
         (facts,) = sim.store.facts(Filter())
         self.assertEqual(facts.stand, "kept")
-        with self.assertRaises(ClaimLostError):
-            sim.store.claim("m9", None, "n0", 0.0, "x")
+        with self.assertRaises(LeaseLostError):
+            sim.store.acquire_lease("m9", None, "n0", 0.0, "x")
         sim.store.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -209,8 +209,8 @@
     assert story == expected["messages"]
     assert store.stats() == expected["stats"]
     assert store.audit() == expected["audit"]
-    (claim,) = store.open_resends()
-    assert (claim.message, claim.fence, claim.forwarder, claim.claimed_at) == (
+    (lease,) = store.open_redrives()
+    assert (lease.message, lease.fence, lease.forwarder, lease.claimed_at) == (
         "m-claimed",
         1,
         "n1",
@@ -219,7 +219,7 @@
     assert store.place("n1") == (2, 345)
     seen = store.seen()
     assert seen is not None and (seen.wall, seen.boot, seen.boot_id) == (WRITTEN_AT + 10.0, 500.0, BOOT_ID)
-    store.settle_resend(claim, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
+    store.settle_redrive(lease, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
     assert {f.id for f in store.facts(Filter(stand="claimed"))} == set()
     store.close()
 
