--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -133,7 +133,7 @@
 
     def _show(self, options: Options, who: str) -> Answer:
         message = str(options["id"])
-        found = self._store.whole(message)
+        found = self._store.complete_record(message)
         if found is None:
             return HTTPStatus.NOT_FOUND, {"error": f"no such message: {message}"}
         (row,) = self._list({"ids": [message]})["messages"]
@@ -172,7 +172,7 @@
             "kind": judgement.kind.value,
             "may_go": judgement.may_go,
             "why": judgement.why,
-            "wanted_by": wanted_by(message, rules.rules, now) if message.stand is Status.KEPT else "",
+            "wanted_by": wanted_by(message, rules.rules, now) if message.stand is Status.STORED else "",
             "destination": message.destination,
             "class": message.cls,
             "account": message.account,
@@ -234,7 +234,7 @@
 
 def _rules_of(file: Path) -> RedriveRules:
     try:
-        rules = load(file).kept
+        rules = load(file).redrive
     except SettingsError as error:
         raise QuestionError(str(error)) from error
     if rules is None:
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -77,8 +77,8 @@
         self._loop = Loop(settings, StateStore(settings.folder), secrets.randbits(64))
         self._api = Api(settings.socket, self._loop, self.reload, self.shutdown)
         self._dead_letters: DeadLetterService | None = None
-        if settings.kept is not None:
-            self._open_dead_letters(settings.kept)
+        if settings.redrive is not None:
+            self._open_dead_letters(settings.redrive)
 
     def _open_dead_letters(self, rules: RedriveRules) -> DeadLetterService:
         """Begin to look after dead letters; raises StoreError."""
@@ -115,7 +115,7 @@
             self._loop.note("settings stay as they were", "warning", {"why": str(error)})
             return {"error": str(error)}
         self._loop.post(event)
-        self._configure_dead_letters(self._loop.settings.kept)
+        self._configure_dead_letters(self._loop.settings.redrive)
         return {"edition": event.edition}
 
     def _load_again(self) -> FleetSettings:
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -63,7 +63,9 @@
     while time.monotonic() < until:
         try:
             busy = cluster.ask("kept", action="stats")["open"]
-            if busy or any(r["stand"] == Status.KEPT and r["kind"] != "uncertain" for r in all_kept(cluster)):
+            if busy or any(
+                r["stand"] == Status.STORED and r["kind"] != "uncertain" for r in all_kept(cluster)
+            ):
                 calm = time.monotonic()
             elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be taken in
                 return
@@ -299,7 +301,7 @@
         timed("search by key", 1000, lambda n: made.facts(Filter(key=f"k{n * (count // 1000)}"), 100))
         timed("search by class, 100 found", 7, lambda n: made.facts(Filter(cls=f"c{n}"), 100))
         timed("search for a class that is not there", 2, lambda n: made.facts(Filter(cls=f"none{n}"), 100))
-        timed("all about one", 1000, lambda n: made.whole(f"m{n}"))
+        timed("all about one", 1000, lambda n: made.complete_record(f"m{n}"))
         timed("claim, each durable", 1000, lambda n: made.acquire_lease(f"m{n}", None, "n0", 1.0, "rule"))
         many = [[f"m{5000 + n * 200 + k}" for k in range(200)] for n in range(20)]
         timed("wish for 200, one transaction", 20, lambda n: made.wish(many[n], "me"))
--- a/juniperward/cli/dead_letter_rules.py
+++ b/juniperward/cli/dead_letter_rules.py
@@ -27,7 +27,7 @@
 def rules_check(file: Annotated[Path, typer.Argument(help="A fleet's settings.")]) -> None:
     """Say what is wrong with a file's rules, with line and field. Exit code 2 if anything is."""
     try:
-        found = load(file).kept
+        found = load(file).redrive
     except SettingsError as error:
         console.print(str(error), markup=False, highlight=False, soft_wrap=True)
         raise typer.Exit(USAGE) from None
--- a/juniperward/dead_letters/decisions.py
+++ b/juniperward/dead_letters/decisions.py
@@ -28,8 +28,8 @@
 class Status(StrEnum):
     """Where a kept message stands."""
 
-    KEPT = "kept"
-    CLAIMED = "claimed"  # a resend of it is under way, or its end is not known
+    STORED = "kept"
+    LEASED = "claimed"  # a resend of it is under way, or its end is not known
     DELIVERED = "delivered"
     DISCARDED = "discarded"
 
@@ -93,7 +93,7 @@
     the clocks that took part may differ.
     """
     kind, until, why = _kind(m, now, allowance)
-    if m.stand is not Status.KEPT:
+    if m.stand is not Status.STORED:
         return Judgement(kind, False, until, f"it is {m.stand.value}")
     if kind is RedriveSafety.UNCERTAIN:
         return Judgement(kind, False, until, why)
@@ -228,14 +228,14 @@
     passed = min(max(now - pace.at, 0.0), 1.0) if pace.at else 0.0
     if not sights:
         return Pace(0.0, now, 0.0, pace.cut_at, pace.trial_at, "no instance answers")
-    cold = [s.health for s in sights if s.health in ("failing", "warming")]
-    if cold:
+    unhealthy = [s.health for s in sights if s.health in ("failing", "warming")]
+    if unhealthy:
         # Nobody probes: with no live message for it, an outage would never be seen to end. One resend at a time
         # may be what the forwarders try it with; when they do is theirs to say.
-        still = all(s.waiting == 0 for s in sights) and "warming" not in cold
+        still = all(s.waiting == 0 for s in sights) and "warming" not in unhealthy
         if still and now - pace.trial_at >= TRIAL:
             return Pace(0.0, now, 1.0, pace.cut_at, now, "it is failing; one goes to try it")
-        return Pace(0.0, now, 0.0, pace.cut_at, pace.trial_at, f"it is {cold[0]}")
+        return Pace(0.0, now, 0.0, pace.cut_at, pace.trial_at, f"it is {unhealthy[0]}")
     if any(s.wait > 0 for s in sights):
         return Pace(pace.rate * rules.cut, now, 0.0, now, pace.trial_at, "a wait was told")
     rating = max(s.rating for s in sights)
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -90,10 +90,10 @@
         return None
 
 
-def encode(kept: SpooledMessage) -> bytes:
+def encode(message: SpooledMessage) -> bytes:
     """Return a message as a line of a segment."""
-    row = asdict(kept)
-    row["body"] = base64.b64encode(kept.body).decode()
+    row = asdict(message)
+    row["body"] = base64.b64encode(message.body).decode()
     return line(row)
 
 
@@ -166,15 +166,15 @@
         self.bytes = sum(path.stat().st_size for _, path in segments(folder))
         self.file = self.fate_file = -1
         self.size = 0
-        self.fates: dict[str, RedriveOutcome] = {}
+        self.outcomes: dict[str, RedriveOutcome] = {}
         self.complete_since = time.time()
-        self._load_fates()
+        self._load_outcomes()
 
-    def keep(self, kept: SpooledMessage) -> None:
+    def keep(self, message: SpooledMessage) -> None:
         """Write a message down; raises OSError (SpoolFullError among them), and then nothing of it is there."""
-        if kept.id in self.ids:
+        if message.id in self.ids:
             return
-        data = encode(kept)
+        data = encode(message)
         if self.bytes + len(data) > self.max_bytes:
             self.drop_acked()
         if self.bytes + len(data) > self.max_bytes:
@@ -194,12 +194,12 @@
 
     def remember(self, name: str, fate: RedriveOutcome) -> None:
         """Write down what became of a resend; the first end that is known of it stays. Raises OSError."""
-        if name in self.fates:
+        if name in self.outcomes:
             return
         _write(self.fate_file, line([name, fate.end, fate.ran_at]))
-        self.fates[name] = fate
-        if len(self.fates) > MAX_OUTCOMES:
-            self._forget_fates()
+        self.outcomes[name] = fate
+        if len(self.outcomes) > MAX_OUTCOMES:
+            self._forget_outcomes()
 
     def drop_acked(self) -> None:
         """Delete segments that the agent has, but for the one that is open."""
@@ -225,7 +225,7 @@
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, PRIVATE_FILE)
         self.size = 0
 
-    def _load_fates(self) -> None:
+    def _load_outcomes(self) -> None:
         path = self.folder / "fates"
         good = b""
         with contextlib.suppress(FileNotFoundError):
@@ -234,15 +234,15 @@
                 if isinstance(row, float | int):
                     self.complete_since = float(row)
                 elif isinstance(row, list) and len(row) == OUTCOME_FIELDS:
-                    self.fates.setdefault(row[0], RedriveOutcome(row[1], row[2]))
+                    self.outcomes.setdefault(row[0], RedriveOutcome(row[1], row[2]))
                 else:
                     continue
                 good += data + b"\n"
         if not good:
             good = line(self.complete_since)
-        self._rewrite_fates(good)
+        self._rewrite_outcomes(good)
 
-    def _rewrite_fates(self, data: bytes) -> None:
+    def _rewrite_outcomes(self, data: bytes) -> None:
         fresh = self.folder / "fates.new"
         fresh.write_bytes(data)
         fresh.replace(self.folder / "fates")
@@ -251,12 +251,12 @@
         flags = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC
         self.fate_file = os.open(self.folder / "fates", flags)
 
-    def _forget_fates(self) -> None:
-        for name in list(self.fates)[: MAX_OUTCOMES // 2]:
-            del self.fates[name]
+    def _forget_outcomes(self) -> None:
+        for name in list(self.outcomes)[: MAX_OUTCOMES // 2]:
+            del self.outcomes[name]
         self.complete_since = time.time()
-        rows = [line(self.complete_since), *(line([n, f.end, f.ran_at]) for n, f in self.fates.items())]
-        self._rewrite_fates(b"".join(rows))
+        rows = [line(self.complete_since), *(line([n, f.end, f.ran_at]) for n, f in self.outcomes.items())]
+        self._rewrite_outcomes(b"".join(rows))
 
 
 def _write(file: int, data: bytes) -> None:
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -79,7 +79,7 @@
         )
         return [dead_letter(row) for row in rows]
 
-    def whole(self, message: str) -> dict[str, Any] | None:
+    def complete_record(self, message: str) -> dict[str, Any] | None:
         """Return all about one message but its body."""
         row = self.db.execute("SELECT * FROM message WHERE id = ?", (message,)).fetchone()
         if row is None:
@@ -138,7 +138,7 @@
             row = db.execute(
                 "SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)
             ).fetchone()
-            if row is None or row["stand"] != Status.KEPT or (fence is not None and row["fence"] != fence):
+            if row is None or row["stand"] != Status.STORED or (fence is not None and row["fence"] != fence):
                 raise MessageChangedError(message, row["stand"] if row is not None else None)
             new = row["fence"] + 1
             name = redrive_id(message, new)
@@ -178,10 +178,10 @@
                 not done.rowcount
                 or row is None
                 or row["fence"] != lease.fence
-                or row["stand"] != Status.CLAIMED
+                or row["stand"] != Status.LEASED
             ):
                 raise LeaseSettledError(lease.redrive_id)
-            stand = Status.DELIVERED if end == "delivered" else Status.KEPT
+            stand = Status.DELIVERED if end == "delivered" else Status.STORED
             ran = min((t for t in (row["ran_at"], ran_at) if t is not None), default=None)
             # One that cannot have reached the partner is none that counts, and the wish for it stands.
             nothing = end != "delivered" and (ran_at is None or ran_at == row["ran_at"])
@@ -214,13 +214,13 @@
         """Take a person's word on whether a message took effect; raises LeaseLostError where it is over."""
         with self.change() as db:
             row = db.execute("SELECT stand, fence FROM message WHERE id = ?", (message,)).fetchone()
-            if row is None or row["stand"] not in (Status.KEPT, Status.CLAIMED):
+            if row is None or row["stand"] not in (Status.STORED, Status.LEASED):
                 raise MessageChangedError(message, row["stand"] if row is not None else None)
             db.execute(
                 "UPDATE resend SET end = 'settled', ended_at = ? WHERE message = ? AND end IS NULL",
                 (now, message),
             )
-            stand = Status.DELIVERED if delivered else Status.KEPT
+            stand = Status.DELIVERED if delivered else Status.STORED
             db.execute(
                 "UPDATE message SET stand = ?, fence = fence + 1, ran_at = NULL, wished = NULL WHERE id = ?",
                 (stand, message),
@@ -229,12 +229,12 @@
 
     def discard(self, ids: Iterable[str], who: str) -> int:
         """Have messages never sent again; `undo` takes it back. How many it took."""
-        return self._turn(ids, who, Status.KEPT, Status.DISCARDED, "discarded")
+        return self._turn(ids, who, Status.STORED, Status.DISCARDED, "discarded")
 
     def undo(self, ids: Iterable[str], who: str) -> int:
         """Take back a discard, or a wish that has not begun."""
         taken = list(ids)
-        count = self._turn(taken, who, Status.DISCARDED, Status.KEPT, "undid the discard")
+        count = self._turn(taken, who, Status.DISCARDED, Status.STORED, "undid the discard")
         with self.change() as db:
             for name in taken:
                 done = db.execute(
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -69,7 +69,7 @@
         """Return the reducer's answer with what the spool remembers: what is over the reducer does not know."""
         rows = []
         for row in asked.fates:
-            fate = self.spool.fates.get(row.id)
+            fate = self.spool.outcomes.get(row.id)
             rows.append(FateRow(row.id, fate.end, fate.ran_at) if fate is not None else row)
         since = min(self.spool.complete_since, LARGEST_UNIX_TIME)
         return replace(asked, complete_since=since, fates=tuple(rows))
--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -11,6 +11,7 @@
 
 from juniperward.dead_letters.redriver import RedriveRules
 from juniperward.fleet.model import Patience, RestartRules, RollRules
+from juniperward.settings import fleet_pb2
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import lines
@@ -22,7 +23,7 @@
 MAX_PORT = 65535
 MAX_INSTANCES = 4096  # of one agent: a process and a socket each; no list of forwarders is cut below 1,024
 DEFAULT_LOG_BYTES = 10_000_000
-DEFAULT_LOGS_KEPT = 3
+DEFAULT_LOG_FILES_RETAINED = 3
 DEFAULT_SPOOL_BYTES = 50_000_000
 SHARES = frozenset({"jitter", "soak_share", "fall", "cut", "share_of_rate", "share_of_slots"})
 ABOVE_ZERO = frozenset({"at_once", "first", "start", "stop", "silent", "crashes", "window"})
@@ -78,7 +79,7 @@
             Patience(**self.numbers("patience", message.patience, Patience)),
             roll,
             logs.bytes if logs.HasField("bytes") else DEFAULT_LOG_BYTES,
-            logs.keep if logs.HasField("keep") else DEFAULT_LOGS_KEPT,
+            logs.keep if logs.HasField("keep") else DEFAULT_LOG_FILES_RETAINED,
             logs.json if logs.HasField("json") else None,
             self._redrive_rules(),
         )
@@ -112,8 +113,13 @@
             self.fault("roll.floor", f"{given.floor} of {running} must stay ready: no roll can begin")
         return RollRules(**rules)
 
+    def _dead_letter_message(self) -> fleet_pb2.Kept:
+        """Return the file's dead-letter part; `kept` is its settings key."""
+        part: fleet_pb2.Kept = self._message.kept
+        return part
+
     def _redrive_rules(self) -> RedriveRules | None:
-        given = self._message.kept
+        given = self._dead_letter_message()
         return redrive_rules(self, given, self._deadlines()) if given.on else None
 
     def _deadlines(self) -> dict[str, float]:
@@ -160,10 +166,10 @@
         return InstanceSettings(given.name, given.listen, state, control, given.stopped, config)
 
     def _spool(self, folder: Path) -> dict[str, Any]:
-        kept = self._message.kept
-        if not kept.on:
+        dead_letters = self._dead_letter_message()
+        if not dead_letters.on:
             return {}
-        size_bytes = kept.spool_bytes if kept.HasField("spool_bytes") else DEFAULT_SPOOL_BYTES
+        size_bytes = dead_letters.spool_bytes if dead_letters.HasField("spool_bytes") else DEFAULT_SPOOL_BYTES
         return {"kept": {"spool": str(folder), "max_bytes": size_bytes}}
 
     def _base(self, name: str, field: str) -> dict[str, Any]:
--- a/juniperward/settings/fleet_settings.py
+++ b/juniperward/settings/fleet_settings.py
@@ -37,4 +37,4 @@
     log_bytes: int
     log_keep: int
     log_json: bool | None
-    kept: RedriveRules | None = None  # None: nothing is kept
+    redrive: RedriveRules | None = None  # None: dead letters are off
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -148,13 +148,13 @@
         mine.remember("kept-a-1", RedriveOutcome("undeliverable"))
         since = mine.complete_since
         again = self.spool()
-        self.assertEqual(again.fates, {"kept-a-1": RedriveOutcome("delivered", 5.0)})
+        self.assertEqual(again.outcomes, {"kept-a-1": RedriveOutcome("delivered", 5.0)})
         self.assertEqual(again.complete_since, since)
         with mock.patch.object(spools, "MAX_OUTCOMES", 2):
             for n in range(3):
                 again.remember(f"kept-b-{n}", RedriveOutcome("delivered"))
         self.assertGreater(again.complete_since, since)
-        self.assertNotIn("kept-a-1", self.spool().fates)
+        self.assertNotIn("kept-a-1", self.spool().outcomes)
 
 
 class StoreTest(unittest.TestCase):
@@ -208,7 +208,7 @@
             self.store.settle_redrive(lease, "delivered", None, 4.0)  # an old lease says nothing any more
         self.store.settle_redrive(again, "undeliverable", 3.5, 4.0)
         (facts,) = self.store.facts(Filter())
-        self.assertEqual((facts.stand, facts.ran_at, facts.resends), (Status.KEPT, 3.5, 1))
+        self.assertEqual((facts.stand, facts.ran_at, facts.resends), (Status.STORED, 3.5, 1))
 
     def test_people_settle_discard_and_undo_and_all_is_written_down(self) -> None:
         self.fill(3)
@@ -230,10 +230,10 @@
         for order in ("UPDATE audit SET who = 'x'", "DELETE FROM audit"):
             with self.assertRaises(sqlite3.DatabaseError):
                 self.store.db.execute(order)
-        whole = self.store.whole("m0")
-        assert whole is not None
-        self.assertNotIn("body", whole)
-        self.assertEqual([r["end"] for r in whole["resent"]], ["settled"])
+        record = self.store.complete_record("m0")
+        assert record is not None
+        self.assertNotIn("body", record)
+        self.assertEqual([r["end"] for r in record["resent"]], ["settled"])
 
     def test_pages_and_filters(self) -> None:
         self.fill(25)
--- a/tests/test_redrive_decisions.py
+++ b/tests/test_redrive_decisions.py
@@ -31,7 +31,17 @@
 
 NOW = 1_000_000.0
 BASE = DeadLetter(
-    "m", Status.KEPT, "by_key", 12.0, None, 7, "booking-update", "acme", NOW - 5.0, workers=("s-1",), key="k"
+    "m",
+    Status.STORED,
+    "by_key",
+    12.0,
+    None,
+    7,
+    "booking-update",
+    "acme",
+    NOW - 5.0,
+    workers=("s-1",),
+    key="k",
 )
 HERE = frozenset({"s-1", "s-2"})
 WELL = DestinationView("well", 0.0, False, 100.0, 0, 32)
@@ -49,7 +59,7 @@
             (replace(ran, key=None), RedriveSafety.UNCERTAIN, False, "may not be repeated"),
             (replace(old, effect="repeatable"), RedriveSafety.SAFE, True, "may be repeated"),
             (replace(BASE, ran_at=NOW + 3600.0), RedriveSafety.UNCERTAIN, False, "has not reached"),
-            (replace(BASE, stand=Status.CLAIMED), RedriveSafety.SAFE, False, "is claimed"),
+            (replace(BASE, stand=Status.LEASED), RedriveSafety.SAFE, False, "is claimed"),
             (replace(BASE, stand=Status.DISCARDED), RedriveSafety.SAFE, False, "is discarded"),
             (replace(BASE, workers=("s-9",)), RedriveSafety.SAFE, False, "another partner"),
             (replace(BASE, workers=("s-9",), partner_sure=True), RedriveSafety.SAFE, True, "no attempt"),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -179,7 +179,7 @@
     spool.close()
     assert spool.ids == set(messages)
     assert [n for n, _ in spools.segments(path)] == [2]  # the first was acknowledged
-    assert {name: (fate.end, fate.ran_at) for name, fate in spool.fates.items()} == {
+    assert {name: (fate.end, fate.ran_at) for name, fate in spool.outcomes.items()} == {
         "kept-a-1": ("delivered", WRITTEN_AT - 4.0),
         "kept-b-1": ("undeliverable", None),
         "kept-c-2": ("deferred", WRITTEN_AT - 3.0),
@@ -204,7 +204,7 @@
         "m-waiting": "kept", "m-wished": "kept", "m-claimed": "claimed", "m-delivered": "delivered",
         "m-deferred": "kept", "m-discarded": "discarded", "m-settled": "delivered",
     }  # fmt: skip
-    story = {name: store.whole(name) for name in sorted(stands)}
+    story = {name: store.complete_record(name) for name in sorted(stands)}
     expected = json.loads((FOLDER / "store" / "expected.json").read_text())
     assert story == expected["messages"]
     assert store.stats() == expected["stats"]
