--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -14,7 +14,7 @@
 from juniperward.dead_letters import spool
 from juniperward.dead_letters.decisions import Clock, DestinationView
 from juniperward.dead_letters.fleet import ReportedOutcomes
-from juniperward.dead_letters.resubmission import NOBODY_THERE, Resubmission, resubmit
+from juniperward.dead_letters.resubmission import NOBODY_THERE, Resubmission, SubmissionAnswer, resubmit
 from juniperward.dead_letters.spool import SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Reading
@@ -154,10 +154,10 @@
 
     # --- redriven messages ---------------------------------------------------------------------------------
 
-    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
-        """Hand a message in; return status and told wait, as `resubmission.resubmit` does."""
+    def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
+        """Hand a message in; return status and Retry-After wait, as `resubmission.resubmit` does."""
         ready = self._ready().get(forwarder)
-        return resubmit(ready[0], message) if ready is not None else (NOBODY_THERE, 0.0)
+        return resubmit(ready[0], message) if ready is not None else SubmissionAnswer(NOBODY_THERE, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """Return what became of redriven messages; None where the forwarder does not answer."""
--- a/juniperward/dead_letters/database.py
+++ b/juniperward/dead_letters/database.py
@@ -5,7 +5,7 @@
 import sqlite3
 import threading
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import closing, contextmanager
 from pathlib import Path
 
 from juniperward.dead_letters.schema import MIGRATIONS, statements
@@ -81,6 +81,6 @@
 
     def backup(self, target: Path) -> None:
         """Write a consistent copy, while in use."""
-        with sqlite3.connect(target) as copy:
+        # A connection's own `with` commits but does not close; `closing` does.
+        with closing(sqlite3.connect(target)) as copy:
             self.db.backup(copy, pages=BACKUP_PAGES)
-        copy.close()
--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from juniperward.dead_letters.decisions import Clock, DestinationView
-from juniperward.dead_letters.resubmission import Resubmission
+from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
 from juniperward.dead_letters.store import DeadLetterStore
 
 
@@ -40,8 +40,8 @@
     def read_spools(self, store: DeadLetterStore) -> int:
         """Read on in the spools; how many messages were new."""
 
-    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
-        """Status and told wait, as `resubmission.resubmit` has them."""
+    def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
+        """Status and Retry-After wait, as `resubmission.resubmit` has them."""
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """What became of resends; None where the forwarder does not answer."""
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -235,7 +235,7 @@
             self._release(lease, NEVER_TAKEN, now)
             return True
         resubmission = self._resubmission(message, lease, body, judgement.until, now)
-        status, _ = self.fleet.submit(lease.forwarder, resubmission)
+        status = self.fleet.submit(lease.forwarder, resubmission).status
         if status in ACCEPTED_OR_UNKNOWN:
             return True  # where it is not known, the forwarder is asked in the next round
         self._release(lease, REFUSED if status > 0 else NEVER_TAKEN, now)
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -14,6 +14,14 @@
 NO_ANSWER = 0  # in the place of a status: what became of it is not known
 
 
+@dataclass(frozen=True, slots=True)
+class SubmissionAnswer:
+    """What a forwarder's front door answered: HTTP status (or NOBODY_THERE, NO_ANSWER), Retry-After in seconds."""
+
+    status: int
+    retry_after_s: float
+
+
 @dataclass(frozen=True, slots=True)
 class Resubmission:
     """A resend as it is written; `ran_ago` is the time since the message first may have run."""
@@ -47,8 +55,8 @@
 
 def resubmit(
     address: tuple[str, int], message: Resubmission, timeout_s: float = ANSWER_TIMEOUT_S
-) -> tuple[int, float]:
-    """Hand a message in; return the HTTP status and the told wait in seconds.
+) -> SubmissionAnswer:
+    """Hand a message in; return the HTTP status and the Retry-After wait in seconds.
 
     NO_ANSWER and NOBODY_THERE stand in the place of a status where there is none.
     """
@@ -57,11 +65,12 @@
         try:
             sockets.connect(*address, timeout_s, sock)
         except OSError:
-            return NOBODY_THERE, 0.0
+            return SubmissionAnswer(NOBODY_THERE, 0.0)
         try:
             sock.sendall(encode(message, f"{address[0]}:{address[1]}"))
             answer = read_response(Stream(timed.receive))
         except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
-            return NO_ANSWER, 0.0
+            return SubmissionAnswer(NO_ANSWER, 0.0)
     wait = answer.headers.get("retry-after", "")
-    return answer.status, float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
+    retry_after_s = float(wait) if wait.replace(".", "", 1).isdigit() else 0.0
+    return SubmissionAnswer(answer.status, retry_after_s)
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -3,12 +3,19 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
+
+
+class SpoolPosition(NamedTuple):
+    """How far a forwarder's spool is in the store: the segment's number and the byte offset in it."""
+
+    segment: int
+    offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right to one resend; it is durable before anything is handed in."""
+    """The right to one redrive of a message; it is durable before anything is handed in."""
 
     redrive_id: str
     message: str
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -16,7 +16,7 @@
 from juniperward.dead_letters.decisions import Clock, DeadLetter, Status
 from juniperward.dead_letters.retention import Limits, drop_oldest
 from juniperward.dead_letters.rows import COLUMNS, ROW_BYTES, audit, dead_letter, redrive_id
-from juniperward.dead_letters.selection import Filter, Lease
+from juniperward.dead_letters.selection import Filter, Lease, SpoolPosition
 from juniperward.dead_letters.spool import SpooledMessage
 from juniperward.dead_letters.store_errors import (
     LeaseLostError,
@@ -49,12 +49,12 @@
 
     # --- taking in ------------------------------------------------------------------------------------------
 
-    def place(self, forwarder: str) -> tuple[int, int]:
+    def place(self, forwarder: str) -> SpoolPosition:
         """Return the segment and the offset up to which a forwarder's spool is in the store."""
         row = self.db.execute(
             "SELECT segment, offset FROM spool WHERE forwarder = ?", (forwarder,)
         ).fetchone()
-        return (row[0], row[1]) if row is not None else (0, 0)
+        return SpoolPosition(row[0], row[1]) if row is not None else SpoolPosition(0, 0)
 
     def take_in(self, forwarder: str, messages: Iterable[SpooledMessage], segment: int, offset: int) -> int:
         """Put messages in, and how far the spool is read, in one transaction; return how many were new."""
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -28,7 +28,7 @@
 )
 from juniperward.dead_letters.fleet import ReportedOutcomes
 from juniperward.dead_letters.redriver import Redriver, RedriveRules
-from juniperward.dead_letters.resubmission import Resubmission
+from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
 from juniperward.dead_letters.spool import SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore, Filter, Lease, LeaseLostError
 
@@ -132,7 +132,7 @@
         self._operation()
         return 0
 
-    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
+    def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
         self._operation()
         what = self.door.pop(0) if self.door else "ok"
         if what == "refused" or not self.alive[forwarder]:
@@ -144,7 +144,7 @@
             self.take(forwarder, message)
             status = 0 if what == "lost" else 202
         self._operation()  # and after it: it was taken, and nobody noted that
-        return status, 0.0
+        return SubmissionAnswer(status, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         self._operation()
