--- a/juniperward/dead_letters/__init__.py
+++ b/juniperward/dead_letters/__init__.py
@@ -1,1 +1,1 @@
-"""Messages that were given up: kept, looked at, and sent again by rule."""
+"""Dead letters: messages that were given up, stored, looked at, and redriven by rule."""
--- a/juniperward/dead_letters/decisions.py
+++ b/juniperward/dead_letters/decisions.py
@@ -26,10 +26,10 @@
 
 
 class Status(StrEnum):
-    """Where a kept message stands."""
+    """Where a dead letter stands; the values are those written in the store."""
 
     STORED = "kept"
-    LEASED = "claimed"  # a resend of it is under way, or its end is not known
+    LEASED = "claimed"  # a redrive of it is under way, or its end is not known
     DELIVERED = "delivered"
     DISCARDED = "discarded"
 
--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedOutcomes:
-    """What a forwarder says became of a resend; of before `complete_since` an unknown id says nothing."""
+    """What a forwarder says became of a redrive; of before `complete_since` an unknown id says nothing."""
 
     end: str
     ran_at: float | None
@@ -44,4 +44,4 @@
         """Status and Retry-After wait, as `resubmission.resubmit` has them."""
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
-        """What became of resends; None where the forwarder does not answer."""
+        """What became of redrives; None where the forwarder does not answer."""
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -1,7 +1,7 @@
-"""Sending kept messages again: one round at a time, through whatever hands the caller gives it.
+"""Redriving dead letters: one round at a time, through whatever hands the caller gives it.
 
-A round takes in what the spools have, finds out what became of open resends, looks at the destinations, and begins
-as many resends as the pace allows. Everything that outlasts a crash is in the store before it is acted on, so a
+A round takes in what the spools have, finds out what became of open redrives, looks at the destinations, and begins
+as many redrives as the pace allows. Everything that outlasts a crash is in the store before it is acted on, so a
 round that is cut off anywhere is simply begun again. The forwarders are reached through `Fleet` alone: the
 agent's is real, the model check's is not.
 """
@@ -20,6 +20,7 @@
     PaceRules,
     RedriveSafety,
     Rule,
+    Status,
     adjust_pace,
     certain_now,
     judge_redrive,
@@ -44,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RedriveRules:
-    """The operator's settings for resends; times in seconds."""
+    """The operator's settings for redrives (the settings file's `kept` part); times in seconds."""
 
     rules: tuple[Rule, ...] = ()
     pace: PaceRules = PaceRules()
     allowance: float = 0.5  # by which clocks that took part may differ
-    time_left: dict[str, float] = field(default_factory=dict)  # of a resend, by class
+    time_left: dict[str, float] = field(default_factory=dict)  # of a redrive, by class
     most_age: float = 30 * 86400.0
     most: int = 1_000_000
     most_bytes: int = 2_000_000_000
@@ -74,7 +75,7 @@
         """Begin with no pace to any destination; `rules` may be replaced between rounds."""
         self.store, self.fleet, self.rules = store, fleet, rules
         self.paces: dict[int, Pace] = {}
-        self.refused: set[int] = set()  # destinations whose resend came back refused since the last look
+        self.refused: set[int] = set()  # destinations whose redrive came back refused since the last look
         self.turn = 0
         self.places: dict[int, tuple[float, str]] = {}  # how far each destination was looked through
 
@@ -90,7 +91,7 @@
         return done
 
     def sweep(self) -> int:
-        """Drop what the settings do not want kept any longer; how many."""
+        """Drop what the settings do not want stored any longer; return how many."""
         now = certain_now(self.fleet.clock(), self.store.seen())
         if not math.isfinite(now):
             return 0
@@ -109,7 +110,7 @@
                 part = leases[first : first + MAX_IDS_A_QUESTION]
                 reported = self.fleet.outcomes(forwarder, tuple(lease.redrive_id for lease in part))
                 if reported is None:
-                    continue  # it stays claimed: nothing is concluded from silence
+                    continue  # its lease stays: nothing is concluded from silence
                 for lease in part:
                     self._settle_one(done, lease, reported.get(lease.redrive_id), now)
 
@@ -177,7 +178,7 @@
         for _ in range(MAX_PAGES):
             if len(chosen) >= most:
                 break
-            page = self.store.facts(Filter(stand="kept", destination=destination), PAGE_SIZE, place)
+            page = self.store.facts(Filter(stand=Status.STORED, destination=destination), PAGE_SIZE, place)
             known = {message.id for message in chosen}
             wanted = self._wanted(page, listed, now)
             chosen += [message for message, _ in wanted if message.id not in known]
@@ -191,7 +192,7 @@
 
     def _closing(self, destination: int, listed: frozenset[str] | None, now: float) -> list[DeadLetter]:
         """Return the messages whose retry window is closing, the first to close first."""
-        closing = Filter(stand="kept", destination=destination, ran_since=now - MAX_RETRY_WINDOW_S)
+        closing = Filter(stand=Status.STORED, destination=destination, ran_since=now - MAX_RETRY_WINDOW_S)
         found = self._wanted(self.store.facts(closing, PAGE_SIZE), listed, now)
         found.sort(key=lambda pair: (pair[1].until, pair[0].given_up_at))
         return [message for message, _ in found]
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -1,4 +1,4 @@
-"""Handing one resend to a forwarder by its front door, as any client does."""
+"""Handing one redrive to a forwarder by its front door, as any client does."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resubmission:
-    """A resend as it is written; `ran_ago` is the time since the message first may have run."""
+    """A redrive as it is written; `ran_ago` is the time since the message first may have run."""
 
     id: str
     cls: str
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -1,12 +1,12 @@
-"""The spool between a forwarder and its agent: what was given up, and what became of resends. Standard library only.
+"""The spool between a forwarder and its agent: what was given up, and what became of redrives. Standard library only.
 
 A forwarder appends to segments `00000001.kept`, …: a line a message, with a checksum as in the journal. A new
 process begins a new segment. The agent reads segments in order and says in the file `acked` which of them are in its
 store; only the forwarder deletes, after it has read at a start which messages the segments name. So neither
 needs the other to run, a segment is never gone before both have seen it, and one that is read twice says the same.
 
-The file `fates` has the end of each resend, for the agent to ask for: an end that is not written down here before
-the message is over could only be guessed later.
+The file `fates` has the outcome of each redrive, for the agent to ask for: an end that is not written down here
+before the message is over could only be guessed later.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RedriveOutcome:
-    """What became of a resend: delivered, undeliverable or deferred, and when it first may have run."""
+    """What became of a redrive: delivered, undeliverable or deferred, and when it first may have run."""
 
     end: str
     ran_at: float | None = None
