--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -119,7 +119,7 @@
             return
         end = reported.end
         if end == UNKNOWN:
-            if reported.complete_since > lease.claimed_at:
+            if reported.complete_since > lease.leased_at:
                 done.lost_memory.append(lease.redrive_id)  # a person must settle it
                 return
             end = NEVER_TAKEN  # and, having said so, the forwarder never will take it
@@ -224,9 +224,9 @@
             lease = self.store.acquire_lease(message.id, None, forwarder, now, by)
         except LeaseLostError:
             return True  # somebody else was first; the next one is looked for
-        return self._send_claimed(message, lease)
+        return self._send_leased(message, lease)
 
-    def _send_claimed(self, message: DeadLetter, lease: Lease) -> bool:
+    def _send_leased(self, message: DeadLetter, lease: Lease) -> bool:
         body = self.store.stored_body(message.id)
         # What has been read may be older than the lease: the clock is asked once more, and judged by anew.
         now = certain_now(self.fleet.clock(), self.store.seen())
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -21,7 +21,7 @@
     message: str
     fence: int
     forwarder: str
-    claimed_at: float
+    leased_at: float  # Unix time; the store's column is `claimed_at`
     ran_at: float | None
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -210,7 +210,7 @@
     assert store.stats() == expected["stats"]
     assert store.audit() == expected["audit"]
     (lease,) = store.open_redrives()
-    assert (lease.message, lease.fence, lease.forwarder, lease.claimed_at) == (
+    assert (lease.message, lease.fence, lease.forwarder, lease.leased_at) == (
         "m-claimed",
         1,
         "n1",
