--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -231,12 +231,13 @@
         with contextlib.suppress(FileNotFoundError):
             for data in path.read_bytes().split(b"\n"):
                 row = unline(data)
-                if isinstance(row, float | int):
-                    self.complete_since = float(row)
-                elif isinstance(row, list) and len(row) == OUTCOME_FIELDS:
-                    self.outcomes.setdefault(row[0], RedriveOutcome(row[1], row[2]))
-                else:
-                    continue
+                match row:
+                    case float() | int():
+                        self.complete_since = float(row)
+                    case list() if len(row) == OUTCOME_FIELDS:
+                        self.outcomes.setdefault(row[0], RedriveOutcome(row[1], row[2]))
+                    case _:
+                        continue
                 good += data + b"\n"
         if not good:
             good = line(self.complete_since)
