--- a/juniperward/dead_letters/store_errors.py
+++ b/juniperward/dead_letters/store_errors.py
@@ -43,7 +43,7 @@
 class LeaseSettledError(LeaseLostError):
     """A lease was settled already, or another one came after it."""
 
-    def __init__(self, redrive: str) -> None:
+    def __init__(self, redrive_id: str) -> None:
         """Name the redrive."""
-        self.redrive = redrive
-        super().__init__(f"{redrive} is settled already")
+        self.redrive_id = redrive_id
+        super().__init__(f"{redrive_id} is settled already")
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -306,10 +306,12 @@
     def test_it_finds_silence_taken_for_never_taken(self) -> None:
         real = Redriver._settle_one
 
-        def guess(self: Redriver, done: Any, lease: Lease, told: ReportedOutcomes | None, now: float) -> None:
-            if told is not None and told.end == "held":
-                told = ReportedOutcomes("unknown", None, 0.0)
-            real(self, done, lease, told, now)
+        def guess(
+            self: Redriver, done: Any, lease: Lease, reported: ReportedOutcomes | None, now: float
+        ) -> None:
+            if reported is not None and reported.end == "held":
+                reported = ReportedOutcomes("unknown", None, 0.0)
+            real(self, done, lease, reported, now)
 
         with mock.patch.object(Redriver, "_settle_one", guess), self.assertRaises(AssertionError):
             self.explore(pairs=False)
