--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -6,13 +6,13 @@
 from typing import Protocol
 
 from juniperward.dead_letters.decisions import Clock, DestinationView
-from juniperward.dead_letters.resubmission import Resubmission
+from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
 from juniperward.dead_letters.store import DeadLetterStore
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedOutcomes:
-    """What a forwarder says became of a resend; of before `complete_since` an unknown id says nothing."""
+    """What a forwarder says became of a redrive; of before `complete_since` an unknown id says nothing."""
 
     end: str
     ran_at: float | None
@@ -40,8 +40,8 @@
     def read_spools(self, store: DeadLetterStore) -> int:
         """Read on in the spools; how many messages were new."""
 
-    def submit(self, forwarder: str, message: Resubmission) -> tuple[int, float]:
-        """Status and told wait, as `resubmission.resubmit` has them."""
+    def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
+        """Status and Retry-After wait, as `resubmission.resubmit` has them."""
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
-        """What became of resends; None where the forwarder does not answer."""
+        """What became of redrives; None where the forwarder does not answer."""
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -1,20 +1,27 @@
-"""The values that the dead letter store is asked with, and the claims that it gives."""
+"""The values that the dead letter store is asked with, and the leases that it gives."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
+
+
+class SpoolPosition(NamedTuple):
+    """How far a forwarder's spool is in the store: the segment's number and the byte offset in it."""
+
+    segment: int
+    offset: int
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """The right to one resend; it is durable before anything is handed in."""
+class Lease:
+    """The right to one redrive of a message; it is durable before anything is handed in."""
 
-    resend: str
+    redrive_id: str
     message: str
     fence: int
     forwarder: str
-    claimed_at: float
+    leased_at: float  # Unix time; the store's column is `claimed_at`
     ran_at: float | None
 
 
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -1,6 +1,6 @@
 """The store of dead letters: SQLite in WAL mode, owned by the agent.
 
-Every change of a message is one transaction with its line in the audit trail. A claim is a compare-and-set on the
+Every change of a message is one transaction with its line in the audit trail. A lease is a compare-and-set on the
 message's stand and fence; whoever comes second changes nothing.
 """
 
@@ -16,16 +16,16 @@
 from juniperward.dead_letters.decisions import Clock, DeadLetter, Status
 from juniperward.dead_letters.retention import Limits, drop_oldest
 from juniperward.dead_letters.rows import COLUMNS, ROW_BYTES, audit, dead_letter, redrive_id
-from juniperward.dead_letters.selection import Claim, Filter
+from juniperward.dead_letters.selection import Filter, Lease, SpoolPosition
 from juniperward.dead_letters.spool import SpooledMessage
 from juniperward.dead_letters.store_errors import (
-    ClaimLostError,
-    ClaimSettledError,
+    LeaseLostError,
+    LeaseSettledError,
     MessageChangedError,
     StoreError,
 )
 
-__all__ = ["Claim", "ClaimLostError", "DeadLetterStore", "Filter", "StoreError", "redrive_id"]
+__all__ = ["DeadLetterStore", "Filter", "Lease", "LeaseLostError", "StoreError", "redrive_id"]
 
 
 class DeadLetterStore(Database):
@@ -49,12 +49,12 @@
 
     # --- taking in ------------------------------------------------------------------------------------------
 
-    def place(self, forwarder: str) -> tuple[int, int]:
+    def place(self, forwarder: str) -> SpoolPosition:
         """Return the segment and the offset up to which a forwarder's spool is in the store."""
         row = self.db.execute(
             "SELECT segment, offset FROM spool WHERE forwarder = ?", (forwarder,)
         ).fetchone()
-        return (row[0], row[1]) if row is not None else (0, 0)
+        return SpoolPosition(row[0], row[1]) if row is not None else SpoolPosition(0, 0)
 
     def take_in(self, forwarder: str, messages: Iterable[SpooledMessage], segment: int, offset: int) -> int:
         """Put messages in, and how far the spool is read, in one transaction; return how many were new."""
@@ -79,7 +79,7 @@
         )
         return [dead_letter(row) for row in rows]
 
-    def whole(self, message: str) -> dict[str, Any] | None:
+    def complete_record(self, message: str) -> dict[str, Any] | None:
         """Return all about one message but its body."""
         row = self.db.execute("SELECT * FROM message WHERE id = ?", (message,)).fetchone()
         if row is None:
@@ -132,13 +132,13 @@
 
     # --- resends --------------------------------------------------------------------------------------------
 
-    def claim(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Claim:
-        """Take the right to send a message again; durable when this returns. Raises ClaimLostError."""
+    def acquire_lease(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Lease:
+        """Take the right to send a message again; durable when this returns. Raises LeaseLostError."""
         with self.change() as db:
             row = db.execute(
                 "SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)
             ).fetchone()
-            if row is None or row["stand"] != Status.KEPT or (fence is not None and row["fence"] != fence):
+            if row is None or row["stand"] != Status.STORED or (fence is not None and row["fence"] != fence):
                 raise MessageChangedError(message, row["stand"] if row is not None else None)
             new = row["fence"] + 1
             name = redrive_id(message, new)
@@ -151,45 +151,45 @@
                 (name, message, new, forwarder, now, by),
             )
             audit(db, by, "claimed", message, f"resend {name} through {forwarder}")
-        return Claim(name, message, new, forwarder, now, row["ran_at"])
+        return Lease(name, message, new, forwarder, now, row["ran_at"])
 
-    def open_resends(self) -> list[Claim]:
-        """Return the claims whose end is not known."""
+    def open_redrives(self) -> list[Lease]:
+        """Return the leases whose end is not known."""
         rows = self.db.execute(
             "SELECT r.id, r.message, r.fence, r.forwarder, r.claimed_at, m.ran_at FROM resend r"
             " JOIN message m ON m.id = r.message WHERE r.end IS NULL ORDER BY r.claimed_at"
         )
-        return [Claim(*r) for r in rows]
+        return [Lease(*r) for r in rows]
 
-    def settle_resend(self, claim: Claim, end: str, ran_at: float | None, now: float) -> None:
+    def settle_redrive(self, lease: Lease, end: str, ran_at: float | None, now: float) -> None:
         """Write down how a resend ended: delivered, undeliverable, deferred, refused or never taken.
 
-        Raises ClaimLostError where the claim is not the message's latest or was settled already.
+        Raises LeaseLostError where the lease is not the message's latest or was settled already.
         """
         with self.change() as db:
             done = db.execute(
                 "UPDATE resend SET end = ?, ended_at = ?, ran_at = ? WHERE id = ? AND end IS NULL",
-                (end, now, ran_at, claim.resend),
+                (end, now, ran_at, lease.redrive_id),
             )
             row = db.execute(
-                "SELECT stand, fence, ran_at FROM message WHERE id = ?", (claim.message,)
+                "SELECT stand, fence, ran_at FROM message WHERE id = ?", (lease.message,)
             ).fetchone()
             if (
                 not done.rowcount
                 or row is None
-                or row["fence"] != claim.fence
-                or row["stand"] != Status.CLAIMED
+                or row["fence"] != lease.fence
+                or row["stand"] != Status.LEASED
             ):
-                raise ClaimSettledError(claim.resend)
-            stand = Status.DELIVERED if end == "delivered" else Status.KEPT
+                raise LeaseSettledError(lease.redrive_id)
+            stand = Status.DELIVERED if end == "delivered" else Status.STORED
             ran = min((t for t in (row["ran_at"], ran_at) if t is not None), default=None)
             # One that cannot have reached the partner is none that counts, and the wish for it stands.
             nothing = end != "delivered" and (ran_at is None or ran_at == row["ran_at"])
             more = ", resends = resends - 1" if nothing else ", wished = NULL"
             db.execute(
-                f"UPDATE message SET stand = ?, ran_at = ?{more} WHERE id = ?", (stand, ran, claim.message)
+                f"UPDATE message SET stand = ?, ran_at = ?{more} WHERE id = ?", (stand, ran, lease.message)
             )
-            audit(db, "agent", end, claim.message, claim.resend)
+            audit(db, "agent", end, lease.message, lease.redrive_id)
 
     # --- people ---------------------------------------------------------------------------------------------
 
@@ -211,16 +211,16 @@
         return count
 
     def settle(self, message: str, delivered: bool, who: str, why: str, now: float) -> None:
-        """Take a person's word on whether a message took effect; raises ClaimLostError where it is over."""
+        """Take a person's word on whether a message took effect; raises LeaseLostError where it is over."""
         with self.change() as db:
             row = db.execute("SELECT stand, fence FROM message WHERE id = ?", (message,)).fetchone()
-            if row is None or row["stand"] not in (Status.KEPT, Status.CLAIMED):
+            if row is None or row["stand"] not in (Status.STORED, Status.LEASED):
                 raise MessageChangedError(message, row["stand"] if row is not None else None)
             db.execute(
                 "UPDATE resend SET end = 'settled', ended_at = ? WHERE message = ? AND end IS NULL",
                 (now, message),
             )
-            stand = Status.DELIVERED if delivered else Status.KEPT
+            stand = Status.DELIVERED if delivered else Status.STORED
             db.execute(
                 "UPDATE message SET stand = ?, fence = fence + 1, ran_at = NULL, wished = NULL WHERE id = ?",
                 (stand, message),
@@ -229,12 +229,12 @@
 
     def discard(self, ids: Iterable[str], who: str) -> int:
         """Have messages never sent again; `undo` takes it back. How many it took."""
-        return self._turn(ids, who, Status.KEPT, Status.DISCARDED, "discarded")
+        return self._turn(ids, who, Status.STORED, Status.DISCARDED, "discarded")
 
     def undo(self, ids: Iterable[str], who: str) -> int:
         """Take back a discard, or a wish that has not begun."""
         taken = list(ids)
-        count = self._turn(taken, who, Status.DISCARDED, Status.KEPT, "undid the discard")
+        count = self._turn(taken, who, Status.DISCARDED, Status.STORED, "undid the discard")
         with self.change() as db:
             for name in taken:
                 done = db.execute(
