--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -117,10 +117,17 @@
                 threading.Thread(target=_trouble, args=(cluster, trouble, began), daemon=True).start()
             clients.done.wait(s.seconds + 2 * t.deadline)
             time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
-            v = cluster.verdict(Bounds(aim=t.aim, deadline=t.deadline, late_worth=t.late_worth))
+            v = cluster.verdict(
+                Bounds(latency_objective_s=t.aim, deadline=t.deadline, late_weight=t.late_worth)
+            )
             late = sorted(clients.lateness)
             fallen = sum(p.fallen for p in cluster.partners.values())
-            return v.worth, late[int(0.99 * len(late))] if late else 0.0, len(v.violations), fallen
+            return (
+                v.priority_weight_delivered,
+                late[int(0.99 * len(late))] if late else 0.0,
+                len(v.violations),
+                fallen,
+            )
 
 
 def _clients(cluster: LocalCluster, s: Scenario, seed: int) -> Clients:
@@ -138,10 +145,10 @@
 def _trouble(cluster: LocalCluster, t: Trouble, began: float) -> None:
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
-        cluster.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
+        cluster.partners[p].inject_fault(MODES[t.kind], t.seconds, t.size)
     time.sleep(t.seconds)
     for p in t.partner:
-        cluster.partners[p].trouble("well")
+        cluster.partners[p].inject_fault("well")
 
 
 def _both(name: str, policy: str, seed: int) -> tuple[str, str, float, float, float, int, str]:
--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -59,7 +59,7 @@
         ("turned away", verdict.refused),
         ("without an answer", verdict.unanswered),
         ("calls to partners", verdict.calls),
-        ("share of worth kept", f"{verdict.worth:.3f}"),
+        ("share of worth kept", f"{verdict.priority_weight_delivered:.3f}"),
         ("forwarders ready at the end", status["ready"]),
         ("seconds", f"{time.monotonic() - began:.1f}"),
     ]
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -36,7 +36,7 @@
         f"{verdict.refused}",
         f"{verdict.unanswered}",
         f"{verdict.repeats}",
-        f"{verdict.worth:.4f}",
+        f"{verdict.priority_weight_delivered:.4f}",
         f"{quantile(verdict.latencies, 0.5) * 1000:.0f}",
         f"{quantile(verdict.latencies, 0.99) * 1000:.0f}",
         f"{seconds:.1f}" if seconds else "-",
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -109,12 +109,12 @@
         clients = cluster.clients(40.0, away + 8.0, threads=48)
         time.sleep(2.0)
         mode = dice.choice(["down", "failing", "shut"])
-        cluster.partners[1].trouble(mode, away, share=0.9)
+        cluster.partners[1].inject_fault(mode, away, share=0.9)
         back = time.monotonic() + away
         killed = 0
         while time.monotonic() < back:
             time.sleep(dice.uniform(0.5, 2.0))
-        cluster.partners[1].trouble("well")
+        cluster.partners[1].inject_fault("well")
         for _ in range(6 if kills else 0):
             time.sleep(dice.uniform(0.2, 1.5))
             if dice.random() < 0.5:
@@ -225,8 +225,8 @@
             v = check(live)
             sent = stats["stands"].get("delivered", 0)
             rows.append([
-                f"{waiting}", f"{sent}", f"{v.worth:.4f}", f"{quantile(v.latencies, 0.5) * 1000:.0f}",
-                f"{quantile(v.latencies, 0.99) * 1000:.0f}",
+                f"{waiting}", f"{sent}", f"{v.priority_weight_delivered:.4f}",
+                f"{quantile(v.latencies, 0.5) * 1000:.0f}", f"{quantile(v.latencies, 0.99) * 1000:.0f}",
             ])  # fmt: skip
     report.say("Live traffic at 100 messages a second for 12 s while others wait to be sent again:")
     report.table(["waiting", "of them sent meanwhile", "share of live worth", "median ms", "p99 ms"], rows)
@@ -241,7 +241,7 @@
             kept_yard(Path(folder), seed, 1, keep) as cluster,
         ):
             cluster.start()
-            cluster.partners[1].trouble("down")
+            cluster.partners[1].inject_fault("down")
             before = cluster.ask("inspect", ["n0"])["status"]["pid"]
             cpu = processes.usage(before)[0]
             clients = cluster.clients(150.0, 12.0, threads=64)
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -53,9 +53,11 @@
     rows, good, base = [], True, 1.0
     for name, seconds, during in cases:
         verdict, took, lateness = under_load(instances, rate, seconds, seed, during)
-        base = verdict.worth if name == "no roll" else base
+        base = verdict.priority_weight_delivered if name == "no roll" else base
         good &= verdict.good
-        rows.append([*verdict_row(name, verdict, took, lateness), f"{verdict.worth / base:.4f}"])
+        rows.append(
+            [*verdict_row(name, verdict, took, lateness), f"{verdict.priority_weight_delivered / base:.4f}"]
+        )
         print(rows[-1], flush=True)
         for v in verdict.violations[:3]:
             report.say("```\n" + str(v)[:STORY_CHARACTERS] + "\n```")
--- a/juniperward/fakes/checker.py
+++ b/juniperward/fakes/checker.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 
 from juniperward.fakes.record_index import RecordIndex
-from juniperward.fakes.records import AnyRecord, Called, Handed, Noticed, Replied, Told
+from juniperward.fakes.records import AnyRecord, Called, Handed, Noticed, Replied, WatchEventSent
 from juniperward.fakes.verdict import Bounds, Verdict, Violation
 
 __all__ = ["Bounds", "Verdict", "Violation", "check"]
@@ -44,7 +44,7 @@
         self._check_drains()
         self._check_waits()
         self._check_strangers()
-        self._sum_up_worth()
+        self._sum_up_priority_weight()
         self._verdict.violations.sort(key=lambda violation: violation.at)
         return self._verdict
 
@@ -131,16 +131,16 @@
     def _check_drains(self) -> None:
         """Nothing new goes to an endpoint that the forwarder was told drains or is gone."""
         records = self._records
-        times = {key: [word.at for word in told] for key, told in records.told.items()}
+        times = {key: [event.at for event in events] for key, events in records.watch_events.items()}
         for call in records.calls.values():
             who = records.forwarder(call)
-            told = records.told.get((who, call.worker), [])
+            events = records.watch_events.get((who, call.worker), [])
             place = bisect.bisect_right(times.get((who, call.worker), []), call.began) - 1
-            word = _first_of_run(told, place)
-            if word is not None and call.began > word.at + self._bounds.drain:
-                late_s = call.began - word.at
-                text = f"{who} sent {call.ids[0]} there {late_s:.3f} s after it was told {word.state}"
-                violation = Violation("drain", call.worker, call.began, text, (*told, call))
+            event = _first_of_run(events, place)
+            if event is not None and call.began > event.at + self._bounds.drain:
+                late_s = call.began - event.at
+                text = f"{who} sent {call.ids[0]} there {late_s:.3f} s after it was told {event.state}"
+                violation = Violation("drain", call.worker, call.began, text, (*events, call))
                 self._verdict.violations.append(violation)
 
     def _check_waits(self) -> None:
@@ -198,10 +198,10 @@
             return "it was refused, and sent all the same"
         return ""
 
-    # --- worth ---------------------------------------------------------------------------------------------
+    # --- priority weight -----------------------------------------------------------------------------------
 
-    def _sum_up_worth(self) -> None:
-        """Worth delivered over worth asked for; a message's tries count together."""
+    def _sum_up_priority_weight(self) -> None:
+        """Priority weight delivered over priority weight asked for; a message's tries count together."""
         verdict, records = self._verdict, self._records
         asked: dict[str, Handed] = {}
         took_s: dict[str, float] = {}
@@ -213,28 +213,35 @@
                 took_s[first] = min(took_s.get(first, math.inf), at - submitted.due)
         by_account: dict[str, list[float]] = defaultdict(list)
         for first, submitted in asked.items():
-            by_account[submitted.account].append(self._worth(took_s.get(first)))
+            by_account[submitted.account].append(self._priority_weight(took_s.get(first)))
         verdict.latencies = [took_s[first] for first in asked if first in took_s]
         verdict.asked = len(asked)
         total = sum(map(sum, by_account.values()))
-        verdict.worth = total / len(asked) if asked else 1.0
+        verdict.priority_weight_delivered = total / len(asked) if asked else 1.0
         verdict.by_account = {
-            account: sum(worths) / len(worths) for account, worths in sorted(by_account.items())
+            account: sum(weights) / len(weights) for account, weights in sorted(by_account.items())
         }
 
-    def _worth(self, took_s: float | None) -> float:
-        """Return the worth of a delivery that took so long; None stands for none."""
+    def _priority_weight(self, took_s: float | None) -> float:
+        """Return the priority weight of a delivery that took `took_s` seconds; None stands for no delivery.
+
+        1 up to the latency objective, falling linearly to the late weight at the deadline, 0 beyond it.
+        """
         if took_s is None:
             return 0.0
         bounds = self._bounds
-        late = max(took_s - bounds.aim, 0.0) / (bounds.deadline - bounds.aim)
-        return 1.0 - late * (1.0 - bounds.late_worth) if late <= 1.0 else 0.0
+        objective_s = bounds.latency_objective_s
+        late = max(took_s - objective_s, 0.0) / (bounds.deadline - objective_s)
+        return 1.0 - late * (1.0 - bounds.late_weight) if late <= 1.0 else 0.0
+
 
+def _first_of_run(events: list[WatchEventSent], place: int) -> WatchEventSent | None:
+    """Return the first of the latest run of watch events that an endpoint drains.
 
-def _first_of_run(told: list[Told], place: int) -> Told | None:
-    """Return the first of the latest run of words that an endpoint drains; None where it is ready, or untold."""
-    if place < 0 or told[place].state == "Ready":
+    `place` indexes the latest event at or before the call; None where the endpoint is ready, or no event came yet.
+    """
+    if place < 0 or events[place].state == "Ready":
         return None
-    while place > 0 and told[place - 1].state != "Ready":
+    while place > 0 and events[place - 1].state != "Ready":
         place -= 1
-    return told[place]
+    return events[place]
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -260,12 +260,12 @@
     pipe.send([d.address for d in doors])
     while True:
         try:
-            told = pipe.recv()
+            request = pipe.recv()
         except EOFError:
             return
         with lock:
-            if told is None:
+            if request is None:
                 pipe.send(state["ages"].encode())
             else:
-                state.update(ages=histogram(), since=told)
+                state.update(ages=histogram(), since=request)
                 pipe.send(True)
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -96,7 +96,7 @@
         for door in self.doors:
             door.stop()
 
-    def trouble(self, mode: str, seconds: float = 0.0, share: float = 1.0) -> None:
+    def inject_fault(self, mode: str, seconds: float = 0.0, share: float = 1.0) -> None:
         """Go into an outage: shut (refuses all), failing (a share of the calls), down or silent; or `well`."""
         with self.lock:
             before, self.mode, self.fail_share = self.mode, mode, share
--- a/juniperward/fakes/record_index.py
+++ b/juniperward/fakes/record_index.py
@@ -15,7 +15,7 @@
     Life,
     Noticed,
     Replied,
-    Told,
+    WatchEventSent,
 )
 
 
@@ -33,7 +33,7 @@
         self.of_message: dict[str, list[Called]] = defaultdict(list)
         self.notices: dict[str, list[Noticed]] = defaultdict(list)
         self.effects: dict[str, list[Effect]] = defaultdict(list)  # by key
-        self.told: dict[tuple[str, str], list[Told]] = defaultdict(list)
+        self.watch_events: dict[tuple[str, str], list[WatchEventSent]] = defaultdict(list)
         self.lives: dict[str, list[Life]] = defaultdict(list)
         for record in self.all:
             self._add(record)
@@ -54,8 +54,8 @@
                 self.notices[record.id].append(record)
             case Effect():
                 self.effects[record.key].append(record)
-            case Told():
-                self.told[record.forwarder, record.worker].append(record)
+            case WatchEventSent():
+                self.watch_events[record.forwarder, record.worker].append(record)
             case Life():
                 self.lives[record.forwarder].append(record)
 
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -83,8 +83,8 @@
     forwarder: str
 
 
-class Told(Record, frozen=True, tag=True):
-    """The registry has written to a forwarder what a worker is."""
+class WatchEventSent(Record, frozen=True, tag="Told"):
+    """The registry has written to a forwarder what a worker is; its tag on disk is the recorded `Told`."""
 
     forwarder: str
     worker: str
@@ -98,7 +98,7 @@
     what: str  # start, term, kill or exit
 
 
-AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | Told | Life
+AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | WatchEventSent | Life
 
 
 class Recorder:
--- a/juniperward/fakes/registry.py
+++ b/juniperward/fakes/registry.py
@@ -6,7 +6,7 @@
 import threading
 from dataclasses import dataclass
 
-from juniperward.fakes.records import Noticed, Recorder, Told, now
+from juniperward.fakes.records import Noticed, Recorder, WatchEventSent, now
 from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http import HttpRequest, encode_response
 
@@ -90,31 +90,36 @@
         """The whole list first, then changes, each as late as set."""
         if not link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
             return
-        told, full = 0, True
+        sent_version, full = 0, True
         while not self.down:
             with self.changed:
-                due = self._due(told)
+                due = self._due(sent_version)
                 if not due and not full:
-                    waiting = [at + self.late - now() for v, at, _ in self.entries.values() if v > told]
+                    waiting = [
+                        at + self.late - now() for v, at, _ in self.entries.values() if v > sent_version
+                    ]
                     self.changed.wait(min([BEAT, *(max(w, 0.001) for w in waiting)]))
-                    due = self._due(told)
+                    due = self._due(sent_version)
             if not due and not full:
                 if not link.write(b"1\r\n\n\r\n"):
                     return
                 continue
-            told = max([told, *(v for v, _ in due)])
+            sent_version = max([sent_version, *(v for v, _ in due)])
             rows = [
                 {"id": e.id, "addr": e.address, "zone": "aluva", "kind": e.kind, "cell": e.destination,
                  "state": e.state, "weight": e.rating, "started_ms": 0}
                 for _, e in due if not (full and e.state == "Gone")
             ]  # fmt: skip
-            line = json.dumps({"version": max(told, 1), "full": full, "servers": rows}).encode() + b"\n"
+            line = (
+                json.dumps({"version": max(sent_version, 1), "full": full, "servers": rows}).encode() + b"\n"
+            )
             if not link.write(b"%x\r\n%s\r\n" % (len(line), line)):
                 return
             at, full = now(), False
             for _, e in due:
-                self.recorder.add(Told(at, forwarder, e.id, e.state))
+                self.recorder.add(WatchEventSent(at, forwarder, e.id, e.state))
 
-    def _due(self, told: int) -> list[tuple[int, Entry]]:
+    def _due(self, sent_version: int) -> list[tuple[int, Entry]]:
+        """Return the changes after `sent_version` that are old enough to be sent, with their versions."""
         ready = now() - self.late
-        return [(v, e) for v, at, e in self.entries.values() if v > told and at <= ready]
+        return [(v, e) for v, at, e in self.entries.values() if v > sent_version and at <= ready]
--- a/juniperward/fakes/verdict.py
+++ b/juniperward/fakes/verdict.py
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures of the rules, in seconds; worths from 0 to 1."""
+    """Figures of the rules, in seconds; priority weights from 0 to 1."""
 
     drain: float = 0.25  # after being told, nothing new goes to a worker that drains
     wait_slack: float = 0.1  # calls that were under way when a wait was told
     end_slack: float = 0.3  # after its time, a message must have its end
     crossing: float = 0.05  # an answer and a notice may cross for so long
     restart_slack: float = 1.5  # no notice is overdue until so long after a forwarder is back
-    aim: float = 3.0
+    latency_objective_s: float = 3.0  # a delivery within it has its whole priority weight
     deadline: float = 20.0
-    late_worth: float = 0.3
+    late_weight: float = 0.3  # priority weight of a delivery at the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     repeats: int = 0  # messages in calls beyond each message's first
     effects: int = 0
     unfinished: int = 0  # taken, its time not over when the records end
-    worth: float = 0.0  # delivered over asked for
+    priority_weight_delivered: float = 0.0  # priority weight delivered over priority weight asked for
     latencies: list[float] = field(default_factory=list)  # from due to effect, delivered ones
     by_account: dict[str, float] = field(default_factory=dict)
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -19,7 +19,7 @@
     Noticed,
     Recorder,
     Replied,
-    Told,
+    WatchEventSent,
     read,
 )
 
@@ -39,8 +39,8 @@
     """A good run: deliveries, a refusal handed in again, a wait, a notice, a restart, a drain."""
     records = [r for n in range(5) for r in message(f"m{n}", 10.0 + n, n + 1, 1 + n % 2, f"n{n % 2}")]
     records += [
-        Told(1.0, "n0", "s-1-0", "Ready"), Told(1.0, "n1", "s-1-0", "Ready"),
-        Told(20.0, "n0", "s-1-0", "Terminating"),
+        WatchEventSent(1.0, "n0", "s-1-0", "Ready"), WatchEventSent(1.0, "n1", "s-1-0", "Ready"),
+        WatchEventSent(20.0, "n0", "s-1-0", "Terminating"),
         Handed(30.0, "x", "x", "kx", "c", "acme", 2, "n0", 30.0, 50.0), Heard(30.01, "x", 503, 1.0),
         Handed(31.0, "x-2", "x", "kx", "c", "acme", 2, "n1", 30.0, 50.0), Heard(31.01, "x-2", 202),
         Called(31.02, 20, "s-2-0", 2, ("x-2",), ("kx",), 31.02), Replied(31.03, 20, ("later",), 2.0),
@@ -59,7 +59,7 @@
         v = check(run())
         self.assertEqual(v.lines(), ["every rule held"])
         self.assertEqual((v.asked, v.handed, v.taken, v.delivered, v.noticed, v.refused), (7, 8, 7, 6, 1, 1))
-        self.assertAlmostEqual(v.worth, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
+        self.assertAlmostEqual(v.priority_weight_delivered, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
         self.assertTrue(check([]).good)
 
     def plant(self, rule: str, what: str, change: Callable[[list[AnyRecord]], list[AnyRecord]]) -> Verdict:
@@ -119,9 +119,9 @@
 
         self.assertTrue(check(late(0.24)).good)
         self.plant("drain", "s-1-0", lambda _: late(0.26))
-        # Told again that it drains, it is not given another quarter of a second.
-        self.plant("drain", "s-1-0", lambda _: [*late(5.0), Told(24.9, "n0", "s-1-0", "Gone")])
-        self.assertTrue(check([*late(5.0), Told(24.0, "n0", "s-1-0", "Ready")]).good)
+        # Notified again that it drains, it is not given another quarter of a second.
+        self.plant("drain", "s-1-0", lambda _: [*late(5.0), WatchEventSent(24.9, "n0", "s-1-0", "Gone")])
+        self.assertTrue(check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).good)
 
     def test_a_call_within_a_wait_is_seen(self) -> None:
         early = Called(32.5, 92, "s-2-1", 2, ("x-2",), ("kx",), 32.5)
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -170,9 +170,9 @@
         clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, 48)
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
-        partner.trouble(mode)
+        partner.inject_fault(mode)
         time.sleep(5.0)
-        partner.trouble("well")
+        partner.inject_fault("well")
         assert partner.back_at is not None
         self.assertTrue(clients.done.wait(40.0))
         cluster.settle(40.0)
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -267,9 +267,9 @@
         cluster = self.cluster()
         clients = cluster.clients(30.0, 9.0, threads=24)
         time.sleep(1.0)
-        cluster.partners[1].trouble("down")
+        cluster.partners[1].inject_fault("down")
         time.sleep(5.0)
-        cluster.partners[1].trouble("well")
+        cluster.partners[1].inject_fault("well")
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
         self.settled(cluster)
@@ -281,7 +281,7 @@
         cluster = self.cluster(rules=False)
         clients = cluster.clients(30.0, 5.0, threads=24)
         time.sleep(0.5)
-        cluster.partners[1].trouble("down")
+        cluster.partners[1].inject_fault("down")
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
         cluster.until(lambda _: True)
@@ -290,7 +290,7 @@
         self.assertGreater(kept, 10)
         cluster.until(lambda _: cluster.ask("kept", action="stats")["messages"] == kept)
         found = cluster.ask("kept", action="list", limit=500)["messages"]
-        cluster.partners[1].trouble("well")
+        cluster.partners[1].inject_fault("well")
         ids = [r["id"] for r in found]
 
         def wish() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 from unittest import mock
 
 from juniperward.fakes.partners import Partner, PartnerSpec
-from juniperward.fakes.records import Called, Noticed, Recorder, Told
+from juniperward.fakes.records import Called, Noticed, Recorder, WatchEventSent
 from juniperward.fakes.registry import Registry
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.effects import StartAttempt
@@ -188,7 +188,9 @@
         assert program.process is not None and program.process.stderr is not None
         self.reader = threading.Thread(target=self._read, args=(program.process.stderr,))
         self.reader.start()
-        self.until(lambda: any(isinstance(r, Told) for r in self.recorder.records), "the list is told")
+        self.until(
+            lambda: any(isinstance(r, WatchEventSent) for r in self.recorder.records), "the list is told"
+        )
         return program
 
     def _read(self, stream: Any) -> None:
@@ -240,7 +242,7 @@
         self.until(lambda: clients.shut > 0, "the table is full")
         delivered = [self.hand_in(program, size=6000) for _ in range(16)]
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
-        self.partner.trouble("down")
+        self.partner.inject_fault("down")
         undelivered = self.hand_in(program, left=1.5)
         self.registry.outage(False)
         back_at = time.monotonic()
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -9,7 +9,7 @@
 
 from juniperward.fakes.clients import Clients, Front, Traffic
 from juniperward.fakes.partners import Partner, PartnerSpec
-from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, Told
+from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, WatchEventSent
 from juniperward.fakes.registry import Registry
 from juniperward.fakes.serving import Serving
 from juniperward.net.http import Stream, encode_request, encode_response, read_response
@@ -108,16 +108,16 @@
 
     def test_outages_and_a_cold_return(self) -> None:
         partner = self.partner(at_once=10)
-        partner.trouble("shut", 5.0)
+        partner.inject_fault("shut", 5.0)
         status, wait = self.call(partner, "a")
         self.assertEqual(status, 429)
         self.assertTrue(4.0 < wait <= 5.0)
-        partner.trouble("failing")
+        partner.inject_fault("failing")
         self.assertEqual(self.call(partner, "b")[0], 500)
-        partner.trouble("down")
+        partner.inject_fault("down")
         with self.assertRaises(OSError):
             self.call(partner, "c")
-        partner.trouble("well")
+        partner.inject_fault("well")
         self.assertLess(partner.present(), 0.3 * partner.spec.capacity)
         self.assertEqual(self.call(partner, "d")[0], 200)
         partner.back_at = time.monotonic() - 11.0
@@ -158,7 +158,7 @@
             registry.put(*partner.entries("Terminating", 0))
             while b"Terminating" not in text:
                 text = lines.readline()
-        while len(told := [r for r in recorder.records if isinstance(r, Told)]) < 3:
+        while len(told := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
             time.sleep(0.01)
         self.assertEqual(told[-1].state, "Terminating")
         self.assertEqual({t.forwarder for t in told}, {"n0"})
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -218,7 +218,7 @@
         self.addCleanup(partner.close)
         entries = partner.start()
         registry.put(*entries)
-        partner.trouble("silent")
+        partner.inject_fault("silent")
         short = copy.deepcopy(SETTINGS)
         short["Services"][0]["WindowMs"] = WINDOW * 1000
         program = SteppedProgram(Path(folder.name), short)
