--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -51,7 +51,7 @@
         verdict = cluster.verdict()
     made = Table("what", "count", box=None)
     rows = [
-        ("messages of clients", verdict.asked),
+        ("messages of clients", verdict.offered),
         ("handed in, with second tries", verdict.handed),
         ("taken on", verdict.taken),
         ("delivered", verdict.delivered),
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -29,7 +29,7 @@
     rules = "held" if verdict.good else f"{len(verdict.violations)} broken"
     return [
         name,
-        f"{verdict.asked}",
+        f"{verdict.offered}",
         f"{verdict.taken}",
         f"{verdict.delivered}",
         f"{verdict.noticed}",
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -26,7 +26,7 @@
 from juniperward.fakes.checker import Bounds, Verdict, check
 from juniperward.fakes.clients import Clients, Front, Traffic
 from juniperward.fakes.partners import Partner, PartnerSpec
-from juniperward.fakes.records import Life, Recorder, now
+from juniperward.fakes.records import ProcessEvent, Recorder, now
 from juniperward.fakes.registry import Registry
 from juniperward.settings import fleet_pb2
 
@@ -250,16 +250,16 @@
                 continue
             at = now()
             if before is not None:
-                self.recorder.add(Life(at - 0.3, name, "exit"))
+                self.recorder.add(ProcessEvent(at - 0.3, name, "exit"))
             if pid is not None:
                 began = processes.identify(pid)
-                self.recorder.add(Life(processes.started_at(began) if began else at, name, "start"))
+                self.recorder.add(ProcessEvent(processes.started_at(began) if began else at, name, "start"))
                 self.pids[name] = pid
             else:
                 self.pids.pop(name, None)
 
     def _life(self, name: str, what: str) -> None:
-        self.recorder.add(Life(now(), name, what))
+        self.recorder.add(ProcessEvent(now(), name, what))
 
     def close(self) -> None:
         """End everything that was started here."""
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_kept.py
@@ -33,7 +33,7 @@
 
 def kept_yard(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> LocalCluster:
     """A cluster whose messages live for four seconds, and are kept."""
-    partners = [PartnerSpec(d, latency=0.03, warm=WARM, at_once=8) for d in (1, 2, 3)]
+    partners = [PartnerSpec(d, latency=0.03, warm_up_s=WARM, at_once=8) for d in (1, 2, 3)]
     cluster = LocalCluster(folder, instances, partners, seed)
     cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
     cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
@@ -254,7 +254,7 @@
             kept = cluster.ask("inspect", ["n0"])["status"]["kept"]
             rows.append([
                 "on" if keep else "off", f"{kept}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
-                f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{1000 * spent / v.asked:.2f}",
+                f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{1000 * spent / v.offered:.2f}",
             ])  # fmt: skip
     report.say("One forwarder at 150 messages a second, one of three partners down all the time:")
     report.table(["keeping", "kept", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
--- a/juniperward/fakes/checker.py
+++ b/juniperward/fakes/checker.py
@@ -41,7 +41,7 @@
         self._check_ends()
         self._check_copies()
         self._check_effects()
-        self._check_drains()
+        self._check_draining()
         self._check_waits()
         self._check_strangers()
         self._sum_up_priority_weight()
@@ -128,7 +128,7 @@
 
     # --- drains and waits ----------------------------------------------------------------------------------
 
-    def _check_drains(self) -> None:
+    def _check_draining(self) -> None:
         """Nothing new goes to an endpoint that the forwarder was told drains or is gone."""
         records = self._records
         times = {key: [event.at for event in events] for key, events in records.watch_events.items()}
@@ -203,21 +203,21 @@
     def _sum_up_priority_weight(self) -> None:
         """Priority weight delivered over priority weight asked for; a message's tries count together."""
         verdict, records = self._verdict, self._records
-        asked: dict[str, Handed] = {}
+        offered: dict[str, Handed] = {}
         took_s: dict[str, float] = {}
         for name, submitted in records.handed.items():
             first = submitted.first
-            asked.setdefault(first, submitted)
+            offered.setdefault(first, submitted)
             heard, at = records.heard.get(name), records.delivered_at(name)
             if heard is not None and heard.status in ACCEPTED and at is not None:
                 took_s[first] = min(took_s.get(first, math.inf), at - submitted.due)
         by_account: dict[str, list[float]] = defaultdict(list)
-        for first, submitted in asked.items():
+        for first, submitted in offered.items():
             by_account[submitted.account].append(self._priority_weight(took_s.get(first)))
-        verdict.latencies = [took_s[first] for first in asked if first in took_s]
-        verdict.asked = len(asked)
+        verdict.latencies = [took_s[first] for first in offered if first in took_s]
+        verdict.offered = len(offered)
         total = sum(map(sum, by_account.values()))
-        verdict.priority_weight_delivered = total / len(asked) if asked else 1.0
+        verdict.priority_weight_delivered = total / len(offered) if offered else 1.0
         verdict.by_account = {
             account: sum(weights) / len(weights) for account, weights in sorted(by_account.items())
         }
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -157,14 +157,14 @@
             self.jobs.put(None)
 
     def _work(self) -> None:
-        kept: dict[str, tuple[socket.socket, Stream]] = {}
+        connections: dict[str, tuple[socket.socket, Stream]] = {}
         while (due := self.jobs.get()) is not None:
             try:
-                self._hand_in(due, kept)
+                self._hand_in(due, connections)
             except Exception:
                 self._settled()
                 raise
-        for sock, _ in kept.values():
+        for sock, _ in connections.values():
             sock.close()
 
     def _settled(self) -> None:
@@ -174,7 +174,7 @@
                 self.done.set()
                 self.changed.notify_all()
 
-    def _hand_in(self, due: Due, kept: dict[str, tuple[socket.socket, Stream]]) -> None:
+    def _hand_in(self, due: Due, connections: dict[str, tuple[socket.socket, Stream]]) -> None:
         t = self.traffic
         if due.tried == 0:
             self.lateness.append(now() - due.at)
@@ -187,7 +187,7 @@
             left = expires - now()
             if left <= 0.05:
                 break
-            link = self._connect(forwarder, kept)
+            link = self._connect(forwarder, connections)
             if link is None:
                 # Nobody was there: the front takes another at once, and that is no try of the client's.
                 refused |= {forwarder}
@@ -196,7 +196,7 @@
                     refused = frozenset()
                     time.sleep(0.05)
                 continue
-            status, again = self._ask(link, forwarder, due, name, left, expires, kept)
+            status, again = self._post(link, forwarder, due, name, left, expires, connections)
             if status in (200, 202):
                 break
             if due.tried >= t.tries or status == 400:
@@ -210,14 +210,14 @@
         self._settled()
 
     def _connect(
-        self, forwarder: str, kept: dict[str, tuple[socket.socket, Stream]]
+        self, forwarder: str, connections: dict[str, tuple[socket.socket, Stream]]
     ) -> tuple[socket.socket, Stream] | None:
-        link = kept.get(forwarder)
+        link = connections.get(forwarder)
         if link is not None:
             if sockets.quiet(link[0]):
                 return link
             link[0].close()
-            del kept[forwarder]
+            del connections[forwarder]
         # Time limits are the kernel's: with one of Python's own, a look without waiting waits for all of it.
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -225,12 +225,12 @@
         except OSError:
             sock.close()
             return None
-        kept[forwarder] = (sock, Stream(sock.recv))
-        return kept[forwarder]
+        connections[forwarder] = (sock, Stream(sock.recv))
+        return connections[forwarder]
 
-    def _ask(
+    def _post(
         self, link: tuple[socket.socket, Stream], forwarder: str, due: Due, name: str, left: float,
-        expires: float, kept: dict[str, tuple[socket.socket, Stream]],
+        expires: float, connections: dict[str, tuple[socket.socket, Stream]],
     ) -> tuple[int, float]:  # fmt: skip
         t, (sock, stream) = self.traffic, link
         headers = {
@@ -254,6 +254,6 @@
             pass
         if close:
             sock.close()
-            kept.pop(forwarder, None)
+            connections.pop(forwarder, None)
         self.recorder.add(Heard(now(), name, status, again))
         return status, again
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -56,7 +56,7 @@
     threads: int = 16
     cls: str = "booking-update"
     account: str = "valiya-cluster"
-    life: float = 20.0
+    time_left_s: float = 20.0  # sent as each message's X-Time-Left
     cores: frozenset[int] = frozenset()
 
 
@@ -137,7 +137,7 @@
                     sockets.connect(*self.plan.address, ANSWER, sock)
                     sockets.limit(sock, socket.SO_RCVTIMEO, ANSWER)
                     link = sock, Stream(sock.recv)
-                status, close = self._ask(link, due, number, destination)
+                status, close = self._post(link, due, number, destination)
                 if close:
                     link[0].close()
                     link = None
@@ -149,14 +149,14 @@
         if link is not None:
             link[0].close()
 
-    def _ask(
+    def _post(
         self, link: tuple[socket.socket, Stream], due: float, number: int, destination: int
     ) -> tuple[int, bool]:
         p = self.plan
         name = identify(due, p.name, number)
         headers = {
             "X-Correlation-Id": name, "X-Service-Class": p.cls, "X-Account": p.account,
-            "X-Time-Left": f"{p.life:.3f}", "X-Addressing": f"dest={destination}", "Idempotency-Key": name,
+            "X-Time-Left": f"{p.time_left_s:.3f}", "X-Addressing": f"dest={destination}", "Idempotency-Key": name,
         }  # fmt: skip
         link[0].sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
         answer = read_response(link[1])
@@ -247,8 +247,8 @@
     state = {"ages": histogram(), "since": 0.0}
     good = encode_response(200, {}, b"", False)
 
-    def handle(link: Link, asked: HttpRequest, _began: float) -> bool:
-        due = int(asked.headers["x-correlation-id"].partition("-")[0]) / 1e6
+    def handle(link: Link, request: HttpRequest, _began: float) -> bool:
+        due = int(request.headers["x-correlation-id"].partition("-")[0]) / 1e6
         with lock:
             if due >= state["since"]:
                 record(state["ages"], now() - due)
@@ -260,12 +260,12 @@
     pipe.send([d.address for d in doors])
     while True:
         try:
-            request = pipe.recv()
+            order = pipe.recv()
         except EOFError:
             return
         with lock:
-            if request is None:
+            if order is None:
                 pipe.send(state["ages"].encode())
             else:
-                state.update(ages=histogram(), since=request)
+                state.update(ages=histogram(), since=order)
                 pipe.send(True)
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -1,4 +1,4 @@
-"""Stand-ins of partners: their workers on loopback, with limits, waits, a repeat window, outages, a cold return.
+"""Stand-ins of partners: their workers on loopback, with limits, waits, a repeat window, outages, a recovery ramp.
 
 A partner's rules follow the protocol page: a rate in spans of a second (429 with a wait, or 503 without),
 a queue, a repeat of a key within the window answered as delivered without a second effect, few connections,
@@ -42,8 +42,8 @@
     batch: int = 1
     window: float = 12.0  # a repeat within it takes no second effect
     connections: int = 1000  # each worker holds
-    cold: float = 0.18  # part of its capacity after an outage
-    warm: float = 10.0  # seconds until all of it is back
+    warm_up_start_share: float = 0.18  # part of its capacity right after an outage
+    warm_up_s: float = 10.0  # seconds until all of it is back
 
     @property
     def capacity(self) -> float:
@@ -60,7 +60,7 @@
         self.random = random.Random(seed)
         self.lock = threading.Lock()
         self.doors = [
-            Serving(lambda link, asked, began, n=n: self._handle(n, link, asked, began), spec.connections)  # type: ignore[misc]
+            Serving(lambda link, request, began, n=n: self._handle(n, link, request, began), spec.connections)  # type: ignore[misc]
             for n in range(spec.workers)
         ]
         self.busy = [0] * spec.workers
@@ -115,20 +115,21 @@
             return 0.0
         if self.back_at is None:
             return self.spec.capacity
-        warm = min((now() - self.back_at) / self.spec.warm, 1.0)
-        return self.spec.capacity * (self.spec.cold + (1 - self.spec.cold) * warm)
+        spec = self.spec
+        warmed = min((now() - self.back_at) / spec.warm_up_s, 1.0)
+        return spec.capacity * (spec.warm_up_start_share + (1 - spec.warm_up_start_share) * warmed)
 
     # --- calls ---------------------------------------------------------------------------------------------
 
-    def _handle(self, number: int, link: Link, asked: HttpRequest, began: float) -> bool:
+    def _handle(self, number: int, link: Link, request: HttpRequest, began: float) -> bool:
         call = self.recorder.call()
-        many = asked.path == "/receive-many"
+        many = request.path == "/receive-many"
         try:
             if many:
-                rows = [(str(r["id"]), str(r.get("key", r["id"]))) for r in json.loads(asked.body)]
+                rows = [(str(r["id"]), str(r.get("key", r["id"]))) for r in json.loads(request.body)]
             else:
-                name = asked.headers["x-correlation-id"]
-                rows = [(name, asked.headers.get("idempotency-key", name))]
+                name = request.headers["x-correlation-id"]
+                rows = [(name, request.headers.get("idempotency-key", name))]
         except (ValueError, KeyError, TypeError):
             return link.write(encode_response(400, {}, b"", False))
         ids, keys = tuple(r[0] for r in rows), tuple(r[1] for r in rows)
@@ -191,8 +192,8 @@
         while self.pushes and at - self.pushes[0] > FALL_SPAN:
             self.pushes.popleft()
         self.pushes.append(at)
-        cold = self.back_at is not None and at - self.back_at < s.warm
-        if cold and len(self.pushes) > FALL_TIMES * self.present() * FALL_SPAN + 10:
+        warming_up = self.back_at is not None and at - self.back_at < s.warm_up_s
+        if warming_up and len(self.pushes) > FALL_TIMES * self.present() * FALL_SPAN + 10:
             self.fallen = True
         if self.fallen:
             return 503, 0.0
--- a/juniperward/fakes/record_index.py
+++ b/juniperward/fakes/record_index.py
@@ -12,8 +12,8 @@
     Handed,
     Heard,
     Hung,
-    Life,
     Noticed,
+    ProcessEvent,
     Replied,
     WatchEventSent,
 )
@@ -34,7 +34,7 @@
         self.notices: dict[str, list[Noticed]] = defaultdict(list)
         self.effects: dict[str, list[Effect]] = defaultdict(list)  # by key
         self.watch_events: dict[tuple[str, str], list[WatchEventSent]] = defaultdict(list)
-        self.lives: dict[str, list[Life]] = defaultdict(list)
+        self.process_events: dict[str, list[ProcessEvent]] = defaultdict(list)
         for record in self.all:
             self._add(record)
 
@@ -56,8 +56,8 @@
                 self.effects[record.key].append(record)
             case WatchEventSent():
                 self.watch_events[record.forwarder, record.worker].append(record)
-            case Life():
-                self.lives[record.forwarder].append(record)
+            case ProcessEvent():
+                self.process_events[record.forwarder].append(record)
 
     def forwarder(self, call: Called) -> str:
         """Return who made a call: messages are never passed on between forwarders."""
@@ -78,25 +78,25 @@
 
     def restarted(self, forwarder: str, since: float, until: float) -> bool:
         """Return whether a forwarder's process ended or began between two moments."""
-        lives = self.lives.get(forwarder, ())
-        return any(since <= life.at <= until for life in lives if life.what != "term")
+        events = self.process_events.get(forwarder, ())
+        return any(since <= event.at <= until for event in events if event.what != "term")
 
     def back(self, forwarder: str, at: float) -> float:
         """Return when a forwarder that was away at a moment was there again; the moment itself if it was there."""
         down = False
-        for life in self.lives.get(forwarder, ()):
-            if life.at > at and not down:
+        for event in self.process_events.get(forwarder, ()):
+            if event.at > at and not down:
                 break
-            if life.what in ("term", "kill", "exit"):
-                down = life.at <= at or down
-            elif life.what == "start":
-                if down and life.at > at:
-                    return life.at
+            if event.what in ("term", "kill", "exit"):
+                down = event.at <= at or down
+            elif event.what == "start":
+                if down and event.at > at:
+                    return event.at
                 down = False
         return self.end if down else at
 
     def story(self, name: str) -> tuple[AnyRecord, ...]:
-        """Return all about a message, and the lives of its forwarder."""
+        """Return all about a message, and the process events of its forwarder."""
         submitted = self.handed.get(name)
         found: list[AnyRecord] = [submitted] if submitted is not None else []
         if name in self.heard:
@@ -108,5 +108,5 @@
         found += self.notices.get(name, ())
         if submitted is not None:
             found += [effect for effect in self.effects.get(submitted.key, ()) if effect.id == name]
-            found += self.lives.get(submitted.forwarder, ())
+            found += self.process_events.get(submitted.forwarder, ())
         return tuple(sorted(found, key=lambda record: record.at))
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -91,14 +91,14 @@
     state: str  # Ready, Terminating or Gone
 
 
-class Life(Record, frozen=True, tag=True):
-    """A forwarder's process began, or was told or made to end."""
+class ProcessEvent(Record, frozen=True, tag="Life"):
+    """A forwarder's process began, or was told or made to end; its tag on disk is the recorded `Life`."""
 
     forwarder: str
     what: str  # start, term, kill or exit
 
 
-AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | WatchEventSent | Life
+AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | WatchEventSent | ProcessEvent
 
 
 class Recorder:
--- a/juniperward/fakes/registry.py
+++ b/juniperward/fakes/registry.py
@@ -40,7 +40,7 @@
     def door(self, forwarder: str) -> str:
         """The address that this forwarder is to use."""
         if forwarder not in self.doors:
-            serving = Serving(lambda link, asked, _: self._handle(forwarder, link, asked))
+            serving = Serving(lambda link, request, _: self._handle(forwarder, link, request))
             serving.start()
             self.doors[forwarder] = serving
         return self.doors[forwarder].address
@@ -67,10 +67,10 @@
         with self.changed:
             self.changed.notify_all()
 
-    def _handle(self, forwarder: str, link: Link, asked: HttpRequest) -> bool:
-        if asked.method == "POST" and asked.path == "/status":
-            return self._notices(forwarder, link, asked.body)
-        if asked.method == "GET" and asked.path == "/registry/instances":
+    def _handle(self, forwarder: str, link: Link, request: HttpRequest) -> bool:
+        if request.method == "POST" and request.path == "/status":
+            return self._notices(forwarder, link, request.body)
+        if request.method == "GET" and request.path == "/registry/instances":
             self._watch(forwarder, link)
             return False
         return link.write(encode_response(404, {}, b"", False))
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -33,9 +33,9 @@
     def call(self) -> tuple[HttpRequest, float]:
         """The next call and when its first byte came."""
         self.began = time.monotonic() if self.stream.buffer else None
-        asked = read_request(self.stream)
+        request = read_request(self.stream)
         assert self.began is not None
-        return asked, self.began
+        return request, self.began
 
     def write(self, data: bytes) -> bool:
         """Whether all of it could be written."""
@@ -109,8 +109,8 @@
     def _serve(self, link: Link) -> None:
         try:
             while True:
-                asked, began = link.call()
-                if not self.handle(link, asked, began) or asked.close:
+                request, began = link.call()
+                if not self.handle(link, request, began) or request.close:
                     return
         except (ConnectionClosedError, IncompleteMessageError, MalformedMessageError, OSError):
             pass
--- a/juniperward/fakes/verdict.py
+++ b/juniperward/fakes/verdict.py
@@ -45,7 +45,7 @@
     """What the records of a run say."""
 
     violations: list[Violation] = field(default_factory=list)
-    asked: int = 0  # messages that clients had, each with all its tries
+    offered: int = 0  # messages that clients had, each with all its tries
     handed: int = 0  # tries
     taken: int = 0
     delivered: int = 0
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -15,8 +15,8 @@
     Handed,
     Heard,
     Hung,
-    Life,
     Noticed,
+    ProcessEvent,
     Recorder,
     Replied,
     WatchEventSent,
@@ -49,7 +49,8 @@
         Replied(34.3, 22, ("ok",)),
         Handed(40.0, "y", "y", "ky", "c", "acme", 2, "n1", 40.0, 60.0), Heard(40.01, "y", 202),
         Noticed(59.9, "y", "undeliverable", "n1"),
-        Life(5.0, "n0", "start"), Life(5.0, "n1", "start"), Life(100.0, "n1", "exit"), Life(101.0, "n1", "start"),
+        ProcessEvent(5.0, "n0", "start"), ProcessEvent(5.0, "n1", "start"),
+        ProcessEvent(100.0, "n1", "exit"), ProcessEvent(101.0, "n1", "start"),
     ]  # fmt: skip
     return records
 
@@ -58,7 +59,9 @@
     def test_a_good_run_is_good(self) -> None:
         v = check(run())
         self.assertEqual(v.lines(), ["every rule held"])
-        self.assertEqual((v.asked, v.handed, v.taken, v.delivered, v.noticed, v.refused), (7, 8, 7, 6, 1, 1))
+        self.assertEqual(
+            (v.offered, v.handed, v.taken, v.delivered, v.noticed, v.refused), (7, 8, 7, 6, 1, 1)
+        )
         self.assertAlmostEqual(v.priority_weight_delivered, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
         self.assertTrue(check([]).good)
 
@@ -79,7 +82,7 @@
         self.plant("one end", "y", lambda rs: [*(r for r in rs if not isinstance(r, Noticed)), late])
 
     def test_a_late_end_after_a_restart_has_its_slack(self) -> None:
-        away: list[AnyRecord] = [Life(59.0, "n1", "kill"), Life(61.0, "n1", "start")]
+        away: list[AnyRecord] = [ProcessEvent(59.0, "n1", "kill"), ProcessEvent(61.0, "n1", "start")]
         records = [r for r in run() if not isinstance(r, Noticed)] + away
         self.assertTrue(check([*records, Noticed(62.5, "y", "undeliverable", "n1")]).good)
         self.assertFalse(check([*records, Noticed(63.0, "y", "undeliverable", "n1")]).good)
@@ -99,7 +102,8 @@
 
     def test_a_notice_that_crossed_a_restart_is_allowed(self) -> None:
         crossed: list[AnyRecord] = [
-            Life(12.0, "n1", "kill"), Life(12.5, "n1", "start"), Noticed(25.0, "m1", "undeliverable", "n1")
+            ProcessEvent(12.0, "n1", "kill"), ProcessEvent(12.5, "n1", "start"),
+            Noticed(25.0, "m1", "undeliverable", "n1"),
         ]  # fmt: skip
         self.assertTrue(check([*run(), *crossed]).good)
 
@@ -128,7 +132,7 @@
         self.plant("wait", "destination 2", lambda rs: [*rs, early])
         under_way = Called(31.1, 92, "s-2-1", 2, ("x-2",), ("kx",), 31.1)
         self.assertNotIn("wait", [v.rule for v in check([*run(), under_way]).violations])
-        restart: list[AnyRecord] = [Life(32.0, "n1", "kill"), Life(32.3, "n1", "start")]
+        restart: list[AnyRecord] = [ProcessEvent(32.0, "n1", "kill"), ProcessEvent(32.3, "n1", "start")]
         self.assertNotIn("wait", [v.rule for v in check([*run(), *restart, early]).violations])
 
     def test_strangers_are_seen(self) -> None:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -161,8 +161,8 @@
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Instances"] = self.FORWARDERS
         cluster.base["settings"]["Invariants"] |= {
-            "ColdShare": self.SPEC.cold,
-            "WarmWithinMs": self.SPEC.warm * 1e3,
+            "ColdShare": self.SPEC.warm_up_start_share,
+            "WarmWithinMs": self.SPEC.warm_up_s * 1e3,
         }
         cluster.start()
         partner = cluster.partners[1]
@@ -183,7 +183,7 @@
         self.assertEqual(len(senders), self.FORWARDERS)
         calls = calls_since(records, partner.back_at)
         self.assertGreater(len(calls), 20)
-        budget = ColdBudget(self.SPEC.capacity, self.SPEC.cold, self.SPEC.warm, 2.0, 3.0)
+        budget = ColdBudget(self.SPEC.capacity, self.SPEC.warm_up_start_share, self.SPEC.warm_up_s, 2.0, 3.0)
         self.assertEqual(list(overfull(calls, partner.back_at, budget)), [])
         self.assertFalse(partner.fallen)
 
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -200,7 +200,7 @@
     def cluster(self, rules: bool = True) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.addCleanup(folder.cleanup)
-        partners = [PartnerSpec(1, latency=0.02, warm=3.0), PartnerSpec(2, latency=0.02)]
+        partners = [PartnerSpec(1, latency=0.02, warm_up_s=3.0), PartnerSpec(2, latency=0.02)]
         cluster = LocalCluster(Path(folder.name), 2, partners)
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 2500.0, "AimMs": 1000.0}
