--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -20,7 +20,7 @@
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.checker import Bounds
-from juniperward.fakes.clients import Clients, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.simulation.experiment import one
 from juniperward.simulation.scenario import FOLDER, Scenario, Trouble, load
@@ -137,7 +137,7 @@
         weights += [(len(weights) + 1 + n, g.share / g.count) for n in range(g.count)]
     t = s.traffic
     traffic = Traffic(t.rate, tuple(weights), ACCOUNTS, deadline=t.deadline, tries=2 if t.again else 1)
-    clients = Clients(traffic, cluster.front, cluster.recorder, seed, 64)
+    clients = Clients(traffic, cluster.front, cluster.recorder, seed, ClientOptions(threads=64))
     clients.start(s.seconds)
     return clients
 
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -24,7 +24,7 @@
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, ask
 from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import Bounds, Verdict, check
-from juniperward.fakes.clients import Clients, Front, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import ProcessEvent, Recorder, now
 from juniperward.fakes.registry import Registry
@@ -209,7 +209,11 @@
         """Begin to send: all partners alike, for so long."""
         weights = tuple((d, 1.0) for d in self.partners)
         clients = Clients(
-            Traffic(rate, weights, ACCOUNTS), self.front, self.recorder, self.seed, threads, name
+            Traffic(rate, weights, ACCOUNTS),
+            self.front,
+            self.recorder,
+            self.seed,
+            ClientOptions(threads, name),
         )
         clients.start(seconds)
         return clients
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -37,6 +37,24 @@
     backoff: float = 0.5
 
 
+@dataclass(frozen=True, slots=True)
+class ClientOptions:
+    """How the clients run: `threads` that hand messages in, and `id_prefix` that begins every message's id."""
+
+    threads: int = 48
+    id_prefix: str = "c"
+
+
+@dataclass(frozen=True, slots=True)
+class _Attempt:
+    """One attempt to hand a message in: its id, the forwarder it goes to, and its times in seconds."""
+
+    name: str
+    forwarder: str
+    time_left_s: float  # sent as X-Time-Left
+    expires: float  # the message's deadline on the shared monotonic clock
+
+
 @dataclass(order=True)
 class Due:
     """A message to be handed in."""
@@ -97,13 +115,12 @@
         front: Front,
         recorder: Recorder,
         seed: int,
-        threads: int = 48,
-        name: str = "c",
+        options: ClientOptions = ClientOptions(),
     ) -> None:
-        """Draw messages from a seed; `name` begins their ids."""
+        """Draw messages from a seed; `options.id_prefix` begins their ids."""
         self.traffic, self.front, self.recorder = traffic, front, recorder
-        self.random, self.name = random.Random(seed), name
-        self.threads = threads
+        self.random, self.name = random.Random(seed), options.id_prefix
+        self.threads = options.threads
         self.jobs: queue.SimpleQueue[Due | None] = queue.SimpleQueue()
         self.heap: list[Due] = []
         self.changed = threading.Condition()
@@ -196,7 +213,7 @@
                     refused = frozenset()
                     time.sleep(0.05)
                 continue
-            status, again = self._post(link, forwarder, due, name, left, expires, connections)
+            status, again = self._post(link, due, _Attempt(name, forwarder, left, expires), connections)
             if status in (200, 202):
                 break
             if due.tried >= t.tries or status == 400:
@@ -229,10 +246,12 @@
         return connections[forwarder]
 
     def _post(
-        self, link: tuple[socket.socket, Stream], forwarder: str, due: Due, name: str, left: float,
-        expires: float, connections: dict[str, tuple[socket.socket, Stream]],
+        self, link: tuple[socket.socket, Stream], due: Due, attempt: _Attempt,
+        connections: dict[str, tuple[socket.socket, Stream]],
     ) -> tuple[int, float]:  # fmt: skip
+        """Post one attempt and record it; return the status (0: no answer) and the Retry-After in seconds."""
         t, (sock, stream) = self.traffic, link
+        name, forwarder, left, expires = attempt.name, attempt.forwarder, attempt.time_left_s, attempt.expires
         headers = {
             "X-Correlation-Id": name, "X-Service-Class": t.cls, "X-Account": due.account,
             "X-Time-Left": f"{left:.3f}", "X-Addressing": f"dest={due.destination}", "Idempotency-Key": due.key,
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -26,6 +26,28 @@
 )  # pushed so many times its present capacity for so many seconds, it falls over
 
 
+@dataclass(frozen=True, slots=True)
+class _Call:
+    """A call that a worker is serving: its record number, its messages' ids and keys, and whether it is a batch."""
+
+    number: int
+    rows: list[tuple[str, str]]
+    many: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _Answer:
+    """What a worker answers: an HTTP status, every message's state, the Retry-After in seconds (0: none).
+
+    `lists_states` writes the states in the body, as a batch that was served answers.
+    """
+
+    status: int
+    state: str
+    wait_s: float = 0.0
+    lists_states: bool = False
+
+
 @dataclass(frozen=True, slots=True)
 class PartnerSpec:
     """What a partner is; times in seconds, rates in calls a second."""
@@ -135,8 +157,9 @@
         ids, keys = tuple(r[0] for r in rows), tuple(r[1] for r in rows)
         s = self.spec
         self.recorder.add(Called(now(), call, self.worker(number), s.destination, ids, keys, began))
+        served = _Call(call, rows, many)
         if many and len(rows) > s.batch:
-            return self._answer(link, call, 413, "later", rows)
+            return self._answer(link, served, _Answer(413, "later"))
         with self.lock:
             refused = self._refused(number)
             if refused is None:
@@ -145,32 +168,30 @@
                 chance, latency = self.random.random(), self._latency()
         if refused is not None:
             status, wait = refused
-            return self._answer(link, call, status, "later", rows, wait)
+            return self._answer(link, served, _Answer(status, "later", wait))
         try:
-            return self._work(link, call, rows, many, busy, chance, latency)
+            return self._work(link, served, busy, chance, latency)
         finally:
             with self.lock:
                 self.busy[number] -= 1
 
-    def _work(
-        self, link: Link, call: int, rows: list[tuple[str, str]], many: bool, busy: int,
-        chance: float, latency: float,
-    ) -> bool:  # fmt: skip
+    def _work(self, link: Link, call: _Call, busy: int, chance: float, latency: float) -> bool:
+        """Serve a call that was let in: fail it, hang it, or take effect and answer 200."""
         s = self.spec
         if self.mode == "failing" and chance < self.fail_share:
             time.sleep(0.01)
-            return self._answer(link, call, 500, "error", rows)
+            return self._answer(link, call, _Answer(500, "error"))
         behind = max(busy - s.at_once, 0) / s.at_once  # what waits ahead of it, in calls' times
         time.sleep(latency * (1 + behind) * min(s.capacity / max(self.present(), 0.01), 20.0))
         if self.mode in ("silent", "down"):
             until = now() + 30.0
             while self.mode == "silent" and not link.gone() and now() < until:
                 time.sleep(0.02)
-            self.recorder.add(Hung(now(), call))
+            self.recorder.add(Hung(now(), call.number))
             return False
-        for name, key in rows:
+        for name, key in call.rows:
             self._effect(name, key)
-        return self._answer(link, call, 200, "ok", rows, many=many)
+        return self._answer(link, call, _Answer(200, "ok", lists_states=call.many))
 
     def _latency(self) -> float:
         s = self.spec
@@ -211,18 +232,17 @@
             self.span.append(at)
         return None
 
-    def _answer(
-        self, link: Link, call: int, status: int, state: str, rows: list[tuple[str, str]], wait: float = 0.0,
-        many: bool = False,
-    ) -> bool:  # fmt: skip
+    def _answer(self, link: Link, call: _Call, answer: _Answer) -> bool:
+        """Write an answer and record it, or record the call as hung where it could not be written."""
+        wait = answer.wait_s
         headers = {"Retry-After": f"{wait:.3f}"} if wait > 0 else {}
         body = b""
-        if many:
-            body = json.dumps([{"id": name, "state": state} for name, _ in rows]).encode()
+        if answer.lists_states:
+            body = json.dumps([{"id": name, "state": answer.state} for name, _ in call.rows]).encode()
         at = now()
-        written = not link.gone() and link.write(encode_response(status, headers, body, False))
+        written = not link.gone() and link.write(encode_response(answer.status, headers, body, False))
         if written:
-            self.recorder.add(Replied(at, call, (state,) * len(rows), round(wait, 3)))
+            self.recorder.add(Replied(at, call.number, (answer.state,) * len(call.rows), round(wait, 3)))
         else:
-            self.recorder.add(Hung(now(), call))
+            self.recorder.add(Hung(now(), call.number))
         return written
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -11,7 +11,7 @@
 
 from juniperward.benchmarks.cold import cold, play_all
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
-from juniperward.fakes.clients import Clients, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.fakes.records import Called, Handed, Record
 from juniperward.scheduler import DeliveryScheduler
@@ -167,7 +167,7 @@
         cluster.start()
         partner = cluster.partners[1]
         traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=8.0)
-        clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, 48)
+        clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, ClientOptions(threads=48))
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
         partner.inject_fault(mode)
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from juniperward.fakes.clients import Clients, Front, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, WatchEventSent
 from juniperward.fakes.registry import Registry
@@ -35,7 +35,7 @@
         self.addCleanup(door.stop)
         front = Front({"n0": ("127.0.0.1", door.port)})
         recorder = Recorder()
-        clients = Clients(Traffic(count, backoff=0.01), front, recorder, 1, threads=2)
+        clients = Clients(Traffic(count, backoff=0.01), front, recorder, 1, ClientOptions(threads=2))
         clients.start(1.0)
         self.assertTrue(clients.done.wait(20.0))
         return recorder, clients
