--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -185,11 +185,12 @@
 
 
 class LoadDiedError(RuntimeError):
-    """A process of the load has ended before its time."""
+    """A process of the load has ended before its time; `plan` is its plan's name, `exit_code` its exit code."""
 
-    def __init__(self) -> None:
-        """Say so."""
-        super().__init__("a process of the load has died")
+    def __init__(self, plan: str, exit_code: int) -> None:
+        """Name the process that died and how it ended."""
+        super().__init__(f"a process of the load has died: plan {plan}, exit code {exit_code}")
+        self.plan, self.exit_code = plan, exit_code
 
 
 def play(plans: list[Plan]) -> LoadResult:
@@ -206,8 +207,14 @@
                 total.add(out.get(timeout=1.0))
                 break
             except queue.Empty:
-                if any(p.exitcode for p in processes):
-                    raise LoadDiedError from None
+                died = [
+                    (plan, process.exitcode)
+                    for plan, process in zip(plans, processes, strict=True)
+                    if process.exitcode
+                ]
+                if died:
+                    plan, exit_code = died[0]
+                    raise LoadDiedError(plan.name, exit_code or 0) from None
     for process in processes:
         process.join()
     return total
