--- a/juniperward/fakes/checker.py
+++ b/juniperward/fakes/checker.py
@@ -38,6 +38,7 @@
         self._verdict = Verdict()
 
     def verdict(self) -> Verdict:
+        """Apply every rule and return the verdict, its violations sorted by time."""
         self._check_ends()
         self._check_copies()
         self._check_effects()
@@ -91,6 +92,7 @@
         return self._records.restarted(forwarder, since, max(delivered_at, notices[-1].at))
 
     def _check_end_in_time(self, name: str, submitted: Handed, notices: list[Noticed]) -> None:
+        """Check that an accepted message that was not delivered was ended by a notice in time."""
         records, bounds = self._records, self._bounds
         due = records.back(submitted.forwarder, submitted.expires)
         due += bounds.end_slack + (bounds.restart_slack if due > submitted.expires else 0.0)
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -90,6 +90,7 @@
         return choice[self.turn % len(choice)]
 
     def _look(self) -> None:
+        """Poll the ready pages until closed."""
         while not self.closed:
             self.up = tuple(n for n, address in self.forwarders.items() if ready(address))
             time.sleep(self.every)
@@ -157,6 +158,7 @@
             threading.Thread(target=self._work, daemon=True).start()
 
     def _schedule(self) -> None:
+        """Hand each message to the threads when it is due; then tell every thread to end."""
         while True:
             with self.changed:
                 if not self.heap:
@@ -174,6 +176,7 @@
             self.jobs.put(None)
 
     def _work(self) -> None:
+        """One thread: hand in messages over its own connections until told to end."""
         connections: dict[str, tuple[socket.socket, Stream]] = {}
         while (due := self.jobs.get()) is not None:
             try:
@@ -185,6 +188,7 @@
             sock.close()
 
     def _settled(self) -> None:
+        """Count a message as settled for its client; set `done` after the last."""
         with self.changed:
             self.open -= 1
             if self.open <= 0:
@@ -192,6 +196,7 @@
                 self.changed.notify_all()
 
     def _hand_in(self, due: Due, connections: dict[str, tuple[socket.socket, Stream]]) -> None:
+        """Make one attempt of a message; schedule a retry where the answer allows one, else settle it."""
         t = self.traffic
         if due.tried == 0:
             self.lateness.append(now() - due.at)
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -111,6 +111,7 @@
         self.seen = LoadResult()
 
     def run(self) -> LoadResult:
+        """Run all threads to the end and return what they saw."""
         threads = [threading.Thread(target=self._work) for _ in range(self.plan.threads)]
         for t in threads:
             t.start()
@@ -119,6 +120,7 @@
         return self.seen
 
     def _work(self) -> None:
+        """One thread: take the next due message, send it, and note how it went."""
         link: tuple[socket.socket, Stream] | None = None
         while True:
             with self.lock:
@@ -163,6 +165,7 @@
         return answer.status, answer.close
 
     def _note(self, due: float, late: float, took: float, status: int) -> None:
+        """Count one message, in seconds, unless it was due in the skipped beginning."""
         if due < self.plan.start + self.plan.skip:
             return
         with self.lock:
@@ -178,6 +181,7 @@
 
 
 def _load(plan: Plan, out: Any) -> None:
+    """A load process: run a plan and put what it saw on the queue `out`."""
     if plan.cores:
         os.sched_setaffinity(0, plan.cores)
     seen = _Sender(plan).run()
@@ -248,6 +252,7 @@
 
 
 def _sink(count: int, pipe: Any, cores: frozenset[int]) -> None:
+    """The sinks' process: serve `count` workers and answer the pipe's resets (a time) and reads (None)."""
     if cores:
         os.sched_setaffinity(0, cores)
     lock = threading.Lock()
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -144,6 +144,7 @@
     # --- calls ---------------------------------------------------------------------------------------------
 
     def _handle(self, number: int, link: Link, request: HttpRequest, began: float) -> bool:
+        """Serve one call of worker `number`: record it, refuse it or serve it; False ends the connection."""
         call = self.recorder.call()
         many = request.path == "/receive-many"
         try:
@@ -194,11 +195,13 @@
         return self._answer(link, call, _Answer(200, "ok", lists_states=call.many))
 
     def _latency(self) -> float:
+        """Draw a service time in seconds: gamma-distributed with the spec's mean and coefficient of variation."""
         s = self.spec
         shape = 1 / max(s.spread, 0.01) ** 2
         return self.random.gammavariate(shape, s.latency / shape)
 
     def _effect(self, name: str, key: str) -> None:
+        """Record a message's effect, unless its key took effect within the repeat window."""
         at = now()
         with self.lock:
             before = self.done.get(key)
--- a/juniperward/fakes/record_index.py
+++ b/juniperward/fakes/record_index.py
@@ -39,6 +39,7 @@
             self._add(record)
 
     def _add(self, record: AnyRecord) -> None:
+        """File one record under the groups that its kind belongs to."""
         match record:
             case Handed():
                 self.handed[record.id] = record
--- a/juniperward/fakes/registry.py
+++ b/juniperward/fakes/registry.py
@@ -68,6 +68,7 @@
             self.changed.notify_all()
 
     def _handle(self, forwarder: str, link: Link, request: HttpRequest) -> bool:
+        """Serve one request of a forwarder: notices by POST /status, the watch by GET /registry/instances."""
         if request.method == "POST" and request.path == "/status":
             return self._notices(forwarder, link, request.body)
         if request.method == "GET" and request.path == "/registry/instances":
@@ -76,6 +77,7 @@
         return link.write(encode_response(404, {}, b"", False))
 
     def _notices(self, forwarder: str, link: Link, body: bytes) -> bool:
+        """Record the notices of a body, one JSON object a line; answer 400 to a body that does not parse."""
         at = now()
         try:
             rows = [json.loads(line) for line in body.splitlines() if line.strip()]
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -25,6 +25,7 @@
         self.began: float | None = None
 
     def _receive(self, size: int) -> bytes:
+        """Read from the socket, noting when the first byte of a call came."""
         data = self.sock.recv(size)
         if data and self.began is None:
             self.began = time.monotonic()
@@ -89,6 +90,7 @@
             sockets.shut(link.sock)
 
     def _accept(self, listener: socket.socket) -> None:
+        """Accept connections until the listener closes; over `most`, close them at once."""
         while True:
             try:
                 sock, _ = listener.accept()
@@ -107,6 +109,7 @@
             threading.Thread(target=self._serve, args=(link,), daemon=True).start()
 
     def _serve(self, link: Link) -> None:
+        """Serve one connection's calls until it ends or the handler says so."""
         try:
             while True:
                 request, began = link.call()
