--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -20,7 +20,7 @@
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.checker import Bounds
-from juniperward.fakes.clients import Clients, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.simulation.experiment import one
 from juniperward.simulation.scenario import FOLDER, Scenario, Trouble, load
@@ -117,10 +117,17 @@
                 threading.Thread(target=_trouble, args=(cluster, trouble, began), daemon=True).start()
             clients.done.wait(s.seconds + 2 * t.deadline)
             time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
-            v = cluster.verdict(Bounds(aim=t.aim, deadline=t.deadline, late_worth=t.late_worth))
+            v = cluster.verdict(
+                Bounds(latency_objective_s=t.aim, deadline=t.deadline, late_weight=t.late_worth)
+            )
             late = sorted(clients.lateness)
             fallen = sum(p.fallen for p in cluster.partners.values())
-            return v.worth, late[int(0.99 * len(late))] if late else 0.0, len(v.violations), fallen
+            return (
+                v.priority_weight_delivered,
+                late[int(0.99 * len(late))] if late else 0.0,
+                len(v.violations),
+                fallen,
+            )
 
 
 def _clients(cluster: LocalCluster, s: Scenario, seed: int) -> Clients:
@@ -130,7 +137,7 @@
         weights += [(len(weights) + 1 + n, g.share / g.count) for n in range(g.count)]
     t = s.traffic
     traffic = Traffic(t.rate, tuple(weights), ACCOUNTS, deadline=t.deadline, tries=2 if t.again else 1)
-    clients = Clients(traffic, cluster.front, cluster.recorder, seed, 64)
+    clients = Clients(traffic, cluster.front, cluster.recorder, seed, ClientOptions(threads=64))
     clients.start(s.seconds)
     return clients
 
@@ -138,10 +145,10 @@
 def _trouble(cluster: LocalCluster, t: Trouble, began: float) -> None:
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
-        cluster.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
+        cluster.partners[p].inject_fault(MODES[t.kind], t.seconds, t.size)
     time.sleep(t.seconds)
     for p in t.partner:
-        cluster.partners[p].trouble("well")
+        cluster.partners[p].inject_fault("well")
 
 
 def _both(name: str, policy: str, seed: int) -> tuple[str, str, float, float, float, int, str]:
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -37,6 +37,24 @@
     backoff: float = 0.5
 
 
+@dataclass(frozen=True, slots=True)
+class ClientOptions:
+    """How the clients run: `threads` that hand messages in, and `id_prefix` that begins every message's id."""
+
+    threads: int = 48
+    id_prefix: str = "c"
+
+
+@dataclass(frozen=True, slots=True)
+class _Attempt:
+    """One attempt to hand a message in: its id, the forwarder it goes to, and its times in seconds."""
+
+    name: str
+    forwarder: str
+    time_left_s: float  # sent as X-Time-Left
+    expires: float  # the message's deadline on the shared monotonic clock
+
+
 @dataclass(order=True)
 class Due:
     """A message to be handed in."""
@@ -72,6 +90,7 @@
         return choice[self.turn % len(choice)]
 
     def _look(self) -> None:
+        """Poll the ready pages until closed."""
         while not self.closed:
             self.up = tuple(n for n, address in self.forwarders.items() if ready(address))
             time.sleep(self.every)
@@ -97,13 +116,12 @@
         front: Front,
         recorder: Recorder,
         seed: int,
-        threads: int = 48,
-        name: str = "c",
+        options: ClientOptions = ClientOptions(),
     ) -> None:
-        """Draw messages from a seed; `name` begins their ids."""
+        """Draw messages from a seed; `options.id_prefix` begins their ids."""
         self.traffic, self.front, self.recorder = traffic, front, recorder
-        self.random, self.name = random.Random(seed), name
-        self.threads = threads
+        self.random, self.name = random.Random(seed), options.id_prefix
+        self.threads = options.threads
         self.jobs: queue.SimpleQueue[Due | None] = queue.SimpleQueue()
         self.heap: list[Due] = []
         self.changed = threading.Condition()
@@ -140,6 +158,7 @@
             threading.Thread(target=self._work, daemon=True).start()
 
     def _schedule(self) -> None:
+        """Hand each message to the threads when it is due; then tell every thread to end."""
         while True:
             with self.changed:
                 if not self.heap:
@@ -157,24 +176,27 @@
             self.jobs.put(None)
 
     def _work(self) -> None:
-        kept: dict[str, tuple[socket.socket, Stream]] = {}
+        """One thread: hand in messages over its own connections until told to end."""
+        connections: dict[str, tuple[socket.socket, Stream]] = {}
         while (due := self.jobs.get()) is not None:
             try:
-                self._hand_in(due, kept)
+                self._hand_in(due, connections)
             except Exception:
                 self._settled()
                 raise
-        for sock, _ in kept.values():
+        for sock, _ in connections.values():
             sock.close()
 
     def _settled(self) -> None:
+        """Count a message as settled for its client; set `done` after the last."""
         with self.changed:
             self.open -= 1
             if self.open <= 0:
                 self.done.set()
                 self.changed.notify_all()
 
-    def _hand_in(self, due: Due, kept: dict[str, tuple[socket.socket, Stream]]) -> None:
+    def _hand_in(self, due: Due, connections: dict[str, tuple[socket.socket, Stream]]) -> None:
+        """Make one attempt of a message; schedule a retry where the answer allows one, else settle it."""
         t = self.traffic
         if due.tried == 0:
             self.lateness.append(now() - due.at)
@@ -187,7 +209,7 @@
             left = expires - now()
             if left <= 0.05:
                 break
-            link = self._connect(forwarder, kept)
+            link = self._connect(forwarder, connections)
             if link is None:
                 # Nobody was there: the front takes another at once, and that is no try of the client's.
                 refused |= {forwarder}
@@ -196,7 +218,7 @@
                     refused = frozenset()
                     time.sleep(0.05)
                 continue
-            status, again = self._ask(link, forwarder, due, name, left, expires, kept)
+            status, again = self._post(link, due, _Attempt(name, forwarder, left, expires), connections)
             if status in (200, 202):
                 break
             if due.tried >= t.tries or status == 400:
@@ -210,14 +232,14 @@
         self._settled()
 
     def _connect(
-        self, forwarder: str, kept: dict[str, tuple[socket.socket, Stream]]
+        self, forwarder: str, connections: dict[str, tuple[socket.socket, Stream]]
     ) -> tuple[socket.socket, Stream] | None:
-        link = kept.get(forwarder)
+        link = connections.get(forwarder)
         if link is not None:
             if sockets.quiet(link[0]):
                 return link
             link[0].close()
-            del kept[forwarder]
+            del connections[forwarder]
         # Time limits are the kernel's: with one of Python's own, a look without waiting waits for all of it.
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -225,14 +247,16 @@
         except OSError:
             sock.close()
             return None
-        kept[forwarder] = (sock, Stream(sock.recv))
-        return kept[forwarder]
+        connections[forwarder] = (sock, Stream(sock.recv))
+        return connections[forwarder]
 
-    def _ask(
-        self, link: tuple[socket.socket, Stream], forwarder: str, due: Due, name: str, left: float,
-        expires: float, kept: dict[str, tuple[socket.socket, Stream]],
+    def _post(
+        self, link: tuple[socket.socket, Stream], due: Due, attempt: _Attempt,
+        connections: dict[str, tuple[socket.socket, Stream]],
     ) -> tuple[int, float]:  # fmt: skip
+        """Post one attempt and record it; return the status (0: no answer) and the Retry-After in seconds."""
         t, (sock, stream) = self.traffic, link
+        name, forwarder, left, expires = attempt.name, attempt.forwarder, attempt.time_left_s, attempt.expires
         headers = {
             "X-Correlation-Id": name, "X-Service-Class": t.cls, "X-Account": due.account,
             "X-Time-Left": f"{left:.3f}", "X-Addressing": f"dest={due.destination}", "Idempotency-Key": due.key,
@@ -254,6 +278,6 @@
             pass
         if close:
             sock.close()
-            kept.pop(forwarder, None)
+            connections.pop(forwarder, None)
         self.recorder.add(Heard(now(), name, status, again))
         return status, again
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -56,7 +56,7 @@
     threads: int = 16
     cls: str = "booking-update"
     account: str = "valiya-cluster"
-    life: float = 20.0
+    time_left_s: float = 20.0  # sent as each message's X-Time-Left
     cores: frozenset[int] = frozenset()
 
 
@@ -111,6 +111,7 @@
         self.seen = LoadResult()
 
     def run(self) -> LoadResult:
+        """Run all threads to the end and return what they saw."""
         threads = [threading.Thread(target=self._work) for _ in range(self.plan.threads)]
         for t in threads:
             t.start()
@@ -119,6 +120,7 @@
         return self.seen
 
     def _work(self) -> None:
+        """One thread: take the next due message, send it, and note how it went."""
         link: tuple[socket.socket, Stream] | None = None
         while True:
             with self.lock:
@@ -137,7 +139,7 @@
                     sockets.connect(*self.plan.address, ANSWER, sock)
                     sockets.limit(sock, socket.SO_RCVTIMEO, ANSWER)
                     link = sock, Stream(sock.recv)
-                status, close = self._ask(link, due, number, destination)
+                status, close = self._post(link, due, number, destination)
                 if close:
                     link[0].close()
                     link = None
@@ -149,20 +151,21 @@
         if link is not None:
             link[0].close()
 
-    def _ask(
+    def _post(
         self, link: tuple[socket.socket, Stream], due: float, number: int, destination: int
     ) -> tuple[int, bool]:
         p = self.plan
         name = identify(due, p.name, number)
         headers = {
             "X-Correlation-Id": name, "X-Service-Class": p.cls, "X-Account": p.account,
-            "X-Time-Left": f"{p.life:.3f}", "X-Addressing": f"dest={destination}", "Idempotency-Key": name,
+            "X-Time-Left": f"{p.time_left_s:.3f}", "X-Addressing": f"dest={destination}", "Idempotency-Key": name,
         }  # fmt: skip
         link[0].sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
         answer = read_response(link[1])
         return answer.status, answer.close
 
     def _note(self, due: float, late: float, took: float, status: int) -> None:
+        """Count one message, in seconds, unless it was due in the skipped beginning."""
         if due < self.plan.start + self.plan.skip:
             return
         with self.lock:
@@ -178,6 +181,7 @@
 
 
 def _load(plan: Plan, out: Any) -> None:
+    """A load process: run a plan and put what it saw on the queue `out`."""
     if plan.cores:
         os.sched_setaffinity(0, plan.cores)
     seen = _Sender(plan).run()
@@ -185,11 +189,12 @@
 
 
 class LoadDiedError(RuntimeError):
-    """A process of the load has ended before its time."""
+    """A process of the load has ended before its time; `plan` is its plan's name, `exit_code` its exit code."""
 
-    def __init__(self) -> None:
-        """Say so."""
-        super().__init__("a process of the load has died")
+    def __init__(self, plan: str, exit_code: int) -> None:
+        """Name the process that died and how it ended."""
+        super().__init__(f"a process of the load has died: plan {plan}, exit code {exit_code}")
+        self.plan, self.exit_code = plan, exit_code
 
 
 def play(plans: list[Plan]) -> LoadResult:
@@ -206,8 +211,14 @@
                 total.add(out.get(timeout=1.0))
                 break
             except queue.Empty:
-                if any(p.exitcode for p in processes):
-                    raise LoadDiedError from None
+                died = [
+                    (plan, process.exitcode)
+                    for plan, process in zip(plans, processes, strict=True)
+                    if process.exitcode
+                ]
+                if died:
+                    plan, exit_code = died[0]
+                    raise LoadDiedError(plan.name, exit_code or 0) from None
     for process in processes:
         process.join()
     return total
@@ -241,14 +252,15 @@
 
 
 def _sink(count: int, pipe: Any, cores: frozenset[int]) -> None:
+    """The sinks' process: serve `count` workers and answer the pipe's resets (a time) and reads (None)."""
     if cores:
         os.sched_setaffinity(0, cores)
     lock = threading.Lock()
     state = {"ages": histogram(), "since": 0.0}
     good = encode_response(200, {}, b"", False)
 
-    def handle(link: Link, asked: HttpRequest, _began: float) -> bool:
-        due = int(asked.headers["x-correlation-id"].partition("-")[0]) / 1e6
+    def handle(link: Link, request: HttpRequest, _began: float) -> bool:
+        due = int(request.headers["x-correlation-id"].partition("-")[0]) / 1e6
         with lock:
             if due >= state["since"]:
                 record(state["ages"], now() - due)
@@ -260,12 +272,12 @@
     pipe.send([d.address for d in doors])
     while True:
         try:
-            told = pipe.recv()
+            order = pipe.recv()
         except EOFError:
             return
         with lock:
-            if told is None:
+            if order is None:
                 pipe.send(state["ages"].encode())
             else:
-                state.update(ages=histogram(), since=told)
+                state.update(ages=histogram(), since=order)
                 pipe.send(True)
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -1,4 +1,4 @@
-"""Stand-ins of partners: their workers on loopback, with limits, waits, a repeat window, outages, a cold return.
+"""Stand-ins of partners: their workers on loopback, with limits, waits, a repeat window, outages, a recovery ramp.
 
 A partner's rules follow the protocol page: a rate in spans of a second (429 with a wait, or 503 without),
 a queue, a repeat of a key within the window answered as delivered without a second effect, few connections,
@@ -26,6 +26,28 @@
 )  # pushed so many times its present capacity for so many seconds, it falls over
 
 
+@dataclass(frozen=True, slots=True)
+class _Call:
+    """A call that a worker is serving: its record number, its messages' ids and keys, and whether it is a batch."""
+
+    number: int
+    rows: list[tuple[str, str]]
+    many: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _Answer:
+    """What a worker answers: an HTTP status, every message's state, the Retry-After in seconds (0: none).
+
+    `lists_states` writes the states in the body, as a batch that was served answers.
+    """
+
+    status: int
+    state: str
+    wait_s: float = 0.0
+    lists_states: bool = False
+
+
 @dataclass(frozen=True, slots=True)
 class PartnerSpec:
     """What a partner is; times in seconds, rates in calls a second."""
@@ -42,8 +64,8 @@
     batch: int = 1
     window: float = 12.0  # a repeat within it takes no second effect
     connections: int = 1000  # each worker holds
-    cold: float = 0.18  # part of its capacity after an outage
-    warm: float = 10.0  # seconds until all of it is back
+    warm_up_start_share: float = 0.18  # part of its capacity right after an outage
+    warm_up_s: float = 10.0  # seconds until all of it is back
 
     @property
     def capacity(self) -> float:
@@ -60,7 +82,7 @@
         self.random = random.Random(seed)
         self.lock = threading.Lock()
         self.doors = [
-            Serving(lambda link, asked, began, n=n: self._handle(n, link, asked, began), spec.connections)  # type: ignore[misc]
+            Serving(lambda link, request, began, n=n: self._handle(n, link, request, began), spec.connections)  # type: ignore[misc]
             for n in range(spec.workers)
         ]
         self.busy = [0] * spec.workers
@@ -96,7 +118,7 @@
         for door in self.doors:
             door.stop()
 
-    def trouble(self, mode: str, seconds: float = 0.0, share: float = 1.0) -> None:
+    def inject_fault(self, mode: str, seconds: float = 0.0, share: float = 1.0) -> None:
         """Go into an outage: shut (refuses all), failing (a share of the calls), down or silent; or `well`."""
         with self.lock:
             before, self.mode, self.fail_share = self.mode, mode, share
@@ -115,27 +137,30 @@
             return 0.0
         if self.back_at is None:
             return self.spec.capacity
-        warm = min((now() - self.back_at) / self.spec.warm, 1.0)
-        return self.spec.capacity * (self.spec.cold + (1 - self.spec.cold) * warm)
+        spec = self.spec
+        warmed = min((now() - self.back_at) / spec.warm_up_s, 1.0)
+        return spec.capacity * (spec.warm_up_start_share + (1 - spec.warm_up_start_share) * warmed)
 
     # --- calls ---------------------------------------------------------------------------------------------
 
-    def _handle(self, number: int, link: Link, asked: HttpRequest, began: float) -> bool:
+    def _handle(self, number: int, link: Link, request: HttpRequest, began: float) -> bool:
+        """Serve one call of worker `number`: record it, refuse it or serve it; False ends the connection."""
         call = self.recorder.call()
-        many = asked.path == "/receive-many"
+        many = request.path == "/receive-many"
         try:
             if many:
-                rows = [(str(r["id"]), str(r.get("key", r["id"]))) for r in json.loads(asked.body)]
+                rows = [(str(r["id"]), str(r.get("key", r["id"]))) for r in json.loads(request.body)]
             else:
-                name = asked.headers["x-correlation-id"]
-                rows = [(name, asked.headers.get("idempotency-key", name))]
+                name = request.headers["x-correlation-id"]
+                rows = [(name, request.headers.get("idempotency-key", name))]
         except (ValueError, KeyError, TypeError):
             return link.write(encode_response(400, {}, b"", False))
         ids, keys = tuple(r[0] for r in rows), tuple(r[1] for r in rows)
         s = self.spec
         self.recorder.add(Called(now(), call, self.worker(number), s.destination, ids, keys, began))
+        served = _Call(call, rows, many)
         if many and len(rows) > s.batch:
-            return self._answer(link, call, 413, "later", rows)
+            return self._answer(link, served, _Answer(413, "later"))
         with self.lock:
             refused = self._refused(number)
             if refused is None:
@@ -144,39 +169,39 @@
                 chance, latency = self.random.random(), self._latency()
         if refused is not None:
             status, wait = refused
-            return self._answer(link, call, status, "later", rows, wait)
+            return self._answer(link, served, _Answer(status, "later", wait))
         try:
-            return self._work(link, call, rows, many, busy, chance, latency)
+            return self._work(link, served, busy, chance, latency)
         finally:
             with self.lock:
                 self.busy[number] -= 1
 
-    def _work(
-        self, link: Link, call: int, rows: list[tuple[str, str]], many: bool, busy: int,
-        chance: float, latency: float,
-    ) -> bool:  # fmt: skip
+    def _work(self, link: Link, call: _Call, busy: int, chance: float, latency: float) -> bool:
+        """Serve a call that was let in: fail it, hang it, or take effect and answer 200."""
         s = self.spec
         if self.mode == "failing" and chance < self.fail_share:
             time.sleep(0.01)
-            return self._answer(link, call, 500, "error", rows)
+            return self._answer(link, call, _Answer(500, "error"))
         behind = max(busy - s.at_once, 0) / s.at_once  # what waits ahead of it, in calls' times
         time.sleep(latency * (1 + behind) * min(s.capacity / max(self.present(), 0.01), 20.0))
         if self.mode in ("silent", "down"):
             until = now() + 30.0
             while self.mode == "silent" and not link.gone() and now() < until:
                 time.sleep(0.02)
-            self.recorder.add(Hung(now(), call))
+            self.recorder.add(Hung(now(), call.number))
             return False
-        for name, key in rows:
+        for name, key in call.rows:
             self._effect(name, key)
-        return self._answer(link, call, 200, "ok", rows, many=many)
+        return self._answer(link, call, _Answer(200, "ok", lists_states=call.many))
 
     def _latency(self) -> float:
+        """Draw a service time in seconds: gamma-distributed with the spec's mean and coefficient of variation."""
         s = self.spec
         shape = 1 / max(s.spread, 0.01) ** 2
         return self.random.gammavariate(shape, s.latency / shape)
 
     def _effect(self, name: str, key: str) -> None:
+        """Record a message's effect, unless its key took effect within the repeat window."""
         at = now()
         with self.lock:
             before = self.done.get(key)
@@ -191,8 +216,8 @@
         while self.pushes and at - self.pushes[0] > FALL_SPAN:
             self.pushes.popleft()
         self.pushes.append(at)
-        cold = self.back_at is not None and at - self.back_at < s.warm
-        if cold and len(self.pushes) > FALL_TIMES * self.present() * FALL_SPAN + 10:
+        warming_up = self.back_at is not None and at - self.back_at < s.warm_up_s
+        if warming_up and len(self.pushes) > FALL_TIMES * self.present() * FALL_SPAN + 10:
             self.fallen = True
         if self.fallen:
             return 503, 0.0
@@ -210,18 +235,17 @@
             self.span.append(at)
         return None
 
-    def _answer(
-        self, link: Link, call: int, status: int, state: str, rows: list[tuple[str, str]], wait: float = 0.0,
-        many: bool = False,
-    ) -> bool:  # fmt: skip
+    def _answer(self, link: Link, call: _Call, answer: _Answer) -> bool:
+        """Write an answer and record it, or record the call as hung where it could not be written."""
+        wait = answer.wait_s
         headers = {"Retry-After": f"{wait:.3f}"} if wait > 0 else {}
         body = b""
-        if many:
-            body = json.dumps([{"id": name, "state": state} for name, _ in rows]).encode()
+        if answer.lists_states:
+            body = json.dumps([{"id": name, "state": answer.state} for name, _ in call.rows]).encode()
         at = now()
-        written = not link.gone() and link.write(encode_response(status, headers, body, False))
+        written = not link.gone() and link.write(encode_response(answer.status, headers, body, False))
         if written:
-            self.recorder.add(Replied(at, call, (state,) * len(rows), round(wait, 3)))
+            self.recorder.add(Replied(at, call.number, (answer.state,) * len(call.rows), round(wait, 3)))
         else:
-            self.recorder.add(Hung(now(), call))
+            self.recorder.add(Hung(now(), call.number))
         return written
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -83,22 +83,22 @@
     forwarder: str
 
 
-class Told(Record, frozen=True, tag=True):
-    """The registry has written to a forwarder what a worker is."""
+class WatchEventSent(Record, frozen=True, tag="Told"):
+    """The registry has written to a forwarder what a worker is; its tag on disk is the recorded `Told`."""
 
     forwarder: str
     worker: str
     state: str  # Ready, Terminating or Gone
 
 
-class Life(Record, frozen=True, tag=True):
-    """A forwarder's process began, or was told or made to end."""
+class ProcessEvent(Record, frozen=True, tag="Life"):
+    """A forwarder's process began, or was told or made to end; its tag on disk is the recorded `Life`."""
 
     forwarder: str
     what: str  # start, term, kill or exit
 
 
-AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | Told | Life
+AnyRecord = Handed | Heard | Called | Replied | Hung | Effect | Noticed | WatchEventSent | ProcessEvent
 
 
 class Recorder:
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -25,6 +25,7 @@
         self.began: float | None = None
 
     def _receive(self, size: int) -> bytes:
+        """Read from the socket, noting when the first byte of a call came."""
         data = self.sock.recv(size)
         if data and self.began is None:
             self.began = time.monotonic()
@@ -33,9 +34,9 @@
     def call(self) -> tuple[HttpRequest, float]:
         """The next call and when its first byte came."""
         self.began = time.monotonic() if self.stream.buffer else None
-        asked = read_request(self.stream)
+        request = read_request(self.stream)
         assert self.began is not None
-        return asked, self.began
+        return request, self.began
 
     def write(self, data: bytes) -> bool:
         """Whether all of it could be written."""
@@ -89,6 +90,7 @@
             sockets.shut(link.sock)
 
     def _accept(self, listener: socket.socket) -> None:
+        """Accept connections until the listener closes; over `most`, close them at once."""
         while True:
             try:
                 sock, _ = listener.accept()
@@ -107,10 +109,11 @@
             threading.Thread(target=self._serve, args=(link,), daemon=True).start()
 
     def _serve(self, link: Link) -> None:
+        """Serve one connection's calls until it ends or the handler says so."""
         try:
             while True:
-                asked, began = link.call()
-                if not self.handle(link, asked, began) or asked.close:
+                request, began = link.call()
+                if not self.handle(link, request, began) or request.close:
                     return
         except (ConnectionClosedError, IncompleteMessageError, MalformedMessageError, OSError):
             pass
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -15,11 +15,11 @@
     Handed,
     Heard,
     Hung,
-    Life,
     Noticed,
+    ProcessEvent,
     Recorder,
     Replied,
-    Told,
+    WatchEventSent,
     read,
 )
 
@@ -39,8 +39,8 @@
     """A good run: deliveries, a refusal handed in again, a wait, a notice, a restart, a drain."""
     records = [r for n in range(5) for r in message(f"m{n}", 10.0 + n, n + 1, 1 + n % 2, f"n{n % 2}")]
     records += [
-        Told(1.0, "n0", "s-1-0", "Ready"), Told(1.0, "n1", "s-1-0", "Ready"),
-        Told(20.0, "n0", "s-1-0", "Terminating"),
+        WatchEventSent(1.0, "n0", "s-1-0", "Ready"), WatchEventSent(1.0, "n1", "s-1-0", "Ready"),
+        WatchEventSent(20.0, "n0", "s-1-0", "Terminating"),
         Handed(30.0, "x", "x", "kx", "c", "acme", 2, "n0", 30.0, 50.0), Heard(30.01, "x", 503, 1.0),
         Handed(31.0, "x-2", "x", "kx", "c", "acme", 2, "n1", 30.0, 50.0), Heard(31.01, "x-2", 202),
         Called(31.02, 20, "s-2-0", 2, ("x-2",), ("kx",), 31.02), Replied(31.03, 20, ("later",), 2.0),
@@ -49,7 +49,8 @@
         Replied(34.3, 22, ("ok",)),
         Handed(40.0, "y", "y", "ky", "c", "acme", 2, "n1", 40.0, 60.0), Heard(40.01, "y", 202),
         Noticed(59.9, "y", "undeliverable", "n1"),
-        Life(5.0, "n0", "start"), Life(5.0, "n1", "start"), Life(100.0, "n1", "exit"), Life(101.0, "n1", "start"),
+        ProcessEvent(5.0, "n0", "start"), ProcessEvent(5.0, "n1", "start"),
+        ProcessEvent(100.0, "n1", "exit"), ProcessEvent(101.0, "n1", "start"),
     ]  # fmt: skip
     return records
 
@@ -58,8 +59,10 @@
     def test_a_good_run_is_good(self) -> None:
         v = check(run())
         self.assertEqual(v.lines(), ["every rule held"])
-        self.assertEqual((v.asked, v.handed, v.taken, v.delivered, v.noticed, v.refused), (7, 8, 7, 6, 1, 1))
-        self.assertAlmostEqual(v.worth, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
+        self.assertEqual(
+            (v.offered, v.handed, v.taken, v.delivered, v.noticed, v.refused), (7, 8, 7, 6, 1, 1)
+        )
+        self.assertAlmostEqual(v.priority_weight_delivered, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
         self.assertTrue(check([]).good)
 
     def plant(self, rule: str, what: str, change: Callable[[list[AnyRecord]], list[AnyRecord]]) -> Verdict:
@@ -79,7 +82,7 @@
         self.plant("one end", "y", lambda rs: [*(r for r in rs if not isinstance(r, Noticed)), late])
 
     def test_a_late_end_after_a_restart_has_its_slack(self) -> None:
-        away: list[AnyRecord] = [Life(59.0, "n1", "kill"), Life(61.0, "n1", "start")]
+        away: list[AnyRecord] = [ProcessEvent(59.0, "n1", "kill"), ProcessEvent(61.0, "n1", "start")]
         records = [r for r in run() if not isinstance(r, Noticed)] + away
         self.assertTrue(check([*records, Noticed(62.5, "y", "undeliverable", "n1")]).good)
         self.assertFalse(check([*records, Noticed(63.0, "y", "undeliverable", "n1")]).good)
@@ -99,7 +102,8 @@
 
     def test_a_notice_that_crossed_a_restart_is_allowed(self) -> None:
         crossed: list[AnyRecord] = [
-            Life(12.0, "n1", "kill"), Life(12.5, "n1", "start"), Noticed(25.0, "m1", "undeliverable", "n1")
+            ProcessEvent(12.0, "n1", "kill"), ProcessEvent(12.5, "n1", "start"),
+            Noticed(25.0, "m1", "undeliverable", "n1"),
         ]  # fmt: skip
         self.assertTrue(check([*run(), *crossed]).good)
 
@@ -119,16 +123,16 @@
 
         self.assertTrue(check(late(0.24)).good)
         self.plant("drain", "s-1-0", lambda _: late(0.26))
-        # Told again that it drains, it is not given another quarter of a second.
-        self.plant("drain", "s-1-0", lambda _: [*late(5.0), Told(24.9, "n0", "s-1-0", "Gone")])
-        self.assertTrue(check([*late(5.0), Told(24.0, "n0", "s-1-0", "Ready")]).good)
+        # Notified again that it drains, it is not given another quarter of a second.
+        self.plant("drain", "s-1-0", lambda _: [*late(5.0), WatchEventSent(24.9, "n0", "s-1-0", "Gone")])
+        self.assertTrue(check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).good)
 
     def test_a_call_within_a_wait_is_seen(self) -> None:
         early = Called(32.5, 92, "s-2-1", 2, ("x-2",), ("kx",), 32.5)
         self.plant("wait", "destination 2", lambda rs: [*rs, early])
         under_way = Called(31.1, 92, "s-2-1", 2, ("x-2",), ("kx",), 31.1)
         self.assertNotIn("wait", [v.rule for v in check([*run(), under_way]).violations])
-        restart: list[AnyRecord] = [Life(32.0, "n1", "kill"), Life(32.3, "n1", "start")]
+        restart: list[AnyRecord] = [ProcessEvent(32.0, "n1", "kill"), ProcessEvent(32.3, "n1", "start")]
         self.assertNotIn("wait", [v.rule for v in check([*run(), *restart, early]).violations])
 
     def test_strangers_are_seen(self) -> None:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -11,7 +11,7 @@
 
 from juniperward.benchmarks.cold import cold, play_all
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
-from juniperward.fakes.clients import Clients, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.fakes.records import Called, Handed, Record
 from juniperward.scheduler import DeliveryScheduler
@@ -161,18 +161,18 @@
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Instances"] = self.FORWARDERS
         cluster.base["settings"]["Invariants"] |= {
-            "ColdShare": self.SPEC.cold,
-            "WarmWithinMs": self.SPEC.warm * 1e3,
+            "ColdShare": self.SPEC.warm_up_start_share,
+            "WarmWithinMs": self.SPEC.warm_up_s * 1e3,
         }
         cluster.start()
         partner = cluster.partners[1]
         traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=8.0)
-        clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, 48)
+        clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, ClientOptions(threads=48))
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
-        partner.trouble(mode)
+        partner.inject_fault(mode)
         time.sleep(5.0)
-        partner.trouble("well")
+        partner.inject_fault("well")
         assert partner.back_at is not None
         self.assertTrue(clients.done.wait(40.0))
         cluster.settle(40.0)
@@ -183,7 +183,7 @@
         self.assertEqual(len(senders), self.FORWARDERS)
         calls = calls_since(records, partner.back_at)
         self.assertGreater(len(calls), 20)
-        budget = ColdBudget(self.SPEC.capacity, self.SPEC.cold, self.SPEC.warm, 2.0, 3.0)
+        budget = ColdBudget(self.SPEC.capacity, self.SPEC.warm_up_start_share, self.SPEC.warm_up_s, 2.0, 3.0)
         self.assertEqual(list(overfull(calls, partner.back_at, budget)), [])
         self.assertFalse(partner.fallen)
 
