--- a/juniperward/cli/dead_letter_rules.py
+++ b/juniperward/cli/dead_letter_rules.py
@@ -20,7 +20,7 @@
 )
 from juniperward.settings.load import SettingsError, load
 
-app = typer.Typer(help="Rules of resends.", no_args_is_help=True)
+app = typer.Typer(help="Rules of redrives.", no_args_is_help=True)
 
 
 @app.command("check")
--- a/juniperward/cli/dead_letters.py
+++ b/juniperward/cli/dead_letters.py
@@ -62,7 +62,7 @@
     agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0,
     body: Annotated[bool, typer.Option("--body", help="Show the body too; that is written down.")] = False,
 ) -> None:  # fmt: skip
-    """Show all about a message: its attempts, resends and audit trail. Not its body, unless asked for."""
+    """Show all about a message: its attempts, redrives and audit trail. Not its body, unless asked for."""
     found = call(agent, timeout, "show", id=id, body=body)
     if output is Output.JSON:
         print_json(found)
@@ -83,10 +83,14 @@
 
 
 def _bulk(
-    action: str, told: str, ids: list[str] | None, chosen: dict[str, Any] | None, agent: list[Path] | None,
+    action: str, count_key: str, ids: list[str] | None, chosen: dict[str, Any] | None, agent: list[Path] | None,
     timeout: float, dry_run: bool, output: Output, **options: Any,
 ) -> None:  # fmt: skip
-    """Give an order for many, in parts: what was done when it is interrupted stays done."""
+    """Give an order for many, in parts: what was done when it is interrupted stays done.
+
+    `action` is the control channel's verb; `count_key` is the key of the agent's answer that counts what was
+    done (an outside name, printed as it is). Exits through typer with USAGE or REFUSED where no messages fit.
+    """
     rows = _messages(ids, chosen, agent, timeout)
     if dry_run:
         print_messages(rows, output)
@@ -96,12 +100,12 @@
         task = progress.add_task(action, total=len(rows))
         for first in range(0, len(rows), PAGE_SIZE):
             part = [row["id"] for row in rows[first : first + PAGE_SIZE]]
-            done += call(agent, timeout, action, ids=part, **options)[told]
+            done += call(agent, timeout, action, ids=part, **options)[count_key]
             progress.advance(task, len(part))
     if output is Output.JSON:
-        print_json({told: done, "of": len(rows)})
+        print_json({count_key: done, "of": len(rows)})
     else:
-        console.print(f"{told}: {done} of {len(rows)}")
+        console.print(f"{count_key}: {done} of {len(rows)}")
 
 
 def _messages(
@@ -134,8 +138,8 @@
 DryOption = Annotated[bool, typer.Option("--dry-run", help="Only say what would go, and why or why not.")]
 
 
-@app.command()
-def resend(
+@app.command("redrive")
+def redrive(
     ids: IdsArgument = None, agent: AgentOption = None, output: OutputOption = Output.TABLE,
     timeout: TimeOption = 5.0, destination: DestinationOption = None, cls: ClassOption = None,
     account: AccountOption = None, since: SinceOption = None, all_: AllOption = False, dry_run: DryOption = False,
@@ -148,6 +152,10 @@
     _bulk("resend", "asked", ids, chosen, agent, timeout, dry_run, output, partner_sure=partner_sure)
 
 
+# The name of before, read for one release.
+app.command("resend", hidden=True, deprecated=True)(redrive)
+
+
 @app.command()
 def discard(
     ids: IdsArgument = None, agent: AgentOption = None, output: OutputOption = Output.TABLE,
@@ -166,7 +174,7 @@
     output: OutputOption = Output.TABLE,
     timeout: TimeOption = 5.0,
 ) -> None:
-    """Take back a discard, or a resend that has not begun."""
+    """Take back a discard, or a redrive that has not begun."""
     _bulk("undo", "undone", ids, None, agent, timeout, False, output)
 
 
@@ -184,7 +192,7 @@
 
 @app.command()
 def stats(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
-    """Counts, the pace to each destination, and what keeps resends from going on."""
+    """Counts, the pace to each destination, and what keeps redrives from going on."""
     found = call(agent, timeout, "stats")
     if output is Output.JSON:
         print_json(found)
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -10,7 +10,7 @@
 from rich.live import Live
 
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, InstanceReply, ask, ask_all
-from juniperward.cli.fleet_tables import show_instance, status_table, told_json
+from juniperward.cli.fleet_tables import replies_json, show_instance, status_table
 from juniperward.cli.owners import owner, owners
 from juniperward.cli.roll import restart, roll
 from juniperward.cli.shared import (
@@ -36,17 +36,17 @@
 @app.command()
 def status(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 2.0) -> None:
     """Show every instance of every agent. Exit code 3 if an agent does not answer."""
-    told = ask_all(sockets_of(agent), "status", patience=timeout)
+    replies = ask_all(sockets_of(agent), "status", patience=timeout)
     if output is Output.JSON:
-        print_json(told_json(told))
+        print_json(replies_json(replies))
     else:
-        console.print(status_table(told))
-        for reply in told:
+        console.print(status_table(replies))
+        for reply in replies:
             latest = reply.body.get("roll")
             if latest is not None and not latest["over"]:
                 text = f"roll {latest['id']} is {latest['mode']}: {latest['why'] or 'under way'}"
                 console.print(text, markup=False)
-    raise typer.Exit(code_of(told))
+    raise typer.Exit(code_of(replies))
 
 
 @app.command()
@@ -72,21 +72,21 @@
 ) -> None:
     """Give an order to the agents that have these instances."""
     paths = sockets_of(agent)
-    told = []
+    replies = []
     for path, mine in owners(paths, names or [], timeout):
         try:
-            told.append(InstanceReply(path, ask(path, verb, mine, timeout)))
+            replies.append(InstanceReply(path, ask(path, verb, mine, timeout)))
         except AgentUnreachableError as error:
-            told.append(InstanceReply(path, error=str(error), silent=True))
+            replies.append(InstanceReply(path, error=str(error), silent=True))
         except AgentRejectedError as error:
-            told.append(InstanceReply(path, error=str(error)))
+            replies.append(InstanceReply(path, error=str(error)))
     if output is Output.JSON:
-        print_json(told_json(told))
+        print_json(replies_json(replies))
     else:
-        for reply in told:
+        for reply in replies:
             text = reply.error or f"{verb}: {', '.join(reply.body.get('instances', []))}"
             console.print(f"{short(reply.agent)}: {text}", markup=False, highlight=False)
-    raise typer.Exit(code_of(told))
+    raise typer.Exit(code_of(replies))
 
 
 def _add(verb: str, text: str) -> None:
@@ -157,35 +157,35 @@
     since: Annotated[int, typer.Option(help="Only those after this number.")] = 0,
 ) -> None:
     """Print what the agents did and saw, the oldest first."""
-    told = ask_all(sockets_of(agent), "events", None, timeout, since=since)
+    replies = ask_all(sockets_of(agent), "events", None, timeout, since=since)
     if output is Output.JSON:
-        print_json(told_json(told))
+        print_json(replies_json(replies))
     else:
-        rows = [(e, short(reply.agent)) for reply in told for e in reply.body.get("events", [])]
+        rows = [(e, short(reply.agent)) for reply in replies for e in reply.body.get("events", [])]
         for e, name in sorted(rows, key=lambda x: x[0]["at"]):
             clock = time.strftime("%H:%M:%S", time.localtime(e["at"])) + f"{e['at'] % 1:.3f}"[1:]
             more = " ".join(f"{k}={v}" for k, v in e.items() if k not in ("seq", "at", "event", "level"))
             console.print(
                 f"{clock} {name} {e['event']} {more}", markup=False, highlight=False, soft_wrap=True
             )
-        for reply in told:
+        for reply in replies:
             if reply.error:
                 console.print(f"{short(reply.agent)}: {reply.error}", style="red", markup=False)
-    raise typer.Exit(code_of(told))
+    raise typer.Exit(code_of(replies))
 
 
 @app.command()
 def reload(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
     """Have the agents read their settings again; a roll brings the instances to them."""
-    told = ask_all(sockets_of(agent), "reload", None, timeout)
+    replies = ask_all(sockets_of(agent), "reload", None, timeout)
     if output is Output.JSON:
-        print_json(told_json(told))
+        print_json(replies_json(replies))
     else:
-        for reply in told:
+        for reply in replies:
             console.print(
                 f"{short(reply.agent)}: {reply.error or 'edition ' + reply.body['edition']}", markup=False
             )
-    raise typer.Exit(code_of(told))
+    raise typer.Exit(code_of(replies))
 
 
 @app.command()
@@ -195,7 +195,7 @@
     instances: Annotated[bool, typer.Option("--instances", help="Stop the instances as well.")] = False,
 ) -> None:
     """End the agents; their instances go on, unless --instances is given."""
-    told = ask_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
-    for reply in told:
+    replies = ask_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
+    for reply in replies:
         console.print(f"{short(reply.agent)}: {reply.error or 'ends'}", markup=False)
-    raise typer.Exit(code_of(told))
+    raise typer.Exit(code_of(replies))
--- a/juniperward/cli/fleet_tables.py
+++ b/juniperward/cli/fleet_tables.py
@@ -12,13 +12,13 @@
 COLOURS = {"ready": "green", "silent": "red", "failed": "red", "stopped": "yellow", "drained": "cyan"}
 
 
-def status_table(told: list[InstanceReply]) -> Table:
+def status_table(replies: list[InstanceReply]) -> Table:
     """Return one row an instance; an agent without an answer is one row that says so."""
     made = table(
         "agent", "instance", "state", ">up", ">held", ">out", ">taken", ">delivered", ">failed", ">turned away",
         ">given up", "why",
     )  # fmt: skip
-    for reply in told:
+    for reply in replies:
         if reply.error:
             made.add_row(short(reply.agent), "-", "[red]no answer[/red]", *["-"] * 8, reply.error)
             continue
@@ -43,9 +43,9 @@
     ]
 
 
-def told_json(told: list[InstanceReply]) -> list[dict[str, Any]]:
+def replies_json(replies: list[InstanceReply]) -> list[dict[str, Any]]:
     """Return the stable form of several agents' answers."""
-    return [{"agent": str(reply.agent), "error": reply.error or None, **reply.body} for reply in told]
+    return [{"agent": str(reply.agent), "error": reply.error or None, **reply.body} for reply in replies]
 
 
 def roll_table(found: dict[str, Any]) -> Table:
--- a/juniperward/cli/shared.py
+++ b/juniperward/cli/shared.py
@@ -67,11 +67,11 @@
     return found
 
 
-def code_of(told: list[InstanceReply]) -> int:
+def code_of(replies: list[InstanceReply]) -> int:
     """The exit code that several answers make together: silence counts most."""
-    if any(t.silent for t in told):
+    if any(t.silent for t in replies):
         return SILENT
-    return REFUSED if any(t.error for t in told) else DONE
+    return REFUSED if any(t.error for t in replies) else DONE
 
 
 def table(*columns: str, title: str | None = None) -> Table:
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -110,7 +110,7 @@
 ) -> None:  # fmt: skip
     """Run scenarios under policies over seeds; what is in the folder already is not run again."""
     from juniperward.simulation.report import markdown
-    from juniperward.simulation.report import table as worth_table
+    from juniperward.simulation.report import table as priority_weight_table
 
     results = _sweep(files, policy, seeds, out, processes)
     if output is Output.JSON:
@@ -118,7 +118,7 @@
             [{"scenario": r.scenario, "policy": r.policy, "seed": r.seed, "worth": r.worth} for r in results]
         )
         return
-    policies, rows = worth_table(results)
+    policies, rows = priority_weight_table(results)
     made = table("scenario", *(f">{p}" for p in policies))
     for row in rows:
         made.add_row(row.name, *(f"[bold]{c.text}[/bold]" if c.best else c.text for c in row.cells))
@@ -193,12 +193,12 @@
 
     try:
         rows = read_parquet(out / "results.parquet")
-        kept = _find(rows, out, scenario, policy, seed)
-        differs = again(kept)
+        stored = _find(rows, out, scenario, policy, seed)
+        differs = again(stored)
     except (OSError, ValueError) as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(REFUSED) from None
-    console.print(f"then: {kept.revision} on {kept.machine}", markup=False, highlight=False)
+    console.print(f"then: {stored.revision} on {stored.machine}", markup=False, highlight=False)
     console.print(f"now:  {revision()}", markup=False, highlight=False)
     for field, (then, now) in differs.items():
         console.print(f"{field}: {str(then)[:60]} then, {str(now)[:60]} now", markup=False)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -72,16 +72,23 @@
         self.run_tool("show", "none", code=1)
 
     def test_bulk_orders_say_how_many_and_do_nothing_on_a_dry_run(self) -> None:
-        self.run_tool("resend", "--destination", 7, "--dry-run")
+        self.run_tool("redrive", "--destination", 7, "--dry-run")
         self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 0)
-        self.assertIn("asked: 250 of 250", self.run_tool("resend", "--destination", 7).output)
-        self.assertIn("asked: 10 of 260", self.run_tool("resend", "--all").output)
+        self.assertIn("asked: 250 of 250", self.run_tool("redrive", "--destination", 7).output)
+        self.assertIn("asked: 10 of 260", self.run_tool("redrive", "--all").output)
         self.assertIn("discarded: 2 of 2", self.run_tool("discard", "m0", "m1").output)
         self.assertIn("undone: 1 of 1", self.run_tool("undo", "m0").output)
-        self.assertIn("no such message: none", self.run_tool("resend", "none", "m2", code=1).output)
-        self.run_tool("resend", code=2)
+        self.assertIn("no such message: none", self.run_tool("redrive", "none", "m2", code=1).output)
+        self.run_tool("redrive", code=2)
         self.run_tool("discard", code=2)
 
+    def test_the_old_command_name_resend_still_redrives_and_is_hidden(self) -> None:
+        self.assertIn("asked: 250 of 250", self.run_tool("resend", "--destination", 7).output)
+        self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 250)
+        listed = CliRunner().invoke(app, ["dead-letters", "--help"]).output
+        self.assertIn("redrive", listed)
+        self.assertNotIn("resend", listed)
+
     def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(self) -> None:
         """Two parts of up to 200: it dies before or after either of them has come to the agent."""
         from juniperward.cli import dead_letter_access as access
@@ -109,12 +116,12 @@
                     with mock.patch.object(tool, "call", dying), self.assertRaises(Dies):
                         CliRunner().invoke(
                             app,
-                            ["dead-letters", "resend", "--all", "-a", str(self.file)],
+                            ["dead-letters", "redrive", "--all", "-a", str(self.file)],
                             catch_exceptions=False,
                         )
                     done = self.service.store.stats()["wished"]
                     self.assertEqual(done, min(200 * (dies_at - 1 + late), 260))
-                    self.assertIn(f"asked: {260 - done} of 260", self.run_tool("resend", "--all").output)
+                    self.assertIn(f"asked: {260 - done} of 260", self.run_tool("redrive", "--all").output)
                     ids = [f"m{n}" for n in range(260)]
                     self.assertEqual(self.service.store.undo(ids, "test"), 260)  # each was wished once
         asked = [
