--- /dev/null
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -0,0 +1,108 @@
+"""A local cluster that stores dead letters, and how its dead letters ended: the measurements' common part.
+
+`measure_dead_letters` calls these: `dead_letter_cluster` makes the cluster, `wait_until_settled` waits for
+redrives to end, `judge_dead_letters` counts how each dead letter ended and hands the redrives to the checker.
+"""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError
+from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.dead_letters.decisions import Status
+from juniperward.fakes.checker import Verdict
+from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.records import Effect, Handed, Heard
+from juniperward.settings import fleet_pb2
+
+WARM = 5.0
+COUNTED = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
+
+
+@dataclass(frozen=True)
+class DeadLetterJudgement:
+    """The checker's verdict on a run, and how many dead letters ended each way (keys: `COUNTED`)."""
+
+    verdict: Verdict
+    counts: dict[str, int]
+
+
+def dead_letter_cluster(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> LocalCluster:
+    """Return a cluster, not yet started, whose messages live for four seconds.
+
+    With `keep`, what its forwarders give up is stored as dead letters and redriven by one rule (at most 20
+    redrives a message). `folder` holds its files; `seed` drives its load and faults.
+    """
+    partners = [PartnerSpec(d, latency=0.03, warm=WARM, at_once=8) for d in (1, 2, 3)]
+    cluster = LocalCluster(folder, instances, partners, seed)
+    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
+    cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
+    if keep:
+        pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
+        cluster.keep = fleet_pb2.Kept(on=True, pace=pace)
+        cluster.keep.rule.add(name="all", most_resends=20)
+    return cluster
+
+
+def all_dead_letters(cluster: LocalCluster) -> list[dict[str, Any]]:
+    """Return every message of the dead-letter store, as the control channel lists it, page by page."""
+    rows: list[dict[str, Any]] = []
+    after: Any = None
+    while True:
+        found = cluster.ask("kept", action="list", limit=500, after=after)
+        rows += found["messages"]
+        after = found["next"]
+        if after is None:
+            return rows
+
+
+def wait_until_settled(cluster: LocalCluster, patience: float) -> None:
+    """Wait until no dead letter that may be redriven is left, for at most `patience` seconds."""
+    calm = time.monotonic()
+    until = calm + patience
+    while time.monotonic() < until:
+        try:
+            busy = cluster.ask("kept", action="stats")["open"]
+            if busy or any(
+                r["stand"] == Status.KEPT and r["kind"] != "uncertain" for r in all_dead_letters(cluster)
+            ):
+                calm = time.monotonic()
+            elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be taken in
+                return
+        except (AgentUnreachableError, AgentRejectedError):
+            pass
+        time.sleep(0.25)
+
+
+def judge_dead_letters(cluster: LocalCluster) -> DeadLetterJudgement:
+    """Return the checker's verdict, with the redrives among the clients, and how the dead letters ended."""
+    rows = all_dead_letters(cluster)
+    effects: dict[str, int] = {}
+    for r in cluster.recorder.records:
+        if isinstance(r, Effect):
+            effects[r.key] = effects.get(r.key, 0) + 1
+    counts = dict.fromkeys(COUNTED, 0) | {"kept": len(rows)}
+    for row in rows:
+        times = effects.get(row["key"], 0)
+        counts["twice"] += times > 1
+        if row["stand"] == Status.DELIVERED:
+            counts["once"] += times == 1
+            counts["missing"] += times == 0
+        elif row["kind"] == "uncertain":
+            counts["uncertain"] += 1
+        else:
+            counts["missing"] += 1
+        for n, redrive in enumerate(cluster.ask("kept", action="show", id=row["id"])["resent"]):
+            at = redrive["claimed_at"] - time.time() + time.monotonic()
+            first = f"{row['id']}r{n}"
+            cluster.recorder.add(
+                Handed(at, redrive["id"], first, row["key"], "booking-update", row["account"], row["destination"],
+                       redrive["forwarder"], at, at + 4.0)
+            )  # fmt: skip
+            taken = redrive["end"] not in ("refused", "never taken")
+            cluster.recorder.add(Heard(at + 0.01, redrive["id"], 202 if taken else 503))
+    return DeadLetterJudgement(cluster.verdict(), counts)
--- a/juniperward/benchmarks/measure_kept.py
+++ b/juniperward/benchmarks/measure_dead_letters.py
@@ -1,4 +1,8 @@
-"""Measurements of kept messages: the acceptance run over seeds, live traffic beside resends, the store's rates."""
+"""Measurements of dead letters: the acceptance run over seeds, live traffic beside redrives, the store's rates.
+
+`juniperward measure dead-letters`, `keeping` and `store` call these (see `benchmarks/all.py`); each writes a page
+under the folder it is given and returns True where no rule broke.
+"""
 
 from __future__ import annotations
 
@@ -13,98 +17,28 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.agent.client import AgentRejectedError, AgentUnreachableError
-from juniperward.benchmarks.local_cluster import LocalCluster
+from juniperward.benchmarks.dead_letter_cluster import (
+    COUNTED,
+    dead_letter_cluster,
+    judge_dead_letters,
+    wait_until_settled,
+)
 from juniperward.benchmarks.report import Report, quantile
-from juniperward.dead_letters.decisions import Status
 from juniperward.dead_letters.spool import Spool, SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore, Filter
-from juniperward.fakes.checker import Verdict, check
-from juniperward.fakes.partners import PartnerSpec
-from juniperward.fakes.records import Effect, Handed, Heard
-from juniperward.settings import fleet_pb2
+from juniperward.fakes.checker import check
 
 AT_ONCE = 10  # runs of the acceptance
 AWAY = 10.0  # seconds, unless told otherwise, for which the partner is down
-WARM = 5.0
-COUNTED = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
 SUMMED = ("runs", *COUNTED, "fell over", "rules broken")
 
 
-def kept_yard(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> LocalCluster:
-    """A cluster whose messages live for four seconds, and are kept."""
-    partners = [PartnerSpec(d, latency=0.03, warm=WARM, at_once=8) for d in (1, 2, 3)]
-    cluster = LocalCluster(folder, instances, partners, seed)
-    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
-    cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
-    if keep:
-        pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
-        cluster.keep = fleet_pb2.Kept(on=True, pace=pace)
-        cluster.keep.rule.add(name="all", most_resends=20)
-    return cluster
-
-
-def all_kept(cluster: LocalCluster) -> list[dict[str, Any]]:
-    """Every message of the store."""
-    rows: list[dict[str, Any]] = []
-    after: Any = None
-    while True:
-        found = cluster.ask("kept", action="list", limit=500, after=after)
-        rows += found["messages"]
-        after = found["next"]
-        if after is None:
-            return rows
-
-
-def settled(cluster: LocalCluster, patience: float) -> None:
-    """Wait until nothing that may go is left."""
-    calm = time.monotonic()
-    until = calm + patience
-    while time.monotonic() < until:
-        try:
-            busy = cluster.ask("kept", action="stats")["open"]
-            if busy or any(r["stand"] == Status.KEPT and r["kind"] != "uncertain" for r in all_kept(cluster)):
-                calm = time.monotonic()
-            elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be taken in
-                return
-        except (AgentUnreachableError, AgentRejectedError):
-            pass
-        time.sleep(0.25)
-
-
-def judged(cluster: LocalCluster) -> tuple[Verdict, dict[str, int]]:
-    """The checker's verdict with the resends among the clients, and how the kept messages ended."""
-    rows = all_kept(cluster)
-    effects: dict[str, int] = {}
-    for r in cluster.recorder.records:
-        if isinstance(r, Effect):
-            effects[r.key] = effects.get(r.key, 0) + 1
-    counts = dict.fromkeys(COUNTED, 0) | {"kept": len(rows)}
-    for row in rows:
-        times = effects.get(row["key"], 0)
-        counts["twice"] += times > 1
-        if row["stand"] == Status.DELIVERED:
-            counts["once"] += times == 1
-            counts["missing"] += times == 0
-        elif row["kind"] == "uncertain":
-            counts["uncertain"] += 1
-        else:
-            counts["missing"] += 1
-        for n, resend in enumerate(cluster.ask("kept", action="show", id=row["id"])["resent"]):
-            at = resend["claimed_at"] - time.time() + time.monotonic()
-            first = f"{row['id']}r{n}"
-            cluster.recorder.add(
-                Handed(at, resend["id"], first, row["key"], "booking-update", row["account"], row["destination"],
-                       resend["forwarder"], at, at + 4.0)
-            )  # fmt: skip
-            taken = resend["end"] not in ("refused", "never taken")
-            cluster.recorder.add(Heard(at + 0.01, resend["id"], 202 if taken else 503))
-    return cluster.verdict(), counts
-
-
 def _one(seed: int, kills: bool, away: float) -> list[Any]:
     dice = random.Random(seed)
-    with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as cluster:
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as folder,
+        dead_letter_cluster(Path(folder), seed) as cluster,
+    ):
         cluster.start()
         clients = cluster.clients(40.0, away + 8.0, threads=48)
         time.sleep(2.0)
@@ -128,19 +62,31 @@
         clients.done.wait(60.0)
         cluster.until(lambda s: s["ready"] == 3, 30.0)
         cluster.settle()
-        settled(cluster, 50.0 + away)
-        verdict, counts = judged(cluster)
-        return [seed, mode, killed, counts, verdict.good, cluster.partners[1].fallen, verdict.lines()]
+        wait_until_settled(cluster, 50.0 + away)
+        judgement = judge_dead_letters(cluster)
+        verdict = judgement.verdict
+        return [
+            seed,
+            mode,
+            killed,
+            judgement.counts,
+            verdict.good,
+            cluster.partners[1].fallen,
+            verdict.lines(),
+        ]
 
 
 def acceptance(seed: int, out: Path, rounds: int = 8, away: float = AWAY) -> bool:
-    """A partner goes away under load and comes back cold; with and without kills, over seeds."""
-    command = f"juniperward measure kept --seed {seed} --rounds {rounds} --away {away:g}"
-    report = Report("Kept messages after an outage", command, seed)
+    """A partner goes away under load and comes back warming up; with and without kills, over seeds.
+
+    Writes kept.md (or kept-AWAY.md) under `out`; returns True if no rule broke.
+    """
+    command = f"juniperward measure dead-letters --seed {seed} --rounds {rounds} --away {away:g}"
+    report = Report("Dead letters after an outage", command, seed)
     report.say(
         f"Three forwarders, 40 messages a second that live for 4 s; one of three partners is down, failing or shut "
-        f"for {away:g} s and comes back cold. With kills, agent or a forwarder is killed by SIGKILL six times while "
-        f"resends go on. {AT_ONCE} runs at a time."
+        f"for {away:g} s and comes back warming up. With kills, agent or a forwarder is killed by SIGKILL six times "
+        f"while redrives go on. {AT_ONCE} runs at a time."
     )
     cases = [(seed + n, kills) for n in range(rounds) for kills in (False, True)]
     rows: list[list[str]] = []
@@ -151,19 +97,19 @@
         for run in concurrent.futures.as_completed(runs):
             s, kills = runs[run]
             try:
-                _, mode, killed, counts, held, fallen, lines = run.result()
+                _, mode, killed, counts, invariants_hold, fallen, lines = run.result()
             except Exception as error:  # a run that the rig could not end is told, and counts as a failure
                 good = False
                 report.say(f"seed {s}, kills {kills}: no verdict: {error!r}"[:300])
                 continue
-            fine = held and not fallen and not counts["twice"] and not counts["missing"]
+            fine = invariants_hold and not fallen and not counts["twice"] and not counts["missing"]
             good &= fine
             total = sums.setdefault((mode, "six" if kills else "none"), dict.fromkeys(SUMMED, 0))
             for name, value in (
                 *counts.items(),
                 ("runs", 1),
                 ("fell over", fallen),
-                ("rules broken", not held),
+                ("rules broken", not invariants_hold),
             ):
                 total[name] += int(value)
             if not fine:
@@ -172,17 +118,17 @@
             print(f"{sum(t['runs'] for t in sums.values())} of {len(cases)}", flush=True)
     report.say("Sums over all seeds:")
     report.table(
-        ["trouble", "kills", *SUMMED], [[*k, *(f"{v[n]}" for n in SUMMED)] for k, v in sorted(sums.items())]
+        ["fault", "kills", *SUMMED], [[*k, *(f"{v[n]}" for n in SUMMED)] for k, v in sorted(sums.items())]
     )
     if rows:
         report.say("Runs in which something was not as it must be:")
-        report.table(["seed", "trouble", "kills", *COUNTED], rows)
+        report.table(["seed", "fault", "kills", *COUNTED], rows)
     report.write(out / ("kept.md" if away == AWAY else f"kept-{away:g}.md"))
     return good
 
 
 def keeping(seed: int, out: Path) -> bool:
-    """Live traffic beside resends, and what keeping costs a forwarder."""
+    """Live traffic beside redrives, and what storing dead letters costs a forwarder; True if no rule broke."""
     report = Report("Keeping beside live traffic", f"juniperward measure keeping --seed {seed}", seed)
     _beside(report, seed)
     _cost(report, seed)
@@ -192,17 +138,20 @@
 
 def store(seed: int, out: Path, rounds: int = 1_000_000) -> bool:
     """The store's rates with a million messages."""
-    report = Report("The store of kept messages", f"juniperward measure store --rounds {rounds}", seed)
+    report = Report("The dead-letter store", f"juniperward measure store --rounds {rounds}", seed)
     _rates(report, rounds)
     report.write(out / "store.md")
     return True
 
 
 def _beside(report: Report, seed: int) -> None:
-    """Live traffic's worth while so many wait to be sent again."""
+    """Live traffic's priority weight while so many dead letters wait to be redriven."""
     rows = []
     for waiting in (0, 1000, 10000):
-        with tempfile.TemporaryDirectory(prefix="jw-") as folder, kept_yard(Path(folder), seed) as cluster:
+        with (
+            tempfile.TemporaryDirectory(prefix="jw-") as folder,
+            dead_letter_cluster(Path(folder), seed) as cluster,
+        ):
             spool = Spool(Path(folder) / "run" / "spool" / "n0", 100_000_000)
             for n in range(waiting):
                 at = time.time() - 60.0 + n * 1e-4
@@ -238,7 +187,7 @@
     for keep in (False, True, False, True):
         with (
             tempfile.TemporaryDirectory(prefix="jw-") as folder,
-            kept_yard(Path(folder), seed, 1, keep) as cluster,
+            dead_letter_cluster(Path(folder), seed, 1, keep) as cluster,
         ):
             cluster.start()
             cluster.partners[1].trouble("down")
@@ -251,9 +200,9 @@
             v = check(
                 [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             )
-            kept = cluster.ask("inspect", ["n0"])["status"]["kept"]
+            stored = cluster.ask("inspect", ["n0"])["status"]["kept"]
             rows.append([
-                "on" if keep else "off", f"{kept}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
+                "on" if keep else "off", f"{stored}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
                 f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{1000 * spent / v.asked:.2f}",
             ])  # fmt: skip
     report.say("One forwarder at 150 messages a second, one of three partners down all the time:")
--- a/juniperward/benchmarks/cold.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -1,7 +1,8 @@
-"""How many calls a fleet sends to a destination that comes back cold, against what that bears (rule 4).
+"""How many calls a fleet sends to a destination in slow start after an outage, against what that bears (rule 4).
 
-`juniperward measure cold` plays `lab/cold_return.py` over cases, sizes of the fleet and seeds, and writes down every
-seed on which a span went over the bound, with who sent it. Its page: docs/measurements/cold-return.md.
+`juniperward measure slow-start` plays `simulation/cold_return.py` over cases, sizes of the fleet and seeds,
+and writes down every seed on which a span went over the bound, with who sent it.
+Its page: docs/measurements/cold-return.md.
 """
 
 from __future__ import annotations
@@ -37,10 +38,15 @@
         return list(pool.map(play, *zip(*jobs, strict=True), chunksize=20))
 
 
-def cold(seed: int, out: Path, rounds: int = 100) -> bool:
-    """The calls of all forwarders to a destination that returns; `rounds` seeds. True if no fall is the told's."""
+def slow_start(seed: int, out: Path, rounds: int = 100) -> bool:
+    """Measure the calls of all forwarders to a destination that returns, over `rounds` seeds; write the page.
+
+    Returns True if no fall is put down to notified forwarders. Called by `juniperward measure slow-start`.
+    """
     report = Report(
-        "Calls to a destination that comes back cold", f"juniperward measure cold --rounds {rounds}", seed
+        "Calls to a destination that comes back cold",
+        f"juniperward measure slow-start --rounds {rounds}",
+        seed,
     )
     report.say(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {TERMS}")
     results = play_all(CASES, FLEET_SIZES, range(seed, seed + rounds))
@@ -56,12 +62,12 @@
     rows = []
     for size in FLEET_SIZES:
         played = [r for r in results if r.forwarders == size]
-        ramp = sum(r.delivered for r in played) / len(played)
+        delivered_in_slow_start = sum(r.delivered for r in played) / len(played)
         rows.append([
             f"{size}", f"{len(played):,}", f"{sum(r.first_over is not None for r in played)}",
             f"{sum(r.breaks_the_rule for r in played)}", f"{sum(r.told_alone_over for r in played)}",
             f"{sum(r.over_by_mean for r in played)}", f"{sum(r.over_with_outage for r in played)}",
-            f"{sum(r.worth for r in played) / len(played):.4f}", f"{ramp:.1f}",
+            f"{sum(r.worth for r in played) / len(played):.4f}", f"{delivered_in_slow_start:.1f}",
         ])  # fmt: skip
     report.table(
         ["forwarders", "runs", "over the bound", "put down to the told", "told calls alone over it",
@@ -83,8 +89,8 @@
             over = sum(r.first_over is not None for r in played)
             broken = sum(r.breaks_the_rule for r in played)
             fullest = max((r.fullest.share for r in played if r.fullest is not None), default=0.0)
-            worth = sum(r.worth for r in played) / len(played)
-            row.append(f"{over} / {broken}; {fullest:.2f}; {worth:.3f}")
+            priority_weight = sum(r.worth for r in played) / len(played)
+            row.append(f"{over} / {broken}; {fullest:.2f}; {priority_weight:.3f}")
         rows.append(row)
     report.table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
 
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -54,14 +54,17 @@
     seed: Annotated[int, typer.Option(help="Of the load and of the faults.")] = 1,
     out: Annotated[Path, typer.Option(help="Folder of the results.")] = Path("docs/measurements"),
     rounds: Annotated[
-        int | None, typer.Option(help="chaos: kills; kept, cold: seeds; store: messages.")
+        int | None, typer.Option(help="chaos: kills; dead-letters, slow-start: seeds; store: messages.")
     ] = None,
     rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None,
-    away: Annotated[float | None, typer.Option(help="kept: seconds for which the partner is away.")] = None,
+    away: Annotated[
+        float | None, typer.Option(help="dead-letters: seconds for which the partner is away.")
+    ] = None,
 ) -> None:
     """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
-    from juniperward.benchmarks.all import ALL
+    from juniperward.benchmarks.all import ALL, FORMER_NAMES
 
+    name = FORMER_NAMES.get(name, name)
     if name not in ALL:
         why = f"{name!r} is none of {', '.join(ALL)}"
         raise typer.BadParameter(why, param_hint="NAME")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -75,6 +75,27 @@
         console.width = 240
         return CliRunner().invoke(app, [str(w) for w in words])
 
+    def test_a_measurement_is_run_by_its_name_or_for_one_release_its_former_name(self) -> None:
+        from juniperward.benchmarks import all as measurements
+
+        ran: list[str] = []
+
+        def measured(name: str) -> Callable[..., bool]:
+            def run(*_arguments: object, **_options: object) -> bool:
+                ran.append(name)
+                return True
+
+            return run
+
+        with mock.patch.dict(measurements.ALL, {name: measured(name) for name in measurements.ALL}):
+            for name in ("kept", "cold", "dead-letters", "slow-start"):
+                self.assertEqual(CliRunner().invoke(app, ["measure", name]).exit_code, 0, name)
+            wrong = CliRunner().invoke(app, ["measure", "none"])
+        self.assertEqual(ran, ["dead-letters", "slow-start", "dead-letters", "slow-start"])
+        self.assertEqual(wrong.exit_code, 2)
+        self.assertIn("slow-start", wrong.output)
+        self.assertNotIn("cold", wrong.output)
+
     def test_status_shows_every_instance_and_the_silent_agent(self) -> None:
         one, mute = self.agent("one"), self.folder / "mute.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from juniperward.benchmarks.cold import cold, play_all
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
+from juniperward.benchmarks.slow_start import play_all, slow_start
 from juniperward.fakes.clients import Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.fakes.records import Called, Handed, Record
@@ -96,7 +96,7 @@
         self.assertNotEqual(ColdReturn(case, 30, 5).run(), ColdReturn(case, 30, 6).run())
 
     def test_no_fleet_that_was_told_pushes_a_cold_destination_over(self) -> None:
-        """A subset of `juniperward measure cold`, which has the sizes and seeds that are over the bound."""
+        """A subset of `juniperward measure slow-start`, which has the sizes and seeds that are over the bound."""
         results = play_all(CASES, (1, 3, 30, 230), range(1, 3))
         broken = [(r.case.name, r.forwarders, r.seed, r.first_over) for r in results if r.breaks_the_rule]
         self.assertEqual(broken, [])
@@ -124,9 +124,9 @@
 
     def test_the_measurement_writes_its_page_and_says_whether_the_rule_held(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            held = cold(1, Path(folder), 1)
+            held = slow_start(1, Path(folder), 1)
             page = (Path(folder) / "cold-return.md").read_text()
-        self.assertIn("juniperward measure cold --rounds 1", page)
+        self.assertIn("juniperward measure slow-start --rounds 1", page)
         self.assertEqual(held, "**broken**" not in page)
 
 
