--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -113,8 +113,8 @@
             cluster.start()
             clients = _clients(cluster, s, seed)
             began = time.monotonic()
-            for trouble in s.troubles:
-                threading.Thread(target=_trouble, args=(cluster, trouble, began), daemon=True).start()
+            for fault in s.troubles:
+                threading.Thread(target=_inject_fault, args=(cluster, fault, began), daemon=True).start()
             clients.done.wait(s.seconds + 2 * t.deadline)
             time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
             v = cluster.verdict(Bounds(aim=t.aim, deadline=t.deadline, late_worth=t.late_worth))
@@ -135,7 +135,8 @@
     return clients
 
 
-def _trouble(cluster: LocalCluster, t: Trouble, began: float) -> None:
+def _inject_fault(cluster: LocalCluster, t: Trouble, began: float) -> None:
+    """Have the scenario's partners fail as the fault says, from its moment after `began` and for its seconds."""
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
         cluster.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
@@ -145,11 +146,11 @@
 
 
 def _both(name: str, policy: str, seed: int) -> tuple[str, str, float, float, float, int, str]:
-    worth, late, broken, fallen = on_sockets(name, policy, seed)
+    priority_weight, late, broken, fallen = on_sockets(name, policy, seed)
     s = load(FOLDER / f"{name}.textproto")
     text = s.text.replace("again: 0.7", "again: 1.0")  # the stand-ins' clients always come once more
     model = one(text, f"{name}.textproto", policy, seed)
-    return name, policy, worth, model.worth, late, broken, f"{fallen}, {model.fallen}"
+    return name, policy, priority_weight, model.worth, late, broken, f"{fallen}, {model.fallen}"
 
 
 def ordered_alike(found: list[tuple[Any, ...]]) -> list[str]:
--- a/juniperward/benchmarks/cost.py
+++ b/juniperward/benchmarks/cost.py
@@ -84,10 +84,10 @@
         self.number += 1
         heapq.heappush(self.coming, (self.now + delay, self.number, event))
 
-    def arrive(self, destination: int, life: float = 20.0) -> Event:
+    def arrive(self, destination: int, lifetime_s: float = 20.0) -> Event:
         """A message for a destination."""
         self.number += 1
-        return MessageAdmitted(self.number, 0, destination, life, 0, f"k{self.number}")
+        return MessageAdmitted(self.number, 0, destination, lifetime_s, 0, f"k{self.number}")
 
     def run(self, messages: int) -> float:
         """Deliver so many to the busy ones; CPU microseconds each."""
@@ -119,7 +119,7 @@
     return Drive(BUSY, size)
 
 
-def _held(size: int) -> Drive:
+def _pending(size: int) -> Drive:
     made = Drive(BUSY + 1, 2)
     made.mute = {BUSY}
     for first in range(0, size, 500):
@@ -131,7 +131,7 @@
     ("idle destinations", _idle, (10, 100, 1000, 10000)),
     ("closed destinations, two messages held for each", _closed, (10, 100, 1000)),
     ("workers of each destination", _workers, (2, 20, 200, 2000)),
-    ("messages held for a silent destination", _held, (10, 100, 1000, 10000)),
+    ("messages pending for a silent destination", _pending, (10, 100, 1000, 10000)),
 )  # fmt: skip
 
 
@@ -148,8 +148,8 @@
             drive.run(WARM)
             figures.append(drive.run(rounds))
         slope = float(np.polyfit(np.log(sizes), np.log(figures), 1)[0])
-        told = ", ".join(f"{s:,}: {f:.0f}" for s, f in zip(sizes, figures, strict=True))
-        rows.append([name, told, f"{slope:.2f}"])
+        figures_text = ", ".join(f"{s:,}: {f:.0f}" for s, f in zip(sizes, figures, strict=True))
+        rows.append([name, figures_text, f"{slope:.2f}"])
     report.table(["what there is more and more of", "CPU microseconds a message, by size", "slope"], rows)
     report.write(out / "cost.md")
     return True
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -59,6 +59,6 @@
         print(rows[-1], flush=True)
         for v in verdict.violations[:3]:
             report.say("```\n" + str(v)[:STORY_CHARACTERS] + "\n```")
-    report.table([*VERDICT_HEAD, "worth against no roll"], rows)
+    report.table([*VERDICT_HEAD, "priority weight against no roll"], rows)
     report.write(out / "rolls.md")
     return good
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -85,17 +85,17 @@
         objects = JsonObjects()
         for first in range(0, len(self.text), 16384):
             for value in objects.feed(self.text[first : first + 16384]):
-                news = read_news(value, NAMES)
-                self.do(EndpointsUpdated(news.version, news.full, news.workers))
+                endpoint_list = read_news(value, NAMES)
+                self.do(EndpointsUpdated(endpoint_list.version, endpoint_list.full, endpoint_list.workers))
 
     def message(self) -> None:
         """A message handed in, taken on, sent and delivered 10 ms later."""
         self.number += 1
-        (asked,) = self.do(
+        (accept,) = self.do(
             MessageReceived(1, Message(f"{self.number:016x}", 0, 0, 0, 20.0, "k", b"x"), self.now)
         )
-        assert isinstance(asked, AcceptMessage)
-        for e in self.do(MessageAccepted(asked.message, True)):
+        assert isinstance(accept, AcceptMessage)
+        for e in self.do(MessageAccepted(accept.message, True)):
             if isinstance(e, StartAttempt):
                 self.now += 0.01
                 self.do(AttemptAnswered(e.number, tuple(ItemOutcome(p.message, Outcome.OK) for p in e.items)))
@@ -160,8 +160,8 @@
                 time.sleep(WATCHED)
                 idle = (_ticks(about) - before) * 1000 / os.sysconf("SC_CLK_TCK") / WATCHED
                 rows = dict(line.split(":", 1) for line in (about / "status").read_text().splitlines())
-                held = len(list((about / "fd").iterdir()))
-                return int(rows["VmRSS"].split()[0]) / 1000, int(rows["Threads"]), held, idle
+                open_files = len(list((about / "fd").iterdir()))
+                return int(rows["VmRSS"].split()[0]) / 1000, int(rows["Threads"]), open_files, idle
             finally:
                 process.terminate()
 
@@ -183,10 +183,10 @@
         again = _spent(drive.list, 5)
         message = _spent(drive.message, rounds)
         idle = _spent(drive.rest, 1) / IDLE
-        memory, threads, held, real = _process(servers, forwarders)
+        memory, threads, open_files, real = _process(servers, forwarders)
         rows.append([
             f"{servers:,}", f"{forwarders:,}", f"{1e3 * again:.1f}", f"{1e6 * message:.0f}", f"{1e6 * idle:.0f}",
-            f"{memory:.1f}", str(threads), str(held), f"{real:.1f}",
+            f"{memory:.1f}", str(threads), str(open_files), f"{real:.1f}",
         ])  # fmt: skip
     report.table(
         ["servers", "forwarders", "a whole list, ms", "a message, us", "an idle second, us", "resident, MB",
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -152,10 +152,10 @@
     fleet: Fleet, names: list[str], most_running: int = 0
 ) -> list[tuple[float, dict[str, list[float]]]]:
     """Start all of them, at most so many starts at a time (0: no bound); the time to ready and the parts of each."""
-    room = threading.BoundedSemaphore(most_running or len(names))
+    slots = threading.BoundedSemaphore(most_running or len(names))
 
     def start_one(name: str) -> tuple[float, dict[str, list[float]]]:
-        with room:
+        with slots:
             taken = fleet.wait_ready(name, fleet.spawn(name))
             parts = fleet.printed(name)
             if most_running:
@@ -196,7 +196,7 @@
                 command = ("-m", "juniperward.benchmarks.start_parts")
                 fleet = Fleet(Path(folder), BASE, dead_address(), command=command)
                 names = [f"n{n}" for n in range(size)]
-                held = [len(fleet.fill(name)) for name in names] if full else [0]
+                pending = [len(fleet.fill(name)) for name in names] if full else [0]
                 try:
                     results = start_all(fleet, names, most_running)
                 finally:
@@ -205,7 +205,7 @@
             good &= quantile(taken, 0.9) <= 10.0
             cells = [_part_cell([p[part] for _, p in results if part in p]) for part in parts]
             rows.append([
-                f"{size}", f"{held[0]}", *cells, f"{statistics.median(taken):.2f}", f"{quantile(taken, 0.9):.2f}",
+                f"{size}", f"{pending[0]}", *cells, f"{statistics.median(taken):.2f}", f"{quantile(taken, 0.9):.2f}",
                 f"{max(taken):.2f}",
             ])  # fmt: skip
             print(rows[-1], flush=True)
--- a/juniperward/benchmarks/traces.py
+++ b/juniperward/benchmarks/traces.py
@@ -12,11 +12,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-AIM = 3.0  # seconds within which a delivery is in time, where no forwarder told its settings
+DEFAULT_LATENCY_OBJECTIVE_S = (
+    3.0  # within which a delivery is in time, where no forwarder traced its settings
+)
 TRACE_MARK = "juniperward: trace:"
 MAX_UNREAD_SHOWN = 5
 TRACED = re.compile(r"juniperward: trace: (\d+(?:\.\d+)?) (\w+) ?(.*)$")
-TOLD = re.compile(
+SETTINGS_LINE = re.compile(
     r"juniperward: trace: (?:settings value=.?\w+|Settings)\(.*?\b(?:latency_objective_s|aim)=([0-9.]+)"
 )
 SAID = re.compile(r"(destination (?:ejected|recovered)) destination=(\d+)")
@@ -30,7 +32,7 @@
 
 @dataclass(slots=True)
 class Story:
-    """A message of one forwarder's life."""
+    """A message of one forwarder's incarnation."""
 
     destination: int
     at: float
@@ -49,7 +51,7 @@
     unread_count: int = 0
     forwarders: int = 0
     lines: int = 0
-    aim: float = AIM
+    latency_objective_s: float = DEFAULT_LATENCY_OBJECTIVE_S
     began: float = math.inf
 
     def add(self, at: float, destination: int, name: str, by: int = 1) -> None:
@@ -111,8 +113,8 @@
         self.messages: dict[str, Story] = {}
         self.calls: dict[str, tuple[int, list[str], set[str]]] = {}  # partner, messages, those answered
 
-    def life(self) -> None:
-        """A process began: its delegations are numbered anew."""
+    def new_incarnation(self) -> None:
+        """A process began (a new incarnation): its attempts are numbered anew."""
         self.calls.clear()
 
     def take(self, at: float, word: str, rest: list[str], text: str) -> None:
@@ -191,7 +193,7 @@
             if not story.over:
                 story.over = True
                 f.delays.setdefault(int(at - f.began), []).append(delay)
-                f.add(story.at, d, "in_time" if delay <= f.aim else "late")
+                f.add(story.at, d, "in_time" if delay <= f.latency_objective_s else "late")
         elif outcome == "full":
             f.add(at, d, "full", int(len(done) == 1))
         else:
@@ -216,9 +218,9 @@
 
 def _read_line(fleet: Fleet, reader: _Reader, place: str, line: str) -> None:
     fleet.lines += 1
-    if told := TOLD.search(line):
-        fleet.aim = float(told[1])
-        reader.life()
+    if settings := SETTINGS_LINE.search(line):
+        fleet.latency_objective_s = float(settings[1])
+        reader.new_incarnation()
         return
     try:
         at, word, text = _split(line.rstrip())
@@ -246,15 +248,15 @@
     """The tables, by second and by partner."""
     out = [
         f"{fleet.forwarders} forwarders, {fleet.lines} lines, {fleet.unread_count} of them not read, "
-        f"in time within {fleet.aim:g} s"
+        f"in time within {fleet.latency_objective_s:g} s"
     ]
     out += fleet.unread
     head = " ".join(f"{c:>8}" for c in COLUMNS)
     out.append(f"{'second':>8} {head} {'median':>8}")
-    sick = 0
+    ejected_so_far = 0
     for second, row in fleet.rows(destination):
-        sick += row.get("sick", 0)
-        cells = {**row, "sick": sick}
+        ejected_so_far += row.get("sick", 0)
+        cells = {**row, "sick": ejected_so_far}
         delays = sorted(fleet.delays.get(second, [])) if destination is None else []
         median = f"{delays[len(delays) // 2]:.3f}" if delays else "-"
         out.append(f"{second:>8} " + " ".join(f"{cells.get(c, 0):>8}" for c in COLUMNS) + f" {median:>8}")
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -75,7 +75,7 @@
 class TracesTest(unittest.TestCase):
     def test_what_forwarders_write_is_counted_over_all_of_them(self) -> None:
         fleet = read({"n0": life(1000.0), "n1": life(1001.0)})
-        self.assertEqual((fleet.unread_count, fleet.forwarders, fleet.aim), (0, 2, 2.0))
+        self.assertEqual((fleet.unread_count, fleet.forwarders, fleet.latency_objective_s), (0, 2, 2.0))
         ((partner, row),) = fleet.partners()
         self.assertEqual(partner, 7)
         expected = {"asked": 6, "door": 2, "calls": 4, "again": 2, "ok": 2, "full": 2, "told": 2, "late": 2,
