--- a/juniperward/benchmarks/fleet_status.py
+++ b/juniperward/benchmarks/fleet_status.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from juniperward.benchmarks.loaded_cluster import PARTNERS
-from juniperward.benchmarks.local_cluster import ROOT, LocalCluster
+from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster
 from juniperward.benchmarks.report import Report, Row
 
 SILENT_COUNTS = (0, 1, 10)  # instances stopped while `fleet status` is timed
@@ -31,8 +31,8 @@
     good = True
     for size in sizes:
         with tempfile.TemporaryDirectory(prefix="jw-") as folder:
-            patience = {"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}}
-            with LocalCluster(Path(folder), size, PARTNERS[:2], seed, settings=patience) as cluster:
+            patience = ClusterOptions(settings={"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}})
+            with LocalCluster(Path(folder), size, PARTNERS[:2], seed, patience) as cluster:
                 began = time.monotonic()
                 cluster.start(ready=False)
                 cluster.until(lambda s, n=size: s["ready"] == n, 120.0)
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -15,6 +15,7 @@
 import sys
 import threading
 import time
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -75,17 +76,28 @@
     return held
 
 
+@dataclass(frozen=True)
+class ClusterOptions:
+    """What a `LocalCluster` may be given beyond its size: the registry's delay, and parts of the fleet's file."""
+
+    registry_delay_s: float = 0.0
+    settings: dict[str, dict[str, float]] = field(
+        default_factory=dict
+    )  # a part ("patience", "roll"): its values
+
+
 class LocalCluster:
     """A fleet and its world; use it as a context, so that nothing is left behind."""
 
     def __init__(
         self, folder: Path, instances: int = 3, partners: list[PartnerSpec] | None = None, seed: int = 1,
-        late: float = 0.0, settings: dict[str, dict[str, float]] | None = None,
+        options: ClusterOptions | None = None,
     ) -> None:  # fmt: skip
-        """Prepare it in `folder`; `late` is the registry's delay in seconds, `settings` go into the fleet's file."""
+        """Prepare it in `folder`, with `instances` forwarders and `partners` (four by default)."""
+        chosen = options if options is not None else ClusterOptions()
         self.folder, self.seed = folder, seed
         self.recorder = Recorder()
-        self.registry = Registry(self.recorder, late)
+        self.registry = Registry(self.recorder, chosen.registry_delay_s)
         specs = partners if partners is not None else [PartnerSpec(d, latency=0.03) for d in (1, 2, 3, 4)]
         self.partners = {s.destination: Partner(s, self.recorder, seed + s.destination) for s in specs}
         self.names = [f"n{n}" for n in range(instances)]
@@ -96,7 +108,7 @@
         self.file = folder / "fleet.textproto"
         self.agent: subprocess.Popen[bytes] | None = None
         self.front = Front(self.addresses)
-        self.sets = settings or {}
+        self.sets = chosen.settings
         self.base = json.loads(json.dumps(BASE))
         self.keep: fleet_pb2.Kept | None = None
         self.watching = True
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from juniperward.agent.client import AgentRejectedError, ask
-from juniperward.benchmarks.local_cluster import ROOT, LocalCluster, reserve
+from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster, reserve
 from juniperward.fakes.partners import PartnerSpec
 
 QUICK = [PartnerSpec(1, latency=0.02), PartnerSpec(2, latency=0.02, workers=3)]
@@ -43,7 +43,7 @@
     def cluster(self, instances: int = 3, **more: Any) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.addCleanup(folder.cleanup)
-        cluster = LocalCluster(Path(folder.name), instances, QUICK, **more)
+        cluster = LocalCluster(Path(folder.name), instances, QUICK, options=ClusterOptions(**more))
         self.addCleanup(cluster.close)
         return cluster
 
