--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Annotated
 
 import typer
 
 from juniperward.cli import config, dead_letters, fleet, simulation
+from juniperward.cli.shared import command_of_options
 
 app = typer.Typer(
     name="juniperward",
@@ -48,28 +50,36 @@
     raise typer.Exit(play(rate, keep))
 
 
-@app.command()
-def measure(
-    name: Annotated[str, typer.Argument(help="Which; a wrong one is answered with all names.")],
-    seed: Annotated[int, typer.Option(help="Of the load and of the faults.")] = 1,
-    out: Annotated[Path, typer.Option(help="Folder of the results.")] = Path("docs/measurements"),
+@dataclass(frozen=True)
+class MeasureOptions:
+    """The arguments of `juniperward measure`: which measurement, its seed and folder, and its sizes."""
+
+    name: Annotated[str, typer.Argument(help="Which; a wrong one is answered with all names.")]
+    seed: Annotated[int, typer.Option(help="Of the load and of the faults.")] = 1
+    out: Annotated[Path, typer.Option(help="Folder of the results.")] = Path("docs/measurements")
     rounds: Annotated[
         int | None, typer.Option(help="chaos: kills; dead-letters, slow-start: seeds; store: messages.")
-    ] = None,
-    rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None,
+    ] = None
+    rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None
     away: Annotated[
         float | None, typer.Option(help="dead-letters: seconds for which the partner is away.")
-    ] = None,
-) -> None:
+    ] = None
+
+
+def _measure(options: MeasureOptions) -> None:
     """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
     from juniperward.benchmarks.all import ALL, FORMER_NAMES
 
-    name = FORMER_NAMES.get(name, name)
+    name = FORMER_NAMES.get(options.name, options.name)
     if name not in ALL:
         why = f"{name!r} is none of {', '.join(ALL)}"
         raise typer.BadParameter(why, param_hint="NAME")
-    more = {k: v for k, v in (("rounds", rounds), ("rate", rate), ("away", away)) if v is not None}
-    raise typer.Exit(0 if ALL[name](seed, out, **more) else 1)
+    sizes = (("rounds", options.rounds), ("rate", options.rate), ("away", options.away))
+    more = {key: value for key, value in sizes if value is not None}
+    raise typer.Exit(0 if ALL[name](options.seed, options.out, **more) else 1)
+
+
+app.command("measure")(command_of_options(MeasureOptions, _measure))
 
 
 def main() -> int:
--- a/juniperward/cli/shared.py
+++ b/juniperward/cli/shared.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
+import dataclasses
+import inspect
 import json
+from collections.abc import Callable
 from enum import StrEnum
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, TypeVar, get_type_hints
 
 import typer
 from rich.console import Console
@@ -18,6 +21,35 @@
 
 console = Console()
 errors = Console(stderr=True)
+OptionsT = TypeVar("OptionsT")
+
+
+def command_of_options(options_type: type[OptionsT], body: Callable[[OptionsT], None]) -> Callable[..., None]:
+    """Return a typer command whose parameters are the fields of the frozen dataclass `options_type`.
+
+    Typer reads a command's arguments and options from its signature and type hints; these are built here from
+    the dataclass's fields (each `Annotated` with its `typer.Argument` or `typer.Option`), so that the options
+    are built in one place, as one value that `body` is given. The command's help is `body`'s docstring.
+    """
+    hints = get_type_hints(options_type, include_extras=True)
+    parameters = [
+        inspect.Parameter(
+            field.name,
+            inspect.Parameter.KEYWORD_ONLY,
+            default=inspect.Parameter.empty if field.default is dataclasses.MISSING else field.default,
+            annotation=hints[field.name],
+        )
+        for field in dataclasses.fields(options_type)  # type: ignore[arg-type]
+    ]
+
+    def command(**values: Any) -> None:
+        body(options_type(**values))
+
+    command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
+    command.__annotations__ = {parameter.name: parameter.annotation for parameter in parameters}
+    command.__doc__ = body.__doc__
+    command.__name__ = body.__name__.lstrip("_")
+    return command
 
 
 class Output(StrEnum):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -79,10 +79,12 @@
         from juniperward.benchmarks import all as measurements
 
         ran: list[str] = []
+        given: list[tuple[object, ...]] = []
 
         def measured(name: str) -> Callable[..., bool]:
-            def run(*_arguments: object, **_options: object) -> bool:
+            def run(*arguments: object, **options: object) -> bool:
                 ran.append(name)
+                given.append((*arguments, options))
                 return True
 
             return run
@@ -91,7 +93,11 @@
             for name in ("kept", "cold", "dead-letters", "slow-start"):
                 self.assertEqual(CliRunner().invoke(app, ["measure", name]).exit_code, 0, name)
             wrong = CliRunner().invoke(app, ["measure", "none"])
-        self.assertEqual(ran, ["dead-letters", "slow-start", "dead-letters", "slow-start"])
+            sized = ["measure", "chaos", "--seed", "7", "--out", "x", "--rounds", "3", "--rate", "9.5"]
+            self.assertEqual(CliRunner().invoke(app, sized).exit_code, 0)
+        self.assertEqual(ran, ["dead-letters", "slow-start", "dead-letters", "slow-start", "chaos"])
+        self.assertEqual(given[0], (1, Path("docs/measurements"), {}))
+        self.assertEqual(given[-1], (7, Path("x"), {"rounds": 3, "rate": 9.5}))
         self.assertEqual(wrong.exit_code, 2)
         self.assertIn("slow-start", wrong.output)
         self.assertNotIn("cold", wrong.output)
