--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -75,6 +75,33 @@
         console.width = 240
         return CliRunner().invoke(app, [str(w) for w in words])
 
+    def test_a_measurement_is_run_by_its_name_or_for_one_release_its_former_name(self) -> None:
+        from juniperward.benchmarks import all as measurements
+
+        ran: list[str] = []
+        given: list[tuple[object, ...]] = []
+
+        def measured(name: str) -> Callable[..., bool]:
+            def run(*arguments: object, **options: object) -> bool:
+                ran.append(name)
+                given.append((*arguments, options))
+                return True
+
+            return run
+
+        with mock.patch.dict(measurements.ALL, {name: measured(name) for name in measurements.ALL}):
+            for name in ("kept", "cold", "dead-letters", "slow-start"):
+                self.assertEqual(CliRunner().invoke(app, ["measure", name]).exit_code, 0, name)
+            wrong = CliRunner().invoke(app, ["measure", "none"])
+            sized = ["measure", "chaos", "--seed", "7", "--out", "x", "--rounds", "3", "--rate", "9.5"]
+            self.assertEqual(CliRunner().invoke(app, sized).exit_code, 0)
+        self.assertEqual(ran, ["dead-letters", "slow-start", "dead-letters", "slow-start", "chaos"])
+        self.assertEqual(given[0], (1, Path("docs/measurements"), {}))
+        self.assertEqual(given[-1], (7, Path("x"), {"rounds": 3, "rate": 9.5}))
+        self.assertEqual(wrong.exit_code, 2)
+        self.assertIn("slow-start", wrong.output)
+        self.assertNotIn("cold", wrong.output)
+
     def test_status_shows_every_instance_and_the_silent_agent(self) -> None:
         one, mute = self.agent("one"), self.folder / "mute.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
