--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -23,7 +23,7 @@
 from juniperward.fakes.clients import Clients, Traffic
 from juniperward.fakes.partners import PartnerSpec
 from juniperward.simulation.experiment import one
-from juniperward.simulation.scenario import FOLDER, Scenario, Trouble, load
+from juniperward.simulation.scenario import FOLDER, Fault, Scenario, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("juniperward", "round-robin", "one-try")
@@ -62,7 +62,7 @@
 
 def playable(s: Scenario) -> bool:
     """Whether the stand-ins have all that a scenario asks for."""
-    return all(t.kind in MODES for t in s.troubles)
+    return all(t.kind in MODES for t in s.faults)
 
 
 def specs(s: Scenario) -> list[PartnerSpec]:
@@ -113,7 +113,7 @@
             cluster.start()
             clients = _clients(cluster, s, seed)
             began = time.monotonic()
-            for trouble in s.troubles:
+            for trouble in s.faults:
                 threading.Thread(target=_trouble, args=(cluster, trouble, began), daemon=True).start()
             clients.done.wait(s.seconds + 2 * t.deadline)
             time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
@@ -135,7 +135,7 @@
     return clients
 
 
-def _trouble(cluster: LocalCluster, t: Trouble, began: float) -> None:
+def _trouble(cluster: LocalCluster, t: Fault, began: float) -> None:
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
         cluster.partners[p].trouble(MODES[t.kind], t.seconds, t.size)
--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -1,4 +1,4 @@
-"""The partners of the simulated world: what becomes of a call that reaches an endpoint, and their troubles."""
+"""The partners of the simulated world: what becomes of a call that reaches an endpoint, and their faults."""
 
 from __future__ import annotations
 
@@ -141,14 +141,14 @@
         arrives_at = self._timeline.now + took_s + self.network_s()
         self._timeline.at(arrives_at, self.answer, attempt, outcome, retry_after_s)
 
-    # --- troubles ------------------------------------------------------------------------------------------
+    # --- faults --------------------------------------------------------------------------------------------
 
-    def begin_trouble(self, number: int, kind: str, size: float, seconds: float) -> None:
-        """Have a trouble begin at a partner."""
+    def begin_fault(self, number: int, kind: str, size: float, seconds: float) -> None:
+        """Have a fault of `kind` and `size` begin at partner `number` (from 1) for `seconds`."""
         partner = self.partners[number - 1]
         partner.mode, partner.size, partner.until = kind, size, self._timeline.now + seconds
 
-    def end_trouble(self, number: int, kind: str) -> None:
+    def end_fault(self, number: int, kind: str) -> None:
         """Have a partner return; it is cold then, unless it was only slow."""
         partner = self.partners[number - 1]
         partner.mode, partner.size = "", 1.0
--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -8,7 +8,8 @@
 
 from google.protobuf import text_format
 
-from juniperward.settings.load import Fault, SettingsError, lines
+from juniperward.settings.load import Fault as SettingsFault
+from juniperward.settings.load import SettingsError, lines
 from juniperward.simulation import scenario_pb2
 
 FOLDER = Path(__file__).parent.parent.parent / "scenarios"
@@ -20,12 +21,18 @@
 }  # fmt: skip
 
 
-DEFAULT_SIZES = {"SLOW": 4.0, "KILL": 0.3, "HOT": 0.2}  # of troubles; others have 1.0
+DEFAULT_SIZES = {"SLOW": 4.0, "KILL": 0.3, "HOT": 0.2}  # of faults; others have 1.0
+FAULT_FIELD = "trouble"  # the text format keeps its name for the timetable of injected faults
+FAULT_KINDS = scenario_pb2.Trouble.Kind
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """A trouble of the timetable; `partner` are numbers from 1."""
+class Fault:
+    """A fault injected by the timetable: `kind` (a name of FAULT_KINDS) from `at` for `seconds`.
+
+    `partner` are partner numbers from 1 (empty for KILL); `size` is the kind's strength (a latency multiple for
+    SLOW, a share of forwarders for KILL, a share of traffic for HOT).
+    """
 
     kind: str
     at: float
@@ -46,7 +53,7 @@
     max_open: int
     partners: tuple[Any, ...]
     traffic: Any
-    troubles: tuple[Trouble, ...]
+    faults: tuple[Fault, ...]
     text: str
 
 
@@ -55,7 +62,7 @@
     try:
         text = file.read_text()
     except OSError as error:
-        raise SettingsError([Fault(str(file), 0, "", error.strerror or str(error))]) from error
+        raise SettingsError([SettingsFault(str(file), 0, "", error.strerror or str(error))]) from error
     return parse(text, str(file))
 
 
@@ -69,7 +76,7 @@
     try:
         message = text_format.Parse(text, scenario_pb2.Scenario())
     except text_format.ParseError as error:
-        raise SettingsError([Fault(name, error.GetLine() or 0, "", str(error))]) from error
+        raise SettingsError([SettingsFault(name, error.GetLine() or 0, "", str(error))]) from error
     return _Checker(name, text, message).scenario()
 
 
@@ -79,14 +86,14 @@
     def __init__(self, name: str, text: str, message: Any) -> None:
         self._name, self._text, self._message = name, text, message
         self._lines = lines(text)
-        self._faults: list[Fault] = []
+        self._faults: list[SettingsFault] = []
 
     def scenario(self) -> Scenario:
         message = self._message
         self._check_numbers()
         self._check_partners()
         self._check_traffic()
-        troubles = tuple(self._trouble(number, trouble) for number, trouble in enumerate(message.trouble))
+        faults = tuple(self._fault_of(number, given) for number, given in enumerate(fault_messages(message)))
         if self._faults:
             raise SettingsError(self._faults)
         return Scenario(
@@ -98,13 +105,13 @@
             message.max_open,
             tuple(message.partners),
             message.traffic,
-            troubles,
+            faults,
             self._text,
         )
 
     def _fault(self, field: str, why: str) -> None:
         line = self._lines.get(field) or self._lines.get(field.rpartition(".")[0]) or 0
-        self._faults.append(Fault(self._name, line, field, why))
+        self._faults.append(SettingsFault(self._name, line, field, why))
 
     def _check_numbers(self) -> None:
         for field in ("seconds", "forwarders", "slots", "max_open"):
@@ -131,8 +138,8 @@
             if not 0 <= getattr(traffic, field) <= 1:
                 self._fault(f"traffic[0].{field}", "a share is needed, from 0 to 1")
 
-    def _trouble(self, number: int, given: Any) -> Trouble:
-        kind = scenario_pb2.Trouble.Kind.Name(given.kind)
+    def _fault_of(self, number: int, given: Any) -> Fault:
+        kind = FAULT_KINDS.Name(given.kind)
         partners = sum(group.count for group in self._message.partners)
         place = f"trouble[{number}]"
         if kind == "NONE":
@@ -143,7 +150,12 @@
         if not given.seconds > 0 or given.at < 0:
             self._fault(f"{place}.seconds", "a time and a length above 0 are needed")
         size = given.size or DEFAULT_SIZES.get(kind, 1.0)
-        return Trouble(kind, given.at, given.seconds, tuple(given.partner), size)
+        return Fault(kind, given.at, given.seconds, tuple(given.partner), size)
+
+
+def fault_messages(message: Any) -> Any:
+    """Return the repeated fault field of a scenario message; the text format keeps its name `trouble`."""
+    return getattr(message, FAULT_FIELD)
 
 
 def _fill(message: Any, defaults: dict[str, Any]) -> None:
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -18,7 +18,7 @@
 from juniperward.settings.load import SettingsError
 from juniperward.simulation import scenario_pb2
 from juniperward.simulation.experiment import one
-from juniperward.simulation.scenario import parse
+from juniperward.simulation.scenario import FAULT_KINDS, fault_messages, parse
 
 KINDS = ("DOWN", "FAILING", "SHUT", "SLOW", "SILENT", "HOT", "KILL")
 KEPT = 8  # days that the next ones are made from
@@ -60,7 +60,7 @@
     for _ in range(dice.choice([1, 2, 2, 3])):
         _partners(m, dice)
     for _ in range(dice.choice([0, 1, 1, 2, 3])):
-        _trouble(m, dice)
+        _add_fault(m, dice)
     return m
 
 
@@ -74,7 +74,7 @@
     )  # fmt: skip
 
 
-def _trouble(m: Any, dice: random.Random) -> None:
+def _add_fault(m: Any, dice: random.Random) -> None:
     count = sum(g.count for g in m.partners)
     kind = dice.choice(KINDS)
     at = round(dice.uniform(1.0, m.seconds * 0.6), 1)
@@ -83,9 +83,9 @@
         if kind == "KILL"
         else sorted(dice.sample(range(1, count + 1), min(count, dice.choice([1, 1, 2, 4]))))
     )
-    made = m.trouble.add(at=at, seconds=dice.choice([2.0, 5.0, 10.0]), partner=whom)
+    made = fault_messages(m).add(at=at, seconds=dice.choice([2.0, 5.0, 10.0]), partner=whom)
     made.size = dice.choice([0.3, 0.6, 0.9])
-    made.kind = scenario_pb2.Trouble.Kind.Value(kind)
+    made.kind = FAULT_KINDS.Value(kind)
     if kind == "SLOW":
         made.size = dice.choice([3.0, 8.0])
 
@@ -98,7 +98,7 @@
             case 0:
                 m.traffic.rate = round(m.traffic.rate * dice.choice([0.6, 1.3, 1.7]), 1)
             case 1:
-                _trouble(m, dice)
+                _add_fault(m, dice)
             case 2:
                 m.traffic.clumps, m.traffic.clump = dice.choice([0.0, 0.2, 0.6]), dice.choice([5, 20])
             case 3:
@@ -108,8 +108,8 @@
                 group.latency = dice.choice([0.02, 0.1, 0.5])
                 group.rate = dice.choice([0.0, 3.0, 10.0, 30.0])
             case _:
-                if m.trouble:
-                    t = dice.choice(m.trouble)
+                if fault_messages(m):
+                    t = dice.choice(fault_messages(m))
                     t.at, t.seconds = (
                         round(dice.uniform(1.0, m.seconds * 0.6), 1),
                         dice.choice([1.0, 4.0, 12.0]),
@@ -128,7 +128,7 @@
 
 
 def smaller(text: str) -> Iterator[str]:
-    """Days that are each one step smaller: a trouble or a group less, a shorter day, fewer of everything."""
+    """Days that are each one step smaller: a fault or a group less, a shorter day, fewer of everything."""
 
     def changed(act: Callable[[Any], None]) -> Iterator[str]:
         m = text_format.Parse(text, scenario_pb2.Scenario())
@@ -138,8 +138,8 @@
             yield made
 
     m = text_format.Parse(text, scenario_pb2.Scenario())
-    for n in range(len(m.trouble)):
-        yield from changed(lambda x, n=n: x.trouble.pop(n))  # type: ignore[misc]
+    for n in range(len(fault_messages(m))):
+        yield from changed(lambda x, n=n: fault_messages(x).pop(n))  # type: ignore[misc]
     for n in range(len(m.partners)):
         yield from changed(lambda x, n=n: x.partners.pop(n))  # type: ignore[misc]
     yield from changed(lambda x: setattr(x, "seconds", max(round(x.seconds / 2), 5)))
@@ -147,9 +147,9 @@
         for field, least in (("count", 1), ("workers", 1), ("batch", 1)):
             half = max(getattr(group, field) // 2, least)
             yield from changed(lambda x, n=n, f=field, v=half: setattr(x.partners[n], f, v))  # type: ignore[misc]
-    for n, trouble in enumerate(m.trouble):
-        for whom in trouble.partner:
-            yield from changed(lambda x, n=n, w=whom: x.trouble[n].partner.remove(w))  # type: ignore[misc]
+    for n, fault in enumerate(fault_messages(m)):
+        for whom in fault.partner:
+            yield from changed(lambda x, n=n, w=whom: fault_messages(x)[n].partner.remove(w))  # type: ignore[misc]
     yield from changed(lambda x: setattr(x, "forwarders", max(x.forwarders // 2, 1)))
     for field in ("clumps", "swing", "again"):
         yield from changed(lambda x, f=field: x.traffic.ClearField(f))  # type: ignore[misc]
@@ -210,7 +210,7 @@
     )
     text = str(text_format.MessageToString(m))
     folder.mkdir(parents=True, exist_ok=True)
-    kinds = "-".join(sorted({scenario_pb2.Trouble.Kind.Name(t.kind).lower() for t in m.trouble})) or "load"
+    kinds = "-".join(sorted({FAULT_KINDS.Name(t.kind).lower() for t in fault_messages(m)})) or "load"
     number = 1
     while (file := folder / f"{kinds}-{number}.textproto").exists():
         number += 1
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -1,7 +1,7 @@
 """The world in simulated time: partners, network, clients, and forwarders that are real schedulers.
 
 One timeline; no thread, no clock, no I/O. Each concern draws from a random stream of its own: runs of two policies on
-one seed meet the same arrivals, latencies and troubles. Times are seconds of the simulated day, rates are a second.
+one seed meet the same arrivals, latencies and faults. Times are seconds of the simulated day, rates are a second.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     SimulatedEndpoint,
 )
 from juniperward.simulation.random_streams import RandomStreams
-from juniperward.simulation.scenario import Scenario, Trouble
+from juniperward.simulation.scenario import Fault, Scenario
 from juniperward.simulation.timeline import Timeline
 
 AFTER_LAST_DEADLINE_S = 1.0  # for what was accepted last to get its end
@@ -62,9 +62,9 @@
         """Let the whole day happen, and go on until all that was accepted has its end."""
         for forwarder in self.forwarders.all:
             self.forwarders.start(forwarder)
-        for trouble in self.scenario.troubles:
-            self.timeline.at(trouble.at, self._trouble, trouble, True)
-            self.timeline.at(trouble.at + trouble.seconds, self._trouble, trouble, False)
+        for fault in self.scenario.faults:
+            self.timeline.at(fault.at, self._inject_fault, fault, True)
+            self.timeline.at(fault.at + fault.seconds, self._inject_fault, fault, False)
         self.timeline.at(0.0, self.clients.arrive)
         self.timeline.run(self.scenario.seconds + self.scenario.traffic.deadline + AFTER_LAST_DEADLINE_S)
         result = self._accounts.sum_up()
@@ -72,20 +72,20 @@
         result.fallen = sum(partner.fallen for partner in self.partners)
         return result
 
-    def _trouble(self, trouble: Trouble, begins: bool) -> None:
-        """Have a trouble begin or end."""
-        if trouble.kind == "KILL":
-            self._kill_or_start(trouble.size, begins)
+    def _inject_fault(self, fault: Fault, begins: bool) -> None:
+        """Have a fault begin or end."""
+        if fault.kind == "KILL":
+            self._kill_or_start(fault.size, begins)
             return
-        for number in trouble.partner:
-            if trouble.kind == "HOT":
-                share = (number, trouble.size / len(trouble.partner))
+        for number in fault.partner:
+            if fault.kind == "HOT":
+                share = (number, fault.size / len(fault.partner))
                 hot = self.clients.hot
                 hot.append(share) if begins else hot.remove(share)
             elif begins:
-                self.destinations.begin_trouble(number, trouble.kind, trouble.size, trouble.seconds)
+                self.destinations.begin_fault(number, fault.kind, fault.size, fault.seconds)
             else:
-                self.destinations.end_trouble(number, trouble.kind)
+                self.destinations.end_fault(number, fault.kind)
 
     def _kill_or_start(self, share: float, kill: bool) -> None:
         forwarders = self.forwarders.all
