--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -41,6 +41,26 @@
     size: float
 
 
+@dataclass(frozen=True, slots=True)
+class DeliveryObjective:
+    """What a delivery is worth by its latency: whole up to `latency_objective_s`, then falling evenly to
+    `late_weight` (a share from 0 to 1) at `deadline_s`; seconds from the message's arrival."""
+
+    latency_objective_s: float
+    deadline_s: float
+    late_weight: float
+
+
+# The text format's names of the traffic's objective fields.
+TRAFFIC_FIELDS = {"latency_objective_s": "aim", "deadline_s": "deadline", "late_weight": "late_worth"}
+
+
+def objective_of(traffic: Any) -> DeliveryObjective:
+    """Return the delivery objective of a scenario's traffic message (with its defaults filled in)."""
+    values = {name: float(getattr(traffic, field)) for name, field in TRAFFIC_FIELDS.items()}
+    return DeliveryObjective(**values)
+
+
 @dataclass(frozen=True, slots=True)
 class Scenario:
     """A checked scenario; `partners` and `traffic` are the messages of the schema with their defaults filled in."""
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -22,7 +22,7 @@
     SimulatedEndpoint,
 )
 from juniperward.simulation.random_streams import RandomStreams
-from juniperward.simulation.scenario import Fault, Scenario
+from juniperward.simulation.scenario import Fault, Scenario, objective_of
 from juniperward.simulation.timeline import Timeline
 
 AFTER_LAST_DEADLINE_S = 1.0  # for what was accepted last to get its end
@@ -112,12 +112,13 @@
 def scheduler_settings(scenario: Scenario) -> SchedulerSettings:
     """Return the settings that a scenario's forwarders have."""
     traffic = scenario.traffic
+    objective = objective_of(traffic)
     message_class = MessageClass(
-        traffic.aim,
+        objective.latency_objective_s,
         traffic.deadline,
         Idempotency.IDEMPOTENCY_KEY,
         1.0,
-        traffic.late_worth,
+        objective.late_weight,
         deduplication_window_s=traffic.window,
     )
     return SchedulerSettings(
