--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -218,9 +218,13 @@
 
 def sweep(
     folder: Path, scenarios: Iterable[Scenario], policies: Iterable[str], seeds: Iterable[int],
-    processes: int | None = None, told: Callable[[int, int, Result], None] = lambda _done, _total, _result: None,
+    processes: int | None = None,
+    on_progress: Callable[[int, int, Result], None] = lambda _done, _total, _result: None,
 ) -> list[Result]:  # fmt: skip
-    """Run what is not there yet; all results that were asked for. A run whose process dies is tried once more."""
+    """Run what is not there yet; all results that were asked for. A run whose process dies is tried once more.
+
+    `on_progress` is called after each run with the runs done, the runs asked for, and the run's result.
+    """
     asked = [(s, p, n) for s in scenarios for p in policies for n in seeds]
     results = Results(folder)
     try:
@@ -229,7 +233,7 @@
             if not left:
                 break
             try:
-                _run(left, results, processes, len(asked), told)
+                _run(left, results, processes, len(asked), on_progress)
             except concurrent.futures.process.BrokenProcessPool:
                 if attempt:
                     raise
@@ -241,14 +245,14 @@
 
 def _run(
     left: list[tuple[Scenario, str, int]], results: Results, processes: int | None, total: int,
-    told: Callable[[int, int, Result], None],
+    on_progress: Callable[[int, int, Result], None],
 ) -> None:  # fmt: skip
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         runs = [pool.submit(one, s.text, f"{s.name}.textproto", p, n) for s, p, n in left]
         for run in concurrent.futures.as_completed(runs):
             result = run.result()
             results.add(result)
-            told(total - len(left) + len([r for r in runs if r.done()]), total, result)
+            on_progress(total - len(left) + len([r for r in runs if r.done()]), total, result)
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -176,11 +176,12 @@
 
 def search(
     policy: str, rounds: int, seed: int, processes: int | None = None,
-    told: Callable[[int, Found], None] = lambda _done, _worst: None,
+    on_progress: Callable[[int, Found], None] = lambda _done, _worst: None,
 ) -> list[Found]:  # fmt: skip
     """Play so many days in parts of 16, each part made from the worst so far; the worst first.
 
-    The same seed finds the same days, however many processes play them.
+    The same seed finds the same days, however many processes play them. `on_progress` is called after each part
+    with the days played and the worst found so far.
     """
     dice = random.Random(seed)
     worst: list[Found] = []
@@ -197,7 +198,7 @@
             worst += pool.map(judge, days, [policy] * len(days), seeds)
             worst = sorted(worst, key=lambda f: -f.regret)[:KEPT]
             done += len(days)
-            told(done, worst[0])
+            on_progress(done, worst[0])
     return worst
 
 
