--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -25,7 +25,7 @@
 LEAST_CAPACITY = 0.01
 BATCH_COST = 0.1  # of the latency, for each further message of a call
 
-Answer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, told wait in seconds
+Answer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, Retry-After in seconds
 MessageOf = Callable[
     [Attempt, int], int | None
 ]  # the client's message of a member, where its forwarder has it
@@ -79,21 +79,21 @@
             endpoint.queue.append(attempt)
 
     def rejection(self, partner: Partner, endpoint: SimulatedEndpoint) -> float | None:
-        """Return None where an attempt is accepted, else the wait that is told in seconds (0: none)."""
+        """Return None where an attempt is accepted, else the Retry-After it carries in seconds (0: none)."""
         now, spec = self._timeline.now, partner.spec
-        told = self._streams.rejections.uniform() < spec.tells_wait
+        with_retry_after = self._streams.rejections.uniform() < spec.tells_wait
         self._push(partner)
         if partner.fallen:
             return 0.0
         if partner.mode == "SHUT":
-            return max(partner.until - now, LEAST_RETRY_AFTER_S) if told else 0.0
+            return max(partner.until - now, LEAST_RETRY_AFTER_S) if with_retry_after else 0.0
         if spec.rate:
             # What is agreed on, also while it is cold: what it can do less of then shows in its times (`_serve`).
             span = partner.span
             while span and now - span[0] >= RATE_SPAN_S:
                 span.popleft()
             if len(span) >= float(spec.rate):
-                return span[0] + RATE_SPAN_S - now if told else 0.0
+                return span[0] + RATE_SPAN_S - now if with_retry_after else 0.0
             span.append(now)
         return 0.0 if endpoint.accepted >= spec.at_once + spec.queue else None
 
