--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -2,7 +2,8 @@
 
 `python -m tests.stored_data_writer FOLDER` writes one folder a kind: `forwarder` (journal and clock), `spool`,
 `store`, `agent`. The committed ones were written by the version before its code was made readable; they are not
-written again, as what they hold is what the disks of operators hold. Times are fixed.
+written again, as what they hold is what the disks of operators hold. Times are fixed, so `test_stored_data.py`
+compares what the present version writes with them, byte for byte.
 """
 
 from __future__ import annotations
@@ -110,7 +111,7 @@
 def write_store(folder: Path) -> None:
     """Undelivered messages at each stage, with resends, wishes and the audit trail."""
     folder.mkdir()
-    with mock.patch("juniperward.dead_letters.store.time.time", return_value=WRITTEN_AT):
+    with mock.patch("juniperward.dead_letters.rows.time.time", return_value=WRITTEN_AT):
         store = DeadLetterStore(folder / "store.db", "OFF")
         names = ("waiting", "wished", "claimed", "delivered", "deferred", "discarded", "settled")
         messages = [undelivered(f"m-{name}", "by_key", name != "waiting") for name in names]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -6,9 +6,11 @@
 
 from __future__ import annotations
 
+import contextlib
 import heapq
 import json
 import shutil
+import sqlite3
 from pathlib import Path
 from typing import Any
 from unittest import mock
@@ -35,6 +37,7 @@
 from juniperward.scheduler.settings import DeduplicationScope, MessageClass
 from juniperward.scheduler.settings import Idempotency as MessageEffect
 from juniperward.settings.configuration_versions import ConfigurationVersions
+from tests import stored_data_writer
 from tests.helpers import settings
 from tests.stored_data_writer import BOOT_ID, WRITTEN_AT
 
@@ -65,6 +68,50 @@
     return tmp_path / "data"
 
 
+@pytest.fixture(scope="module")
+def rewritten(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """The same folders as the present version writes them."""
+    folder = tmp_path_factory.mktemp("rewritten") / "data"
+    stored_data_writer.main(folder)
+    return folder
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "forwarder/clock",
+        "forwarder/journal",
+        "spool/00000001.kept",
+        "spool/00000002.kept",
+        "spool/acked",
+        "spool/fates",
+    ],
+)
+def test_the_present_version_writes_the_same_bytes(rewritten: Path, name: str) -> None:
+    assert (rewritten / name).read_bytes() == (FOLDER / name).read_bytes()
+
+
+def test_the_present_version_writes_the_same_store(rewritten: Path) -> None:
+    # As statements: SQLite writes its own version into the file.
+    with (
+        contextlib.closing(sqlite3.connect(FOLDER / "store" / "store.db")) as old_store,
+        contextlib.closing(sqlite3.connect(rewritten / "store" / "store.db")) as new_store,
+    ):
+        old_rows = list(old_store.iterdump())
+        assert list(new_store.iterdump()) == old_rows
+    assert len(old_rows) > 50
+
+
+def test_the_present_version_writes_the_same_agent_state(rewritten: Path) -> None:
+    # A saved version of the settings is named after its content, which has the folder's path in it.
+    (old_version,) = (path.name for path in (FOLDER / "agent" / "editions").iterdir())
+    (new_version,) = (path.name for path in (rewritten / "agent" / "editions").iterdir())
+    for name in ("state.json", "state.json.old"):
+        old_body = (FOLDER / "agent" / name).read_text().partition("\n")[2]
+        new_body = (rewritten / "agent" / name).read_text().partition("\n")[2]
+        assert new_body.replace(new_version, old_version) == old_body
+
+
 def restored(folder: Path) -> dict[str, RestoredMessage]:
     read = Journal(folder / "forwarder", 1_000_000, WRITTEN_AT)
     read.close()
