--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from juniperward.agent import state_codec
 from juniperward.agent.messages import PersistentState
 from juniperward.agent.processes import boot_id
 from juniperward.fleet.model import Crashes
@@ -55,7 +56,7 @@
 
     def save(self, durable: PersistentState) -> None:
         """Write it so that it survives the machine; raises OSError, and then the file before still counts."""
-        body = msgspec.json.encode(durable)
+        body = state_codec.encode(durable)
         head = msgspec.json.encode(Header(VERSION, zlib.crc32(body), boot_id()))
         with self.fresh.open("wb") as file:
             file.write(head + b"\n" + body)
@@ -88,7 +89,7 @@
         try:
             header = msgspec.json.decode(head, type=Header)
             _check(header, body)
-            durable = msgspec.json.decode(body, type=PersistentState)
+            durable = state_codec.decode(body)
         except msgspec.DecodeError as error:
             raise DamagedStateError(str(error)) from error
         return durable if header.boot == boot_id() else _after_reboot(durable)
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from juniperward.agent import state_codec
 from juniperward.agent.messages import (
     ControlRequest,
     Effect,
@@ -101,7 +102,7 @@
         durable = PersistentState()
         for text in (self.disk, self.old):
             try:
-                durable = msgspec.json.decode(text, type=PersistentState)
+                durable = state_codec.decode(text)
                 break
             except msgspec.DecodeError:
                 continue
@@ -130,7 +131,7 @@
                 self.saves += 1
                 if self.full(self.saves):
                     return [StateSaved(durable, "No space left on device")]
-                text = msgspec.json.encode(durable)
+                text = state_codec.encode(durable)
                 if self.tear_at == self.saves:
                     self.tear_at = None
                     self.old, self.disk = self.disk, text[: len(text) // 2]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -15,9 +15,9 @@
 from typing import Any
 from unittest import mock
 
-import msgspec
 import pytest
 
+from juniperward.agent import state_codec
 from juniperward.agent.messages import PersistentState
 from juniperward.agent.store import StateStore
 from juniperward.dead_letters import spool as spools
@@ -287,7 +287,7 @@
         RollStage.LEFT_OUT,
     ]
     body = (folder / "agent" / "state.json").read_bytes().partition(b"\n")[2]
-    assert msgspec.json.encode(durable) == body
+    assert state_codec.encode(durable) == body
 
 
 def test_the_agent_falls_back_to_the_older_state(folder: Path) -> None:
