--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -1,6 +1,6 @@
 """One forwarder's capacity on one core: what it adds to a message, by rate, with keeping off and on.
 
-The forwarder runs as on the platform, a process of its own, pinned to a core; load, workers and registry have the
+The forwarder runs as on the platform, a process of its own, pinned to a core; load, endpoints and discovery have the
 other cores. Workers answer at once, so that all there is to see is the forwarder's own.
 """
 
@@ -20,9 +20,9 @@
 from juniperward.benchmarks.local_cluster import BASE, ROOT, reserve
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.clients import ready
+from juniperward.fakes.discovery import FakeDiscovery, ListedEndpoint
 from juniperward.fakes.load import LoadResult, Plan, Sinks, play, quantile
 from juniperward.fakes.records import Recorder, now
-from juniperward.fakes.registry import Entry, Registry
 
 DESTINATIONS = 8
 SKIP = 1.0  # seconds left out, in which connections open
@@ -75,7 +75,7 @@
         self.folder, self.keep, self.root = folder, keep, root
         cores = sorted(os.sched_getaffinity(0))
         self.own, self.others = frozenset(cores[:1]), frozenset(cores[1:])
-        self.registry = Registry(Recorder())
+        self.discovery = FakeDiscovery(Recorder())
         self.sinks = Sinks(DESTINATIONS, self.others)
         (self.port,) = reserve(1)
         self.address: tuple[str, int] = self.port.getsockname()
@@ -83,12 +83,13 @@
     def __enter__(self) -> Bench:
         """Start the forwarder; raises RuntimeError with its log where it does not get ready."""
         for n, address in enumerate(self.sinks.addresses, 1):
-            self.registry.put(Entry(f"s-{n}", address, n, "small-partners", 0.0))
+            self.discovery.publish(ListedEndpoint(f"s-{n}", address, n, "small-partners", 0.0))
         state = self.folder / "state"
         state.mkdir()
         config = {
-            **BASE, "name": "n0", "listen": f"127.0.0.1:{self.address[1]}", "discovery": self.registry.door("n0"),
-            "seed": "1", "state": str(state), "known": {"version": 0, "full": True, "servers": []},
+            **BASE, "name": "n0", "listen": f"127.0.0.1:{self.address[1]}",
+            "discovery": self.discovery.address_for("n0"), "seed": "1", "state": str(state),
+            "known": {"version": 0, "full": True, "servers": []},
         }  # fmt: skip
         if self.keep:
             config["kept"] = {"spool": str(self.folder / "spool")}
@@ -114,7 +115,7 @@
         self.child.wait(10.0)
         self.sinks.close()
         self.port.close()
-        self.registry.close()
+        self.discovery.close()
 
     def step(self, rate: float, seed: int, seconds: float = SECONDS, skip: float = SKIP) -> Step:
         """Send at a rate for so long."""
--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -33,7 +33,7 @@
             keep.mkdir(parents=True, exist_ok=True)
             folder = keep.resolve()
         cluster = stack.enter_context(LocalCluster(folder, 3, PARTNERS))
-        console.print("starting a registry, 4 partners, an agent and 3 forwarders")
+        console.print("starting discovery, 4 partners, an agent and 3 forwarders")
         cluster.start()
         console.print(
             f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll"
@@ -42,7 +42,7 @@
         time.sleep(2.0)
         cluster.ask("roll", soak=1.0)
         time.sleep(1.0)
-        cluster.registry.put(*cluster.partners[2].entries("Terminating", 0))
+        cluster.discovery.publish(*cluster.partners[2].entries("Terminating", 0))
         roll = cluster.roll_end(60.0)
         console.print(f"roll {roll['id']} is {roll['mode']} {roll['why']}")
         clients.done.wait(60.0)
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -26,9 +26,9 @@
 from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import Bounds, Verdict, check
 from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import ProcessEvent, Recorder, now
-from juniperward.fakes.registry import Registry
 from juniperward.settings import fleet_pb2
 
 ROOT = Path(__file__).parent.parent.parent
@@ -78,9 +78,9 @@
 
 @dataclass(frozen=True)
 class ClusterOptions:
-    """What a `LocalCluster` may be given beyond its size: the registry's delay, and parts of the fleet's file."""
+    """What a `LocalCluster` may be given beyond its size: discovery's delay, and parts of the fleet's file."""
 
-    registry_delay_s: float = 0.0
+    discovery_delay_s: float = 0.0
     settings: dict[str, dict[str, float]] = field(
         default_factory=dict
     )  # a part ("patience", "roll"): its values
@@ -97,7 +97,7 @@
         chosen = options if options is not None else ClusterOptions()
         self.folder, self.seed = folder, seed
         self.recorder = Recorder()
-        self.registry = Registry(self.recorder, chosen.registry_delay_s)
+        self.discovery = FakeDiscovery(self.recorder, chosen.discovery_delay_s)
         specs = partners if partners is not None else [PartnerSpec(d, latency=0.03) for d in (1, 2, 3, 4)]
         self.partners = {s.destination: Partner(s, self.recorder, seed + s.destination) for s in specs}
         self.names = [f"n{n}" for n in range(instances)]
@@ -134,7 +134,7 @@
         fleet = fleet_pb2.Fleet(name="cluster", folder="run", base="base.json")
         for name in names or self.names:
             host, port = self.addresses[name]
-            fleet.instance.add(name=name, listen=f"{host}:{port}", registry=self.registry.door(name))
+            fleet.instance.add(name=name, listen=f"{host}:{port}", registry=self.discovery.address_for(name))
         parts = {
             "patience": {"silent": 1.0, "start": 8.0, "stop": 4.0},
             "roll": {"drain": 6.0, "soak": 0.5, "soak_most": 3.0, "least_calls": 5, "patience": 8.0},
@@ -150,7 +150,7 @@
     def start(self, ready: bool = True) -> None:
         """Start the world and the agent; wait until all forwarders are ready."""
         for partner in self.partners.values():
-            self.registry.put(*partner.start())
+            self.discovery.publish(*partner.start())
         self.write_settings()
         self.start_agent()
         if ready:
@@ -291,7 +291,7 @@
                 self.agent.wait()
         for process in processes.find(str(self.folder / "run")).values():
             processes.send(process, signal.SIGKILL)
-        self.registry.close()
+        self.discovery.close()
         for partner in self.partners.values():
             partner.close()
         for sock in self.ports:
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -1,7 +1,7 @@
 """What servers and forwarders cost one forwarder by their number: a list, a message, an idle second, memory.
 
 The reducer is driven without sockets by a clock of its own; beside it a real process is started with the same list,
-its registry away, and looked at through /proc. A message concerns one destination with one server; all other servers
+discovery away, and looked at through /proc. A message concerns one destination with one server; all other servers
 belong to nineteen others.
 """
 
@@ -42,7 +42,7 @@
 
 
 def listed(servers: int) -> dict[str, Any]:
-    """A whole list in the registry's form."""
+    """A whole list in discovery's form."""
     rows = [
         {"id": f"s-{n:08x}", "addr": f"127.1.{n >> 8}.{n & 255}:8081", "zone": "z", "kind": "k",
          "cell": 1 + n % 19 if n else 0, "state": "Ready", "weight": 20.0, "started_ms": 0}
@@ -126,7 +126,7 @@
     """MB resident, threads and descriptors of a real forwarder, and its CPU milliseconds in an idle second."""
     with tempfile.TemporaryDirectory() as folder:
         ports = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        listen, registry = (f"127.0.0.1:{p.getsockname()[1]}" for p in ports)
+        listen, discovery = (f"127.0.0.1:{p.getsockname()[1]}" for p in ports)
         for p in ports:
             p.close()
         settings = {
@@ -136,7 +136,7 @@
             "Limits": {"MaxOpen": 200, "MaxAttempts": 8}, "Family": "deliver",
         }  # fmt: skip
         config = {
-            "name": "n0", "listen": listen, "discovery": registry, "seed": "1", "settings": settings,
+            "name": "n0", "listen": listen, "discovery": discovery, "seed": "1", "settings": settings,
             "limits": {"sockets": 256, "disk_mb": 3}, "known": listed(servers), "state": folder,
         }  # fmt: skip
         path = Path(folder) / "config.json"
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -244,7 +244,7 @@
             for n in range(times):
                 folder = Path(name) / f"{kind}{n}"
                 folder.mkdir()
-                fleet = Fleet(folder, base, cluster.registry.door("n0"))
+                fleet = Fleet(folder, base, cluster.discovery.address_for("n0"))
                 try:
                     taken.append(fleet.wait_ready("n0", fleet.spawn("n0")))
                     memory.append(processes.usage(fleet.children["n0"].pid)[1] / 2**20)
--- a/juniperward/fakes/__init__.py
+++ b/juniperward/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Registry, partners, clients and the sink of notices, written for this project; and the checker."""
+"""FakeDiscovery, partners, clients and the sink of notices, written for this project; and the checker."""
--- /dev/null
+++ b/juniperward/fakes/discovery.py
@@ -0,0 +1,166 @@
+"""A fake of the platform's discovery service and of its receiver of outcome notifications.
+
+In: the endpoints that a test publishes, and the requests of forwarders (a watch of the endpoint list, notifications).
+Out: the answers, and a record of each watch event and each notification. Each forwarder has a listener of its own,
+so that a record says which forwarder it concerns. Tests, `LocalCluster` and the benchmarks start it.
+"""
+
+from __future__ import annotations
+
+import json
+import threading
+from dataclasses import dataclass
+from typing import Any
+
+from juniperward.fakes.records import Noticed, Recorder, WatchEventSent, now
+from juniperward.fakes.serving import Link, Serving
+from juniperward.net.http import HttpRequest, encode_response
+
+HEARTBEAT_S = 2.0  # between empty lines on a quiet watch
+SHORTEST_WAIT_S = 0.001
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEARTBEAT_CHUNK = b"1\r\n\n\r\n"
+
+
+@dataclass(frozen=True, slots=True)
+class ListedEndpoint:
+    """An endpoint as the list has it; `rate` is its destination's listed rate in calls a second (0: none)."""
+
+    id: str
+    address: str
+    destination: int
+    kind: str
+    rate: float
+    state: str = "Ready"  # Ready, Terminating or Gone, as on the wire
+
+    def row(self) -> dict[str, Any]:
+        """Return the endpoint in the wire's form."""
+        return {
+            "id": self.id, "addr": self.address, "zone": "aluva", "kind": self.kind, "cell": self.destination,
+            "state": self.state, "weight": self.rate, "started_ms": 0,
+        }  # fmt: skip
+
+
+@dataclass(frozen=True, slots=True)
+class _Change:
+    """The latest change of an endpoint: the list's version with it, and when it was made."""
+
+    version: int
+    at: float
+    endpoint: ListedEndpoint
+
+
+class FakeDiscovery:
+    """The endpoint list, its watches and the receiver of notifications."""
+
+    def __init__(self, recorder: Recorder, delay_s: float = 0.0) -> None:
+        """Send each change to the watches `delay_s` seconds after it is made."""
+        self.recorder, self.delay_s = recorder, delay_s
+        self.changed = threading.Condition()
+        self.version = 1
+        self.changes: dict[str, _Change] = {}  # the latest of each endpoint
+        self.listeners: dict[str, Serving] = {}
+        self.down = False
+
+    def address_for(self, forwarder: str) -> str:
+        """Return the address that this forwarder is to use, as host:port; starts its listener."""
+        if forwarder not in self.listeners:
+            serving = Serving(lambda link, request, _: self._handle(forwarder, link, request))
+            serving.start()
+            self.listeners[forwarder] = serving
+        return self.listeners[forwarder].address
+
+    def publish(self, *endpoints: ListedEndpoint) -> None:
+        """Add or change endpoints, all in one version."""
+        with self.changed:
+            self.version += 1
+            for endpoint in endpoints:
+                self.changes[endpoint.id] = _Change(self.version, now(), endpoint)
+            self.changed.notify_all()
+
+    def set_outage(self, down: bool) -> None:
+        """Reject connections and end the open ones, or serve again."""
+        self.down = down
+        for listener in self.listeners.values():
+            if down:
+                listener.stop()
+            else:
+                listener.start()
+
+    def close(self) -> None:
+        """End all listeners and watches."""
+        self.set_outage(True)
+        with self.changed:
+            self.changed.notify_all()
+
+    def _handle(self, forwarder: str, link: Link, request: HttpRequest) -> bool:
+        """Serve one request: notifications by POST /status, the watch by GET /registry/instances."""
+        if request.method == "POST" and request.path == "/status":
+            return self._receive_notifications(forwarder, link, request.body)
+        if request.method == "GET" and request.path == "/registry/instances":
+            self._watch(forwarder, link)
+            return False
+        return link.write(encode_response(404, {}, b"", False))
+
+    def _receive_notifications(self, forwarder: str, link: Link, body: bytes) -> bool:
+        """Record the notifications of a body, one JSON object a line; answer 400 to a body that does not parse."""
+        at = now()
+        try:
+            rows = [json.loads(line) for line in body.splitlines() if line.strip()]
+            records = [Noticed(at, str(row["id"]), str(row["status"]), forwarder) for row in rows]
+        except (ValueError, KeyError, TypeError):
+            return link.write(encode_response(400, {}, b"", False))
+        for record in records:
+            self.recorder.add(record)
+        return link.write(b"HTTP/1.1 204 No Content\r\n\r\n")
+
+    def _watch(self, forwarder: str, link: Link) -> None:
+        """Send the complete list first, then changes, each after the delay; return once the watch has ended."""
+        if not link.write(WATCH_HEAD):
+            return
+        sent_version = 0
+        full = True
+        while not self.down:
+            changes = self._next_changes(sent_version, wait=not full)
+            if not changes and not full:
+                if not link.write(HEARTBEAT_CHUNK):
+                    return
+                continue
+            sent_version = max([sent_version, *(change.version for change in changes)])
+            if not self._send(link, changes, max(sent_version, 1), full):
+                return
+            sent_at = now()
+            full = False
+            for change in changes:
+                endpoint = change.endpoint
+                self.recorder.add(WatchEventSent(sent_at, forwarder, endpoint.id, endpoint.state))
+
+    def _send(self, link: Link, changes: list[_Change], version: int, full: bool) -> bool:
+        """Write one line of the watch; a full list leaves out what is removed. False where it was not written."""
+        endpoints = [change.endpoint for change in changes]
+        rows = [endpoint.row() for endpoint in endpoints if not (full and endpoint.state == "Gone")]
+        line = json.dumps({"version": version, "full": full, "servers": rows}).encode() + b"\n"
+        return link.write(b"%x\r\n%s\r\n" % (len(line), line))
+
+    def _next_changes(self, sent_version: int, wait: bool) -> list[_Change]:
+        """Return the changes after `sent_version` that may be sent; with `wait`, wait a heartbeat for some."""
+        with self.changed:
+            changes = self._sendable(sent_version)
+            if changes or not wait:
+                return changes
+            waits_s = [
+                max(change.at + self.delay_s - now(), SHORTEST_WAIT_S)
+                for change in self.changes.values()
+                if change.version > sent_version
+            ]
+            self.changed.wait(min([HEARTBEAT_S, *waits_s]))
+            return self._sendable(sent_version)
+
+    def _sendable(self, sent_version: int) -> list[_Change]:
+        """Return the changes after `sent_version` whose delay is over."""
+        made_until = now() - self.delay_s
+        return [
+            change
+            for change in self.changes.values()
+            if change.version > sent_version and change.at <= made_until
+        ]
--- a/juniperward/fakes/partners.py
+++ b/juniperward/fakes/partners.py
@@ -15,8 +15,8 @@
 from collections import deque
 from dataclasses import dataclass
 
+from juniperward.fakes.discovery import ListedEndpoint
 from juniperward.fakes.records import Called, Effect, Hung, Recorder, Replied, now
-from juniperward.fakes.registry import Entry
 from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http import HttpRequest, encode_response
 
@@ -95,8 +95,8 @@
         self.back_at: float | None = None
         self.fallen = False
 
-    def start(self) -> list[Entry]:
-        """Listen; the entries for the registry."""
+    def start(self) -> list[ListedEndpoint]:
+        """Listen; the entries for discovery."""
         for door in self.doors:
             door.start()
         return self.entries()
@@ -105,12 +105,13 @@
         """Return the id of an endpoint."""
         return f"s-{self.spec.destination}-{number}"
 
-    def entries(self, state: str = "Ready", number: int | None = None) -> list[Entry]:
+    def entries(self, state: str = "Ready", number: int | None = None) -> list[ListedEndpoint]:
         """Its workers as the list has them, or one of them."""
         s = self.spec
         chosen = range(s.workers) if number is None else (number,)
         return [
-            Entry(self.worker(n), self.doors[n].address, s.destination, s.kind, s.rate, state) for n in chosen
+            ListedEndpoint(self.worker(n), self.doors[n].address, s.destination, s.kind, s.rate, state)
+            for n in chosen
         ]
 
     def close(self) -> None:
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -84,7 +84,7 @@
 
 
 class WatchEventSent(Record, frozen=True, tag="Told"):
-    """The registry has written to a forwarder what a worker is; its tag on disk is the recorded `Told`."""
+    """Discovery has written to a forwarder what a worker is; its tag on disk is the recorded `Told`."""
 
     forwarder: str
     worker: str
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,9 +18,9 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Noticed, Recorder, WatchEventSent
-from juniperward.fakes.registry import Registry
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.events import AttemptAnswered
@@ -171,8 +171,8 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.recorder = Recorder()
-        self.registry = Registry(self.recorder)
-        self.addCleanup(self.registry.close)
+        self.discovery = FakeDiscovery(self.recorder)
+        self.addCleanup(self.discovery.close)
         self.partner = Partner(PartnerSpec(7, latency=0.01), self.recorder, 1)
         self.addCleanup(self.partner.close)
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
@@ -182,8 +182,8 @@
     def start(self, descriptors: int, sockets_setting: int = 256) -> LimitedProgram:
         program = LimitedProgram(self.folder, descriptors, sockets_setting)
         self.addCleanup(program.close)
-        program.config["discovery"] = self.registry.door("n0")
-        self.registry.put(*self.partner.start())
+        program.config["discovery"] = self.discovery.address_for("n0")
+        self.discovery.publish(*self.partner.start())
         program.start()
         assert program.process is not None and program.process.stderr is not None
         self.reader = threading.Thread(target=self._read, args=(program.process.stderr,))
@@ -235,7 +235,7 @@
     def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
         before = self.counters(program)
-        self.registry.outage(True)
+        self.discovery.set_outage(True)
         clients = RestingClients(program.address, 300)
         self.addCleanup(clients.close)
         self.assertTrue(clients.full.wait(WAIT))
@@ -244,7 +244,7 @@
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
         self.partner.inject_fault("down")
         undelivered = self.hand_in(program, left=1.5)
-        self.registry.outage(False)
+        self.discovery.set_outage(False)
         back_at = time.monotonic()
         self.until(lambda: undelivered in self.noticed(), "the notice is handed over")
         watches = before["watches_begun"]
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -8,9 +8,9 @@
 import unittest
 
 from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, WatchEventSent
-from juniperward.fakes.registry import Registry
 from juniperward.fakes.serving import Serving
 from juniperward.net.http import Stream, encode_request, encode_response, read_response
 
@@ -141,21 +141,21 @@
         self.assertEqual((effect.key, replied.states), ("k", ("ok",)))
 
 
-class RegistryTest(unittest.TestCase):
+class DiscoveryTest(unittest.TestCase):
     def test_a_watch_hears_the_list_then_changes_and_each_is_recorded(self) -> None:
         recorder = Recorder()
-        registry = Registry(recorder)
-        self.addCleanup(registry.close)
+        discovery = FakeDiscovery(recorder)
+        self.addCleanup(discovery.close)
         partner = Partner(PartnerSpec(1), recorder, 1)
-        registry.put(*partner.entries())
-        host, port = registry.door("n0").split(":")
+        discovery.publish(*partner.entries())
+        host, port = discovery.address_for("n0").split(":")
         with socket.create_connection((host, int(port)), 5.0) as sock:
             sock.sendall(encode_request("GET", "/registry/instances?follow=1&since=0", "x", {}, None))
             lines = sock.makefile("rb")
             text = b""
             while b'"full": true' not in text:
                 text = lines.readline()
-            registry.put(*partner.entries("Terminating", 0))
+            discovery.publish(*partner.entries("Terminating", 0))
             while b"Terminating" not in text:
                 text = lines.readline()
         while len(told := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -62,7 +62,7 @@
         clients = cluster.clients(40.0, 6.0, threads=24)
         cluster.ask("roll", soak=0.2)
         cluster.until(lambda s: s["roll"]["steps"][0]["stage"] == "starting")
-        cluster.registry.put(*cluster.partners[2].entries("Terminating", 0))
+        cluster.discovery.publish(*cluster.partners[2].entries("Terminating", 0))
         self.assertEqual(cluster.roll_end()["mode"], "done")
         self.assertTrue(clients.done.wait(30.0))
         self.judge(cluster)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -12,9 +12,9 @@
 from juniperward.benchmarks.local_cluster import BASE
 from juniperward.benchmarks.start_parts import Parts
 from juniperward.benchmarks.starts import Fleet, dead_address, start_all
+from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Effect, Noticed, Recorder
-from juniperward.fakes.registry import Registry
 
 FORWARDERS = 40
 READY_WITHIN_S = 10.0
@@ -34,25 +34,25 @@
             PartnerSpec(1, "booking-sites", workers=4, latency=0.005, batch=20), self.recorder, 1
         )
         self.addCleanup(partner.close)
-        registry = Registry(self.recorder)
-        self.addCleanup(registry.close)
-        discovery = registry.door("fleet")
-        registry.outage(True)
+        discovery = FakeDiscovery(self.recorder)
+        self.addCleanup(discovery.close)
+        address = discovery.address_for("fleet")
+        discovery.set_outage(True)
         servers = [
             {"id": e.id, "addr": e.address, "zone": "aluva", "kind": e.kind, "cell": 1, "state": "Ready",
              "weight": 0.0, "started_ms": 0}
             for e in partner.start()
         ]  # fmt: skip
-        registry.put(*partner.entries())
+        discovery.publish(*partner.entries())
         base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB, "sockets": 128}}
-        fleet = Fleet(self.folder, base, discovery, servers)
+        fleet = Fleet(self.folder, base, address, servers)
         self.addCleanup(fleet.close)
         names = [f"n{n}" for n in range(FORWARDERS)]
         accepted = {message for name in names for message in fleet.fill(name)}
         self.assertGreater(len(accepted), 20 * FORWARDERS)
         taken = sorted(t for t, _ in start_all(fleet, names))
         self.assertLess(taken[-1], READY_WITHIN_S, f"median {taken[len(taken) // 2]:.2f} s")
-        registry.outage(False)
+        discovery.set_outage(False)
         end = time.monotonic() + OVER_WITHIN_S
         while (left := accepted - self.over()) and time.monotonic() < end:
             time.sleep(0.05)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -16,9 +16,9 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Noticed, Recorder
-from juniperward.fakes.registry import Registry
 from juniperward.forwarder.clock import (
     CLOCK_ERROR_S,
     LARGEST_STEP_S,
@@ -212,18 +212,18 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         recorder = Recorder()
-        registry = Registry(recorder)
-        self.addCleanup(registry.close)
+        discovery = FakeDiscovery(recorder)
+        self.addCleanup(discovery.close)
         partner = Partner(PartnerSpec(7, workers=1), recorder, 1)
         self.addCleanup(partner.close)
         entries = partner.start()
-        registry.put(*entries)
+        discovery.publish(*entries)
         partner.inject_fault("silent")
         short = copy.deepcopy(SETTINGS)
         short["Services"][0]["WindowMs"] = WINDOW * 1000
         program = SteppedProgram(Path(folder.name), short)
         self.addCleanup(program.close)
-        program.config["discovery"] = registry.door("n0")
+        program.config["discovery"] = discovery.address_for("n0")
         known = program.config["known"]["servers"]
         known[:] = [{**known[0], "id": entries[0].id, "addr": entries[0].address}]
         program.start()
