--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -21,13 +21,18 @@
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.checker import Bounds
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.simulation.experiment import one
 from juniperward.simulation.scenario import FOLDER, Fault, Scenario, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("juniperward", "round-robin", "one-try")
-MODES = {"DOWN": "down", "FAILING": "failing", "SHUT": "shut", "SILENT": "silent"}
+FAULT_MODES = {
+    "DOWN": FaultMode.DOWN,
+    "FAILING": FaultMode.FAILING,
+    "SHUT": FaultMode.REJECTING,
+    "SILENT": FaultMode.UNRESPONSIVE,
+}
 WITHIN = 0.03  # of worth, that model and sockets may differ by
 APART = 0.01  # policies closer than this in either are not ordered
 AT_ONCE = 6  # clusters at a time
@@ -62,15 +67,15 @@
 
 def playable(s: Scenario) -> bool:
     """Whether the stand-ins have all that a scenario asks for."""
-    return all(t.kind in MODES for t in s.faults)
+    return all(t.kind in FAULT_MODES for t in s.faults)
 
 
-def specs(s: Scenario) -> list[PartnerSpec]:
+def specs(s: Scenario) -> list[DestinationSpec]:
     """A scenario's partners as the stand-ins have them."""
-    made: list[PartnerSpec] = []
+    made: list[DestinationSpec] = []
     for number, g in enumerate(s.partners):
         for _ in range(g.count):
-            made.append(PartnerSpec(
+            made.append(DestinationSpec(
                 len(made) + 1, f"kind-{number}", g.workers, g.latency, g.spread, g.at_once, g.queue, g.rate,
                 g.tells_wait, g.batch, s.traffic.window,
             ))  # fmt: skip
@@ -121,7 +126,7 @@
                 Bounds(latency_objective_s=t.aim, deadline=t.deadline, late_weight=t.late_worth)
             )
             late = sorted(clients.lateness)
-            fallen = sum(p.fallen for p in cluster.partners.values())
+            fallen = sum(p.capacity.crashed for p in cluster.destinations.values())
             return (
                 v.priority_weight_delivered,
                 late[int(0.99 * len(late))] if late else 0.0,
@@ -146,10 +151,10 @@
     """Have the scenario's partners fail as the fault says, from its moment after `began` and for its seconds."""
     time.sleep(max(began + t.at - time.monotonic(), 0.0))
     for p in t.partner:
-        cluster.partners[p].inject_fault(MODES[t.kind], t.seconds, t.size)
+        cluster.destinations[p].inject_fault(FAULT_MODES[t.kind], t.seconds, t.size)
     time.sleep(t.seconds)
     for p in t.partner:
-        cluster.partners[p].inject_fault("well")
+        cluster.destinations[p].inject_fault(FaultMode.HEALTHY)
 
 
 def _both(name: str, policy: str, seed: int) -> tuple[str, str, float, float, float, int, str]:
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -139,8 +139,8 @@
     command = f"juniperward measure capacity --seed {seed}"
     report = Report("One forwarder's capacity on one core", command, seed)
     report.say(
-        f"{DESTINATIONS} partners with one worker each that answers at once; {SENDERS} processes of load in an open "
-        f"loop, latencies from when a message was due; the first {SKIP:g} s left out, {SECONDS:g} s counted. "
+        f"{DESTINATIONS} destinations with one endpoint each that answers at once; {SENDERS} processes of load in "
+        f"an open loop, latencies from when a message was due; the first {SKIP:g} s left out, {SECONDS:g} s counted. "
         f"Carried: all taken and delivered, p99 at the worker within {1000 * ADDED:.0f} ms; void: the rig was late."
     )
     rates = [rate] if rate else [300.0, 600.0, 900.0, 1200.0, 1600.0, 2000.0, 2500.0, 3000.0, 3500.0]
--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -14,7 +14,7 @@
 
 from juniperward.agent import processes
 from juniperward.agent.client import AgentUnreachableError
-from juniperward.benchmarks.loaded_cluster import PARTNERS, VERDICT_HEAD, verdict_row
+from juniperward.benchmarks.loaded_cluster import DESTINATIONS, VERDICT_HEAD, verdict_row
 from juniperward.benchmarks.local_cluster import ClusterOptions, LocalCluster
 from juniperward.benchmarks.report import Report
 from juniperward.fleet.model import Process
@@ -122,7 +122,9 @@
     )
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
-        LocalCluster(Path(folder), instances, PARTNERS, seed, ClusterOptions(settings=SETTINGS)) as cluster,
+        LocalCluster(
+            Path(folder), instances, DESTINATIONS, seed, ClusterOptions(settings=SETTINGS)
+        ) as cluster,
     ):
         cluster.start()
         load, run = _Load(cluster, rate), _Chaos(cluster, instances, seed)
--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -15,7 +15,7 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.dead_letters.decisions import Status
 from juniperward.fakes.checker import Verdict
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.records import Effect, Handed, Heard
 from juniperward.settings import fleet_pb2
 
@@ -37,8 +37,8 @@
     With `keep`, what its forwarders give up is stored as dead letters and redriven by one rule (at most 20
     redrives a message). `folder` holds its files; `seed` drives its load and faults.
     """
-    partners = [PartnerSpec(d, latency=0.03, warm_up_s=WARM, at_once=8) for d in (1, 2, 3)]
-    cluster = LocalCluster(folder, instances, partners, seed)
+    destinations = [DestinationSpec(d, latency_s=0.03, warm_up_s=WARM, concurrency=8) for d in (1, 2, 3)]
+    cluster = LocalCluster(folder, instances, destinations, seed)
     cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
     cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
     if keep:
--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -11,14 +11,14 @@
 from rich.table import Table
 
 from juniperward.benchmarks.local_cluster import LocalCluster
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec
 
 LOAD = 14.0  # seconds of traffic
-PARTNERS = [
-    PartnerSpec(1, "booking-sites", workers=2, latency=0.06, rate=60.0, batch=20),
-    PartnerSpec(2, "small-partners", workers=2, latency=0.03),
-    PartnerSpec(3, "small-partners", workers=1, latency=0.05),
-    PartnerSpec(4, "small-partners", workers=2, latency=0.1),
+DESTINATIONS = [
+    DestinationSpec(1, "booking-sites", endpoints=2, latency_s=0.06, rate_limit=60.0, batch_size=20),
+    DestinationSpec(2, "small-partners", endpoints=2, latency_s=0.03),
+    DestinationSpec(3, "small-partners", endpoints=1, latency_s=0.05),
+    DestinationSpec(4, "small-partners", endpoints=2, latency_s=0.1),
 ]
 
 
@@ -32,8 +32,8 @@
         else:
             keep.mkdir(parents=True, exist_ok=True)
             folder = keep.resolve()
-        cluster = stack.enter_context(LocalCluster(folder, 3, PARTNERS))
-        console.print("starting discovery, 4 partners, an agent and 3 forwarders")
+        cluster = stack.enter_context(LocalCluster(folder, 3, DESTINATIONS))
+        console.print("starting discovery, 4 destinations, an agent and 3 forwarders")
         cluster.start()
         console.print(
             f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll"
@@ -42,7 +42,7 @@
         time.sleep(2.0)
         cluster.ask("roll", soak=1.0)
         time.sleep(1.0)
-        cluster.discovery.publish(*cluster.partners[2].entries("Terminating", 0))
+        cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
         roll = cluster.roll_end(60.0)
         console.print(f"roll {roll['id']} is {roll['mode']} {roll['why']}")
         clients.done.wait(60.0)
@@ -58,7 +58,7 @@
         ("ended by a notice", verdict.noticed),
         ("turned away", verdict.refused),
         ("without an answer", verdict.unanswered),
-        ("calls to partners", verdict.calls),
+        ("calls to destinations", verdict.calls),
         ("share of worth kept", f"{verdict.priority_weight_delivered:.3f}"),
         ("forwarders ready at the end", status["ready"]),
         ("seconds", f"{time.monotonic() - began:.1f}"),
--- a/juniperward/benchmarks/fleet_status.py
+++ b/juniperward/benchmarks/fleet_status.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from juniperward.benchmarks.loaded_cluster import PARTNERS
+from juniperward.benchmarks.loaded_cluster import DESTINATIONS
 from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster
 from juniperward.benchmarks.report import Report, Row
 
@@ -32,7 +32,7 @@
     for size in sizes:
         with tempfile.TemporaryDirectory(prefix="jw-") as folder:
             patience = ClusterOptions(settings={"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}})
-            with LocalCluster(Path(folder), size, PARTNERS[:2], seed, patience) as cluster:
+            with LocalCluster(Path(folder), size, DESTINATIONS[:2], seed, patience) as cluster:
                 began = time.monotonic()
                 cluster.start(ready=False)
                 cluster.until(lambda s, n=size: s["ready"] == n, 120.0)
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.benchmarks.loaded_cluster import PARTNERS
+from juniperward.benchmarks.loaded_cluster import DESTINATIONS
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report, Row, quantile
 from juniperward.control.client import ControlClient
@@ -31,7 +31,7 @@
     rows: list[Row] = []
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
-        LocalCluster(Path(folder), 1, PARTNERS, seed) as cluster,
+        LocalCluster(Path(folder), 1, DESTINATIONS, seed) as cluster,
     ):
         cluster.start()
         path = cluster.folder / "run" / "run" / "n0"
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -1,4 +1,4 @@
-"""A local cluster under load, its partners, and the row of a table that says how a run went."""
+"""A local cluster under load, its destinations, and the row of a table that says how a run went."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Row, quantile
 from juniperward.fakes.checker import Verdict
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec
 
-PARTNERS = [
-    PartnerSpec(1, "booking-sites", workers=2, latency=0.06, rate=120.0, batch=20),
-    *(PartnerSpec(d, workers=2, latency=0.02 + 0.01 * d) for d in range(2, 9)),
+DESTINATIONS = [
+    DestinationSpec(1, "booking-sites", endpoints=2, latency_s=0.06, rate_limit=120.0, batch_size=20),
+    *(DestinationSpec(d, endpoints=2, latency_s=0.02 + 0.01 * d) for d in range(2, 9)),
 ]
 
 
@@ -53,7 +53,7 @@
     Returns the verdict, how long that took, and the clients' lateness, in seconds.
     """
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:  # noqa: SIM117
-        with LocalCluster(Path(folder), instances, PARTNERS, seed) as cluster:
+        with LocalCluster(Path(folder), instances, DESTINATIONS, seed) as cluster:
             cluster.start()
             clients = cluster.clients(rate, seconds, threads=96)
             time.sleep(2.0)
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster: a registry, partners and clients of the stand-ins, round a fleet of real forwarders under an agent.
+"""A cluster: a registry, destinations and clients of the stand-ins, round a fleet of real forwarders under an agent.
 
 Everything is on loopback, at ports that the system gives, in one folder. The demo, the measurements and the
 tests drive fleets through it.
@@ -26,8 +26,9 @@
 from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import Bounds, Verdict, check
 from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.destination_spec import DestinationSpec
+from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
-from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import ProcessEvent, Recorder, now
 from juniperward.settings import fleet_pb2
 
@@ -90,16 +91,22 @@
     """A fleet and its world; use it as a context, so that nothing is left behind."""
 
     def __init__(
-        self, folder: Path, instances: int = 3, partners: list[PartnerSpec] | None = None, seed: int = 1,
+        self, folder: Path, instances: int = 3, destinations: list[DestinationSpec] | None = None, seed: int = 1,
         options: ClusterOptions | None = None,
     ) -> None:  # fmt: skip
-        """Prepare it in `folder`, with `instances` forwarders and `partners` (four by default)."""
+        """Prepare it in `folder`, with `instances` forwarders and `destinations` (four by default)."""
         chosen = options if options is not None else ClusterOptions()
         self.folder, self.seed = folder, seed
         self.recorder = Recorder()
         self.discovery = FakeDiscovery(self.recorder, chosen.discovery_delay_s)
-        specs = partners if partners is not None else [PartnerSpec(d, latency=0.03) for d in (1, 2, 3, 4)]
-        self.partners = {s.destination: Partner(s, self.recorder, seed + s.destination) for s in specs}
+        specs = (
+            destinations
+            if destinations is not None
+            else [DestinationSpec(d, latency_s=0.03) for d in (1, 2, 3, 4)]
+        )
+        self.destinations = {
+            s.destination: FakeDestination(s, self.recorder, seed + s.destination) for s in specs
+        }
         self.names = [f"n{n}" for n in range(instances)]
         self.ports = reserve(instances)
         self.addresses: dict[str, tuple[str, int]] = {
@@ -149,8 +156,8 @@
 
     def start(self, ready: bool = True) -> None:
         """Start the world and the agent; wait until all forwarders are ready."""
-        for partner in self.partners.values():
-            self.discovery.publish(*partner.start())
+        for destination in self.destinations.values():
+            self.discovery.publish(*destination.start())
         self.write_settings()
         self.start_agent()
         if ready:
@@ -218,8 +225,8 @@
         return found
 
     def clients(self, rate: float, seconds: float, threads: int = 48, name: str = "c") -> Clients:
-        """Begin to send: all partners alike, for so long."""
-        weights = tuple((d, 1.0) for d in self.partners)
+        """Begin to send: all destinations alike, for so long."""
+        weights = tuple((d, 1.0) for d in self.destinations)
         clients = Clients(
             Traffic(rate, weights, ACCOUNTS),
             self.front,
@@ -292,8 +299,8 @@
         for process in processes.find(str(self.folder / "run")).values():
             processes.send(process, signal.SIGKILL)
         self.discovery.close()
-        for partner in self.partners.values():
-            partner.close()
+        for destination in self.destinations.values():
+            destination.close()
         for sock in self.ports:
             sock.close()
 
--- a/juniperward/benchmarks/measure_dead_letters.py
+++ b/juniperward/benchmarks/measure_dead_letters.py
@@ -27,9 +27,10 @@
 from juniperward.dead_letters.spool import Spool, SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore, Filter
 from juniperward.fakes.checker import check
+from juniperward.fakes.destination_spec import FaultMode
 
 AT_ONCE = 10  # runs of the acceptance
-AWAY = 10.0  # seconds, unless told otherwise, for which the partner is down
+AWAY = 10.0  # seconds, unless told otherwise, for which the destination is down
 SUMMED = ("runs", *COUNTED, "fell over", "rules broken")
 
 
@@ -42,13 +43,13 @@
         cluster.start()
         clients = cluster.clients(40.0, away + 8.0, threads=48)
         time.sleep(2.0)
-        mode = dice.choice(["down", "failing", "shut"])
-        cluster.partners[1].inject_fault(mode, away, share=0.9)
+        mode = dice.choice([FaultMode.DOWN, FaultMode.FAILING, FaultMode.REJECTING])
+        cluster.destinations[1].inject_fault(mode, away, fraction=0.9)
         back = time.monotonic() + away
         killed = 0
         while time.monotonic() < back:
             time.sleep(dice.uniform(0.5, 2.0))
-        cluster.partners[1].inject_fault("well")
+        cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
         for _ in range(6 if kills else 0):
             time.sleep(dice.uniform(0.2, 1.5))
             if dice.random() < 0.5:
@@ -71,22 +72,22 @@
             killed,
             judgement.counts,
             verdict.good,
-            cluster.partners[1].fallen,
+            cluster.destinations[1].capacity.crashed,
             verdict.lines(),
         ]
 
 
 def acceptance(seed: int, out: Path, rounds: int = 8, away: float = AWAY) -> bool:
-    """A partner goes away under load and comes back warming up; with and without kills, over seeds.
+    """A destination goes away under load and comes back warming up; with and without kills, over seeds.
 
     Writes kept.md (or kept-AWAY.md) under `out`; returns True if no rule broke.
     """
     command = f"juniperward measure dead-letters --seed {seed} --rounds {rounds} --away {away:g}"
     report = Report("Dead letters after an outage", command, seed)
     report.say(
-        f"Three forwarders, 40 messages a second that live for 4 s; one of three partners is down, failing or shut "
-        f"for {away:g} s and comes back warming up. With kills, agent or a forwarder is killed by SIGKILL six times "
-        f"while redrives go on. {AT_ONCE} runs at a time."
+        f"Three forwarders, 40 messages a second that live for 4 s; one of three destinations is down, failing or "
+        f"rejecting for {away:g} s and comes back warming up. With kills, agent or a forwarder is killed by SIGKILL "
+        f"six times while redrives go on. {AT_ONCE} runs at a time."
     )
     cases = [(seed + n, kills) for n in range(rounds) for kills in (False, True)]
     rows: list[list[str]] = []
@@ -190,7 +191,7 @@
             dead_letter_cluster(Path(folder), seed, 1, keep) as cluster,
         ):
             cluster.start()
-            cluster.partners[1].inject_fault("down")
+            cluster.destinations[1].inject_fault(FaultMode.DOWN)
             before = cluster.ask("inspect", ["n0"])["status"]["pid"]
             cpu = processes.usage(before)[0]
             clients = cluster.clients(150.0, 12.0, threads=64)
@@ -205,7 +206,7 @@
                 "on" if keep else "off", f"{stored}", f"{quantile(v.latencies, 0.5) * 1000:.1f}",
                 f"{quantile(v.latencies, 0.99) * 1000:.1f}", f"{1000 * spent / v.offered:.2f}",
             ])  # fmt: skip
-    report.say("One forwarder at 150 messages a second, one of three partners down all the time:")
+    report.say("One forwarder at 150 messages a second, one of three destinations down all the time:")
     report.table(["keeping", "kept", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
 
 
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -26,7 +26,7 @@
     """Rolls of ten under load, by SIGTERM and SIGKILL and in batches, beside the same load without."""
     report = Report("Rolling restarts under load", f"juniperward measure rolls --seed {seed}", seed)
     report.say(
-        f"{instances} forwarders on one machine under one agent, 8 partners, {rate:g} messages a second by the "
+        f"{instances} forwarders on one machine under one agent, 8 destinations, {rate:g} messages a second by the "
         "stand-ins. A worker drains amid each roll. Latency counts from when a message was due."
     )
 
@@ -35,7 +35,7 @@
             began = time.monotonic()
             cluster.ask("roll", soak=0.5, **options)
             time.sleep(1.0)
-            cluster.discovery.publish(*cluster.partners[2].entries("Terminating", 0))
+            cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
             found = cluster.roll_end(180.0)
             if found["mode"] != "done":
                 raise RollNotDoneError(found["mode"], found["why"])
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.benchmarks.loaded_cluster import PARTNERS
+from juniperward.benchmarks.loaded_cluster import DESTINATIONS
 from juniperward.benchmarks.local_cluster import BASE, ROOT, LocalCluster
 from juniperward.benchmarks.report import Report, quantile
 from juniperward.fakes.clients import ready
@@ -232,7 +232,7 @@
     rows = []
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as name,
-        LocalCluster(Path(name), 1, PARTNERS[:2], seed) as cluster,
+        LocalCluster(Path(name), 1, DESTINATIONS[:2], seed) as cluster,
     ):
         for kind in ("without", "with"):
             base = (
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -46,7 +46,7 @@
             return False
         return True
 
-    def gone(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the other side has ended the connection."""
         return sockets.ended(self.sock)
 
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -12,7 +12,7 @@
 from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
 from juniperward.benchmarks.slow_start import play_all, slow_start
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.records import Called, Handed, Record
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.actions import EjectionReason
@@ -151,29 +151,29 @@
     """Real forwarders on loopback, one destination that is away for 5 s."""
 
     FORWARDERS = 8
-    SPEC = PartnerSpec(1, latency=0.03, rate=20.0)
+    SPEC = DestinationSpec(1, latency_s=0.03, rate_limit=20.0)
     RATE = 18.0
 
-    def away(self, mode: str) -> None:
+    def away(self, mode: FaultMode) -> None:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.addCleanup(folder.cleanup)
         cluster = LocalCluster(Path(folder.name), self.FORWARDERS, [self.SPEC])
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Instances"] = self.FORWARDERS
         cluster.base["settings"]["Invariants"] |= {
-            "ColdShare": self.SPEC.warm_up_start_share,
+            "ColdShare": self.SPEC.warm_up_start_fraction,
             "WarmWithinMs": self.SPEC.warm_up_s * 1e3,
         }
         cluster.start()
-        partner = cluster.partners[1]
+        destination = cluster.destinations[1]
         traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=8.0)
         clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, ClientOptions(threads=48))
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
-        partner.inject_fault(mode)
+        destination.inject_fault(mode)
         time.sleep(5.0)
-        partner.inject_fault("well")
-        assert partner.back_at is not None
+        destination.inject_fault(FaultMode.HEALTHY)
+        assert destination.capacity.recovered_at is not None
         self.assertTrue(clients.done.wait(40.0))
         cluster.settle(40.0)
         verdict = cluster.verdict()
@@ -181,17 +181,19 @@
         records = list(cluster.recorder.records)
         senders = {r.forwarder for r in records if isinstance(r, Handed)}
         self.assertEqual(len(senders), self.FORWARDERS)
-        calls = calls_since(records, partner.back_at)
+        calls = calls_since(records, destination.capacity.recovered_at)
         self.assertGreater(len(calls), 20)
-        budget = ColdBudget(self.SPEC.capacity, self.SPEC.warm_up_start_share, self.SPEC.warm_up_s, 2.0, 3.0)
-        self.assertEqual(list(overfull(calls, partner.back_at, budget)), [])
-        self.assertFalse(partner.fallen)
+        budget = ColdBudget(
+            self.SPEC.capacity, self.SPEC.warm_up_start_fraction, self.SPEC.warm_up_s, 2.0, 3.0
+        )
+        self.assertEqual(list(overfull(calls, destination.capacity.recovered_at, budget)), [])
+        self.assertFalse(destination.capacity.crashed)
 
     def test_eight_processes_keep_the_bound_after_failures(self) -> None:
-        self.away("failing")
+        self.away(FaultMode.FAILING)
 
     def test_eight_processes_keep_the_bound_after_refused_connections(self) -> None:
-        self.away("down")
+        self.away(FaultMode.DOWN)
 
 
 if __name__ == "__main__":
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -15,7 +15,7 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.control.protocol import Fates, Request, Verb
 from juniperward.dead_letters.spool import RedriveOutcome, Spool, read, segments
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.records import Handed as HandedRecord
 from juniperward.fakes.records import Heard as HeardRecord
 from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
@@ -195,13 +195,13 @@
 
 
 class YardTest(unittest.TestCase):
-    """A partner that is away and comes back; what it missed arrives once."""
+    """A destination that is away and comes back; what it missed arrives once."""
 
     def cluster(self, rules: bool = True) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.addCleanup(folder.cleanup)
-        partners = [PartnerSpec(1, latency=0.02, warm_up_s=3.0), PartnerSpec(2, latency=0.02)]
-        cluster = LocalCluster(Path(folder.name), 2, partners)
+        destinations = [DestinationSpec(1, latency_s=0.02, warm_up_s=3.0), DestinationSpec(2, latency_s=0.02)]
+        cluster = LocalCluster(Path(folder.name), 2, destinations)
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 2500.0, "AimMs": 1000.0}
         cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": 3000.0}
@@ -263,17 +263,17 @@
             time.sleep(0.1)
         raise TimeoutError(str(stats))
 
-    def test_a_partner_comes_back_and_each_kept_message_arrives_once(self) -> None:
+    def test_a_destination_comes_back_and_each_kept_message_arrives_once(self) -> None:
         cluster = self.cluster()
         clients = cluster.clients(30.0, 9.0, threads=24)
         time.sleep(1.0)
-        cluster.partners[1].inject_fault("down")
+        cluster.destinations[1].inject_fault(FaultMode.DOWN)
         time.sleep(5.0)
-        cluster.partners[1].inject_fault("well")
+        cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
         self.settled(cluster)
-        self.assertFalse(cluster.partners[1].fallen)
+        self.assertFalse(cluster.destinations[1].capacity.crashed)
         self.check_once(cluster)
         self.assertGreater(self.kept, 10)
 
@@ -281,7 +281,7 @@
         cluster = self.cluster(rules=False)
         clients = cluster.clients(30.0, 5.0, threads=24)
         time.sleep(0.5)
-        cluster.partners[1].inject_fault("down")
+        cluster.destinations[1].inject_fault(FaultMode.DOWN)
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
         cluster.until(lambda _: True)
@@ -290,7 +290,7 @@
         self.assertGreater(kept, 10)
         cluster.until(lambda _: cluster.ask("kept", action="stats")["messages"] == kept)
         found = cluster.ask("kept", action="list", limit=500)["messages"]
-        cluster.partners[1].inject_fault("well")
+        cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
         ids = [r["id"] for r in found]
 
         def wish() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,8 +18,9 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
+from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
-from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Noticed, Recorder, WatchEventSent
 from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
 from juniperward.forwarder.effects import StartAttempt
@@ -173,8 +174,8 @@
         self.recorder = Recorder()
         self.discovery = FakeDiscovery(self.recorder)
         self.addCleanup(self.discovery.close)
-        self.partner = Partner(PartnerSpec(7, latency=0.01), self.recorder, 1)
-        self.addCleanup(self.partner.close)
+        self.destination = FakeDestination(DestinationSpec(7, latency_s=0.01), self.recorder, 1)
+        self.addCleanup(self.destination.close)
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         self.output: list[str] = []
         self.serial = 0
@@ -183,7 +184,7 @@
         program = LimitedProgram(self.folder, descriptors, sockets_setting)
         self.addCleanup(program.close)
         program.config["discovery"] = self.discovery.address_for("n0")
-        self.discovery.publish(*self.partner.start())
+        self.discovery.publish(*self.destination.start())
         program.start()
         assert program.process is not None and program.process.stderr is not None
         self.reader = threading.Thread(target=self._read, args=(program.process.stderr,))
@@ -242,7 +243,7 @@
         self.until(lambda: clients.shut > 0, "the table is full")
         delivered = [self.hand_in(program, size=6000) for _ in range(16)]
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
-        self.partner.inject_fault("down")
+        self.destination.inject_fault(FaultMode.DOWN)
         undelivered = self.hand_in(program, left=1.5)
         self.discovery.set_outage(False)
         back_at = time.monotonic()
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: a rig that is late, or a partner that is too kind, would judge wrongly."""
+"""The stand-ins themselves: a rig that is late, or a destination that is too kind, would judge wrongly."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 import unittest
 
 from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
+from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
-from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, WatchEventSent
 from juniperward.fakes.serving import Serving
 from juniperward.net.http import Stream, encode_request, encode_response, read_response
@@ -63,17 +64,19 @@
             self.assertEqual(len({h.expires for h in tries}), 1)
 
 
-class PartnerTest(unittest.TestCase):
-    def partner(self, **more: object) -> Partner:
+class DestinationTest(unittest.TestCase):
+    def destination(self, **more: object) -> FakeDestination:
         self.recorder = Recorder()
-        spec = PartnerSpec(1, latency=0.001, tells_wait=1.0, **more)  # type: ignore[arg-type]
-        partner = Partner(spec, self.recorder, 1)
-        partner.start()
-        self.addCleanup(partner.close)
-        return partner
-
-    def call(self, partner: Partner, name: str, key: str | None = None, worker: int = 0) -> tuple[int, float]:
-        with socket.create_connection(("127.0.0.1", partner.doors[worker].port), 5.0) as sock:
+        spec = DestinationSpec(1, latency_s=0.001, retry_after_fraction=1.0, **more)  # type: ignore[arg-type]
+        destination = FakeDestination(spec, self.recorder, 1)
+        destination.start()
+        self.addCleanup(destination.close)
+        return destination
+
+    def call(
+        self, destination: FakeDestination, name: str, key: str | None = None, worker: int = 0
+    ) -> tuple[int, float]:
+        with socket.create_connection(("127.0.0.1", destination.listeners[worker].port), 5.0) as sock:
             headers = {"X-Correlation-Id": name, "Idempotency-Key": key or name}
             sock.sendall(encode_request("POST", "/receive", "x", headers, b""))
             answer = read_response(Stream(sock.recv))
@@ -93,47 +96,47 @@
         self.fail("a call that was answered was not noted")
 
     def test_a_repeat_takes_no_second_effect_inside_the_window(self) -> None:
-        partner = self.partner(window=0.2)
-        self.assertEqual([self.call(partner, f"m{n}", "k")[0] for n in range(3)], [200, 200, 200])
+        destination = self.destination(deduplication_window_s=0.2)
+        self.assertEqual([self.call(destination, f"m{n}", "k")[0] for n in range(3)], [200, 200, 200])
         self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 1)
-        partner.done["k"] -= 1.0  # its window is over
-        self.call(partner, "m4", "k")
+        destination.effect_times["k"] -= 1.0  # its window is over
+        self.call(destination, "m4", "k")
         self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 2)
 
     def test_its_rate_is_for_all_its_workers_and_tells_a_wait(self) -> None:
-        partner = self.partner(rate=3.0)
-        found = [self.call(partner, f"m{n}", worker=n % 2) for n in range(4)]
+        destination = self.destination(rate_limit=3.0)
+        found = [self.call(destination, f"m{n}", worker=n % 2) for n in range(4)]
         self.assertEqual([s for s, _ in found], [200, 200, 200, 429])
         self.assertTrue(0 < found[3][1] <= 1.0)
 
     def test_outages_and_a_cold_return(self) -> None:
-        partner = self.partner(at_once=10)
-        partner.inject_fault("shut", 5.0)
-        status, wait = self.call(partner, "a")
+        destination = self.destination(concurrency=10)
+        destination.inject_fault(FaultMode.REJECTING, 5.0)
+        status, wait = self.call(destination, "a")
         self.assertEqual(status, 429)
         self.assertTrue(4.0 < wait <= 5.0)
-        partner.inject_fault("failing")
-        self.assertEqual(self.call(partner, "b")[0], 500)
-        partner.inject_fault("down")
+        destination.inject_fault(FaultMode.FAILING)
+        self.assertEqual(self.call(destination, "b")[0], 500)
+        destination.inject_fault(FaultMode.DOWN)
         with self.assertRaises(OSError):
-            self.call(partner, "c")
-        partner.inject_fault("well")
-        self.assertLess(partner.present(), 0.3 * partner.spec.capacity)
-        self.assertEqual(self.call(partner, "d")[0], 200)
-        partner.back_at = time.monotonic() - 11.0
-        self.assertEqual(partner.present(), partner.spec.capacity)
+            self.call(destination, "c")
+        destination.inject_fault(FaultMode.HEALTHY)
+        self.assertLess(destination.capacity.present(), 0.3 * destination.spec.capacity)
+        self.assertEqual(self.call(destination, "d")[0], 200)
+        destination.capacity.recovered_at = time.monotonic() - 11.0
+        self.assertEqual(destination.capacity.present(), destination.spec.capacity)
 
     def test_pushed_too_hard_while_cold_it_falls_over(self) -> None:
-        partner = self.partner(rate=4.0)
-        partner.back_at = time.monotonic()
+        destination = self.destination(rate_limit=4.0)
+        destination.capacity.recovered_at = time.monotonic()
         for n in range(40):
-            self.call(partner, f"m{n}")
-        self.assertTrue(partner.fallen)
-        self.assertEqual(self.call(partner, "z")[0], 503)
+            self.call(destination, f"m{n}")
+        self.assertTrue(destination.capacity.crashed)
+        self.assertEqual(self.call(destination, "z")[0], 503)
 
     def test_a_call_is_recorded_whole(self) -> None:
-        partner = self.partner()
-        self.call(partner, "m", "k")
+        destination = self.destination()
+        self.call(destination, "m", "k")
         called, effect, replied = self.recorder.records
         assert isinstance(called, Called) and isinstance(effect, Effect) and isinstance(replied, Replied)
         self.assertEqual((called.worker, called.ids, called.keys), ("s-1-0", ("m",), ("k",)))
@@ -146,8 +149,8 @@
         recorder = Recorder()
         discovery = FakeDiscovery(recorder)
         self.addCleanup(discovery.close)
-        partner = Partner(PartnerSpec(1), recorder, 1)
-        discovery.publish(*partner.entries())
+        destination = FakeDestination(DestinationSpec(1), recorder, 1)
+        discovery.publish(*destination.listed())
         host, port = discovery.address_for("n0").split(":")
         with socket.create_connection((host, int(port)), 5.0) as sock:
             sock.sendall(encode_request("GET", "/registry/instances?follow=1&since=0", "x", {}, None))
@@ -155,7 +158,7 @@
             text = b""
             while b'"full": true' not in text:
                 text = lines.readline()
-            discovery.publish(*partner.entries("Terminating", 0))
+            discovery.publish(*destination.listed("Terminating", 0))
             while b"Terminating" not in text:
                 text = lines.readline()
         while len(told := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -17,9 +17,9 @@
 
 from juniperward.agent.client import AgentRejectedError, request
 from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster, reserve
-from juniperward.fakes.partners import PartnerSpec
+from juniperward.fakes.destination_spec import DestinationSpec
 
-QUICK = [PartnerSpec(1, latency=0.02), PartnerSpec(2, latency=0.02, workers=3)]
+QUICK = [DestinationSpec(1, latency_s=0.02), DestinationSpec(2, latency_s=0.02, endpoints=3)]
 
 
 class PortTest(unittest.TestCase):
@@ -62,7 +62,7 @@
         clients = cluster.clients(40.0, 6.0, threads=24)
         cluster.ask("roll", soak=0.2)
         cluster.until(lambda s: s["roll"]["steps"][0]["stage"] == "starting")
-        cluster.discovery.publish(*cluster.partners[2].entries("Terminating", 0))
+        cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
         self.assertEqual(cluster.roll_end()["mode"], "done")
         self.assertTrue(clients.done.wait(30.0))
         self.judge(cluster)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -12,8 +12,9 @@
 from juniperward.benchmarks.local_cluster import BASE
 from juniperward.benchmarks.start_parts import Parts
 from juniperward.benchmarks.starts import Fleet, dead_address, start_all
+from juniperward.fakes.destination_spec import DestinationSpec
+from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
-from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Effect, Noticed, Recorder
 
 FORWARDERS = 40
@@ -30,10 +31,10 @@
         self.recorder = Recorder()
 
     def test_forty_at_once_are_ready_in_time_and_lose_nothing(self) -> None:
-        partner = Partner(
-            PartnerSpec(1, "booking-sites", workers=4, latency=0.005, batch=20), self.recorder, 1
+        destination = FakeDestination(
+            DestinationSpec(1, "booking-sites", endpoints=4, latency_s=0.005, batch_size=20), self.recorder, 1
         )
-        self.addCleanup(partner.close)
+        self.addCleanup(destination.close)
         discovery = FakeDiscovery(self.recorder)
         self.addCleanup(discovery.close)
         address = discovery.address_for("fleet")
@@ -41,9 +42,9 @@
         servers = [
             {"id": e.id, "addr": e.address, "zone": "aluva", "kind": e.kind, "cell": 1, "state": "Ready",
              "weight": 0.0, "started_ms": 0}
-            for e in partner.start()
+            for e in destination.start()
         ]  # fmt: skip
-        discovery.publish(*partner.entries())
+        discovery.publish(*destination.listed())
         base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB, "sockets": 128}}
         fleet = Fleet(self.folder, base, address, servers)
         self.addCleanup(fleet.close)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -16,8 +16,9 @@
 from typing import Any
 from unittest import mock
 
+from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
+from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
-from juniperward.fakes.partners import Partner, PartnerSpec
 from juniperward.fakes.records import Called, Noticed, Recorder
 from juniperward.forwarder.clock import (
     CLOCK_ERROR_S,
@@ -214,11 +215,11 @@
         recorder = Recorder()
         discovery = FakeDiscovery(recorder)
         self.addCleanup(discovery.close)
-        partner = Partner(PartnerSpec(7, workers=1), recorder, 1)
-        self.addCleanup(partner.close)
-        entries = partner.start()
+        destination = FakeDestination(DestinationSpec(7, endpoints=1), recorder, 1)
+        self.addCleanup(destination.close)
+        entries = destination.start()
         discovery.publish(*entries)
-        partner.inject_fault("silent")
+        destination.inject_fault(FaultMode.UNRESPONSIVE)
         short = copy.deepcopy(SETTINGS)
         short["Services"][0]["WindowMs"] = WINDOW * 1000
         program = SteppedProgram(Path(folder.name), short)
