--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -14,7 +14,8 @@
 def rank(message: Message) -> Rank:
     """Return the place in a queue: first attempts owed over a restart, then by weight, then by age."""
     weight = message.weight * (message.message_class.late_weight if message.late else 1.0)
-    return not message.never_attempted or message.attempts > 0, -weight, message.sequence
+    attempted = not message.never_attempted or message.attempts > 0
+    return Rank(attempted, -weight, message.sequence)
 
 
 class Admission(SchedulerPart):
--- a/juniperward/scheduler/backlog.py
+++ b/juniperward/scheduler/backlog.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable
 
 from juniperward.scheduler.actions import CancelAttempt
-from juniperward.scheduler.queues import Rank, RoundRobinRing
+from juniperward.scheduler.queues import Rank
 from juniperward.scheduler.records import BatchAttempt, Destination, Endpoint, Message, OrderedKey
 from juniperward.scheduler.round import Round
+from juniperward.scheduler.round_robin_ring import RoundRobinRing
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
 
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -32,7 +32,7 @@
         if finished.outcome not in NO_FAILURE:
             # A quick error must not earn turns: what it saved of the normal cost is charged after all.
             normal_s = self._latency.expected(self._backlog.messages[finished.message])
-            attempt.endpoint.destination.deficit -= max(0.0, finished.latency_s - normal_s)
+            attempt.endpoint.destination.deficit_s -= max(0.0, finished.latency_s - normal_s)
         self.record_outcome(attempt.endpoint, finished, attempt.sent_at)
 
     def record_outcome(self, endpoint: Endpoint, result: Result, sent_at: float) -> None:
@@ -129,7 +129,7 @@
             endpoint.mark_unhealthy(self._now, reason is EjectionReason.SILENT)
             interval_s = self._slow_start.trial_interval(endpoint.destination, route, 1.0)
             endpoint.next_trial_at = self._now + interval_s
-        if all(other.unhealthy for other in route.endpoints if other.is_ready):
+        if all(other.unhealthy for other in endpoint.destination.endpoints_on(route) if other.is_ready):
             self._eject(endpoint, reason)
 
     def _eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
@@ -153,7 +153,7 @@
         # The warm-up began where a Retry-After ended.
         told = self._large_fleet and route.retry_after_until > route.ejected_at
         route.slow_start_since = route.retry_after_until if told else self._now
-        for other in route.endpoints:
+        for other in destination.endpoints_on(route):
             other.mark_healthy()
             other.silent = False
         ramp_s = 0.0 if self._large_fleet else self._slow_start.ramp_interval(destination, route, 1.0)
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -191,9 +191,9 @@
     id: int
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     shared_route: RouteState = field(default_factory=RouteState)
-    queue: MessageQueue = field(default_factory=MessageQueue)
+    queue: MessageQueue[Message] = field(default_factory=MessageQueue)
     on_ring: bool = False
-    deficit: float = 0.0
+    deficit_s: float = 0.0  # slot time that it may still use
     slots: int = 0  # in use
     latency_by_class: dict[int, float] = field(default_factory=dict)  # running means
     mean_latency: float | None = None
@@ -210,15 +210,17 @@
         """Take in an endpoint."""
         self.endpoints[endpoint.id] = endpoint
         self.endpoint_order.append(endpoint)
-        endpoint.route.endpoints.append(endpoint)
 
     def remove(self, endpoint: Endpoint) -> None:
         """Let go of an endpoint."""
         del self.endpoints[endpoint.id]
-        endpoint.route.endpoints.remove(endpoint)
         self.endpoint_order.remove(endpoint)
         self.recently_called.pop(endpoint.id, None)
 
+    def endpoints_on(self, route: RouteState) -> list[Endpoint]:
+        """Return the endpoints that share a route."""
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.route is route]
+
     def record_call(
         self, endpoint: Endpoint, now: float, remembered: int, settings: SchedulerSettings
     ) -> None:
@@ -250,7 +252,7 @@
 
     def forget(self, keep_ejection: bool) -> None:
         """Forget what was learned here."""
-        self.latency_by_class, self.mean_latency, self.usual_latency, self.deficit = {}, None, 0.0, 0.0
+        self.latency_by_class, self.mean_latency, self.usual_latency, self.deficit_s = {}, None, 0.0, 0.0
         for endpoint in self.endpoints.values():
             endpoint.recent, endpoint.unhealthy, endpoint.open_connections = (), False, 0
             endpoint.route.forget(keep_ejection)
--- a/juniperward/scheduler/route_state.py
+++ b/juniperward/scheduler/route_state.py
@@ -6,14 +6,10 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from dataclasses import dataclass, field, fields
 
 from juniperward.scheduler.estimators import decayed, observed_share
 
-if TYPE_CHECKING:
-    from juniperward.scheduler.records import Endpoint
-
 LEAST_OBSERVED_S = 2.0  # a rate counts as observed for so long at least
 
 
@@ -21,7 +17,6 @@
 class RouteState:
     """Endpoints that share a limit and outages: a destination's all, or one where routes are separate."""
 
-    endpoints: list[Endpoint] = field(default_factory=list)
     next_call_at: float = 0.0
     last_call_at: float = -math.inf
     call_times: list[float] = field(default_factory=list)  # of the last seconds
@@ -90,11 +85,12 @@
 
     def forget(self, keep_ejection: bool) -> None:
         """Forget what was learned; Retry-After and, on request, an ejection outlast it."""
-        self.__init__(  # type: ignore[misc]
-            self.endpoints,
+        fresh = RouteState(
             next_call_at=self.next_call_at,
             retry_after_until=self.retry_after_until,
             ejected=keep_ejection and self.ejected,
             ejected_at=self.ejected_at,
             deliveries=self.deliveries,
         )
+        for each in fields(fresh):
+            setattr(self, each.name, getattr(fresh, each.name))
--- a/juniperward/scheduler/turns.py
+++ b/juniperward/scheduler/turns.py
@@ -25,7 +25,7 @@
             destination = ring.current
             head = destination.queue.head()
             if head is None:
-                ring.drop_current(deficit=0.0)
+                ring.drop_current(deficit_s=0.0)
             elif len(self._backlog.in_flight) >= self._settings.slots:
                 self._outliers.free_a_slot()
                 return
@@ -41,9 +41,9 @@
         found = self._routing.choose(destination, head)
         quantum_s, most_s = self._latency.quantum_s, self._latency.max_objective_s
         if found is None and destination.closed:  # looked at again at its time or with news of it
-            self._backlog.ring.drop_current(deficit=most_s + quantum_s)
-        elif found is not None and destination.deficit > (cost_s := self._latency.expected(found[0])):
-            destination.deficit -= cost_s
+            self._backlog.ring.drop_current(deficit_s=most_s + quantum_s)
+        elif found is not None and destination.deficit_s > (cost_s := self._latency.expected(found[0])):
+            destination.deficit_s -= cost_s
             self._batching.start(*found)
         else:
             self._backlog.ring.advance(quantum_s, most_s)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -126,12 +126,12 @@
     node = Node()
     warm(node, 1, latency=1.0)
     d = node.destination(1)
-    mean, deficit = d.mean_latency, d.deficit
+    mean, deficit = d.mean_latency, d.deficit_s
     node.arrive()
     node.run(0.01)
-    paid = d.deficit
+    paid = d.deficit_s
     node.settle(node.serial, Outcome.ERROR)
-    assert d.mean_latency == mean and d.deficit <= paid and deficit == 0.0
+    assert d.mean_latency == mean and d.deficit_s <= paid and deficit == 0.0
 
 
 def test_a_full_connection_table_is_no_outage_and_is_not_dialled_again_at_once() -> None:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -514,12 +514,15 @@
             (len(state.directory.endpoints), list(state.directory.numbers), state.directory.gone),
             (1, ["s-49"], set()),
         )
+        destination = sender.state.table.destinations[1]
         self.assertEqual(
             [
                 len(sender.state.table.endpoints),
-                len(sender.state.table.destinations[1].shared_route.endpoints),
+                len(destination.endpoints),
+                len(destination.endpoint_order),
+                len(destination.endpoints_on(destination.shared_route)),
             ],
-            [1, 1],
+            [1, 1, 1, 1],
         )
         self.do(EndpointsUpdated(100, True, ()))
         self.now += 61.0
--- a/tests/test_scheduler_policy.py
+++ b/tests/test_scheduler_policy.py
@@ -4,6 +4,7 @@
 
 import ast
 import tomllib
+from graphlib import TopologicalSorter
 from pathlib import Path
 
 import pytest
@@ -73,3 +74,27 @@
 def test_a_policy_module_says_first_what_it_decides(path: Path) -> None:
     docstring = ast.get_docstring(ast.parse(path.read_text()))
     assert docstring and docstring.splitlines()[0].endswith(".")
+
+
+def imported_modules(path: Path, known: set[str]) -> set[str]:
+    """The modules of the project that a module imports anywhere, also under TYPE_CHECKING."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names} & known
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, f"{path}: relative import"
+            for alias in node.names:
+                submodule = f"{node.module}.{alias.name}"
+                found |= {submodule if submodule in known else node.module or ""} & known
+    return found
+
+
+def test_no_modules_import_each_other_in_a_circle() -> None:
+    paths = {
+        ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
+        for path in (ROOT / "juniperward").rglob("*.py")
+    }
+    imports = {name: imported_modules(path, set(paths)) for name, path in paths.items()}
+    assert len(imports) > 100
+    TopologicalSorter(imports).prepare()  # raises CycleError, which names the circle
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -55,7 +55,7 @@
     node = Node()
     node.arrive(destination=1)
     assert not node.scheduler.state.backlog.ring
-    assert node.destination(1).deficit == 0.0
+    assert node.destination(1).deficit_s == 0.0
 
 
 @pytest.mark.parametrize(("slots", "healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
