--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -21,6 +21,7 @@
 from juniperward.agent.loop import Loop
 from juniperward.agent.messages import ControlRequest
 from juniperward.control.client import ControlClient
+from juniperward.control.codec import body_to_json
 from juniperward.control.errors import ControlError
 from juniperward.control.protocol import Verb
 
@@ -33,7 +34,7 @@
     STATUS_VERB, "start", "stop", "kill", "drain", "resume", "roll", "roll_show", "roll_pause", "roll_resume",
     "roll_undo", "roll_end",
 })  # fmt: skip
-INSPECTED = (Verb.STATUS, Verb.DESTINATIONS, Verb.WORKERS, Verb.COUNTERS)
+INSPECTED = (Verb.STATUS, Verb.DESTINATIONS, Verb.ENDPOINTS, Verb.COUNTERS)
 
 Answer = tuple[int, dict[str, Any]]  # HTTP status, JSON object
 
@@ -170,7 +171,7 @@
         verb = Verb.STATUS
         try:
             for verb in INSPECTED:
-                found = msgspec.to_builtins(client.ask(verb))
+                found = body_to_json(client.ask(verb))
                 body[verb.value] = found if verb is Verb.STATUS else found[verb.value]
         except ControlError as error:
             body["unanswered"] = [f"{verb.value}: {error}"]
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -10,7 +10,7 @@
 from juniperward.agent import processes
 from juniperward.control.client import ControlClient
 from juniperward.control.errors import ControlError
-from juniperward.control.protocol import Destination, Verb, WorkerRow
+from juniperward.control.protocol import DestinationRow, EndpointRow, Verb
 from juniperward.dead_letters import spool
 from juniperward.dead_letters.decisions import Clock, DestinationView
 from juniperward.dead_letters.fleet import ReportedOutcomes
@@ -39,7 +39,7 @@
     """What an instance last reported, when polled, of its destinations and their endpoints."""
 
     at: float = 0.0  # seconds of the monotonic clock
-    destinations: dict[int, Destination] = field(default_factory=dict)
+    destinations: dict[int, DestinationRow] = field(default_factory=dict)
     endpoints: dict[int, set[str]] = field(default_factory=dict)  # ids of the ready ones
 
 
@@ -76,8 +76,11 @@
             if row is None:
                 found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
             else:
-                paced = row.pace is not None
-                found.append(DestinationView(row.health, row.wait, paced, row.rating, row.waiting, slots))
+                paced = row.rate_limit_per_s is not None
+                view = DestinationView(
+                    row.health, row.retry_after_s, paced, row.listed_rate_per_s, row.queued, slots
+                )
+                found.append(view)
         return found
 
     def endpoints(self, destination: int) -> frozenset[str] | None:
@@ -106,8 +109,8 @@
 
     def _poll(self, name: str) -> NotifiedDestinations:
         client = self._client(name)
-        rows: tuple[Destination, ...] = client.rows(Verb.DESTINATIONS).destinations
-        listed: tuple[WorkerRow, ...] = client.rows(Verb.WORKERS).workers
+        rows: tuple[DestinationRow, ...] = client.rows(Verb.DESTINATIONS).destinations
+        listed: tuple[EndpointRow, ...] = client.rows(Verb.ENDPOINTS).endpoints
         endpoints: dict[int, set[str]] = {}
         for endpoint in listed:
             if endpoint.phase == "ready":
@@ -171,10 +174,13 @@
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
         """Return what became of redriven messages; None where the forwarder does not answer."""
         try:
-            answer = self._client(forwarder).fates(ids)
+            answer = self._client(forwarder).redrive_outcomes(ids)
         except ControlError:
             return None
-        return {row.id: ReportedOutcomes(row.end, row.ran_at, answer.complete_since) for row in answer.fates}
+        return {
+            row.id: ReportedOutcomes(row.outcome, row.executed_at, answer.complete_since)
+            for row in answer.outcomes
+        }
 
 
 def _endpoints(notified: list[NotifiedDestinations], destination: int) -> frozenset[str]:
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -106,10 +106,25 @@
 def reading(status: Status, now: float) -> Reading:
     """Return what decisions need of a status."""
     return Reading(
-        at=now, pid=status.pid, phase=status.phase, ready=status.ready, heard=status.registry_age >= 0,
-        owing=status.owing, pending=status.held, slots=status.slots, calls_out=status.calls_out,
-        delivered=status.delivered, calls_failed=status.calls_failed,
-        given_up=status.given_up, taken_on=status.taken_on, rejected=status.turned_away, restored=status.restored,
-        broken=status.broken, oldest_pending_age_s=status.oldest_held, journal_bytes=status.journal_bytes,
-        registry_age=status.registry_age, ejected_destinations=status.destinations_sick, version=status.version,
-    )  # fmt: skip
+        at=now,
+        pid=status.pid,
+        phase=status.phase,
+        ready=status.ready,
+        heard=status.endpoint_list_age_s >= 0,
+        owing=status.unfinished,
+        pending=status.pending,
+        slots=status.slots,
+        calls_out=status.attempts_in_flight,
+        delivered=status.delivered,
+        calls_failed=status.attempts_failed,
+        given_up=status.given_up,
+        taken_on=status.accepted,
+        rejected=status.rejected,
+        restored=status.restored,
+        broken=status.invariants_broken,
+        oldest_pending_age_s=status.oldest_pending_age_s,
+        journal_bytes=status.journal_bytes,
+        registry_age=status.endpoint_list_age_s,
+        ejected_destinations=status.ejected_destinations,
+        version=status.version,
+    )
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -14,7 +14,7 @@
     ControlUnreachableError,
     ProtocolError,
 )
-from juniperward.control.protocol import Answer, Counters, Fates, Request, Rows, Status, Verb
+from juniperward.control.protocol import Answer, Counters, RedriveOutcomes, Request, Rows, Status, Verb
 from juniperward.net import sockets
 
 T = TypeVar("T")
@@ -62,9 +62,9 @@
         """Have it drain, resume or stop; the state right after."""
         return self._typed(verb, Status)
 
-    def fates(self, ids: tuple[str, ...]) -> Fates:
+    def redrive_outcomes(self, ids: tuple[str, ...]) -> RedriveOutcomes:
         """Return what became of redriven messages; ids that are not known there will never be accepted there."""
-        return self._typed(Verb.FATE, Fates, ids)
+        return self._typed(Verb.REDRIVE_OUTCOMES, RedriveOutcomes, ids)
 
     def _typed(self, verb: Verb, kind: type[T], ids: tuple[str, ...] = ()) -> T:
         body = self.ask(verb, ids)
--- a/juniperward/control/codec.py
+++ b/juniperward/control/codec.py
@@ -10,7 +10,6 @@
 import json
 import struct
 from collections.abc import Callable
-from dataclasses import asdict
 from typing import Any
 
 from juniperward.control.errors import (
@@ -21,8 +20,19 @@
     NestingError,
     VersionError,
 )
-from juniperward.control.protocol import BODIES, Answer, Request, Verb
-from juniperward.control.typed_json import typed
+from juniperward.control.protocol import (
+    BODIES,
+    Answer,
+    Body,
+    DestinationRow,
+    RedriveOutcomeRow,
+    RedriveOutcomes,
+    Request,
+    Rows,
+    Status,
+    Verb,
+)
+from juniperward.control.typed_json import from_json, to_json
 
 VERSION = 1
 MAX_REQUEST_BYTES = 32 * 1024  # a request holds a few small fields, and up to MAX_IDS ids
@@ -31,6 +41,39 @@
 MAX_NESTING = 4  # arrays and objects in a request: the decoder must not go down far in a small stack
 MAX_REQUEST_NUMBER = 2**53  # what each JSON decoder reads as a whole number
 FRAME_HEADER = struct.Struct("!I")
+WIRE_NAMES = {  # of the fields that have another name on the wire
+    Status: {
+        "started_at": "started",
+        "pending": "held",
+        "accepting": "offered",
+        "unacknowledged": "owed",
+        "attempts_in_flight": "calls_out",
+        "oldest_pending_age_s": "oldest_held",
+        "journal_live_bytes": "journal_live",
+        "endpoint_list_version": "registry_version",
+        "endpoint_list_age_s": "registry_age",
+        "ejected_destinations": "destinations_sick",
+        "accepted": "taken_on",
+        "rejected": "turned_away",
+        "attempts": "calls",
+        "attempts_failed": "calls_failed",
+        "invariants_broken": "broken",
+        "dead_letters_stored": "kept",
+        "dead_letters_failed": "kept_failed",
+    },
+    DestinationRow: {
+        "queued": "waiting",
+        "rate_limit_per_s": "pace",
+        "listed_rate_per_s": "rating",
+        "retry_after_s": "wait",
+        "warming_up_for_s": "warming",
+        "mean_latency_s": "latency",
+        "ready_endpoints": "endpoints",
+    },
+    Rows: {"endpoints": "workers"},
+    RedriveOutcomeRow: {"outcome": "end", "executed_at": "ran_at"},
+    RedriveOutcomes: {"outcomes": "fates"},
+}
 
 
 def frame(value: Any) -> bytes:
@@ -81,13 +124,18 @@
         raise FieldError("verb", f"no such verb: {verb!r}") from error
 
 
+def body_to_json(body: Body) -> Any:
+    """Return a body as JSON values, with the wire's names."""
+    return to_json(body, WIRE_NAMES)
+
+
 def encode_answer(answer: Answer) -> bytes:
     """Return an answer as a frame."""
     row: dict[str, Any] = {"v": VERSION, "id": answer.id, "ok": answer.body is not None}
     if answer.body is None:
         row["error"] = answer.error
     else:
-        row["body"] = asdict(answer.body)
+        row["body"] = body_to_json(answer.body)
     return frame(row)
 
 
@@ -106,4 +154,4 @@
         raise VersionError(version, why)
     if not given["ok"]:
         return Answer(int(given["id"]), None, str(given["error"]))
-    return Answer(int(given["id"]), typed(BODIES[verb], given["body"], "body"))
+    return Answer(int(given["id"]), from_json(BODIES[verb], given["body"], "body", WIRE_NAMES))
--- a/juniperward/forwarder/control_output.py
+++ b/juniperward/forwarder/control_output.py
@@ -6,7 +6,7 @@
 import signal
 from dataclasses import replace
 
-from juniperward.control.protocol import Answer, Body, Fates, Status
+from juniperward.control.protocol import Answer, Body, RedriveOutcomes, Status
 from juniperward.control.server import ControlServer
 from juniperward.forwarder.effect_executor import ControlOutput, EffectExecutor
 
@@ -26,15 +26,15 @@
     def _complete(self, answer: Answer) -> Body | None:
         """Put in what the reducer does not know: names, how large the journal is, what the spool remembers."""
         body, dead_letters, journal = answer.body, self._executor.dead_letters, self._executor.journal
-        if isinstance(body, Fates) and dead_letters is not None:
+        if isinstance(body, RedriveOutcomes) and dead_letters is not None:
             return dead_letters.redrive_outcomes(body)
         if isinstance(body, Status):
             return replace(
                 body,
                 name=self._name,
-                started=self._started,
+                started_at=self._started,
                 journal_bytes=journal.size,
-                journal_live=journal.live_bytes,
+                journal_live_bytes=journal.live_bytes,
             )
         return body
 
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import replace
 
-from juniperward.control.protocol import FateRow, Fates
+from juniperward.control.protocol import RedriveOutcomeRow, RedriveOutcomes
 from juniperward.dead_letters.spool import RedriveOutcome, Spool, SpooledAttempt, SpooledMessage
 from juniperward.forwarder.config import Names
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
@@ -65,11 +65,11 @@
             log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
             self.spool.complete_since = math.inf  # nothing may be concluded from its absence
 
-    def redrive_outcomes(self, asked: Fates) -> Fates:
+    def redrive_outcomes(self, known: RedriveOutcomes) -> RedriveOutcomes:
         """Return the reducer's answer with what the spool remembers: what is over the reducer does not know."""
         rows = []
-        for row in asked.fates:
-            fate = self.spool.outcomes.get(row.id)
-            rows.append(FateRow(row.id, fate.end, fate.ran_at) if fate is not None else row)
+        for row in known.outcomes:
+            stored = self.spool.outcomes.get(row.id)
+            rows.append(RedriveOutcomeRow(row.id, stored.end, stored.ran_at) if stored is not None else row)
         since = min(self.spool.complete_since, LARGEST_UNIX_TIME)
-        return replace(asked, complete_since=since, fates=tuple(rows))
+        return replace(known, complete_since=since, outcomes=tuple(rows))
--- a/juniperward/forwarder/reducer/control.py
+++ b/juniperward/forwarder/reducer/control.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from juniperward.control.protocol import Answer, FateRow, Fates, Request, Verb
+from juniperward.control.protocol import (
+    Answer,
+    RedriveOutcomeRow,
+    RedriveOutcomes,
+    RedriveState,
+    Request,
+    Verb,
+)
 from juniperward.forwarder.effects import CloseConnections, EndProcess, SendControlReply, WriteLog
 from juniperward.forwarder.events import ControlRequested
 from juniperward.forwarder.reducer import introspection
@@ -24,7 +31,7 @@
         """Look, or take an order; an order that changes nothing is no error: it may have been sent twice."""
         request = event.request
         self._obey(request.verb)
-        if request.verb is Verb.FATE:
+        if request.verb is Verb.REDRIVE_OUTCOMES:
             self._round.emit(
                 SendControlReply(event.client, Answer(request.id, self._redrive_outcomes(request)))
             )
@@ -46,14 +53,19 @@
         elif verb is Verb.STOP:
             self._round.emit(EndProcess())
 
-    def _redrive_outcomes(self, request: Request) -> Fates:
+    def _redrive_outcomes(self, request: Request) -> RedriveOutcomes:
         """Say what became of redrives; one that is unknown is never taken from now on.
 
         What its sender had under way when it asked has come, or has ended with its connection, by then.
         """
         messages, now = self._round.state.messages, self._round.now
-        rows = tuple(FateRow(name, "held" if name in messages.numbers else "unknown") for name in request.ids)
+        rows = tuple(
+            RedriveOutcomeRow(
+                name, RedriveState.PENDING if name in messages.numbers else RedriveState.UNKNOWN
+            )
+            for name in request.ids
+        )
         fenced = {name: at for name, at in messages.fenced.items() if now - at < FENCE_DURATION_S}
-        fenced.update((row.id, now) for row in rows if row.end == "unknown")
+        fenced.update((row.id, now) for row in rows if row.outcome == RedriveState.UNKNOWN)
         messages.fenced = fenced
-        return Fates(0.0, rows)
+        return RedriveOutcomes(0.0, rows)
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -12,7 +12,14 @@
 from enum import Enum
 from typing import Any
 
-from juniperward.control.protocol import Answer, Fates, Request, Verb
+from juniperward.control.protocol import (
+    Answer,
+    RedriveOutcomeRow,
+    RedriveOutcomes,
+    RedriveState,
+    Request,
+    Verb,
+)
 from juniperward.forwarder.effects import (
     AcceptMessage,
     AppendRecord,
@@ -128,6 +135,8 @@
     CompletedRecord: "Completed",
     BatchItem: "BatchItem",
     PastAttempt: "Tried",
+    RedriveOutcomes: "Fates",
+    RedriveOutcomeRow: "FateRow",
 }
 ENUMS: dict[str, type[Enum]] = {
     "Outcome": Outcome,
@@ -135,7 +144,9 @@
     "Progress": AttemptProgress,
     "Verb": Verb,
 }
-TELLS_NOTHING_OF_THE_MOMENT = (Fates,)  # bodies of control answers that hold no counters, pids and clocks
+TELLS_NOTHING_OF_THE_MOMENT = (
+    RedriveOutcomes,
+)  # bodies of control answers that hold no counters, pids and clocks
 
 _EVENT_NAMES = {kind: name for name, kind in EVENTS.items()}
 _ENUM_NAMES = {kind: name for name, kind in ENUMS.items()}
@@ -164,7 +175,7 @@
     if isinstance(value, WriteLog):
         return {"LogLine": [_recorded_text(value)]}
     if isinstance(value, Enum):
-        return {_ENUM_NAMES[type(value)]: value.value}
+        return _encode_enum(value)
     if isinstance(value, tuple | list):
         return [encode(item) for item in value]
     if is_dataclass(value):
@@ -174,6 +185,13 @@
     return _encode_scalar(value)
 
 
+def _encode_enum(value: Enum) -> Any:
+    """Return an enum's recorded form; what became of a redrive was a plain string."""
+    if isinstance(value, RedriveState):
+        return value.value
+    return {_ENUM_NAMES[type(value)]: value.value}
+
+
 def _recorded_text(line: WriteLog) -> str:
     """Return the text of a line as it was when the effects were recorded."""
     values = dict(line.fields)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -29,7 +29,7 @@
     ControlUnreachableError,
     ProtocolError,
 )
-from juniperward.control.protocol import Answer, Counters, Destination, Request, Rows, Verb
+from juniperward.control.protocol import Answer, Counters, DestinationRow, Request, Rows, Verb
 from juniperward.control.server import ControlServer, open_socket
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
 from tests.player import ROOT, WAIT, Line, Player, Program
@@ -39,7 +39,7 @@
     def test_requests_and_answers_come_back_as_they_went(self) -> None:
         for verb in Verb:
             self.assertEqual(decode_request(encode_request(Request(7, verb))[4:]), Request(7, verb))
-        rows = Rows((Destination(3, "well", 1, 2, None, 5.0, 0.0, 1.5, None, 2),))
+        rows = Rows((DestinationRow(3, "well", 1, 2, None, 5.0, 0.0, 1.5, None, 2),))
         for verb, body in ((Verb.DESTINATIONS, rows), (Verb.COUNTERS, Counters({"delivered": 3}))):
             answer = Answer(7, body)
             self.assertEqual(decode_answer(encode_answer(answer)[4:], verb), answer)
@@ -197,12 +197,12 @@
         assert self.program.process is not None
         self.assertEqual((status.name, status.pid), ("n0", self.program.process.pid))
         self.assertEqual((status.phase, status.ready, status.slots), ("serving", True, 4))
-        self.assertEqual(status.registry_age, -1.0)
+        self.assertEqual(status.endpoint_list_age_s, -1.0)
         self.player.play("@ c client\n+ taken m1 7\n@ w worker\n+ received m1")
-        self.assertEqual((self.client.status().held, self.client.status().calls_out), (1, 1))
+        self.assertEqual((self.client.status().pending, self.client.status().attempts_in_flight), (1, 1))
         (row,) = [r for r in self.client.rows(Verb.DESTINATIONS).destinations if r.destination == 7]
-        self.assertEqual((row.in_flight, row.waiting, row.health), (1, 0, "unknown"))
-        self.assertEqual([w.in_flight for w in self.client.rows(Verb.WORKERS).workers], [1, 0])
+        self.assertEqual((row.in_flight, row.queued, row.health), (1, 0, "unknown"))
+        self.assertEqual([w.in_flight for w in self.client.rows(Verb.ENDPOINTS).endpoints], [1, 0])
         self.assertEqual(self.client.order(Verb.DRAIN).phase, "draining")
         # What is held goes on to its end; a new message and the ready page hear 503 at once.
         self.player.play(
@@ -213,7 +213,7 @@
         self.player.play("@ w\n+ ok")
         while (status := self.client.status()).phase == "draining":
             pass
-        self.assertEqual((status.phase, status.delivered, status.owing), ("drained", 1, 0))
+        self.assertEqual((status.phase, status.delivered, status.unfinished), ("drained", 1, 0))
         self.assertEqual(self.client.order(Verb.RESUME).phase, "serving")
         self.player.play("@ d client\n+ taken m3 7\n@ w\n+ received m3\n+ ok")
         self.assertEqual(self.client.counters()["drains"], 1)
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -13,7 +13,7 @@
 
 from juniperward.agent.client import AgentUnreachableError, request
 from juniperward.benchmarks.local_cluster import LocalCluster
-from juniperward.control.protocol import Fates, Request, Verb
+from juniperward.control.protocol import RedriveOutcomes, Request, Verb
 from juniperward.dead_letters.spool import RedriveOutcome, Spool, read, segments
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.records import Handed as HandedRecord
@@ -115,18 +115,22 @@
 
     def test_what_is_not_known_is_never_taken_later(self) -> None:
         reducer = self.reducer()
-        (tell,) = reducer.reduce(100.0, [ControlRequested(1, Request(3, Verb.FATE, ("kept-a-1",)))])
-        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, Fates)
-        self.assertEqual([r.end for r in tell.answer.body.fates], ["unknown"])
+        (tell,) = reducer.reduce(
+            100.0, [ControlRequested(1, Request(3, Verb.REDRIVE_OUTCOMES, ("kept-a-1",)))]
+        )
+        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, RedriveOutcomes)
+        self.assertEqual([r.outcome for r in tell.answer.body.outcomes], ["unknown"])
         (reply,) = reducer.reduce(
             100.0, [MessageReceived(5, Message("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
         )
         assert isinstance(reply, ReplyToClient)
         self.assertEqual(reply.status, 503)
         self.take(reducer, "kept-b-1")
-        (tell,) = reducer.reduce(100.0, [ControlRequested(1, Request(3, Verb.FATE, ("kept-b-1",)))])
-        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, Fates)
-        self.assertEqual([r.end for r in tell.answer.body.fates], ["held"])
+        (tell,) = reducer.reduce(
+            100.0, [ControlRequested(1, Request(3, Verb.REDRIVE_OUTCOMES, ("kept-b-1",)))]
+        )
+        assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, RedriveOutcomes)
+        self.assertEqual([r.outcome for r in tell.answer.body.outcomes], ["held"])
 
     def test_a_resend_carries_when_it_may_have_run_to_module_and_journal(self) -> None:
         reducer = self.reducer()
@@ -167,10 +171,12 @@
             )
             self.assertEqual(counters()["dead_letters_failed"], before + 1)
             spool.remember("kept-a-1", RedriveOutcome("delivered"))
-            self.assertEqual(writer.redrive_outcomes(Fates(0.0, ())).complete_since, spool.complete_since)
+            self.assertEqual(
+                writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since, spool.complete_since
+            )
             spool.close()
             writer.record_redrive_outcome(RecordRedriveOutcome("kept-b-1", "delivered", None))
-            self.assertGreater(writer.redrive_outcomes(Fates(0.0, ())).complete_since, 1e17)
+            self.assertGreater(writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since, 1e17)
 
 
 class ForwarderTest(unittest.TestCase):
