--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from juniperward.benchmarks.report import Report
-from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.discovery_stream import JsonObjects
 from juniperward.forwarder.effects import AcceptMessage, SetTimer, StartAttempt
+from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import (
     AttemptAnswered,
     EndpointsUpdated,
@@ -31,6 +31,7 @@
 )
 from juniperward.forwarder.model import ItemOutcome, Message
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.scheduler.events import Outcome
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
@@ -38,7 +39,7 @@
 FEW, USUAL = 20, 200  # servers and forwarders while the other number changes
 IDLE = 60.0  # simulated seconds without a message
 WATCHED = 5.0  # seconds for which a real process is left alone
-NAMES = Names(("c",), (20.0,), ("acme",), ("k",), ("z",))
+NAMES = SettingsNames(("c",), (20.0,), ("acme",), ("k",), ("z",))
 
 
 def listed(servers: int) -> dict[str, Any]:
@@ -85,8 +86,8 @@
         objects = JsonObjects()
         for first in range(0, len(self.text), 16384):
             for value in objects.feed(self.text[first : first + 16384]):
-                endpoint_list = read_news(value, NAMES)
-                self.do(EndpointsUpdated(endpoint_list.version, endpoint_list.full, endpoint_list.workers))
+                update = read_endpoint_list_update(value, NAMES)
+                self.do(EndpointsUpdated(update.version, update.full, update.endpoints))
 
     def message(self) -> None:
         """A message handed in, taken on, sent and delivered 10 ms later."""
--- /dev/null
+++ b/juniperward/forwarder/address.py
@@ -0,0 +1,29 @@
+"""An address of a listener or a server as `host:port`: text to a pair of host and port, and back."""
+
+from __future__ import annotations
+
+MAX_PORT = 65535
+
+
+class BadAddressError(ValueError):
+    """A text is not an address; `text` is what was given."""
+
+    def __init__(self, text: str) -> None:
+        """Name the text."""
+        super().__init__(f"not an address of the form host:port: {text!r}")
+        self.text = text
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """Return host and port of `host:port`; raises BadAddressError."""
+    host, colon, port = text.rpartition(":")
+    is_number = port.isascii() and port.isdigit()
+    if not colon or not host or not is_number or not 0 < int(port) <= MAX_PORT:
+        raise BadAddressError(text)
+    return host.strip("[]"), int(port)
+
+
+def format_address(address: tuple[str, int]) -> str:
+    """Return an address as `host:port`."""
+    host, port = address
+    return f"{host}:{port}"
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -26,8 +26,8 @@
 def build(config: Config) -> Loop:
     """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
     to_unix = time.time() - time.monotonic()
-    journal_to_unix = carry_over(config.state, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
-    journal = Journal(config.state, config.disk_bytes, journal_to_unix)
+    journal_to_unix = carry_over(config.state_folder, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
+    journal = Journal(config.state_folder, config.journal_max_bytes, journal_to_unix)
     dead_letters = _open_dead_letters(config, to_unix)
     stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
     reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored)
@@ -44,14 +44,16 @@
     from juniperward.dead_letters.spool import Spool
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
-    return DeadLetterWriter(Spool(config.spool, config.spool_bytes), config.settings, config.names, to_unix)
+    return DeadLetterWriter(
+        Spool(config.spool.folder, config.spool.max_bytes), config.settings, config.names, to_unix
+    )
 
 
 def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
     settings = config.settings
-    if config.sockets < LEAST_SOCKETS:
-        log("start", "few descriptors", sockets=config.sockets, needed=LEAST_SOCKETS)
-    bounds = share_out(config.sockets, settings.slots)
+    if config.max_sockets < LEAST_SOCKETS:
+        log("start", "few descriptors", sockets=config.max_sockets, needed=LEAST_SOCKETS)
+    bounds = share_out(config.max_sockets, settings.slots)
     server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.leaving_clients)
     limits = EndpointClientLimits(
         settings.dial_timeout_s,
@@ -61,5 +63,5 @@
         longest_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
     endpoint_client = build_endpoint_client(limits, queue.post, journal.append)
-    discovery = DiscoveryClient(config.registry, config.names, queue.post)
+    discovery = DiscoveryClient(config.discovery, config.names, queue.post)
     return EffectExecutor(journal, server, endpoint_client, discovery, queue)
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -8,9 +8,9 @@
 
 from juniperward.forwarder.client_connection import IDLE_S, READ_BYTES, REQUEST_S, ClientConnection
 from juniperward.forwarder.codec import MESSAGE_PATH, UnreadableMessageError, decode_message, encode_reply
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.health_page import answer_page
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, report_fault
 from juniperward.net import sockets
 from juniperward.net.http import HttpRequest, Stream, read_request
@@ -38,7 +38,7 @@
 class ClientSessions:
     """Serves connections; `serve` is called on a thread for each."""
 
-    def __init__(self, names: Names, state: ServiceState, post: Callable[[Event], None]) -> None:
+    def __init__(self, names: SettingsNames, state: ServiceState, post: Callable[[Event], None]) -> None:
         """Post messages; `names` are those of the settings."""
         self._names, self._state, self._post = names, state, post
 
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -8,8 +8,8 @@
 import re
 
 from juniperward.dead_letters.ownership import is_redrive_id
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.model import Message
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net.http import DECIMAL, HttpRequest, encode_response
 
 MESSAGE_PATH = "/api"
@@ -27,7 +27,7 @@
         self.header = header
 
 
-def decode_message(request: HttpRequest, names: Names) -> Message:
+def decode_message(request: HttpRequest, names: SettingsNames) -> Message:
     """Return the message that a request brings; raises UnreadableMessageError."""
     headers = request.headers
     message_id = headers.get("x-correlation-id", "")
@@ -35,7 +35,7 @@
         raise UnreadableMessageError("X-Correlation-Id", "an id of printable characters is needed")
     class_index = _index(headers, "X-Service-Class", names.classes, "no such class")
     tenant = _index(headers, "X-Account", names.tenants, "no such account") if names.tenants else 0
-    time_left_s = _time_left(headers, names.deadlines[class_index])
+    time_left_s = _time_left(headers, names.deadlines_s[class_index])
     return Message(
         message_id,
         class_index,
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -1,139 +1,87 @@
-"""The environment and the JSON configuration, read once into one typed value."""
+"""The codec of a forwarder's configuration: the environment and the JSON file to one typed value.
+
+Read at the start by `start.py`, and by `reload.py` at each SIGHUP. The file's keys and the names of the environment
+are here alone; the scheduler's settings in the file have a codec of their own.
+"""
 
 from __future__ import annotations
 
 import json
-import math
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from pathlib import Path
 from typing import Any
 
-from juniperward.forwarder.model import Endpoint
-from juniperward.forwarder.telemetry import increment, log
-from juniperward.scheduler.events import EndpointPhase
+from juniperward.forwarder.address import parse_address
+from juniperward.forwarder.endpoint_list_codec import EndpointListUpdate, read_endpoint_list_update
+from juniperward.forwarder.settings_names import SettingsNames, read_settings_names
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
 
-PHASES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.GONE}
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_JOURNAL_MB = 1
+DEFAULT_SPOOL_BYTES = 50_000_000
+BYTES_PER_MB = 1_000_000
+SEED_BASE = 16
+
+# The key of the file for each field; keys that are equal in the file and in `Config` are not repeated here.
+KEYS = {
+    "state_folder": "state",
+    "max_sockets": "limits.sockets",
+    "journal_max_bytes": "limits.disk_mb",
+    "names": "settings",
+    "known_endpoints": "known",
+    "spool": "kept",
+    "control_socket": "control",
+}
 
 
 class ConfigError(Exception):
     """The configuration cannot be used; the text says where and why, in one line."""
 
     def __init__(self, place: str, problem: str) -> None:
-        """Name the place and what is wrong with it."""
+        """Name the place, and what is wrong there."""
         super().__init__(f"{place}: {problem}")
-        self.place = place
+        self.place, self.problem = place, problem
 
 
 class BadValueError(ValueError):
-    """A value of the configuration cannot be used."""
+    """The value of one key or variable cannot be used."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the key and what is wrong with it."""
+        """Name the key, and what is wrong with its value."""
         super().__init__(f"{key}: {problem}")
-
-
-class BadAddressError(ValueError):
-    """A text is no address."""
-
-    def __init__(self, text: str) -> None:
-        """Show the text."""
-        super().__init__(f"not an address of the form host:port: {text!r}")
-
-
-@dataclass(frozen=True, slots=True)
-class Names:
-    """The settings' names, by which clients and the registry speak; their places are the module's numbers."""
-
-    classes: tuple[str, ...]
-    deadlines: tuple[float, ...]  # of the classes: no message has longer
-    tenants: tuple[str, ...]
-    kinds: tuple[str, ...]
-    zones: tuple[str, ...]
+        self.key, self.problem = key, problem
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """The registry's list, whole or changes."""
+class SpoolConfig:
+    """Where dead letters are stored until the agent fetches them, and how many bytes of them at most."""
 
-    version: int
-    full: bool
-    workers: tuple[Endpoint, ...]
+    folder: Path
+    max_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a forwarder is told at its start."""
+    """The configuration of a forwarder."""
 
     name: str
     listen: tuple[str, int]
-    registry: tuple[str, int]
-    state: Path
+    discovery: tuple[str, int]
+    state_folder: Path
     seed: int
-    sockets: int
-    disk_bytes: int
+    max_sockets: int
+    journal_max_bytes: int
     settings: SchedulerSettings
-    names: Names
-    known: News
-    spool: Path | None = None  # where messages that are given up are kept; they are not without it
-    spool_bytes: int = 0
-    control: Path | None = None  # the control channel's socket; none is opened without it
-
-
-def address(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadAddressError(text)
-    return host.strip("[]"), int(port)
-
-
-def read_news(value: Any, names: Names) -> News:
-    """Decode one object of the registry's list; an entry that makes no sense is left out."""
-    workers = []
-    for entry in value["servers"]:
-        try:
-            workers.append(_read_worker(entry, names))
-        except (KeyError, ValueError, TypeError, AttributeError) as error:
-            # It would come again with every watch: failing the whole would leave us without any news.
-            increment("endpoint_entries_unread")
-            log("discovery", "entry unreadable", type=type(error).__name__, error=error)
-    return News(int(value["version"]), bool(value["full"]), tuple(workers))
-
-
-def _read_worker(entry: Any, names: Names) -> Endpoint:
-    host, port = address(entry["addr"])
-    kind, zone = entry.get("kind"), entry.get("zone")
-    return Endpoint(
-        id=str(entry["id"]),
-        host=host,
-        port=port,
-        destination=int(entry["cell"]),
-        phase=PHASES[entry["state"]],
-        kind=names.kinds.index(kind) if kind in names.kinds else 0,
-        zone=names.zones.index(zone) if zone in names.zones else 0,
-        listed_rate=_rate(entry.get("weight")),
-    )
-
-
-def _rate(value: Any) -> float:
-    """A listed rate; one that makes no sense is as none, and must not cost us the worker."""
-    if value is None:
-        return 0.0
-    try:
-        rate = float(value)
-    except (ValueError, TypeError, OverflowError):
-        rate = math.nan
-    if 0 <= rate < math.inf:
-        return rate
-    increment("listed_rates_unread")
-    return 0.0
+    names: SettingsNames
+    known_endpoints: EndpointListUpdate  # in use until discovery's first update
+    spool: SpoolConfig | None = None  # without it no dead letter is stored
+    control_socket: Path | None = None  # without it no control channel is opened
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read everything; raises ConfigError with one plain line."""
+    """Read the file that the environment names; the environment goes over the file. Raises ConfigError."""
     path = environment.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG", "it is not set")
@@ -151,48 +99,47 @@
         raise ConfigError(path, str(error)) from error
 
 
+def changed_keys(before: Config, after: Config) -> tuple[str, ...]:
+    """Return the file's keys whose values differ, each once."""
+    changed = (f.name for f in fields(Config) if getattr(before, f.name) != getattr(after, f.name))
+    return tuple(dict.fromkeys(KEYS.get(name, name) for name in changed))
+
+
 def _from_json(given: Any, environment: Mapping[str, str]) -> Config:
-    raw = given["settings"]
-    settings = read_settings(raw)
-    names = Names(
-        classes=tuple(c["Name"] for c in raw["Services"]),
-        deadlines=tuple(float(c["DeadlineMs"]) / 1000 for c in raw["Services"]),
-        tenants=tuple(t["Name"] for t in raw.get("Tenants") or ()),
-        kinds=tuple(raw.get("Kinds") or ()),
-        zones=tuple(raw.get("FailureDomains") or ()),
-    )
+    settings = read_settings(given["settings"])
+    names = read_settings_names(given["settings"])
     limits = given.get("limits") or {}
-    state = Path(environment.get("ROUTER_STATE") or given["state"])
-    if not state.is_dir():
-        raise BadValueError("ROUTER_STATE", f"no such folder: {state}")
+    state_folder = Path(environment.get("ROUTER_STATE") or given["state"])
+    if not state_folder.is_dir():
+        raise BadValueError("ROUTER_STATE", f"no such folder: {state_folder}")
     return Config(
         name=environment.get("ROUTER_NAME") or given["name"],
-        listen=address(environment.get("ROUTER_LISTEN") or given["listen"]),
-        registry=address(environment.get("ROUTER_DISCOVERY") or given["discovery"]),
-        state=state,
-        seed=int(str(given["seed"]), 16),
-        sockets=int(limits.get("sockets", 1024)),
-        disk_bytes=int(float(limits.get("disk_mb", 1)) * 1_000_000),
+        listen=parse_address(environment.get("ROUTER_LISTEN") or given["listen"]),
+        discovery=parse_address(environment.get("ROUTER_DISCOVERY") or given["discovery"]),
+        state_folder=state_folder,
+        seed=int(str(given["seed"]), SEED_BASE),
+        max_sockets=int(limits.get("sockets", DEFAULT_MAX_SOCKETS)),
+        journal_max_bytes=int(float(limits.get("disk_mb", DEFAULT_JOURNAL_MB)) * BYTES_PER_MB),
         settings=settings,
         names=names,
-        known=read_news(given["known"], names),
-        control=_control(given.get("control")),
-        **_spool(given.get("kept")),
+        known_endpoints=read_endpoint_list_update(given["known"], names),
+        control_socket=_read_control_socket(given.get("control")),
+        spool=_read_spool(given.get("kept")),
     )
 
 
-def _spool(value: Any) -> dict[str, Any]:
+def _read_spool(value: Any) -> SpoolConfig | None:
     if value is None:
-        return {}
+        return None
     if not isinstance(value, dict) or not str(value.get("spool", "")).startswith("/"):
         raise BadValueError("kept", "an object with the absolute path `spool` is needed")
-    size = value.get("max_bytes", 50_000_000)
-    if not isinstance(size, int) or isinstance(size, bool) or size <= 0:
-        raise BadValueError("kept", f"max_bytes: a number above 0 is needed, not {size!r}")
-    return {"spool": Path(value["spool"]), "spool_bytes": size}
+    max_bytes = value.get("max_bytes", DEFAULT_SPOOL_BYTES)
+    if type(max_bytes) is not int or max_bytes <= 0:
+        raise BadValueError("kept", f"max_bytes: a number above 0 is needed, not {max_bytes!r}")
+    return SpoolConfig(Path(value["spool"]), max_bytes)
 
 
-def _control(value: Any) -> Path | None:
+def _read_control_socket(value: Any) -> Path | None:
     if value is None:
         return None
     if not isinstance(value, str) or not value.startswith("/"):
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -7,8 +7,8 @@
 
 from juniperward.control.protocol import RedriveOutcomeRow, RedriveOutcomes
 from juniperward.dead_letters.spool import RedriveOutcome, Spool, SpooledAttempt, SpooledMessage
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.settings import SchedulerSettings
 
@@ -18,7 +18,9 @@
 class DeadLetterWriter:
     """Used by the loop only. What cannot be written is counted and logged; the service goes on."""
 
-    def __init__(self, spool: Spool, settings: SchedulerSettings, names: Names, to_unix: float) -> None:
+    def __init__(
+        self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, to_unix: float
+    ) -> None:
         """Write to a spool; `to_unix` is what makes monotonic time Unix time."""
         self.spool = spool
         self._settings, self._names, self._to_unix = settings, names, to_unix
--- a/juniperward/forwarder/discovery_client.py
+++ b/juniperward/forwarder/discovery_client.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Callable
 
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.discovery_address import DiscoveryAddress
 from juniperward.forwarder.discovery_watch import DiscoveryWatch
 from juniperward.forwarder.events import Event
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.notification_sender import NotificationSender
+from juniperward.forwarder.settings_names import SettingsNames
 
 
 class DiscoveryClient:
     """Owns the watch and the sender of notifications, a thread each."""
 
-    def __init__(self, address: tuple[str, int], names: Names, post: Callable[[Event], None]) -> None:
+    def __init__(self, address: tuple[str, int], names: SettingsNames, post: Callable[[Event], None]) -> None:
         """Begin at an address; nothing is opened before `start`."""
         self.address = DiscoveryAddress(address)
         self.watcher = DiscoveryWatch(self.address, names, post)
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -8,10 +8,11 @@
 import time
 from collections.abc import Callable, Iterator
 
-from juniperward.forwarder.config import Names, read_news
 from juniperward.forwarder.discovery_address import AddressChangedError, DiscoveryAddress
 from juniperward.forwarder.discovery_stream import JsonObjects
+from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 from juniperward.net.http import Stream, encode_request, read_chunks, read_head
@@ -47,7 +48,9 @@
 class DiscoveryWatch:
     """Posts updates of the list, and `WatchLost` at each end of a watch."""
 
-    def __init__(self, address: DiscoveryAddress, names: Names, post: Callable[[Event], None]) -> None:
+    def __init__(
+        self, address: DiscoveryAddress, names: SettingsNames, post: Callable[[Event], None]
+    ) -> None:
         """Watch an address once asked to; `names` are those of the settings."""
         self._address, self._names, self._post = address, names, post
         self._wanted: queue.SimpleQueue[tuple[int, int]] = queue.SimpleQueue()
@@ -111,5 +114,5 @@
             if between or found:
                 timed.begin()
             for value in found:
-                news = read_news(value, self._names)
-                yield EndpointsUpdated(news.version, news.full, news.workers, epoch=epoch)
+                update = read_endpoint_list_update(value, self._names)
+                yield EndpointsUpdated(update.version, update.full, update.endpoints, epoch=epoch)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -12,9 +12,9 @@
 from juniperward.forwarder.client_session import RETRY_AFTER_S, ClientSessions, ServiceState
 from juniperward.forwarder.client_table import ClientTable
 from juniperward.forwarder.codec import encode_reply
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.descriptors import MOST_LEAVING
 from juniperward.forwarder.events import Event
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         listen: tuple[str, int],
-        names: Names,
+        names: SettingsNames,
         max_clients: int,
         post: Callable[[Event], None],
         max_leaving: int = MOST_LEAVING,
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING
 
 from juniperward.control.errors import ControlSocketError
+from juniperward.forwarder.address import format_address
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import Config, ConfigError, load
 from juniperward.forwarder.events import (
@@ -37,7 +38,7 @@
 
 def open_control(config: Config, loop: Loop) -> ControlServer | None:
     """Open the control channel where the settings name its path; raises ControlSocketError."""
-    if config.control is None:
+    if config.control_socket is None:
         return None
     # Not loaded where they are not used.
     from juniperward.control.server import ControlServer
@@ -45,21 +46,23 @@
 
     post = loop.queue.post
     control = ControlServer(
-        config.control,
+        config.control_socket,
         lambda client, request: post(ControlRequested(client, request)),
         increment,
         report_fault,
     )
     loop.executor.control = ControlChannelOutput(control, loop.executor, config.name, time.time())
     control.start()
-    log("start", "control channel open", path=config.control)
+    log("start", "control channel open", path=config.control_socket)
     return control
 
 
 def run(config: Config) -> int:
     """Serve until a signal ends it."""
     threading.stack_size(THREAD_STACK_BYTES)
-    lock_folder(config.state)  # held until the process ends, and not a moment less: its threads still write
+    lock_folder(
+        config.state_folder
+    )  # held until the process ends, and not a moment less: its threads still write
     loop = build(config)
     if os.environ.get("ROUTER_TRACE"):
         loop.trace = loop.executor.endpoint_client.calls.trace = Trace(time.time() - time.monotonic())
@@ -70,9 +73,9 @@
     thread.start()
     control = open_control(config, loop)
     loop.executor.server.start()
-    address = f"{config.listen[0]}:{config.listen[1]}"
+    address = format_address(config.listen)
     log("start", "serving", name=config.name, address=address, restored=restored)
-    log("start", "discovery", address=f"{config.registry[0]}:{config.registry[1]}")
+    log("start", "discovery", address=format_address(config.discovery))
     got = _serve_signals(config, loop)
     log("stop", "shutdown requested", signal=got.name)
     increment("stops")
@@ -88,9 +91,9 @@
 
 def _restore(config: Config, loop: Loop) -> int:
     """Take in the list that the configuration names and what the journal has; returns how many messages."""
-    known = config.known
+    known = config.known_endpoints
     loop.executor.discovery.start()
-    loop.round([EndpointsUpdated(known.version, known.full, known.workers, cached=True)])
+    loop.round([EndpointsUpdated(known.version, known.full, known.endpoints, cached=True)])
     restored = loop.executor.journal.restored()
     loop.round([JournalReplayed(restored)])
     return len(restored)
@@ -115,7 +118,7 @@
             report_counters()
             continue
         try:
-            if (changed := reloader.again()) is not None:
+            if (changed := reloader.reload()) is not None:
                 loop.queue.post(changed)
         except Exception as error:
             report_fault("reload", error)
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -19,7 +19,6 @@
 from typing import cast
 from unittest import mock
 
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.effects import Effect
@@ -29,10 +28,11 @@
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.model import Endpoint
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.scheduler.events import EndpointPhase
 from tests.helpers import ONCE, settings
 
-NAMES = Names(("c",), (12.0,), (), ("m2",), ("a",))
+NAMES = SettingsNames(("c",), (12.0,), (), ("m2",), ("a",))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LONGEST_CASE = 30.0  # seconds after which a case counts as never known
 
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -18,15 +18,15 @@
 from juniperward.forwarder import client_connection, client_session
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import decode_message
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.server import Server
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net import sockets
 from juniperward.net.http import Stream, read_request, read_response
 from tests.helpers import open_descriptors
 from tests.player import WAIT, Line, Program
 
-NAMES = Names(("c",), (12.0,), ("acme",), (), ())
+NAMES = SettingsNames(("c",), (12.0,), ("acme",), (), ())
 HEADERS = (
     "Host: api.internal",
     "X-Correlation-Id: m1",
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.forwarder.config import ConfigError, address, load
+from juniperward.forwarder.address import parse_address
+from juniperward.forwarder.config import ConfigError, load
 from juniperward.forwarder.events import DiscoveryAddressChanged
 from juniperward.forwarder.reload import Reloader
 from juniperward.forwarder.telemetry import counters
@@ -41,8 +42,8 @@
 
     def test_a_good_one_is_read_and_the_environment_goes_first(self) -> None:
         config = load({**self.given(GOOD), "ROUTER_LISTEN": "127.0.0.2:99"})
-        self.assertEqual((config.listen, config.registry), (("127.0.0.2", 99), ("127.0.0.1", 10)))
-        self.assertEqual((config.seed, config.disk_bytes), (0x8C1F, 3_000_000))
+        self.assertEqual((config.listen, config.discovery), (("127.0.0.2", 99), ("127.0.0.1", 10)))
+        self.assertEqual((config.seed, config.journal_max_bytes), (0x8C1F, 3_000_000))
         self.assertEqual(config.settings.slots, 4)
 
     def test_a_new_file_moves_the_registry_and_a_bad_one_changes_nothing(self) -> None:
@@ -50,16 +51,16 @@
         # over the environment's from the first SIGHUP on.
         environment = {**self.given(GOOD), "ROUTER_DISCOVERY": "127.0.0.1:10"}
         reloader = Reloader(load(environment), environment)
-        self.assertIsNone(reloader.again())
+        self.assertIsNone(reloader.reload())
         for bad in ("", json.dumps(GOOD)[:99], "[]", {**GOOD, "discovery": None}, {**GOOD, "seed": "x"}):
             self.given(bad)
-            self.assertIsNone(reloader.again())
+            self.assertIsNone(reloader.reload())
         self.given({**GOOD, "discovery": "127.0.0.1:11"})
-        self.assertEqual(reloader.again(), DiscoveryAddressChanged(("127.0.0.1", 11)))
+        self.assertEqual(reloader.reload(), DiscoveryAddressChanged(("127.0.0.1", 11)))
         Path(environment["ROUTER_CONFIG"]).unlink()
-        self.assertIsNone(reloader.again())
+        self.assertIsNone(reloader.reload())
         self.given({**GOOD, "limits": {"sockets": 50}})
-        self.assertEqual(reloader.again(), DiscoveryAddressChanged(("127.0.0.1", 10)))
+        self.assertEqual(reloader.reload(), DiscoveryAddressChanged(("127.0.0.1", 10)))
 
     def test_what_is_wrong_is_named(self) -> None:
         bad: tuple[tuple[Any, str], ...] = (
@@ -114,14 +115,14 @@
         for given, classes, longest in ((few, 1, 0.3), (many, 12, 600.0)):
             config = load(self.given({**GOOD, "settings": given}))
             self.assertEqual(len(config.settings.classes), classes)
-            self.assertAlmostEqual(max(config.names.deadlines), longest)
+            self.assertAlmostEqual(max(config.names.deadlines_s), longest)
 
     def test_one_odd_entry_does_not_cost_the_list(self) -> None:
         # Guards against news that fail for good: the same entry comes again with every watch.
         entry = {"id": "s-1", "addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         odd = ({**entry, "state": "Odd"}, {**entry, "addr": "x"}, "text", {**entry, "id": "s-2"})
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": odd}}))
-        self.assertEqual([(w.id, w.kind) for w in config.known.workers], [("s-2", 1)])
+        self.assertEqual([(e.id, e.kind) for e in config.known_endpoints.endpoints], [("s-2", 1)])
 
     def test_a_listed_rate_that_makes_no_sense_is_none_and_counted(self) -> None:
         # Guards a worker against its own rate: one that was no number cost it the whole entry.
@@ -130,7 +131,7 @@
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
         before = counters().get("listed_rates_unread", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
-        found = [w.listed_rate for w in config.known.workers]
+        found = [e.listed_rate for e in config.known_endpoints.endpoints]
         self.assertEqual(found, [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0])
         self.assertEqual(counters()["listed_rates_unread"] - before, 6)
 
@@ -143,7 +144,7 @@
     def test_addresses(self) -> None:
         for text in ("", "a", ":1", "a:", "a:0", "a:70000", "a:-1"):
             with self.subTest(text), self.assertRaises(ValueError):
-                address(text)
+                parse_address(text)
 
     def test_the_program_says_it_in_one_line(self) -> None:
         done = subprocess.run(
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -160,11 +160,11 @@
     def test_a_spool_that_cannot_be_written_stops_keeping_and_nothing_else(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             spool = Spool(Path(name), 10)
-            from juniperward.forwarder.config import Names
+            from juniperward.forwarder.settings_names import SettingsNames
             from juniperward.forwarder.telemetry import counters
 
             before = counters().get("dead_letters_failed", 0)
-            writer = DeadLetterWriter(spool, settings(KEYED), Names(("c",), (20.0,), (), (), ()), 0.0)
+            writer = DeadLetterWriter(spool, settings(KEYED), SettingsNames(("c",), (20.0,), (), (), ()), 0.0)
             tried = PastAttempt("s-1", 1.0, "timeout", True)
             writer.store(
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,7 +17,6 @@
 from juniperward.forwarder.answers import read_outcomes, read_retry_after
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import UnreadableMessageError, decode_message
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.connection_pool import EndpointConnection
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.endpoint_call import ActiveCall
@@ -25,13 +24,14 @@
 from juniperward.forwarder.events import AttemptAnswered, Event, MessageReceived
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Server
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net import sockets
 from juniperward.net.http import HttpRequest, HttpResponse, Stream, read_request, read_response
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
 
-NAMES = Names(("c",), (12.0,), (), (), ())
+NAMES = SettingsNames(("c",), (12.0,), (), (), ())
 
 
 def start_attempt(number: int, port: int, count: int = 1, deadline: float = 1e12) -> StartAttempt:
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -10,11 +10,11 @@
 import time
 import unittest
 
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.notification_sender import ANSWER_TIMEOUT_S
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net.http import Stream, read_request
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError
 
@@ -70,7 +70,7 @@
         over = threading.Event()
         self.addCleanup(over.set)
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
         registry.start()
         registry.notify((OutcomeNotification("m0"),))
 
@@ -88,7 +88,7 @@
         platform = Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         self.addCleanup(platform.close)
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(platform.door.getsockname(), Names((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
         registry.start()
         began = time.monotonic()
         registry.notify(tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -14,11 +14,11 @@
 
 from juniperward.forwarder import discovery_watch
 from juniperward.forwarder.answers import LoadReport, read_report
-from juniperward.forwarder.config import Names
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import HoldRoute, SetTimer, StartHealthCheck, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
@@ -69,7 +69,7 @@
             self.addCleanup(door.close)
             events: queue.Queue[Event] = queue.Queue()
             with self.subTest(lived), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
-                registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
+                registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
@@ -93,7 +93,7 @@
             over = threading.Event()
             self.addCleanup(over.set)
             with self.subTest(begin), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.2):
-                registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
+                registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
@@ -117,7 +117,7 @@
         events: queue.Queue[Event] = queue.Queue()
         pause = threading.Event()
         with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.5):
-            registry = DiscoveryClient(door.getsockname(), Names((), (), (), (), ()), events.put)
+            registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
@@ -173,7 +173,7 @@
         threading.Thread(target=agent, daemon=True).start()
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(
-            door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+            door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
         registry.start()
         registry.watch(41, 0)
@@ -193,7 +193,7 @@
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(
-            door.getsockname(), Names(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+            door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
         reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
         with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from juniperward.benchmarks.sizes import NAMES, Drive, listed
-from juniperward.forwarder.config import read_news
+from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import EndpointsUpdated
 from juniperward.forwarder.telemetry import counters
 from juniperward.settings.load import load
@@ -45,9 +45,9 @@
             {**value["servers"][7], "state": "Gone?"}, 7,
         ]  # fmt: skip
         before = counters().get("endpoint_entries_unread", 0)
-        news = read_news({**value, "servers": [*bad, *value["servers"]]}, NAMES)
-        self.assertEqual(len(news.workers), 1024)
+        update = read_endpoint_list_update({**value, "servers": [*bad, *value["servers"]]}, NAMES)
+        self.assertEqual(len(update.endpoints), 1024)
         self.assertEqual(counters()["endpoint_entries_unread"], before + len(bad))
         drive = Drive(1, 40, 1)
-        drive.do(EndpointsUpdated(9, True, news.workers))
+        drive.do(EndpointsUpdated(9, True, update.endpoints))
         self.assertEqual(len(drive.reducer.scheduler.state.table.endpoints), 1024)
