--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -7,7 +7,7 @@
 
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.config import Config
-from juniperward.forwarder.descriptors import LEAST_SOCKETS, share_out
+from juniperward.forwarder.descriptors import MIN_SOCKETS, divide_descriptors
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
@@ -51,10 +51,10 @@
 
 def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
     settings = config.settings
-    if config.max_sockets < LEAST_SOCKETS:
-        log("start", "few descriptors", sockets=config.max_sockets, needed=LEAST_SOCKETS)
-    bounds = share_out(config.max_sockets, settings.slots)
-    server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.leaving_clients)
+    if config.max_sockets < MIN_SOCKETS:
+        log("start", "few descriptors", sockets=config.max_sockets, needed=MIN_SOCKETS)
+    bounds = divide_descriptors(config.max_sockets, settings.slots)
+    server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.closing_clients)
     limits = EndpointClientLimits(
         settings.dial_timeout_s,
         settings.keepalive_s,
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -1,4 +1,8 @@
-"""What happens on a client's connection, on a thread of its own: request after request, each answered once."""
+"""The requests of one client connection, read one after another on its own thread, each answered once.
+
+A message goes to the reducer as `MessageReceived`; the loop writes its answer (`server.py`). Other requests are
+answered here.
+"""
 
 from __future__ import annotations
 
@@ -24,29 +28,30 @@
 ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
 RETRY_AFTER_S = 1.0  # after which a client that was rejected here may come again
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+HTTP_BAD_REQUEST, HTTP_TIMEOUT, HTTP_INTERNAL_ERROR, HTTP_UNAVAILABLE = 400, 408, 500, 503
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """What all connections have to know of the process."""
+    """The state of the process that all connections read."""
 
     ready: bool = False  # the ready page says yes
     stopping: bool = False
-    closing: bool = False  # answers end their connections: clients are to go elsewhere
+    closing: bool = False  # answers end their connections, so that clients connect elsewhere
 
 
 class ClientSessions:
     """Serves connections; `serve` is called on a thread for each."""
 
     def __init__(self, names: SettingsNames, state: ServiceState, post: Callable[[Event], None]) -> None:
-        """Post messages; `names` are those of the settings."""
+        """Post messages to the reducer; `names` are those of the settings."""
         self._names, self._state, self._post = names, state, post
 
     def serve(self, client: ClientConnection) -> None:
-        """Answer requests until the connection ends; it is not closed here."""
+        """Answer requests until the connection ends; the caller closes it."""
         stream = Stream(client.receive)
         try:
-            while self._next(client, stream):
+            while self._serve_next(client, stream):
                 pass
         except ConnectionClosedError:
             pass
@@ -54,27 +59,26 @@
             increment("clients_broken")
         except Exception as error:
             report_fault("client", error)
-            client.write(encode_reply(500, 0.0, True, "internal error"))
+            client.write(encode_reply(HTTP_INTERNAL_ERROR, 0.0, True, "internal error"))
 
-    def _next(self, client: ClientConnection, stream: Stream) -> bool:
-        """Read one request and see it answered; returns whether the connection goes on."""
-        self._wait_for_bytes(client, stream)
+    def _serve_next(self, client: ClientConnection, stream: Stream) -> bool:
+        """Read one request and have it answered; return whether the connection stays open."""
+        self._wait_for_request(client, stream)
         try:
             request = read_request(stream, lambda: client.sock.sendall(CONTINUE))
         except MalformedMessageError as error:
             increment("requests_malformed")
-            client.write(encode_reply(error.status, 0.0, True, str(error)))
-            client.linger()
+            _reject(client, error.status, str(error))
             return False
         except MessageTimeoutError:
             increment("requests_timed_out")
-            client.write(encode_reply(408, 0.0, True, "the call was not whole in time"))
-            client.linger()
+            _reject(client, HTTP_TIMEOUT, "the call was not whole in time")
             return False
-        received_at, client.served = time.monotonic(), True
+        received_at = time.monotonic()
+        client.served = True
         if request.path == MESSAGE_PATH and request.method == "POST":
             client.close = request.close
-            self._take_message(client, request, received_at)
+            self._serve_message(client, request, received_at)
         else:
             ready = self._state.ready and not self._state.stopping
             client.write(answer_page(request, ready, request.close or self._state.stopping))
@@ -83,41 +87,30 @@
             return False
         return True
 
-    def _wait_for_bytes(self, client: ClientConnection, stream: Stream) -> None:
-        """Wait for the first byte of a request; raises Closed where none comes."""
+    def _wait_for_request(self, client: ClientConnection, stream: Stream) -> None:
+        """Wait for the first byte of a request; raises ConnectionClosedError where none comes."""
         with client.lock:
             client.idle = True
         if self._state.stopping and client.served and not stream.buffer and sockets.quiet(client.sock):
             raise ConnectionClosedError
         if client.served:
-            client.since = time.monotonic()
-            client.read_by = client.since + IDLE_S
+            client.idle_since = time.monotonic()
+            client.read_by = client.idle_since + IDLE_S
         while not stream.buffer:
-            try:
-                data = client.receive(READ_BYTES)
-            except (BlockingIOError, TimeoutError):
-                increment("clients_idle" if client.served else "clients_silent")
-                # A request may cross this: a close over it would reset the connection.
-                client.linger()
-                raise ConnectionClosedError from None
-            except ConnectionError as error:
-                raise ConnectionClosedError from error
-            if not data:
-                raise ConnectionClosedError
-            stream.buffer += data
+            stream.buffer += _receive_first(client)
         with client.lock:
             client.idle = False
         if client.served or not self._state.stopping:
             client.read_by = time.monotonic() + REQUEST_S
 
-    def _take_message(self, client: ClientConnection, request: HttpRequest, received_at: float) -> None:
-        """Have the reducer answer a message, or answer for it where it is behind."""
+    def _serve_message(self, client: ClientConnection, request: HttpRequest, received_at: float) -> None:
+        """Have the reducer answer a message, or reject it here where the reducer does not answer in time."""
         close = request.close or self._state.stopping
         try:
             message = decode_message(request, self._names)
         except UnreadableMessageError as error:
             increment("requests_unreadable")
-            client.write(encode_reply(400, 0.0, close, str(error)))
+            client.write(encode_reply(HTTP_BAD_REQUEST, 0.0, close, str(error)))
             return
         with client.lock:
             client.answered.clear()
@@ -128,7 +121,30 @@
         with client.lock:
             if not client.pending:
                 return
-            # The reducer is behind; an answer that comes later finds nobody and is withdrawn.
+            # An answer of the reducer that comes later finds nothing pending, and the message is withdrawn.
             client.pending = False
             increment("rejections_overdue")
-            client.write(encode_reply(503, RETRY_AFTER_S, request.close or self._state.stopping))
+            close = request.close or self._state.stopping
+            client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, close))
+
+
+def _reject(client: ClientConnection, status: int, text: str) -> None:
+    """Answer a request that cannot be read, and end the connection."""
+    client.write(encode_reply(status, 0.0, True, text))
+    client.linger()
+
+
+def _receive_first(client: ClientConnection) -> bytes:
+    """Return the first bytes of a request; raises ConnectionClosedError where none come."""
+    try:
+        data = client.receive(READ_BYTES)
+    except (BlockingIOError, TimeoutError):
+        increment("clients_idle" if client.served else "clients_silent")
+        # A request may cross this: a close over it would reset the connection.
+        client.linger()
+        raise ConnectionClosedError from None
+    except ConnectionError as error:
+        raise ConnectionClosedError from error
+    if not data:
+        raise ConnectionClosedError
+    return data
--- a/juniperward/forwarder/descriptors.py
+++ b/juniperward/forwarder/descriptors.py
@@ -1,19 +1,24 @@
-"""How the file descriptors of the process are shared out, so that idle clients cannot take those of the rest.
+"""Divides the process's file descriptors between its uses, so that idle clients cannot exhaust those of the others.
 
-Input: the limit of the settings (`sockets`) and the slots; output: the bounds of each table of connections.
+Input: the limit of the settings (`sockets`) and the slots; output: the largest size of each table of connections.
+Called by `assembly.py` at the start.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Never shared out: standard streams 3, state folder 1, journal and its second file 2, listener and the connection
-# that it has just accepted 2, watch and notices 2, configuration read again 1, spool 3, control channel 10 (listener,
-# 8 clients, one more on its way in), and 8 for connections that are just being closed.
-RESERVED = 32
-PARTS = 7  # that the rest is divided into
-LEAST_SOCKETS = RESERVED + PARTS
-MOST_LEAVING = 16  # clients' connections that may be on their way out beside a full table
+# Never given to a table: standard streams 3, state folder 1, journal and its second file 2, listener and the
+# connection that it has just accepted 2, watch and notifications 2, configuration read again 1, spool 3, control
+# channel 10 (listener, 8 clients, one more just accepted), and 8 for connections that are being closed.
+RESERVED_DESCRIPTORS = 32
+PARTS = 7  # that the others are divided into
+CLIENT_PARTS = 4
+CALL_PARTS = 2  # and one part is for idle connections
+MAX_PART_FRACTION = 8  # a part is at most an eighth of the limit
+MIN_SOCKETS = RESERVED_DESCRIPTORS + PARTS
+MAX_CLOSING_CLIENTS = 16  # clients' connections that may be closing beside a full table
+SPARE_CALLS = 8  # beside two for each slot
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,21 +26,22 @@
     """The most connections of each use."""
 
     clients: int
-    leaving_clients: int  # beside `clients`
+    closing_clients: int  # beside `clients`
     calls: int  # a thread and a connection each
     idle_to_endpoints: int
 
 
-def share_out(sockets: int, slots: int) -> DescriptorBounds:
-    """Four parts of seven to clients, two to calls, one to idle connections; an eighth of all a part at most.
+def divide_descriptors(max_sockets: int, slots: int) -> DescriptorBounds:
+    """Return the bounds: four parts of seven to clients, two to calls, one to idle connections to endpoints.
 
-    Each use gets at least one, however small the limit is.
+    A part is at most an eighth of the limit. Each use gets at least one, however small the limit is.
     """
-    part = max(min(sockets // 8, (sockets - RESERVED) // PARTS), 1)
-    leaving = min(MOST_LEAVING, part)
+    available = max_sockets - RESERVED_DESCRIPTORS
+    part = max(min(max_sockets // MAX_PART_FRACTION, available // PARTS), 1)
+    closing_clients = min(MAX_CLOSING_CLIENTS, part)
     return DescriptorBounds(
-        clients=4 * part - leaving,
-        leaving_clients=leaving,
-        calls=min(2 * slots + 8, 2 * part),
+        clients=CLIENT_PARTS * part - closing_clients,
+        closing_clients=closing_clients,
+        calls=min(2 * slots + SPARE_CALLS, CALL_PARTS * part),
         idle_to_endpoints=part,
     )
--- a/juniperward/forwarder/health_page.py
+++ b/juniperward/forwarder/health_page.py
@@ -1,31 +1,46 @@
-"""The pages beside the message API: whether the process lives, and whether it takes messages."""
+"""The pages for health checks of this process: whether it runs, and whether it accepts messages.
+
+`client_session.py` answers each request that is not a message by `answer_page`.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from juniperward.forwarder.codec import MESSAGE_PATH
 from juniperward.net.http import HttpRequest, encode_response
 
-LIVE_PATH, READY_PATH = "/health/live", "/health/ready"
+LIVE_PATH = "/health/live"
+READY_PATH = "/health/ready"
+HTTP_OK, HTTP_NOT_FOUND, HTTP_METHOD_NOT_ALLOWED, HTTP_UNAVAILABLE = 200, 404, 405, 503
+
+
+@dataclass(frozen=True, slots=True)
+class Page:
+    """A status, and a body of plain text."""
+
+    status: int
+    body: bytes
 
 
 def answer_page(request: HttpRequest, ready: bool, close: bool) -> bytes:
-    """Return the answer to a request that brings no message."""
-    status, body = _page(request, ready)
+    """Return the bytes of the answer to a request that is not a message."""
+    page = _page(request, ready)
     headers = {"Content-Type": "text/plain; charset=utf-8"}
-    if status == 405:
+    if page.status == HTTP_METHOD_NOT_ALLOWED:
         headers["Allow"] = "POST" if request.path == MESSAGE_PATH else "GET, HEAD"
-    data = encode_response(status, headers, body, close)
-    return data if request.method != "HEAD" else data[: len(data) - len(body)]
+    data = encode_response(page.status, headers, page.body, close)
+    return data.removesuffix(page.body) if request.method == "HEAD" else data
 
 
-def _page(request: HttpRequest, ready: bool) -> tuple[int, bytes]:
-    page = 200, b"ok\n"
+def _page(request: HttpRequest, ready: bool) -> Page:
+    page = Page(HTTP_OK, b"ok\n")
     if request.path == MESSAGE_PATH:
-        page = 405, b"use POST\n"
+        page = Page(HTTP_METHOD_NOT_ALLOWED, b"use POST\n")
     elif request.path not in (READY_PATH, LIVE_PATH):
-        page = 404, b"no such page\n"
+        page = Page(HTTP_NOT_FOUND, b"no such page\n")
     elif request.method not in ("GET", "HEAD"):
-        page = 405, b"use GET\n"
+        page = Page(HTTP_METHOD_NOT_ALLOWED, b"use GET\n")
     elif request.path == READY_PATH and not ready:
-        page = 503, b"not ready\n"
+        page = Page(HTTP_UNAVAILABLE, b"not ready\n")
     return page
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -1,4 +1,8 @@
-"""The listener and the clients' connections, a thread with a small stack each."""
+"""The listener for clients and their connections, a thread with a small stack each.
+
+The loop calls `answer`, `close_connections` and `has_finished`, the main thread `start`, `stop` and `close`. Messages
+go to the reducer by the `post` that the server is given.
+"""
 
 from __future__ import annotations
 
@@ -9,19 +13,23 @@
 from collections.abc import Callable
 
 from juniperward.forwarder.client_connection import ClientConnection
-from juniperward.forwarder.client_session import RETRY_AFTER_S, ClientSessions, ServiceState
+from juniperward.forwarder.client_session import (
+    HTTP_UNAVAILABLE,
+    RETRY_AFTER_S,
+    ClientSessions,
+    ServiceState,
+)
 from juniperward.forwarder.client_table import ClientTable
 from juniperward.forwarder.codec import encode_reply
-from juniperward.forwarder.descriptors import MOST_LEAVING
+from juniperward.forwarder.descriptors import MAX_CLOSING_CLIENTS
 from juniperward.forwarder.events import Event
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
 
 BACKLOG = 512
-ADMISSION_TIMEOUT_S = 0.5  # in which the listener's thread lets in whom it has accepted
+ADMISSION_TIMEOUT_S = 0.5  # for the listener's thread to admit the connections that it has accepted
 ACCEPT_RETRY_S = 0.05  # after accepting has failed
-HTTP_UNAVAILABLE = 503
 
 
 class Server:
@@ -33,10 +41,10 @@
         names: SettingsNames,
         max_clients: int,
         post: Callable[[Event], None],
-        max_leaving: int = MOST_LEAVING,
+        max_closing_clients: int = MAX_CLOSING_CLIENTS,
     ) -> None:
-        """Bind and listen; raises OSError. Nobody is accepted before `start`."""
-        self.table = ClientTable(max_clients, max_leaving)
+        """Bind and listen; no connection is accepted before `start`. Raises OSError."""
+        self.table = ClientTable(max_clients, max_closing_clients)
         self.state = ServiceState()
         self.sessions = ClientSessions(names, self.state, post)
         self._closed = False
@@ -54,11 +62,12 @@
         self._accepting.start()
 
     def close_connections(self, closing: bool) -> None:
-        """Have the ready page say no (or yes again); clients that come all the same are sent elsewhere."""
-        self.state.ready, self.state.closing = not closing, closing
+        """Have the ready page say no and answers end their connections, or neither any more."""
+        self.state.ready = not closing
+        self.state.closing = closing
 
     def stop(self) -> None:
-        """Close kept connections once idle; new ones are still answered until `close`."""
+        """Close served connections once they are idle; new ones are still answered until `close`."""
         self.state.stopping = True
         for client in self.table.all():
             with client.lock:
@@ -66,24 +75,29 @@
                     client.end_reading()
 
     def close(self) -> None:
-        """Accept no more; who stands in the kernel's line is still answered, or a close would reset them."""
+        """Accept no more; connections in the kernel's backlog are still answered, a close would reset them."""
         self.listener.setblocking(False)
         with contextlib.suppress(OSError):
             while True:
-                self._admit_or_close(self.listener.accept()[0])
+                sock, _ = self.listener.accept()
+                self._admit_or_close(sock)
         sockets.shut(self.listener)
         self.listener.close()
         if self._accepting.is_alive():
-            # Whom it has accepted is not in the table yet, and would seem to be nobody.
+            # Until it has ended, a connection that it has accepted may be missing in the table.
             self._accepting.join(ADMISSION_TIMEOUT_S)
         self._closed = True
 
-    def alone(self) -> bool:
-        """Return whether nobody is here and nobody can come."""
+    def has_finished(self) -> bool:
+        """Return whether the listener is closed and no client is connected."""
         return self._closed and not len(self.table)
 
     def answer(self, number: int, status: int, retry_after_s: float = 0.0) -> bool:
-        """Write the answer that a client waits for; returns whether it was there to be told."""
+        """Write the answer to a client's pending message; return whether the client got it.
+
+        A client whose sending has ended, by itself or by an eviction, gets 503: no message is accepted from a client
+        that may be gone.
+        """
         client = self.table.get(number)
         if client is None:
             return False
@@ -91,15 +105,15 @@
             if not client.pending:
                 return False
             client.pending = False
-            left = client.leaving or sockets.ended(client.sock)
-            if left:
-                # Its sending has ended, by it or by us: nothing is accepted for one that may be gone.
+            disconnected = client.evicted or sockets.ended(client.sock)
+            if disconnected:
                 status, retry_after_s = HTTP_UNAVAILABLE, RETRY_AFTER_S
                 increment("clients_left")
-            client.close = client.close or client.leaving or self.state.closing or self.state.stopping
-            told = client.write(encode_reply(status, retry_after_s, client.close))
+            if client.evicted or self.state.closing or self.state.stopping:
+                client.close = True
+            written = client.write(encode_reply(status, retry_after_s, client.close))
             client.answered.set()
-        return told and not left
+        return written and not disconnected
 
     # --- threads ----------------------------------------------------------------------------------------
 
@@ -112,7 +126,7 @@
                     return
                 increment("accepts_failed")
                 log("listener", "accept failed", error=error)
-                self.table.spare_one()  # mostly for want of descriptors
+                self.table.evict_one()  # mostly for want of descriptors
                 time.sleep(ACCEPT_RETRY_S)
                 continue
             self._admit_or_close(sock)
@@ -125,23 +139,29 @@
             sock.close()
 
     def _admit(self, sock: socket.socket) -> None:
+        """Serve a connection on a thread, or reject it where the table is full."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client, placed = self.table.add(sock)
-        if not placed:
+        client, has_place = self.table.add(sock)
+        if not has_place:
             increment("rejections_connections")
-            client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
+            _reject_connection(client)
             sock.close()
             return
         try:
             threading.Thread(target=self._serve, args=(client,), name="client", daemon=True).start()
         except RuntimeError:
             self.table.remove(client)
-            client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
+            _reject_connection(client)
             raise
 
     def _serve(self, client: ClientConnection) -> None:
         try:
             self.sessions.serve(client)
         finally:
-            client.sock.close()  # before its place is given to another, or both would hold a descriptor
+            # Closed before its place is given to another connection, or both would hold a descriptor.
+            client.sock.close()
             self.table.remove(client)
+
+
+def _reject_connection(client: ClientConnection) -> None:
+    client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -1,4 +1,8 @@
-"""Start, signals, and the counters at the end: `python -O -m juniperward`."""
+"""The life cycle of a forwarder's process: start, signals, and its planned end (`python -O -m juniperward`).
+
+`main` reads the configuration, `run` starts the parts in their order, serves until SIGTERM or SIGINT, and ends the
+process. SIGUSR1 prints the counters, SIGHUP reads the configuration again.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 import sys
 import threading
 import time
+from enum import IntEnum
 from typing import TYPE_CHECKING
 
 from juniperward.control.errors import ControlSocketError
@@ -33,64 +38,93 @@
 EXIT_WITHIN_S = 3.3  # from SIGTERM to the end; SIGKILL follows after 3.7
 ACCEPT_FOR_S = 0.8  # from SIGTERM for which new connections are answered
 LOOP_END_SLACK_S = 0.2
-EXIT_STOPPED, EXIT_CANNOT_START, EXIT_BAD_CONFIGURATION, EXIT_LOOP_FAILED = 0, 1, 2, 70
 
 
-def open_control(config: Config, loop: Loop) -> ControlServer | None:
-    """Open the control channel where the settings name its path; raises ControlSocketError."""
-    if config.control_socket is None:
-        return None
-    # Not loaded where they are not used.
-    from juniperward.control.server import ControlServer
-    from juniperward.forwarder.control_output import ControlChannelOutput
+class ExitCode(IntEnum):
+    """How the process ended."""
 
-    post = loop.queue.post
-    control = ControlServer(
-        config.control_socket,
-        lambda client, request: post(ControlRequested(client, request)),
-        increment,
-        report_fault,
-    )
-    loop.executor.control = ControlChannelOutput(control, loop.executor, config.name, time.time())
-    control.start()
-    log("start", "control channel open", path=config.control_socket)
-    return control
+    STOPPED = 0
+    CANNOT_START = 1
+    BAD_CONFIGURATION = 2
+    LOOP_FAILED = 70
+
+
+def main() -> int:
+    """Return the exit code of a process that could not start; one that has started exits in `run`."""
+    # From the very start: a SIGHUP before its handling would kill the process.
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    try:
+        config = load(os.environ)
+    except ConfigError as error:
+        print(f"juniperward: configuration: {error}", file=sys.stderr)
+        return ExitCode.BAD_CONFIGURATION
+    try:
+        return run(config)
+    except (OSError, ControlSocketError) as error:
+        print(f"juniperward: cannot start: {error}", file=sys.stderr)
+        return ExitCode.CANNOT_START
 
 
 def run(config: Config) -> int:
-    """Serve until a signal ends it."""
+    """Serve until a signal ends the process; raises OSError or ControlSocketError where it cannot start."""
     threading.stack_size(THREAD_STACK_BYTES)
-    lock_folder(
-        config.state_folder
-    )  # held until the process ends, and not a moment less: its threads still write
+    # Held until the process has ended: its threads write to the folder up to that moment.
+    lock_folder(config.state_folder)
     loop = build(config)
     if os.environ.get("ROUTER_TRACE"):
-        loop.trace = loop.executor.endpoint_client.calls.trace = Trace(time.time() - time.monotonic())
-        log("trace", "settings", value=config.settings)
-    done = threading.Event()
+        _start_trace(config, loop)
+    end_loop = threading.Event()
     restored = _restore(config, loop)
-    thread = threading.Thread(target=_run_loop, args=(loop, done), name="loop")
-    thread.start()
+    loop_thread = threading.Thread(target=_run_loop, args=(loop, end_loop), name="loop")
+    loop_thread.start()
     control = open_control(config, loop)
     loop.executor.server.start()
     address = format_address(config.listen)
     log("start", "serving", name=config.name, address=address, restored=restored)
     log("start", "discovery", address=format_address(config.discovery))
-    got = _serve_signals(config, loop)
-    log("stop", "shutdown requested", signal=got.name)
+    end_signal = _serve_signals(config, loop)
+    log("stop", "shutdown requested", signal=end_signal.name)
     increment("stops")
-    _stop(loop, thread)
-    done.set()
+    _shut_down(loop, loop_thread)
+    end_loop.set()
     if control is not None:
         control.close()
     log("stop", "ended")
     report_counters()
     sys.stderr.flush()
-    os._exit(EXIT_STOPPED)  # threads that wait on sockets would be waited for otherwise
+    os._exit(ExitCode.STOPPED)  # a usual exit would wait for the threads that wait on sockets
+
+
+def open_control(config: Config, loop: Loop) -> ControlServer | None:
+    """Open the control channel where the configuration names its path; raises ControlSocketError."""
+    if config.control_socket is None:
+        return None
+    # Loaded only where a control channel is open: a forwarder without it starts faster.
+    from juniperward.control.server import ControlServer
+    from juniperward.forwarder.control_output import ControlChannelOutput
+
+    post = loop.queue.post
+    control = ControlServer(
+        config.control_socket,
+        lambda client, request: post(ControlRequested(client, request)),
+        increment,
+        report_fault,
+    )
+    loop.executor.control = ControlChannelOutput(control, loop.executor, config.name, time.time())
+    control.start()
+    log("start", "control channel open", path=config.control_socket)
+    return control
+
+
+def _start_trace(config: Config, loop: Loop) -> None:
+    trace = Trace(time.time() - time.monotonic())
+    loop.trace = trace
+    loop.executor.endpoint_client.calls.trace = trace
+    log("trace", "settings", value=config.settings)
 
 
 def _restore(config: Config, loop: Loop) -> int:
-    """Take in the list that the configuration names and what the journal has; returns how many messages."""
+    """Apply the configuration's endpoint list and the journal's messages; return how many messages there are."""
     known = config.known_endpoints
     loop.executor.discovery.start()
     loop.round([EndpointsUpdated(known.version, known.full, known.endpoints, cached=True)])
@@ -99,54 +133,45 @@
     return len(restored)
 
 
-def _run_loop(loop: Loop, done: threading.Event) -> None:
+def _run_loop(loop: Loop, end: threading.Event) -> None:
     try:
-        loop.run(done.is_set)
+        loop.run(end.is_set)
     except BaseException as error:
         report_fault("loop", error)
         report_counters()
-        os._exit(
-            EXIT_LOOP_FAILED
-        )  # nothing can be accepted or ended without it; the journal has what is owed
+        # Without the loop no message is accepted or completed. The next process goes on from the journal.
+        os._exit(ExitCode.LOOP_FAILED)
 
 
 def _serve_signals(config: Config, loop: Loop) -> signal.Signals:
-    """Print counters and read the configuration again when told to; returns the signal that ends the process."""
+    """Serve SIGUSR1 and SIGHUP; return the signal that ends the process."""
     reloader = Reloader(config, os.environ)
-    while (got := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
-        if got == signal.SIGUSR1:
-            report_counters()
-            continue
-        try:
-            if (changed := reloader.reload()) is not None:
-                loop.queue.post(changed)
-        except Exception as error:
-            report_fault("reload", error)
-    return signal.Signals(got)
-
-
-def _stop(loop: Loop, thread: threading.Thread) -> None:
-    """Bring to an end what is under way; the loop ends within its time."""
+    while True:
+        received = signal.Signals(signal.sigwait(SIGNALS))
+        match received:
+            case signal.Signals.SIGUSR1:
+                report_counters()
+            case signal.Signals.SIGHUP:
+                _reload(reloader, loop)
+            case _:
+                return received
+
+
+def _reload(reloader: Reloader, loop: Loop) -> None:
+    try:
+        address_changed = reloader.reload()
+        if address_changed is not None:
+            loop.queue.post(address_changed)
+    except Exception as error:
+        report_fault("reload", error)
+
+
+def _shut_down(loop: Loop, loop_thread: threading.Thread) -> None:
+    """Have attempts and connections end in their time; returns once the loop has ended, or its time is over."""
     began = time.monotonic()
     server = loop.executor.server
     loop.queue.post(ShutdownRequested(began + ACCEPT_FOR_S, began + EXIT_WITHIN_S))
     server.stop()
-    thread.join(ACCEPT_FOR_S)
+    loop_thread.join(ACCEPT_FOR_S)
     server.close()
-    thread.join(began + EXIT_WITHIN_S + LOOP_END_SLACK_S - time.monotonic())
-
-
-def main() -> int:
-    """Return the exit code: 0 stopped, 2 a configuration that cannot be used, 1 anything else at the start."""
-    # From the very start: a SIGHUP before its handling would kill the process.
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    try:
-        config = load(os.environ)
-    except ConfigError as error:
-        print(f"juniperward: configuration: {error}", file=sys.stderr)
-        return EXIT_BAD_CONFIGURATION
-    try:
-        return run(config)
-    except (OSError, ControlSocketError) as error:
-        print(f"juniperward: cannot start: {error}", file=sys.stderr)
-        return EXIT_CANNOT_START
+    loop_thread.join(began + EXIT_WITHIN_S + LOOP_END_SLACK_S - time.monotonic())
--- a/juniperward/forwarder/state_folder.py
+++ b/juniperward/forwarder/state_folder.py
@@ -1,4 +1,4 @@
-"""The lock on a state folder: two processes must never share a journal."""
+"""The lock on a state folder: two processes must never write one journal. `start.py` takes it before all else."""
 
 from __future__ import annotations
 
@@ -10,23 +10,29 @@
 
 from juniperward.forwarder.telemetry import log
 
-LOCK_TIMEOUT_S = 0.5  # in which the process before may still release the folder
+LOCK_TIMEOUT_S = 0.5  # in which a process that is ending may still release the folder
 LOCK_RETRY_S = 0.02
 
 
 class FolderInUseError(OSError):
-    """Another process works in this state folder."""
+    """Another process has locked this state folder; `folder` is its path."""
 
     def __init__(self, folder: Path) -> None:
         """Name the folder."""
         super().__init__(errno.EBUSY, f"{folder}: another forwarder works in this folder")
+        self.folder = folder
 
 
 def lock_folder(folder: Path, timeout_s: float = LOCK_TIMEOUT_S) -> int:
-    """Lock a state folder for this process; raises FolderInUseError after the timeout.
+    """Lock a state folder; return the open descriptor that holds the lock.
+
+    The lock is on the folder itself, so it needs no space on a small disk, and the kernel releases it when the
+    process ends, however that happens. A file system without locks is logged, and the folder used without one.
+
+    Raises:
+        FolderInUseError: where another process has the lock until the timeout.
+        OSError: where the folder cannot be opened.
 
-    The lock is on the folder itself, so it takes no room on a small disk, and the kernel releases it when the
-    process ends, however that happens. The descriptor that comes back holds the lock for as long as it is open.
     """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     give_up_at = time.monotonic() + timeout_s
@@ -37,7 +43,7 @@
             if time.monotonic() >= give_up_at:
                 os.close(descriptor)
                 raise FolderInUseError(folder) from None
-            time.sleep(LOCK_RETRY_S)  # the one before us may be on its way out
+            time.sleep(LOCK_RETRY_S)
         except OSError as error:
             log("start", "folder not locked", folder=folder, error=error.strerror)
             return descriptor
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -222,7 +222,7 @@
                 shut(sock, how)
 
             client = ClientConnection(99, ours)
-            client.served, client.read_by = served, client.since + 0.01
+            client.served, client.read_by = served, client.idle_since + 0.01
             with (
                 self.subTest(served=served),
                 mock.patch.object(client_session, "IDLE_S", 0.01),
@@ -253,7 +253,7 @@
         sock = self.connect()
         client = self.client()
         client.read_by = (
-            client.since + 60.0
+            client.idle_since + 60.0
         )  # the thread reads without an end; the time counts from the first byte
         sock.sendall(request("n1")[:10])
         until = time.monotonic() + WAIT
@@ -273,7 +273,7 @@
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        self.assertEqual(client.read_by, client.since + client_connection.FIRST_REQUEST_S)
+        self.assertEqual(client.read_by, client.idle_since + client_connection.FIRST_REQUEST_S)
 
 
 class KillTest(unittest.TestCase):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,7 +22,7 @@
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.records import Called, Noticed, Recorder, WatchEventSent
-from juniperward.forwarder.descriptors import LEAST_SOCKETS, RESERVED, share_out
+from juniperward.forwarder.descriptors import MIN_SOCKETS, RESERVED_DESCRIPTORS, divide_descriptors
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.events import AttemptAnswered
 from juniperward.forwarder.journal import FRESH, Journal
@@ -44,19 +44,19 @@
 class ShareTest(unittest.TestCase):
     def test_all_uses_together_fit_into_any_limit(self) -> None:
         # Guards settings other than the site's: of 64 sockets, clients, calls and idle connections were given 56.
-        for limit in range(LEAST_SOCKETS, 4096):
+        for limit in range(MIN_SOCKETS, 4096):
             for slots in (1, 4, 1000):
-                b = share_out(limit, slots)
-                shared = b.clients + b.leaving_clients + b.calls + b.idle_to_endpoints
-                self.assertLessEqual(shared + RESERVED, limit, f"{limit}: {b}")
-                self.assertGreaterEqual(min(b.clients, b.leaving_clients, b.calls, b.idle_to_endpoints), 1)
+                b = divide_descriptors(limit, slots)
+                shared = b.clients + b.closing_clients + b.calls + b.idle_to_endpoints
+                self.assertLessEqual(shared + RESERVED_DESCRIPTORS, limit, f"{limit}: {b}")
+                self.assertGreaterEqual(min(b.clients, b.closing_clients, b.calls, b.idle_to_endpoints), 1)
 
     def test_the_usual_limits_are_shared_out_in_eighths(self) -> None:
         for limit in (256, 1024):
-            b = share_out(limit, 1000)
-            self.assertEqual((b.clients, b.leaving_clients), (limit // 2 - 16, 16))
+            b = divide_descriptors(limit, 1000)
+            self.assertEqual((b.clients, b.closing_clients), (limit // 2 - 16, 16))
             self.assertEqual((b.calls, b.idle_to_endpoints), (limit // 4, limit // 8))
-        self.assertEqual(share_out(256, 4).calls, 16)  # twice the slots and 8
+        self.assertEqual(divide_descriptors(256, 4).calls, 16)  # twice the slots and 8
 
 
 class DialTest(EndpointClientRig):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -186,12 +186,12 @@
         client.pending = True
         self.assertTrue(server.answer(1, 202))
         self.assertFalse(server.answer(1, 202))  # answered already
-        client.pending = client.leaving = (
+        client.pending = client.evicted = (
             True  # its call was read after we had shut its connection for others' sake
         )
         self.assertFalse(server.answer(1, 202))
         self.assertTrue(client.close)
-        client.pending, client.leaving = True, False
+        client.pending, client.evicted = True, False
         theirs.shutdown(socket.SHUT_WR)
         self.assertFalse(server.answer(1, 202))
         told = theirs.recv(1000)
@@ -227,7 +227,7 @@
             closing.join(0.1)
             go_on.set()
             closing.join(5.0)
-        self.assertEqual((here, server.alone()), ([1], False))
+        self.assertEqual((here, server.has_finished()), ([1], False))
 
     def test_who_stands_in_the_kernels_line_at_the_close_is_answered(self) -> None:
         # Guards the end of a stop: a connection that nobody had accepted yet was reset with its call unread.
@@ -242,14 +242,14 @@
                 b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Service-Class: c\r\nX-Time-Left: 1\r\n"
             )
             late.sendall(b"X-Addressing: dest=7\r\n\r\n")
-            self.assertFalse(server.alone())
+            self.assertFalse(server.has_finished())
             server.close()
-            self.assertFalse(server.alone())  # the process stays for it
+            self.assertFalse(server.has_finished())  # the process stays for it
             self.assertTrue(late.recv(100).startswith(b"HTTP/1.1 503 "))
         for thread in threading.enumerate():
             if thread.name == "client":
                 thread.join(5.0)
-        self.assertTrue(server.alone())
+        self.assertTrue(server.has_finished())
 
     def test_an_answer_is_written_whole_or_its_connection_is_ended(self) -> None:
         # Guards a client that waits for the rest of an answer: its message counted as withdrawn, and it sat there.
@@ -280,11 +280,11 @@
             self.addCleanup(there.close)
             theirs.append(there)
             client = server.table.clients[number] = ClientConnection(number, ours)
-            client.served, client.since = served, now - age
-        self.assertTrue(server.table.spare_one())  # not the one before its first call, which would fail
-        self.assertEqual([server.table.clients[n].leaving for n in (1, 2, 3)], [False, False, True])
-        self.assertEqual([server.table.spare_one(), server.table.spare_one()], [True, False])
-        self.assertEqual([server.table.clients[n].leaving for n in (1, 2, 3)], [False, True, True])
+            client.served, client.idle_since = served, now - age
+        self.assertTrue(server.table.evict_one())  # not the one before its first call, which would fail
+        self.assertEqual([server.table.clients[n].evicted for n in (1, 2, 3)], [False, False, True])
+        self.assertEqual([server.table.evict_one(), server.table.evict_one()], [True, False])
+        self.assertEqual([server.table.clients[n].evicted for n in (1, 2, 3)], [False, True, True])
 
     def test_a_call_must_be_whole_in_its_time(self) -> None:
         # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
@@ -295,7 +295,7 @@
             self.addCleanup(theirs.close)
             theirs.sendall(sent)
             client = ClientConnection(1, ours)
-            client.read_by = client.since + 0.05
+            client.read_by = client.idle_since + 0.05
             server._serve(client)
             self.assertEqual(theirs.recv(13), told)
         self.assertLessEqual(client_connection.FIRST_REQUEST_S, 2.5)
