--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -72,7 +72,7 @@
         return StateSaved(effect.durable)
 
     def _spawn(self, effect: SpawnProcess) -> ProcessSpawned:
-        name, version = effect.name, effect.edition
+        name, version = effect.name, effect.configuration_version
         try:
             process = self._launcher.start(name, self._versions.read(version, name))
         except (OSError, ValueError, KeyError) as error:
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -80,9 +80,9 @@
     def configured(self, settings: FleetSettings, requested_by: int | None = None) -> SettingsLoaded:
         """Save a version of the settings, and return the event for the reducer; raises OSError."""
         state = self.reducer.state
-        in_use = {instance.edition for instance in state.instances.values()}
+        in_use = {instance.configuration_version for instance in state.instances.values()}
         if state.roll is not None:
-            in_use |= {state.roll.target} | {step.before for step in state.roll.steps}
+            in_use |= {state.roll.target_version} | {step.previous_version for step in state.roll.steps}
         version = self._versions.keep(settings, in_use)
         self.settings = settings
         return SettingsLoaded(
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -8,7 +8,7 @@
 from pyrsistent import PMap, pmap
 
 from juniperward.fleet.model import Instance, Patience, Process, Reading, RestartRules, RollRules
-from juniperward.fleet.roll_model import Order, Roll
+from juniperward.fleet.roll_model import Roll, RollOrder
 from juniperward.fleet.service import Meter
 
 
@@ -18,21 +18,15 @@
 
     instances: tuple[Instance, ...] = ()
     roll: Roll | None = None
-    rolls: int = 0  # made so far
-    edition: str = ""  # the newest
-
-    def stripped(self) -> PersistentState:
-        """Without what is only of the moment: it is learned again."""
-        return PersistentState(
-            tuple(persistent_part(i) for i in self.instances), self.roll, self.rolls, self.edition
-        )
+    rolls_made: int = 0  # made so far
+    configuration_version: str = ""  # the newest
 
 
 def persistent_part(i: Instance) -> Instance:
     """What of an instance is worth writing down."""
     return Instance(
-        i.name, i.wanted, i.process, i.started_at if i.process else 0.0, i.edition,
-        was_ready=i.was_ready, drain=i.drain, exit=i.exit, crashes=i.crashes,
+        i.name, i.desired_state, i.process, i.started_at if i.process else 0.0, i.configuration_version,
+        was_ready=i.was_ready, drain_requested=i.drain_requested, last_exit=i.last_exit, crashes=i.crashes,
         stopping_since=i.stopping_since if i.process else None,
     )  # fmt: skip
 
@@ -54,11 +48,11 @@
     rules: Rules = Rules()
     meter: Meter = field(default_factory=Meter)
     roll: Roll | None = None
-    rolls: int = 0
-    edition: str = ""
+    rolls_made: int = 0
+    configuration_version: str = ""
     saved: PersistentState | None = None  # as it was last written down
     before: Roll | None = None  # the roll before the step that is being written down
-    pending: tuple[Order, ...] = ()  # orders of that step: they wait for it to be written
+    pending: tuple[RollOrder, ...] = ()  # orders of that step: they wait for it to be written
     replies: tuple[int, ...] = ()  # clients that wait for it too
     writing: bool = False  # such a step is being written down
     save_again_at: float = 0.0  # after a failure
@@ -77,8 +71,8 @@
         return PersistentState(
             tuple(persistent_part(self.instances[n]) for n in sorted(self.instances)),
             self.roll,
-            self.rolls,
-            self.edition,
+            self.rolls_made,
+            self.configuration_version,
         )
 
 
@@ -96,7 +90,7 @@
 
     names: tuple[str, ...]
     stopped: frozenset[str]
-    edition: str
+    configuration_version: str
     rules: Rules
     requested_by: int | None = None
 
@@ -150,7 +144,7 @@
     """What became of a `SpawnProcess`: a process, or why there is none."""
 
     name: str
-    edition: str
+    configuration_version: str
     process: Process | None
     why: str = ""
 
@@ -200,7 +194,7 @@
     """Start an instance's process; `ProcessSpawned` reports back at once."""
 
     name: str
-    edition: str
+    configuration_version: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -30,22 +30,26 @@
                 instances = instances.set(name, Instance(name, wanted))
         gone = frozenset(name for name in instances if name not in event.names)
         round_.state = replace(
-            before, instances=instances, edition=event.edition, rules=event.rules, leaving=gone
+            before,
+            instances=instances,
+            configuration_version=event.configuration_version,
+            rules=event.rules,
+            leaving=gone,
         )
         for name in sorted(gone):
-            round_.log("taken out of the settings", instance=name)
+            round_.log("taken out of the settings", {"instance": name})
             self._instances.want_stopped(name, "taken out of the settings")
-        changed = before.edition != event.edition
-        if before.edition and changed:
-            self._log_change(event.edition, before.edition, before.roll)
+        changed = before.configuration_version != event.configuration_version
+        if before.configuration_version and changed:
+            self._log_change(event.configuration_version, before.configuration_version, before.roll)
         if event.requested_by is not None:
-            round_.reply(event.requested_by, {"edition": event.edition, "changed": changed})
+            round_.reply(event.requested_by, {"edition": event.configuration_version, "changed": changed})
 
-    def _log_change(self, edition: str, before: str, roll: Roll | None) -> None:
-        more = {}
+    def _log_change(self, configuration_version: str, before: str, roll: Roll | None) -> None:
+        fields = {"edition": configuration_version, "before": before}
         if roll is not None and not roll.over:
-            more = {"roll": roll.id, "goes_on_to": roll.target}
-        self._round.log("settings changed", edition=edition, before=before, **more)
+            fields |= {"roll": roll.id, "goes_on_to": roll.target_version}
+        self._round.log("settings changed", fields)
 
     def restored(self, event: StateRestored) -> None:
         """Take up what an earlier agent left. Orders it had sent its processes are sent again if need be."""
@@ -59,7 +63,11 @@
             self._adopt(found.name, found.process, found.started_at, durable.roll)
         roll = durable.roll
         round_.state = replace(
-            round_.state, roll=roll, rolls=durable.rolls, edition=durable.edition, saved=durable
+            round_.state,
+            roll=roll,
+            rolls_made=durable.rolls_made,
+            configuration_version=durable.configuration_version,
+            saved=durable,
         )
         if roll is not None and not roll.over:
             round_.emit(LogEvent("roll taken up", {"roll": roll.id, "mode": roll.mode.value}))
@@ -71,8 +79,10 @@
         same = instance.process == process
         if not same:
             # A version that was never written down belongs to a start that was under way.
-            edition = _version_being_started(roll, name) or instance.edition
-            instance = replace(instance, stopping_since=None, edition=edition, was_ready=False)
+            configuration_version = _version_being_started(roll, name) or instance.configuration_version
+            instance = replace(
+                instance, stopping_since=None, configuration_version=configuration_version, was_ready=False
+            )
         round_.put(replace(instance, process=process, started_at=started_at))
         if instance.stopping_since is not None:
             # Ordered to end: ordered again, as that may not have reached it, and killed at the time set before.
@@ -84,7 +94,7 @@
 def _ended_unseen(instance: Instance) -> Instance:
     """Return an instance whose process ended while no agent looked; how is not known, and held against nobody."""
     return replace(
-        instance, process=None, was_ready=False, stopping_since=None, exit="ended while no agent looked"
+        instance, process=None, was_ready=False, stopping_since=None, last_exit="ended while no agent looked"
     )
 
 
@@ -95,4 +105,4 @@
     step = roll.step_of(name)
     if step is None or step.stage not in (RollStage.STARTING, RollStage.SOAKING):
         return ""
-    return roll.goal(step)
+    return roll.version_for(step)
--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -19,8 +19,8 @@
 from juniperward.agent.reducer.round import Round
 from juniperward.fleet.decisions import after_exit, kill_due, start_due
 from juniperward.fleet.model import Crashes, DesiredState, Instance, Phase
-from juniperward.fleet.roll_commands import leave_out
-from juniperward.fleet.roll_model import Order, Roll, RollCommand, RollStage
+from juniperward.fleet.roll_commands import skip_instance
+from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder, RollStage
 
 
 class Instances:
@@ -39,12 +39,12 @@
         instance = round_.state.instances.get(event.name)
         if instance is None or instance.process is None or instance.process.pid != reading.pid:
             return
-        was_ready = instance.was_ready or (reading.ready and reading.heard)
+        was_ready = instance.was_ready or (reading.ready and reading.discovery_synced)
         if was_ready and not instance.was_ready:
             seconds = round(round_.now - instance.started_at, 3)
-            round_.log("ready", instance=event.name, seconds=seconds)
-        elif instance.unanswered_since is not None and round_.phase_of(instance) is Phase.SILENT:
-            round_.log("answers again", instance=event.name)
+            round_.log("ready", {"instance": event.name, "seconds": seconds})
+        elif instance.unanswered_since is not None and round_.phase_of(instance) is Phase.UNRESPONSIVE:
+            round_.log("answers again", {"instance": event.name})
         round_.put(replace(instance, reading=reading, unanswered_since=None, was_ready=was_ready))
 
     def unanswered(self, event: InstanceUnanswered) -> None:
@@ -57,8 +57,8 @@
         since = instance.unanswered_since if instance.unanswered_since is not None else event.since
         instance = replace(instance, unanswered_since=since)
         round_.put(instance)
-        if round_.phase_of(instance) is Phase.SILENT and before is not Phase.SILENT:
-            round_.log("silent", "warning", instance=event.name, why=event.text)
+        if round_.phase_of(instance) is Phase.UNRESPONSIVE and before is not Phase.UNRESPONSIVE:
+            round_.log("silent", {"instance": event.name, "why": event.text}, "warning")
 
     def exited(self, event: ProcessExited) -> None:
         """Decide what follows the end of a process."""
@@ -70,12 +70,12 @@
         round_ = self._round
         state = round_.state
         ended = after_exit(instance, round_.now, how, state.rules.restart, self._random.random())
-        if instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED:
-            round_.log("ended", instance=instance.name, how=how)
+        if instance.stopping_since is not None or instance.desired_state is DesiredState.STOPPED:
+            round_.log("ended", {"instance": instance.name, "how": how})
         else:
-            round_.log("crashed", "error", instance=instance.name, how=how)
-        if ended.crashes.failed and not instance.crashes.failed:
-            round_.log("failed", "error", instance=instance.name, why=ended.crashes.failed)
+            round_.log("crashed", {"instance": instance.name, "how": how}, "error")
+        if ended.crashes.crash_loop and not instance.crashes.crash_loop:
+            round_.log("failed", {"instance": instance.name, "why": ended.crashes.crash_loop}, "error")
         round_.emit(WatchInstance(instance.name, None))
         if instance.name in state.leaving:
             round_.state = state.without_instance(instance.name)
@@ -89,23 +89,28 @@
         if instance is None:
             return
         if event.process is None:
-            instance = replace(instance, edition=event.edition)
+            instance = replace(instance, configuration_version=event.configuration_version)
             round_.put(instance)
             self._ended(instance, event.why)
             return
         fresh = Instance(
             instance.name,
-            instance.wanted,
+            instance.desired_state,
             event.process,
             started_at=round_.now,
-            edition=event.edition,
-            drain=instance.drain,
-            exit=instance.exit,
+            configuration_version=event.configuration_version,
+            drain_requested=instance.drain_requested,
+            last_exit=instance.last_exit,
             crashes=replace(instance.crashes, restart_at=None),
         )
         round_.put(fresh)
         round_.emit(WatchInstance(event.name, event.process))
-        round_.log("started", instance=event.name, pid=event.process.pid, edition=event.edition)
+        fields = {
+            "instance": event.name,
+            "pid": event.process.pid,
+            "edition": event.configuration_version,
+        }
+        round_.log("started", fields)
 
     # --- time ----------------------------------------------------------------------------------------------
 
@@ -119,73 +124,77 @@
         state = round_.state
         if start_due(instance, round_.now) and not _started_by_roll(state.roll, instance):
             round_.put(replace(instance, crashes=replace(instance.crashes, restart_at=None)))
-            round_.emit(SpawnProcess(instance.name, instance.edition or state.edition))
+            round_.emit(
+                SpawnProcess(instance.name, instance.configuration_version or state.configuration_version)
+            )
         elif kill_due(instance, round_.now, state.rules.patience):
-            round_.log("does not end", "warning", instance=instance.name)
+            round_.log("does not end", {"instance": instance.name}, "warning")
             self._kill(instance)
         elif _serves_though_drained(instance):
             round_.emit(SendOrder(instance.name, RollCommand.DRAIN.value))
 
     # --- orders --------------------------------------------------------------------------------------------
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RollOrder) -> None:
         """Carry an order out, unless it has been: orders may come twice."""
         instance = self._round.state.instances.get(order.name)
         if instance is None:
             return
-        match order.do:
+        match order.command:
             case RollCommand.START:
-                self._start(instance, order.edition)
+                self._start(instance, order.configuration_version)
             case RollCommand.STOP:
                 self._terminate(instance)
             case RollCommand.KILL:
                 self._kill(instance)
             case RollCommand.DRAIN | RollCommand.RESUME:
-                self._send_order(instance, order.do)
+                self._send_order(instance, order.command)
 
-    def _start(self, instance: Instance, edition: str) -> None:
-        if instance.process is not None or instance.wanted is not DesiredState.RUNNING:
+    def _start(self, instance: Instance, configuration_version: str) -> None:
+        if instance.process is not None or instance.desired_state is not DesiredState.RUNNING:
             return
-        edition = edition or instance.edition
-        self._round.put(replace(instance, drain=False, edition=edition))
-        self._round.emit(SpawnProcess(instance.name, edition or self._round.state.edition))
+        configuration_version = configuration_version or instance.configuration_version
+        self._round.put(replace(instance, drain_requested=False, configuration_version=configuration_version))
+        self._round.emit(
+            SpawnProcess(instance.name, configuration_version or self._round.state.configuration_version)
+        )
 
     def _terminate(self, instance: Instance) -> None:
         if instance.process is None or instance.stopping_since is not None:
             return
         self._round.put(replace(instance, stopping_since=self._round.now))
         self._round.emit(SendSignal(instance.name, instance.process, signal.SIGTERM))
-        self._round.log("stopping", instance=instance.name)
+        self._round.log("stopping", {"instance": instance.name})
 
     def _kill(self, instance: Instance) -> None:
-        if instance.process is None or instance.killed:
+        if instance.process is None or instance.kill_sent:
             return
-        self._round.put(replace(instance, stopping_since=self._round.now, killed=True))
+        self._round.put(replace(instance, stopping_since=self._round.now, kill_sent=True))
         self._round.emit(SendSignal(instance.name, instance.process, signal.SIGKILL))
-        self._round.log("killed", "warning", instance=instance.name)
+        self._round.log("killed", {"instance": instance.name}, "warning")
 
     def _send_order(self, instance: Instance, command: RollCommand) -> None:
         if instance.process is None:
             return
         drain = command is RollCommand.DRAIN
-        self._round.put(replace(instance, drain=drain))
+        self._round.put(replace(instance, drain_requested=drain))
         self._round.emit(SendOrder(instance.name, command.value))
-        self._round.log("drain ordered" if drain else "resume ordered", instance=instance.name)
+        self._round.log("drain ordered" if drain else "resume ordered", {"instance": instance.name})
 
     def want_running(self, name: str) -> None:
         """Mean an instance to run, and forget its crashes."""
         instance = self._round.state.instances[name]
-        self._round.put(replace(instance, wanted=DesiredState.RUNNING, crashes=Crashes()))
+        self._round.put(replace(instance, desired_state=DesiredState.RUNNING, crashes=Crashes()))
 
     def want_stopped(self, name: str, why: str) -> None:
         """Mean an instance to be stopped; a roll under way has nothing more to do with it."""
         round_ = self._round
         roll = round_.state.roll
         if roll is not None and not roll.over:
-            round_.state = replace(round_.state, roll=leave_out(roll, name, why))
+            round_.state = replace(round_.state, roll=skip_instance(roll, name, why))
         instance = round_.state.instances[name]
         crashes = replace(instance.crashes, restart_at=None)
-        instance = replace(instance, wanted=DesiredState.STOPPED, crashes=crashes)
+        instance = replace(instance, desired_state=DesiredState.STOPPED, crashes=crashes)
         round_.put(instance)
         self._terminate(instance)
         if instance.process is None and name in round_.state.leaving:
@@ -200,7 +209,7 @@
     if step is None:
         return False
     if step.stage is RollStage.STARTING:
-        return not instance.crashes.in_row
+        return not instance.crashes.consecutive
     return step.stage in (RollStage.DRAINING, RollStage.STOPPING)
 
 
@@ -208,7 +217,7 @@
     """Whether an instance that was ordered to drain takes messages, as its process is a new one."""
     reading = instance.reading
     return (
-        instance.drain
+        instance.drain_requested
         and instance.stopping_since is None
         and reading is not None
         and reading.phase == "serving"
--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -19,7 +19,7 @@
     UnknownInstanceError,
     UnknownOrderError,
 )
-from juniperward.fleet.roll_model import Order, Roll, RollCommand
+from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder
 
 HTTP_NOT_FOUND = 404
 HTTP_CONFLICT = 409
@@ -63,7 +63,7 @@
             case "stop":
                 self._instances.want_stopped(name, "stopped by order")
             case "kill" | "drain" | "resume":
-                self._instances.carry_out(Order(RollCommand(verb), name))
+                self._instances.carry_out(RollOrder(RollCommand(verb), name))
             case _:
                 raise UnknownOrderError(verb)
 
@@ -86,16 +86,16 @@
         if state.roll is not None and not state.roll.over:
             raise RollUnderWayError(state.roll.id, state.roll.mode.value)
         rules = roll_rules(state.rules.roll, event.options, len(names))
-        number = state.rolls + 1
-        roll = plan(f"r{number}", state.edition, names, rules, self._round.fleet())
+        number = state.rolls_made + 1
+        roll = plan(f"r{number}", state.configuration_version, names, rules, self._round.fleet())
         if event.options.get(DRY_RUN):
             self._round.reply(event.client, views.roll_view(roll))
             return
-        self._round.state = replace(state, rolls=number)
+        self._round.state = replace(state, rolls_made=number)
         self._rolls.write(roll, [], event.client)
 
 
-def _change(roll: Roll, verb: str) -> tuple[Roll, list[Order]]:
+def _change(roll: Roll, verb: str) -> tuple[Roll, list[RollOrder]]:
     """Return the roll as a client changes it, and the orders to instances; raises RollRejectedError."""
     match verb:
         case "roll_pause":
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -14,7 +14,7 @@
 from juniperward.agent.reducer.instances import Instances
 from juniperward.agent.reducer.round import Round
 from juniperward.fleet.roll_commands import pause
-from juniperward.fleet.roll_model import Mode, Order, Roll, RollStage
+from juniperward.fleet.roll_model import Roll, RollMode, RollOrder, RollStage
 from juniperward.fleet.roll_progress import advance
 
 SAVE_RETRY_S = 1.0  # after which a state that could not be written is tried again
@@ -39,7 +39,7 @@
         for order in orders:
             self._instances.carry_out(order)
 
-    def write(self, changed: Roll, orders: list[Order], client: int | None = None) -> None:
+    def write(self, changed: Roll, orders: list[RollOrder], client: int | None = None) -> None:
         """Have a changed roll written down; its orders are given then, and the client is answered."""
         state = self._round.state
         self._round.state = replace(
@@ -70,7 +70,7 @@
 
     def _not_saved(self, state: State, error: str) -> None:
         round_ = self._round
-        round_.log("cannot write the state", "error", why=error)
+        round_.log("cannot write the state", {"why": error}, "error")
         round_.state = replace(round_.state, save_again_at=round_.now + SAVE_RETRY_S)
         why = f"the plan cannot be written: {error}"
         if state.roll is not None and state.writing:
@@ -89,14 +89,14 @@
             if step.stage is stages.get(step.name, RollStage.WAITING):
                 continue
             fields = {"instance": step.name, "roll": roll.id, "step": step.stage.value}
-            if step.note:
-                fields["note"] = step.note
+            if step.detail:
+                fields["note"] = step.detail
             self._round.emit(LogEvent("roll step", fields))
         if before is None or before.mode is not roll.mode:
             self._log_mode(roll)
 
     def _log_mode(self, roll: Roll) -> None:
-        fields: dict[str, Any] = {"roll": roll.id, "mode": roll.mode.value, "target": roll.target}
-        if roll.why:
-            fields["why"] = roll.why
-        self._round.emit(LogEvent("roll", fields, "warning" if roll.mode is Mode.PAUSED else "info"))
+        fields: dict[str, Any] = {"roll": roll.id, "mode": roll.mode.value, "target": roll.target_version}
+        if roll.reason:
+            fields["why"] = roll.reason
+        self._round.emit(LogEvent("roll", fields, "warning" if roll.mode is RollMode.PAUSED else "info"))
--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Any
 
 from juniperward.agent.messages import Effect, LogEvent, ReplyToClient, State
@@ -39,14 +40,15 @@
         """Return the fleet as a decision about a roll sees it."""
         return FleetView(self.state.instances, self.state.meter, self.now, self.state.rules.patience)
 
-    def log(self, event: str, level: str = "info", **fields: Any) -> None:
-        """Log an event; one of an instance that a roll is at names the roll and its stage."""
-        roll, name = self.state.roll, fields.get("instance")
+    def log(self, event: str, fields: Mapping[str, Any], level: str = "info") -> None:
+        """Log an event; one of an instance that a roll is restarting names the roll and its stage."""
+        found = dict(fields)
+        roll, name = self.state.roll, found.get("instance")
         if roll is not None and not roll.over and name is not None:
             step = roll.step_of(name)
             if step is not None and step.stage in ACTIVE:
-                fields.update(roll=roll.id, step=step.stage.value)
-        self.emit(LogEvent(event, fields, level))
+                found |= {"roll": roll.id, "step": step.stage.value}
+        self.emit(LogEvent(event, found, level))
 
     def reply(self, client: int, body: dict[str, Any], status: int = 200) -> None:
         """Answer a client."""
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -117,7 +117,7 @@
             return {"error": str(error)}
         self._loop.post(event)
         self._configure_dead_letters(self._loop.settings.redrive)
-        return {"edition": event.edition}
+        return {"edition": event.configuration_version}
 
     def _load_again(self) -> FleetSettings:
         settings = load(self._loop.settings.file)
--- a/juniperward/agent/state_codec.py
+++ b/juniperward/agent/state_codec.py
@@ -14,14 +14,25 @@
 
 from juniperward.agent.messages import PersistentState
 from juniperward.fleet.model import Crashes, Instance
-from juniperward.fleet.roll_model import Roll, Step
+from juniperward.fleet.roll_model import Roll, RollStep
 
 STORED_NAMES: dict[type, dict[str, str]] = {
-    PersistentState: {},
-    Instance: {},
-    Crashes: {},
-    Roll: {},
-    Step: {},
+    PersistentState: {"rolls_made": "rolls", "configuration_version": "edition"},
+    Instance: {
+        "desired_state": "wanted",
+        "configuration_version": "edition",
+        "drain_requested": "drain",
+        "kill_sent": "killed",
+        "last_exit": "exit",
+    },
+    Crashes: {"consecutive": "in_row", "crash_loop": "failed"},
+    Roll: {
+        "target_version": "target",
+        "reason": "why",
+        "baseline_success_rate": "baseline",
+        "blocked_since": "stuck_since",
+    },
+    RollStep: {"previous_version": "before", "stage_since": "since", "detail": "note"},
 }
 
 
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -112,6 +112,6 @@
     )
     roll = durable.roll
     if roll is not None:
-        steps = tuple(replace(step, since=0.0) for step in roll.steps)
-        roll = replace(roll, steps=steps, made_at=0.0, stuck_since=None)
+        steps = tuple(replace(step, stage_since=0.0) for step in roll.steps)
+        roll = replace(roll, steps=steps, made_at=0.0, blocked_since=None)
     return replace(durable, instances=instances, roll=roll)
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -12,71 +12,80 @@
 
 def status(s: State, now: float) -> dict[str, Any]:
     """The complete fleet of this agent."""
-    rows = [instance(s.instances[n], now, s.rules.patience, s.edition) for n in sorted(s.instances)]
+    rows = [
+        instance(s.instances[n], now, s.rules.patience, s.configuration_version) for n in sorted(s.instances)
+    ]
     lately = s.meter.lately(now, 10.0)
     return {
-        "edition": s.edition,
+        "edition": s.configuration_version,
         "instances": rows,
         "ready": sum(r["state"] == Phase.READY for r in rows),
-        "wanted": sum(i.wanted is DesiredState.RUNNING for i in s.instances.values()),
+        "wanted": sum(i.desired_state is DesiredState.RUNNING for i in s.instances.values()),
         "service": {"good": lately.good, "bad": lately.bad, "share": lately.share, "seconds": 10.0},
         "roll": roll_view(s.roll) if s.roll is not None else None,
     }
 
 
-def instance(i: Instance, now: float, patience: Patience, edition: str) -> dict[str, Any]:
+def instance(i: Instance, now: float, patience: Patience, configuration_version: str) -> dict[str, Any]:
     """One row; what is not known is null."""
     r = i.reading
     state = phase(i, now, patience)
-    why = i.crashes.failed or ""
-    if state is Phase.SILENT and i.unanswered_since is not None:
+    why = i.crashes.crash_loop or ""
+    if state is Phase.UNRESPONSIVE and i.unanswered_since is not None:
         why = f"no answer for {now - i.unanswered_since:.1f} s"
     elif state is Phase.STOPPED and i.crashes.restart_at is not None:
-        why = f"{i.exit}; starts again in {max(i.crashes.restart_at - now, 0.0):.1f} s"
+        why = f"{i.last_exit}; starts again in {max(i.crashes.restart_at - now, 0.0):.1f} s"
     elif state is Phase.STOPPED:
-        why = i.exit
+        why = i.last_exit
     return {
         "name": i.name,
         "state": state.value,
-        "wanted": i.wanted.value,
+        "wanted": i.desired_state.value,
         "why": why,
         "pid": i.process.pid if i.process is not None else None,
         "up": round(now - i.started_at, 3) if i.process is not None else None,
-        "edition": i.edition or None,
-        "stale": bool(i.edition and i.edition != edition),
+        "edition": i.configuration_version or None,
+        "stale": bool(i.configuration_version and i.configuration_version != configuration_version),
         "crashes": len(i.crashes.times),
         "age": round(now - r.at, 3) if r is not None else None,
         "held": r.pending if r is not None else None,
-        "owing": r.owing if r is not None else None,
-        "calls_out": r.calls_out if r is not None else None,
+        "owing": r.unfinished if r is not None else None,
+        "calls_out": r.attempts_in_flight if r is not None else None,
         "slots": r.slots if r is not None else None,
-        "taken_on": r.taken_on if r is not None else None,
+        "taken_on": r.accepted if r is not None else None,
         "delivered": r.delivered if r is not None else None,
-        "calls_failed": r.calls_failed if r is not None else None,
+        "calls_failed": r.attempts_failed if r is not None else None,
         "given_up": r.given_up if r is not None else None,
         "turned_away": r.rejected if r is not None else None,
         "sick": r.ejected_destinations if r is not None else None,
-        "broken": r.broken if r is not None else None,
+        "broken": r.invariants_broken if r is not None else None,
         "oldest_held": round(r.oldest_pending_age_s, 3) if r is not None else None,
         "journal_bytes": r.journal_bytes if r is not None else None,
-        "registry_age": round(r.registry_age, 3) if r is not None and r.registry_age >= 0 else None,
+        "registry_age": round(r.endpoint_list_age_s, 3)
+        if r is not None and r.endpoint_list_age_s >= 0
+        else None,
     }
 
 
 def roll_view(roll: Roll) -> dict[str, Any]:
     """A roll and each of its steps."""
     steps = [
-        {"instance": s.name, "stage": s.stage.value, "note": s.note.lstrip("!"), "before": s.before}
+        {
+            "instance": s.name,
+            "stage": s.stage.value,
+            "note": s.detail.lstrip("!"),
+            "before": s.previous_version,
+        }
         for s in roll.steps
     ]
     return {
         "id": roll.id,
         "mode": roll.mode.value,
-        "why": roll.why,
-        "target": roll.target,
+        "why": roll.reason,
+        "target": roll.target_version,
         "at_once": roll.rules.at_once,
         "floor": roll.rules.floor,
-        "baseline": roll.baseline,
+        "baseline": roll.baseline_success_rate,
         "over": roll.over,
         "steps": steps,
     }
--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -16,12 +16,12 @@
     stopping whether it answers or not.
     """
     if instance.process is None:
-        return Phase.FAILED if instance.crashes.failed else Phase.STOPPED
+        return Phase.FAILED if instance.crashes.crash_loop else Phase.STOPPED
     if instance.stopping_since is not None:
         return Phase.STOPPING
     if instance.unanswered_since is not None and now - instance.unanswered_since >= patience.silent:
         had_its_time = instance.was_ready or now - instance.started_at >= patience.start
-        return Phase.SILENT if had_its_time else Phase.STARTING
+        return Phase.UNRESPONSIVE if had_its_time else Phase.STARTING
     return _reported_phase(instance.reading)
 
 
@@ -29,7 +29,7 @@
     """Return the phase that an instance reports of itself."""
     if reading is None:
         return Phase.STARTING
-    serving = Phase.READY if reading.ready and reading.heard else Phase.STARTING
+    serving = Phase.READY if reading.ready and reading.discovery_synced else Phase.STARTING
     return _PHASE_OF_READING.get(reading.phase, serving)
 
 
@@ -49,35 +49,39 @@
     An end that was requested is no crash, and ends a drain too. One that was not is followed by a restart,
     later and later the more of them come in a row, and by none at all in a crash loop.
     """
-    requested = instance.stopping_since is not None or instance.wanted is DesiredState.STOPPED
+    requested = instance.stopping_since is not None or instance.desired_state is DesiredState.STOPPED
     ended = replace(
         instance,
         process=None,
         reading=None,
         unanswered_since=None,
         was_ready=False,
-        drain=instance.drain and not requested,
+        drain_requested=instance.drain_requested and not requested,
         stopping_since=None,
-        killed=False,
-        exit=how,
+        kill_sent=False,
+        last_exit=how,
     )
     if requested:
         return replace(ended, crashes=Crashes())
     crashes = instance.crashes
     steady = instance.was_ready and now - instance.started_at >= rules.steady
-    in_row = 1 if steady else crashes.in_row + 1
+    consecutive = 1 if steady else crashes.consecutive + 1
     times = (*(t for t in crashes.times if now - t < rules.span), now)
     if len(times) >= rules.crashes:
         why = f"{len(times)} crashes within {rules.span:g} s, the last: {how}"
-        return replace(ended, crashes=Crashes(times, in_row, None, why))
-    wait = min(rules.first * 2 ** min(in_row - 1, 30), rules.most)
+        return replace(ended, crashes=Crashes(times, consecutive, None, why))
+    wait = min(rules.first * 2 ** min(consecutive - 1, 30), rules.most)
     wait *= 1 + rules.jitter * (2 * chance - 1)
-    return replace(ended, crashes=Crashes(times, in_row, now + wait))
+    return replace(ended, crashes=Crashes(times, consecutive, now + wait))
 
 
 def start_due(instance: Instance, now: float) -> bool:
     """Return whether it is to be started now: wanted, without a process, not failed, its wait over."""
-    if instance.wanted is not DesiredState.RUNNING or instance.process is not None or instance.crashes.failed:
+    if (
+        instance.desired_state is not DesiredState.RUNNING
+        or instance.process is not None
+        or instance.crashes.crash_loop
+    ):
         return False
     return instance.crashes.restart_at is None or now >= instance.crashes.restart_at
 
@@ -87,6 +91,6 @@
     return (
         instance.process is not None
         and instance.stopping_since is not None
-        and not instance.killed
+        and not instance.kill_sent
         and now - instance.stopping_since >= patience.stop
     )
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -11,19 +11,19 @@
 
 
 class Phase(StrEnum):
-    """What an instance is, as far as can be seen from outside."""
+    """What an instance is observed to be; the values are those of the agent's API."""
 
     STARTING = "starting"  # its process runs and has not been ready yet
-    READY = "ready"  # takes messages and has heard from the registry
-    DRAINING = "draining"  # rejects new messages, brings pending ones to their end
-    DRAINED = "drained"  # owes nothing any more
-    STOPPING = "stopping"  # told to end
+    READY = "ready"  # accepts messages and has an endpoint list from discovery
+    DRAINING = "draining"  # rejects new messages, completes pending ones
+    DRAINED = "drained"  # nothing is unfinished any more
+    STOPPING = "stopping"  # ordered to end
     STOPPED = "stopped"  # no process
-    SILENT = "silent"  # its process runs and does not answer
-    FAILED = "failed"  # crashed too often; nobody starts it again but a person
+    UNRESPONSIVE = "silent"  # its process runs and does not answer
+    FAILED = "failed"  # in a crash loop; only a person starts it again
 
 
-AWAY = frozenset(set(Phase) - {Phase.READY})  # phases in which an instance takes no new messages
+NOT_SERVING = frozenset(set(Phase) - {Phase.READY})  # phases in which an instance accepts no new messages
 
 
 class DesiredState(StrEnum):
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """A process that cannot be mistaken for another: a pid comes again, with its start time it does not."""
+    """A process that cannot be mistaken for another: a pid is used again, with the same start time it is not."""
 
     pid: int
     start: int  # clock ticks since boot, as /proc has it
@@ -43,27 +43,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What an instance last said of itself, at `at`."""
+    """The status that an instance last reported, at `at`; counts are since the start of its process."""
 
     at: float
     pid: int
     phase: str  # as the control channel names it: serving, draining, drained, stopping
     ready: bool
-    heard: bool  # it has had news from the registry since its start
-    owing: int
-    pending: int  # messages accepted and not yet at their end
-    slots: int
-    calls_out: int
+    discovery_synced: bool  # it has received an endpoint list since its start
+    unfinished: int  # messages whose client has not been notified of an outcome
+    pending: int  # messages accepted and not completed
+    slots: int  # attempts that may be in flight
+    attempts_in_flight: int
     delivered: int
-    calls_failed: int
+    attempts_failed: int
     given_up: int
-    taken_on: int
+    accepted: int
     rejected: int
     restored: int
-    broken: int
+    invariants_broken: int
     oldest_pending_age_s: float
     journal_bytes: int
-    registry_age: float
+    endpoint_list_age_s: float  # since the latest word from discovery; negative before the first
     ejected_destinations: int  # destinations with an ejected endpoint
     version: str = ""
 
@@ -73,9 +73,9 @@
     """The crash history that restarts are decided by."""
 
     times: tuple[float, ...] = ()  # of the recent ones
-    in_row: int = 0  # since it last ran steadily
+    consecutive: int = 0  # since it last ran steadily
     restart_at: float | None = None
-    failed: str = ""  # why it is not started again
+    crash_loop: str = ""  # why it is not started again; empty where it is
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,17 +83,17 @@
     """One instance as the agent knows it."""
 
     name: str
-    wanted: DesiredState = DesiredState.STOPPED
+    desired_state: DesiredState = DesiredState.STOPPED
     process: Process | None = None
     started_at: float = 0.0
-    edition: str = ""  # of the configuration that its process was started with
+    configuration_version: str = ""  # that its process was started with
     reading: Reading | None = None  # of this process; None before its first
     unanswered_since: float | None = None  # since when it has not answered
     was_ready: bool = False  # this process was ready once
-    drain: bool = False  # ordered to drain, and not to resume
+    drain_requested: bool = False  # ordered to drain, and not to resume
     stopping_since: float | None = None
-    killed: bool = False  # SIGKILL was sent
-    exit: str = ""  # how its last process ended
+    kill_sent: bool = False  # SIGKILL was sent
+    last_exit: str = ""  # how its last process ended
     crashes: Crashes = Crashes()
 
 
--- a/juniperward/fleet/roll_commands.py
+++ b/juniperward/fleet/roll_commands.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from juniperward.fleet.model import AWAY, DesiredState, RollRules
+from juniperward.fleet.model import NOT_SERVING, DesiredState, RollRules
 from juniperward.fleet.roll_errors import (
     BatchSizeError,
     FloorError,
@@ -15,12 +15,12 @@
 )
 from juniperward.fleet.roll_model import (
     FleetView,
-    Mode,
-    Order,
     Roll,
     RollCommand,
+    RollMode,
+    RollOrder,
     RollStage,
-    Step,
+    RollStep,
 )
 
 
@@ -33,11 +33,11 @@
     """
     running = _running(names, fleet)
     _check_rules(rules, fleet)
-    away = {name for name in running if fleet.phase_of(fleet.instances[name]) in AWAY}
+    away = {name for name in running if fleet.phase_of(fleet.instances[name]) in NOT_SERVING}
     order = [name for name in running if name in away] + [name for name in running if name not in away]
-    steps = tuple(Step(name, fleet.instances[name].edition or target) for name in order)
+    steps = tuple(RollStep(name, fleet.instances[name].configuration_version or target) for name in order)
     baseline = fleet.lately(rules.window).share
-    return Roll(roll_id, target, rules, steps, baseline=baseline, made_at=fleet.now)
+    return Roll(roll_id, target, rules, steps, baseline_success_rate=baseline, made_at=fleet.now)
 
 
 def _running(names: list[str], fleet: FleetView) -> list[str]:
@@ -45,7 +45,7 @@
     unknown = [name for name in names if name not in instances]
     if unknown:
         raise UnknownInstanceError(unknown)
-    running = [name for name in dict.fromkeys(names) if instances[name].wanted is DesiredState.RUNNING]
+    running = [name for name in dict.fromkeys(names) if instances[name].desired_state is DesiredState.RUNNING]
     if not running:
         raise NothingRunningError
     return running
@@ -54,7 +54,7 @@
 def _check_rules(rules: RollRules, fleet: FleetView) -> None:
     if rules.at_once < 1:
         raise BatchSizeError
-    wanted = sum(instance.wanted is DesiredState.RUNNING for instance in fleet.instances.values())
+    wanted = sum(instance.desired_state is DesiredState.RUNNING for instance in fleet.instances.values())
     if rules.floor > wanted - 1:
         raise FloorError(rules.floor, wanted)
 
@@ -67,7 +67,7 @@
 
 def pause(roll: Roll, why: str) -> Roll:
     """Begin nothing more; what is under way with an instance goes on to its end."""
-    return roll if roll.over else replace(roll, mode=Mode.PAUSED, why=why, stuck_since=None)
+    return roll if roll.over else replace(roll, mode=RollMode.PAUSED, reason=why, blocked_since=None)
 
 
 def resume(roll: Roll) -> Roll:
@@ -77,15 +77,15 @@
         RollNotPausedError: where it is not paused.
 
     """
-    if roll.mode is not Mode.PAUSED:
+    if roll.mode is not RollMode.PAUSED:
         raise RollNotPausedError(roll.id, roll.mode.value)
     steps = tuple(
-        replace(step, stage=RollStage.WAITING, note="") if step.failed else step for step in roll.steps
+        replace(step, stage=RollStage.WAITING, detail="") if step.failed else step for step in roll.steps
     )
-    return replace(roll, mode=Mode.GOING, why="", steps=steps, stuck_since=None)
+    return replace(roll, mode=RollMode.IN_PROGRESS, reason="", steps=steps, blocked_since=None)
 
 
-def undo(roll: Roll) -> tuple[Roll, list[Order]]:
+def undo(roll: Roll) -> tuple[Roll, list[RollOrder]]:
     """Bring all that the roll has touched back to what it ran before, the latest first.
 
     What is only draining takes messages again; what was restarted with the version that it had before has
@@ -96,32 +96,32 @@
 
     """
     check_not_over(roll)
-    steps = tuple(_undone(step, roll.target) for step in reversed(roll.steps))
+    steps = tuple(_undone(step, roll.target_version) for step in reversed(roll.steps))
     orders = _resume_drained(tuple(reversed(roll.steps)))
-    undoing = replace(roll, mode=Mode.UNDOING, why="undone by order", steps=steps, stuck_since=None)
+    undoing = replace(roll, mode=RollMode.UNDOING, reason="undone by order", steps=steps, blocked_since=None)
     return undoing, orders
 
 
-def _undone(step: Step, target: str) -> Step:
+def _undone(step: RollStep, target: str) -> RollStep:
     """Return a step as undoing begins with it."""
     match step.stage:
         case RollStage.DRAINING:
-            return replace(step, stage=RollStage.LEFT_OUT, note="takes messages again")
-        case RollStage.WAITING | RollStage.LEFT_OUT:
-            return replace(step, stage=RollStage.LEFT_OUT, note=step.note or "not begun")
-        case _ if step.before != target:
-            return replace(step, stage=RollStage.WAITING, note="")
+            return replace(step, stage=RollStage.SKIPPED, detail="takes messages again")
+        case RollStage.WAITING | RollStage.SKIPPED:
+            return replace(step, stage=RollStage.SKIPPED, detail=step.detail or "not begun")
+        case _ if step.previous_version != target:
+            return replace(step, stage=RollStage.WAITING, detail="")
         case RollStage.DONE:
-            return replace(step, stage=RollStage.LEFT_OUT, note="nothing to go back to")
+            return replace(step, stage=RollStage.SKIPPED, detail="nothing to go back to")
         case _:
-            return replace(step, note="")
+            return replace(step, detail="")
 
 
-def _resume_drained(steps: tuple[Step, ...]) -> list[Order]:
-    return [Order(RollCommand.RESUME, step.name) for step in steps if step.stage is RollStage.DRAINING]
+def _resume_drained(steps: tuple[RollStep, ...]) -> list[RollOrder]:
+    return [RollOrder(RollCommand.RESUME, step.name) for step in steps if step.stage is RollStage.DRAINING]
 
 
-def end(roll: Roll) -> tuple[Roll, list[Order]]:
+def end(roll: Roll) -> tuple[Roll, list[RollOrder]]:
     """Leave all as it is, but for what is drained: that takes messages again.
 
     Raises:
@@ -129,12 +129,12 @@
 
     """
     check_not_over(roll)
-    return replace(roll, mode=Mode.ENDED, why="ended by order"), _resume_drained(roll.steps)
+    return replace(roll, mode=RollMode.ENDED, reason="ended by order"), _resume_drained(roll.steps)
 
 
-def leave_out(roll: Roll, name: str, why: str) -> Roll:
+def skip_instance(roll: Roll, name: str, why: str) -> Roll:
     """Take an instance out of the roll that was given another order meanwhile."""
     step = roll.step_of(name)
     if step is None or step.stage is RollStage.DONE:
         return roll
-    return roll.with_step(replace(step, stage=RollStage.LEFT_OUT, note=why))
+    return roll.with_step(replace(step, stage=RollStage.SKIPPED, detail=why))
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -1,6 +1,7 @@
-"""The values of a rolling restart: the plan, its steps, and the orders that it gives.
+"""The values of a rolling restart: the plan, its steps, the orders that it gives, and the fleet that it sees.
 
-A `Roll` is written down as it is: the names of its fields are those of the agent's state file.
+Used by `roll_commands` and `roll_progress`, which change a roll, and by the agent, which stores it
+(`agent.state_codec`) and carries its orders out.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 from juniperward.fleet.model import Instance, Patience, Phase, RollRules
 from juniperward.fleet.service import Meter, Tally
 
-FAILURE_MARK = "!"  # first character of a step's note on disk, where the step has failed
+FAILURE_MARK = "!"  # first character of the detail of a step that failed
 
 
 class RollStage(StrEnum):
-    """Where one instance is in a roll."""
+    """Where one instance is in a roll; the values are those of the state file and of the agent's API."""
 
     WAITING = "waiting"
     DRAINING = "draining"
     STOPPING = "stopping"
     STARTING = "starting"
-    SOAKING = "soaking"
+    SOAKING = "soaking"  # ready, and observed before the next instance is restarted
     DONE = "done"
-    LEFT_OUT = "left out"  # by order, while the roll was under way
+    SKIPPED = "left out"  # stopped, or ordered otherwise, while the roll was under way
 
 
-class Mode(StrEnum):
-    """What a whole roll is doing."""
+class RollMode(StrEnum):
+    """What a complete roll is doing; the values are those of the state file and of the agent's API."""
 
-    GOING = "going"
+    IN_PROGRESS = "going"
     PAUSED = "paused"
     UNDOING = "undoing"
     DONE = "done"
@@ -39,41 +40,41 @@
     ENDED = "ended"  # by order, with what was not begun left as it was
 
 
-OVER = frozenset({Mode.DONE, Mode.UNDONE, Mode.ENDED})
-ADVANCING = frozenset({Mode.GOING, Mode.UNDOING})
+OVER = frozenset({RollMode.DONE, RollMode.UNDONE, RollMode.ENDED})
+ADVANCING = frozenset({RollMode.IN_PROGRESS, RollMode.UNDOING})
 ACTIVE = frozenset({RollStage.DRAINING, RollStage.STOPPING, RollStage.STARTING, RollStage.SOAKING})
-FINISHED = frozenset({RollStage.DONE, RollStage.LEFT_OUT})
+FINISHED = frozenset({RollStage.DONE, RollStage.SKIPPED})
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class RollStep:
     """One instance in a roll."""
 
     name: str
-    before: str  # the configuration version that it ran when the roll was made; undoing goes back to it
+    previous_version: str  # the configuration version that it ran when the roll was made; an undo restores it
     stage: RollStage = RollStage.WAITING
-    since: float = 0.0
-    note: str = ""
+    stage_since: float = 0.0
+    detail: str = ""  # for a person: what was unusual about the stage
 
     @property
     def failed(self) -> bool:
         """Whether the instance did not come up, or did not deliver; the roll is paused for it."""
-        return self.note.startswith(FAILURE_MARK)
+        return self.detail.startswith(FAILURE_MARK)
 
 
 @dataclass(frozen=True, slots=True)
 class Roll:
-    """A roll as it is written down."""
+    """A rolling restart: its plan and how far it has come."""
 
     id: str
-    target: str  # the configuration version that all are to run
+    target_version: str  # the configuration version that all are to run
     rules: RollRules
-    steps: tuple[Step, ...]
-    mode: Mode = Mode.GOING
-    why: str = ""  # of a pause, or of an end
-    baseline: float | None = None  # the fleet's share of successful attempts before, from 0 to 1
+    steps: tuple[RollStep, ...]
+    mode: RollMode = RollMode.IN_PROGRESS
+    reason: str = ""  # of a pause, or of an end
+    baseline_success_rate: float | None = None  # of the fleet's attempts before the roll, from 0 to 1
     made_at: float = 0.0
-    stuck_since: float | None = None
+    blocked_since: float | None = None  # since when the floor keeps the next instance from being restarted
 
     @property
     def over(self) -> bool:
@@ -85,15 +86,15 @@
         """Whether the next instances are to be restarted."""
         return self.mode in ADVANCING
 
-    def goal(self, step: Step) -> str:
+    def version_for(self, step: RollStep) -> str:
         """Return the configuration version that this instance is to run."""
-        return step.before if self.mode is Mode.UNDOING else self.target
+        return step.previous_version if self.mode is RollMode.UNDOING else self.target_version
 
-    def step_of(self, name: str) -> Step | None:
+    def step_of(self, name: str) -> RollStep | None:
         """Return an instance's step, or None where it is no part of the roll."""
         return next((step for step in self.steps if step.name == name), None)
 
-    def with_step(self, changed: Step) -> Roll:
+    def with_step(self, changed: RollStep) -> Roll:
         """Return the roll with one step changed."""
         return replace(
             self, steps=tuple(changed if step.name == changed.name else step for step in self.steps)
@@ -101,7 +102,7 @@
 
 
 class RollCommand(StrEnum):
-    """What an order asks for."""
+    """What an order has the agent do with an instance."""
 
     DRAIN = "drain"
     RESUME = "resume"
@@ -111,12 +112,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """Something to be done to an instance; `edition` goes with a start."""
+class RollOrder:
+    """A command for an instance; `configuration_version` belongs to a start."""
 
-    do: RollCommand
+    command: RollCommand
     name: str
-    edition: str = ""
+    configuration_version: str = ""
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/fleet/roll_progress.py
+++ b/juniperward/fleet/roll_progress.py
@@ -20,25 +20,25 @@
     FAILURE_MARK,
     FINISHED,
     FleetView,
-    Mode,
-    Order,
     Roll,
     RollCommand,
+    RollMode,
+    RollOrder,
     RollStage,
-    Step,
+    RollStep,
 )
 from juniperward.fleet.service import Tally, tally
 
 SHARE_WITHOUT_BASELINE = 0.5  # of successful attempts, where nothing was known before the roll
 
-Progress = tuple[Roll, list[Order]]
+Progress = tuple[Roll, list[RollOrder]]
 
 
 def advance(roll: Roll, fleet: FleetView) -> Progress:
     """Take the roll on as far as the fleet's present state lets it go."""
     if roll.over:
         return roll, []
-    orders: list[Order] = []
+    orders: list[RollOrder] = []
     for step in roll.steps:
         if step.stage in ACTIVE:
             roll, more = _advance_step(roll, step, fleet)
@@ -49,17 +49,17 @@
         roll, more = _begin_next(roll, fleet)
         orders += more
     if roll.advancing and all(step.stage in FINISHED for step in roll.steps):
-        roll = replace(roll, mode=Mode.UNDONE if roll.mode is Mode.UNDOING else Mode.DONE)
+        roll = replace(roll, mode=RollMode.UNDONE if roll.mode is RollMode.UNDOING else RollMode.DONE)
     return roll, orders
 
 
-def _enter(roll: Roll, step: Step, stage: RollStage, now: float, note: str = "") -> Roll:
-    return roll.with_step(replace(step, stage=stage, since=now, note=note))
+def _enter(roll: Roll, step: RollStep, stage: RollStage, now: float, detail: str = "") -> Roll:
+    return roll.with_step(replace(step, stage=stage, stage_since=now, detail=detail))
 
 
-def _fail(roll: Roll, step: Step, what: str, why: str) -> Progress:
+def _fail(roll: Roll, step: RollStep, what: str, why: str) -> Progress:
     """Pause the roll for an instance that did not do what it should."""
-    return pause(roll.with_step(replace(step, note=FAILURE_MARK + why)), f"{step.name} {what}{why}"), []
+    return pause(roll.with_step(replace(step, detail=FAILURE_MARK + why)), f"{step.name} {what}{why}"), []
 
 
 # --- the next instances ------------------------------------------------------------------------------------
@@ -67,7 +67,7 @@
 
 def _begin_next(roll: Roll, fleet: FleetView) -> Progress:
     """Begin with the next instances, as far as floor and batch allow."""
-    orders: list[Order] = []
+    orders: list[RollOrder] = []
     ready = fleet.ready()
     active = {step.name for step in roll.steps if step.stage in ACTIVE}
     blocked = ""
@@ -77,7 +77,7 @@
         if len(active) >= roll.rules.at_once:
             break
         if _stopped_by_order(step, fleet):
-            roll = _enter(roll, step, RollStage.LEFT_OUT, fleet.now, "not meant to run any more")
+            roll = _enter(roll, step, RollStage.SKIPPED, fleet.now, "not meant to run any more")
             continue
         left = len(ready - {step.name})
         if step.name in ready and left < roll.rules.floor:
@@ -90,56 +90,57 @@
         active.add(step.name)
         ready.discard(step.name)
     if not blocked or active:
-        return replace(roll, stuck_since=None), orders
+        return replace(roll, blocked_since=None), orders
     return _wait_for_floor(roll, blocked, fleet.now), orders
 
 
-def _begin(roll: Roll, step: Step, ready: bool, now: float) -> tuple[Roll, Order]:
+def _begin(roll: Roll, step: RollStep, ready: bool, now: float) -> tuple[Roll, RollOrder]:
     """Drain an instance that takes messages, and end one that does not."""
     if ready and not roll.rules.kill:
-        return _enter(roll, step, RollStage.DRAINING, now), Order(RollCommand.DRAIN, step.name)
+        return _enter(roll, step, RollStage.DRAINING, now), RollOrder(RollCommand.DRAIN, step.name)
     return _enter(roll, step, RollStage.STOPPING, now), _stop_order(roll, step)
 
 
-def _stop_order(roll: Roll, step: Step) -> Order:
-    return Order(RollCommand.KILL if roll.rules.kill else RollCommand.STOP, step.name)
+def _stop_order(roll: Roll, step: RollStep) -> RollOrder:
+    return RollOrder(RollCommand.KILL if roll.rules.kill else RollCommand.STOP, step.name)
 
 
 def _wait_for_floor(roll: Roll, why: str, now: float) -> Roll:
     """Pause where the floor has been in the way for too long."""
-    since = roll.stuck_since if roll.stuck_since is not None else now
+    since = roll.blocked_since if roll.blocked_since is not None else now
     if now - since >= roll.rules.patience:
         return pause(roll, why)
-    return replace(roll, stuck_since=since)
+    return replace(roll, blocked_since=since)
 
 
 def _check_service(roll: Roll, fleet: FleetView) -> Roll:
     """Pause where the fleet delivers less of what it attempts than before the roll."""
-    if roll.mode is Mode.UNDOING:
+    if roll.mode is RollMode.UNDOING:
         return roll  # going back is what mends it
     lately = fleet.lately(roll.rules.window)
-    if roll.baseline is None or lately.ended < roll.rules.least_calls or lately.share is None:
+    if roll.baseline_success_rate is None or lately.ended < roll.rules.least_calls or lately.share is None:
         return roll
-    if lately.share >= roll.rules.fall * roll.baseline:
+    if lately.share >= roll.rules.fall * roll.baseline_success_rate:
         return roll
     return pause(
         roll,
-        f"service fell: {lately.share:.2f} of the calls deliver, {roll.baseline:.2f} did before the roll",
+        f"service fell: {lately.share:.2f} of the calls deliver, "
+        f"{roll.baseline_success_rate:.2f} did before the roll",
     )
 
 
-def _stopped_by_order(step: Step, fleet: FleetView) -> bool:
+def _stopped_by_order(step: RollStep, fleet: FleetView) -> bool:
     instance = fleet.instances.get(step.name)
-    return instance is None or instance.wanted is not DesiredState.RUNNING
+    return instance is None or instance.desired_state is not DesiredState.RUNNING
 
 
 # --- an instance that is under way -------------------------------------------------------------------------
 
 
-def _advance_step(roll: Roll, step: Step, fleet: FleetView) -> Progress:
+def _advance_step(roll: Roll, step: RollStep, fleet: FleetView) -> Progress:
     """Take one instance on; orders that it has not followed yet are given again."""
     if _stopped_by_order(step, fleet):
-        return _enter(roll, step, RollStage.LEFT_OUT, fleet.now, "stopped by order"), []
+        return _enter(roll, step, RollStage.SKIPPED, fleet.now, "stopped by order"), []
     instance = fleet.instances[step.name]
     match step.stage:
         case RollStage.DRAINING:
@@ -153,38 +154,40 @@
     return roll, []
 
 
-def _start_order(roll: Roll, step: Step) -> Order:
-    return Order(RollCommand.START, step.name, roll.goal(step))
+def _start_order(roll: Roll, step: RollStep) -> RollOrder:
+    return RollOrder(RollCommand.START, step.name, roll.version_for(step))
 
 
-def _drain(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+def _drain(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> Progress:
     """Wait until nothing is owed any more, or its time is up."""
     now = fleet.now
     if instance.process is None:
-        note = f"ended while draining: {instance.exit}"
-        return _enter(roll, step, RollStage.STARTING, now, note), [_start_order(roll, step)]
+        detail = f"ended while draining: {instance.last_exit}"
+        return _enter(roll, step, RollStage.STARTING, now, detail), [_start_order(roll, step)]
     observed = fleet.phase_of(instance)
-    stop = Order(RollCommand.STOP, step.name)
+    stop = RollOrder(RollCommand.STOP, step.name)
     if observed is Phase.DRAINED:
         return _enter(roll, step, RollStage.STOPPING, now), [stop]
-    if now - step.since >= roll.rules.drain:
+    if now - step.stage_since >= roll.rules.drain:
         # What it holds is in its journal: the next process goes on with it.
-        owing = instance.reading.owing if instance.reading is not None else 0
-        why = "silent" if observed is Phase.SILENT else f"{owing} still owed"
-        note = f"not drained within {roll.rules.drain:g} s ({why})"
-        return _enter(roll, step, RollStage.STOPPING, now, note), [stop]
-    return roll, [] if instance.drain else [Order(RollCommand.DRAIN, step.name)]
+        unfinished = instance.reading.unfinished if instance.reading is not None else 0
+        why = "silent" if observed is Phase.UNRESPONSIVE else f"{unfinished} still owed"
+        detail = f"not drained within {roll.rules.drain:g} s ({why})"
+        return _enter(roll, step, RollStage.STOPPING, now, detail), [stop]
+    return roll, [] if instance.drain_requested else [RollOrder(RollCommand.DRAIN, step.name)]
 
 
-def _stop(roll: Roll, step: Step, instance: Instance, now: float) -> Progress:
+def _stop(roll: Roll, step: RollStep, instance: Instance, now: float) -> Progress:
     """Wait until its process has ended, or another one of the right version was started since."""
-    restarted = instance.started_at > step.since and instance.edition == roll.goal(step)
+    restarted = instance.started_at > step.stage_since and instance.configuration_version == roll.version_for(
+        step
+    )
     if instance.process is None or restarted:
         return _enter(roll, step, RollStage.STARTING, now), [_start_order(roll, step)]
     return roll, [_stop_order(roll, step)]
 
 
-def _start(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+def _start(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> Progress:
     """Wait until it is ready; pause the roll where it does not come up."""
     if fleet.phase_of(instance) is Phase.READY:
         return _enter(roll, step, RollStage.SOAKING, fleet.now), []
@@ -196,36 +199,43 @@
     return roll, [_start_order(roll, step)] if instance.process is None else []
 
 
-def _start_failure(step: Step, instance: Instance, fleet: FleetView) -> str:
+def _start_failure(step: RollStep, instance: Instance, fleet: FleetView) -> str:
     """Return why an instance has not come up, or an empty text where it may still do so."""
     crashes, patience = instance.crashes, fleet.patience
-    if crashes.failed:
-        return crashes.failed
-    if instance.process is None and crashes.in_row and crashes.times and crashes.times[-1] > step.since:
-        return f"it ended at its start: {instance.exit}"
-    never_started = instance.process is None and fleet.now - step.since >= patience.start
+    if crashes.crash_loop:
+        return crashes.crash_loop
+    if (
+        instance.process is None
+        and crashes.consecutive
+        and crashes.times
+        and crashes.times[-1] > step.stage_since
+    ):
+        return f"it ended at its start: {instance.last_exit}"
+    never_started = instance.process is None and fleet.now - step.stage_since >= patience.start
     if never_started or overdue_start(instance, fleet.now, patience):
         return f"not ready {patience.start:g} s after its start"
     return ""
 
 
-def _soak(roll: Roll, step: Step, instance: Instance, fleet: FleetView) -> Progress:
+def _soak(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> Progress:
     """Watch whether it delivers: ready is only what it says of itself."""
     if step.failed:
         return roll, []
     observed = fleet.phase_of(instance)
     if observed is Phase.READY:
         return _judge(roll, step, instance, fleet.now)
-    if observed is Phase.SILENT or instance.process is None:
-        return _fail(roll, step, f"was ready and is {observed.value}: ", instance.exit or observed.value)
-    return _enter(roll, step, RollStage.SOAKING, fleet.now, step.note), []
+    if observed is Phase.UNRESPONSIVE or instance.process is None:
+        return _fail(roll, step, f"was ready and is {observed.value}: ", instance.last_exit or observed.value)
+    return _enter(roll, step, RollStage.SOAKING, fleet.now, step.detail), []
 
 
-def _judge(roll: Roll, step: Step, instance: Instance, now: float) -> Progress:
+def _judge(roll: Roll, step: RollStep, instance: Instance, now: float) -> Progress:
     """Decide by its attempts whether a ready instance is good."""
     assert instance.reading is not None
-    rules, done, soaked_s = roll.rules, tally(instance.reading), now - step.since
-    baseline = roll.baseline if roll.baseline is not None else SHARE_WITHOUT_BASELINE
+    rules, done, soaked_s = roll.rules, tally(instance.reading), now - step.stage_since
+    baseline = (
+        roll.baseline_success_rate if roll.baseline_success_rate is not None else SHARE_WITHOUT_BASELINE
+    )
     least_share = rules.soak_share * baseline
     if done.ended >= rules.least_calls and done.share is not None and done.share < least_share:
         if soaked_s < rules.soak:
@@ -239,4 +249,4 @@
 
 
 def _enough(done: Tally, roll: Roll) -> bool:
-    return done.ended >= roll.rules.least_calls or roll.baseline is None
+    return done.ended >= roll.rules.least_calls or roll.baseline_success_rate is None
--- a/juniperward/fleet/service.py
+++ b/juniperward/fleet/service.py
@@ -35,7 +35,7 @@
 
 def tally(reading: Reading) -> Tally:
     """What an instance has counted since its start; attempts that an endpoint rejected are no failure."""
-    return Tally(reading.delivered, reading.calls_failed + reading.given_up)
+    return Tally(reading.delivered, reading.attempts_failed + reading.given_up)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -57,7 +57,7 @@
     """A forwarder's process as the machine has it."""
 
     process: Process
-    edition: str
+    configuration_version: str
     born: float
     drained: bool = False
     stopped: bool = False  # by SIGSTOP
@@ -75,8 +75,8 @@
         self.disk, self.old = b"", b""  # the state file and the one before
         self.replies: list[ReplyToClient] = []
         self.notes: list[LogEvent] = []
-        self.edition = "a"
-        self.broken_editions: dict[str, str] = {}  # edition to how its processes end at once
+        self.configuration_version = "a"
+        self.broken_versions: dict[str, str] = {}  # edition to how its processes end at once
         self.hopeless: set[str] = set()  # instances that cannot be spawned
         self.stubborn: set[str] = set()  # ignore SIGTERM
         self.die_at: int | None = None  # effect before which the agent dies
@@ -112,7 +112,7 @@
 
     def configure(self, names: tuple[str, ...] | None = None) -> None:
         self.names = names or self.names
-        self.round([SettingsLoaded(self.names, frozenset(), self.edition, RULES)])
+        self.round([SettingsLoaded(self.names, frozenset(), self.configuration_version, RULES)])
 
     def round(self, events: list[Event]) -> None:
         while events:
@@ -138,13 +138,13 @@
                     raise AgentDiedError
                 self.old, self.disk = self.disk, text
                 return [StateSaved(durable)]
-            case SpawnProcess(name=name, edition=edition):
+            case SpawnProcess(name=name, configuration_version=configuration_version):
                 if name in self.hopeless:
-                    return [ProcessSpawned(name, edition, None, "cannot be started")]
+                    return [ProcessSpawned(name, configuration_version, None, "cannot be started")]
                 assert name not in self.machines, f"{name} runs already: started twice"
                 self.pid += 1
-                self.machines[name] = Machine(Process(self.pid, self.pid), edition, self.now)
-                return [ProcessSpawned(name, edition, self.machines[name].process)]
+                self.machines[name] = Machine(Process(self.pid, self.pid), configuration_version, self.now)
+                return [ProcessSpawned(name, configuration_version, self.machines[name].process)]
             case SendSignal(name=name, process=process, signal=number):
                 m = self.machines.get(name)
                 if m is not None and m.process == process:
@@ -181,14 +181,14 @@
         up = self.now - m.born >= 0.3
         return replace(
             BLANK, at=self.now, pid=m.process.pid, phase="drained" if m.drained else "serving",
-            ready=up and not m.drained, heard=up, delivered=m.delivered,
+            ready=up and not m.drained, discovery_synced=up, delivered=m.delivered,
         )  # fmt: skip
 
     def step(self, seconds: float = 0.1) -> None:
         """Time passes; the machine's part of it, then the agent's."""
         self.now += seconds
         for name, m in list(self.machines.items()):
-            how = self.broken_editions.get(m.edition)
+            how = self.broken_versions.get(m.configuration_version)
             if how is not None and self.now - m.born >= 0.1:
                 self.end(name, how)
             elif m.term_at is not None and not m.stopped and self.now - m.term_at >= 0.2:
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -26,7 +26,7 @@
 )
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Crashes, DesiredState, Instance, Process, RollRules
-from juniperward.fleet.roll_model import Mode, Roll, RollStage, Step
+from juniperward.fleet.roll_model import Roll, RollMode, RollStage, RollStep
 from juniperward.forwarder.journal import Journal
 from juniperward.forwarder.model import Message, OutcomeNotification
 from juniperward.forwarder.records import (
@@ -145,27 +145,42 @@
     folder.mkdir()
     (folder / "base.json").write_text(json.dumps({"settings": {}}))
     (folder / "fleet.textproto").write_text(FLEET)
-    edition = ConfigurationVersions(folder / "editions").keep(load(folder / "fleet.textproto"), set())
+    configuration_version = ConfigurationVersions(folder / "editions").keep(
+        load(folder / "fleet.textproto"), set()
+    )
     steps = (
-        Step("n1", "older", RollStage.DONE, 11.0, "ready"),
-        Step("n2", "older", RollStage.SOAKING, 12.0),
-        Step("n3", "older", RollStage.WAITING),
-        Step("n4", "older", RollStage.LEFT_OUT),
+        RollStep("n1", "older", RollStage.DONE, 11.0, "ready"),
+        RollStep("n2", "older", RollStage.SOAKING, 12.0),
+        RollStep("n3", "older", RollStage.WAITING),
+        RollStep("n4", "older", RollStage.SKIPPED),
     )
     roll = Roll(
-        "r3", edition, RollRules(at_once=2, floor=1), steps, Mode.PAUSED, "n2 does not deliver", 0.95, 10.0
+        "r3",
+        configuration_version,
+        RollRules(at_once=2, floor=1),
+        steps,
+        RollMode.PAUSED,
+        "n2 does not deliver",
+        0.95,
+        10.0,
     )
     instances = (
-        Instance("n1", DesiredState.RUNNING, Process(4242, 777), 11.0, edition, was_ready=True),
+        Instance("n1", DesiredState.RUNNING, Process(4242, 777), 11.0, configuration_version, was_ready=True),
         Instance(
-            "n2", DesiredState.RUNNING, Process(4243, 778), 12.0, edition, drain=True, stopping_since=13.0
+            "n2",
+            DesiredState.RUNNING,
+            Process(4243, 778),
+            12.0,
+            configuration_version,
+            drain_requested=True,
+            stopping_since=13.0,
         ),
-        Instance("n3", DesiredState.STOPPED, exit="exit 0", edition="older"),
+        Instance("n3", DesiredState.STOPPED, last_exit="exit 0", configuration_version="older"),
         Instance("n4", DesiredState.RUNNING, crashes=Crashes((1.0, 2.0), 2, 3.5, "5 crashes within 60 s")),
     )
     with mock.patch("juniperward.agent.store.boot_id", return_value=BOOT_ID):
         StateStore(folder).save(PersistentState((), None, 2, "older"))
-        StateStore(folder).save(PersistentState(instances, roll, 3, edition))
+        StateStore(folder).save(PersistentState(instances, roll, 3, configuration_version))
 
 
 def main(folder: Path) -> None:
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -78,7 +78,7 @@
         with mock.patch.object(store, "boot_id", return_value="other"):
             found, _ = self.store.load()
         self.assertIsNone(found.instances[0].process)
-        self.assertEqual(found.instances[0].wanted, DesiredState.RUNNING)
+        self.assertEqual(found.instances[0].desired_state, DesiredState.RUNNING)
 
 
 class ProcessesTest(unittest.TestCase):
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -18,12 +18,12 @@
     StateSaved,
 )
 from juniperward.fleet.model import DesiredState, Instance, Phase, Process
-from juniperward.fleet.roll_model import Mode
+from juniperward.fleet.roll_model import RollMode
 from tests.agent_world import World
 
 
 def rolled(world: World) -> bool:
-    return {m.edition for m in world.machines.values()} == {"b"}
+    return {m.configuration_version for m in world.machines.values()} == {"b"}
 
 
 def configure_or_restart(world: World) -> None:
@@ -37,7 +37,7 @@
 
 def roll(world: World, **options: object) -> None:
     """Settings change, and a roll to them is begun."""
-    world.edition = "b"
+    world.configuration_version = "b"
     world.configure()
     reply = world.ask("roll", **options)
     assert reply.status == 200, reply
@@ -55,7 +55,7 @@
         for place in range(total):
             with self.subTest(place=place):
                 world = World()
-                world.edition = "b"
+                world.configuration_version = "b"
                 world.die_at = place
                 configure_or_restart(world)
                 self.assertEqual(world.ask("roll").status, 200)
@@ -70,7 +70,7 @@
         for place in range(1, calm.saves + 1):
             with self.subTest(place=place):
                 world = World()
-                world.edition = "b"
+                world.configuration_version = "b"
                 world.tear_at = place
                 configure_or_restart(world)
                 reply = world.ask("roll")
@@ -88,12 +88,12 @@
             with self.subTest(place=place):
                 world = World()
                 world.full = lambda n, p=place: n >= p  # type: ignore[misc]
-                world.edition = "b"
+                world.configuration_version = "b"
                 world.configure()
                 begun = world.ask("roll")
                 if begun.status != 200:
                     self.assertEqual(begun.status, 503)
-                    self.assertEqual({m.edition for m in world.machines.values()}, {"a"})
+                    self.assertEqual({m.configuration_version for m in world.machines.values()}, {"a"})
                     world.full = lambda _: False
                     self.assertEqual(world.ask("roll").status, 200)
                     self.assertTrue(world.run(60.0, world.over))
@@ -102,7 +102,7 @@
                 if not world.over():
                     self.assertEqual(world.mode, "paused")
                     assert world.reducer.state.roll is not None
-                    self.assertIn("No space left", world.reducer.state.roll.why)
+                    self.assertIn("No space left", world.reducer.state.roll.reason)
                     world.full = lambda _: False
                     world.run(3.0)
                     self.assertEqual(world.ask("roll_resume").status, 200)
@@ -111,7 +111,7 @@
 
     def test_orders_wait_until_the_step_is_on_disk(self) -> None:
         world = World()
-        world.edition = "b"
+        world.configuration_version = "b"
         world.configure()
         effects = world.reducer.reduce(world.now, [ControlRequest(7, "roll")])
         save = [e for e in effects if isinstance(e, SaveState)][0]
@@ -180,7 +180,7 @@
         self.assertTrue(world.run(60.0, world.over))
         world.run(3.0)
         self.assertNotIn("n0", world.machines)
-        self.assertEqual([m.edition for _, m in sorted(world.machines.items())], ["b", "b"])
+        self.assertEqual([m.configuration_version for _, m in sorted(world.machines.items())], ["b", "b"])
         world.ask("start", "n0")
         self.assertTrue(world.run(5.0, lambda: world.ready() == 3))
 
@@ -188,10 +188,10 @@
         world = World()
         roll(world)
         world.run(1.0)
-        world.edition = "c"
+        world.configuration_version = "c"
         world.configure()
         self.assertTrue(world.run(60.0, world.over))
-        self.assertEqual({m.edition for m in world.machines.values()}, {"b"})
+        self.assertEqual({m.configuration_version for m in world.machines.values()}, {"b"})
         changed = [n for n in world.notes if n.event == "settings changed"][-1]
         self.assertEqual(changed.fields["goes_on_to"], "b")
 
@@ -206,15 +206,15 @@
 
     def test_an_edition_whose_processes_die_is_undone_by_order(self) -> None:
         world = World()
-        world.broken_editions["b"] = "exit 2"
+        world.broken_versions["b"] = "exit 2"
         roll(world)
-        self.assertTrue(world.run(30.0, lambda: world.mode == Mode.PAUSED))
+        self.assertTrue(world.run(30.0, lambda: world.mode == RollMode.PAUSED))
         assert world.reducer.state.roll is not None
-        self.assertIn("n0 does not come up: it ended at its start: exit 2", world.reducer.state.roll.why)
+        self.assertIn("n0 does not come up: it ended at its start: exit 2", world.reducer.state.roll.reason)
         self.assertEqual(world.ask("roll_undo").status, 200)
         self.assertTrue(world.run(60.0, world.over))
         self.assertTrue(world.run(10.0, lambda: world.ready() == 3))
-        self.assertEqual({m.edition for m in world.machines.values()}, {"a"})
+        self.assertEqual({m.configuration_version for m in world.machines.values()}, {"a"})
         self.assertGreaterEqual(world.least, 2)
 
 
@@ -223,14 +223,14 @@
         world = World()
         world.end("n1", "signal 11")
         self.assertTrue(world.run(3.0, lambda: world.ready() == 3))
-        world.broken_editions["a"] = "exit 1"
+        world.broken_versions["a"] = "exit 1"
         for name in list(world.machines):
             world.end(name, "exit 1")
         world.run(40.0)
         self.assertEqual(
             {world.reducer.phase_of(i) for i in world.reducer.state.instances.values()}, {Phase.FAILED}
         )
-        world.broken_editions.clear()
+        world.broken_versions.clear()
         world.ask("start")
         self.assertTrue(world.run(5.0, lambda: world.ready() == 3))
 
@@ -324,5 +324,5 @@
         world.begin()
         world.run(3.0)
         self.assertNotIn("n1", world.machines)
-        self.assertEqual(world.reducer.state.instances["n1"].wanted, DesiredState.STOPPED)
+        self.assertEqual(world.reducer.state.instances["n1"].desired_state, DesiredState.STOPPED)
         self.assertIsInstance(world.reducer.state.instances["n1"], Instance)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,14 +21,14 @@
     RestartRules,
     RollRules,
 )
-from juniperward.fleet.roll_commands import end, leave_out, plan, resume, undo
+from juniperward.fleet.roll_commands import end, plan, resume, skip_instance, undo
 from juniperward.fleet.roll_errors import RollRejectedError
 from juniperward.fleet.roll_model import (
     FleetView,
-    Mode,
-    Order,
     Roll,
     RollCommand,
+    RollMode,
+    RollOrder,
     RollStage,
 )
 from juniperward.fleet.roll_progress import advance
@@ -36,16 +36,33 @@
 
 PATIENCE = Patience()
 BLANK = Reading(
-    at=0.0, pid=1, phase="serving", ready=True, heard=True, owing=0, pending=0, slots=4, calls_out=0,
-    delivered=0, calls_failed=0, given_up=0, taken_on=0, rejected=0, restored=0, broken=0, oldest_pending_age_s=0.0,
-    journal_bytes=0, registry_age=1.0, ejected_destinations=0,
-)  # fmt: skip
+    at=0.0,
+    pid=1,
+    phase="serving",
+    ready=True,
+    discovery_synced=True,
+    unfinished=0,
+    pending=0,
+    slots=4,
+    attempts_in_flight=0,
+    delivered=0,
+    attempts_failed=0,
+    given_up=0,
+    accepted=0,
+    rejected=0,
+    restored=0,
+    invariants_broken=0,
+    oldest_pending_age_s=0.0,
+    journal_bytes=0,
+    endpoint_list_age_s=1.0,
+    ejected_destinations=0,
+)
 
 
 class Model:
     """A fleet that does what it is told, with faults to be switched on by name."""
 
-    def __init__(self, count: int, edition: str = "a") -> None:
+    def __init__(self, count: int, configuration_version: str = "a") -> None:
         self.now, self.pid = 1000.0, 100
         self.fleet: dict[str, Instance] = {}
         self.meter = Meter()
@@ -55,30 +72,38 @@
         self.stubborn: set[str] = set()  # ignore SIGTERM
         self.leaky: set[str] = set()  # never drained
         self.least = count  # fewest ready instances seen
-        self.orders: list[Order] = []
+        self.orders: list[RollOrder] = []
         for n in range(count):
             self.fleet[f"n{n}"] = Instance(f"n{n}", DesiredState.RUNNING)
-            self.start(f"n{n}", edition)
+            self.start(f"n{n}", configuration_version)
         for _ in range(30):
             self.tick()
 
-    def start(self, name: str, edition: str) -> None:
+    def start(self, name: str, configuration_version: str) -> None:
         self.pid += 1
         i = self.fleet[name]
         self.fleet[name] = replace(
-            i, process=Process(self.pid, self.pid), started_at=self.now, edition=edition, reading=None,
-            unanswered_since=None, was_ready=False, drain=False, stopping_since=None, killed=False,
+            i,
+            process=Process(self.pid, self.pid),
+            started_at=self.now,
+            configuration_version=configuration_version,
+            reading=None,
+            unanswered_since=None,
+            was_ready=False,
+            drain_requested=False,
+            stopping_since=None,
+            kill_sent=False,
             crashes=replace(i.crashes, restart_at=None),
-        )  # fmt: skip
+        )
 
     def tick(self, seconds: float = 0.25) -> None:
         self.now += seconds
         for name, i in list(self.fleet.items()):
             if i.process is None:
                 if start_due(i, self.now) and i.crashes.restart_at is not None:
-                    self.start(name, i.edition)
+                    self.start(name, i.configuration_version)
                 continue
-            if name in self.dead_at_start and i.edition == "b":
+            if name in self.dead_at_start and i.configuration_version == "b":
                 self.fleet[name] = after_exit(i, self.now, "exit 1", RestartRules(), 0.5)
                 continue
             mute = name in self.mute
@@ -93,28 +118,28 @@
                 since = i.unanswered_since if i.unanswered_since is not None else self.now
                 self.fleet[name] = replace(i, unanswered_since=since)
                 continue
-            bad = name in self.barren and i.edition == "b"
+            bad = name in self.barren and i.configuration_version == "b"
             r = i.reading or replace(BLANK, pid=i.process.pid)
             r = replace(
                 r, at=self.now, delivered=r.delivered + (0 if bad else 5),
-                calls_failed=r.calls_failed + (5 if bad else 0),
-                phase="serving" if not i.drain else "draining" if name in self.leaky else "drained",
-                ready=not i.drain,
+                attempts_failed=r.attempts_failed + (5 if bad else 0),
+                phase="serving" if not i.drain_requested else "draining" if name in self.leaky else "drained",
+                ready=not i.drain_requested,
             )  # fmt: skip
             self.fleet[name] = replace(i, reading=r, unanswered_since=None, was_ready=i.was_ready or r.ready)
         readings = {n: i.reading for n, i in self.fleet.items() if i.reading is not None}
         self.meter = self.meter.read(self.now, readings, 30.0)
 
-    def obey(self, orders: list[Order]) -> None:
+    def obey(self, orders: list[RollOrder]) -> None:
         self.orders += orders
         for o in orders:
             i = self.fleet[o.name]
-            if o.do is RollCommand.START and i.process is None:
-                self.start(o.name, o.edition)
-            elif o.do in (RollCommand.DRAIN, RollCommand.RESUME):
-                self.fleet[o.name] = replace(i, drain=o.do is RollCommand.DRAIN)
+            if o.command is RollCommand.START and i.process is None:
+                self.start(o.name, o.configuration_version)
+            elif o.command in (RollCommand.DRAIN, RollCommand.RESUME):
+                self.fleet[o.name] = replace(i, drain_requested=o.command is RollCommand.DRAIN)
             elif (
-                o.do in (RollCommand.STOP, RollCommand.KILL)
+                o.command in (RollCommand.STOP, RollCommand.KILL)
                 and i.process is not None
                 and i.stopping_since is None
             ):
@@ -130,7 +155,7 @@
         made = RollRules(**{"floor": len(self.fleet) - 1, "soak": 1.0, **rules})  # type: ignore[arg-type]
         return plan("r1", target, list(self.fleet), made, self.view())
 
-    def run(self, roll: Roll, seconds: float = 300.0, until: Mode | None = None) -> Roll:
+    def run(self, roll: Roll, seconds: float = 300.0, until: RollMode | None = None) -> Roll:
         end_at = self.now + seconds
         while self.now < end_at and not roll.over and roll.mode is not until:
             roll, orders = advance(roll, self.view())
@@ -146,18 +171,18 @@
         base = Instance("a", DesiredState.RUNNING, alive, started_at=90.0, reading=BLANK, was_ready=True)
         cases = [
             (Instance("a"), Phase.STOPPED),
-            (Instance("a", crashes=Crashes(failed="x")), Phase.FAILED),
+            (Instance("a", crashes=Crashes(crash_loop="x")), Phase.FAILED),
             (replace(base, reading=None, was_ready=False), Phase.STARTING),
             (base, Phase.READY),
-            (replace(base, reading=replace(BLANK, heard=False)), Phase.STARTING),
+            (replace(base, reading=replace(BLANK, discovery_synced=False)), Phase.STARTING),
             (replace(base, reading=replace(BLANK, phase="draining", ready=False)), Phase.DRAINING),
             (replace(base, reading=replace(BLANK, phase="drained", ready=False)), Phase.DRAINED),
             (replace(base, reading=replace(BLANK, phase="stopping", ready=False)), Phase.STOPPING),
             (replace(base, stopping_since=99.0, unanswered_since=1.0), Phase.STOPPING),
-            (replace(base, unanswered_since=97.0), Phase.SILENT),
+            (replace(base, unanswered_since=97.0), Phase.UNRESPONSIVE),
             (replace(base, unanswered_since=99.0), Phase.READY),
             (replace(base, unanswered_since=91.0, was_ready=False, reading=None), Phase.STARTING),
-            (replace(base, unanswered_since=81.0, started_at=80.0, was_ready=False), Phase.SILENT),
+            (replace(base, unanswered_since=81.0, started_at=80.0, was_ready=False), Phase.UNRESPONSIVE),
         ]
         for i, expected in cases:
             with self.subTest(expected=expected, i=i):
@@ -179,23 +204,23 @@
         self.assertEqual(waits, [0.5, 1.0, 2.0, 4.0])
         i = after_exit(i, now, "exit 1", rules, 0.5)
         self.assertEqual(phase(i, now, PATIENCE), Phase.FAILED)
-        self.assertIn("5 crashes within 60 s, the last: exit 1", i.crashes.failed)
+        self.assertIn("5 crashes within 60 s, the last: exit 1", i.crashes.crash_loop)
         self.assertFalse(start_due(i, now + 1e6))
 
     def test_one_that_ran_steadily_begins_anew(self) -> None:
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), was_ready=True, crashes=Crashes((), 6))
         i = after_exit(i, 100.0, "exit 1", RestartRules(), 0.5)
-        self.assertEqual((i.crashes.in_row, i.crashes.restart_at), (1, 100.5))
+        self.assertEqual((i.crashes.consecutive, i.crashes.restart_at), (1, 100.5))
 
     def test_an_end_that_was_asked_for_is_no_crash(self) -> None:
-        i = Instance("a", DesiredState.STOPPED, Process(1, 1), stopping_since=1.0, drain=True)
-        self.assertEqual(after_exit(i, 2.0, "exit 0", RestartRules(), 0.5), Instance("a", exit="exit 0"))
+        i = Instance("a", DesiredState.STOPPED, Process(1, 1), stopping_since=1.0, drain_requested=True)
+        self.assertEqual(after_exit(i, 2.0, "exit 0", RestartRules(), 0.5), Instance("a", last_exit="exit 0"))
 
     @settings(derandomize=True, max_examples=200)
     @given(st.integers(0, 60), st.floats(0, 1))
-    def test_no_wait_leaves_its_bounds(self, in_row: int, chance: float) -> None:
+    def test_no_wait_leaves_its_bounds(self, consecutive: int, chance: float) -> None:
         rules = RestartRules()
-        i = Instance("a", DesiredState.RUNNING, Process(1, 1), crashes=Crashes((), in_row))
+        i = Instance("a", DesiredState.RUNNING, Process(1, 1), crashes=Crashes((), consecutive))
         at = after_exit(i, 50.0, "x", rules, chance).crashes.restart_at
         assert at is not None
         self.assertTrue(rules.first * (1 - rules.jitter) <= at - 50.0 <= rules.most * (1 + rules.jitter))
@@ -205,11 +230,11 @@
     def test_all_are_restarted_and_the_floor_is_held(self) -> None:
         model = Model(5)
         roll = model.run(model.plan())
-        self.assertEqual((roll.mode, model.least), (Mode.DONE, 4))
-        self.assertEqual({i.edition for i in model.fleet.values()}, {"b"})
+        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 4))
+        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
         self.assertEqual([s.stage for s in roll.steps], [RollStage.DONE] * 5)
         for name in model.fleet:  # drained, then stopped, then started
-            done = [o.do for o in model.orders if o.name == name]
+            done = [o.command for o in model.orders if o.name == name]
             self.assertEqual(
                 list(dict.fromkeys(done)), [RollCommand.DRAIN, RollCommand.STOP, RollCommand.START]
             )
@@ -218,7 +243,7 @@
         model = Model(6)
         began = model.now
         roll = model.run(model.plan(at_once=3, floor=3))
-        self.assertEqual((roll.mode, model.least), (Mode.DONE, 3))
+        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 3))
         one = Model(6)
         start = one.now
         one.run(one.plan())
@@ -240,75 +265,77 @@
         roll = model.plan()
         self.assertEqual(roll.steps[0].name, "n2")
         roll = model.run(roll)
-        self.assertEqual((roll.mode, model.least), (Mode.DONE, 3))
-        self.assertEqual(model.fleet["n2"].edition, "b")
+        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 3))
+        self.assertEqual(model.fleet["n2"].configuration_version, "b")
 
     def test_one_that_falls_silent_while_draining_is_stopped_after_its_time(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(), 0.2)
         model.mute.add("n0")
         roll = model.run(roll)
-        self.assertEqual(roll.mode, Mode.DONE)
-        self.assertEqual({i.edition for i in model.fleet.values()}, {"b"})
+        self.assertEqual(roll.mode, RollMode.DONE)
+        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
 
     def test_one_that_never_drains_is_stopped_after_its_time(self) -> None:
         model = Model(2)
         model.leaky.add("n0")
         began = model.now
         roll = model.run(model.plan(drain=4.0))
-        self.assertEqual(roll.mode, Mode.DONE)
+        self.assertEqual(roll.mode, RollMode.DONE)
         self.assertGreater(model.now - began, 4.0)
 
     def test_one_that_ignores_sigterm_is_killed(self) -> None:
         model = Model(2)
         model.stubborn.add("n1")
-        self.assertEqual(model.run(model.plan()).mode, Mode.DONE)
+        self.assertEqual(model.run(model.plan()).mode, RollMode.DONE)
 
     def test_one_that_dies_at_its_start_pauses_the_roll_and_undo_mends_it(self) -> None:
         model = Model(4)
         model.dead_at_start.add("n1")
-        roll = model.run(model.plan(), until=Mode.PAUSED)
-        self.assertIn("n1 does not come up: it ended at its start: exit 1", roll.why)
-        self.assertEqual([model.fleet[n].edition for n in ("n0", "n2", "n3")], ["b", "a", "a"])
+        roll = model.run(model.plan(), until=RollMode.PAUSED)
+        self.assertIn("n1 does not come up: it ended at its start: exit 1", roll.reason)
+        self.assertEqual([model.fleet[n].configuration_version for n in ("n0", "n2", "n3")], ["b", "a", "a"])
         paused = model.run(roll, 20.0)
-        self.assertEqual((paused.mode, model.fleet["n2"].edition), (Mode.PAUSED, "a"))
+        self.assertEqual((paused.mode, model.fleet["n2"].configuration_version), (RollMode.PAUSED, "a"))
         roll, orders = undo(paused)
         model.obey(orders)
         roll = model.run(roll)
-        self.assertEqual(roll.mode, Mode.UNDONE)
-        self.assertEqual({i.edition for i in model.fleet.values()}, {"a"})
+        self.assertEqual(roll.mode, RollMode.UNDONE)
+        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"a"})
         self.assertEqual(model.up(), 4)
 
     def test_one_that_is_ready_but_delivers_nothing_pauses_the_roll(self) -> None:
         model = Model(4)
         model.barren.add("n0")
-        roll = model.run(model.plan(), until=Mode.PAUSED)
-        self.assertIn("n0 is ready but 0 of ", roll.why)
-        self.assertEqual({model.fleet[n].edition for n in ("n1", "n2", "n3")}, {"a"})
+        roll = model.run(model.plan(), until=RollMode.PAUSED)
+        self.assertIn("n0 is ready but 0 of ", roll.reason)
+        self.assertEqual({model.fleet[n].configuration_version for n in ("n1", "n2", "n3")}, {"a"})
 
     def test_falling_service_pauses_the_roll(self) -> None:
         # All others are well by their own counts; what falls is the whole.
         model = Model(4)
         roll = model.run(model.plan(), 0.5)
         for name in ("n1", "n2", "n3"):
-            model.fleet[name] = replace(model.fleet[name], edition="b")
+            model.fleet[name] = replace(model.fleet[name], configuration_version="b")
             model.barren.add(name)
-        roll = model.run(roll, until=Mode.PAUSED)
-        self.assertIn("service fell", roll.why)
+        roll = model.run(roll, until=RollMode.PAUSED)
+        self.assertIn("service fell", roll.reason)
 
     def test_a_loss_elsewhere_that_breaks_the_floor_pauses_and_a_resume_goes_on(self) -> None:
         model = Model(4)
         roll = model.run(model.plan(patience=5.0), 0.2)
-        model.fleet["n3"] = replace(model.fleet["n3"], wanted=DesiredState.STOPPED, stopping_since=model.now)
-        roll = model.run(roll, until=Mode.PAUSED)
-        self.assertIn("the floor is 3", roll.why)
-        model.fleet["n3"] = replace(model.fleet["n3"], wanted=DesiredState.RUNNING)
+        model.fleet["n3"] = replace(
+            model.fleet["n3"], desired_state=DesiredState.STOPPED, stopping_since=model.now
+        )
+        roll = model.run(roll, until=RollMode.PAUSED)
+        self.assertIn("the floor is 3", roll.reason)
+        model.fleet["n3"] = replace(model.fleet["n3"], desired_state=DesiredState.RUNNING)
         model.start("n3", "b")
         for _ in range(4):
             model.tick()
-        self.assertEqual(model.run(resume(roll)).mode, Mode.DONE)
+        self.assertEqual(model.run(resume(roll)).mode, RollMode.DONE)
         with self.assertRaises(RollRejectedError):
-            resume(roll if roll.over else replace(roll, mode=Mode.DONE))
+            resume(roll if roll.over else replace(roll, mode=RollMode.DONE))
 
     def test_what_falls_away_amid_a_roll_is_taken_next(self) -> None:
         # Guards the floor: a silent instance late in the plan kept all before it waiting for ever.
@@ -316,35 +343,35 @@
         roll = model.run(model.plan(floor=3, patience=60.0), 0.2)
         model.mute.add("n3")
         roll = model.run(roll)
-        self.assertEqual(roll.mode, Mode.DONE)
-        self.assertEqual({i.edition for i in model.fleet.values()}, {"b"})
+        self.assertEqual(roll.mode, RollMode.DONE)
+        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
 
     def test_one_stopped_by_order_is_left_out(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(floor=0), 0.2)
         for name in ("n0", "n2"):
             model.fleet[name] = replace(
-                model.fleet[name], wanted=DesiredState.STOPPED, stopping_since=model.now
+                model.fleet[name], desired_state=DesiredState.STOPPED, stopping_since=model.now
             )
-        roll = leave_out(roll, "n2", "stopped by order")
+        roll = skip_instance(roll, "n2", "stopped by order")
         roll = model.run(roll)
         stages = {s.name: s.stage for s in roll.steps}
-        self.assertEqual(stages, {"n0": RollStage.LEFT_OUT, "n1": RollStage.DONE, "n2": RollStage.LEFT_OUT})
+        self.assertEqual(stages, {"n0": RollStage.SKIPPED, "n1": RollStage.DONE, "n2": RollStage.SKIPPED})
         self.assertIsNone(model.fleet["n0"].process)
-        self.assertEqual(roll.mode, Mode.DONE)
+        self.assertEqual(roll.mode, RollMode.DONE)
 
     def test_an_end_by_order_leaves_nothing_drained(self) -> None:
         model = Model(3)
         model.leaky.add("n0")
         roll = model.run(model.plan(), 0.2)
         roll, orders = end(roll)
-        self.assertEqual((orders, roll.mode), ([Order(RollCommand.RESUME, "n0")], Mode.ENDED))
+        self.assertEqual((orders, roll.mode), ([RollOrder(RollCommand.RESUME, "n0")], RollMode.ENDED))
 
     def test_a_roll_by_sigkill_goes_without_drain(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(kill=True))
-        self.assertEqual(roll.mode, Mode.DONE)
-        self.assertNotIn(RollCommand.DRAIN, {o.do for o in model.orders})
+        self.assertEqual(roll.mode, RollMode.DONE)
+        self.assertNotIn(RollCommand.DRAIN, {o.command for o in model.orders})
 
     def test_orders_may_be_lost_or_doubled_at_every_step(self) -> None:
         # An agent that is killed has written its roll down and has carried out any part of its orders. Each
@@ -365,8 +392,8 @@
                 model.obey(orders)
                 model.least = min(model.least, model.up())
                 model.tick()
-            self.assertEqual((roll.mode, model.least), (Mode.DONE, 2), cut)
-            self.assertEqual({i.edition for i in model.fleet.values()}, {"b"}, cut)
+            self.assertEqual((roll.mode, model.least), (RollMode.DONE, 2), cut)
+            self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"}, cut)
             if not fired:
                 break
             places, cut = places + 1, cut + 1
@@ -379,9 +406,9 @@
         floor = data.draw(st.integers(0, count - 1))
         for faults in (model.stubborn, model.leaky, model.barren, model.dead_at_start):
             faults.update(data.draw(st.sets(st.sampled_from(sorted(model.fleet)), max_size=2)))
-        roll = model.run(model.plan(at_once=at_once, floor=floor, drain=2.0), 200.0, Mode.PAUSED)
+        roll = model.run(model.plan(at_once=at_once, floor=floor, drain=2.0), 200.0, RollMode.PAUSED)
         self.assertGreaterEqual(model.least, min(floor, count - at_once))
-        self.assertIn(roll.mode, (Mode.DONE, Mode.PAUSED))
+        self.assertIn(roll.mode, (RollMode.DONE, RollMode.PAUSED))
 
 
 class MeterTest(unittest.TestCase):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -24,7 +24,7 @@
 from juniperward.dead_letters.spool import Spool
 from juniperward.dead_letters.store import DeadLetterStore, Filter
 from juniperward.fleet.model import DesiredState
-from juniperward.fleet.roll_model import Mode, RollStage
+from juniperward.fleet.roll_model import RollMode, RollStage
 from juniperward.forwarder import clock, journal_codec
 from juniperward.forwarder.effects import AppendRecord, Effect, SendNotifications, SetTimer, StartAttempt
 from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, Event, JournalReplayed
@@ -278,13 +278,16 @@
     instances = {i.name: i for i in durable.instances}
     assert set(instances) == {"n1", "n2", "n3", "n4"}
     assert instances["n1"].process is not None and instances["n1"].process.pid == 4242
-    assert instances["n3"].wanted is DesiredState.STOPPED and instances["n4"].crashes.times == (1.0, 2.0)
-    assert durable.roll is not None and durable.roll.mode is Mode.PAUSED
+    assert instances["n3"].desired_state is DesiredState.STOPPED and instances["n4"].crashes.times == (
+        1.0,
+        2.0,
+    )
+    assert durable.roll is not None and durable.roll.mode is RollMode.PAUSED
     assert [s.stage for s in durable.roll.steps] == [
         RollStage.DONE,
         RollStage.SOAKING,
         RollStage.WAITING,
-        RollStage.LEFT_OUT,
+        RollStage.SKIPPED,
     ]
     body = (folder / "agent" / "state.json").read_bytes().partition(b"\n")[2]
     assert state_codec.encode(durable) == body
@@ -298,7 +301,10 @@
 
 def test_saved_versions_of_the_settings_are_read(folder: Path) -> None:
     editions = ConfigurationVersions(folder / "agent" / "editions")
-    (edition,) = [p.name for p in editions.folder.iterdir()]
+    (configuration_version,) = [p.name for p in editions.folder.iterdir()]
     for name in ("n1", "n2"):
-        config = editions.read(edition, name)
-        assert config == json.loads((editions.folder / edition / f"{name}.json").read_text()) and config
+        config = editions.read(configuration_version, name)
+        assert (
+            config == json.loads((editions.folder / configuration_version / f"{name}.json").read_text())
+            and config
+        )
