--- a/juniperward/benchmarks/slow_start.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -1,6 +1,6 @@
 """How many calls a fleet sends to a destination in slow start after an outage, against what that bears (rule 4).
 
-`juniperward measure slow-start` plays `simulation/cold_return.py` over cases, sizes of the fleet and seeds,
+`juniperward measure slow-start` plays `simulation/recovery_simulation.py` over cases, sizes of the fleet and seeds,
 and writes down every seed on which a span went over the bound, with who sent it.
 Its page: docs/measurements/cold-return.md.
 """
@@ -11,8 +11,9 @@
 from pathlib import Path
 
 from juniperward.benchmarks.report import Report
-from juniperward.simulation.cold_cases import CASES, ColdCase, ColdReturnResult
-from juniperward.simulation.cold_return import ColdReturn
+from juniperward.simulation.recovery_cases import CASES, RecoveryCase
+from juniperward.simulation.recovery_load import LoadSpan, RecoveryResult
+from juniperward.simulation.recovery_simulation import RecoverySimulation
 
 FLEET_SIZES = (1, 3, 20, 30, 200, 230)
 PROCESSES = 2
@@ -24,14 +25,14 @@
 )
 
 
-def play(case: ColdCase, forwarders: int, seed: int) -> ColdReturnResult:
+def play(case: RecoveryCase, forwarders: int, seed: int) -> RecoveryResult:
     """One run, for a process of its own."""
-    return ColdReturn(case, forwarders, seed).run()
+    return RecoverySimulation(case, forwarders, seed).run()
 
 
 def play_all(
-    cases: tuple[ColdCase, ...], sizes: tuple[int, ...], seeds: range, processes: int = PROCESSES
-) -> list[ColdReturnResult]:
+    cases: tuple[RecoveryCase, ...], sizes: tuple[int, ...], seeds: range, processes: int = PROCESSES
+) -> list[RecoveryResult]:
     """All cases at all sizes over all seeds, in that order."""
     jobs = [(case, size, seed) for case in cases for size in sizes for seed in seeds]
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
@@ -54,20 +55,20 @@
     _by_case(report, results)
     _every_fall(report, results)
     report.write(out / "cold-return.md")
-    return not any(result.breaks_the_rule for result in results)
+    return not any(result.violates_invariant for result in results)
 
 
-def _sums(report: Report, results: list[ColdReturnResult]) -> None:
+def _sums(report: Report, results: list[RecoveryResult]) -> None:
     """What each size of the fleet came to."""
     rows = []
     for size in FLEET_SIZES:
         played = [r for r in results if r.forwarders == size]
         delivered_in_slow_start = sum(r.delivered for r in played) / len(played)
         rows.append([
-            f"{size}", f"{len(played):,}", f"{sum(r.first_over is not None for r in played)}",
-            f"{sum(r.breaks_the_rule for r in played)}", f"{sum(r.notified_alone_over for r in played)}",
-            f"{sum(r.over_by_mean for r in played)}", f"{sum(r.over_with_outage for r in played)}",
-            f"{sum(r.worth for r in played) / len(played):.4f}", f"{delivered_in_slow_start:.1f}",
+            f"{size}", f"{len(played):,}", f"{sum(r.first_overload is not None for r in played)}",
+            f"{sum(r.violates_invariant for r in played)}", f"{sum(r.overload_by_notified for r in played)}",
+            f"{sum(r.overload_by_mean for r in played)}", f"{sum(r.overload_with_outage for r in played)}",
+            f"{sum(r.utility for r in played) / len(played):.4f}", f"{delivered_in_slow_start:.1f}",
         ])  # fmt: skip
     report.table(
         ["forwarders", "runs", "over the bound", "put down to the told", "told calls alone over it",
@@ -76,7 +77,7 @@
     )  # fmt: skip
 
 
-def _by_case(report: Report, results: list[ColdReturnResult]) -> None:
+def _by_case(report: Report, results: list[RecoveryResult]) -> None:
     """Runs over the bound, those put down to the told, and the fullest span as a share of the bound."""
     report.say(
         "By case: runs over the bound / put down to the told; the fullest span as a share of the bound; worth kept."
@@ -86,16 +87,20 @@
         row = [case.name]
         for size in FLEET_SIZES:
             played = [r for r in results if r.case == case and r.forwarders == size]
-            over = sum(r.first_over is not None for r in played)
-            broken = sum(r.breaks_the_rule for r in played)
-            fullest = max((r.fullest.share for r in played if r.fullest is not None), default=0.0)
-            priority_weight = sum(r.worth for r in played) / len(played)
+            over = sum(r.first_overload is not None for r in played)
+            broken = sum(r.violates_invariant for r in played)
+            fullest = max((r.peak.load_fraction for r in played if r.peak is not None), default=0.0)
+            priority_weight = sum(r.utility for r in played) / len(played)
             row.append(f"{over} / {broken}; {fullest:.2f}; {priority_weight:.3f}")
         rows.append(row)
     report.table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
 
 
-def _every_fall(report: Report, results: list[ColdReturnResult]) -> None:
+def _first_overload(span: LoadSpan) -> str:
+    return f"{span.calls} of {span.max_calls:.1f}, {span.from_notified}"
+
+
+def _every_fall(report: Report, results: list[RecoveryResult]) -> None:
     """Each seed over the bound, and who sent it."""
     report.say(
         "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them told."
@@ -104,10 +109,10 @@
     for case in CASES:
         for size in FLEET_SIZES:
             falls = [
-                f"{r.seed}: {r.first_over.calls} of {r.first_over.most:.1f}, {r.first_over.from_notified}"
-                + (" **broken**" if r.breaks_the_rule else "")
+                f"{r.seed}: {_first_overload(r.first_overload)}"
+                + (" **broken**" if r.violates_invariant else "")
                 for r in results
-                if r.case == case and r.forwarders == size and r.first_over is not None
+                if r.case == case and r.forwarders == size and r.first_overload is not None
             ]
             if falls:
                 rows.append([case.name, f"{size}", "; ".join(falls)])
--- a/juniperward/simulation/accounts.py
+++ b/juniperward/simulation/accounts.py
@@ -8,7 +8,6 @@
 from juniperward.simulation.scenario import objective_of
 
 MICROSECONDS = 1e6
-LEAST_SPAN_S = 1e-9
 
 
 class Accounts:
@@ -39,7 +38,7 @@
         utility, why = 0.0, message.ended or "no end"
         if message.done_at is not None:
             took_s = message.done_at - message.first
-            utility, why = self._utility_after(took_s), "late"
+            utility, why = self._objective.utility_after(took_s), "late"
             result.latencies.record_value(max(int(took_s * MICROSECONDS), 1))
         if utility < 1.0:
             result.lost[why] = result.lost.get(why, 0.0) + 1.0 - utility
@@ -50,13 +49,6 @@
         self._utility += utility
         self._seconds[int(message.first)][1] += utility
 
-    def _utility_after(self, took_s: float) -> float:
-        """Return the utility of a delivery: whole up to the latency objective, falling until the deadline."""
-        objective = self._objective
-        span_s = max(objective.deadline_s - objective.latency_objective_s, LEAST_SPAN_S)
-        late = max(took_s - objective.latency_objective_s, 0.0) / span_s
-        return float(1.0 - min(late, 1.0) * (1.0 - objective.late_weight))
-
     def sum_up(self) -> RunResult:
         """Count what has no end, and return the result."""
         for message in list(self._open.values()):
--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -9,13 +9,12 @@
 from juniperward.simulation.accounts import Accounts
 from juniperward.simulation.model import (
     ONE_WAY_S,
-    OVERLOAD_SPAN_S,
-    WARM_UP_S,
     Attempt,
     Partner,
     SimulatedEndpoint,
 )
 from juniperward.simulation.random_streams import RandomStreams
+from juniperward.simulation.recovery_budget import OVERLOAD_SPAN_S, WARM_UP_S
 from juniperward.simulation.timeline import Timeline
 
 REJECTION_S = 0.001  # that a rejection or a failure takes at the partner
@@ -104,7 +103,7 @@
             pushes.popleft()
         pushes.append(now)
         if partner.back_at is not None and now - partner.back_at < WARM_UP_S:
-            partner.fallen |= len(pushes) > partner.budget.most(now - partner.back_at)
+            partner.fallen |= len(pushes) > partner.budget.max_calls(now - partner.back_at)
 
     def _serve(self, attempt: Attempt, endpoint: SimulatedEndpoint, partner: Partner) -> None:
         endpoint.busy += 1
--- a/juniperward/simulation/model.py
+++ b/juniperward/simulation/model.py
@@ -10,11 +10,15 @@
 from hdrh.histogram import HdrHistogram
 
 from juniperward.scheduler.events import Event
-from juniperward.simulation.cold_budget import ColdBudget
+from juniperward.simulation.recovery_budget import (
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_SPAN_S,
+    SLOW_START_FRACTION,
+    WARM_UP_S,
+    RecoveryBudget,
+)
 
 ONE_WAY_S = 0.002  # of the network, in the mean
-OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S = 2.0, 3.0  # calls that push a cold destination over
-COLD_CAPACITY_SHARE, WARM_UP_S = 0.18, 10.0
 LONGEST_LATENCY_US = 3_600_000_000
 
 # Of settings and a seed, and of the world for one that `sees` it; makes what has handle(now, events) -> actions.
@@ -106,9 +110,11 @@
         return float(spec.rate or spec.workers * spec.at_once / spec.latency)
 
     @property
-    def budget(self) -> ColdBudget:
+    def budget(self) -> RecoveryBudget:
         """What it bears while it is cold."""
-        return ColdBudget(self.capacity(), COLD_CAPACITY_SHARE, WARM_UP_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S)
+        return RecoveryBudget(
+            self.capacity(), SLOW_START_FRACTION, WARM_UP_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S
+        )
 
     def present(self, now: float) -> float:
         """Return the calls a second that it serves now."""
--- a/juniperward/simulation/observation.py
+++ b/juniperward/simulation/observation.py
@@ -4,7 +4,8 @@
 
 from collections import deque
 
-from juniperward.simulation.model import ONE_WAY_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S, WARM_UP_S, Partner
+from juniperward.simulation.model import ONE_WAY_S, Partner
+from juniperward.simulation.recovery_budget import OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S, WARM_UP_S
 from juniperward.simulation.world import World
 
 CLOSED = ("DOWN", "SILENT", "SHUT", "FAILING")
--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -11,6 +11,7 @@
 from juniperward.settings.load import Fault as SettingsFault
 from juniperward.settings.load import SettingsError, lines
 from juniperward.simulation import scenario_pb2
+from juniperward.simulation.objective import DeliveryObjective
 
 FOLDER = Path(__file__).parent.parent.parent / "scenarios"
 DEFAULTS: dict[str, Any] = {
@@ -41,16 +42,6 @@
     size: float
 
 
-@dataclass(frozen=True, slots=True)
-class DeliveryObjective:
-    """What a delivery is worth by its latency: whole up to `latency_objective_s`, then falling evenly to
-    `late_weight` (a share from 0 to 1) at `deadline_s`; seconds from the message's arrival."""
-
-    latency_objective_s: float
-    deadline_s: float
-    late_weight: float
-
-
 # The text format's names of the traffic's objective fields.
 TRAFFIC_FIELDS = {"latency_objective_s": "aim", "deadline_s": "deadline", "late_weight": "late_worth"}
 
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -12,16 +12,18 @@
 from juniperward.simulation.destinations import Destinations
 from juniperward.simulation.forwarders import Forwarders
 from juniperward.simulation.model import (
-    COLD_CAPACITY_SHARE,
-    OVERLOAD_MULTIPLE,
-    OVERLOAD_SPAN_S,
-    WARM_UP_S,
     Partner,
     Policy,
     RunResult,
     SimulatedEndpoint,
 )
 from juniperward.simulation.random_streams import RandomStreams
+from juniperward.simulation.recovery_budget import (
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_SPAN_S,
+    SLOW_START_FRACTION,
+    WARM_UP_S,
+)
 from juniperward.simulation.scenario import Fault, Scenario, objective_of
 from juniperward.simulation.timeline import Timeline
 
@@ -68,7 +70,7 @@
         self.timeline.at(0.0, self.clients.arrive)
         self.timeline.run(self.scenario.seconds + self.scenario.traffic.deadline + AFTER_LAST_DEADLINE_S)
         result = self._accounts.sum_up()
-        result.events = self.timeline.happened
+        result.events = self.timeline.actions_run
         result.fallen = sum(partner.fallen for partner in self.partners)
         return result
 
@@ -128,7 +130,7 @@
         kinds=tuple(DestinationKind(max(int(group.batch), 1)) for group in scenario.partners),
         instances=scenario.forwarders,
         max_attempts=8,
-        cold_capacity_share=COLD_CAPACITY_SHARE,
+        cold_capacity_share=SLOW_START_FRACTION,
         warm_up_s=WARM_UP_S,
         overload_multiple=OVERLOAD_MULTIPLE,
         overload_span_s=OVERLOAD_SPAN_S,
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -19,13 +19,16 @@
 from juniperward.scheduler.outlier_detection import OutlierDetection
 from juniperward.scheduler.records import Endpoint
 from juniperward.scheduler.settings import SchedulerSettings
-from juniperward.simulation.cold_budget import ColdBudget, with_chance
-from juniperward.simulation.cold_cases import CASES, ColdCase, Outage, Span
-from juniperward.simulation.cold_return import ColdReturn
+from juniperward.simulation.recovery_budget import RecoveryBudget, with_chance_margin
+from juniperward.simulation.recovery_cases import CASES, Outage, RecoveryCase
+from juniperward.simulation.recovery_load import LoadSpan
+from juniperward.simulation.recovery_simulation import RecoverySimulation
 from juniperward.simulation.scenario import parse
 from juniperward.simulation.world import World
 
-BUDGET = ColdBudget(capacity=10.0, cold_share=0.18, warm_within=10.0, fall_multiple=2.0, fall_span=3.0)
+BUDGET = RecoveryBudget(
+    capacity_per_s=10.0, slow_start_fraction=0.18, warm_up_s=10.0, overload_multiple=2.0, overload_span_s=3.0
+)
 FALLING = """
 shows: "one destination that falls"
 seconds: 5 forwarders: 1 slots: 8 max_open: 50
@@ -36,33 +39,33 @@
 
 class BudgetTest(unittest.TestCase):
     def test_the_budget_is_multiple_times_present_capacity_times_span(self) -> None:
-        self.assertAlmostEqual(BUDGET.calls(0.0), 2.0 * 0.18 * 10.0 * 3.0)
-        self.assertAlmostEqual(BUDGET.calls(5.0), 2.0 * (0.18 + 0.82 / 2) * 10.0 * 3.0)
-        self.assertAlmostEqual(BUDGET.calls(10.0), 60.0)
-        self.assertAlmostEqual(BUDGET.calls(99.0), 60.0)
+        self.assertAlmostEqual(BUDGET.expected_calls(0.0), 2.0 * 0.18 * 10.0 * 3.0)
+        self.assertAlmostEqual(BUDGET.expected_calls(5.0), 2.0 * (0.18 + 0.82 / 2) * 10.0 * 3.0)
+        self.assertAlmostEqual(BUDGET.expected_calls(10.0), 60.0)
+        self.assertAlmostEqual(BUDGET.expected_calls(99.0), 60.0)
 
     def test_two_roots_and_two_calls_are_put_down_to_chance(self) -> None:
-        self.assertAlmostEqual(with_chance(16.0), 16.0 + 8.0 + 2.0)
-        self.assertAlmostEqual(BUDGET.most(10.0), with_chance(60.0))
+        self.assertAlmostEqual(with_chance_margin(16.0), 16.0 + 8.0 + 2.0)
+        self.assertAlmostEqual(BUDGET.max_calls(10.0), with_chance_margin(60.0))
 
     def test_the_mean_over_the_span_is_never_above_the_capacity_at_its_end(self) -> None:
         for tenths in range(100):
             since = tenths / 10.0
-            self.assertLessEqual(BUDGET.most_by_mean(since), BUDGET.most(since) + 1e-9)
+            self.assertLessEqual(BUDGET.max_calls_by_mean(since), BUDGET.max_calls(since) + 1e-9)
         steps = [BUDGET.present_capacity(7.0 + n / 1000.0) for n in range(-3000, 1)]
         mean = sum(steps) / len(steps)
-        self.assertAlmostEqual(BUDGET.most_by_mean(7.0), with_chance(2.0 * mean * 3.0), places=3)
+        self.assertAlmostEqual(BUDGET.max_calls_by_mean(7.0), with_chance_margin(2.0 * mean * 3.0), places=3)
 
     def test_a_fall_is_put_down_to_the_told_beyond_two_thirds(self) -> None:
-        self.assertFalse(Span(1.0, 30, 20, 29.0).breaks_the_rule)
-        self.assertTrue(Span(1.0, 30, 21, 29.0).breaks_the_rule)
-        self.assertFalse(Span(1.0, 29, 29, 29.0).breaks_the_rule)
+        self.assertFalse(LoadSpan(1.0, 30, 20, 29.0).violates_invariant)
+        self.assertTrue(LoadSpan(1.0, 30, 21, 29.0).violates_invariant)
+        self.assertFalse(LoadSpan(1.0, 29, 29, 29.0).violates_invariant)
 
     def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
         world = World(parse(FALLING, "falling.textproto"), DeliveryScheduler, 1)
         partner = world.partners[0]
         partner.back_at, world.timeline.now = 0.0, 1.0
-        borne = int(partner.budget.most(1.0))
+        borne = int(partner.budget.max_calls(1.0))
         for n in range(borne):
             world.destinations.rejection(partner, partner.workers[0])
             self.assertFalse(partner.fallen, n)
@@ -91,16 +94,18 @@
 
 class FleetTest(unittest.TestCase):
     def test_the_same_seed_gives_the_same_run(self) -> None:
-        case = ColdCase(Outage.SILENT, listed=True, batch=20, half_see=True)
-        self.assertEqual(ColdReturn(case, 30, 5).run(), ColdReturn(case, 30, 5).run())
-        self.assertNotEqual(ColdReturn(case, 30, 5).run(), ColdReturn(case, 30, 6).run())
+        case = RecoveryCase(Outage.UNRESPONSIVE, rate_listed=True, batch_size=20, half_idle=True)
+        self.assertEqual(RecoverySimulation(case, 30, 5).run(), RecoverySimulation(case, 30, 5).run())
+        self.assertNotEqual(RecoverySimulation(case, 30, 5).run(), RecoverySimulation(case, 30, 6).run())
 
     def test_no_fleet_that_was_told_pushes_a_cold_destination_over(self) -> None:
         """A subset of `juniperward measure slow-start`, which has the sizes and seeds that are over the bound."""
         results = play_all(CASES, (1, 3, 30, 230), range(1, 3))
-        broken = [(r.case.name, r.forwarders, r.seed, r.first_over) for r in results if r.breaks_the_rule]
+        broken = [
+            (r.case.name, r.forwarders, r.seed, r.first_overload) for r in results if r.violates_invariant
+        ]
         self.assertEqual(broken, [])
-        notified = [r for r in results if r.forwarders == 230 and r.case.outage is not Outage.SILENT]
+        notified = [r for r in results if r.forwarders == 230 and r.case.outage is not Outage.UNRESPONSIVE]
         self.assertTrue(all(r.notified >= 5 for r in notified), min(r.notified for r in notified))
         self.assertTrue(all(r.delivered for r in results))
 
@@ -108,19 +113,27 @@
         """Each forwarder has hardly a call on its way: four in a row at an endpoint never come together."""
         for listed in (False, True):
             for seed in range(1, 9):
-                result = ColdReturn(ColdCase(Outage.DOWN, listed), 200, seed).run()
-                self.assertFalse(result.breaks_the_rule, (listed, seed, result.first_over))
+                result = RecoverySimulation(RecoveryCase(Outage.DOWN, listed), 200, seed).run()
+                self.assertFalse(result.violates_invariant, (listed, seed, result.first_overload))
 
     def test_a_pace_that_messages_wait_for_outlasts_a_short_shut(self) -> None:
         """Twenty forwarders, shut for under 6 s: none of them held to trials, and each flushed all that it held."""
         for seed in (15, 19, 36):
-            result = ColdReturn(ColdCase(Outage.SHUT), 20, seed).run()
-            self.assertIsNone(result.first_over, seed)
+            result = RecoverySimulation(RecoveryCase(Outage.REJECTING), 20, seed).run()
+            self.assertIsNone(result.first_overload, seed)
 
     def test_a_fleet_that_heeds_nothing_is_found_out(self) -> None:
-        for outage in (Outage.FAILING, Outage.SILENT, Outage.SHUT, Outage.SHUT_WITH_WAIT, Outage.DOWN):
-            results = [ColdReturn(ColdCase(outage), 200, seed, Heedless).run() for seed in range(1, 7)]
-            self.assertGreater(sum(result.breaks_the_rule for result in results), 2, outage)
+        for outage in (
+            Outage.FAILING,
+            Outage.UNRESPONSIVE,
+            Outage.REJECTING,
+            Outage.REJECTING_WITH_RETRY_AFTER,
+            Outage.DOWN,
+        ):
+            results = [
+                RecoverySimulation(RecoveryCase(outage), 200, seed, Heedless).run() for seed in range(1, 7)
+            ]
+            self.assertGreater(sum(result.violates_invariant for result in results), 2, outage)
 
     def test_the_measurement_writes_its_page_and_says_whether_the_rule_held(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -135,15 +148,17 @@
     return sorted(r.at for r in records if isinstance(r, Called) and r.at >= returned)
 
 
-def overfull(calls: list[float], returned: float, budget: ColdBudget) -> Iterator[tuple[float, int, float]]:
+def overfull(
+    calls: list[float], returned: float, budget: RecoveryBudget
+) -> Iterator[tuple[float, int, float]]:
     """Spans over the bound: when they end after the return, their calls, and the most that is borne."""
     lately: deque[float] = deque()
     for at in calls:
         lately.append(at)
-        while lately[0] <= at - budget.fall_span:
+        while lately[0] <= at - budget.overload_span_s:
             lately.popleft()
-        most = budget.most(at - returned)
-        if len(lately) > most and at - returned < budget.warm_within:
+        most = budget.max_calls(at - returned)
+        if len(lately) > most and at - returned < budget.warm_up_s:
             yield at - returned, len(lately), most
 
 
@@ -183,7 +198,7 @@
         self.assertEqual(len(senders), self.FORWARDERS)
         calls = calls_since(records, destination.capacity.recovered_at)
         self.assertGreater(len(calls), 20)
-        budget = ColdBudget(
+        budget = RecoveryBudget(
             self.SPEC.capacity, self.SPEC.warm_up_start_fraction, self.SPEC.warm_up_s, 2.0, 3.0
         )
         self.assertEqual(list(overfull(calls, destination.capacity.recovered_at, budget)), [])
