--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -89,7 +89,7 @@
             tuple(instance.name for instance in settings.instances),
             frozenset(instance.name for instance in settings.instances if instance.stopped),
             version,
-            Rules(settings.restart, settings.patience, settings.roll),
+            Rules(settings.restart, settings.timeouts, settings.roll),
             requested_by,
         )
 
--- a/juniperward/agent/messages.py
+++ b/juniperward/agent/messages.py
@@ -7,7 +7,7 @@
 
 from pyrsistent import PMap, pmap
 
-from juniperward.fleet.model import Instance, Patience, Process, Reading, RestartRules, RollRules
+from juniperward.fleet.model import Instance, Process, Reading, RestartPolicy, RollRules, Timeouts
 from juniperward.fleet.roll_model import Roll, RollOrder
 from juniperward.fleet.service import Meter
 
@@ -35,8 +35,8 @@
 class Rules:
     """What the settings say of decisions."""
 
-    restart: RestartRules = RestartRules()
-    patience: Patience = Patience()
+    restart: RestartPolicy = RestartPolicy()
+    timeouts: Timeouts = Timeouts()
     roll: RollRules = RollRules()
 
 
--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -127,7 +127,7 @@
             round_.emit(
                 SpawnProcess(instance.name, instance.configuration_version or state.configuration_version)
             )
-        elif kill_due(instance, round_.now, state.rules.patience):
+        elif kill_due(instance, round_.now, state.rules.timeouts):
             round_.log("does not end", {"instance": instance.name}, "warning")
             self._kill(instance)
         elif _serves_though_drained(instance):
--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -34,11 +34,11 @@
 
     def phase_of(self, instance: Instance) -> Phase:
         """Return the observed state of an instance."""
-        return phase(instance, self.now, self.state.rules.patience)
+        return phase(instance, self.now, self.state.rules.timeouts)
 
     def fleet(self) -> FleetView:
         """Return the fleet as a decision about a roll sees it."""
-        return FleetView(self.state.instances, self.state.meter, self.now, self.state.rules.patience)
+        return FleetView(self.state.instances, self.state.meter, self.now, self.state.rules.timeouts)
 
     def log(self, event: str, fields: Mapping[str, Any], level: str = "info") -> None:
         """Log an event; one of an instance that a roll is restarting names the roll and its stage."""
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -100,7 +100,7 @@
         for name, instance in state.instances.items():
             if name not in addresses or instance.reading is None:
                 continue
-            if phase(instance, time.monotonic(), state.rules.patience) is Phase.READY:
+            if phase(instance, time.monotonic(), state.rules.timeouts) is Phase.READY:
                 host, _, port = addresses[name].rpartition(":")
                 found[name] = ReadyInstance((host, int(port)), instance.reading)
         return found
@@ -148,7 +148,7 @@
     def _stop_instances(self) -> None:
         """Have all instances stopped, and wait for it within a bound."""
         self._loop.post(ControlRequest(0, "stop"))
-        until = time.monotonic() + 2 * self._loop.settings.patience.stop + STOP_MARGIN_S
+        until = time.monotonic() + 2 * self._loop.settings.timeouts.stop_s + STOP_MARGIN_S
         while time.monotonic() < until:
             instances = self._loop.reducer.state.instances.values()
             if all(instance.process is None for instance in instances):
--- a/juniperward/agent/state_codec.py
+++ b/juniperward/agent/state_codec.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import fields, is_dataclass
 from functools import cache
 from typing import Any, get_args, get_type_hints
@@ -13,10 +14,11 @@
 import msgspec
 
 from juniperward.agent.messages import PersistentState
-from juniperward.fleet.model import Crashes, Instance
+from juniperward.fleet.model import Crashes, Instance, RollRules
 from juniperward.fleet.roll_model import Roll, RollStep
+from juniperward.settings.rule_keys import KEYS
 
-STORED_NAMES: dict[type, dict[str, str]] = {
+STORED_NAMES: Mapping[type, Mapping[str, str]] = {
     PersistentState: {"rolls_made": "rolls", "configuration_version": "edition"},
     Instance: {
         "desired_state": "wanted",
@@ -32,6 +34,7 @@
         "baseline_success_rate": "baseline",
         "blocked_since": "stuck_since",
     },
+    RollRules: KEYS[RollRules],
     RollStep: {"previous_version": "before", "stage_since": "since", "detail": "note"},
 }
 
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -6,14 +6,14 @@
 
 from juniperward.agent.messages import State
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import DesiredState, Instance, Patience, Phase
+from juniperward.fleet.model import DesiredState, Instance, Phase, Timeouts
 from juniperward.fleet.roll_model import Roll
 
 
 def status(s: State, now: float) -> dict[str, Any]:
     """The complete fleet of this agent."""
     rows = [
-        instance(s.instances[n], now, s.rules.patience, s.configuration_version) for n in sorted(s.instances)
+        instance(s.instances[n], now, s.rules.timeouts, s.configuration_version) for n in sorted(s.instances)
     ]
     lately = s.meter.lately(now, 10.0)
     return {
@@ -26,10 +26,10 @@
     }
 
 
-def instance(i: Instance, now: float, patience: Patience, configuration_version: str) -> dict[str, Any]:
+def instance(i: Instance, now: float, timeouts: Timeouts, configuration_version: str) -> dict[str, Any]:
     """One row; what is not known is null."""
     r = i.reading
-    state = phase(i, now, patience)
+    state = phase(i, now, timeouts)
     why = i.crashes.crash_loop or ""
     if state is Phase.UNRESPONSIVE and i.unanswered_since is not None:
         why = f"no answer for {now - i.unanswered_since:.1f} s"
@@ -83,8 +83,8 @@
         "mode": roll.mode.value,
         "why": roll.reason,
         "target": roll.target_version,
-        "at_once": roll.rules.at_once,
-        "floor": roll.rules.floor,
+        "at_once": roll.rules.batch_size,
+        "floor": roll.rules.min_ready,
         "baseline": roll.baseline_success_rate,
         "over": roll.over,
         "steps": steps,
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -98,38 +98,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RestartRules:
-    """When an instance that ended by itself is started again; times in seconds."""
+class RestartPolicy:
+    """When an instance that ended by itself is started again: after a backoff, and not at all in a crash loop."""
 
-    first: float = 0.5  # wait before the first restart
-    most: float = 30.0  # longest wait; it doubles with each crash in a row
-    jitter: float = 0.25  # part by which a wait varies to both sides
-    steady: float = 20.0  # ran so long: the next crash is a first one again
-    crashes: int = 5  # so many ...
-    span: float = 60.0  # ... within such a time: a crash loop
+    first_delay_s: float = 0.5  # before the first restart
+    max_delay_s: float = 30.0  # the delay doubles with each crash in a row, up to this
+    jitter: float = 0.25  # fraction by which a delay varies to both sides
+    stable_after_s: float = 20.0  # ran so long after it was ready: the next crash is a first one again
+    crash_limit: int = 5  # so many crashes ...
+    crash_window_s: float = 60.0  # ... within such a time are a crash loop
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
-    """How long an instance may take; times in seconds."""
+class Timeouts:
+    """How long an instance may take."""
 
-    silent: float = 2.0  # without an answer: silent
-    start: float = 15.0  # from its start to ready
-    stop: float = 4.0  # from SIGTERM to SIGKILL
+    unresponsive_s: float = 2.0  # without an answer: unresponsive
+    start_s: float = 15.0  # from its start to ready
+    stop_s: float = 4.0  # from SIGTERM to SIGKILL
 
 
 @dataclass(frozen=True, slots=True)
 class RollRules:
-    """How a roll goes; times in seconds, shares from 0 to 1."""
-
-    at_once: int = 1  # instances away because of the roll
-    floor: int = 0  # least ready instances, at any time
-    drain: float = 10.0  # longest wait for drained; what is held then stays in the journal
-    soak: float = 3.0  # after ready, before the next; lengthened until there is something to judge by
-    soak_most: float = 15.0
-    least_calls: int = 10  # calls ended that an instance is judged by
-    soak_share: float = 0.7  # x the fleet's share of good calls before: an instance must reach it
-    fall: float = 0.7  # x the same: the fleet must keep it meanwhile
-    window: float = 5.0  # over which the fleet's share is taken
-    patience: float = 30.0  # a roll that cannot go on for so long pauses
+    """How a roll proceeds; success rates are fractions of the finished attempts, from 0 to 1."""
+
+    batch_size: int = 1  # instances that the roll restarts at the same time
+    min_ready: int = 0  # the floor: instances that stay ready at any time
+    drain_timeout_s: float = 10.0  # then it is stopped; what is pending stays in its journal
+    soak_s: float = 3.0  # from ready to the next instance; longer until there are attempts to judge by
+    max_soak_s: float = 15.0
+    min_attempts: int = 10  # finished attempts that an instance is judged by
+    instance_success_factor: float = 0.7  # x the baseline: the success rate that an instance must reach
+    fleet_success_factor: float = 0.7  # x the baseline: the success rate that the fleet must keep meanwhile
+    success_window_s: float = 5.0  # over which the fleet's success rate is taken
+    blocked_timeout_s: float = 30.0  # a roll that the floor blocks for so long pauses
     kill: bool = False  # end instances by SIGKILL, without drain: a rehearsal of the worst
--- a/juniperward/fleet/roll_commands.py
+++ b/juniperward/fleet/roll_commands.py
@@ -36,7 +36,7 @@
     away = {name for name in running if fleet.phase_of(fleet.instances[name]) in NOT_SERVING}
     order = [name for name in running if name in away] + [name for name in running if name not in away]
     steps = tuple(RollStep(name, fleet.instances[name].configuration_version or target) for name in order)
-    baseline = fleet.lately(rules.window).share
+    baseline = fleet.lately(rules.success_window_s).share
     return Roll(roll_id, target, rules, steps, baseline_success_rate=baseline, made_at=fleet.now)
 
 
@@ -52,11 +52,11 @@
 
 
 def _check_rules(rules: RollRules, fleet: FleetView) -> None:
-    if rules.at_once < 1:
+    if rules.batch_size < 1:
         raise BatchSizeError
     wanted = sum(instance.desired_state is DesiredState.RUNNING for instance in fleet.instances.values())
-    if rules.floor > wanted - 1:
-        raise FloorError(rules.floor, wanted)
+    if rules.min_ready > wanted - 1:
+        raise FloorError(rules.min_ready, wanted)
 
 
 def check_not_over(roll: Roll) -> None:
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import Instance, Patience, Phase, RollRules
+from juniperward.fleet.model import Instance, Phase, RollRules, Timeouts
 from juniperward.fleet.service import Meter, Tally
 
 FAILURE_MARK = "!"  # first character of the detail of a step that failed
@@ -130,11 +130,11 @@
     instances: Mapping[str, Instance]
     meter: Meter
     now: float
-    patience: Patience
+    timeouts: Timeouts
 
     def phase_of(self, instance: Instance) -> Phase:
         """Return the observed state of an instance."""
-        return phase(instance, self.now, self.patience)
+        return phase(instance, self.now, self.timeouts)
 
     def ready(self) -> set[str]:
         """Return the names of the instances that take messages."""
--- a/juniperward/fleet/roll_progress.py
+++ b/juniperward/fleet/roll_progress.py
@@ -74,15 +74,15 @@
     waiting = [step for step in roll.steps if step.stage is RollStage.WAITING]
     # What is away by now costs nothing, and may be what holds the floor.
     for step in sorted(waiting, key=lambda step: step.name in ready):
-        if len(active) >= roll.rules.at_once:
+        if len(active) >= roll.rules.batch_size:
             break
         if _stopped_by_order(step, fleet):
             roll = _enter(roll, step, RollStage.SKIPPED, fleet.now, "not meant to run any more")
             continue
         left = len(ready - {step.name})
-        if step.name in ready and left < roll.rules.floor:
+        if step.name in ready and left < roll.rules.min_ready:
             blocked = (
-                f"{step.name} cannot go: {left} ready ones would be left, the floor is {roll.rules.floor}"
+                f"{step.name} cannot go: {left} ready ones would be left, the floor is {roll.rules.min_ready}"
             )
             break
         roll, order = _begin(roll, step, step.name in ready, fleet.now)
@@ -108,7 +108,7 @@
 def _wait_for_floor(roll: Roll, why: str, now: float) -> Roll:
     """Pause where the floor has been in the way for too long."""
     since = roll.blocked_since if roll.blocked_since is not None else now
-    if now - since >= roll.rules.patience:
+    if now - since >= roll.rules.blocked_timeout_s:
         return pause(roll, why)
     return replace(roll, blocked_since=since)
 
@@ -117,10 +117,10 @@
     """Pause where the fleet delivers less of what it attempts than before the roll."""
     if roll.mode is RollMode.UNDOING:
         return roll  # going back is what mends it
-    lately = fleet.lately(roll.rules.window)
-    if roll.baseline_success_rate is None or lately.ended < roll.rules.least_calls or lately.share is None:
+    lately = fleet.lately(roll.rules.success_window_s)
+    if roll.baseline_success_rate is None or lately.ended < roll.rules.min_attempts or lately.share is None:
         return roll
-    if lately.share >= roll.rules.fall * roll.baseline_success_rate:
+    if lately.share >= roll.rules.fleet_success_factor * roll.baseline_success_rate:
         return roll
     return pause(
         roll,
@@ -168,11 +168,11 @@
     stop = RollOrder(RollCommand.STOP, step.name)
     if observed is Phase.DRAINED:
         return _enter(roll, step, RollStage.STOPPING, now), [stop]
-    if now - step.stage_since >= roll.rules.drain:
+    if now - step.stage_since >= roll.rules.drain_timeout_s:
         # What it holds is in its journal: the next process goes on with it.
         unfinished = instance.reading.unfinished if instance.reading is not None else 0
         why = "silent" if observed is Phase.UNRESPONSIVE else f"{unfinished} still owed"
-        detail = f"not drained within {roll.rules.drain:g} s ({why})"
+        detail = f"not drained within {roll.rules.drain_timeout_s:g} s ({why})"
         return _enter(roll, step, RollStage.STOPPING, now, detail), [stop]
     return roll, [] if instance.drain_requested else [RollOrder(RollCommand.DRAIN, step.name)]
 
@@ -201,7 +201,7 @@
 
 def _start_failure(step: RollStep, instance: Instance, fleet: FleetView) -> str:
     """Return why an instance has not come up, or an empty text where it may still do so."""
-    crashes, patience = instance.crashes, fleet.patience
+    crashes, timeouts = instance.crashes, fleet.timeouts
     if crashes.crash_loop:
         return crashes.crash_loop
     if (
@@ -211,9 +211,9 @@
         and crashes.times[-1] > step.stage_since
     ):
         return f"it ended at its start: {instance.last_exit}"
-    never_started = instance.process is None and fleet.now - step.stage_since >= patience.start
-    if never_started or overdue_start(instance, fleet.now, patience):
-        return f"not ready {patience.start:g} s after its start"
+    never_started = instance.process is None and fleet.now - step.stage_since >= timeouts.start_s
+    if never_started or overdue_start(instance, fleet.now, timeouts):
+        return f"not ready {timeouts.start_s:g} s after its start"
     return ""
 
 
@@ -236,17 +236,17 @@
     baseline = (
         roll.baseline_success_rate if roll.baseline_success_rate is not None else SHARE_WITHOUT_BASELINE
     )
-    least_share = rules.soak_share * baseline
-    if done.ended >= rules.least_calls and done.share is not None and done.share < least_share:
-        if soaked_s < rules.soak:
+    least_share = rules.instance_success_factor * baseline
+    if done.ended >= rules.min_attempts and done.share is not None and done.share < least_share:
+        if soaked_s < rules.soak_s:
             return roll, []
         why = f"{done.good} of {done.ended} calls deliver, {least_share:.2f} of them must"
         return _fail(roll, step, "is ready but ", why)
-    if soaked_s >= rules.soak_most or (soaked_s >= rules.soak and _enough(done, roll)):
-        few = "" if done.ended >= rules.least_calls else f"only {done.ended} calls to judge it by"
+    if soaked_s >= rules.max_soak_s or (soaked_s >= rules.soak_s and _enough(done, roll)):
+        few = "" if done.ended >= rules.min_attempts else f"only {done.ended} calls to judge it by"
         return _enter(roll, step, RollStage.DONE, now, few), []
     return roll, []
 
 
 def _enough(done: Tally, roll: Roll) -> bool:
-    return done.ended >= roll.rules.least_calls or roll.baseline_success_rate is None
+    return done.ended >= roll.rules.min_attempts or roll.baseline_success_rate is None
--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -10,12 +10,13 @@
 from typing import Any
 
 from juniperward.dead_letters.redriver import RedriveRules
-from juniperward.fleet.model import Patience, RestartRules, RollRules
+from juniperward.fleet.model import RestartPolicy, RollRules, Timeouts
 from juniperward.settings import fleet_pb2
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import lines
 from juniperward.settings.redrive_checker import redrive_rules
+from juniperward.settings.rule_keys import field_values, key_of
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,31}")
 NAME_NEEDED = "1 to 32 letters, digits, '-' and '_' are needed"
@@ -75,8 +76,8 @@
             folder,
             socket,
             instances,
-            RestartRules(**self.numbers("restart", message.restart, RestartRules)),
-            Patience(**self.numbers("patience", message.patience, Patience)),
+            RestartPolicy(**self._rules("restart", message.restart, RestartPolicy)),
+            Timeouts(**self._rules("patience", message.patience, Timeouts)),
             roll,
             logs.bytes if logs.HasField("bytes") else DEFAULT_LOG_BYTES,
             logs.keep if logs.HasField("keep") else DEFAULT_LOG_FILES_RETAINED,
@@ -91,7 +92,7 @@
 
     def numbers(self, field: str, given: Any, kind: type[Any], only_numbers: bool = False) -> dict[str, Any]:
         """Return the set fields of a part, each within its bounds; `only_numbers` passes over the others."""
-        known = {known_field.name for known_field in fields(kind)}
+        known = {key_of(kind, known_field.name) for known_field in fields(kind)}
         found: dict[str, Any] = {}
         for descriptor, value in given.ListFields():
             name = descriptor.name
@@ -103,12 +104,16 @@
             found[name] = value
         return found
 
+    def _rules(self, part: str, given: Any, kind: type[Any]) -> dict[str, Any]:
+        """Return the set fields of a part of the file by the fields' names of `kind`."""
+        return field_values(kind, self.numbers(part, given, kind))
+
     def _roll(self, instances: Sequence[InstanceSettings]) -> RollRules:
         given = self._message.roll
-        rules = self.numbers("roll", given, RollRules)
+        rules = self._rules("roll", given, RollRules)
         running = sum(not instance.stopped for instance in instances)
         if not given.HasField("floor"):
-            rules["floor"] = max(running - rules.get("at_once", 1), 0)
+            rules["min_ready"] = max(running - rules.get("batch_size", 1), 0)
         elif running and given.floor > running - 1:
             self.fault("roll.floor", f"{given.floor} of {running} must stay ready: no roll can begin")
         return RollRules(**rules)
--- a/juniperward/settings/fleet_settings.py
+++ b/juniperward/settings/fleet_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from juniperward.dead_letters.redriver import RedriveRules
-from juniperward.fleet.model import Patience, RestartRules, RollRules
+from juniperward.fleet.model import RestartPolicy, RollRules, Timeouts
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
     folder: Path
     socket: Path  # of the agent's API
     instances: tuple[InstanceSettings, ...]
-    restart: RestartRules
-    patience: Patience
+    restart: RestartPolicy
+    timeouts: Timeouts
     roll: RollRules
     log_bytes: int
     log_keep: int
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -13,6 +13,7 @@
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import lines
+from juniperward.settings.rule_keys import key_of
 
 __all__ = ["Fault", "FleetSettings", "InstanceSettings", "SettingsError", "lines", "load", "show"]
 
@@ -46,12 +47,13 @@
         )
     parts = (
         (message.restart, settings.restart),
-        (message.patience, settings.patience),
+        (message.patience, settings.timeouts),
         (message.roll, settings.roll),
     )
     for part, values in parts:
         for field in fields(values):
-            if field.name in part.DESCRIPTOR.fields_by_name:
-                setattr(part, field.name, getattr(values, field.name))
+            key = key_of(type(values), field.name)
+            if key in part.DESCRIPTOR.fields_by_name:
+                setattr(part, key, getattr(values, field.name))
     message.logs.bytes, message.logs.keep = settings.log_bytes, settings.log_keep
     return text_format.MessageToString(message)
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -39,12 +39,12 @@
     WatchInstance,
 )
 from juniperward.agent.reducer import Reducer
-from juniperward.fleet.model import Patience, Process, Reading, RestartRules, RollRules
+from juniperward.fleet.model import Process, Reading, RestartPolicy, RollRules, Timeouts
 from tests.test_fleet import BLANK
 
 RULES = Rules(
-    RestartRules(first=0.3, most=2.0), Patience(silent=1.0, start=8.0, stop=2.0),
-    RollRules(floor=2, soak=0.5, soak_most=2.0, drain=3.0, patience=6.0),
+    RestartPolicy(first_delay_s=0.3, max_delay_s=2.0), Timeouts(unresponsive_s=1.0, start_s=8.0, stop_s=2.0),
+    RollRules(min_ready=2, soak_s=0.5, max_soak_s=2.0, drain_timeout_s=3.0, blocked_timeout_s=6.0),
 )  # fmt: skip
 
 
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -157,7 +157,7 @@
     roll = Roll(
         "r3",
         configuration_version,
-        RollRules(at_once=2, floor=1),
+        RollRules(batch_size=2, min_ready=1),
         steps,
         RollMode.PAUSED,
         "n2 does not deliver",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,12 +14,12 @@
     Crashes,
     DesiredState,
     Instance,
-    Patience,
     Phase,
     Process,
     Reading,
-    RestartRules,
+    RestartPolicy,
     RollRules,
+    Timeouts,
 )
 from juniperward.fleet.roll_commands import end, plan, resume, skip_instance, undo
 from juniperward.fleet.roll_errors import RollRejectedError
@@ -34,7 +34,7 @@
 from juniperward.fleet.roll_progress import advance
 from juniperward.fleet.service import Meter, Tally
 
-PATIENCE = Patience()
+TIMEOUTS = Timeouts()
 BLANK = Reading(
     at=0.0,
     pid=1,
@@ -104,15 +104,15 @@
                     self.start(name, i.configuration_version)
                 continue
             if name in self.dead_at_start and i.configuration_version == "b":
-                self.fleet[name] = after_exit(i, self.now, "exit 1", RestartRules(), 0.5)
+                self.fleet[name] = after_exit(i, self.now, "exit 1", RestartPolicy(), 0.5)
                 continue
             mute = name in self.mute
             if i.stopping_since is not None and not mute and name not in self.stubborn:
-                self.fleet[name] = after_exit(i, self.now, "exit 0", RestartRules(), 0.5)
+                self.fleet[name] = after_exit(i, self.now, "exit 0", RestartPolicy(), 0.5)
                 continue
-            if kill_due(i, self.now, PATIENCE):
+            if kill_due(i, self.now, TIMEOUTS):
                 self.mute.discard(name)
-                self.fleet[name] = after_exit(i, self.now, "signal 9", RestartRules(), 0.5)
+                self.fleet[name] = after_exit(i, self.now, "signal 9", RestartPolicy(), 0.5)
                 continue
             if mute:
                 since = i.unanswered_since if i.unanswered_since is not None else self.now
@@ -146,13 +146,13 @@
                 self.fleet[o.name] = replace(i, stopping_since=self.now)
 
     def up(self) -> int:
-        return sum(phase(i, self.now, PATIENCE) is Phase.READY for i in self.fleet.values())
+        return sum(phase(i, self.now, TIMEOUTS) is Phase.READY for i in self.fleet.values())
 
     def view(self) -> FleetView:
-        return FleetView(self.fleet, self.meter, self.now, PATIENCE)
+        return FleetView(self.fleet, self.meter, self.now, TIMEOUTS)
 
     def plan(self, target: str = "b", **rules: float) -> Roll:
-        made = RollRules(**{"floor": len(self.fleet) - 1, "soak": 1.0, **rules})  # type: ignore[arg-type]
+        made = RollRules(**{"min_ready": len(self.fleet) - 1, "soak_s": 1.0, **rules})  # type: ignore[arg-type]
         return plan("r1", target, list(self.fleet), made, self.view())
 
     def run(self, roll: Roll, seconds: float = 300.0, until: RollMode | None = None) -> Roll:
@@ -186,12 +186,12 @@
         ]
         for i, expected in cases:
             with self.subTest(expected=expected, i=i):
-                self.assertEqual(phase(i, now, PATIENCE), expected)
+                self.assertEqual(phase(i, now, TIMEOUTS), expected)
 
 
 class RestartsTest(unittest.TestCase):
     def test_waits_double_and_a_crash_loop_fails(self) -> None:
-        rules = RestartRules(first=0.5, crashes=5, span=60.0)
+        rules = RestartPolicy(first_delay_s=0.5, crash_limit=5, crash_window_s=60.0)
         i, now, waits = Instance("a", DesiredState.RUNNING, Process(1, 1)), 0.0, []
         for _ in range(4):
             i = after_exit(i, now, "exit 1", rules, 0.5)
@@ -203,27 +203,31 @@
             i = replace(i, process=Process(1, 1), started_at=now)
         self.assertEqual(waits, [0.5, 1.0, 2.0, 4.0])
         i = after_exit(i, now, "exit 1", rules, 0.5)
-        self.assertEqual(phase(i, now, PATIENCE), Phase.FAILED)
+        self.assertEqual(phase(i, now, TIMEOUTS), Phase.FAILED)
         self.assertIn("5 crashes within 60 s, the last: exit 1", i.crashes.crash_loop)
         self.assertFalse(start_due(i, now + 1e6))
 
     def test_one_that_ran_steadily_begins_anew(self) -> None:
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), was_ready=True, crashes=Crashes((), 6))
-        i = after_exit(i, 100.0, "exit 1", RestartRules(), 0.5)
+        i = after_exit(i, 100.0, "exit 1", RestartPolicy(), 0.5)
         self.assertEqual((i.crashes.consecutive, i.crashes.restart_at), (1, 100.5))
 
     def test_an_end_that_was_asked_for_is_no_crash(self) -> None:
         i = Instance("a", DesiredState.STOPPED, Process(1, 1), stopping_since=1.0, drain_requested=True)
-        self.assertEqual(after_exit(i, 2.0, "exit 0", RestartRules(), 0.5), Instance("a", last_exit="exit 0"))
+        self.assertEqual(
+            after_exit(i, 2.0, "exit 0", RestartPolicy(), 0.5), Instance("a", last_exit="exit 0")
+        )
 
     @settings(derandomize=True, max_examples=200)
     @given(st.integers(0, 60), st.floats(0, 1))
     def test_no_wait_leaves_its_bounds(self, consecutive: int, chance: float) -> None:
-        rules = RestartRules()
+        rules = RestartPolicy()
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), crashes=Crashes((), consecutive))
         at = after_exit(i, 50.0, "x", rules, chance).crashes.restart_at
         assert at is not None
-        self.assertTrue(rules.first * (1 - rules.jitter) <= at - 50.0 <= rules.most * (1 + rules.jitter))
+        self.assertTrue(
+            rules.first_delay_s * (1 - rules.jitter) <= at - 50.0 <= rules.max_delay_s * (1 + rules.jitter)
+        )
 
 
 class RollTest(unittest.TestCase):
@@ -242,7 +246,7 @@
     def test_batches_go_together(self) -> None:
         model = Model(6)
         began = model.now
-        roll = model.run(model.plan(at_once=3, floor=3))
+        roll = model.run(model.plan(batch_size=3, min_ready=3))
         self.assertEqual((roll.mode, model.least), (RollMode.DONE, 3))
         one = Model(6)
         start = one.now
@@ -251,7 +255,7 @@
 
     def test_a_floor_that_cannot_be_held_is_no_plan(self) -> None:
         model = Model(3)
-        for rule, value in (("floor", 3), ("at_once", 0)):
+        for rule, value in (("min_ready", 3), ("batch_size", 0)):
             with self.subTest(rule), self.assertRaises(RollRejectedError):
                 model.plan("b", **{rule: value})
         with self.assertRaisesRegex(RollRejectedError, "no such instance: n9"):
@@ -280,7 +284,7 @@
         model = Model(2)
         model.leaky.add("n0")
         began = model.now
-        roll = model.run(model.plan(drain=4.0))
+        roll = model.run(model.plan(drain_timeout_s=4.0))
         self.assertEqual(roll.mode, RollMode.DONE)
         self.assertGreater(model.now - began, 4.0)
 
@@ -323,7 +327,7 @@
 
     def test_a_loss_elsewhere_that_breaks_the_floor_pauses_and_a_resume_goes_on(self) -> None:
         model = Model(4)
-        roll = model.run(model.plan(patience=5.0), 0.2)
+        roll = model.run(model.plan(blocked_timeout_s=5.0), 0.2)
         model.fleet["n3"] = replace(
             model.fleet["n3"], desired_state=DesiredState.STOPPED, stopping_since=model.now
         )
@@ -340,7 +344,7 @@
     def test_what_falls_away_amid_a_roll_is_taken_next(self) -> None:
         # Guards the floor: a silent instance late in the plan kept all before it waiting for ever.
         model = Model(4)
-        roll = model.run(model.plan(floor=3, patience=60.0), 0.2)
+        roll = model.run(model.plan(min_ready=3, blocked_timeout_s=60.0), 0.2)
         model.mute.add("n3")
         roll = model.run(roll)
         self.assertEqual(roll.mode, RollMode.DONE)
@@ -348,7 +352,7 @@
 
     def test_one_stopped_by_order_is_left_out(self) -> None:
         model = Model(3)
-        roll = model.run(model.plan(floor=0), 0.2)
+        roll = model.run(model.plan(min_ready=0), 0.2)
         for name in ("n0", "n2"):
             model.fleet[name] = replace(
                 model.fleet[name], desired_state=DesiredState.STOPPED, stopping_since=model.now
@@ -406,7 +410,9 @@
         floor = data.draw(st.integers(0, count - 1))
         for faults in (model.stubborn, model.leaky, model.barren, model.dead_at_start):
             faults.update(data.draw(st.sets(st.sampled_from(sorted(model.fleet)), max_size=2)))
-        roll = model.run(model.plan(at_once=at_once, floor=floor, drain=2.0), 200.0, RollMode.PAUSED)
+        roll = model.run(
+            model.plan(batch_size=at_once, min_ready=floor, drain_timeout_s=2.0), 200.0, RollMode.PAUSED
+        )
         self.assertGreaterEqual(model.least, min(floor, count - at_once))
         self.assertIn(roll.mode, (RollMode.DONE, RollMode.PAUSED))
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -53,11 +53,11 @@
     def test_the_example_is_good(self) -> None:
         found = load(ROOT / "deploy" / "fleet.textproto")
         self.assertEqual([i.name for i in found.instances], ["n1", "n2", "n3"])
-        self.assertEqual((found.roll.floor, found.roll.at_once), (2, 1))
+        self.assertEqual((found.roll.min_ready, found.roll.batch_size), (2, 1))
 
     def test_a_good_file_has_its_defaults(self) -> None:
         found = self.load(GOOD.replace("  floor: 1\n", ""))
-        self.assertEqual(found.roll.floor, 1)  # all but one
+        self.assertEqual(found.roll.min_ready, 1)  # all but one
         self.assertEqual(found.folder, self.folder.resolve() / "f.run")
         self.assertEqual(found.instances[0].config["control"], str(found.folder / "run" / "n1"))
         again = text_format.Parse(show(found), fleet_pb2.Fleet())
