--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -24,8 +24,11 @@
 from juniperward.agent.queries import Answer, Queries, Question
 from juniperward.control.server import open_socket
 from juniperward.net import sockets
-from juniperward.net.http import HttpRequest, Stream, encode_response, read_request
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_responses import encode_response
+from juniperward.net.http_values import HttpRequest
+from juniperward.net.stream import Stream
 
 MAX_CLIENTS = 32
 IDLE_TIMEOUT_S = 30.0
@@ -72,7 +75,7 @@
     def close(self) -> None:
         """Accept no more, and take the socket away."""
         self._closed = True
-        sockets.shut(self._listener)
+        sockets.shutdown(self._listener)
         self._listener.close()
         self._path.unlink(missing_ok=True)
 
@@ -110,8 +113,8 @@
                 self._clients -= 1
 
     def _serve_requests(self, sock: socket.socket) -> None:
-        sockets.limit(sock, socket.SO_RCVTIMEO, IDLE_TIMEOUT_S)
-        sockets.limit(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
+        sockets.set_timeout(sock, socket.SO_RCVTIMEO, IDLE_TIMEOUT_S)
+        sockets.set_timeout(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
         _, user = peer(sock)
         if user not in (os.geteuid(), ROOT_USER):
             why = f"user {user} has no right to this agent"
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -13,8 +13,11 @@
 import msgspec
 
 from juniperward.net import sockets
-from juniperward.net.http import HttpResponse, Stream, encode_request, read_response
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.http_values import HttpResponse
+from juniperward.net.stream import Stream
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 DEFAULT_TIMEOUT_S = 5.0
@@ -65,12 +68,12 @@
 def _exchange(path: Path, request: bytes, timeout_s: float) -> HttpResponse:
     """Send a request on a connection of its own, and read the answer within the time for both."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        timed = sockets.Timed(sock, timeout_s)
-        sockets.limit(sock, socket.SO_SNDTIMEO, timeout_s)
+        timed = sockets.DeadlineReader(sock, timeout_s)
+        sockets.set_timeout(sock, socket.SO_SNDTIMEO, timeout_s)
         sock.connect(str(path))
         with contextlib.suppress(BrokenPipeError):  # one that is rejected is answered before it has written
             sock.sendall(request)
-        return read_response(Stream(timed.receive), most=MAX_ANSWER_BYTES)
+        return read_response(Stream(timed.receive), max_body_bytes=MAX_ANSWER_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -117,7 +117,7 @@
         if self.sock is None:
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             left_s = max(until - time.monotonic(), LEAST_TIMEOUT_S)
-            sockets.limit(self.sock, socket.SO_SNDTIMEO, left_s)
+            sockets.set_timeout(self.sock, socket.SO_SNDTIMEO, left_s)
             self.sock.connect(str(self.path))
         return self.sock
 
@@ -129,7 +129,7 @@
         left_s = until - time.monotonic()
         if left_s <= 0:
             raise TimeoutError
-        sockets.limit(sock, socket.SO_RCVTIMEO, left_s)
+        sockets.set_timeout(sock, socket.SO_RCVTIMEO, left_s)
         piece = sock.recv(min(length - len(data), READ_BYTES))
         if not piece:
             raise EOFError
--- a/juniperward/control/server.py
+++ b/juniperward/control/server.py
@@ -65,7 +65,7 @@
             left_s = until - time.monotonic()
             if left_s <= 0:
                 raise TimeoutError
-            sockets.limit(self.sock, socket.SO_RCVTIMEO, left_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
             piece = self.sock.recv(length - len(data))
             if not piece:
                 raise EOFError
@@ -116,7 +116,7 @@
     if not stat.S_ISSOCK(path.lstat().st_mode):
         raise ControlSocketError(path, "something else than a socket is there")
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
-        sockets.limit(probe, socket.SO_SNDTIMEO, PROBE_TIMEOUT_S)
+        sockets.set_timeout(probe, socket.SO_SNDTIMEO, PROBE_TIMEOUT_S)
         try:
             probe.connect(str(path))
         except ConnectionRefusedError:
@@ -153,7 +153,7 @@
     def close(self) -> None:
         """Accept no more, and take the socket away."""
         self._closed = True
-        sockets.shut(self._listener)
+        sockets.shutdown(self._listener)
         self._listener.close()
         with contextlib.suppress(OSError):
             self.path.unlink()
@@ -200,7 +200,7 @@
         """Let the client go that has been idle for the longest; with the lock held."""
         idle = min(self.clients.values(), key=lambda client: client.since)
         self._increment("control_clients_evicted")
-        sockets.shut(idle.sock)
+        sockets.shutdown(idle.sock)
         del self.clients[idle.number]
 
     def _serve(self, client: Client) -> None:
@@ -250,5 +250,5 @@
 
 
 def _write(client: Client, answer: Answer) -> None:
-    sockets.limit(client.sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
+    sockets.set_timeout(client.sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
     client.sock.sendall(encode_answer(answer))
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -6,8 +6,10 @@
 from dataclasses import dataclass
 
 from juniperward.net import sockets
-from juniperward.net.http import Stream, encode_request, read_response
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.stream import Stream
 
 ANSWER_TIMEOUT_S = 0.4  # for the forwarder's answer
 NOBODY_THERE = -1  # in the place of a status: it was never accepted
@@ -61,7 +63,7 @@
     NO_ANSWER and NOBODY_THERE stand in the place of a status where there is none.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
-        timed = sockets.Timed(sock, timeout_s)
+        timed = sockets.DeadlineReader(sock, timeout_s)
         try:
             sockets.connect(*address, timeout_s, sock)
         except OSError:
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -17,8 +17,10 @@
 
 from juniperward.fakes.records import Handed, Heard, Recorder, now
 from juniperward.net import sockets
-from juniperward.net.http import Stream, encode_request, read_response
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.stream import Stream
 
 ANSWER = 0.4  # seconds that a client waits for an answer
 BODY = b"a family of four, gate 3, cluster of the third generation"
@@ -236,7 +238,7 @@
     ) -> tuple[socket.socket, Stream] | None:
         link = connections.get(forwarder)
         if link is not None:
-            if sockets.quiet(link[0]):
+            if sockets.is_reusable(link[0]):
                 return link
             link[0].close()
             del connections[forwarder]
@@ -269,7 +271,7 @@
         )
         status, again, close = 0, 0.0, True
         try:
-            sockets.limit(sock, socket.SO_RCVTIMEO, ANSWER)
+            sockets.set_timeout(sock, socket.SO_RCVTIMEO, ANSWER)
             sock.sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
             answer = read_response(stream)
             status, close = answer.status, answer.close
--- a/juniperward/fakes/destinations.py
+++ b/juniperward/fakes/destinations.py
@@ -21,7 +21,8 @@
 from juniperward.fakes.discovery import ListedEndpoint
 from juniperward.fakes.records import Called, Effect, Hung, Recorder, Replied, now
 from juniperward.fakes.serving import Link, Serving
-from juniperward.net.http import HttpRequest, encode_response
+from juniperward.net.http_responses import encode_response
+from juniperward.net.http_values import HttpRequest
 
 FAILURE_LATENCY_S = 0.01  # of a call that a failing destination answers with 500
 UNRESPONSIVE_FOR_S = 30.0  # for which an unresponsive endpoint leaves a connection open at most
--- a/juniperward/fakes/discovery.py
+++ b/juniperward/fakes/discovery.py
@@ -14,7 +14,8 @@
 
 from juniperward.fakes.records import Noticed, Recorder, WatchEventSent, now
 from juniperward.fakes.serving import Link, Serving
-from juniperward.net.http import HttpRequest, encode_response
+from juniperward.net.http_responses import encode_response
+from juniperward.net.http_values import HttpRequest
 
 HEARTBEAT_S = 2.0  # between empty lines on a quiet watch
 SHORTEST_WAIT_S = 0.001
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -22,8 +22,11 @@
 from juniperward.fakes.records import now
 from juniperward.fakes.serving import Link, Serving
 from juniperward.net import sockets
-from juniperward.net.http import HttpRequest, Stream, encode_request, encode_response, read_response
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import encode_response, read_response
+from juniperward.net.http_values import HttpRequest
+from juniperward.net.stream import Stream
 
 MOST = 60_000_000  # the longest latency that is told apart, in microseconds
 ANSWER = 5.0  # seconds for an answer; beyond it the try counts as failed
@@ -137,7 +140,7 @@
                 if link is None:
                     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                     sockets.connect(*self.plan.address, ANSWER, sock)
-                    sockets.limit(sock, socket.SO_RCVTIMEO, ANSWER)
+                    sockets.set_timeout(sock, socket.SO_RCVTIMEO, ANSWER)
                     link = sock, Stream(sock.recv)
                 status, close = self._post(link, due, number, destination)
                 if close:
--- a/juniperward/fakes/serving.py
+++ b/juniperward/fakes/serving.py
@@ -9,8 +9,10 @@
 from collections.abc import Callable
 
 from juniperward.net import sockets
-from juniperward.net.http import HttpRequest, Stream, read_request
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_values import HttpRequest
+from juniperward.net.stream import Stream
 
 BACKLOG = 256
 
@@ -48,7 +50,7 @@
 
     def closed_by_peer(self) -> bool:
         """Whether the other side has ended the connection."""
-        return sockets.ended(self.sock)
+        return sockets.is_closed_by_peer(self.sock)
 
 
 class Serving:
@@ -81,13 +83,13 @@
     def stop(self) -> None:
         """Refuse new connections and reset the open ones, as a process that has died."""
         if self.listener is not None:
-            sockets.shut(self.listener)
+            sockets.shutdown(self.listener)
             self.listener.close()
             self.listener = None
         with self.lock:
             links = list(self.links)
         for link in links:
-            sockets.shut(link.sock)
+            sockets.shutdown(link.sock)
 
     def _accept(self, listener: socket.socket) -> None:
         """Accept connections until the listener closes; over `most`, close them at once."""
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.model import ItemOutcome
 from juniperward.forwarder.telemetry import increment, log
-from juniperward.net.http import DECIMAL, HttpResponse
+from juniperward.net.http_values import DECIMAL, HttpResponse
 from juniperward.scheduler.events import Outcome
 
 LONGEST_RETRY_AFTER_S = 3600.0  # what tells a longer wait than this tells none
--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -50,7 +50,7 @@
             raise TimeoutError
         if not left_s <= self._kernel_limit_s <= left_s + LIMIT_TOLERANCE_S:
             self._kernel_limit_s = left_s + LIMIT_SLACK_S
-            sockets.limit(self.sock, socket.SO_RCVTIMEO, self._kernel_limit_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self._kernel_limit_s)
         return self.sock.recv(size)
 
     def write(self, data: bytes) -> bool:
@@ -64,18 +64,18 @@
         except OSError:
             pass
         increment("answers_cut")
-        sockets.shut(self.sock)
+        sockets.shutdown(self.sock)
         return False
 
     def end_reading(self) -> None:
         """End reading after what has arrived: a request that crosses this is still answered."""
-        sockets.shut(self.sock, socket.SHUT_RD)
+        sockets.shutdown(self.sock, socket.SHUT_RD)
 
     def linger(self) -> None:
         """End writing, then read on a little: a close with bytes unread would reset the answer just written."""
         check_invariant(not self.pending, "no_close_before_an_answer")
-        sockets.shut(self.sock, socket.SHUT_WR)
-        sockets.limit(self.sock, socket.SO_RCVTIMEO, LINGER_S)
+        sockets.shutdown(self.sock, socket.SHUT_WR)
+        sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, LINGER_S)
         until = time.monotonic() + LINGER_S
         left_bytes = LINGER_BYTES
         try:
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -17,13 +17,15 @@
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import HttpRequest, Stream, read_request
 from juniperward.net.http_errors import (
     ConnectionClosedError,
     IncompleteMessageError,
     MalformedMessageError,
     MessageTimeoutError,
 )
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_values import HttpRequest
+from juniperward.net.stream import Stream
 
 ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
 RETRY_AFTER_S = 1.0  # after which a client that was rejected here may come again
@@ -91,7 +93,7 @@
         """Wait for the first byte of a request; raises ConnectionClosedError where none comes."""
         with client.lock:
             client.idle = True
-        if self._state.stopping and client.served and not stream.buffer and sockets.quiet(client.sock):
+        if self._state.stopping and client.served and not stream.buffer and sockets.is_reusable(client.sock):
             raise ConnectionClosedError
         if client.served:
             client.idle_since = time.monotonic()
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -10,7 +10,8 @@
 from juniperward.dead_letters.ownership import is_redrive_id
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.settings_names import SettingsNames
-from juniperward.net.http import DECIMAL, HttpRequest, encode_response
+from juniperward.net.http_responses import encode_response
+from juniperward.net.http_values import DECIMAL, HttpRequest
 
 MESSAGE_PATH = "/api"
 # Printable, and no comma: that is how repeated headers are joined.
--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -7,7 +7,7 @@
 import time
 
 from juniperward.net import sockets
-from juniperward.net.http import Stream
+from juniperward.net.stream import Stream
 
 KEEPALIVE_SHARE = 0.9  # part of the endpoints' keepalive after which an idle connection is not used any more
 LONGEST_READ_S = 60.0  # after it a read ends whatever the reducer forgot; a class with more time has more
@@ -43,10 +43,10 @@
             left_s = min(bounds) - time.monotonic()
             if left_s <= 0:
                 raise TimeoutError
-            sockets.limit(self.sock, socket.SO_RCVTIMEO, left_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
             self._limited = True
         elif self._limited:
-            sockets.limit(self.sock, socket.SO_RCVTIMEO, self.longest_read_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self.longest_read_s)
             self._limited = False
         return self.sock.recv(size)
 
@@ -72,7 +72,7 @@
             if rested_s < CONNECTION_REST_S:
                 time.sleep(CONNECTION_REST_S - rested_s)
             good = connection.address == address and rested_s < self.keepalive_s
-            if good and not connection.stream.buffer and sockets.quiet(connection.sock):
+            if good and not connection.stream.buffer and sockets.is_reusable(connection.sock):
                 return connection
             connection.close()
 
--- a/juniperward/forwarder/discovery_address.py
+++ b/juniperward/forwarder/discovery_address.py
@@ -31,7 +31,7 @@
         with self._lock:
             self.address, self.epoch = address, epoch
             for sock in self._open.values():
-                sockets.shut(sock)
+                sockets.shutdown(sock)
 
     def open_socket(self, use: str, epoch: int | None = None) -> tuple[socket.socket, tuple[str, int]]:
         """Return a fresh socket that `change` knows of, and the address that it is for.
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -15,8 +15,10 @@
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import Stream, encode_request, read_chunks, read_head
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_chunks, read_head
+from juniperward.net.stream import Stream
 
 # After which a watch is dead on which nothing has come, or nothing whole: a line comes every 2 s. A call has as long
 # for its dial and the head of its answer together: docs/design/discovery-deadline.md adds up the worst cases.
@@ -90,7 +92,9 @@
         """Watch until the stream ends; always raises."""
         sock, address = self._address.open_socket("watch", epoch)
         with sock:
-            timed = sockets.Timed(sock, SILENCE_TIMEOUT_S)  # from here, so that the dial's time counts too
+            timed = sockets.DeadlineReader(
+                sock, SILENCE_TIMEOUT_S
+            )  # from here, so that the dial's time counts too
             sockets.connect(*address, DIAL_TIMEOUT_S, sock)
             if epoch != self._address.epoch:
                 raise AddressChangedError
@@ -100,19 +104,19 @@
                 self._post(update)
         raise WatchEndedError
 
-    def _updates(self, timed: sockets.Timed, epoch: int) -> Iterator[EndpointsUpdated]:
+    def _updates(self, timed: sockets.DeadlineReader, epoch: int) -> Iterator[EndpointsUpdated]:
         stream = Stream(timed.receive)
         status, headers, _ = read_head(stream)
         if status != HTTP_OK or "chunked" not in headers.get("transfer-encoding", "").lower():
             raise WatchRejectedError(status)
         increment("watches_begun")
         self._answered_at = time.monotonic()
-        timed.begin()  # after `_answered_at`: a watch that falls silent right behind its head was established
+        timed.restart()  # after `_answered_at`: a watch that falls silent right behind its head was established
         objects = JsonObjects()
         for chunk in read_chunks(stream):
             between, found = not objects.begun, objects.feed(chunk)
             if between or found:
-                timed.begin()
+                timed.restart()
             for value in found:
                 update = read_endpoint_list_update(value, self._names)
                 yield EndpointsUpdated(update.version, update.full, update.endpoints, epoch=epoch)
--- a/juniperward/forwarder/endpoint_call.py
+++ b/juniperward/forwarder/endpoint_call.py
@@ -24,8 +24,10 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.forwarder.trace import Trace
 from juniperward.net import sockets
-from juniperward.net.http import HttpResponse, encode_request, read_response
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.http_values import HttpResponse
 from juniperward.scheduler.events import Outcome
 
 HTTP_OK = 200
@@ -202,8 +204,8 @@
                 raise TimeoutError
             sockets.connect(*address, left_s, sock)
             # What was left for this dial must not bound what is written on the connection later.
-            sockets.limit(sock, socket.SO_SNDTIMEO, self.dial_timeout_s)
-            sockets.limit(sock, socket.SO_RCVTIMEO, self.longest_read_s)
+            sockets.set_timeout(sock, socket.SO_SNDTIMEO, self.dial_timeout_s)
+            sockets.set_timeout(sock, socket.SO_RCVTIMEO, self.longest_read_s)
         except OSError as error:
             sock.close()
             increment("dials_failed")
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -95,7 +95,7 @@
             call.cancelled = True
             sock, progress = call.sock, call.progress
         if sock is not None:
-            sockets.shut(sock)
+            sockets.shutdown(sock)
         return progress
 
     def withdraw(self, number: int, message: int) -> AttemptProgress:
--- a/juniperward/forwarder/health_page.py
+++ b/juniperward/forwarder/health_page.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 
 from juniperward.forwarder.codec import MESSAGE_PATH
-from juniperward.net.http import HttpRequest, encode_response
+from juniperward.net.http_responses import encode_response
+from juniperward.net.http_values import HttpRequest
 
 LIVE_PATH = "/health/live"
 READY_PATH = "/health/ready"
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -14,8 +14,11 @@
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
-from juniperward.net.http import HttpResponse, Stream, encode_request, read_response
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.http_values import HttpResponse
+from juniperward.net.stream import Stream
 
 # For a connection, and for the answer, which comes straight away. Beyond that they go again by another connection:
 # twice this fits between a message's last moment and 0.3 s after its time.
@@ -48,17 +51,17 @@
             sock.close()
             raise AddressChangedError
         self._sock = sock
-        self._timed = sockets.Timed(sock, ANSWER_TIMEOUT_S)
+        self._timed = sockets.DeadlineReader(sock, ANSWER_TIMEOUT_S)
         self._stream = Stream(self._timed.receive)
         self._host = f"{connected[0]}:{connected[1]}"
 
     def is_quiet(self) -> bool:
         """Return whether it may be used again."""
-        return sockets.quiet(self._sock)
+        return sockets.is_reusable(self._sock)
 
     def post(self, body: bytes) -> HttpResponse:
         """Post notifications; raises OSError, Broken or Malformed."""
-        self._timed.begin()
+        self._timed.restart()
         self._sock.sendall(encode_request("POST", "/status", self._host, {}, body))
         return read_response(self._stream)
 
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -81,7 +81,7 @@
             while True:
                 sock, _ = self.listener.accept()
                 self._admit_or_close(sock)
-        sockets.shut(self.listener)
+        sockets.shutdown(self.listener)
         self.listener.close()
         if self._accepting.is_alive():
             # Until it has ended, a connection that it has accepted may be missing in the table.
@@ -105,7 +105,7 @@
             if not client.pending:
                 return False
             client.pending = False
-            disconnected = client.evicted or sockets.ended(client.sock)
+            disconnected = client.evicted or sockets.is_closed_by_peer(client.sock)
             if disconnected:
                 status, retry_after_s = HTTP_UNAVAILABLE, RETRY_AFTER_S
                 increment("clients_left")
--- a/juniperward/net/__init__.py
+++ b/juniperward/net/__init__.py
@@ -1,1 +1,1 @@
-"""What every program of ours shares: the parser and encoder of HTTP/1.1, helpers for sockets."""
+"""HTTP/1.1 and sockets for every program of the project: parsers, encoders and helpers."""
--- /dev/null
+++ b/juniperward/net/http_head.py
@@ -0,0 +1,71 @@
+"""What requests and responses share in their heads: header lines, the body's length, the connection's end."""
+
+from __future__ import annotations
+
+from juniperward.net.http_errors import MalformedMessageError
+from juniperward.net.http_status import HttpStatus
+from juniperward.net.stream import Stream
+
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_LENGTH_DIGITS = 11
+TOO_LONG_LENGTH = 10**12  # stands for every length of more digits
+VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
+TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
+NOT_REPEATABLE = (
+    "content-length",
+    "transfer-encoding",
+    "host",
+    "x-correlation-id",
+    "x-time-left",
+    "retry-after",
+)
+
+
+def read_headers(stream: Stream) -> dict[str, str]:
+    """Return header lines up to the empty one, names in lower case; the values of a repeated one are joined.
+
+    Raises:
+        MalformedMessageError: for lines that are not headers, or too many bytes of them.
+        IncompleteMessageError: as `Stream` does.
+
+    """
+    headers: dict[str, str] = {}
+    left_bytes = MAX_HEAD_BYTES
+    while line := stream.read_line(left_bytes, HttpStatus.HEADER_FIELDS_TOO_LARGE):
+        left_bytes -= len(line)
+        if left_bytes < 0:
+            raise MalformedMessageError(HttpStatus.HEADER_FIELDS_TOO_LARGE, "the headers are too large")
+        name, text = _parse_header(line)
+        if name in headers:
+            if name in NOT_REPEATABLE:
+                raise MalformedMessageError(HttpStatus.BAD_REQUEST, f"{name} stands twice")
+            text = f"{headers[name]}, {text}"
+        headers[name] = text
+    return headers
+
+
+def _parse_header(line: bytes) -> tuple[str, str]:
+    name, colon, value = line.partition(b":")
+    if not colon or not name or not TOKEN_BYTES.issuperset(name):
+        raise MalformedMessageError(HttpStatus.BAD_REQUEST, "a header line is malformed")
+    text = value.strip(b" \t").decode("latin-1")
+    if any(c < " " and c != "\t" for c in text):
+        raise MalformedMessageError(HttpStatus.BAD_REQUEST, "a header has control characters")
+    return name.decode("ascii").lower(), text
+
+
+def content_length(headers: dict[str, str]) -> int | None:
+    """Return the length of the body, None where it is not given; raises MalformedMessageError."""
+    text = headers.get("content-length")
+    if text is None:
+        return None
+    if not text.isascii() or not text.isdigit():
+        raise MalformedMessageError(HttpStatus.BAD_REQUEST, "content-length is not a number")
+    return int(text) if len(text) <= MAX_LENGTH_DIGITS else TOO_LONG_LENGTH
+
+
+def ends_connection(version: bytes, headers: dict[str, str]) -> bool:
+    """Return whether the connection is closed after this message."""
+    options = {option.strip().lower() for option in headers.get("connection", "").split(",")}
+    return "close" in options or (version == b"HTTP/1.0" and "keep-alive" not in options)
--- a/juniperward/net/sockets.py
+++ b/juniperward/net/sockets.py
@@ -1,4 +1,4 @@
-"""Small helpers for blocking sockets: time limits kept by the kernel, a look without reading."""
+"""Helpers for blocking sockets: time limits that the kernel keeps, and a look at a connection without reading."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 import struct
 import time
 
+MICROSECONDS_PER_S = 1_000_000
+
 
 class ConnectTimeoutError(TimeoutError):
-    """A connection did not come up in its time."""
+    """A connection was not established in its time."""
 
     def __init__(self) -> None:
         """Describe it."""
@@ -17,22 +19,23 @@
 
 
 class ReadTimeoutError(TimeoutError):
-    """What was read was not whole in its time."""
+    """What is read was not complete in its time."""
 
     def __init__(self) -> None:
         """Describe it."""
-        super().__init__("not whole in its time")
+        super().__init__("not complete in its time")
 
 
-def limit(sock: socket.socket, option: int, seconds: float) -> None:
-    """SO_RCVTIMEO or SO_SNDTIMEO: the call ends with BlockingIOError once it has taken so long."""
-    micros = max(1, int(seconds * 1e6))
-    sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("@ll", micros // 1_000_000, micros % 1_000_000))
+def set_timeout(sock: socket.socket, option: int, timeout_s: float) -> None:
+    """Set SO_RCVTIMEO or SO_SNDTIMEO: a system call that takes longer ends with BlockingIOError."""
+    total = max(1, int(timeout_s * 1e6))
+    seconds, microseconds = divmod(total, MICROSECONDS_PER_S)
+    sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("@ll", seconds, microseconds))
 
 
-def connect(host: str, port: int, seconds: float, sock: socket.socket) -> None:
-    """Connect within a time limit; raises OSError."""
-    limit(sock, socket.SO_SNDTIMEO, seconds)
+def connect(host: str, port: int, timeout_s: float, sock: socket.socket) -> None:
+    """Connect within a time limit; raises OSError, after the limit ConnectTimeoutError."""
+    set_timeout(sock, socket.SO_SNDTIMEO, timeout_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
         sock.connect((host, port))
@@ -40,8 +43,8 @@
         raise ConnectTimeoutError from None
 
 
-def ended(sock: socket.socket) -> bool:
-    """Whether the other side has ended the connection, without waiting and without reading."""
+def is_closed_by_peer(sock: socket.socket) -> bool:
+    """Return whether the other side has ended the connection, without waiting or reading."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -50,8 +53,8 @@
         return True
 
 
-def quiet(sock: socket.socket) -> bool:
-    """Whether nothing has come and the other side has not ended: fit to be used again."""
+def is_reusable(sock: socket.socket) -> bool:
+    """Return whether no bytes have come and the other side has not ended, without waiting or reading."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -61,28 +64,28 @@
     return False
 
 
-class Timed:
-    """Reads of a socket that have to come in a time that they share: bytes now and then do not extend it."""
+class DeadlineReader:
+    """Reads of a socket that share one time limit: single bytes now and then do not extend it."""
 
-    def __init__(self, sock: socket.socket, seconds: float) -> None:
+    def __init__(self, sock: socket.socket, timeout_s: float) -> None:
         """Let the time begin."""
-        self.sock, self.seconds = sock, seconds
-        self.begin()
+        self.sock, self.timeout_s = sock, timeout_s
+        self.restart()
 
-    def begin(self) -> None:
-        """The time counts from now."""
-        self.until = time.monotonic() + self.seconds
+    def restart(self) -> None:
+        """Count the time from now."""
+        self.deadline = time.monotonic() + self.timeout_s
 
     def receive(self, size: int) -> bytes:
         """Read some bytes; raises TimeoutError or BlockingIOError once the time is up."""
-        left = self.until - time.monotonic()
-        if left <= 0:
+        left_s = self.deadline - time.monotonic()
+        if left_s <= 0:
             raise ReadTimeoutError
-        limit(self.sock, socket.SO_RCVTIMEO, left)
+        set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
         return self.sock.recv(size)
 
 
-def shut(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """End a connection now; a thread that waits on it wakes up."""
+def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
+    """End a connection now, in one direction or both; a thread that waits on it wakes up."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -8,7 +8,7 @@
 
 from juniperward.forwarder.batch import encode_batch, item_bytes
 from juniperward.forwarder.model import Message
-from juniperward.net.http import MOST_BODY
+from juniperward.net.http_head import MAX_BODY_BYTES
 from juniperward.scheduler.settings import MessageClass, SchedulerSettings
 
 
@@ -38,4 +38,6 @@
         self.assertEqual([base64.b64decode(row["body"]) for row in rows], [m.body for m in MESSAGES])
 
     def test_what_the_module_fills_is_what_the_protocol_allows(self) -> None:
-        self.assertEqual(SchedulerSettings((MessageClass(1.0, 2.0),), 1, 1).max_batch_bytes + 1, MOST_BODY)
+        self.assertEqual(
+            SchedulerSettings((MessageClass(1.0, 2.0),), 1, 1).max_batch_bytes + 1, MAX_BODY_BYTES
+        )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,8 +18,10 @@
 from juniperward.cli import roll
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
-from juniperward.net.http import Stream, encode_response, read_request
 from juniperward.net.http_errors import ConnectionClosedError
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_responses import encode_response
+from juniperward.net.stream import Stream
 from tests.agent_world import World
 from tests.test_settings import GOOD
 
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -22,7 +22,9 @@
 from juniperward.forwarder.server import Server
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net import sockets
-from juniperward.net.http import Stream, read_request, read_response
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.stream import Stream
 from tests.helpers import open_descriptors
 from tests.player import WAIT, Line, Program
 
@@ -208,7 +210,7 @@
     def test_a_request_that_crosses_the_close_of_a_resting_connection_is_not_met_by_a_reset(self) -> None:
         # Guards clients that rest until we end them: a close over the unread request reset the connection; and what
         # is read behind the shutdown is not sent on, as its client sends it again.
-        shut = sockets.shut
+        shut = sockets.shutdown
         for served in (False, True):
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 theirs = socket.create_connection(listener.getsockname(), WAIT)
@@ -226,7 +228,7 @@
             with (
                 self.subTest(served=served),
                 mock.patch.object(client_session, "IDLE_S", 0.01),
-                mock.patch("juniperward.net.sockets.shut", crossed),
+                mock.patch("juniperward.net.sockets.shutdown", crossed),
             ):
                 self.server._serve(client)
                 self.assertEqual(theirs.recv(1000), b"")  # an end and no reset
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -30,8 +30,10 @@
 from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
 from juniperward.forwarder.telemetry import counters
 from juniperward.net import sockets
-from juniperward.net.http import Stream, encode_request, read_response
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.stream import Stream
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import open_descriptors
@@ -141,7 +143,7 @@
 
     def _run(self) -> None:
         while not self.closing.is_set():
-            resting = [s for s in self.socks if sockets.quiet(s)]
+            resting = [s for s in self.socks if sockets.is_reusable(s)]
             for sock in set(self.socks) - set(resting):
                 self.shut += 1
                 sock.close()
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
 from juniperward.forwarder.events import AttemptAnswered, HealthCheckAnswered
 from juniperward.forwarder.model import BatchItem, Message
-from juniperward.net.http import Stream
+from juniperward.net.stream import Stream
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import open_descriptors
@@ -128,10 +128,10 @@
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=1.5)  # it is not read, and not over either
         stream, length = Stream(sock.recv), 0
-        while line := stream.line(1000, 400):
+        while line := stream.read_line(1000, 400):
             if line.startswith(b"Content-Length: "):
                 length = int(line.split()[1])
-        self.assertGreater(len(stream.exactly(length)), 4 * 65_536)
+        self.assertGreater(len(stream.read_exactly(length)), 4 * 65_536)
         states = ",".join(f'{{"id":"m{n}","state":"ok"}}' for n in range(4))
         sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(states) + 2}\r\n\r\n[{states}]".encode())
         self.assertEqual(self.outcomes(), {Outcome.OK})
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -13,7 +13,9 @@
 from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.records import Called, Effect, Handed, Heard, Hung, Recorder, Replied, WatchEventSent
 from juniperward.fakes.serving import Serving
-from juniperward.net.http import Stream, encode_request, encode_response, read_response
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import encode_response, read_response
+from juniperward.net.stream import Stream
 
 
 class ClientsTest(unittest.TestCase):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -26,8 +26,11 @@
 from juniperward.forwarder.server import Server
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net import sockets
-from juniperward.net.http import HttpRequest, HttpResponse, Stream, read_request, read_response
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
+from juniperward.net.http_requests import read_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.http_values import HttpRequest, HttpResponse
+from juniperward.net.stream import Stream
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
 
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -15,8 +15,9 @@
 from juniperward.forwarder.model import OutcomeNotification
 from juniperward.forwarder.notification_sender import ANSWER_TIMEOUT_S
 from juniperward.forwarder.settings_names import SettingsNames
-from juniperward.net.http import Stream, read_request
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError
+from juniperward.net.http_requests import read_request
+from juniperward.net.stream import Stream
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
 COUNT = 450  # messages that end in the same moment: more than go at once
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -33,7 +33,9 @@
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord, AttemptStartedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
-from juniperward.net.http import Stream, encode_request, read_response
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.stream import Stream
 from juniperward.scheduler.settings import Idempotency, MessageClass
 from tests.helpers import settings
 from tests.player import SETTINGS, Program
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -35,7 +35,8 @@
 from juniperward.forwarder.reducer.intake import ADMISSION_RETRY_AFTER_S, NOTIFICATION_GRACE_AFTER_RESTART_S
 from juniperward.forwarder.telemetry import counters
 from juniperward.net import sockets
-from juniperward.net.http import Stream, read_request
+from juniperward.net.http_requests import read_request
+from juniperward.net.stream import Stream
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import MessageClass
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
