--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -8,18 +8,18 @@
 from juniperward.forwarder.effects import (
     AcceptMessage,
     AppendRecord,
+    BeginShutdown,
     CancelAttempt,
-    CloseConnections,
     CloseIdleConnections,
+    DrainClients,
     Effect,
-    EndProcess,
     ForgetEndpoint,
-    HoldRoute,
+    PauseRoute,
     RecordRedriveOutcome,
     ReplyToClient,
     SendControlReply,
     SendNotifications,
-    SetDraining,
+    SetEndpointDraining,
     SetTimer,
     StartAttempt,
     StartHealthCheck,
@@ -100,8 +100,8 @@
                 self._append(record)
             case SetTimer(at=at, event=event):
                 self._timers.set_timer(at, event)
-            case CloseConnections(closing=closing):
-                self.server.close_connections(closing)
+            case DrainClients(draining=draining):
+                self.server.close_connections(draining)
             case _:
                 self._perform_for_endpoints(effect)
         return None
@@ -112,9 +112,9 @@
                 self.endpoint_client.start(effect)
             case CloseIdleConnections(endpoint=endpoint):
                 self.endpoint_client.close_idle(endpoint)
-            case SetDraining(endpoint=endpoint, draining=draining):
+            case SetEndpointDraining(endpoint=endpoint, draining=draining):
                 self.endpoint_client.set_draining(endpoint, draining)
-            case HoldRoute(route=route, until=until):
+            case PauseRoute(route=route, until=until):
                 self.endpoint_client.hold(route, until)
             case ForgetEndpoint(endpoint=endpoint):
                 self.endpoint_client.forget(endpoint)
@@ -133,7 +133,7 @@
                 log("scheduler", event, **dict(fields))
             case SendControlReply(client=client, answer=answer):
                 self.control.reply(client, answer)
-            case EndProcess():
+            case BeginShutdown():
                 self.control.end_process()
             case StoreDeadLetter() if self.dead_letters is not None:
                 self.dead_letters.store(effect)
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -1,6 +1,6 @@
-"""What the reducer asks for; the loop carries effects out in their order.
+"""The reducer's output: what is to be done; the loop has the effect executor perform effects in their order.
 
-Moments are seconds of the monotonic clock.
+Moments (`at`, `until`, `deadline`, `_at`) are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptMessage:
-    """Journal the message, then tell its client 202; `MessageAccepted` reports back."""
+    """Journal the message, then answer its client 202; `MessageAccepted` follows in the same round."""
 
     client: int
     message: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyToClient:
-    """Answer a client without accepting its message (or again, where it is held already)."""
+    """Answer a client without accepting its message, or again where the message is known already."""
 
     client: int
     status: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Call an endpoint with one or more messages; `AttemptAnswered` reports exactly once, unless cancelled."""
+    """Call an endpoint with one or more messages; one `AttemptAnswered` follows, unless it is cancelled."""
 
     number: int
     endpoint: int
@@ -53,12 +53,12 @@
     items: tuple[BatchItem, ...]
     deadline: float
     endpoint_id: str = ""  # discovery's, for the journal
-    route: RouteKey | None = None  # what a Retry-After binds; the destination where it is not said
+    route: RouteKey | None = None  # what a Retry-After applies to; None for the destination
 
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Ask an endpoint for its health (`GET /health/live`); `HealthCheckAnswered` reports once."""
+    """Check an endpoint's health (`GET /health/live`); one `HealthCheckAnswered` follows."""
 
     number: int
     endpoint: int
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Close the connection of an attempt; `AttemptCancelled` reports in the same round, nothing after it."""
+    """Close the connection of an attempt; `AttemptCancelled` follows in the same round, nothing after it."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawFromBatch:
-    """Leave a message out of an attempt not written yet; `BatchItemWithdrawn` reports in the same round."""
+    """Withdraw a message from an attempt that is not written yet; `BatchItemWithdrawn` follows in the same round."""
 
     attempt_number: int
     message: int
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetDraining:
+class SetEndpointDraining:
     """Write nothing new to an endpoint, or do so again."""
 
     endpoint: int
@@ -100,8 +100,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldRoute:
-    """Write nothing to a route's endpoints before `until`."""
+class PauseRoute:
+    """Write no attempt to a route's endpoints before `until`."""
 
     route: RouteKey
     until: float
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartWatch:
-    """Watch discovery for what changed after a version."""
+    """Watch discovery for changes after a version."""
 
     version: int
     epoch: int = 0
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwitchDiscovery:
-    """Leave discovery's old address, with the watch and the notifications; go on at the new one."""
+    """Use another address (host, port) of discovery, for the watch and for notifications."""
 
     address: tuple[str, int]
     epoch: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetEndpoint:
-    """An endpoint is gone and nothing is in flight there: keep nothing of it."""
+    """Drop all state of an endpoint that was removed and has nothing in flight."""
 
     endpoint: int
 
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report an event at a moment."""
+    """Post an event at a moment."""
 
     at: float
     event: TimerEvent
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write a line for the people on call: an event, and its fields in their order."""
+    """Write a log line: an event, and its fields in their order."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
@@ -162,20 +162,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CloseConnections:
-    """Have the ready page say no and answers to clients end their connections, or neither any more."""
+class DrainClients:
+    """Report not ready and close clients' connections with their next answer; or neither any more."""
 
-    closing: bool
+    draining: bool
 
 
 @dataclass(frozen=True, slots=True)
-class EndProcess:
-    """Begin the planned end of the process, as SIGTERM would."""
+class BeginShutdown:
+    """Begin a graceful shutdown, as SIGTERM would."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreDeadLetter:
-    """Store a message that is given up, before its end is journalled; `endpoints` are its destination's."""
+    """Store a message that is given up, before its outcome is journalled; `endpoints` are its destination's."""
 
     message: Message
     received_at: float
@@ -186,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordRedriveOutcome:
-    """Write down what became of a redrive, before its end is journalled."""
+    """Record the outcome of a redrive, before its completion is journalled."""
 
     id: str
     outcome: str
@@ -202,17 +202,17 @@
     | CancelAttempt
     | WithdrawFromBatch
     | CloseIdleConnections
-    | SetDraining
+    | SetEndpointDraining
     | ForgetEndpoint
-    | HoldRoute
+    | PauseRoute
     | StartWatch
     | SwitchDiscovery
     | SendNotifications
     | SetTimer
     | WriteLog
     | SendControlReply
-    | CloseConnections
-    | EndProcess
+    | DrainClients
+    | BeginShutdown
     | StoreDeadLetter
     | RecordRedriveOutcome
 )
--- a/juniperward/forwarder/events.py
+++ b/juniperward/forwarder/events.py
@@ -1,6 +1,7 @@
-"""What the reducer is told: by clients, endpoints, discovery, the platform, timers, signals and the control channel.
+"""The reducer's input: what clients, endpoints, discovery, the platform, timers, signals and the control channel did.
 
-Moments are seconds of the monotonic clock.
+Threads post these events to the loop, which hands them to the reducer. Moments (`_at`, `_by`, `_until`) are seconds
+of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """What became of an `AcceptMessage`: whether the client was told."""
+    """The result of an `AcceptMessage`; without `client_answered` its client must send it again."""
 
     message: int
-    client_told: bool
+    client_answered: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An attempt ended; the outcomes of all its messages in one event."""
+    """An attempt ended by itself; it has the outcomes of all its messages."""
 
     attempt_number: int
     outcomes: tuple[ItemOutcome, ...]
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckAnswered:
-    """A health check ended; `capacity_left` and `reported_limit_per_s` are the endpoint's report."""
+    """A health check ended; `capacity_left` and `reported_limit_per_s` are the endpoint's load report."""
 
     number: int
     endpoint: int
@@ -63,18 +64,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """Discovery has told endpoints, those that changed or the whole list; `epoch` is that of the watch."""
+    """Discovery sent endpoints, those that changed or the full list; `epoch` is that of the watch."""
 
     version: int
     full: bool
     endpoints: tuple[Endpoint, ...]
-    cached: bool = False  # the list that the configuration names, as it was last known
+    cached: bool = False  # the list in the configuration, as it was last known
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class WatchLost:
-    """The watch failed or ended; `established` says that it had been up for a while."""
+    """The watch failed or ended; `established`: it had been up for a while."""
 
     epoch: int = 0
     established: bool = False
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAddressChanged:
-    """The configuration names this address of discovery from now on."""
+    """The configuration was reloaded and has another address (host, port) of discovery."""
 
     address: tuple[str, int]
 
@@ -96,29 +97,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerTimerFired:
-    """A timer of the scheduler is due."""
+    """A timer of the scheduler expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineReached:
-    """The time of one message in an attempt is up."""
+    """The deadline of one message in an attempt has passed."""
 
     attempt_number: int
     message: int
 
 
 @dataclass(frozen=True, slots=True)
-class CancellationDue:
-    """An attempt is to be cancelled now: the client's time of one of its messages is up."""
+class CancellationTimerFired:
+    """An attempt is to be cancelled now: the client's deadline of one of its messages has passed."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class BatchItemWithdrawn:
-    """What became of a `WithdrawFromBatch`: `progress` is that of the call when it came."""
+    """The result of a `WithdrawFromBatch`; `progress` is how far the attempt had come."""
 
     attempt_number: int
     message: int
@@ -127,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCancelled:
-    """What became of a `CancelAttempt`: `progress` is that of the call when its connection was closed."""
+    """The result of a `CancelAttempt`; `progress` is how far the attempt had come when its connection was closed."""
 
     attempt_number: int
     progress: AttemptProgress
@@ -135,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was told to end: by `exit_by`, and not before `accept_until`."""
+    """The process is to exit: by `exit_by`, and not before `accept_until`."""
 
     accept_until: float
     exit_by: float
@@ -143,18 +144,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlRequested:
-    """A client of the control channel asks something of this forwarder."""
+    """A client of the control channel sent a request."""
 
     client: int
     request: Request
 
 
-TimerEvent = SchedulerTimerFired | DeadlineReached | CancellationDue | AttemptCancelled
+TimerEvent = SchedulerTimerFired | DeadlineReached | CancellationTimerFired | AttemptCancelled
 EndpointEvent = (
     AttemptAnswered
     | DeadlineReached
     | BatchItemWithdrawn
-    | CancellationDue
+    | CancellationTimerFired
     | AttemptCancelled
     | HealthCheckAnswered
     | EndpointsUpdated
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -59,7 +59,7 @@
     def run(self, stopped: Callable[[], bool]) -> None:
         """Go on until the reducer has finished, or `stopped` says so."""
         executor, lifecycle = self.executor, self.reducer.state.lifecycle
-        while not stopped() and not self.reducer.finished(time.monotonic(), executor.server.has_finished()):
+        while not stopped() and not self.reducer.may_exit(time.monotonic(), executor.server.has_finished()):
             stopping = lifecycle.exit_by is not None
             events = self.queue.wait(STOP_CHECK_INTERVAL_S if stopping else IDLE_SWEEP_INTERVAL_S)
             now = time.monotonic()
--- a/juniperward/forwarder/reducer/attempts.py
+++ b/juniperward/forwarder/reducer/attempts.py
@@ -7,7 +7,7 @@
 from juniperward.forwarder.effects import (
     AppendRecord,
     CancelAttempt,
-    HoldRoute,
+    PauseRoute,
     SetTimer,
     StartAttempt,
     WithdrawFromBatch,
@@ -16,7 +16,7 @@
     AttemptAnswered,
     AttemptCancelled,
     BatchItemWithdrawn,
-    CancellationDue,
+    CancellationTimerFired,
     DeadlineReached,
 )
 from juniperward.forwarder.model import (
@@ -84,15 +84,13 @@
             pending = state.messages.pending[asked.message]
             check_invariant(pending.attempt_number is None, "one_attempt_at_a_time")
             check_invariant(pending.message.destination == endpoint.destination, "only_to_its_destination")
-            attempt.waiting[asked.message] = pending.attempts
+            attempt.unanswered[asked.message] = pending.attempts
             pending.attempts += 1
             pending.attempt_number, pending.attempt_started_at = attempt.number, now
             items.append(BatchItem(asked.message, pending.message, now + asked.start_within_s))
             deadline = DeadlineReached(attempt.number, asked.message)
             self._round.emit(SetTimer(now + asked.timeout_s, deadline))
-        check_invariant(
-            len(state.attempts.in_flight) <= self._round.settings.slots, "no_more_calls_than_slots"
-        )
+        check_invariant(len(state.attempts.in_flight) <= self._round.settings.slots, "attempts_within_slots")
         increment("attempts")
         self._round.emit(
             StartAttempt(
@@ -121,16 +119,16 @@
             event.outcomes, key=lambda item: (item.outcome is not Outcome.OVERLOADED, item.message)
         )
         for item in rejections_first:
-            if item.message in attempt.waiting:
+            if item.message in attempt.unanswered:
                 self._finish(attempt, item)
-        for message in list(attempt.waiting):
+        for message in list(attempt.unanswered):
             check_invariant(False, "every_message_of_an_attempt_ends")
             self._finish(attempt, ItemOutcome(message, Outcome.RESET))
         in_flight.pop(event.attempt_number, None)
 
     def _finish(self, attempt: AttemptInFlight, item: ItemOutcome) -> None:
         """End a message's part of an attempt."""
-        ordinal = attempt.waiting.pop(item.message)
+        ordinal = attempt.unanswered.pop(item.message)
         endpoint = self._round.state.directory.endpoints[attempt.endpoint]
         increment(f"attempts_{item.outcome.name.lower()}")
         message_ended = item.message_ended or item.outcome is Outcome.OK
@@ -139,8 +137,8 @@
             self._finish_pending(pending, endpoint, item, message_ended)
         if item.retry_after_s > 0:
             until = self._round.now + item.retry_after_s
-            self._round.emit(HoldRoute(route_of(endpoint, self._round.settings), until))
-        self._round.tell_scheduler(
+            self._round.emit(PauseRoute(route_of(endpoint, self._round.settings), until))
+        self._round.notify_scheduler(
             AttemptFinished(
                 item.message,
                 ordinal,
@@ -186,7 +184,7 @@
         It is withdrawn from the call first, or a connection that comes up late would carry it after its end.
         """
         attempt = self._round.state.attempts.in_flight.get(event.attempt_number)
-        if attempt is not None and event.message in attempt.waiting:
+        if attempt is not None and event.message in attempt.unanswered:
             self._round.emit(WithdrawFromBatch(event.attempt_number, event.message))
 
     def item_withdrawn(self, event: BatchItemWithdrawn) -> None:
@@ -194,12 +192,12 @@
         state = self._round.state
         attempt = state.attempts.in_flight.get(event.attempt_number)
         finished = event.progress is AttemptProgress.FINISHED  # what was answered in time counts as answered
-        if attempt is None or event.message not in attempt.waiting or finished:
+        if attempt is None or event.message not in attempt.unanswered or finished:
             return
         pending = state.messages.pending.get(event.message)
-        due_at = pending.due_at if pending is not None else self._round.now
+        client_deadline_at = pending.client_deadline_at if pending is not None else self._round.now
         self._finish(attempt, self._unanswered(event.message, event.progress, Outcome.TIMEOUT))
-        if not attempt.waiting:
+        if not attempt.unanswered:
             del state.attempts.in_flight[event.attempt_number]
             self._round.emit(CancelAttempt(event.attempt_number))
         elif event.progress is AttemptProgress.WRITING:
@@ -207,7 +205,7 @@
             self.cancel(event.attempt_number)
         elif event.progress is AttemptProgress.WRITTEN:
             # A call has one fate: past the time of one of its messages an answer was seen to count for none of them.
-            self._round.emit(SetTimer(due_at, CancellationDue(event.attempt_number)))
+            self._round.emit(SetTimer(client_deadline_at, CancellationTimerFired(event.attempt_number)))
 
     def cancel(self, attempt_number: int) -> None:
         """Close an attempt's connection first; how far it had come says what that means for its messages."""
@@ -227,7 +225,7 @@
         if event.progress is AttemptProgress.FINISHED:
             return
         attempt = self._round.state.attempts.in_flight.pop(event.attempt_number, None)
-        for message in list(attempt.waiting) if attempt is not None else ():
+        for message in list(attempt.unanswered) if attempt is not None else ():
             assert attempt is not None
             self._finish(attempt, self._unanswered(message, event.progress, Outcome.CANCELLED))
 
--- a/juniperward/forwarder/reducer/control.py
+++ b/juniperward/forwarder/reducer/control.py
@@ -10,7 +10,7 @@
     Request,
     Verb,
 )
-from juniperward.forwarder.effects import CloseConnections, EndProcess, SendControlReply, WriteLog
+from juniperward.forwarder.effects import BeginShutdown, DrainClients, SendControlReply, WriteLog
 from juniperward.forwarder.events import ControlRequested
 from juniperward.forwarder.reducer import introspection
 from juniperward.forwarder.reducer.round import Round
@@ -48,10 +48,10 @@
             lifecycle.draining = verb is Verb.DRAIN
             increment("drains" if lifecycle.draining else "resumes")
             self._round.emit(
-                CloseConnections(lifecycle.draining), WriteLog("control order", (("verb", verb.value),))
+                DrainClients(lifecycle.draining), WriteLog("control order", (("verb", verb.value),))
             )
         elif verb is Verb.STOP:
-            self._round.emit(EndProcess())
+            self._round.emit(BeginShutdown())
 
     def _redrive_outcomes(self, request: Request) -> RedriveOutcomes:
         """Say what became of redrives; one that is unknown is never taken from now on.
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -4,14 +4,14 @@
 
 import math
 
-from juniperward.forwarder.effects import ForgetEndpoint, SetDraining, StartWatch, SwitchDiscovery
+from juniperward.forwarder.effects import ForgetEndpoint, SetEndpointDraining, StartWatch, SwitchDiscovery
 from juniperward.forwarder.events import EndpointsUpdated, WatchLost
 from juniperward.forwarder.model import Endpoint
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
 
-EMPTY_DESTINATION_KEPT_S = 60.0  # for which a destination without endpoints is still one
+EMPTY_DESTINATION_RETENTION_S = 60.0  # for which a destination without endpoints is still one
 
 
 class EndpointList:
@@ -44,8 +44,8 @@
         increment("watches_lost")
         directory.watching = False
         if event.established:  # polled again soon: it is no call that failed, one after another
-            self._round.tell_scheduler(EndpointListUpdated(ListScope.DELTA))
-        self._round.tell_scheduler(EndpointListUpdated(ListScope.FAILED))
+            self._round.notify_scheduler(EndpointListUpdated(ListScope.DELTA))
+        self._round.notify_scheduler(EndpointListUpdated(ListScope.FAILED))
 
     def updated(self, event: EndpointsUpdated) -> None:
         """Take in an update of the present watch, or the list that the configuration names."""
@@ -65,12 +65,12 @@
         if event.full:
             named = {entry.endpoint for entry in entries}
             missing = [number for number in directory.endpoints if number not in named]
-            directory.gone.update(missing)
-            self._round.emit(*(SetDraining(number, True) for number in missing))
+            directory.removed.update(missing)
+            self._round.emit(*(SetEndpointDraining(number, True) for number in missing))
         scope = ListScope.FULL if event.full else ListScope.DELTA
         if event.cached:
             scope = ListScope.CACHED
-        self._round.tell_scheduler(EndpointListUpdated(scope, entries))
+        self._round.notify_scheduler(EndpointListUpdated(scope, entries))
         self._forget()
 
     def _apply_entry(self, endpoint: Endpoint) -> EndpointEntry:
@@ -78,10 +78,10 @@
         number = directory.number(endpoint.id)
         directory.endpoints[number] = endpoint
         if endpoint.phase is EndpointPhase.GONE:
-            directory.gone.add(number)
+            directory.removed.add(number)
         else:
-            directory.gone.discard(number)
-        self._round.emit(SetDraining(number, endpoint.phase is not EndpointPhase.READY))
+            directory.removed.discard(number)
+        self._round.emit(SetEndpointDraining(number, endpoint.phase is not EndpointPhase.READY))
         return EndpointEntry(
             number, endpoint.destination, endpoint.phase, endpoint.kind, endpoint.zone, endpoint.listed_rate
         )
@@ -90,9 +90,11 @@
         """Endpoints come and go for months: keep nothing of those that are gone, nor of their destinations."""
         directory = self._round.state.directory
         busy = {attempt.endpoint for attempt in self._round.state.attempts.in_flight.values()}
-        listed = {e.destination for number, e in directory.endpoints.items() if number not in directory.gone}
-        for number in sorted(directory.gone - busy):
-            directory.gone.discard(number)
+        listed = {
+            e.destination for number, e in directory.endpoints.items() if number not in directory.removed
+        }
+        for number in sorted(directory.removed - busy):
+            directory.removed.discard(number)
             del directory.numbers[directory.endpoints.pop(number).id]
             self._round.emit(ForgetEndpoint(number))
         for destination in listed:
@@ -103,4 +105,4 @@
             if until <= self._round.now:
                 del directory.destinations[destination]
             elif until == math.inf:
-                directory.destinations[destination] = self._round.now + EMPTY_DESTINATION_KEPT_S
+                directory.destinations[destination] = self._round.now + EMPTY_DESTINATION_RETENTION_S
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from juniperward.forwarder.effects import HoldRoute, StartHealthCheck
+from juniperward.forwarder.effects import PauseRoute, StartHealthCheck
 from juniperward.forwarder.events import HealthCheckAnswered
 from juniperward.forwarder.reducer.attempts import route_of
 from juniperward.forwarder.reducer.round import Round
@@ -23,8 +23,8 @@
         """Check an endpoint; one that is not listed any more is answered at once as not checked."""
         state, settings = self._round.state, self._round.settings
         endpoint = state.directory.endpoints.get(number)
-        if endpoint is None or number in state.directory.gone:
-            self._round.tell_scheduler(HealthCheckFinished(number, Outcome.NOT_SENT, 0.0))
+        if endpoint is None or number in state.directory.removed:
+            self._round.notify_scheduler(HealthCheckFinished(number, Outcome.NOT_SENT, 0.0))
             return
         check = state.attempts.next_number()
         state.attempts.health_checks[check] = number
@@ -49,8 +49,8 @@
         endpoint = state.directory.endpoints.get(event.endpoint)
         if event.retry_after_s > 0 and endpoint is not None:
             until = self._round.now + event.retry_after_s
-            self._round.emit(HoldRoute(route_of(endpoint, self._round.settings), until))
-        self._round.tell_scheduler(
+            self._round.emit(PauseRoute(route_of(endpoint, self._round.settings), until))
+        self._round.notify_scheduler(
             HealthCheckFinished(
                 event.endpoint,
                 event.outcome,
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -52,12 +52,14 @@
             increment(f"rejections_{reason}")
             self._round.emit(ReplyToClient(event.client, HTTP_UNAVAILABLE, ADMISSION_RETRY_AFTER_S))
             return
-        due_at = event.received_at + message.time_left_s
-        expires_at = due_at - _notification_margin_s(message)
-        pending = PendingMessage(messages.next_number(), message, expires_at, self._round.now, due_at)
+        client_deadline_at = event.received_at + message.time_left_s
+        expires_at = client_deadline_at - _notification_margin_s(message)
+        pending = PendingMessage(
+            messages.next_number(), message, expires_at, self._round.now, client_deadline_at
+        )
         if message.executed_ago_s is not None:
             pending.executed_at, pending.attempts = event.received_at - message.executed_ago_s, 1
-        messages.offered[pending.number] = pending
+        messages.accepting[pending.number] = pending
         messages.numbers[message.id] = pending.number
         record = AcceptedRecord(message, expires_at, pending.executed_at)
         self._round.emit(AcceptMessage(event.client, pending.number, record))
@@ -76,29 +78,29 @@
         if message.destination not in state.directory.destinations:
             # The list is seconds old: one that it will name shortly must not be final for its client.
             return "unknown"
-        if state.lifecycle.leaving:
+        if state.lifecycle.rejects_messages:
             return "stopping"
-        open_messages = len(state.messages.pending) + len(state.messages.offered)
+        open_messages = len(state.messages.pending) + len(state.messages.accepting)
         too_late = event.received_at + message.time_left_s - self._round.now <= 0
         return "full" if too_late or open_messages >= self._round.settings.max_open else None
 
-    def message_accepted(self, number: int, client_told: bool) -> None:
+    def message_accepted(self, number: int, client_answered: bool) -> None:
         """Hand a message to the scheduler that is journalled and whose client knows it."""
         messages = self._round.state.messages
-        pending = messages.offered.pop(number)
-        if not client_told:
+        pending = messages.accepting.pop(number)
+        if not client_answered:
             del messages.numbers[pending.message.id]
             increment("messages_withdrawn")
             self._round.emit(AppendRecord(CompletedRecord(pending.message.id)))
             return
         increment("messages_accepted")
         messages.pending[number] = pending
-        check_invariant(len(messages.pending) <= self._round.settings.max_open, "no_more_held_than_max_open")
+        check_invariant(len(messages.pending) <= self._round.settings.max_open, "pending_within_max_open")
         history: tuple[scheduler_events.PastAttempt, ...] = ()
         if pending.executed_at is not None:
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
         # It is not given up unattempted before a part of the time that its client gave it.
-        attempt_until = pending.due_at - (1 - MINIMUM_ATTEMPT_SHARE) * pending.message.time_left_s
+        attempt_until = pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_SHARE) * pending.message.time_left_s
         self._admit(pending, max(pending.expires_at - self._round.now, 0.0), history, attempt_until)
 
     def _admit(
@@ -109,7 +111,7 @@
         attempt_until: float,
     ) -> None:
         message = pending.message
-        self._round.tell_scheduler(
+        self._round.notify_scheduler(
             scheduler_events.MessageAdmitted(
                 pending.number,
                 message.class_index,
@@ -145,10 +147,14 @@
     def _restored_message(self, restored: RestoredMessage) -> PendingMessage:
         message, history, now = restored.message, restored.history, self._round.now
         # Right after a restart its notification may come later, so that all of its client's time is there to try it.
-        due_at = restored.expires_at + _notification_margin_s(message)
-        expires_at = max(restored.expires_at, min(due_at, now + NOTIFICATION_GRACE_AFTER_RESTART_S))
+        client_deadline_at = restored.expires_at + _notification_margin_s(message)
+        expires_at = max(
+            restored.expires_at, min(client_deadline_at, now + NOTIFICATION_GRACE_AFTER_RESTART_S)
+        )
         number = self._round.state.messages.next_number()
-        pending = PendingMessage(number, message, expires_at, now, due_at, not history, len(history))
+        pending = PendingMessage(
+            number, message, expires_at, now, client_deadline_at, not history, len(history)
+        )
         executed_at = [recorded.started_at for recorded in history if recorded.possibly_executed]
         pending.executed_at = min(executed_at, default=None)
         if self._completion.stores_dead_letters:
--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -70,7 +70,7 @@
         phase=now_phase,
         ready=now_phase is ForwarderPhase.SERVING,
         pending=len(messages.pending),
-        accepting=len(messages.offered),
+        accepting=len(messages.accepting),
         unacknowledged=len(state.unacknowledged),
         attempts_in_flight=len(state.attempts.in_flight),
         slots=settings.slots,
@@ -120,7 +120,7 @@
         in_flight[attempt.endpoint] = in_flight.get(attempt.endpoint, 0) + 1
     rows = []
     for number, endpoint in sorted(state.directory.endpoints.items()):
-        removed = number in state.directory.gone
+        removed = number in state.directory.removed
         rows.append(
             EndpointRow(
                 id=endpoint.id,
--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -1,7 +1,7 @@
-"""The reducer: takes in what happened in a round and returns what to do; it knows no clock, no thread and no I/O.
+"""The reducer: the events of a round in, the effects to perform out; no clock, no thread and no I/O.
 
-Which message goes where and when is decided by the scheduler; the reducer keeps what sockets and journal need
-beside it. The loop calls it on one thread.
+The scheduler decides which message goes where and when; the reducer has the state that sockets and journal need
+beside it. It dispatches each event to the handler of its concern. The loop calls it on one thread.
 """
 
 from __future__ import annotations
@@ -56,16 +56,16 @@
 
     @property
     def effects(self) -> list[Effect]:
-        """The effects of the present round so far, for a caller that met an error in `reduce`."""
+        """The effects of the present round so far, for a caller that caught an error of `reduce`."""
         return self._round.effects
 
-    def reduce(self, now: float, happened: Iterable[events.Event]) -> list[Effect]:
-        """Take in all events of a round; the effects are to be carried out in their order."""
+    def reduce(self, now: float, round_events: Iterable[events.Event]) -> list[Effect]:
+        """Apply the events of a round; return the effects, to be performed in their order."""
         self._round.begin(now)
-        for event in happened:
+        for event in round_events:
             try:
-                self._take_in(event)
-            except Exception as error:  # one event must not take the others of its round along
+                self._dispatch(event)
+            except Exception as error:  # the other events of the round are applied all the same
                 if __debug__:
                     raise
                 report_fault(type(event).__name__, error)
@@ -73,29 +73,29 @@
             self._scheduling.decide()
         return self._round.effects
 
-    def finished(self, now: float, alone: bool = True) -> bool:
-        """Return whether a forwarder that was told to end may exit; `alone`: no client is connected."""
-        return self._shutdown.may_exit(now, alone)
+    def may_exit(self, now: float, no_clients: bool = True) -> bool:
+        """Return whether a shutdown was requested and the process may exit; `no_clients`: none is connected."""
+        return self._shutdown.may_exit(now, no_clients)
 
-    def _take_in(self, event: events.Event) -> None:
+    def _dispatch(self, event: events.Event) -> None:
         match event:
             case events.MessageReceived():
                 self._intake.message_received(event)
-            case events.MessageAccepted(message=number, client_told=client_told):
-                self._intake.message_accepted(number, client_told)
+            case events.MessageAccepted(message=number, client_answered=client_answered):
+                self._intake.message_accepted(number, client_answered)
             case events.JournalReplayed(messages=messages):
                 for restored in messages:
                     self._intake.restore(restored)
             case events.NotificationAcknowledged(ids=ids):
                 self._completion.acknowledge(ids)
             case events.SchedulerTimerFired(token=token):
-                self._round.tell_scheduler(TimerFired(token))
+                self._round.notify_scheduler(TimerFired(token))
             case events.ShutdownRequested():
                 self._shutdown.requested(event)
             case events.ControlRequested():
                 self._control_handler().requested(event)
             case _:
-                self._take_in_of_endpoints(event)
+                self._dispatch_endpoint_event(event)
 
     def _control_handler(self) -> Control:
         from juniperward.forwarder.reducer.control import Control  # not loaded where no channel is open
@@ -104,7 +104,7 @@
             self._control = Control(self._round, self.scheduler)
         return self._control
 
-    def _take_in_of_endpoints(self, event: events.EndpointEvent) -> None:
+    def _dispatch_endpoint_event(self, event: events.EndpointEvent) -> None:
         match event:
             case events.AttemptAnswered():
                 self._attempts.answered(event)
@@ -112,7 +112,7 @@
                 self._attempts.deadline_reached(event)
             case events.BatchItemWithdrawn():
                 self._attempts.item_withdrawn(event)
-            case events.CancellationDue(attempt_number=number):
+            case events.CancellationTimerFired(attempt_number=number):
                 self._attempts.cancel(number)
             case events.AttemptCancelled():
                 self._attempts.cancelled(event)
--- a/juniperward/forwarder/reducer/round.py
+++ b/juniperward/forwarder/reducer/round.py
@@ -1,4 +1,4 @@
-"""A round of the reducer: its time, the effects asked for so far, and what the scheduler is to be told at its end."""
+"""A round of the reducer: its time, the effects so far, and the events for the scheduler at its end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Round:
-    """What the handlers of the reducer share."""
+    """What the handlers of the reducer share; each of them adds effects and scheduler events."""
 
     def __init__(self, settings: SchedulerSettings, state: ForwarderState) -> None:
         """Begin before the first round."""
@@ -26,9 +26,9 @@
         self.scheduler_events = []
 
     def emit(self, *effects: Effect) -> None:
-        """Ask for effects, to be carried out in this order."""
+        """Add effects, to be performed in this order."""
         self.effects += effects
 
-    def tell_scheduler(self, event: SchedulerEvent) -> None:
-        """Have the scheduler told at the end of the round."""
+    def notify_scheduler(self, event: SchedulerEvent) -> None:
+        """Pass an event to the scheduler at the end of the round."""
         self.scheduler_events.append(event)
--- a/juniperward/forwarder/reducer/shutdown.py
+++ b/juniperward/forwarder/reducer/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned end of the process: what is still brought to its end, and when it may exit."""
+"""Graceful shutdown: what is finished first, and when the process may exit."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Shutdown:
-    """Decides when a forwarder that was told to end may do so."""
+    """Decides when the process may exit; owns the times of a shutdown."""
 
     def __init__(self, round_: Round) -> None:
-        """Begin as a forwarder that serves."""
+        """Begin without a shutdown."""
         self._round = round_
 
     def requested(self, event: ShutdownRequested) -> None:
@@ -20,13 +20,13 @@
         if lifecycle.exit_by is None:
             lifecycle.accept_until, lifecycle.exit_by = event.accept_until, event.exit_by
 
-    def may_exit(self, now: float, alone: bool) -> bool:
-        """Return whether nothing is left to bring to an end, and no client (`alone`), or the time is up."""
+    def may_exit(self, now: float, no_clients: bool) -> bool:
+        """Return whether everything is finished and no client is connected, or the time for it is over."""
         state, lifecycle = self._round.state, self._round.state.lifecycle
         if lifecycle.exit_by is None:
             return False
         may_attempt = now <= lifecycle.exit_by - LAST_ATTEMPT_BEFORE_EXIT_S
-        waiting = bool(state.messages.pending) and may_attempt
-        owed = bool(state.attempts.in_flight or state.unacknowledged or state.messages.offered)
-        busy = owed or waiting or now < lifecycle.accept_until or not alone
+        to_attempt = bool(state.messages.pending) and may_attempt
+        unfinished = bool(state.attempts.in_flight or state.unacknowledged or state.messages.accepting)
+        busy = unfinished or to_attempt or now < lifecycle.accept_until or not no_clients
         return now >= lifecycle.exit_by or not busy
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -1,7 +1,7 @@
-"""What a forwarder knows beside the scheduler: messages, attempts in flight, endpoints, notifications, its lifecycle.
+"""The reducer's state beside the scheduler's: messages, attempts in flight, endpoints, notifications, lifecycle.
 
-Each part is changed by one handler of the reducer, which its docstring names. Moments are seconds of the monotonic
-clock.
+Each part's docstring names its owner, the one handler of the reducer that writes it, and what bounds it. Moments
+(`_at`, `_until`) are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,12 +19,8 @@
     message: Message
     expires_at: float
     received_at: float  # by this process
-    due_at: float = (
-        0.0  # the end of its client's time; `expires_at` is before it by what a notification takes
-    )
-    never_attempted: bool = (
-        False  # accepted before a restart, and no byte of a call was written for it so far
-    )
+    client_deadline_at: float = 0.0  # `expires_at` is earlier by the time that a notification takes
+    never_attempted: bool = False  # accepted before a restart, and not a byte was written for it so far
     attempts: int = 0
     attempt_number: int | None = None  # of the attempt that carries it
     attempt_started_at: float = 0.0  # of the latest attempt
@@ -34,12 +30,12 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptInFlight:
-    """An attempt: its endpoint and the messages that are still waited for."""
+    """An attempt, and its messages that have no outcome yet."""
 
     number: int
     endpoint: int
     started_at: float
-    waiting: dict[int, int] = field(default_factory=dict)  # message to number of its attempt
+    unanswered: dict[int, int] = field(default_factory=dict)  # message to the ordinal of its attempt, from 0
     cancelled: bool = False
 
 
@@ -48,8 +44,8 @@
     """Messages by their number in this process; changed by intake and by completion."""
 
     pending: dict[int, PendingMessage] = field(default_factory=dict)
-    offered: dict[int, PendingMessage] = field(default_factory=dict)  # journalled, their clients not yet told
-    numbers: dict[str, int] = field(default_factory=dict)  # of pending and offered messages, by id
+    accepting: dict[int, PendingMessage] = field(default_factory=dict)  # their clients not answered yet
+    numbers: dict[str, int] = field(default_factory=dict)  # of pending and accepting messages, by id
     last_number: int = 0
     completed: dict[str, float] = field(default_factory=dict)  # ids of messages that are over, and since when
     fenced: dict[str, float] = field(
@@ -83,12 +79,12 @@
     endpoints: dict[int, Endpoint] = field(default_factory=dict)  # by the scheduler's number
     numbers: dict[str, int] = field(default_factory=dict)  # by discovery's id
     last_number: int = 0
-    gone: set[int] = field(default_factory=set)  # endpoints that are, and not yet forgotten
+    removed: set[int] = field(default_factory=set)  # of `endpoints`: removed, with attempts in flight
     destinations: dict[int, float] = field(default_factory=dict)  # until when each is known
     version: int = 0
-    updated_at: float | None = None  # when discovery last told something
-    epoch: int = 0  # how often discovery has changed its address
-    watching: bool = False  # a watch is asked for, or under way
+    updated_at: float | None = None  # when discovery last sent an update
+    epoch: int = 0  # how often its address was changed
+    watching: bool = False  # a watch is started
 
     def number(self, name: str) -> int:
         """Return the number of an endpoint by discovery's id; a new one gets the next."""
@@ -104,10 +100,10 @@
 
     draining: bool = False
     accept_until: float = 0.0
-    exit_by: float | None = None  # set once the process was told to end
+    exit_by: float | None = None  # set once a shutdown was requested
 
     @property
-    def leaving(self) -> bool:
+    def rejects_messages(self) -> bool:
         """Whether new messages are rejected."""
         return self.exit_by is not None or self.draining
 
@@ -123,6 +119,6 @@
     lifecycle: Lifecycle = field(default_factory=Lifecycle)
 
     def has_work(self) -> bool:
-        """Whether something is to be brought to its end."""
-        busy = self.attempts.in_flight or self.unacknowledged or self.messages.offered
+        """Whether a message, an attempt or a notification is unfinished."""
+        busy = self.attempts.in_flight or self.unacknowledged or self.messages.accepting
         return bool(busy or self.messages.pending)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -57,7 +57,7 @@
             case MessageReceived(client=client, message=message):
                 self._waiting[client] = f"{message.destination} {message.id}"
                 lines = [f"handed {self._waiting[client]} {message.time_left_s:.3f}"]
-            case MessageAccepted(client_told=False, message=number):
+            case MessageAccepted(client_answered=False, message=number):
                 lines = [f"untold {number}"]
             case NotificationAcknowledged(ids=ids):
                 lines = [f"noticed {name}" for name in ids]
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -150,7 +150,7 @@
         ready = {
             w.id
             for n, w in self.state.directory.endpoints.items()
-            if w.phase is EndpointPhase.READY and n not in self.state.directory.gone
+            if w.phase is EndpointPhase.READY and n not in self.state.directory.removed
         }
         if "s-1" not in ready and not self.drain_known.is_set():
             self.drain_known_at = time.monotonic()
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -275,6 +275,6 @@
     assert asked == ["41", "50", "44"]
     state = client.reducer.state
     assert state.directory.version == 45
-    assert {w.id: w.phase.name for n, w in state.directory.endpoints.items() if n not in state.directory.gone} == {
+    assert {w.id: w.phase.name for n, w in state.directory.endpoints.items() if n not in state.directory.removed} == {
         "s-1": "DRAINING", "s-2": "DRAINING",
     }  # fmt: skip
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -83,7 +83,7 @@
         reducer = self.loop.reducer
         reducer.reduce(0.0, [ShutdownRequested(0.8, 3.3)])
         asked = [(1.0, False), (1.0, True), (3.3, False)]
-        self.assertEqual([reducer.finished(*x) for x in asked], [False, True, True])
+        self.assertEqual([reducer.may_exit(*x) for x in asked], [False, True, True])
 
     def test_what_cannot_be_journalled_is_not_taken_on(self) -> None:
         for error in (JournalFullError(), OSError(28, "No space left on device")):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -11,10 +11,10 @@
     CancelAttempt,
     Effect,
     ForgetEndpoint,
-    HoldRoute,
+    PauseRoute,
     ReplyToClient,
     SendNotifications,
-    SetDraining,
+    SetEndpointDraining,
     SetTimer,
     StartAttempt,
     StartWatch,
@@ -25,7 +25,7 @@
     AttemptAnswered,
     AttemptCancelled,
     BatchItemWithdrawn,
-    CancellationDue,
+    CancellationTimerFired,
     DeadlineReached,
     DiscoveryAddressChanged,
     EndpointsUpdated,
@@ -192,7 +192,7 @@
             records,
             [AttemptFinishedRecord("b", False), AttemptFinishedRecord("a", True), CompletedRecord("c")],
         )
-        self.assertEqual(self.only(effects, HoldRoute)[0], HoldRoute(1, 105.0))
+        self.assertEqual(self.only(effects, PauseRoute)[0], PauseRoute(1, 105.0))
 
     def test_a_wait_told_with_a_delivery_binds(self) -> None:
         # Guards the wait that a 200 carries: the module must hear of it though nothing was refused.
@@ -208,7 +208,7 @@
                 effects = self.take("a")
                 self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
                 effects = self.end(effects, (Outcome.OVERLOADED, 5.0))
-                self.assertEqual(self.only(effects, HoldRoute), [HoldRoute(told, 105.0)])
+                self.assertEqual(self.only(effects, PauseRoute), [PauseRoute(told, 105.0)])
                 self.do(EndpointsUpdated(42, False, (worker("s-2"),)))
                 self.now += 0.5
                 # The other worker is called by the module, and the sockets let it.
@@ -310,7 +310,9 @@
                 self.now += 2.0
                 (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
                 self.now = 103.7
-                (wake,) = [w for w in self.only(self.up(d), SetTimer) if isinstance(w.event, CancellationDue)]
+                (wake,) = [
+                    w for w in self.only(self.up(d), SetTimer) if isinstance(w.event, CancellationTimerFired)
+                ]
                 self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
                 if answered:
                     self.do(
@@ -456,15 +458,15 @@
         effects = self.do(JournalReplayed(held))
         self.assertEqual(self.sent(effects), [["a"]])
         self.now = 103.0
-        self.assertFalse(self.reducer.finished(self.now))
+        self.assertFalse(self.reducer.may_exit(self.now))
         self.assertEqual(self.sent(self.do(JournalReplayed((RestoredMessage(call("b"), 115.0),)))), [])
         self.end(effects, (Outcome.OK, 0.0))
-        self.assertTrue(self.reducer.finished(self.now))
+        self.assertTrue(self.reducer.may_exit(self.now))
 
     def test_what_the_list_no_longer_has_gets_nothing(self) -> None:
         self.start(worker("s-1"), worker("s-2", 2))
         effects = self.do(EndpointsUpdated(42, True, (worker("s-2", 2),)))
-        self.assertIn(SetDraining(1, True), effects)
+        self.assertIn(SetEndpointDraining(1, True), effects)
         self.assertEqual(self.sent(self.take("a", destination=1)), [])
         self.assertEqual(self.sent(self.take("b", destination=2)), [["b"]])
 
@@ -505,13 +507,14 @@
             self.assertEqual(self.only(told, ForgetEndpoint), [] if n == 2 else [ForgetEndpoint(n - 1)])
         state, sender = self.reducer.state, self.reducer.scheduler
         self.assertEqual(
-            (len(state.directory.endpoints), len(state.directory.numbers), state.directory.gone), (2, 2, {1})
+            (len(state.directory.endpoints), len(state.directory.numbers), state.directory.removed),
+            (2, 2, {1}),
         )
         self.assertEqual(len(sender.state.table.endpoints), 2)
         self.end(effects, (Outcome.OK, 0.0))
         self.do(EndpointsUpdated(99, True, (worker("s-49"),)))
         self.assertEqual(
-            (len(state.directory.endpoints), list(state.directory.numbers), state.directory.gone),
+            (len(state.directory.endpoints), list(state.directory.numbers), state.directory.removed),
             (1, ["s-49"], set()),
         )
         destination = sender.state.table.destinations[1]
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder import discovery_watch
 from juniperward.forwarder.answers import LoadReport, read_report
 from juniperward.forwarder.discovery_client import DiscoveryClient
-from juniperward.forwarder.effects import HoldRoute, SetTimer, StartHealthCheck, StartWatch
+from juniperward.forwarder.effects import PauseRoute, SetTimer, StartHealthCheck, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.settings_names import SettingsNames
@@ -242,7 +242,7 @@
         self.assertAlmostEqual(asked.deadline, 101.5)
         told = HealthCheckAnswered(asked.number, 1, Outcome.OVERLOADED, 0.01, retry_after_s=0.8)
         effects = self.reducer.reduce(100.5, [told])
-        self.assertIn(HoldRoute(1, 101.3), effects)
+        self.assertIn(PauseRoute(1, 101.3), effects)
         # A second word of the same probe is nothing.
         self.assertEqual(self.reducer.reduce(100.6, [told]), [])
 
