--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -23,15 +23,16 @@
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.simulation.experiment import one
-from juniperward.simulation.scenario import FOLDER, Fault, Scenario, load
+from juniperward.simulation.scenario import Fault, FaultKind, Scenario
+from juniperward.simulation.scenario_loader import FOLDER, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("juniperward", "round-robin", "one-try")
 FAULT_MODES = {
-    "DOWN": FaultMode.DOWN,
-    "FAILING": FaultMode.FAILING,
-    "SHUT": FaultMode.REJECTING,
-    "SILENT": FaultMode.UNRESPONSIVE,
+    FaultKind.DOWN: FaultMode.DOWN,
+    FaultKind.FAILING: FaultMode.FAILING,
+    FaultKind.REJECTING: FaultMode.REJECTING,
+    FaultKind.UNRESPONSIVE: FaultMode.UNRESPONSIVE,
 }
 WITHIN = 0.03  # of worth, that model and sockets may differ by
 APART = 0.01  # policies closer than this in either are not ordered
@@ -73,11 +74,12 @@
 def specs(s: Scenario) -> list[DestinationSpec]:
     """A scenario's partners as the stand-ins have them."""
     made: list[DestinationSpec] = []
-    for number, g in enumerate(s.partners):
+    for number, g in enumerate(s.groups):
         for _ in range(g.count):
             made.append(DestinationSpec(
-                len(made) + 1, f"kind-{number}", g.workers, g.latency, g.spread, g.at_once, g.queue, g.rate,
-                g.tells_wait, g.batch, s.traffic.window,
+                len(made) + 1, f"kind-{number}", g.endpoints, g.latency_s, g.latency_variation, g.concurrency,
+                g.queue_limit, g.rate_limit_per_s, g.retry_after_fraction, g.batch_size,
+                s.traffic.deduplication_window_s,
             ))  # fmt: skip
     return made
 
@@ -101,29 +103,33 @@
 def on_sockets(name: str, policy: str, seed: int) -> tuple[float, float, int, int]:
     """Play a scenario on sockets: worth, how late the rig was (p99, seconds), rules broken, partners fallen over."""
     s = load(FOLDER / f"{name}.textproto")
-    t = s.traffic
+    objective = s.traffic.objective
     with tempfile.TemporaryDirectory(prefix="jw-") as place, wrapped(policy, Path(place)):
         cluster = LocalCluster(Path(place), s.forwarders, specs(s), seed)
         settings = cluster.base["settings"]
         settings["Services"][0] |= {
-            "AimMs": 1000 * t.aim, "DeadlineMs": 1000 * t.deadline, "LateWorth": t.late_worth,
-            "WindowMs": 1000 * t.window,
+            "AimMs": 1000 * objective.latency_objective_s, "DeadlineMs": 1000 * objective.deadline_s,
+            "LateWorth": objective.late_weight, "WindowMs": 1000 * s.traffic.deduplication_window_s,
         }  # fmt: skip
-        settings["Limits"]["MaxOpen"], settings["Specifics"]["MaxCalls"] = s.max_open, s.slots
-        settings["Weights"] = "nominal" if any(g.rate for g in s.partners) else "none"
-        settings["Kinds"] = [f"kind-{n}" for n in range(len(s.partners))]
-        settings["Specifics"]["BatchByKind"] = [g.batch for g in s.partners]
-        settings["Specifics"]["RoutesApart"] = [False] * len(s.partners)
+        settings["Limits"]["MaxOpen"], settings["Specifics"]["MaxCalls"] = s.max_pending, s.slots
+        settings["Weights"] = "nominal" if any(g.rate_limit_per_s for g in s.groups) else "none"
+        settings["Kinds"] = [f"kind-{n}" for n in range(len(s.groups))]
+        settings["Specifics"]["BatchByKind"] = [g.batch_size for g in s.groups]
+        settings["Specifics"]["RoutesApart"] = [False] * len(s.groups)
         with cluster:
             cluster.start()
             clients = _clients(cluster, s, seed)
             began = time.monotonic()
             for fault in s.faults:
                 threading.Thread(target=_inject_fault, args=(cluster, fault, began), daemon=True).start()
-            clients.done.wait(s.seconds + 2 * t.deadline)
-            time.sleep(max(began + s.seconds + t.deadline + 1.0 - time.monotonic(), 0.0))
+            clients.done.wait(s.duration_s + 2 * objective.deadline_s)
+            time.sleep(max(began + s.duration_s + objective.deadline_s + 1.0 - time.monotonic(), 0.0))
             v = cluster.verdict(
-                Bounds(latency_objective_s=t.aim, deadline=t.deadline, late_weight=t.late_worth)
+                Bounds(
+                    latency_objective_s=objective.latency_objective_s,
+                    deadline=objective.deadline_s,
+                    late_weight=objective.late_weight,
+                )
             )
             late = sorted(clients.lateness)
             fallen = sum(p.capacity.crashed for p in cluster.destinations.values())
@@ -138,22 +144,24 @@
 def _clients(cluster: LocalCluster, s: Scenario, seed: int) -> Clients:
     """Open-loop clients with the scenario's weights; clumps are not played."""
     weights: list[tuple[int, float]] = []
-    for g in s.partners:
-        weights += [(len(weights) + 1 + n, g.share / g.count) for n in range(g.count)]
+    for g in s.groups:
+        weights += [(len(weights) + 1 + n, g.traffic_fraction / g.count) for n in range(g.count)]
     t = s.traffic
-    traffic = Traffic(t.rate, tuple(weights), ACCOUNTS, deadline=t.deadline, tries=2 if t.again else 1)
+    tries = 2 if t.resubmit_fraction else 1
+    deadline_s = t.objective.deadline_s
+    traffic = Traffic(t.rate_per_s, tuple(weights), ACCOUNTS, deadline=deadline_s, tries=tries)
     clients = Clients(traffic, cluster.front, cluster.recorder, seed, ClientOptions(threads=64))
-    clients.start(s.seconds)
+    clients.start(s.duration_s)
     return clients
 
 
 def _inject_fault(cluster: LocalCluster, t: Fault, began: float) -> None:
     """Have the scenario's partners fail as the fault says, from its moment after `began` and for its seconds."""
-    time.sleep(max(began + t.at - time.monotonic(), 0.0))
-    for p in t.partner:
-        cluster.destinations[p].inject_fault(FAULT_MODES[t.kind], t.seconds, t.size)
-    time.sleep(t.seconds)
-    for p in t.partner:
+    time.sleep(max(began + t.starts_s - time.monotonic(), 0.0))
+    for p in t.destinations:
+        cluster.destinations[p].inject_fault(FAULT_MODES[t.kind], t.duration_s, t.magnitude)
+    time.sleep(t.duration_s)
+    for p in t.destinations:
         cluster.destinations[p].inject_fault(FaultMode.HEALTHY)
 
 
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -26,7 +26,7 @@
 
 
 def _scenarios(files: list[Path] | None) -> list[Any]:
-    from juniperward.simulation.scenario import FOLDER, load
+    from juniperward.simulation.scenario_loader import FOLDER, load
 
     try:
         return [load(f) for f in (files or sorted(FOLDER.glob("*.textproto")))]
@@ -71,12 +71,12 @@
 
     scenarios = _scenarios(None)
     if output is Output.JSON:
-        rows = [{"scenario": s.name, "shows": s.shows} for s in scenarios]
+        rows = [{"scenario": s.name, "shows": s.description} for s in scenarios]
         print_json({"scenarios": rows, "policies": list(POLICIES)})
         return
     made = table("scenario", "shows")
     for s in scenarios:
-        made.add_row(s.name, s.shows)
+        made.add_row(s.name, s.description)
     console.print(made)
     console.print(f"policies: {', '.join(POLICIES)}", markup=False)
 
@@ -97,7 +97,7 @@
     if output is Output.JSON:
         print_json(row | {"by_second": result.by_second})
         return
-    made = table("what", "value", title=f"{s.name}: {s.shows}")
+    made = table("what", "value", title=f"{s.name}: {s.description}")
     for key, value in row.items():
         made.add_row(key, f"{value:.4f}" if isinstance(value, float) else json.dumps(value))
     console.print(made)
@@ -159,7 +159,7 @@
     from juniperward.simulation.report import write
 
     results = _sweep(files, policy, seeds, out, processes)
-    shows = {s.name: s.shows for s in _scenarios(files)}
+    shows = {s.name: s.description for s in _scenarios(files)}
     write(results, shows, file, f"juniperward lab report {file} --seeds {seeds}")
     console.print(f"{file}: {len(results)} runs", markup=False)
 
--- a/juniperward/simulation/accounts.py
+++ b/juniperward/simulation/accounts.py
@@ -1,60 +1,76 @@
-"""What a run came to: each message is counted once, at its last end."""
+"""What a run came to: each message is counted once, when it ends for its client."""
 
 from __future__ import annotations
 
-from typing import Any
-
-from juniperward.simulation.model import Message, RunResult
-from juniperward.simulation.scenario import objective_of
+from juniperward.simulation.model import Message, MessageOutcome, RunResult, SecondUtility
+from juniperward.simulation.objective import DeliveryObjective
 
 MICROSECONDS = 1e6
+LATE = "late"  # the reason, in stored results, of utility lost by a delivery past its latency objective
 
 
 class Accounts:
-    """Counts messages and the utility of their deliveries by the traffic's latency objective and deadline.
+    """Counts messages and the utility of their deliveries by the clients' objective.
 
-    Called by the world: `asked` when a client has a message, `over` at its last end, `sum_up` once at the end.
+    Called by clients and forwarders: `open` when a client has a message, `close` when it has ended, `sum_up` once at
+    the run's end.
     """
 
-    def __init__(self, traffic: Any) -> None:
-        """Begin with none; `traffic` is the scenario's traffic message."""
+    def __init__(self, objective: DeliveryObjective) -> None:
+        """Begin with no message."""
         self.result = RunResult()
-        self._objective = objective_of(traffic)
-        self._open: dict[int, Message] = {}  # without a last end; nothing is kept of the others
-        self._seconds: dict[int, list[float]] = {}
-        self._utility = 0.0  # summed over the messages that have their last end
+        self._objective = objective
+        self._open: dict[int, Message] = {}  # by number; ended messages are not retained
+        self._seconds: dict[int, SecondUtility] = {}
+        self._utility = 0.0  # summed over the ended messages
 
-    def asked(self, partner: int, now: float) -> Message:
+    def open(self, destination: int, now: float) -> Message:
         """Count a message that a client has; return it."""
-        self.result.asked += 1
-        message = self._open[self.result.asked] = Message(self.result.asked, partner, now)
-        self._seconds.setdefault(int(now), [0.0, 0.0])[0] += 1.0
+        self.result.requested += 1
+        number = self.result.requested
+        message = Message(number, destination, now)
+        self._open[number] = message
+        self._add_to_second(message, requested=1.0, utility=0.0)
         return message
 
-    def over(self, message: Message) -> None:
-        """Count a message that has its last end, and let go of it."""
+    def close(self, message: Message) -> None:
+        """Count a message that has ended."""
         del self._open[message.number]
-        result = self.result
-        utility, why = 0.0, message.ended or "no end"
-        if message.done_at is not None:
-            took_s = message.done_at - message.first
-            utility, why = self._objective.utility_after(took_s), "late"
-            result.latencies.record_value(max(int(took_s * MICROSECONDS), 1))
+        self._count(message)
+        utility, reason = 0.0, message.outcome.value
+        if message.delivered_s is not None:
+            utility, reason = self._utility_of_delivery(message.delivered_s - message.arrived_s), LATE
         if utility < 1.0:
-            result.lost[why] = result.lost.get(why, 0.0) + 1.0 - utility
-        result.delivered += message.done_at is not None
-        result.failed += message.ended == "failed"
-        result.refused += message.ended.startswith("refused")
-        result.unended += not message.ended
+            lost = self.result.utility_lost
+            lost[reason] = lost.get(reason, 0.0) + 1.0 - utility
         self._utility += utility
-        self._seconds[int(message.first)][1] += utility
+        self._add_to_second(message, requested=0.0, utility=utility)
+
+    def _count(self, message: Message) -> None:
+        result = self.result
+        result.delivered += message.delivered_s is not None
+        result.failed += message.outcome is MessageOutcome.FAILED
+        result.rejected += message.outcome.rejected
+        result.unfinished += message.outcome is MessageOutcome.UNFINISHED
+
+    def _utility_of_delivery(self, latency_s: float) -> float:
+        self.result.latencies_us.record_value(max(int(latency_s * MICROSECONDS), 1))
+        return self._objective.utility_after(latency_s)
+
+    def _add_to_second(self, message: Message, requested: float, utility: float) -> None:
+        second = int(message.arrived_s)
+        sums = self._seconds.get(second, SecondUtility(0.0, 0.0))
+        self._seconds[second] = SecondUtility(sums.requested + requested, sums.utility + utility)
 
     def sum_up(self) -> RunResult:
-        """Count what has no end, and return the result."""
+        """Count what has not ended, and return the result."""
         for message in list(self._open.values()):
-            self.over(message)
+            self.close(message)
         result = self.result
-        result.worth = self._utility / result.asked if result.asked else 1.0
-        result.lost = {why: lost / max(result.asked, 1) for why, lost in sorted(result.lost.items())}
-        result.by_second = [(asked, utility) for _, (asked, utility) in sorted(self._seconds.items())]
+        result.utility = self._utility / result.requested if result.requested else 1.0
+        messages = max(result.requested, 1)
+        result.utility_lost = {
+            reason: lost / messages for reason, lost in sorted(result.utility_lost.items())
+        }
+        result.by_second = [sums for _, sums in sorted(self._seconds.items())]
         return result
--- a/juniperward/simulation/clients.py
+++ b/juniperward/simulation/clients.py
@@ -1,86 +1,118 @@
-"""The clients of the simulated world: arrivals, alone and in clumps, and what they do when they are rejected."""
+"""The clients of the simulated world: arrivals, alone and in bursts, and what they do when they are rejected.
+
+Input: the scenario's traffic; output: messages to `submit`, which the forwarders set. Called by the world's timeline.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import NamedTuple
 
 import numpy as np
 
 from juniperward.simulation.accounts import Accounts
-from juniperward.simulation.model import Message, Partner
-from juniperward.simulation.random_streams import RandomStream, RandomStreams
+from juniperward.simulation.model import Message, MessageOutcome, SimulatedDestination
+from juniperward.simulation.random_streams import RandomStreams
+from juniperward.simulation.scenario import Scenario
 from juniperward.simulation.timeline import Timeline
 
-MAX_TRIES = 2
+MAX_SUBMISSIONS = 2  # of one message
 LEAST_RETRY_S = 0.2
-LEAST_RATE = 1e-9
+LEAST_RATE_PER_S = 1e-9
+
+
+class HotDestination(NamedTuple):
+    """A destination that draws a fraction of all messages beside its weight."""
+
+    number: int
+    fraction: float
 
 
 class Clients:
-    """Makes messages and hands them to `submit`."""
+    """Makes messages and gives them to `submit`."""
 
     def __init__(
         self,
-        scenario: Any,
-        partners: Sequence[Partner],
+        scenario: Scenario,
+        destinations: Sequence[SimulatedDestination],
         timeline: Timeline,
         streams: RandomStreams,
         accounts: Accounts,
     ) -> None:
-        """Choose destinations by the partners' weights."""
+        """Choose destinations by their traffic weights."""
         self.submit: Callable[[Message], None] | None = None
-        self.hot: list[tuple[int, float]] = []  # partner, its share of the arrivals beside the weights
-        self._traffic, self._end = scenario.traffic, scenario.seconds
+        self.hot: list[HotDestination] = []
+        self._traffic, self._ends_s = scenario.traffic, scenario.duration_s
         self._timeline, self._streams, self._accounts = timeline, streams, accounts
-        total = sum(partner.weight for partner in partners)
-        self._cumulative = np.cumsum([partner.weight / total for partner in partners])
+        total = sum(destination.traffic_weight for destination in destinations)
+        self._cumulative = np.cumsum([destination.traffic_weight / total for destination in destinations])
+        self._arrivals_per_message = self._arrivals_of(scenario)
+        self._burst_probability = self._burst_probability_of(scenario)
+
+    def _arrivals_of(self, scenario: Scenario) -> float:
+        """Return arrivals (of one message or of a burst) per message."""
+        traffic = scenario.traffic
+        bursts = traffic.burst_fraction / traffic.burst_size if traffic.burst_size else 0.0
+        return 1 - traffic.burst_fraction + bursts
+
+    def _burst_probability_of(self, scenario: Scenario) -> float:
+        """Return the probability that an arrival is a burst."""
+        traffic = scenario.traffic
+        if not traffic.burst_size:
+            return 0.0
+        return (traffic.burst_fraction / traffic.burst_size) / self._arrivals_per_message
 
     def arrive(self) -> None:
-        """Make the next message or clump, and set the moment of the one after."""
-        traffic, stream, now = self._traffic, self._streams.arrivals, self._timeline.now
-        rate = traffic.rate
-        if traffic.swing:
-            rate *= 1 + traffic.swing * np.sin(2 * np.pi * now / traffic.period)
-        singles = 1 - traffic.clumps + (traffic.clumps / traffic.clump if traffic.clump else 0.0)
-        wait_s = stream.source.exponential(1 / max(rate * singles, LEAST_RATE))
+        """Make the next message or burst, and schedule the one after it."""
+        now = self._timeline.now
+        arrivals_per_s = max(self._rate(now) * self._arrivals_per_message, LEAST_RATE_PER_S)
+        wait_s = self._streams.arrivals.source.exponential(1 / arrivals_per_s)
         self._timeline.after(wait_s, self._arrive_unless_over)
-        clump = self._clump(stream, singles)
-        partner = self._destination(stream)
-        for _ in range(clump):
-            self._hand_in(self._accounts.asked(partner, now))
+        count = self._messages_at_once()
+        destination = self._choose_destination()
+        for _ in range(count):
+            self._submit(self._accounts.open(destination, now))
 
     def _arrive_unless_over(self) -> None:
-        if self._timeline.now < self._end:
+        if self._timeline.now < self._ends_s:
             self.arrive()
 
-    def _clump(self, stream: RandomStream, singles: float) -> int:
-        """Return how many messages come at once."""
+    def _rate(self, now: float) -> float:
+        """Return messages a second, with the swing."""
+        traffic = self._traffic
+        if not traffic.swing_fraction:
+            return traffic.rate_per_s
+        swing = np.sin(2 * np.pi * now / traffic.swing_period_s)
+        return float(traffic.rate_per_s * (1 + traffic.swing_fraction * swing))
+
+    def _messages_at_once(self) -> int:
         traffic = self._traffic
-        if traffic.clump and stream.uniform() < (traffic.clumps / traffic.clump) / singles:
-            return int(traffic.clump)
+        if traffic.burst_size and self._streams.arrivals.uniform() < self._burst_probability:
+            return traffic.burst_size
         return 1
 
-    def _destination(self, stream: RandomStream) -> int:
-        for number, share in self.hot:
-            if stream.uniform() < share:
-                return number
+    def _choose_destination(self) -> int:
+        stream = self._streams.arrivals
+        for hot in self.hot:
+            if stream.uniform() < hot.fraction:
+                return hot.number
         return int(np.searchsorted(self._cumulative, stream.uniform(), side="right")) + 1
 
-    def _hand_in(self, message: Message) -> None:
+    def _submit(self, message: Message) -> None:
         assert self.submit is not None
         self.submit(message)
 
     def resubmit(self, message: Message, delay_s: float) -> None:
-        """Hand a message in once more after a time."""
-        self._timeline.after(delay_s, self._hand_in, message)
-
-    def rejected(self, message: Message, retry_after_s: float, why: str) -> None:
-        """Try a message once more, as some clients do, or let go of it."""
-        message.ended = f"refused {why}"
-        again = message.tries < MAX_TRIES and self._streams.clients.uniform() < self._traffic.again
-        if not again:
-            self._accounts.over(message)
+        """Submit a message once more after a time."""
+        self._timeline.after(delay_s, self._submit, message)
+
+    def reject(self, message: Message, retry_after_s: float, outcome: MessageOutcome) -> None:
+        """Take a rejection: some clients submit the message once more, others give it up."""
+        message.outcome = outcome
+        may_retry = message.submissions < MAX_SUBMISSIONS
+        retries = may_retry and self._streams.clients.uniform() < self._traffic.resubmit_fraction
+        if not retries:
+            self._accounts.close(message)
             return
-        message.tries += 1
+        message.submissions += 1
         self.resubmit(message, max(retry_after_s, LEAST_RETRY_S))
--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -1,162 +1,201 @@
-"""The partners of the simulated world: what becomes of a call that reaches an endpoint, and their faults."""
+"""The destinations of the simulated world: what becomes of a call that reaches an endpoint.
+
+Input: attempts, by `reach`; output: how each ended, to `on_answer`, once the answer has come back over the network.
+Called by the forwarders; the world injects faults by `begin_fault` and `end_fault`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from juniperward.scheduler.events import Outcome
 from juniperward.simulation.accounts import Accounts
 from juniperward.simulation.model import (
     ONE_WAY_S,
     Attempt,
-    Partner,
+    Member,
+    SimulatedDestination,
     SimulatedEndpoint,
 )
 from juniperward.simulation.random_streams import RandomStreams
-from juniperward.simulation.recovery_budget import OVERLOAD_SPAN_S, WARM_UP_S
+from juniperward.simulation.recovery_budget import OVERLOAD_SPAN_S
+from juniperward.simulation.scenario import Fault, FaultKind, Traffic
 from juniperward.simulation.timeline import Timeline
 
-REJECTION_S = 0.001  # that a rejection or a failure takes at the partner
+REJECTION_S = 0.001  # that a rejection or an error takes at the destination
 LEAST_RETRY_AFTER_S = 0.01
-RATE_SPAN_S = 1.0  # over which a partner's limit is counted
-SLOWEST = 20.0  # times the usual latency, of a cold endpoint
-LEAST_CAPACITY = 0.01
+RATE_SPAN_S = 1.0  # over which a destination's rate limit is counted
+SLOWEST_SERVICE = 20.0  # times the usual latency, in slow start
+LEAST_CAPACITY_PER_S = 0.01
 BATCH_COST = 0.1  # of the latency, for each further message of a call
+NETWORK_LEAST, NETWORK_SPREAD = 0.7, 0.6  # of ONE_WAY_S
 
-Answer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, Retry-After in seconds
-MessageOf = Callable[
-    [Attempt, int], int | None
-]  # the client's message of a member, where its forwarder has it
+OnAnswer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, Retry-After in seconds
+# The client's message number of an attempt's member, or None where its forwarder no longer has it.
+MessageOf = Callable[[Attempt, Member], int | None]
 
 
-class Destinations:
-    """Serves attempts; `answer` takes each answer once it has come back over the network."""
+class DestinationService:
+    """Serves attempts at all endpoints."""
 
     def __init__(
         self,
-        traffic: Any,
-        partners: Sequence[Partner],
+        traffic: Traffic,
+        destinations: Sequence[SimulatedDestination],
         timeline: Timeline,
         streams: RandomStreams,
         accounts: Accounts,
     ) -> None:
-        """Serve the endpoints of `partners`."""
-        self.answer: Answer | None = None
+        """Serve the endpoints of `destinations`; the forwarders set `on_answer` and `message_of`."""
+        self.on_answer: OnAnswer | None = None
         self.message_of: MessageOf | None = None
-        self.partners = partners
-        self.endpoints = [endpoint for partner in partners for endpoint in partner.workers]
-        self._traffic, self._timeline, self._streams, self._accounts = traffic, timeline, streams, accounts
+        self.destinations = destinations
+        self.endpoints = [endpoint for destination in destinations for endpoint in destination.endpoints]
+        self._window_s = traffic.deduplication_window_s
+        self._effect_memory_s = 2 * traffic.objective.deadline_s + self._window_s
+        self._timeline, self._streams, self._accounts = timeline, streams, accounts
 
-    def partner_of(self, endpoint: int) -> Partner:
-        """Return the partner of an endpoint, by its number."""
-        return self.partners[self.endpoints[endpoint].partner - 1]
+    def destination_of(self, endpoint: int) -> SimulatedDestination:
+        """Return the destination of an endpoint, by its number."""
+        return self.destinations[self.endpoints[endpoint].destination - 1]
 
     def network_s(self) -> float:
         """Return the time of one way, with its jitter."""
-        return ONE_WAY_S * (0.7 + 0.6 * self._streams.network.uniform())
+        return ONE_WAY_S * (NETWORK_LEAST + NETWORK_SPREAD * self._streams.network.uniform())
 
     def reach(self, attempt: Attempt) -> None:
         """Take an attempt that comes to its endpoint."""
-        endpoint, partner = self.endpoints[attempt.worker], self.partner_of(attempt.worker)
-        partner.calls += 1
-        if partner.mode == "DOWN":
-            self._reply(attempt, Outcome.CONNECT_FAILED)
+        endpoint = self.endpoints[attempt.endpoint]
+        destination = self.destination_of(attempt.endpoint)
+        if destination.fault is FaultKind.DOWN:
+            self._answer(attempt, Outcome.CONNECT_FAILED)
             return
-        retry_after_s = self.rejection(partner, endpoint)
+        retry_after_s = self.rejection(destination, endpoint)
         if retry_after_s is not None:
-            partner.refused += 1
-            self._accounts.result.calls_refused += 1
-            self._reply(attempt, Outcome.OVERLOADED, retry_after_s)
-        elif partner.mode == "SILENT":
-            endpoint.hung.append(attempt)
-        elif partner.mode == "FAILING" and self._streams.rejections.uniform() < partner.size:
-            self._reply(attempt, Outcome.ERROR)
-        elif endpoint.busy < partner.spec.at_once:
-            self._serve(attempt, endpoint, partner)
+            self._accounts.result.calls_rejected += 1
+            self._answer(attempt, Outcome.OVERLOADED, retry_after_s)
+        elif destination.fault is FaultKind.UNRESPONSIVE:
+            endpoint.unanswered.append(attempt)
+        elif self._fails(destination):
+            self._answer(attempt, Outcome.ERROR)
+        elif endpoint.in_service < destination.group.concurrency:
+            self._serve(attempt, endpoint, destination)
         else:
             endpoint.queue.append(attempt)
 
-    def rejection(self, partner: Partner, endpoint: SimulatedEndpoint) -> float | None:
+    def _fails(self, destination: SimulatedDestination) -> bool:
+        if destination.fault is not FaultKind.FAILING:
+            return False
+        return self._streams.rejections.uniform() < destination.fault_magnitude
+
+    # --- rejections ----------------------------------------------------------------------------------------
+
+    def rejection(self, destination: SimulatedDestination, endpoint: SimulatedEndpoint) -> float | None:
         """Return None where an attempt is accepted, else the Retry-After it carries in seconds (0: none)."""
-        now, spec = self._timeline.now, partner.spec
-        with_retry_after = self._streams.rejections.uniform() < spec.tells_wait
-        self._push(partner)
-        if partner.fallen:
+        group = destination.group
+        with_retry_after = self._streams.rejections.uniform() < group.retry_after_fraction
+        self._record_load(destination)
+        if destination.crashed:
             return 0.0
-        if partner.mode == "SHUT":
-            return max(partner.until - now, LEAST_RETRY_AFTER_S) if with_retry_after else 0.0
-        if spec.rate:
-            # What is agreed on, also while it is cold: what it can do less of then shows in its times (`_serve`).
-            span = partner.span
-            while span and now - span[0] >= RATE_SPAN_S:
-                span.popleft()
-            if len(span) >= float(spec.rate):
-                return span[0] + RATE_SPAN_S - now if with_retry_after else 0.0
-            span.append(now)
-        return 0.0 if endpoint.accepted >= spec.at_once + spec.queue else None
-
-    def _push(self, partner: Partner) -> None:
-        """Count a call on a partner, which falls where it is cold and gets too many."""
-        now, pushes = self._timeline.now, partner.pushes
-        while pushes and now - pushes[0] > OVERLOAD_SPAN_S:
-            pushes.popleft()
-        pushes.append(now)
-        if partner.back_at is not None and now - partner.back_at < WARM_UP_S:
-            partner.fallen |= len(pushes) > partner.budget.max_calls(now - partner.back_at)
-
-    def _serve(self, attempt: Attempt, endpoint: SimulatedEndpoint, partner: Partner) -> None:
-        endpoint.busy += 1
-        mean_s = partner.spec.latency * (partner.size if partner.mode == "SLOW" else 1.0)
-        present = max(partner.present(self._timeline.now), LEAST_CAPACITY)
-        mean_s *= min(partner.capacity() / present, SLOWEST)
-        mean_s *= 1 + BATCH_COST * (len(attempt.members) - 1)
-        took_s = self._streams.service.gamma(mean_s, partner.spec.spread)
-        self._timeline.after(took_s, self._served, attempt, endpoint, partner)
-
-    def _served(self, attempt: Attempt, endpoint: SimulatedEndpoint, partner: Partner) -> None:
-        """Have an attempt take effect, whether anybody still waits for it or not."""
-        endpoint.busy -= 1
-        if partner.mode not in ("DOWN", "SILENT"):
-            for number, _ in attempt.members:
-                self._take_effect(attempt, number, partner)
-            self._reply(attempt, Outcome.OK)
+        if destination.fault is FaultKind.REJECTING:
+            retry_after_s = max(destination.fault_ends_s - self._timeline.now, LEAST_RETRY_AFTER_S)
+            return retry_after_s if with_retry_after else 0.0
+        if group.rate_limit_per_s:
+            until_next_s = self._over_rate_limit(destination)
+            if until_next_s is not None:
+                return until_next_s if with_retry_after else 0.0
+        return 0.0 if endpoint.outstanding >= group.concurrency + group.queue_limit else None
+
+    def _over_rate_limit(self, destination: SimulatedDestination) -> float | None:
+        """Count a call against the rate limit; return seconds until the next is let in, None for one within it.
+
+        The limit is what was agreed on, also in slow start: what a destination can do less of then shows in its
+        times (`_serve`).
+        """
+        now, accepted_at = self._timeline.now, destination.accepted_at
+        while accepted_at and now - accepted_at[0] >= RATE_SPAN_S:
+            accepted_at.popleft()
+        if len(accepted_at) >= destination.group.rate_limit_per_s:
+            return accepted_at[0] + RATE_SPAN_S - now
+        accepted_at.append(now)
+        return None
+
+    def _record_load(self, destination: SimulatedDestination) -> None:
+        """Count a call that reaches a destination, which crashes where it is in slow start and gets too many."""
+        now, reached_at = self._timeline.now, destination.reached_at
+        while reached_at and now - reached_at[0] > OVERLOAD_SPAN_S:
+            reached_at.popleft()
+        reached_at.append(now)
+        since_return_s = destination.since_return_s(now)
+        if since_return_s is not None:
+            destination.crashed |= len(reached_at) > destination.budget.max_calls(since_return_s)
+
+    # --- service -------------------------------------------------------------------------------------------
+
+    def _serve(
+        self, attempt: Attempt, endpoint: SimulatedEndpoint, destination: SimulatedDestination
+    ) -> None:
+        endpoint.in_service += 1
+        mean_s = self._mean_service_s(destination, len(attempt.members))
+        took_s = self._streams.service.gamma(mean_s, destination.group.latency_variation)
+        self._timeline.after(took_s, self._finish_service, attempt, endpoint, destination)
+
+    def _mean_service_s(self, destination: SimulatedDestination, messages: int) -> float:
+        group = destination.group
+        slow = destination.fault is FaultKind.SLOW
+        mean_s = group.latency_s * (destination.fault_magnitude if slow else 1.0)
+        present_per_s = max(destination.present_capacity(self._timeline.now), LEAST_CAPACITY_PER_S)
+        mean_s *= min(group.capacity_per_s / present_per_s, SLOWEST_SERVICE)
+        return mean_s * (1 + BATCH_COST * (messages - 1))
+
+    def _finish_service(
+        self, attempt: Attempt, endpoint: SimulatedEndpoint, destination: SimulatedDestination
+    ) -> None:
+        """Have an attempt take effect, whether its forwarder still waits for it or not."""
+        endpoint.in_service -= 1
+        if destination.fault not in (FaultKind.DOWN, FaultKind.UNRESPONSIVE):
+            for member in attempt.members:
+                self._apply_effect(attempt, member, destination)
+            self._answer(attempt, Outcome.OK)
         if endpoint.queue:
-            self._serve(endpoint.queue.popleft(), endpoint, partner)
+            self._serve(endpoint.queue.popleft(), endpoint, destination)
 
-    def _take_effect(self, attempt: Attempt, number: int, partner: Partner) -> None:
+    def _apply_effect(self, attempt: Attempt, member: Member, destination: SimulatedDestination) -> None:
         assert self.message_of is not None
-        message = self.message_of(attempt, number)
+        message = self.message_of(attempt, member)
         if message is None:
             return
-        traffic = self._traffic
-        memory_s = 2 * traffic.deadline + traffic.window
-        second = partner.take(message, self._timeline.now, traffic.window, memory_s)
-        self._accounts.result.second_effects += second
+        duplicate = destination.apply_effect(
+            message, self._timeline.now, self._window_s, self._effect_memory_s
+        )
+        self._accounts.result.duplicate_effects += duplicate
 
-    def _reply(self, attempt: Attempt, outcome: Outcome, retry_after_s: float = 0.0) -> None:
-        assert self.answer is not None
+    def _answer(self, attempt: Attempt, outcome: Outcome, retry_after_s: float = 0.0) -> None:
+        assert self.on_answer is not None
         took_s = 0.0 if outcome is Outcome.OK else REJECTION_S
         arrives_at = self._timeline.now + took_s + self.network_s()
-        self._timeline.at(arrives_at, self.answer, attempt, outcome, retry_after_s)
+        self._timeline.at(arrives_at, self.on_answer, attempt, outcome, retry_after_s)
 
     # --- faults --------------------------------------------------------------------------------------------
 
-    def begin_fault(self, number: int, kind: str, size: float, seconds: float) -> None:
-        """Have a fault of `kind` and `size` begin at partner `number` (from 1) for `seconds`."""
-        partner = self.partners[number - 1]
-        partner.mode, partner.size, partner.until = kind, size, self._timeline.now + seconds
-
-    def end_fault(self, number: int, kind: str) -> None:
-        """Have a partner return; it is cold then, unless it was only slow."""
-        partner = self.partners[number - 1]
-        partner.mode, partner.size = "", 1.0
-        partner.back_at = None if kind == "SLOW" else self._timeline.now
-        self._reset_hung(partner)
-
-    def _reset_hung(self, partner: Partner) -> None:
-        """End what hung at a silent partner with its connections, as on sockets."""
-        for endpoint in partner.workers:
-            for attempt in endpoint.hung:
-                self._reply(attempt, Outcome.RESET)
-            endpoint.hung = []
+    def begin_fault(self, number: int, fault: Fault) -> None:
+        """Have `fault` begin now at destination `number` (from 1)."""
+        destination = self.destinations[number - 1]
+        destination.fault = fault.kind
+        destination.fault_magnitude = fault.magnitude
+        destination.fault_ends_s = self._timeline.now + fault.duration_s
+
+    def end_fault(self, number: int, fault: Fault) -> None:
+        """Have a destination return; it is in slow start then, unless it was only slow."""
+        destination = self.destinations[number - 1]
+        destination.fault = FaultKind.NONE
+        destination.fault_magnitude = 1.0
+        destination.returned_s = None if fault.kind is FaultKind.SLOW else self._timeline.now
+        self._reset_unanswered(destination)
+
+    def _reset_unanswered(self, destination: SimulatedDestination) -> None:
+        """End what an unresponsive destination never answered with its connections, as on sockets."""
+        for endpoint in destination.endpoints:
+            for attempt in endpoint.unanswered:
+                self._answer(attempt, Outcome.RESET)
+            endpoint.unanswered = []
--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -28,7 +28,8 @@
 from scipy import stats
 
 from juniperward.simulation.policies import POLICIES, policy_name
-from juniperward.simulation.scenario import Scenario, parse
+from juniperward.simulation.scenario import Scenario
+from juniperward.simulation.scenario_loader import parse
 from juniperward.simulation.world import World
 
 VERSION = 2  # 1 had neither the scenario's text nor where and from what it was run
@@ -79,11 +80,14 @@
     scenario = parse(text, name)
     began = time.monotonic()
     r = World(scenario, POLICIES[policy], seed).run()
-    median, p99 = (r.latencies.get_value_at_percentile(x) / 1e6 if r.delivered else 0.0 for x in (50.0, 99.0))
+    median, p99 = (
+        r.latencies_us.get_value_at_percentile(x) / 1e6 if r.delivered else 0.0 for x in (50.0, 99.0)
+    )
     return Result(
-        scenario.name, digest(scenario), policy, seed, r.worth, r.asked, r.delivered, r.refused, r.failed,
-        median, p99, r.calls, r.calls_refused,
-        r.second_effects, r.waits_broken, r.fallen, r.lost, [list(x) for x in r.by_second],
+        scenario.name, digest(scenario), policy, seed, r.utility, r.requested, r.delivered, r.rejected, r.failed,
+        median, p99, r.calls, r.calls_rejected,
+        r.duplicate_effects, r.retry_after_violations, r.destinations_crashed, r.utility_lost,
+        [list(x) for x in r.by_second],
         time.monotonic() - began, r.events, text, revision(), machine(),
     )  # fmt: skip
 
--- a/juniperward/simulation/forwarders.py
+++ b/juniperward/simulation/forwarders.py
@@ -1,4 +1,8 @@
-"""The forwarders of the simulated world: real schedulers or other policies, driven round by round."""
+"""The forwarders of the simulated world: real schedulers or other policies, driven round by round.
+
+Input: clients' messages, by `submit`, and destinations' answers; output: attempts to the destinations, rejections to
+the clients, and counts in the accounts. Called by the world, which starts and kills forwarders.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +21,27 @@
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.simulation.accounts import Accounts
 from juniperward.simulation.clients import Clients
-from juniperward.simulation.destinations import Destinations
-from juniperward.simulation.model import Attempt, Forwarder, Message, Policy
+from juniperward.simulation.destinations import DestinationService
+from juniperward.simulation.model import (
+    Attempt,
+    Member,
+    Message,
+    MessageOutcome,
+    PendingMessage,
+    Policy,
+    SimulatedForwarder,
+)
 from juniperward.simulation.random_streams import RandomStreams
 from juniperward.simulation.timeline import Timeline
 
-FULL_RETRY_AFTER_S = 1.0  # told where a forwarder holds as many messages as it may
-RESTART_S = 1.0  # from a kill to the messages' return from the journal
+AT_LIMIT_RETRY_AFTER_S = 1.0  # of a rejection where a forwarder has as many messages as it may
+RESTART_S = 1.0  # from a kill to the resubmission of the journal's messages
 SAME_MOMENT_S = 1e-6
 SEED_LIMIT = 2**31
 
 
 class Forwarders:
-    """Holds what each forwarder has, and carries out what its policy decides."""
+    """Has what each forwarder's process has, and carries out what its policy decides."""
 
     def __init__(
         self,
@@ -40,163 +52,178 @@
         accounts: Accounts,
     ) -> None:
         """Make `count` forwarders; `connect` gives them the rest of the world."""
-        self.all = [Forwarder(number, None) for number in range(count)]
+        self.all = [SimulatedForwarder(number) for number in range(count)]
         self._settings, self._timeline, self._streams, self._accounts = settings, timeline, streams, accounts
 
     def connect(
-        self, clients: Clients, destinations: Destinations, policy: Policy, seen: object | None
+        self, clients: Clients, service: DestinationService, policy: Policy, observation: object | None
     ) -> None:
-        """Take messages from clients and answers from destinations; `seen` goes to a policy that sees the world."""
-        self._clients, self._destinations = clients, destinations
-        self._policy, self._seen = policy, seen
+        """Connect clients and destinations; `observation` goes to a policy that has an `observation_type`."""
+        self._clients, self._service = clients, service
+        self._policy, self._observation = policy, observation
         clients.submit = self.submit
-        destinations.answer = self._answered
-        destinations.message_of = self._message_of
+        service.on_answer = self._finish
+        service.message_of = self._message_of
 
     # --- messages ------------------------------------------------------------------------------------------
 
     def submit(self, message: Message) -> None:
-        """Hand a message to a forwarder that is up, drawn at random."""
-        now = self._timeline.now
-        expires = message.first + self._settings.classes[0].deadline_s
+        """Give a message to a forwarder that is up, drawn at random."""
+        time_left_s = message.arrived_s + self._settings.classes[0].deadline_s - self._timeline.now
         up = [forwarder for forwarder in self.all if forwarder.up]
-        if not up or expires <= now:
-            message.ended = message.ended or "refused"
-            self._accounts.over(message)
+        if not up or time_left_s <= 0.0:
+            if message.outcome is MessageOutcome.UNFINISHED:
+                message.outcome = MessageOutcome.REJECTED
+            self._accounts.close(message)
             return
         forwarder = up[int(self._streams.clients.uniform() * len(up))]
-        if len(forwarder.held) >= self._settings.max_open:
-            self._clients.rejected(message, FULL_RETRY_AFTER_S, "door")
+        if len(forwarder.pending) >= self._settings.max_open:
+            self._clients.reject(message, AT_LIMIT_RETRY_AFTER_S, MessageOutcome.REJECTED_AT_LIMIT)
             return
-        forwarder.last += 1
-        number = forwarder.last
-        forwarder.held[number] = (message, expires)
-        forwarder.attempts[number] = 0
-        self._tell(
-            forwarder, MessageAdmitted(number, 0, message.partner, expires - now, 0, str(message.number))
+        self._admit(forwarder, message, time_left_s)
+
+    def _admit(self, forwarder: SimulatedForwarder, message: Message, time_left_s: float) -> None:
+        forwarder.last_number += 1
+        number = forwarder.last_number
+        forwarder.pending[number] = PendingMessage(message)
+        idempotency_key = str(message.number)
+        self._notify(
+            forwarder, MessageAdmitted(number, 0, message.destination, time_left_s, 0, idempotency_key)
         )
 
-    def _message_of(self, attempt: Attempt, number: int) -> int | None:
+    def _message_of(self, attempt: Attempt, member: Member) -> int | None:
         forwarder = self.all[attempt.forwarder]
-        held = forwarder.held.get(number) if forwarder.life == attempt.life else None
-        return held[0].number if held is not None else None
-
-    def _release(self, forwarder: Forwarder, number: int) -> Message | None:
-        held = forwarder.held.pop(number, None)
-        if held is None:
+        if forwarder.incarnation != attempt.incarnation:
             return None
-        del forwarder.attempts[number]
-        return held[0]
+        pending = forwarder.pending.get(member.message)
+        return pending.message.number if pending is not None else None
 
     # --- processes -----------------------------------------------------------------------------------------
 
-    def start(self, forwarder: Forwarder) -> None:
-        """Begin a life: a policy that knows nothing yet but the list."""
+    def start(self, forwarder: SimulatedForwarder) -> None:
+        """Start a process: a policy that has the endpoint list and nothing else."""
         forwarder.up = True
         seed = int(self._streams.schedulers.source.integers(SEED_LIMIT))
-        more = (self._seen,) if self._seen is not None else ()
-        forwarder.scheduler = self._policy(self._settings, seed, *more)
+        observation = (self._observation,) if self._observation is not None else ()
+        forwarder.policy = self._policy(self._settings, seed, *observation)
         entries = tuple(
             EndpointEntry(
                 endpoint.number,
-                partner.number,
+                destination.number,
                 EndpointPhase.READY,
-                partner.kind,
+                destination.kind,
                 0,
-                float(partner.spec.rate),
+                destination.group.rate_limit_per_s,
             )
-            for partner in self._destinations.partners
-            for endpoint in partner.workers
+            for destination in self._service.destinations
+            for endpoint in destination.endpoints
         )
-        self._tell(forwarder, EndpointListUpdated(ListScope.FULL, entries))
+        self._notify(forwarder, EndpointListUpdated(ListScope.FULL, entries))
 
-    def kill(self, forwarder: Forwarder) -> None:
-        """End a process; what its journal has comes back with its next life."""
-        for message in forwarder.die():
+    def kill(self, forwarder: SimulatedForwarder) -> None:
+        """End a process; what its journal has is submitted again."""
+        for message in forwarder.end_process():
             self._clients.resubmit(message, RESTART_S)
 
     # --- rounds --------------------------------------------------------------------------------------------
 
-    def _tell(self, forwarder: Forwarder, event: Event) -> None:
-        """Have the events of one moment come to a policy in one round."""
+    def _notify(self, forwarder: SimulatedForwarder, event: Event) -> None:
+        """Queue an event for a policy; those of one moment come to it in one round."""
         forwarder.inbox.append(event)
-        if not forwarder.due:
-            forwarder.due = True
-            self._timeline.after(0.0, self._round, forwarder, forwarder.life)
+        if not forwarder.round_scheduled:
+            forwarder.round_scheduled = True
+            self._timeline.after(0.0, self._run_round, forwarder, forwarder.incarnation)
 
-    def _round(self, forwarder: Forwarder, life: int) -> None:
-        if forwarder.life != life:
+    def _run_round(self, forwarder: SimulatedForwarder, incarnation: int) -> None:
+        if forwarder.incarnation != incarnation:
             return
-        forwarder.due = False
+        forwarder.round_scheduled = False
         events, forwarder.inbox = forwarder.inbox, []
         starts: dict[int, list[StartAttempt]] = {}
-        for action in forwarder.scheduler.handle(self._timeline.now, events):
+        for action in forwarder.policy.handle(self._timeline.now, events):
             if isinstance(action, StartAttempt):
                 starts.setdefault(action.endpoint, []).append(action)
             else:
                 self._carry_out(forwarder, action)
-        for endpoint, asked in starts.items():
-            self._send(forwarder, endpoint, asked)
+        for endpoint, started in starts.items():
+            self._send(forwarder, endpoint, started)
 
-    def _carry_out(self, forwarder: Forwarder, action: Action) -> None:
+    def _carry_out(self, forwarder: SimulatedForwarder, action: Action) -> None:
         match action:
             case SetTimer(delay_s=delay_s, token=token):
-                self._timeline.after(delay_s, self._timer_fired, forwarder, forwarder.life, token)
+                incarnation = forwarder.incarnation
+                self._timeline.after(delay_s, self._fire_timer, forwarder, incarnation, token)
             case Reject(message=number, retry_after_s=retry_after_s):
-                if (message := self._release(forwarder, number)) is not None:
-                    self._clients.rejected(message, retry_after_s, "held")
+                pending = forwarder.pending.pop(number, None)
+                if pending is not None:
+                    outcome = MessageOutcome.REJECTED_BY_POLICY
+                    self._clients.reject(pending.message, retry_after_s, outcome)
             case Fail(message=number):
-                if (message := self._release(forwarder, number)) is not None:
-                    message.ended = "failed"
-                    self._accounts.over(message)
+                pending = forwarder.pending.pop(number, None)
+                if pending is not None:
+                    pending.message.outcome = MessageOutcome.FAILED
+                    self._accounts.close(pending.message)
             case CancelAttempt(message=number, attempt=attempt_number):
-                if (attempt := forwarder.out.get((number, attempt_number))) is not None:
-                    self._timeline.after(0.0, self._answered, attempt, Outcome.CANCELLED, 0.0)
+                attempt = forwarder.in_flight.get(Member(number, attempt_number))
+                if attempt is not None:
+                    self._timeline.after(0.0, self._finish, attempt, Outcome.CANCELLED, 0.0)
 
-    def _timer_fired(self, forwarder: Forwarder, life: int, token: int) -> None:
-        if forwarder.life == life:
-            self._tell(forwarder, TimerFired(token))
+    def _fire_timer(self, forwarder: SimulatedForwarder, incarnation: int, token: int) -> None:
+        if forwarder.incarnation == incarnation:
+            self._notify(forwarder, TimerFired(token))
 
     # --- attempts ------------------------------------------------------------------------------------------
 
-    def _send(self, forwarder: Forwarder, endpoint: int, asked: list[StartAttempt]) -> None:
-        """Make calls of as many messages as the partner takes in one."""
-        partner = self._destinations.partner_of(endpoint)
-        if forwarder.waits.get(partner.number, 0.0) > self._timeline.now + SAME_MOMENT_S:
-            self._accounts.result.waits_broken += 1
-        for first in range(0, len(asked), partner.batch):
-            self._call(forwarder, endpoint, asked[first : first + partner.batch])
-
-    def _call(self, forwarder: Forwarder, endpoint: int, asked: list[StartAttempt]) -> None:
-        attempt = Attempt(forwarder.number, forwarder.life, endpoint, [], self._timeline.now)
-        for start in asked:
-            number = forwarder.attempts[start.message]
-            forwarder.attempts[start.message] = number + 1
-            attempt.members.append((start.message, number))
-            forwarder.out[start.message, number] = attempt
+    def _send(self, forwarder: SimulatedForwarder, endpoint: int, started: list[StartAttempt]) -> None:
+        """Make calls of as many messages as the destination takes in one."""
+        destination = self._service.destination_of(endpoint)
+        retry_after_until = forwarder.retry_after_until.get(destination.number, 0.0)
+        if retry_after_until > self._timeline.now + SAME_MOMENT_S:
+            self._accounts.result.retry_after_violations += 1
+        batch_size = destination.group.batch_size
+        for first in range(0, len(started), batch_size):
+            self._call(forwarder, endpoint, started[first : first + batch_size])
+
+    def _call(self, forwarder: SimulatedForwarder, endpoint: int, started: list[StartAttempt]) -> None:
+        attempt = Attempt(forwarder.number, forwarder.incarnation, endpoint, [], self._timeline.now)
+        for start in started:
+            pending = forwarder.pending[start.message]
+            member = Member(start.message, pending.attempts)
+            pending.attempts += 1
+            attempt.members.append(member)
+            forwarder.in_flight[member] = attempt
         self._accounts.result.calls += 1
-        timeout_s = min(start.timeout_s for start in asked)
-        self._timeline.after(timeout_s, self._answered, attempt, Outcome.TIMEOUT, 0.0)
-        self._timeline.after(self._destinations.network_s(), self._destinations.reach, attempt)
+        timeout_s = min(start.timeout_s for start in started)
+        self._timeline.after(timeout_s, self._finish, attempt, Outcome.TIMEOUT, 0.0)
+        self._timeline.after(self._service.network_s(), self._service.reach, attempt)
 
-    def _answered(self, attempt: Attempt, outcome: Outcome, retry_after_s: float) -> None:
+    def _finish(self, attempt: Attempt, outcome: Outcome, retry_after_s: float) -> None:
         """End an attempt for its forwarder; the first end counts."""
         forwarder = self.all[attempt.forwarder]
-        if attempt.over or forwarder.life != attempt.life:
+        if attempt.finished or forwarder.incarnation != attempt.incarnation:
             return
-        attempt.over = True
+        attempt.finished = True
         now = self._timeline.now
-        partner = self._destinations.partner_of(attempt.worker).number
+        destination = self._service.destination_of(attempt.endpoint).number
         if retry_after_s > 0:
-            forwarder.waits[partner] = max(now + retry_after_s, forwarder.waits.get(partner, 0.0))
+            until = forwarder.retry_after_until.get(destination, 0.0)
+            forwarder.retry_after_until[destination] = max(now + retry_after_s, until)
         delivered = outcome is Outcome.OK
-        for number, attempt_number in attempt.members:
-            forwarder.out.pop((number, attempt_number), None)
-            message = self._release(forwarder, number) if delivered else None
-            if message is not None:
-                message.ended, message.done_at = "delivered", now
-                self._accounts.over(message)
+        latency_s = now - attempt.sent_s
+        for member in attempt.members:
+            forwarder.in_flight.pop(member, None)
+            if delivered:
+                self._deliver(forwarder, member.message)
             finished = AttemptFinished(
-                number, attempt_number, attempt.worker, outcome, now - attempt.sent, delivered, retry_after_s
+                member.message, member.attempt, attempt.endpoint, outcome, latency_s, delivered, retry_after_s
             )
-            self._tell(forwarder, finished)
+            self._notify(forwarder, finished)
+
+    def _deliver(self, forwarder: SimulatedForwarder, number: int) -> None:
+        """End a delivered message, unless it has ended before."""
+        pending = forwarder.pending.pop(number, None)
+        if pending is None:
+            return
+        pending.message.outcome = MessageOutcome.DELIVERED
+        pending.message.delivered_s = self._timeline.now
+        self._accounts.close(pending.message)
--- a/juniperward/simulation/model.py
+++ b/juniperward/simulation/model.py
@@ -5,7 +5,8 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
@@ -17,24 +18,53 @@
     WARM_UP_S,
     RecoveryBudget,
 )
+from juniperward.simulation.scenario import DestinationGroup, FaultKind
 
 ONE_WAY_S = 0.002  # of the network, in the mean
 LONGEST_LATENCY_US = 3_600_000_000
 
-# Of settings and a seed, and of the world for one that `sees` it; makes what has handle(now, events) -> actions.
+# Of settings and a seed, and of an observation for one that has an `observation_type`; makes what has
+# handle(now, events) -> actions.
 Policy = Callable[..., Any]
 
 
+class MessageOutcome(StrEnum):
+    """How a message ended for its client; the values are the reasons in stored results' `lost`."""
+
+    UNFINISHED = "no end"
+    DELIVERED = "delivered"
+    FAILED = "failed"
+    REJECTED = "refused"  # no forwarder was up, or its time was over
+    REJECTED_AT_LIMIT = "refused door"  # its forwarder had as many messages as it may
+    REJECTED_BY_POLICY = "refused held"
+
+    @property
+    def rejected(self) -> bool:
+        """Whether the client got a rejection."""
+        return self in (
+            MessageOutcome.REJECTED,
+            MessageOutcome.REJECTED_AT_LIMIT,
+            MessageOutcome.REJECTED_BY_POLICY,
+        )
+
+
 @dataclass(slots=True)
 class Message:
-    """A client's message, with all its tries; `first` is when it was due."""
+    """A client's message, with all its submissions."""
 
     number: int
-    partner: int
-    first: float
-    tries: int = 1
-    done_at: float | None = None  # its first effect that its sender heard of
-    ended: str = ""  # refused, failed or delivered
+    destination: int
+    arrived_s: float
+    submissions: int = 1
+    delivered_s: float | None = None  # when its client heard of its first effect
+    outcome: MessageOutcome = MessageOutcome.UNFINISHED
+
+
+class Member(NamedTuple):
+    """A message within an attempt, by its forwarder's numbers."""
+
+    message: int
+    attempt: int
 
 
 @dataclass(slots=True)
@@ -42,113 +72,122 @@
     """A call of one or several messages to an endpoint."""
 
     forwarder: int
-    life: int
-    worker: int
-    members: list[tuple[int, int]]  # message, attempt number
-    sent: float
-    over: bool = False
+    incarnation: int
+    endpoint: int
+    members: list[Member]
+    sent_s: float
+    finished: bool = False
 
 
 @dataclass(slots=True)
 class SimulatedEndpoint:
-    """One endpoint of a partner."""
+    """One endpoint of a destination."""
 
     number: int
-    partner: int
-    busy: int = 0
+    destination: int
+    in_service: int = 0
     queue: deque[Attempt] = field(default_factory=deque)
-    hung: list[Attempt] = field(
-        default_factory=list
-    )  # that a silent endpoint has accepted, and never answers
+    unanswered: list[Attempt] = field(default_factory=list)  # accepted while unresponsive
 
     @property
-    def accepted(self) -> int:
-        """Attempts that it has and has not answered."""
-        return self.busy + len(self.queue) + len(self.hung)
+    def outstanding(self) -> int:
+        """Attempts that it has accepted and has not answered."""
+        return self.in_service + len(self.queue) + len(self.unanswered)
 
 
 @dataclass(slots=True)
-class Partner:
-    """A partner's state; `mode` is a trouble's kind or empty."""
+class SimulatedDestination:
+    """A destination's state; `group` says what it can do, `fault` what ails it now."""
 
     number: int
-    kind: int
-    spec: Any
-    weight: float
-    workers: list[SimulatedEndpoint] = field(default_factory=list)
-    mode: str = ""
-    size: float = 1.0
-    until: float = 0.0
-    back_at: float | None = None
-    fallen: bool = False
-    span: deque[float] = field(default_factory=deque)
-    pushes: deque[float] = field(default_factory=deque)
-    calls: int = 0
-    refused: int = 0
-    effects: dict[int, float] = field(default_factory=dict)  # by message, the latest last
-
-    def take(self, message: int, now: float, window: float, memory: float) -> bool:
-        """Have a call take effect unless it repeats one within the window; return whether it is a second effect.
-
-        What is older than `memory` seconds is forgotten: no message lives for so long.
+    kind: int  # the index of its group
+    group: DestinationGroup
+    traffic_weight: float
+    endpoints: list[SimulatedEndpoint] = field(default_factory=list)
+    fault: FaultKind = FaultKind.NONE
+    fault_magnitude: float = 1.0
+    fault_ends_s: float = 0.0
+    returned_s: float | None = None  # from its last outage
+    crashed: bool = False  # overloaded in slow start; it does not return
+    accepted_at: deque[float] = field(default_factory=deque)  # calls that count against its rate limit
+    reached_at: deque[float] = field(default_factory=deque)  # all calls of the last overload span
+    effects: dict[int, float] = field(default_factory=dict)  # time by message, the latest last
+
+    def apply_effect(self, message: int, now: float, window_s: float, memory_s: float) -> bool:
+        """Have a call take effect unless it repeats one within the window; return whether it is a duplicate effect.
+
+        What is older than `memory_s` is forgotten: no message lives for so long.
         """
         before = self.effects.pop(message, None)
-        repeat = before is not None and now - before < window
-        self.effects[message] = before if repeat and before is not None else now
-        while self.effects and now - next(iter(self.effects.values())) > memory:
+        within_window = before is not None and now - before < window_s
+        self.effects[message] = before if before is not None and within_window else now
+        while self.effects and now - next(iter(self.effects.values())) > memory_s:
             del self.effects[next(iter(self.effects))]
-        return before is not None and not repeat
-
-    @property
-    def batch(self) -> int:
-        """Messages that one call carries at most."""
-        return max(int(self.spec.batch), 1)
-
-    def capacity(self) -> float:
-        """Return the calls a second that it serves when warm."""
-        spec = self.spec
-        return float(spec.rate or spec.workers * spec.at_once / spec.latency)
+        return before is not None and not within_window
 
     @property
     def budget(self) -> RecoveryBudget:
-        """What it bears while it is cold."""
+        """What it bears in slow start."""
         return RecoveryBudget(
-            self.capacity(), SLOW_START_FRACTION, WARM_UP_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S
+            self.group.capacity_per_s, SLOW_START_FRACTION, WARM_UP_S, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S
         )
 
-    def present(self, now: float) -> float:
+    def since_return_s(self, now: float) -> float | None:
+        """Return seconds since its return while it is in slow start, else None."""
+        if self.returned_s is None or now - self.returned_s >= WARM_UP_S:
+            return None
+        return now - self.returned_s
+
+    def present_capacity(self, now: float) -> float:
         """Return the calls a second that it serves now."""
-        if self.fallen:
+        if self.crashed:
             return 0.0
-        if self.back_at is None:
-            return self.capacity()
-        return self.budget.present_capacity(now - self.back_at)
+        if self.returned_s is None:
+            return self.group.capacity_per_s
+        return self.budget.present_capacity(now - self.returned_s)
 
 
 @dataclass(slots=True)
-class Forwarder:
-    """A policy and what is held for it; `life` counts its starts."""
+class PendingMessage:
+    """A message that a forwarder has accepted, and how many attempts of it were started."""
+
+    message: Message
+    attempts: int = 0
+
+
+@dataclass(slots=True)
+class SimulatedForwarder:
+    """A policy and what its process has; `incarnation` counts its ends."""
 
     number: int
-    scheduler: Any
-    life: int = 0
+    policy: Any = None
+    incarnation: int = 0
     up: bool = True
-    held: dict[int, tuple[Message, float]] = field(
-        default_factory=dict
-    )  # by its own number: message, expires
-    attempts: dict[int, int] = field(default_factory=dict)
-    out: dict[tuple[int, int], Attempt] = field(default_factory=dict)
-    waits: dict[int, float] = field(default_factory=dict)  # told, by partner
-    last: int = 0
+    pending: dict[int, PendingMessage] = field(default_factory=dict)  # by its own numbers
+    in_flight: dict[Member, Attempt] = field(default_factory=dict)
+    retry_after_until: dict[int, float] = field(default_factory=dict)  # by destination
+    last_number: int = 0
     inbox: list[Event] = field(default_factory=list)
-    due: bool = False  # it will look at its inbox at this moment
+    round_scheduled: bool = False
+
+    def end_process(self) -> list[Message]:
+        """End its process; return what its journal has, which is submitted again after its restart."""
+        journaled = [pending.message for pending in self.pending.values()]
+        self.up = False
+        self.incarnation += 1
+        self.round_scheduled = False
+        self.inbox = []
+        self.pending = {}
+        self.in_flight = {}
+        self.retry_after_until = {}
+        return journaled
+
+
+class SecondUtility(NamedTuple):
+    """Messages that came in one second, and the utility of their deliveries."""
 
-    def die(self) -> list[Message]:
-        """End its process; return what its journal has, which comes back with its next life."""
-        held = [message for message, _ in self.held.values()]
-        self.up, self.life, self.due, self.inbox = False, self.life + 1, False, []
-        self.held, self.attempts, self.out, self.waits = {}, {}, {}, {}
-        return held
+    requested: float
+    utility: float
 
 
 def _latencies() -> HdrHistogram:
@@ -157,22 +196,20 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run came to; worth is what was delivered of what was asked for, from 0 to 1."""
+    """What a run came to; `utility` is the mean over all messages, from 0 to 1."""
 
-    asked: int = 0
+    requested: int = 0
     delivered: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
-    unended: int = 0
-    worth: float = 0.0
-    lost: dict[str, float] = field(default_factory=dict)  # worth lost, by why
-    latencies: Any = field(default_factory=_latencies)  # microseconds
+    unfinished: int = 0
+    utility: float = 0.0
+    utility_lost: dict[str, float] = field(default_factory=dict)  # by reason
+    latencies_us: Any = field(default_factory=_latencies)
     calls: int = 0
-    calls_refused: int = 0
-    second_effects: int = 0
-    waits_broken: int = 0
-    fallen: int = 0
-    by_second: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # asked and delivered worth, by second due
-    events: int = 0
+    calls_rejected: int = 0
+    duplicate_effects: int = 0
+    retry_after_violations: int = 0  # rounds that sent to a destination within its Retry-After
+    destinations_crashed: int = 0
+    by_second: list[SecondUtility] = field(default_factory=list)  # by the second of the messages' arrival
+    events: int = 0  # that the timeline ran
--- a/juniperward/simulation/observation.py
+++ b/juniperward/simulation/observation.py
@@ -1,59 +1,77 @@
-"""What an oracle sees of the world: the true state of partners now, and the calls that are on their way to them."""
+"""What an oracle sees of the world: the true state of destinations now, and the calls that are on their way to them.
+
+One `Observation` a world: all forwarders' oracles share it, as they would have to agree on who calls. Made by the
+world for a policy whose `observation_type` it is; it is called by `policies.oracle` before each attempt.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
-from juniperward.simulation.model import ONE_WAY_S, Partner
-from juniperward.simulation.recovery_budget import OVERLOAD_MULTIPLE, OVERLOAD_SPAN_S, WARM_UP_S
+from juniperward.simulation.model import ONE_WAY_S, SimulatedDestination
+from juniperward.simulation.recovery_budget import OVERLOAD_SPAN_S
+from juniperward.simulation.scenario import FaultKind
 from juniperward.simulation.world import World
 
-CLOSED = ("DOWN", "SILENT", "SHUT", "FAILING")
+UNAVAILABLE = (FaultKind.DOWN, FaultKind.UNRESPONSIVE, FaultKind.REJECTING, FaultKind.FAILING)
 ROUND_TRIP_S = 2 * ONE_WAY_S
+RATE_SPAN_S = 1.0
 
 
 class Observation:
-    """One for each world: all forwarders' oracles share it, as they would have to agree on who calls."""
+    """The present of one world."""
 
     def __init__(self, world: World) -> None:
         """Look at this world."""
         self._world = world
-        self._coming: dict[int, deque[float]] = {}  # until when calls count as on their way; partners below 0
+        self._to_endpoint: dict[int, deque[float]] = {}  # by number: until when calls count as on their way
+        self._to_destination: dict[int, deque[float]] = {}
 
-    def might_serve(self, number: int) -> bool:
-        """Return whether a call that goes now would be served at once, and well; if so, its place is held for it."""
-        now, endpoint = self._world.now, self._world.endpoints[number]
-        partner = self._world.partners[endpoint.partner - 1]
-        if partner.mode in CLOSED or partner.fallen:
+    def reserve(self, number: int) -> bool:
+        """Return whether a call sent now to this endpoint would be served at once, and well; if so, count it in."""
+        now = self._world.now
+        endpoint = self._world.endpoints[number]
+        destination = self._world.destinations[endpoint.destination - 1]
+        if destination.fault in UNAVAILABLE or destination.crashed:
+            return False
+        to_endpoint = self._on_their_way(self._to_endpoint, endpoint.number)
+        to_destination = self._on_their_way(self._to_destination, destination.number)
+        occupied = endpoint.in_service + len(endpoint.queue) + len(to_endpoint)
+        if occupied >= destination.group.concurrency:
             return False
-        to_endpoint, to_partner = self._on_their_way(endpoint.number), self._on_their_way(-partner.number)
-        if endpoint.busy + len(endpoint.queue) + len(to_endpoint) >= partner.spec.at_once:
+        if _over_rate_limit(destination, now, len(to_destination)):
             return False
-        if self._over_limit(partner, now, len(to_partner)) or _would_fall(partner, now, len(to_partner)):
+        if _would_crash(destination, now, len(to_destination)):
             return False
         to_endpoint.append(now + ROUND_TRIP_S)
-        to_partner.append(now + ROUND_TRIP_S)
+        to_destination.append(now + ROUND_TRIP_S)
         return True
 
-    @staticmethod
-    def _over_limit(partner: Partner, now: float, coming: int) -> bool:
-        recent = sum(at > now - 1.0 + ROUND_TRIP_S for at in partner.span)
-        return bool(partner.spec.rate and recent + coming + 1 > partner.spec.rate)
+    def batch_size(self, number: int) -> int:
+        """Return how many messages one call to an endpoint carries."""
+        endpoint = self._world.endpoints[number]
+        return self._world.destinations[endpoint.destination - 1].group.batch_size
+
+    def _on_their_way(self, calls: dict[int, deque[float]], number: int) -> deque[float]:
+        arrivals = calls.setdefault(number, deque())
+        while arrivals and arrivals[0] <= self._world.now:  # it has come, and is counted where it is
+            arrivals.popleft()
+        return arrivals
 
-    def _on_their_way(self, number: int) -> deque[float]:
-        found = self._coming.setdefault(number, deque())
-        while found and found[0] <= self._world.now:  # it has come, and is counted where it is
-            found.popleft()
-        return found
 
-    def batch(self, number: int) -> int:
-        """Return how many messages one call to an endpoint carries."""
-        return self._world.partners[self._world.endpoints[number].partner - 1].batch
+def _over_rate_limit(destination: SimulatedDestination, now: float, on_their_way: int) -> bool:
+    """Return whether one more call would be over a destination's rate limit."""
+    rate_limit_per_s = destination.group.rate_limit_per_s
+    if not rate_limit_per_s:
+        return False
+    recent = sum(at > now - RATE_SPAN_S + ROUND_TRIP_S for at in destination.accepted_at)
+    return recent + on_their_way + 1 > rate_limit_per_s
 
 
-def _would_fall(partner: Partner, now: float, coming: int) -> bool:
-    """Return whether one more call would push a cold partner over."""
-    if partner.back_at is None or now - partner.back_at >= WARM_UP_S:
+def _would_crash(destination: SimulatedDestination, now: float, on_their_way: int) -> bool:
+    """Return whether one more call would crash a destination in slow start."""
+    since_return_s = destination.since_return_s(now)
+    if since_return_s is None:
         return False
-    pushed = sum(now - at <= OVERLOAD_SPAN_S for at in partner.pushes) + coming
-    return pushed + 1 > OVERLOAD_MULTIPLE * partner.present(now) * OVERLOAD_SPAN_S
+    recent = sum(now - at <= OVERLOAD_SPAN_S for at in destination.reached_at) + on_their_way
+    return recent + 1 > destination.budget.expected_calls(since_return_s)
--- a/juniperward/simulation/policies/baseline.py
+++ b/juniperward/simulation/policies/baseline.py
@@ -1,8 +1,9 @@
-"""What all baselines share: queues, time-outs, told waits, repeats inside the window.
+"""What all baselines share: queues, timeouts, Retry-After, retries within the deduplication window.
 
-Baselines are other ways to deliver, written from their public descriptions, behind the scheduler's interface. Each
-keeps what binds everybody (told waits, the window of repeats, the message's own time) and differs in how it limits,
-spreads and repeats. They are here to be beaten, and to be learned from where they are not.
+Baselines are other ways to deliver, written from their public descriptions, behind the scheduler's interface: events
+in, actions out, called by the simulated forwarders. Each respects what binds every policy (Retry-After, the
+deduplication window, the message's deadline) and differs in how it limits, spreads and retries. They are here to be
+compared with, and to be learned from where they are better.
 """
 
 from __future__ import annotations
@@ -25,76 +26,75 @@
 )
 from juniperward.scheduler.settings import SchedulerSettings
 
-MARGIN_S = 0.02  # kept clear of a deadline and of a window's end
+MARGIN_S = 0.02  # before a deadline and before a window's end
 FIRST_BACKOFF_S = 0.2  # doubled with each attempt
 MAX_DOUBLINGS = 3
-RETRY_AFTER_S = 1.0  # told with a rejection
+RETRY_AFTER_S = 1.0  # of a rejection
 EPSILON_S = 1e-9
 
 
 @dataclass(slots=True)
-class PendingMessage:
-    """A message and its attempts."""
+class QueuedMessage:
+    """A message and its attempts; times are those of `handle`'s clock."""
 
     number: int
-    partner: int
-    expires: float
-    sends: int = 0
-    first_ran: float | None = None
-    out: bool = False
-    not_before: float = 0.0
-    last: int = -1
+    destination: int
+    expires_s: float
+    attempts: int = 0
+    first_executed_s: float | None = None  # when it may first have taken effect
+    in_flight: bool = False
+    not_before_s: float = 0.0
 
 
 @dataclass(slots=True)
 class DestinationQueue:
-    """What a baseline keeps of one destination."""
+    """The state of one destination; the later fields are each for one policy's way to limit."""
 
     endpoints: list[int] = field(default_factory=list)
     queue: deque[int] = field(default_factory=deque)
-    wait_until: float = 0.0
-    out: dict[int, int] = field(default_factory=dict)  # attempts in flight, by endpoint
-    rating: float = 0.0
-    turn: int = 0
-    limit: float = 16.0  # concurrency or rate, as the policy has it
+    retry_after_until: float = 0.0
+    in_flight: dict[int, int] = field(default_factory=dict)  # attempts, by endpoint
+    listed_rate_per_s: float = 0.0
+    attempts_started: int = 0
+    concurrency_limit: float = 16.0
+    limit_cut_s: float = -math.inf
+    least_latency_s: float = math.inf
     tokens: float = 1.0
-    tokens_at: float = 0.0
-    fails: int = 0
-    open_until: float = 0.0  # of a circuit breaker
-    least: float = math.inf  # latency
-    cut_at: float = -math.inf
+    tokens_refilled_s: float = 0.0
+    consecutive_failures: int = 0
+    circuit_open_until: float = 0.0
 
     @property
-    def calls(self) -> int:
+    def total_in_flight(self) -> int:
         """All attempts in flight."""
-        return sum(self.out.values())
+        return sum(self.in_flight.values())
 
 
 class Baseline:
     """Delivers in the order of arrival; what a policy does its own way is overridden."""
 
-    tries = 8
-    keeps_on = True  # goes on after a failure
+    max_attempts = 8
+    retries = True
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         """Begin with no destination."""
-        self.set, self.random = settings, random.Random(seed)
-        self.held: dict[int, PendingMessage] = {}
+        self.settings, self.random = settings, random.Random(seed)
+        self.pending: dict[int, QueuedMessage] = {}
         self.destinations: dict[int, DestinationQueue] = {}
         self.now = 0.0
         self._destination_of: dict[int, int] = {}  # by endpoint
         self._in_flight = 0
-        self._due: list[tuple[float, int]] = []
+        self._expiries: list[tuple[float, int]] = []  # a heap of when a message is given up, and its number
         self._timer_at = math.inf
         self._token = 0
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take in events and return what is to be done, as `DeliveryScheduler.handle`."""
+        """Process events and return what is to be done, as `DeliveryScheduler.handle`."""
         self.now = now
         actions: list[Action] = []
         for event in events:
-            self._take_in(event)
-        self._give_up_late(actions)
+            self._process(event)
+        self._expire(actions)
         for destination in self.destinations.values():
             if destination.queue:
                 self._release(destination, actions)
@@ -103,147 +103,161 @@
 
     # --- events --------------------------------------------------------------------------------------------
 
-    def _take_in(self, event: Event) -> None:
+    def _process(self, event: Event) -> None:
         match event:
             case EndpointListUpdated():
-                self._listed(event)
+                self._endpoints_listed(event)
             case MessageAdmitted():
-                self._admitted(event)
+                self._message_admitted(event)
             case AttemptFinished():
-                self._finished(event)
+                self._attempt_finished(event)
             case TimerFired():
                 self._timer_at = math.inf
 
-    def _listed(self, event: EndpointListUpdated) -> None:
+    def _endpoints_listed(self, event: EndpointListUpdated) -> None:
         for entry in event.entries:
             destination = self.destinations.setdefault(entry.destination, DestinationQueue())
             if entry.phase is EndpointPhase.READY and entry.endpoint not in destination.endpoints:
                 destination.endpoints.append(entry.endpoint)
-                destination.rating = entry.listed_rate
+                destination.listed_rate_per_s = entry.listed_rate
             self._destination_of[entry.endpoint] = entry.destination
 
-    def _admitted(self, event: MessageAdmitted) -> None:
-        message = PendingMessage(event.message, event.destination, self.now + event.time_left_s)
-        self.held[message.number] = message
-        self.destinations.setdefault(message.partner, DestinationQueue()).queue.append(message.number)
-        heapq.heappush(self._due, (message.expires - MARGIN_S, message.number))
+    def _message_admitted(self, event: MessageAdmitted) -> None:
+        message = QueuedMessage(event.message, event.destination, self.now + event.time_left_s)
+        self.pending[message.number] = message
+        self.destinations.setdefault(message.destination, DestinationQueue()).queue.append(message.number)
+        heapq.heappush(self._expiries, (message.expires_s - MARGIN_S, message.number))
 
-    def _finished(self, event: AttemptFinished) -> None:
+    def _attempt_finished(self, event: AttemptFinished) -> None:
         destination = self.destinations[self._destination_of[event.endpoint]]
-        destination.out[event.endpoint] = destination.out.get(event.endpoint, 1) - 1
+        destination.in_flight[event.endpoint] = destination.in_flight.get(event.endpoint, 1) - 1
         self._in_flight -= 1
         if event.retry_after_s > 0:
-            destination.wait_until = max(destination.wait_until, self.now + event.retry_after_s)
-        self.learn(destination, event)
-        message = self.held.get(event.message)
+            until = self.now + event.retry_after_s
+            destination.retry_after_until = max(destination.retry_after_until, until)
+        self.observe(destination, event)
+        message = self.pending.get(event.message)
         if message is None:
             return
-        message.out = False
+        message.in_flight = False
         if event.message_ended:
-            del self.held[message.number]
+            del self.pending[message.number]
             return
-        if not event.outcome.never_executed and message.first_ran is None:
-            message.first_ran = self.now - event.latency_s
-        backoff_s = FIRST_BACKOFF_S * 2 ** min(message.sends - 1, MAX_DOUBLINGS)
-        message.not_before = self.now + (backoff_s if self.keeps_on else math.inf)
+        if not event.outcome.never_executed and message.first_executed_s is None:
+            message.first_executed_s = self.now - event.latency_s
+        message.not_before_s = self.now + self._backoff_s(message)
         destination.queue.append(message.number)
 
-    # --- ends ----------------------------------------------------------------------------------------------
-
-    def _give_up_late(self, actions: list[Action]) -> None:
-        while self._due and self._due[0][0] <= self.now + EPSILON_S:
-            _, number = heapq.heappop(self._due)
-            late = self.held.get(number)
-            if late is not None and not late.out and self.now >= late.expires - MARGIN_S - EPSILON_S:
-                self._give_up(late, actions)
+    def _backoff_s(self, message: QueuedMessage) -> float:
+        if not self.retries:
+            return math.inf
+        return float(FIRST_BACKOFF_S * 2 ** min(message.attempts - 1, MAX_DOUBLINGS))
+
+    # --- messages that end ---------------------------------------------------------------------------------
+
+    def _expire(self, actions: list[Action]) -> None:
+        """Give up the messages whose time is over, but for those in flight."""
+        while self._expiries and self._expiries[0][0] <= self.now + EPSILON_S:
+            _, number = heapq.heappop(self._expiries)
+            message = self.pending.get(number)
+            if message is None or message.in_flight:
+                continue
+            if self.now >= message.expires_s - MARGIN_S - EPSILON_S:
+                self._give_up(message, actions)
 
-    def _give_up(self, message: PendingMessage, actions: list[Action]) -> None:
-        del self.held[message.number]
-        never_ran = message.first_ran is None
-        actions.append(Reject(message.number, RETRY_AFTER_S) if never_ran else Fail(message.number))
+    def _give_up(self, message: QueuedMessage, actions: list[Action]) -> None:
+        del self.pending[message.number]
+        if message.first_executed_s is None:
+            actions.append(Reject(message.number, RETRY_AFTER_S))
+        else:
+            actions.append(Fail(message.number))
 
-    def _may_go_on(self, message: PendingMessage) -> bool:
+    def _may_attempt(self, message: QueuedMessage) -> bool:
         """Return whether a message may be attempted, now or later."""
-        if message.sends >= self.tries or (message.sends and not self.keeps_on):
+        if message.attempts >= self.max_attempts or (message.attempts and not self.retries):
             return False
-        window_s = self.set.classes[0].deduplication_window_s
-        return message.first_ran is None or self.now < message.first_ran + window_s - MARGIN_S
+        if message.first_executed_s is None:
+            return True
+        window_s = self.settings.classes[0].deduplication_window_s
+        return self.now < message.first_executed_s + window_s - MARGIN_S
 
     # --- release -------------------------------------------------------------------------------------------
 
     def _release(self, destination: DestinationQueue, actions: list[Action]) -> None:
+        """Start attempts of a destination's queue, for as long as slots and the policy allow it."""
         queue = destination.queue
         for _ in range(len(queue)):
-            if self._in_flight >= self.set.slots:
+            if self._in_flight >= self.settings.slots:
                 return
-            if self.now < max(destination.wait_until, destination.open_until):
+            if self.now < max(destination.retry_after_until, destination.circuit_open_until):
                 return
-            message = self.held.get(queue[0])
-            if message is None or message.out:
+            message = self.pending.get(queue[0])
+            if message is None or message.in_flight:
                 queue.popleft()
-            elif not self._may_go_on(message):
+            elif not self._may_attempt(message):
                 queue.popleft()
                 self._give_up(message, actions)
-            elif message.not_before > self.now:
+            elif message.not_before_s > self.now:
                 queue.rotate(-1)
             elif not self._start(destination, message, actions):
                 return
 
-    def _start(self, destination: DestinationQueue, message: PendingMessage, actions: list[Action]) -> bool:
+    def _start(self, destination: DestinationQueue, message: QueuedMessage, actions: list[Action]) -> bool:
         """Attempt the first message of a queue; return whether the policy lets it go."""
-        endpoint = self.choose(destination)
+        endpoint = self.choose_endpoint(destination)
         if endpoint is None or not self.admits(destination):
             return False
         destination.queue.popleft()
-        message.out, message.last = True, endpoint
-        message.sends += 1
-        destination.out[endpoint] = destination.out.get(endpoint, 0) + 1
+        message.in_flight = True
+        message.attempts += 1
+        destination.in_flight[endpoint] = destination.in_flight.get(endpoint, 0) + 1
         self._in_flight += 1
-        self.spent(destination)
-        actions.append(StartAttempt(message.number, endpoint, max(message.expires - self.now, MARGIN_S)))
+        self.on_start(destination)
+        timeout_s = max(message.expires_s - self.now, MARGIN_S)
+        actions.append(StartAttempt(message.number, endpoint, timeout_s))
         return True
 
     # --- timer ---------------------------------------------------------------------------------------------
 
     def _set_timer(self, actions: list[Action]) -> None:
-        wake_at = min([self._due[0][0] if self._due else math.inf, *self._release_times()])
+        next_expiry = self._expiries[0][0] if self._expiries else math.inf
+        wake_at = min([next_expiry, *self._release_times()])
         if wake_at < self._timer_at - EPSILON_S:
             self._timer_at = wake_at
             self._token += 1
-            actions.append(SetTimer(max(wake_at - self.now, self.set.timer_resolution_s), self._token))
+            delay_s = max(wake_at - self.now, self.settings.timer_resolution_s)
+            actions.append(SetTimer(delay_s, self._token))
 
     def _release_times(self) -> list[float]:
-        """Return when destinations may let a message go that cannot go now."""
-        found = []
-        for destination in self.destinations.values():
-            if destination.queue:
-                head = self.held.get(destination.queue[0])
-                not_before = head.not_before if head else 0.0
-                ready_at = self.ready_at(destination)
-                at = max(destination.wait_until, destination.open_until, not_before, ready_at)
-                if at > self.now:
-                    found.append(at)
-        return found
+        """Return when destinations may start an attempt that they cannot start now."""
+        times = [self._release_time(queue) for queue in self.destinations.values() if queue.queue]
+        return [at for at in times if at > self.now]
+
+    def _release_time(self, destination: DestinationQueue) -> float:
+        head = self.pending.get(destination.queue[0])
+        not_before_s = head.not_before_s if head else 0.0
+        admits_at = self.admits_at(destination)
+        return max(destination.retry_after_until, destination.circuit_open_until, not_before_s, admits_at)
 
     # --- what a policy does its own way --------------------------------------------------------------------
 
-    def choose(self, destination: DestinationQueue, /) -> int | None:
-        """Return the endpoint for an attempt: here in turn."""
+    def choose_endpoint(self, destination: DestinationQueue, /) -> int | None:
+        """Return the endpoint for an attempt: here in turn; None for none now."""
         if not destination.endpoints:
             return None
-        destination.turn += 1
-        return destination.endpoints[destination.turn % len(destination.endpoints)]
+        destination.attempts_started += 1
+        return destination.endpoints[destination.attempts_started % len(destination.endpoints)]
 
     def admits(self, _destination: DestinationQueue, /) -> bool:
-        """Return whether one more attempt may go now."""
+        """Return whether one more attempt may start now."""
         return True
 
-    def ready_at(self, _destination: DestinationQueue, /) -> float:
-        """Return when `admits` may say yes by itself."""
+    def admits_at(self, _destination: DestinationQueue, /) -> float:
+        """Return when `admits` may become true without an event; 0 for now."""
         return 0.0
 
-    def spent(self, destination: DestinationQueue, /) -> None:
-        """Take in that an attempt goes."""
+    def on_start(self, destination: DestinationQueue, /) -> None:
+        """Record that an attempt starts."""
 
-    def learn(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
-        """Take in how an attempt ended."""
+    def observe(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
+        """Record how an attempt ended."""
--- a/juniperward/simulation/policies/simple.py
+++ b/juniperward/simulation/policies/simple.py
@@ -6,13 +6,13 @@
 from juniperward.simulation.policies.baseline import Baseline, DestinationQueue
 
 FAILURES_THAT_OPEN = 5  # a circuit breaker, in a row
-OPEN_S = 2.0
+CIRCUIT_OPEN_S = 2.0
 
 
 class NoRetry(Baseline):
-    """One try for each message, in the order of arrival."""
+    """One attempt for each message, in the order of arrival."""
 
-    keeps_on = False
+    retries = False
 
 
 class RoundRobin(Baseline):
@@ -22,17 +22,20 @@
 class LeastOutstanding(Baseline):
     """The endpoint with the fewest attempts in flight, behind a circuit breaker."""
 
-    def choose(self, destination: DestinationQueue, /) -> int | None:
+    def choose_endpoint(self, destination: DestinationQueue, /) -> int | None:
         """Return the endpoint with the least in flight."""
-        out = destination.out
-        return min(destination.endpoints, key=lambda endpoint: (out.get(endpoint, 0), endpoint), default=None)
+        in_flight = destination.in_flight
+        by_load = sorted(destination.endpoints, key=lambda number: (in_flight.get(number, 0), number))
+        return by_load[0] if by_load else None
 
-    def learn(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
-        """Open the breaker after several failures in a row."""
+    def observe(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
+        """Open the circuit after several failures in a row."""
         if event.outcome is Outcome.OK:
-            destination.fails = 0
+            destination.consecutive_failures = 0
         elif event.outcome is not Outcome.OVERLOADED:
-            destination.fails += 1
-            if destination.fails >= FAILURES_THAT_OPEN:
-                destination.open_until = self.now + OPEN_S
-                destination.fails = FAILURES_THAT_OPEN - 1  # half open: one more failure opens it again
+            destination.consecutive_failures += 1
+            if destination.consecutive_failures >= FAILURES_THAT_OPEN:
+                destination.circuit_open_until = self.now + CIRCUIT_OPEN_S
+                destination.consecutive_failures = (
+                    FAILURES_THAT_OPEN - 1
+                )  # half open: one more opens it again
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -18,7 +18,7 @@
 from juniperward.settings.load import SettingsError
 from juniperward.simulation import scenario_pb2
 from juniperward.simulation.experiment import one
-from juniperward.simulation.scenario import FAULT_KINDS, fault_messages, parse
+from juniperward.simulation.scenario_loader import FAULT_KIND_CODES, fault_messages, parse
 
 KINDS = ("DOWN", "FAILING", "SHUT", "SLOW", "SILENT", "HOT", "KILL")
 KEPT = 8  # days that the next ones are made from
@@ -85,7 +85,7 @@
     )
     made = fault_messages(m).add(at=at, seconds=dice.choice([2.0, 5.0, 10.0]), partner=whom)
     made.size = dice.choice([0.3, 0.6, 0.9])
-    made.kind = FAULT_KINDS.Value(kind)
+    made.kind = FAULT_KIND_CODES.Value(kind)
     if kind == "SLOW":
         made.size = dice.choice([3.0, 8.0])
 
@@ -211,7 +211,7 @@
     )
     text = str(text_format.MessageToString(m))
     folder.mkdir(parents=True, exist_ok=True)
-    kinds = "-".join(sorted({FAULT_KINDS.Name(t.kind).lower() for t in fault_messages(m)})) or "load"
+    kinds = "-".join(sorted({FAULT_KIND_CODES.Name(t.kind).lower() for t in fault_messages(m)})) or "load"
     number = 1
     while (file := folder / f"{kinds}-{number}.textproto").exists():
         number += 1
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -1,22 +1,20 @@
-"""The world in simulated time: partners, network, clients, and forwarders that are real schedulers.
+"""The world in simulated time: destinations, network, clients, and forwarders that are real schedulers.
 
 One timeline; no thread, no clock, no I/O. Each concern draws from a random stream of its own: runs of two policies on
 one seed meet the same arrivals, latencies and faults. Times are seconds of the simulated day, rates are a second.
+Input: a scenario, a policy and a seed; output: a `RunResult`. Called by `experiment`.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 from juniperward.simulation.accounts import Accounts
-from juniperward.simulation.clients import Clients
-from juniperward.simulation.destinations import Destinations
+from juniperward.simulation.clients import Clients, HotDestination
+from juniperward.simulation.destinations import DestinationService
 from juniperward.simulation.forwarders import Forwarders
-from juniperward.simulation.model import (
-    Partner,
-    Policy,
-    RunResult,
-    SimulatedEndpoint,
-)
+from juniperward.simulation.model import Policy, RunResult, SimulatedDestination, SimulatedEndpoint
 from juniperward.simulation.random_streams import RandomStreams
 from juniperward.simulation.recovery_budget import (
     OVERLOAD_MULTIPLE,
@@ -24,10 +22,10 @@
     SLOW_START_FRACTION,
     WARM_UP_S,
 )
-from juniperward.simulation.scenario import Fault, Scenario, objective_of
+from juniperward.simulation.scenario import Fault, FaultKind, Scenario
 from juniperward.simulation.timeline import Timeline
 
-AFTER_LAST_DEADLINE_S = 1.0  # for what was accepted last to get its end
+AFTER_LAST_DEADLINE_S = 1.0  # for what was accepted last to end
 
 
 class World:
@@ -37,18 +35,18 @@
         """Compose the parts; `run` lets the day happen."""
         self.scenario = scenario
         self.timeline = Timeline()
-        self.partners = _partners(scenario)
-        streams, accounts = RandomStreams.of(seed), Accounts(scenario.traffic)
-        settings = scheduler_settings(scenario)
-        parts = (self.partners, self.timeline, streams, accounts)
+        self.destinations = _make_destinations(scenario)
+        streams, accounts = RandomStreams.of(seed), Accounts(scenario.traffic.objective)
+        parts = (self.destinations, self.timeline, streams, accounts)
         self.clients = Clients(scenario, *parts)
-        self.destinations = Destinations(scenario.traffic, *parts)
-        self.forwarders = Forwarders(scenario.forwarders, settings, self.timeline, streams, accounts)
-        self._accounts = accounts
-        sees = getattr(policy, "sees", None)
-        self.forwarders.connect(
-            self.clients, self.destinations, policy, sees(self) if sees is not None else None
+        self.service = DestinationService(scenario.traffic, *parts)
+        self.forwarders = Forwarders(
+            scenario.forwarders, scheduler_settings(scenario), self.timeline, streams, accounts
         )
+        self._accounts = accounts
+        observation_type = getattr(policy, "observation_type", None)
+        observation = observation_type(self) if observation_type is not None else None
+        self.forwarders.connect(self.clients, self.service, policy, observation)
 
     @property
     def now(self) -> float:
@@ -56,78 +54,91 @@
         return self.timeline.now
 
     @property
-    def endpoints(self) -> list[SimulatedEndpoint]:
+    def endpoints(self) -> Sequence[SimulatedEndpoint]:
         """All endpoints, by number."""
-        return self.destinations.endpoints
+        return self.service.endpoints
 
     def run(self) -> RunResult:
-        """Let the whole day happen, and go on until all that was accepted has its end."""
+        """Let the whole day happen, and go on until all that was accepted has ended."""
         for forwarder in self.forwarders.all:
             self.forwarders.start(forwarder)
         for fault in self.scenario.faults:
-            self.timeline.at(fault.at, self._inject_fault, fault, True)
-            self.timeline.at(fault.at + fault.seconds, self._inject_fault, fault, False)
+            self.timeline.at(fault.starts_s, self._begin_fault, fault)
+            self.timeline.at(fault.starts_s + fault.duration_s, self._end_fault, fault)
         self.timeline.at(0.0, self.clients.arrive)
-        self.timeline.run(self.scenario.seconds + self.scenario.traffic.deadline + AFTER_LAST_DEADLINE_S)
+        deadline_s = self.scenario.traffic.objective.deadline_s
+        self.timeline.run(self.scenario.duration_s + deadline_s + AFTER_LAST_DEADLINE_S)
         result = self._accounts.sum_up()
         result.events = self.timeline.actions_run
-        result.fallen = sum(partner.fallen for partner in self.partners)
+        result.destinations_crashed = sum(destination.crashed for destination in self.destinations)
         return result
 
-    def _inject_fault(self, fault: Fault, begins: bool) -> None:
-        """Have a fault begin or end."""
-        if fault.kind == "KILL":
-            self._kill_or_start(fault.size, begins)
-            return
-        for number in fault.partner:
-            if fault.kind == "HOT":
-                share = (number, fault.size / len(fault.partner))
-                hot = self.clients.hot
-                hot.append(share) if begins else hot.remove(share)
-            elif begins:
-                self.destinations.begin_fault(number, fault.kind, fault.size, fault.seconds)
-            else:
-                self.destinations.end_fault(number, fault.kind)
-
-    def _kill_or_start(self, share: float, kill: bool) -> None:
-        forwarders = self.forwarders.all
-        for forwarder in forwarders[: max(1, round(share * len(forwarders)))]:
-            if kill:
-                self.forwarders.kill(forwarder)
-            else:
-                self.forwarders.start(forwarder)
-
-
-def _partners(scenario: Scenario) -> list[Partner]:
-    partners: list[Partner] = []
-    endpoint = 0
-    for kind, group in enumerate(scenario.partners):
+    # --- faults --------------------------------------------------------------------------------------------
+
+    def _begin_fault(self, fault: Fault) -> None:
+        match fault.kind:
+            case FaultKind.KILL:
+                for number in self._killed_by(fault):
+                    self.forwarders.kill(self.forwarders.all[number])
+            case FaultKind.HOT:
+                self.clients.hot.extend(_hot_destinations(fault))
+            case _:
+                for number in fault.destinations:
+                    self.service.begin_fault(number, fault)
+
+    def _end_fault(self, fault: Fault) -> None:
+        match fault.kind:
+            case FaultKind.KILL:
+                for number in self._killed_by(fault):
+                    self.forwarders.start(self.forwarders.all[number])
+            case FaultKind.HOT:
+                for hot in _hot_destinations(fault):
+                    self.clients.hot.remove(hot)
+            case _:
+                for number in fault.destinations:
+                    self.service.end_fault(number, fault)
+
+    def _killed_by(self, fault: Fault) -> range:
+        """Return the numbers of the forwarders that a fault kills, and starts at its end."""
+        forwarders = len(self.forwarders.all)
+        return range(min(max(1, round(fault.magnitude * forwarders)), forwarders))
+
+
+def _hot_destinations(fault: Fault) -> list[HotDestination]:
+    fraction = fault.magnitude / len(fault.destinations)
+    return [HotDestination(number, fraction) for number in fault.destinations]
+
+
+def _make_destinations(scenario: Scenario) -> list[SimulatedDestination]:
+    destinations: list[SimulatedDestination] = []
+    endpoints = 0
+    for kind, group in enumerate(scenario.groups):
         for _ in range(group.count):
-            partner = Partner(len(partners) + 1, kind, group, group.share / group.count)
-            for _ in range(group.workers):
-                partner.workers.append(SimulatedEndpoint(endpoint, partner.number))
-                endpoint += 1
-            partners.append(partner)
-    return partners
+            number = len(destinations) + 1
+            destination = SimulatedDestination(number, kind, group, group.traffic_fraction / group.count)
+            for _ in range(group.endpoints):
+                destination.endpoints.append(SimulatedEndpoint(endpoints, number))
+                endpoints += 1
+            destinations.append(destination)
+    return destinations
 
 
 def scheduler_settings(scenario: Scenario) -> SchedulerSettings:
     """Return the settings that a scenario's forwarders have."""
     traffic = scenario.traffic
-    objective = objective_of(traffic)
     message_class = MessageClass(
-        objective.latency_objective_s,
-        traffic.deadline,
+        traffic.objective.latency_objective_s,
+        traffic.objective.deadline_s,
         Idempotency.IDEMPOTENCY_KEY,
         1.0,
-        objective.late_weight,
-        deduplication_window_s=traffic.window,
+        traffic.objective.late_weight,
+        deduplication_window_s=traffic.deduplication_window_s,
     )
     return SchedulerSettings(
         (message_class,),
         slots=scenario.slots,
-        max_open=scenario.max_open,
-        kinds=tuple(DestinationKind(max(int(group.batch), 1)) for group in scenario.partners),
+        max_open=scenario.max_pending,
+        kinds=tuple(DestinationKind(group.batch_size) for group in scenario.groups),
         instances=scenario.forwarders,
         max_attempts=8,
         cold_capacity_share=SLOW_START_FRACTION,
@@ -138,5 +149,5 @@
         cancellation=True,
         answer_slack_s=0.02,
         dial_timeout_s=1.0,
-        rates_listed=any(group.rate for group in scenario.partners),
+        rates_listed=any(group.rate_limit_per_s for group in scenario.groups),
     )
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -23,7 +23,7 @@
 from juniperward.simulation.recovery_cases import CASES, Outage, RecoveryCase
 from juniperward.simulation.recovery_load import LoadSpan
 from juniperward.simulation.recovery_simulation import RecoverySimulation
-from juniperward.simulation.scenario import parse
+from juniperward.simulation.scenario_loader import parse
 from juniperward.simulation.world import World
 
 BUDGET = RecoveryBudget(
@@ -63,15 +63,15 @@
 
     def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
         world = World(parse(FALLING, "falling.textproto"), DeliveryScheduler, 1)
-        partner = world.partners[0]
-        partner.back_at, world.timeline.now = 0.0, 1.0
-        borne = int(partner.budget.max_calls(1.0))
+        destination = world.destinations[0]
+        destination.returned_s, world.timeline.now = 0.0, 1.0
+        borne = int(destination.budget.max_calls(1.0))
         for n in range(borne):
-            world.destinations.rejection(partner, partner.workers[0])
-            self.assertFalse(partner.fallen, n)
+            world.service.rejection(destination, destination.endpoints[0])
+            self.assertFalse(destination.crashed, n)
         self.assertEqual(borne, 8)  # N = 2 x 3 x 2 x 0.262
-        world.destinations.rejection(partner, partner.workers[0])
-        self.assertTrue(partner.fallen)
+        world.service.rejection(destination, destination.endpoints[0])
+        self.assertTrue(destination.crashed)
 
 
 class HeedlessDetection(OutlierDetection):
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -28,7 +28,7 @@
 from juniperward.scheduler.records import Destination, Endpoint, Message
 from juniperward.scheduler.routing import Routing
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
-from juniperward.simulation.scenario import parse
+from juniperward.simulation.scenario_loader import parse
 from juniperward.simulation.world import World
 
 DAY = """
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -30,7 +30,7 @@
 )
 from juniperward.simulation.policies import POLICIES, Baseline, DestinationQueue, NoRetry
 from juniperward.simulation.report import write
-from juniperward.simulation.scenario import FOLDER, load, parse
+from juniperward.simulation.scenario_loader import FOLDER, load, parse
 from juniperward.simulation.search import Found, invent, judge, keep, mutate, search, shrink, sound
 from juniperward.simulation.world import World
 
@@ -54,7 +54,7 @@
         files = sorted(FOLDER.glob("*.textproto"))
         self.assertGreaterEqual(len(files), 12)
         for file in files:
-            self.assertGreater(len(load(file).shows), 20, file)
+            self.assertGreater(len(load(file).description), 20, file)
 
     def test_faults_name_line_and_field(self) -> None:
         for old, new, line, field in (
@@ -93,27 +93,27 @@
         class Rude(Baseline):
             """Forgets told waits, and hammers."""
 
-            tries = 1000
+            max_attempts = 1000
 
-            def _finished(self, e: AttemptFinished) -> None:
-                super()._finished(e)
+            def _attempt_finished(self, e: AttemptFinished) -> None:
+                super()._attempt_finished(e)
                 destination = self.destinations[self._destination_of[e.endpoint]]
-                destination.wait_until = 0.0
-                if (m := self.held.get(e.message)) is not None:
-                    m.not_before, m.first_ran = self.now, None
+                destination.retry_after_until = 0.0
+                if (m := self.pending.get(e.message)) is not None:
+                    m.not_before_s, m.first_executed_s = self.now, None
 
         text = SMALL.replace("kind: DOWN", "kind: SHUT").replace("rate: 30", "rate: 60")
         found = World(parse(text, "s"), Rude, 1).run()
-        self.assertGreater(found.waits_broken, 10)
-        self.assertGreater(found.fallen, 0)
+        self.assertGreater(found.retry_after_violations, 10)
+        self.assertGreater(found.destinations_crashed, 0)
 
     def test_every_message_has_one_end_with_every_policy(self) -> None:
         for name, policy in POLICIES.items():
             for kind in ("SILENT", "FAILING", "KILL", "SLOW", "HOT"):
                 text = SMALL.replace("kind: DOWN", f"kind: {kind}")
                 found = World(parse(text, "s"), policy, 2).run()
-                self.assertEqual(found.unended, 0, (name, kind))
-                self.assertEqual(found.second_effects, 0, (name, kind))
+                self.assertEqual(found.unfinished, 0, (name, kind))
+                self.assertEqual(found.duplicate_effects, 0, (name, kind))
 
 
 class SilentTest(unittest.TestCase):
@@ -124,7 +124,7 @@
         class Noting(NoRetry):
             """Notes how calls end."""
 
-            def learn(self, _destination: DestinationQueue, e: AttemptFinished, /) -> None:
+            def observe(self, _destination: DestinationQueue, e: AttemptFinished, /) -> None:
                 ended.append((e.outcome, self.now))
 
         world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Noting, 1)
@@ -133,15 +133,15 @@
         self.assertGreater(len(reset), 5)
         self.assertTrue(all(7.0 <= at <= 7.1 for at in reset))
         self.assertNotIn(Outcome.TIMEOUT, [outcome for outcome, _ in ended])
-        self.assertFalse([w for w in world.endpoints if w.hung])
+        self.assertFalse([w for w in world.endpoints if w.unanswered])
 
 
 class ColdTest(unittest.TestCase):
     def test_a_cold_partner_is_slow_and_its_limit_is_what_was_agreed_on(self) -> None:
         """As the stand-ins have it: a limit that shrank told waits that kept hammering policies from harm."""
         text = SMALL.replace("rate: 30", "rate: 90")
-        self.assertEqual(World(parse(text, "s"), POLICIES["round-robin"], 1).run().fallen, 1)
-        self.assertEqual(World(parse(text, "s"), POLICIES["juniperward"], 1).run().fallen, 0)
+        self.assertEqual(World(parse(text, "s"), POLICIES["round-robin"], 1).run().destinations_crashed, 1)
+        self.assertEqual(World(parse(text, "s"), POLICIES["juniperward"], 1).run().destinations_crashed, 0)
 
 
 class OracleTest(unittest.TestCase):
@@ -179,7 +179,7 @@
         self.assertLess(small.text.count("trouble"), 3)
         with tempfile.TemporaryDirectory() as folder:
             file = keep(small, "one-try", Path(folder))
-            self.assertIn("found by the search", load(file).shows)
+            self.assertIn("found by the search", load(file).description)
             self.assertNotEqual(keep(small, "one-try", Path(folder)), file)
 
     def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
@@ -287,7 +287,7 @@
         self.assertIn("one-try", (self.folder / "o" / "table.md").read_text())
         self.assertEqual(tool.invoke(app, ["simulate", "run", str(file), "-p", "x"]).exit_code, 2)
         self.assertIn("policies", tool.invoke(app, ["simulate", "list"]).output)
-        self.assertIsInstance(NoRetry.keeps_on, bool)
+        self.assertIsInstance(NoRetry.retries, bool)
 
 
 class FormerNamesTest(unittest.TestCase):
