--- a/juniperward/agent/reducer/instances.py
+++ b/juniperward/agent/reducer/instances.py
@@ -17,7 +17,7 @@
     WatchInstance,
 )
 from juniperward.agent.reducer.round import Round
-from juniperward.fleet.decisions import after_exit, kill_due, start_due
+from juniperward.fleet.decisions import after_exit, should_kill, should_start
 from juniperward.fleet.model import Crashes, DesiredState, Instance, Phase
 from juniperward.fleet.roll_commands import skip_instance
 from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder, RollStage
@@ -122,12 +122,12 @@
     def _supervise(self, instance: Instance) -> None:
         round_ = self._round
         state = round_.state
-        if start_due(instance, round_.now) and not _started_by_roll(state.roll, instance):
+        if should_start(instance, round_.now) and not _started_by_roll(state.roll, instance):
             round_.put(replace(instance, crashes=replace(instance.crashes, restart_at=None)))
             round_.emit(
                 SpawnProcess(instance.name, instance.configuration_version or state.configuration_version)
             )
-        elif kill_due(instance, round_.now, state.rules.timeouts):
+        elif should_kill(instance, round_.now, state.rules.timeouts):
             round_.log("does not end", {"instance": instance.name}, "warning")
             self._kill(instance)
         elif _serves_though_drained(instance):
--- a/juniperward/agent/reducer/reducer.py
+++ b/juniperward/agent/reducer/reducer.py
@@ -91,7 +91,7 @@
             for name, instance in state.instances.items()
             if instance.reading is not None
         }
-        meter = state.meter.read(self._round.now, readings, SERVICE_HISTORY_S)
+        meter = state.meter.with_readings(self._round.now, readings, SERVICE_HISTORY_S)
         self._round.state = replace(state, meter=meter)
         self._instances.supervise()
         self._rolls.advance()
--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -19,7 +19,7 @@
     UnknownInstanceError,
     UnknownOrderError,
 )
-from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder
+from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder, RollProgress
 
 HTTP_NOT_FOUND = 404
 HTTP_CONFLICT = 409
@@ -95,14 +95,14 @@
         self._rolls.write(roll, [], event.client)
 
 
-def _change(roll: Roll, verb: str) -> tuple[Roll, list[RollOrder]]:
+def _change(roll: Roll, verb: str) -> RollProgress:
     """Return the roll as a client changes it, and the orders to instances; raises RollRejectedError."""
     match verb:
         case "roll_pause":
             check_not_over(roll)
-            return pause(roll, "paused by order"), []
+            return RollProgress(pause(roll, "paused by order"))
         case "roll_resume":
-            return resume(roll), []
+            return RollProgress(resume(roll))
         case "roll_undo":
             return undo(roll)
         case "roll_end":
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import replace
 from typing import Any
 
@@ -39,7 +40,7 @@
         for order in orders:
             self._instances.carry_out(order)
 
-    def write(self, changed: Roll, orders: list[RollOrder], client: int | None = None) -> None:
+    def write(self, changed: Roll, orders: Sequence[RollOrder], client: int | None = None) -> None:
         """Have a changed roll written down; its orders are given then, and the client is answered."""
         state = self._round.state
         self._round.state = replace(
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -15,13 +15,18 @@
     rows = [
         instance(s.instances[n], now, s.rules.timeouts, s.configuration_version) for n in sorted(s.instances)
     ]
-    lately = s.meter.lately(now, 10.0)
+    recent = s.meter.recent(now, 10.0)
     return {
         "edition": s.configuration_version,
         "instances": rows,
         "ready": sum(r["state"] == Phase.READY for r in rows),
         "wanted": sum(i.desired_state is DesiredState.RUNNING for i in s.instances.values()),
-        "service": {"good": lately.good, "bad": lately.bad, "share": lately.share, "seconds": 10.0},
+        "service": {
+            "good": recent.succeeded,
+            "bad": recent.failed,
+            "share": recent.success_rate,
+            "seconds": 10.0,
+        },
         "roll": roll_view(s.roll) if s.roll is not None else None,
     }
 
--- a/juniperward/fleet/roll_commands.py
+++ b/juniperward/fleet/roll_commands.py
@@ -1,4 +1,7 @@
-"""What a person may ask of a roll: make one, pause it, go on, undo or end it. No clock, no I/O."""
+"""What a person may do with a roll: plan one, pause it, resume, undo or end it. No clock, no I/O.
+
+Called by the agent's reducer (`requests`, `instances`), and by a roll that pauses by itself (`roll_progress`).
+"""
 
 from __future__ import annotations
 
@@ -19,24 +22,25 @@
     RollCommand,
     RollMode,
     RollOrder,
+    RollProgress,
     RollStage,
     RollStep,
 )
 
 
 def plan(roll_id: str, target: str, names: list[str], rules: RollRules, fleet: FleetView) -> Roll:
-    """Return a roll of these instances. Those that are away already come first: they cost nothing.
+    """Return a roll of these instances. Those that are not ready come first: their restart costs nothing.
 
     Raises:
-        RollRejectedError: for unknown names, none at all, or a floor that cannot be held.
+        RollRejectedError: for unknown names, none at all, or a floor that allows no restart.
 
     """
     running = _running(names, fleet)
     _check_rules(rules, fleet)
-    away = {name for name in running if fleet.phase_of(fleet.instances[name]) in NOT_SERVING}
-    order = [name for name in running if name in away] + [name for name in running if name not in away]
+    not_serving = {name for name in running if fleet.phase_of(fleet.instances[name]) in NOT_SERVING}
+    order = sorted(running, key=lambda name: name not in not_serving)
     steps = tuple(RollStep(name, fleet.instances[name].configuration_version or target) for name in order)
-    baseline = fleet.lately(rules.success_window_s).share
+    baseline = fleet.recent(rules.success_window_s).success_rate
     return Roll(roll_id, target, rules, steps, baseline_success_rate=baseline, made_at=fleet.now)
 
 
@@ -54,9 +58,11 @@
 def _check_rules(rules: RollRules, fleet: FleetView) -> None:
     if rules.batch_size < 1:
         raise BatchSizeError
-    wanted = sum(instance.desired_state is DesiredState.RUNNING for instance in fleet.instances.values())
-    if rules.min_ready > wanted - 1:
-        raise FloorError(rules.min_ready, wanted)
+    meant_to_run = sum(
+        instance.desired_state is DesiredState.RUNNING for instance in fleet.instances.values()
+    )
+    if rules.min_ready > meant_to_run - 1:
+        raise FloorError(rules.min_ready, meant_to_run)
 
 
 def check_not_over(roll: Roll) -> None:
@@ -66,12 +72,12 @@
 
 
 def pause(roll: Roll, why: str) -> Roll:
-    """Begin nothing more; what is under way with an instance goes on to its end."""
+    """Return the roll paused: no further instance is begun, one under way is completed."""
     return roll if roll.over else replace(roll, mode=RollMode.PAUSED, reason=why, blocked_since=None)
 
 
 def resume(roll: Roll) -> Roll:
-    """Go on after a pause: the instance that failed is tried once more from the start.
+    """Return the roll in progress again; an instance that failed is restarted once more.
 
     Raises:
         RollNotPausedError: where it is not paused.
@@ -85,11 +91,11 @@
     return replace(roll, mode=RollMode.IN_PROGRESS, reason="", steps=steps, blocked_since=None)
 
 
-def undo(roll: Roll) -> tuple[Roll, list[RollOrder]]:
-    """Bring all that the roll has touched back to what it ran before, the latest first.
+def undo(roll: Roll) -> RollProgress:
+    """Return the roll that brings all that it has touched back to what it ran before, the latest first.
 
-    What is only draining takes messages again; what was restarted with the version that it had before has
-    nothing to go back to, and is left as it is.
+    What is only draining accepts messages again; what was restarted with the version that it had before has
+    nothing to go back to, and stays as it is.
 
     Raises:
         RollOverError: where it is over.
@@ -99,7 +105,7 @@
     steps = tuple(_undone(step, roll.target_version) for step in reversed(roll.steps))
     orders = _resume_drained(tuple(reversed(roll.steps)))
     undoing = replace(roll, mode=RollMode.UNDOING, reason="undone by order", steps=steps, blocked_since=None)
-    return undoing, orders
+    return RollProgress(undoing, orders)
 
 
 def _undone(step: RollStep, target: str) -> RollStep:
@@ -117,23 +123,25 @@
             return replace(step, detail="")
 
 
-def _resume_drained(steps: tuple[RollStep, ...]) -> list[RollOrder]:
-    return [RollOrder(RollCommand.RESUME, step.name) for step in steps if step.stage is RollStage.DRAINING]
+def _resume_drained(steps: tuple[RollStep, ...]) -> tuple[RollOrder, ...]:
+    draining = (step for step in steps if step.stage is RollStage.DRAINING)
+    return tuple(RollOrder(RollCommand.RESUME, step.name) for step in draining)
 
 
-def end(roll: Roll) -> tuple[Roll, list[RollOrder]]:
-    """Leave all as it is, but for what is drained: that takes messages again.
+def end(roll: Roll) -> RollProgress:
+    """Return the roll ended, with all as it is but for what is draining: that accepts messages again.
 
     Raises:
         RollOverError: where it is over.
 
     """
     check_not_over(roll)
-    return replace(roll, mode=RollMode.ENDED, reason="ended by order"), _resume_drained(roll.steps)
+    ended = replace(roll, mode=RollMode.ENDED, reason="ended by order")
+    return RollProgress(ended, _resume_drained(roll.steps))
 
 
 def skip_instance(roll: Roll, name: str, why: str) -> Roll:
-    """Take an instance out of the roll that was given another order meanwhile."""
+    """Return the roll without an instance that was given another order meanwhile."""
     step = roll.step_of(name)
     if step is None or step.stage is RollStage.DONE:
         return roll
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -9,6 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from enum import StrEnum
+from typing import NamedTuple
 
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Instance, Phase, RollRules, Timeouts
@@ -94,6 +95,10 @@
         """Return an instance's step, or None where it is no part of the roll."""
         return next((step for step in self.steps if step.name == name), None)
 
+    def enter_stage(self, step: RollStep, stage: RollStage, now: float, detail: str = "") -> Roll:
+        """Return the roll with an instance at its next stage."""
+        return self.with_step(replace(step, stage=stage, stage_since=now, detail=detail))
+
     def with_step(self, changed: RollStep) -> Roll:
         """Return the roll with one step changed."""
         return replace(
@@ -120,6 +125,13 @@
     configuration_version: str = ""
 
 
+class RollProgress(NamedTuple):
+    """A roll after a decision, and the orders to instances that follow from it."""
+
+    roll: Roll
+    orders: tuple[RollOrder, ...] = ()
+
+
 @dataclass(frozen=True, slots=True)
 class FleetView:
     """The fleet at one moment: all that a decision about a roll looks at.
@@ -137,9 +149,9 @@
         return phase(instance, self.now, self.timeouts)
 
     def ready(self) -> set[str]:
-        """Return the names of the instances that take messages."""
+        """Return the names of the instances that accept messages."""
         return {name for name, instance in self.instances.items() if self.phase_of(instance) is Phase.READY}
 
-    def lately(self, window_s: float) -> Tally:
-        """Return what the whole fleet's attempts came to within the last seconds."""
-        return self.meter.lately(self.now, window_s)
+    def recent(self, window_s: float) -> Tally:
+        """Return the attempts of the whole fleet that finished within the last seconds."""
+        return self.meter.recent(self.now, window_s)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import unittest
+from collections.abc import Sequence
 from dataclasses import replace
 
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.fleet.decisions import after_exit, kill_due, phase, start_due
+from juniperward.fleet.decisions import after_exit, phase, should_kill, should_start
 from juniperward.fleet.model import (
     Crashes,
     DesiredState,
@@ -100,7 +101,7 @@
         self.now += seconds
         for name, i in list(self.fleet.items()):
             if i.process is None:
-                if start_due(i, self.now) and i.crashes.restart_at is not None:
+                if should_start(i, self.now) and i.crashes.restart_at is not None:
                     self.start(name, i.configuration_version)
                 continue
             if name in self.dead_at_start and i.configuration_version == "b":
@@ -110,7 +111,7 @@
             if i.stopping_since is not None and not mute and name not in self.stubborn:
                 self.fleet[name] = after_exit(i, self.now, "exit 0", RestartPolicy(), 0.5)
                 continue
-            if kill_due(i, self.now, TIMEOUTS):
+            if should_kill(i, self.now, TIMEOUTS):
                 self.mute.discard(name)
                 self.fleet[name] = after_exit(i, self.now, "signal 9", RestartPolicy(), 0.5)
                 continue
@@ -128,9 +129,9 @@
             )  # fmt: skip
             self.fleet[name] = replace(i, reading=r, unanswered_since=None, was_ready=i.was_ready or r.ready)
         readings = {n: i.reading for n, i in self.fleet.items() if i.reading is not None}
-        self.meter = self.meter.read(self.now, readings, 30.0)
+        self.meter = self.meter.with_readings(self.now, readings, 30.0)
 
-    def obey(self, orders: list[RollOrder]) -> None:
+    def obey(self, orders: Sequence[RollOrder]) -> None:
         self.orders += orders
         for o in orders:
             i = self.fleet[o.name]
@@ -197,15 +198,15 @@
             i = after_exit(i, now, "exit 1", rules, 0.5)
             assert i.crashes.restart_at is not None
             waits.append(i.crashes.restart_at - now)
-            self.assertFalse(start_due(i, now))
+            self.assertFalse(should_start(i, now))
             now = i.crashes.restart_at
-            self.assertTrue(start_due(i, now))
+            self.assertTrue(should_start(i, now))
             i = replace(i, process=Process(1, 1), started_at=now)
         self.assertEqual(waits, [0.5, 1.0, 2.0, 4.0])
         i = after_exit(i, now, "exit 1", rules, 0.5)
         self.assertEqual(phase(i, now, TIMEOUTS), Phase.FAILED)
         self.assertIn("5 crashes within 60 s, the last: exit 1", i.crashes.crash_loop)
-        self.assertFalse(start_due(i, now + 1e6))
+        self.assertFalse(should_start(i, now + 1e6))
 
     def test_one_that_ran_steadily_begins_anew(self) -> None:
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), was_ready=True, crashes=Crashes((), 6))
@@ -369,7 +370,7 @@
         model.leaky.add("n0")
         roll = model.run(model.plan(), 0.2)
         roll, orders = end(roll)
-        self.assertEqual((orders, roll.mode), ([RollOrder(RollCommand.RESUME, "n0")], RollMode.ENDED))
+        self.assertEqual((orders, roll.mode), ((RollOrder(RollCommand.RESUME, "n0"),), RollMode.ENDED))
 
     def test_a_roll_by_sigkill_goes_without_drain(self) -> None:
         model = Model(3)
@@ -391,7 +392,7 @@
                     if steps == cut // 3 and not fired:
                         fired = True
                         roll = msgspec.json.decode(msgspec.json.encode(roll), type=Roll)
-                        orders = [[], orders[: len(orders) // 2], orders * 2][cut % 3]
+                        orders = ((), orders[: len(orders) // 2], orders * 2)[cut % 3]
                     steps += 1
                 model.obey(orders)
                 model.least = min(model.least, model.up())
@@ -421,7 +422,7 @@
     def test_counts_survive_restarts(self) -> None:
         meter = Meter()
         for now, pid, delivered in ((0.0, 1, 100), (1.0, 1, 110), (2.0, 2, 4), (3.0, 2, 8)):
-            meter = meter.read(now, {"a": replace(BLANK, pid=pid, delivered=delivered)}, 30.0)
+            meter = meter.with_readings(now, {"a": replace(BLANK, pid=pid, delivered=delivered)}, 30.0)
         self.assertEqual(meter.total, Tally(118, 0))
-        self.assertEqual(meter.lately(3.0, 1.0), Tally(4, 0))
-        self.assertIsNone(Tally().share)
+        self.assertEqual(meter.recent(3.0, 1.0), Tally(4, 0))
+        self.assertIsNone(Tally().success_rate)
