--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -23,7 +23,7 @@
 from juniperward.benchmarks.report import Report, quantile
 from juniperward.fakes.clients import ready
 from juniperward.forwarder.clock import carry_over, read_boot_id
-from juniperward.forwarder.journal import NAME, Journal, JournalFullError
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord
 
@@ -58,7 +58,7 @@
         """Fill the folder of one with messages until its journal takes no more; their ids."""
         to_unix = time.time() - time.monotonic()
         state = self.state(name)
-        offset = carry_over(state, to_unix, read_boot_id(), NAME)
+        offset = carry_over(state, to_unix, read_boot_id(), JOURNAL_NAME)
         journal = Journal(state, int(self.base["limits"]["disk_mb"] * 1_000_000), offset)
         expires = time.monotonic() + EXPIRES_WITHIN_S
         ids: list[str] = []
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -12,8 +12,7 @@
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
 from juniperward.forwarder.event_queue import EventQueue
-from juniperward.forwarder.journal import NAME as JOURNAL_NAME
-from juniperward.forwarder.journal import Journal
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.server import Server
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -1,7 +1,8 @@
-"""The journal in the folder that lasts: what was accepted, what was attempted, what is over.
+"""The journal file: appends records, replays them at the start, and compacts the file.
 
-Plain writes outlast the process; nothing is synced. A line that does not match its sum is left out: a torn tail is
-the trace of a killed process. What is over is dropped by a rewrite once it fills enough of the file.
+In come the records of `records`; out, once at the start, what the journal says of messages that are not completed.
+Writes survive the process, not the machine: nothing is synced. A line whose checksum does not match is skipped: a
+torn last line is what a killed process leaves. A compaction drops the records of completed messages.
 """
 
 from __future__ import annotations
@@ -23,33 +24,38 @@
 )
 from juniperward.forwarder.telemetry import increment, log
 
-NAME, FRESH = "journal", "journal.new"
-BLOCK = 512  # the disk is counted in whole blocks
-LIVE_PART = 0.45  # part of the disk that messages not yet over may fill; a rewrite doubles it for a moment
-SLACK_BYTES = 65536  # a file is not rewritten for less than this
-LEAST_GAIN_BYTES = 16384  # nor for less than this of what is over
-RESERVED_BYTES = 400  # kept free for each message not over: three attempts with their ends, and its own end
+JOURNAL_NAME, COMPACTED_NAME = "journal", "journal.new"
+BLOCK_BYTES = 512  # the disk is counted in full blocks
+MAX_LIVE_FRACTION = 0.45  # of the disk for messages not completed; a compaction doubles it for a moment
+MIN_COMPACTION_FILE_BYTES = 65536  # a smaller file is not compacted
+MIN_COMPACTION_GAIN_BYTES = 16384  # nor is one with less than this of completed messages
+RESERVED_BYTES = 400  # of each message not completed: three attempts with their outcomes, and its completion
 
 
 class JournalFullError(Exception):
-    """There is no safe room for another message."""
+    """There is no safe capacity for another message."""
+
+    def __init__(self, needed_bytes: int, limit_bytes: int) -> None:
+        """Tell what messages that are not completed might come to need, and what they may."""
+        self.needed_bytes, self.limit_bytes = needed_bytes, limit_bytes
+        super().__init__(f"{needed_bytes} bytes may be needed, {limit_bytes} are there")
 
 
 class LiveLines:
-    """The lines of each message that is not over: what a rewrite copies."""
+    """The lines of each message that is not completed: what a compaction copies."""
 
     def __init__(self) -> None:
         """Begin without lines."""
         self.lines: dict[str, list[bytes]] = {}
         self.bytes = 0
-        self.reserved = 0  # bytes that they may come to fill
+        self.reserved_bytes = 0  # that they may come to fill
 
-    def __contains__(self, name: str) -> bool:
-        """Return whether a message is not over."""
-        return name in self.lines
+    def __contains__(self, message: str) -> bool:
+        """Return whether a message is not completed."""
+        return message in self.lines
 
     def __len__(self) -> int:
-        """Return how many messages are not over."""
+        """Return how many messages are not completed."""
         return len(self.lines)
 
     def all(self) -> bytes:
@@ -57,16 +63,16 @@
         return b"".join([line for lines in self.lines.values() for line in lines])
 
     def add(self, record: JournalRecord, line: bytes) -> None:
-        """Take in the line of a record; lines that say nothing any more are dropped."""
-        name = message_id(record)
-        begins = isinstance(record, AcceptedRecord | OutcomeDecidedRecord)
-        replaces = begins or isinstance(record, CompletedRecord)
-        lines = self.lines.pop(name, []) if replaces else self.lines[name]
+        """Add the line of a record, and drop the lines that it supersedes."""
+        message = message_id(record)
+        is_first = isinstance(record, AcceptedRecord | OutcomeDecidedRecord)
+        supersedes = is_first or isinstance(record, CompletedRecord)
+        lines = self.lines.pop(message, []) if supersedes else self.lines[message]
         self._account(lines, -1)
         if isinstance(record, CompletedRecord):
             return
-        if begins:
-            lines = self.lines[name] = []
+        if is_first:
+            lines = self.lines[message] = []
         lines.append(line)
         self._account(lines, 1)
 
@@ -74,37 +80,38 @@
         if lines:
             length = sum(map(len, lines))
             self.bytes += sign * length
-            self.reserved += sign * max(len(lines[0]) + RESERVED_BYTES, length)
+            self.reserved_bytes += sign * max(len(lines[0]) + RESERVED_BYTES, length)
 
 
 class Journal:
-    """The file and what it holds; `lock` lets the loop and the threads that start calls write to it."""
+    """The file and what it holds; `lock` lets the loop and the threads of attempts write to it."""
 
     def __init__(self, folder: Path, disk_bytes: int, to_unix: float) -> None:
-        """Read the folder's journal and rewrite it; `to_unix` is what makes monotonic time Unix time."""
-        self.path, self.fresh_path = folder / NAME, folder / FRESH
-        self.disk_bytes = disk_bytes - 4 * BLOCK
+        """Replay the folder's journal and compact it; `to_unix` added to monotonic time gives Unix time."""
+        self.path = folder / JOURNAL_NAME
+        self.compacted_path = folder / COMPACTED_NAME
+        self.disk_bytes = disk_bytes - 4 * BLOCK_BYTES
         self.to_unix = to_unix
         self.live = LiveLines()
-        self.size = 0
+        self.size = 0  # bytes of the file
         self.lock = threading.Lock()
         self._descriptor = -1
-        self._torn = False  # the latest write did not come to its end
+        self._is_torn = False  # the latest write was incomplete
         self._restored = self._replay()
-        self._rewrite()
+        self._compact()
 
     @property
     def live_bytes(self) -> int:
-        """The bytes of messages that are not over."""
+        """The bytes of messages that are not completed."""
         return self.live.bytes
 
     def restored(self) -> tuple[RestoredMessage, ...]:
-        """Return the messages that were not over at the start, in the order accepted; once."""
-        found, self._restored = self._restored, ()
-        return found
+        """Return the messages that were not completed at the start, in the order accepted; once."""
+        restored, self._restored = self._restored, ()
+        return restored
 
     def append(self, record: JournalRecord) -> None:
-        """Write a record; raises JournalFullError for a message that there is no safe room for, or OSError."""
+        """Write a record; raises JournalFullError for a message without safe capacity, or OSError."""
         with self.lock:
             self._append(record)
 
@@ -113,41 +120,51 @@
         os.close(self._descriptor)
 
     def _append(self, record: JournalRecord) -> None:
-        if self._says_nothing(record):
+        if self._is_redundant(record):
             return
         line = encode(record, self.to_unix)
         if isinstance(record, AcceptedRecord):
-            needed = self.live.reserved + len(line) + RESERVED_BYTES
-            if needed > LIVE_PART * self.disk_bytes:
-                raise JournalFullError
-        if self._worth_rewriting(len(line)):
-            self._rewrite_if_possible()
+            self._check_capacity(len(line))
+        if self._should_compact(len(line)):
+            self._compact_if_possible()
         if self.size + len(line) > self.disk_bytes:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        # A record must not be written on to the rest of one that failed, or both would be lost.
-        written = b"\n" + line if self._torn else line
-        self._torn = True
+        # A record must not continue the line of one whose write failed, or both would be lost.
+        written = b"\n" + line if self._is_torn else line
+        self._is_torn = True
         self.size += len(written)
         _write(self._descriptor, written)
-        self._torn = False
+        self._is_torn = False
         self.live.add(record, line)
         increment("journal_records")
 
-    def _says_nothing(self, record: JournalRecord) -> bool:
-        """Whether a record is of a message that is over already, or what an attempt without an end says anyway."""
+    def _is_redundant(self, record: JournalRecord) -> bool:
+        """Whether a record is of a completed message, or says what a started attempt without an outcome says."""
         if isinstance(record, AcceptedRecord):
             return False
-        executed = isinstance(record, AttemptFinishedRecord) and record.possibly_executed
-        return executed or message_id(record) not in self.live
-
-    def _worth_rewriting(self, needed: int) -> bool:
-        live = self.live.bytes
-        room = self.disk_bytes - live - needed  # a rewrite has to fit beside the file
-        grown = self.size + needed > min(max(SLACK_BYTES, 2 * live), room)
-        return grown and self.size - live >= LEAST_GAIN_BYTES and self.size + live <= self.disk_bytes
+        possibly_executed = isinstance(record, AttemptFinishedRecord) and record.possibly_executed
+        return possibly_executed or message_id(record) not in self.live
+
+    def _check_capacity(self, line_bytes: int) -> None:
+        """Raise JournalFullError where a new message might leave too little for those that are there."""
+        needed_bytes = self.live.reserved_bytes + line_bytes + RESERVED_BYTES
+        limit_bytes = int(MAX_LIVE_FRACTION * self.disk_bytes)
+        if needed_bytes > limit_bytes:
+            raise JournalFullError(needed_bytes, limit_bytes)
+
+    def _should_compact(self, line_bytes: int) -> bool:
+        live_bytes = self.live.bytes
+        if self.size + live_bytes > self.disk_bytes:
+            return False  # both files would not fit
+        if self.size - live_bytes < MIN_COMPACTION_GAIN_BYTES:
+            return False
+        capacity = self.disk_bytes - live_bytes - line_bytes  # beyond it a later compaction would not fit
+        return self.size + line_bytes > min(max(MIN_COMPACTION_FILE_BYTES, 2 * live_bytes), capacity)
 
     def _replay(self) -> tuple[RestoredMessage, ...]:
-        self.fresh_path.unlink(missing_ok=True)  # a rewrite that was cut off: the old file still counts
+        self.compacted_path.unlink(
+            missing_ok=True
+        )  # of a compaction that was cut off: the journal is in force
         ledger = Ledger()
         try:
             lines = self.path.read_bytes().split(b"\n")
@@ -166,29 +183,32 @@
                 self.live.add(record, line + b"\n")
         return tuple(ledger.open.values())
 
-    def _rewrite_if_possible(self) -> None:
-        """Rewrite; where that fails the old file stays in use, and the next record may still fit there."""
+    def _compact_if_possible(self) -> None:
+        """Compact; where that fails the file stays in use, and the next record may still fit there."""
         try:
-            self._rewrite()
+            self._compact()
         except OSError as error:
-            increment("journal_rewrites_failed")
-            log("journal", "rewrite failed", error=error)
-            self.fresh_path.unlink(missing_ok=True)  # it would take the old file's room on the disk
+            increment("journal_compactions_failed")
+            log("journal", "compaction failed", error=error)
+            self.compacted_path.unlink(missing_ok=True)  # the journal needs its bytes of the disk
 
-    def _rewrite(self) -> None:
-        """Write what is not over to a new file and put it in the old one's place."""
+    def _compact(self) -> None:
+        """Write the lines of messages that are not completed to a new file, and replace the journal by it."""
         data = self.live.all()
-        fresh = os.open(self.fresh_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+        flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
+        compacted = os.open(self.compacted_path, flags, 0o600)
         try:
-            _write(fresh, data)
-            self.fresh_path.rename(self.path)
+            _write(compacted, data)
+            self.compacted_path.rename(self.path)
         except OSError:
-            os.close(fresh)
+            os.close(compacted)
             raise
         if self._descriptor >= 0:
             os.close(self._descriptor)
-        self._descriptor, self.size, self._torn = fresh, len(data), False
-        increment("journal_rewrites")
+        self._descriptor = compacted
+        self.size = len(data)
+        self._is_torn = False
+        increment("journal_compactions")
 
 
 def _write(descriptor: int, data: bytes) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,7 @@
 from juniperward.forwarder.descriptors import MIN_SOCKETS, RESERVED_DESCRIPTORS, divide_descriptors
 from juniperward.forwarder.effects import StartAttempt
 from juniperward.forwarder.events import AttemptAnswered
-from juniperward.forwarder.journal import FRESH, Journal
+from juniperward.forwarder.journal import COMPACTED_NAME, Journal
 from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
 from juniperward.forwarder.records import AcceptedRecord, CompletedRecord
 from juniperward.forwarder.telemetry import counters
@@ -83,15 +83,15 @@
             folder = Path(name)
             journal = Journal(folder, 1_000_000, 0.0)
             self.addCleanup(journal.close)
-            before = counters().get("journal_rewrites_failed", 0)
-            with mock.patch.object(Journal, "_rewrite", side_effect=NO_DESCRIPTOR):
-                (folder / FRESH).write_bytes(b"a part of it")
+            before = counters().get("journal_compactions_failed", 0)
+            with mock.patch.object(Journal, "_compact", side_effect=NO_DESCRIPTOR):
+                (folder / COMPACTED_NAME).write_bytes(b"a part of it")
                 for n in range(60):
                     journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
                     if n:
                         journal.append(CompletedRecord(f"m{n}"))
-            self.assertGreater(counters().get("journal_rewrites_failed", 0), before)
-            self.assertFalse((folder / FRESH).exists())
+            self.assertGreater(counters().get("journal_compactions_failed", 0), before)
+            self.assertFalse((folder / COMPACTED_NAME).exists())
             again = Journal(folder, 1_000_000, 0.0)
             self.addCleanup(again.close)
             self.assertEqual([r.message.id for r in again.restored()], ["m0"])
@@ -254,8 +254,13 @@
         self.until(lambda: self.counters(program)["watches_begun"] > watches, "the watch is opened again")
         self.assertLess(time.monotonic() - back_at, WAIT)
         after = self.counters(program)
-        self.assertGreater(after["journal_rewrites"], before["journal_rewrites"])
-        for fault in ("accepts_failed", "journal_failures", "journal_rewrites_failed", "unexpected_errors"):
+        self.assertGreater(after["journal_compactions"], before["journal_compactions"])
+        for fault in (
+            "accepts_failed",
+            "journal_failures",
+            "journal_compactions_failed",
+            "unexpected_errors",
+        ):
             self.assertNotIn(fault, after)
         self.assertNotIn("Too many open files", "".join(self.output))
         assert program.process is not None
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from unittest import mock
 
-from juniperward.forwarder.journal import BLOCK, FRESH, NAME, Journal, JournalFullError
+from juniperward.forwarder.journal import BLOCK_BYTES, COMPACTED_NAME, JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message, OutcomeNotification
 from juniperward.forwarder.records import (
     AcceptedRecord,
@@ -38,7 +38,7 @@
         return journal
 
     def used(self) -> int:
-        return sum(-(-p.stat().st_size // BLOCK) * BLOCK for p in self.folder.iterdir())
+        return sum(-(-p.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for p in self.folder.iterdir())
 
     def test_everything_of_a_message_comes_back(self) -> None:
         # Guards the fields that rule 2 needs after a restart: which attempt may have run, where and when.
@@ -76,11 +76,11 @@
         # Guards against a process killed within a write, at every byte of it.
         j = self.open()
         j.append(AcceptedRecord(call("a"), 20.0))
-        whole = (self.folder / NAME).read_bytes()
+        whole = (self.folder / JOURNAL_NAME).read_bytes()
         j.append(AcceptedRecord(call("b"), 20.0))
-        both = (self.folder / NAME).read_bytes()
+        both = (self.folder / JOURNAL_NAME).read_bytes()
         for cut in range(len(whole), len(both) - 1, 7):
-            (self.folder / NAME).write_bytes(both[:cut])
+            (self.folder / JOURNAL_NAME).write_bytes(both[:cut])
             again = self.open()
             self.assertEqual([r.message.id for r in again.restored()], ["a"])
             again.append(AcceptedRecord(call("c"), 20.0))
@@ -90,9 +90,9 @@
         j = self.open()
         for name in "abc":
             j.append(AcceptedRecord(call(name), 20.0))
-        lines = (self.folder / NAME).read_bytes().split(b"\n")
+        lines = (self.folder / JOURNAL_NAME).read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b'"b"', b'"x"')  # still a record, but not the one that was written
-        (self.folder / NAME).write_bytes(b"\n".join(lines))
+        (self.folder / JOURNAL_NAME).write_bytes(b"\n".join(lines))
         self.assertEqual([r.message.id for r in self.open().restored()], ["a", "c"])
 
     def test_a_write_cut_short_does_not_spoil_the_next_record(self) -> None:
@@ -111,9 +111,9 @@
 
     def test_a_rewrite_that_was_cut_off_leaves_the_old_file_in_force(self) -> None:
         self.open().append(AcceptedRecord(call("a"), 20.0))
-        (self.folder / FRESH).write_bytes(b"half a")
+        (self.folder / COMPACTED_NAME).write_bytes(b"half a")
         self.assertEqual([r.message.id for r in self.open().restored()], ["a"])
-        self.assertFalse((self.folder / FRESH).exists())
+        self.assertFalse((self.folder / COMPACTED_NAME).exists())
 
     def test_it_stays_under_its_disk_and_turns_away_what_does_not_fit(self) -> None:
         # Guards the limit on the folder, old and new file together in whole blocks: over it is a crash.
@@ -147,7 +147,7 @@
     def test_records_of_what_is_over_are_not_written(self) -> None:
         j = self.open()
         j.append(CompletedRecord("nobody"))
-        self.assertEqual((self.folder / NAME).read_bytes(), b"")
+        self.assertEqual((self.folder / JOURNAL_NAME).read_bytes(), b"")
 
     def test_messages_of_the_usual_size_fill_all_places(self) -> None:
         # Guards the places of a day: reserving for nine attempts each, 3 MB took 355 messages of 1,000.
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, MessageReceived, ShutdownRequested
-from juniperward.forwarder.journal import NAME, Journal, JournalFullError
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.loop import Loop
 from juniperward.forwarder.model import Endpoint, ItemOutcome, Message
 from juniperward.forwarder.records import AttemptStartedRecord
@@ -24,7 +24,7 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / NAME
+        self.path = Path(folder.name) / JOURNAL_NAME
         self.journal = Journal(Path(folder.name), 100_000, 0.0)
         self.addCleanup(self.journal.close)
         self.parts = mock.Mock()
@@ -86,7 +86,7 @@
         self.assertEqual([reducer.may_exit(*x) for x in asked], [False, True, True])
 
     def test_what_cannot_be_journalled_is_not_taken_on(self) -> None:
-        for error in (JournalFullError(), OSError(28, "No space left on device")):
+        for error in (JournalFullError(2, 1), OSError(28, "No space left on device")):
             self.parts.reset_mock()
             with mock.patch.object(self.journal, "append", side_effect=[error, None]):
                 self.hand_in()
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -29,7 +29,7 @@
 )
 from juniperward.forwarder.effects import SendNotifications, StartAttempt
 from juniperward.forwarder.events import EndpointsUpdated, JournalReplayed
-from juniperward.forwarder.journal import NAME, Journal
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord, AttemptStartedRecord, RestoredMessage
 from juniperward.forwarder.reducer import Reducer
@@ -60,7 +60,7 @@
         self.folder = Path(folder.name)
 
     def carry(self, to_unix: float, boot: str = BOOT) -> float:
-        return carry_over(self.folder, to_unix, boot, NAME)
+        return carry_over(self.folder, to_unix, boot, JOURNAL_NAME)
 
     def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
         """The journal as the process opens it at its start."""
@@ -141,7 +141,7 @@
     def test_no_repeat_once_the_window_is_over(self) -> None:
         for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
             with self.subTest(step):
-                (self.folder / NAME).unlink(missing_ok=True)
+                (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
                 self.assertEqual(self.only(effects, StartAttempt), [])
@@ -152,7 +152,7 @@
     def test_a_repeat_within_the_window_still_goes(self) -> None:
         for step in (-1.0, 0.0):
             with self.subTest(step):
-                (self.folder / NAME).unlink(missing_ok=True)
+                (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
                 (parcel,) = sent.items
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -23,7 +23,7 @@
     JournalReplayed,
     MessageReceived,
 )
-from juniperward.forwarder.journal import NAME, Journal
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal
 from juniperward.forwarder.model import BatchItem, ItemOutcome, Message
 from juniperward.forwarder.records import (
     AcceptedRecord,
@@ -66,7 +66,7 @@
     def tried(self) -> list[str]:
         """What a process that is killed now leaves as tried, by what its next life reads."""
         with tempfile.TemporaryDirectory() as folder:
-            shutil.copy(self.folder / NAME, folder)
+            shutil.copy(self.folder / JOURNAL_NAME, folder)
             journal = Journal(Path(folder), 100_000, 0.0)
             journal.close()
         return [r.message.id for r in journal.restored() if r.history]
