--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -3,10 +3,10 @@
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import Fail, Reject
 from juniperward.scheduler.events import MessageAdmitted
-from juniperward.scheduler.parts import SchedulerPart
 from juniperward.scheduler.queues import Rank
 from juniperward.scheduler.records import Destination, Message
 from juniperward.scheduler.retries import may_give_up, may_retry
+from juniperward.scheduler.scheduler_part import SchedulerPart
 from juniperward.scheduler.settings import DeduplicationScope, Idempotency
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -5,9 +5,9 @@
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import StartAttempt
 from juniperward.scheduler.outlier_detection import OutlierDetection
-from juniperward.scheduler.parts import SchedulerPart, SchedulerState
 from juniperward.scheduler.records import BatchAttempt, Endpoint, Message
 from juniperward.scheduler.retries import may_retry, retry_until
+from juniperward.scheduler.scheduler_part import SchedulerPart, SchedulerState
 from juniperward.scheduler.settings import DeduplicationScope, Idempotency
 from juniperward.scheduler.slow_start import SlowStart
 
--- a/juniperward/scheduler/turns.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -1,14 +1,14 @@
-"""Whose turn it is: cost-charged deficit round robin. The policy's interface: events.py and actions.py."""
+"""Which destination goes next: cost-charged deficit round robin. The interface: events.py and actions.py."""
 
 from juniperward.scheduler.batching import Batching
 from juniperward.scheduler.outlier_detection import OutlierDetection
-from juniperward.scheduler.parts import SchedulerPart, SchedulerState
 from juniperward.scheduler.records import Destination, Message
 from juniperward.scheduler.retries import may_retry
 from juniperward.scheduler.routing import Routing
+from juniperward.scheduler.scheduler_part import SchedulerPart, SchedulerState
 
 
-class Turns(SchedulerPart):
+class DeficitRoundRobin(SchedulerPart):
     """Releases messages."""
 
     def __init__(
--- a/juniperward/scheduler/endpoint_polling.py
+++ b/juniperward/scheduler/endpoint_polling.py
@@ -3,7 +3,7 @@
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import PollEndpointList
 from juniperward.scheduler.events import ListScope
-from juniperward.scheduler.parts import SchedulerPart, SchedulerState
+from juniperward.scheduler.scheduler_part import SchedulerPart, SchedulerState
 
 
 class EndpointPolling(SchedulerPart):
--- a/juniperward/scheduler/housekeeping.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -4,12 +4,12 @@
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import CloseIdleConnections
-from juniperward.scheduler.parts import SchedulerPart
 from juniperward.scheduler.records import Destination, Endpoint
+from juniperward.scheduler.scheduler_part import SchedulerPart
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
 
-class Housekeeping(SchedulerPart):
+class IdleExpiry(SchedulerPart):
     """Looks at endpoints and destinations once nothing is in flight there."""
 
     def call_ended(self, endpoint: Endpoint) -> None:
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -5,10 +5,10 @@
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import DestinationEjected, DestinationRecovered, EjectionReason
 from juniperward.scheduler.events import AttemptFinished, HealthCheckFinished, Outcome
-from juniperward.scheduler.parts import SchedulerPart, SchedulerState
 from juniperward.scheduler.rate_limits import RateLimits
 from juniperward.scheduler.records import BatchAttempt, Endpoint
 from juniperward.scheduler.retries import may_retry
+from juniperward.scheduler.scheduler_part import SchedulerPart, SchedulerState
 from juniperward.scheduler.slow_start import SlowStart
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -4,9 +4,9 @@
 """
 
 from juniperward.scheduler import tuning
-from juniperward.scheduler.parts import SchedulerPart
 from juniperward.scheduler.records import Destination, Endpoint
 from juniperward.scheduler.route_state import RouteState
+from juniperward.scheduler.scheduler_part import SchedulerPart
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
 
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -4,8 +4,8 @@
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.events import AttemptFinished, Outcome, PastAttempt
-from juniperward.scheduler.parts import GiveUp, SchedulerPart, SchedulerState
 from juniperward.scheduler.records import Message
+from juniperward.scheduler.scheduler_part import GiveUp, SchedulerPart, SchedulerState
 from juniperward.scheduler.settings import Idempotency
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -6,9 +6,9 @@
 from juniperward.scheduler.actions import StartHealthCheck
 from juniperward.scheduler.admission import rank
 from juniperward.scheduler.batching import Batching
-from juniperward.scheduler.parts import GiveUp, SchedulerPart, SchedulerState
 from juniperward.scheduler.records import Destination, Endpoint, Message
 from juniperward.scheduler.retries import may_give_up
+from juniperward.scheduler.scheduler_part import GiveUp, SchedulerPart, SchedulerState
 from juniperward.scheduler.settings import Idempotency
 from juniperward.scheduler.slow_start import SlowStart
 from juniperward.scheduler.timers import TIME_EPSILON_S
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -11,6 +11,7 @@
 from juniperward.scheduler.actions import Action
 from juniperward.scheduler.admission import Admission, rank
 from juniperward.scheduler.batching import Batching
+from juniperward.scheduler.deficit_round_robin import DeficitRoundRobin
 from juniperward.scheduler.endpoint_polling import EndpointPolling
 from juniperward.scheduler.events import (
     AttemptFinished,
@@ -23,15 +24,14 @@
     Outcome,
     TimerFired,
 )
-from juniperward.scheduler.housekeeping import Housekeeping
+from juniperward.scheduler.idle_expiry import IdleExpiry
 from juniperward.scheduler.outlier_detection import OutlierDetection
-from juniperward.scheduler.parts import SchedulerState
 from juniperward.scheduler.rate_limits import RateLimits
 from juniperward.scheduler.retries import Retries
 from juniperward.scheduler.routing import Routing
+from juniperward.scheduler.scheduler_part import SchedulerState
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.slow_start import SlowStart
-from juniperward.scheduler.turns import Turns
 
 
 class DeliveryScheduler:
@@ -47,9 +47,9 @@
         self.outliers = OutlierDetection(state, self.rate_limits, self.slow_start)
         self.batching = Batching(state, self.slow_start, self.outliers)
         self.routing = Routing(state, self.slow_start, self.batching, self.admission.give_up)
-        self.turns = Turns(state, self.outliers, self.routing, self.batching)
+        self.round_robin = DeficitRoundRobin(state, self.outliers, self.routing, self.batching)
         self.polling = EndpointPolling(state)
-        self.housekeeping = Housekeeping(state)
+        self.idle_expiry = IdleExpiry(state)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take in all events of a round, then decide once; `now` does not go back from round to round."""
@@ -58,7 +58,7 @@
         for event in events:
             self._take_in(event)
         round_.timers.run_due(now)
-        self.turns.release()
+        self.round_robin.release()
         timer = round_.timers.request(now, round_.settings.timer_resolution_s)
         if timer is not None:
             round_.actions.append(timer)
@@ -107,7 +107,7 @@
         if message is None or attempt is None:
             return
         if backlog.leave(message, attempt):
-            self.housekeeping.call_ended(attempt.endpoint)
+            self.idle_expiry.call_ended(attempt.endpoint)
         self.rate_limits.record_retry_after(attempt.endpoint.route, event.retry_after_s)
         self.retries.record_outcome(message, event)
         if event.outcome is Outcome.OK:
@@ -130,4 +130,4 @@
             return
         for destination in self.state.table.apply(event):
             self.state.backlog.make_ready(destination)
-        self.housekeeping.prune_endpoints()
+        self.idle_expiry.prune_endpoints()
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -6,10 +6,10 @@
 """
 
 from juniperward.scheduler import tuning
-from juniperward.scheduler.parts import SchedulerPart, SchedulerState
 from juniperward.scheduler.rate_limits import RateLimits
 from juniperward.scheduler.records import Destination, Endpoint
 from juniperward.scheduler.route_state import RouteState
+from juniperward.scheduler.scheduler_part import SchedulerPart, SchedulerState
 from juniperward.scheduler.timers import TIME_EPSILON_S
 
 
--- a/tests/test_scheduler_policy.py
+++ b/tests/test_scheduler_policy.py
@@ -15,7 +15,7 @@
 MOST_MODULE_LINES = 300
 MOST_FUNCTION_LINES = 50
 MOST_LINE_LENGTH = 110
-PARTS_THAT_DECIDE_NOTHING = {"housekeeping.py", "parts.py"}
+PARTS_THAT_DECIDE_NOTHING = {"idle_expiry.py", "scheduler_part.py"}
 ALLOWED_IMPORTS = {
     "__future__", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math", "random", "typing",
 }  # fmt: skip
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -297,7 +297,7 @@
         node.arrive()
         node.settle(node.serial)
     timers = node.scheduler.state.round.timers
-    assert len(timers.pending(node.scheduler.housekeeping.check_idle)) == 1
+    assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
 
 def listed(rating: float, **changes: object) -> Node:
