--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.state import PendingMessage
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.scheduler import events as scheduler_events
-from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_SHARE
+from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_FRACTION
 
 HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
 ADMISSION_RETRY_AFTER_S = 1.0  # after which a client that was rejected may come again
@@ -100,7 +100,7 @@
         if pending.executed_at is not None:
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
         # It is not given up unattempted before a part of the time that its client gave it.
-        attempt_until = pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_SHARE) * pending.message.time_left_s
+        attempt_until = pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_FRACTION) * pending.message.time_left_s
         self._admit(pending, max(pending.expires_at - self._round.now, 0.0), history, attempt_until)
 
     def _admit(
--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -33,7 +33,7 @@
         if not self._traffic.take_quota(event.tenant):
             message.weight *= self._settings.over_quota_weight
         if event.attempt_for_s is None:
-            message.attempt_until = self._now + tuning.MINIMUM_ATTEMPT_SHARE * event.time_left_s
+            message.attempt_until = self._now + tuning.MINIMUM_ATTEMPT_FRACTION * event.time_left_s
         self._backlog.add(message)
         last_useful_at = message.expires_at - self._latency.least_useful(destination)
         give_up_at = max(last_useful_at, min(message.attempt_until, message.expires_at))
@@ -46,7 +46,7 @@
 
     def shed_load(self) -> None:
         """With nearly all messages open, give up the least weight of the longest queue."""
-        if self._backlog.open <= tuning.FULL_SHARE * self._settings.max_open:
+        if self._backlog.open <= tuning.LOAD_SHEDDING_FRACTION * self._settings.max_open:
             return
         longest = max(self._table.destinations.values(), key=lambda destination: len(destination.queue))
         candidates = [message for message in longest.queue if may_give_up(message, self._now)]
--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -27,13 +27,13 @@
         single = listed and self._settings.kind(endpoint.kind).batch_size <= 1
         max_s = self._traffic.min_deadline_s / tuning.MIN_CALLS_PER_DEADLINE
         if listed:
-            max_s = tuning.MAX_SPACING_SHARE * self._latency.min_objective_s
-        if share <= 0 or (single and (not self._large_fleet or share * max_s < tuning.SPACING_SHARE)):
+            max_s = tuning.MAX_SPACING_FRACTION * self._latency.min_objective_s
+        if share <= 0 or (single and (not self._large_fleet or share * max_s < tuning.SPACING_FACTOR)):
             return 0.0  # too small a share to keep to
         if single and self._now - route.rate_limit_cut_at > tuning.RATE_MEMORY_S:
             # It may have more of the traffic than others.
             share = max(share, self._traffic.expected_rate(destination, route))
-        return min(tuning.SPACING_SHARE / share, max_s)
+        return min(tuning.SPACING_FACTOR / share, max_s)
 
     def start(self, head: Message, endpoint: Endpoint) -> None:
         """Release a message, and those that may share its call, to an endpoint."""
@@ -44,7 +44,7 @@
         for message in members:
             self._add(attempt, message, shared=len(members) > 1)
         self._backlog.start(attempt)
-        destination.record_call(endpoint, self._now, tuning.REMEMBERED_ENDPOINTS, self._settings)
+        destination.record_call(endpoint, self._now, tuning.RECENT_ENDPOINTS, self._settings)
         self._slow_start.record_call(endpoint, 1.0 + tuning.BATCH_ITEM_WEIGHT * (len(members) - 1))
         overdue_at = self._now + self._latency.overdue_after(destination)
         self._schedule(overdue_at, self._outliers.check_overdue, attempt)
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -22,7 +22,7 @@
     def prune_endpoints(self) -> None:
         """Forget endpoints that are gone, and destinations that nobody wants."""
         wanted = {message.destination.id for message in self._backlog.messages.values()}
-        self._table.prune(wanted, tuning.IDLE_FORGET_S)
+        self._table.prune(wanted, tuning.IDLE_EXPIRY_S)
 
     def _close_connections_later(self, endpoint: Endpoint) -> None:
         """Idle connections of a large fleet fill a table: together they keep them as long as one alone would."""
@@ -40,7 +40,7 @@
     def _check_idle_later(self, destination: Destination) -> None:
         """Plan one look at a destination, not one for each call."""
         destination.idle_check_scheduled = True
-        idle_at = destination.last_used_at + tuning.IDLE_FORGET_S
+        idle_at = destination.last_used_at + tuning.IDLE_EXPIRY_S
         self._schedule(idle_at, self.check_idle, destination)
 
     def check_idle(self, destination: Destination) -> None:
@@ -48,7 +48,7 @@
         destination.idle_check_scheduled = False
         if destination.queue or destination.slots:
             return
-        if destination.last_used_at + tuning.IDLE_FORGET_S > self._now + TIME_EPSILON_S:
+        if destination.last_used_at + tuning.IDLE_EXPIRY_S > self._now + TIME_EPSILON_S:
             self._check_idle_later(destination)
         else:
             destination.forget(keep_ejection=self._large_fleet)  # rules 4 and 6 outlast it
--- a/juniperward/scheduler/latency.py
+++ b/juniperward/scheduler/latency.py
@@ -15,13 +15,13 @@
         self._resolution_s = settings.timer_resolution_s
         objectives_s = [c.latency_objective_s for c in settings.classes]
         self.min_objective_s, self.max_objective_s = min(objectives_s), max(objectives_s)
-        self.quantum_s = tuning.QUANTUM_SHARE * self.min_objective_s
+        self.quantum_s = tuning.QUANTUM_FRACTION * self.min_objective_s
 
     def record(self, message: Message, latency_s: float) -> None:
         """Take in a delivery, by class: one that fails or lingers must not change another's cost."""
         latency_s = min(latency_s, message.message_class.latency_objective_s)
         message.destination.record_latency(
-            message.class_index, latency_s, tuning.MEAN_WEIGHT, tuning.USUAL_WEIGHT
+            message.class_index, latency_s, tuning.LATENCY_MEAN_WEIGHT, tuning.BASELINE_WEIGHT
         )
 
     def expected(self, message: Message) -> float:
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -39,7 +39,7 @@
         """Take in the outcome of a call or a health check."""
         limit, left = result.reported_limit_per_s, result.capacity_left
         if limit is not None and left is not None and 0 < limit < math.inf:
-            endpoint.route.record_report(limit, left, tuning.MEAN_WEIGHT)
+            endpoint.route.record_report(limit, left, tuning.LATENCY_MEAN_WEIGHT)
         table_full = isinstance(result, AttemptFinished) and result.connection_table_full
         retry_after_s = result.retry_after_s if isinstance(result, AttemptFinished) else 0.0
         reached_at = self._now - self._settings.dial_timeout_s - 1.0
@@ -99,7 +99,7 @@
         route.consecutive_faults += 1
         warming = route.slow_start_since is not None
         idle_s = self._now - route.last_delivery_at if route.first_delivery_at is not None else math.inf
-        in_contact = idle_s <= tuning.CONTACT_SPANS * settings.overload_span_s and not warming
+        in_contact = idle_s <= tuning.RECENT_CONTACT_SPANS * settings.overload_span_s and not warming
         if (
             not self._large_fleet
             or route.ejected
@@ -170,7 +170,7 @@
         limit_s, age_s = self._latency.overdue_after(destination), self._now - attempt.sent_at
         overdue = sum(1 for other in endpoint.in_flight.values() if other.overdue)
         overtaken = endpoint.route.last_delivery_at > attempt.sent_at + limit_s / 2
-        lost = overtaken and age_s >= tuning.LOST_FACTOR * limit_s - TIME_EPSILON_S
+        lost = overtaken and age_s >= tuning.LOST_CALL_FACTOR * limit_s - TIME_EPSILON_S
         may_cancel = self._settings.cancellation and not attempt.cancelled
         if lost and may_cancel and self._may_retry_all(attempt):
             # Later ones were answered: this one's connection is lost, or its endpoint where none was there.
@@ -178,7 +178,7 @@
             if endpoint.last_success_at <= attempt.sent_at:
                 self._mark_unhealthy(endpoint, EjectionReason.SILENT)
         unanswered = endpoint.last_success_at <= self._now - limit_s + TIME_EPSILON_S
-        if overdue >= tuning.SILENT_CALLS and unanswered and not endpoint.unhealthy:
+        if overdue >= tuning.UNRESPONSIVE_CALLS and unanswered and not endpoint.unhealthy:
             self._mark_unhealthy(endpoint, EjectionReason.SILENT)
         if endpoint.route.ejected:
             self._backlog.make_ready_at(destination, self._now)
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -30,7 +30,10 @@
         if route.consecutive_rejections == 1:
             route.rejections_since = sent_at
         rejecting_s = now - route.rejections_since
-        shut = route.consecutive_rejections >= tuning.SHUT_REJECTIONS and rejecting_s >= tuning.SHUT_AFTER_S
+        shut = (
+            route.consecutive_rejections >= tuning.OUTAGE_REJECTIONS
+            and rejecting_s >= tuning.OUTAGE_REJECTING_S
+        )
         return shut or retry_after_s >= self._settings.overload_span_s
 
     def _cut(self, destination: Destination, route: RouteState) -> None:
@@ -42,12 +45,14 @@
         if over_limit:
             # A first may be chance at the limit's edge; the next in a row tells of a lower limit.
             # Rejections use it up: nothing is delivered before what all send has fallen below it.
-            first_cut = tuning.LISTED_FLOOR_SHARE if destination.listed_rate > 0 else 1.0
+            first_cut = tuning.LISTED_FLOOR_FRACTION if destination.listed_rate > 0 else 1.0
             cut = tuning.RATE_CUT if route.consecutive_rejections else first_cut
             limit = max(cut * min(share, route.rate_limit or share), least)
         else:
             present = route.rate_limit if route.rate_limit is not None else route.calls_within(self._now, 1.0)
-            floor = max(tuning.RATE_FLOOR * self._traffic.share(), tuning.LISTED_FLOOR_SHARE * share, least)
+            floor = max(
+                tuning.RATE_FLOOR * self._traffic.share(), tuning.LISTED_FLOOR_FRACTION * share, least
+            )
             limit = max(tuning.RATE_CUT * present, floor)
         route.rate_limit, route.rate_limit_cut_at = limit, self._now
         # At a phase of its own: forwarders told to wait until one moment must not all call at its end.
@@ -82,11 +87,11 @@
         share, idle = self._traffic.limit_share(destination, route), not destination.queue
         if share > 0 and self._large_fleet:  # slow near what was too much, then ever faster
             since_cut_s = min(self._now - route.rate_limit_cut_at, tuning.RATE_MEMORY_S)
-            step = tuning.CAUTIOUS_STEP_SHARE * share * 2**since_cut_s
+            step = tuning.CAUTIOUS_STEP_FRACTION * share * 2**since_cut_s
             if limit < share <= limit + step:  # at its share: slowly from here
                 step, route.rate_limit_cut_at = share - limit, self._now
             return step, limit > share and idle
         part = min(1.0, tuning.SMALL_FLEET * self._traffic.share())
-        step = max(tuning.RATE_STEP * part, tuning.LISTED_STEP_SHARE * share)
+        step = max(tuning.RATE_STEP_PER_S * part, tuning.LISTED_STEP_FRACTION * share)
         span_s = 1.0 if limit >= 1.0 else tuning.RATE_MEMORY_S  # a second tells nothing of fewer calls
         return step, idle and limit > route.calls_within(self._now, span_s) / span_s + step
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -15,7 +15,7 @@
     if not message.possibly_executed:
         return math.inf
     first_sent_at = min(message.possibly_executed.values())
-    return first_sent_at + message.message_class.deduplication_window_s - tuning.WINDOW_MARGIN_S
+    return first_sent_at + message.message_class.deduplication_window_s - tuning.DEDUPLICATION_MARGIN_S
 
 
 def may_retry(message: Message, now: float) -> bool:
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -47,18 +47,18 @@
 
     def _has_slot(self, destination: Destination, ejected: bool) -> bool:
         slots, slow = self._settings.slots, self._latency.is_slow(destination)
-        share = tuning.EJECTED_SLOT_SHARE if ejected or slow else tuning.HEALTHY_SLOT_SHARE
+        share = tuning.EJECTED_SLOT_FRACTION if ejected or slow else tuning.HEALTHY_SLOT_FRACTION
         if destination.slots >= max(1, int(share * slots)):
             return False
         if not ejected:
             return True
         # The trials of many silent destinations must not take the slots of the others.
         trials = sum(self._is_ejected(a.endpoint.destination) for a in self._backlog.in_flight.values())
-        return trials < max(1, int(tuning.TRIAL_SLOT_SHARE * slots))
+        return trials < max(1, int(tuning.TRIAL_SLOT_FRACTION * slots))
 
     def _open_endpoints(self, destination: Destination) -> tuple[list[float], list[Endpoint]]:
         """Return when endpoints open, and those that are open; all are looked at before none is found."""
-        most, drawn = tuning.REMEMBERED_ENDPOINTS, tuning.DRAWN_ENDPOINTS
+        most, drawn = tuning.RECENT_ENDPOINTS, tuning.SAMPLED_ENDPOINTS
         sample = destination.sample_endpoints(self._random, most, drawn)
         for looked_at in (sample, destination.endpoint_order):
             ready = [endpoint for endpoint in looked_at if endpoint.is_ready]  # rule 3
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -2,7 +2,7 @@
 
 In any overload span all forwarders may send cold share x overload multiple x capacity, none knowing of the
 return. Expected rates add up to the capacity: calls spaced by rate x share x multiple make that budget;
-`TRIAL_SHARE_OF_BUDGET` of it are trials, the rest is for the call after a good one.
+`TRIAL_BUDGET_FRACTION` of it are trials, the rest is for the call after a good one.
 """
 
 from juniperward.scheduler import tuning
@@ -39,7 +39,7 @@
         """A Retry-After ends with the return: after a warm-up from there no trial need wait for longer."""
         warm_up_s = self._settings.warm_up_s
         if self._large_fleet and route.ejected and route.retry_after_until > self._now - warm_up_s:
-            warm_at = route.retry_after_until + self._random.uniform(*tuning.WARM_JITTER) * warm_up_s
+            warm_at = route.retry_after_until + self._random.uniform(*tuning.WARM_UP_JITTER) * warm_up_s
             route.next_call_at = min(route.next_call_at, warm_at)
 
     def trial_interval(self, destination: Destination, route: RouteState, weight: float) -> float:
@@ -52,7 +52,7 @@
         rate, cold_share = self._usual_rate(destination, route), settings.cold_capacity_share
         min_s = min(settings.overload_span_s, tuning.TRIAL_MIN_S)
         if self._large_fleet:
-            rate *= cold_share * settings.overload_multiple * tuning.TRIAL_SHARE_OF_BUDGET
+            rate *= cold_share * settings.overload_multiple * tuning.TRIAL_BUDGET_FRACTION
             return max(min_s, self._random.uniform(*tuning.TRIAL_JITTER) * weight / rate)
         if destination.listed_rate <= 0 or not settings.rates_listed:
             min_s = settings.overload_span_s
@@ -76,7 +76,7 @@
         allowed = rate * (cold_share + (1 - cold_share) * elapsed_s / warm_up_s)
         if self._large_fleet:
             gain = (1 - cold_share) / (cold_share + TIME_EPSILON_S)
-            allowed = max(allowed, gain / tuning.TRIAL_SHARE_OF_BUDGET / warm_up_s)
+            allowed = max(allowed, gain / tuning.TRIAL_BUDGET_FRACTION / warm_up_s)
         return min(weight / (allowed + TIME_EPSILON_S), warm_up_s - elapsed_s)
 
     def _usual_rate(self, destination: Destination, route: RouteState) -> float:
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -50,4 +50,4 @@
 
     def has_capacity_left(self, route: RouteState) -> bool:
         """Return whether reports say that rejections have another reason than the limit."""
-        return route.has_capacity_left(self._round.now, tuning.USED_UP_SHARE, tuning.REPORT_AGE_S)
+        return route.has_capacity_left(self._round.now, tuning.USED_UP_FRACTION, tuning.LOAD_REPORT_DELAY_S)
