--- a/juniperward/scheduler/actions.py
+++ b/juniperward/scheduler/actions.py
@@ -69,10 +69,10 @@
 
 
 class EjectionReason(Enum):
-    """Why a destination's route was ejected."""
+    """Why a destination's route was ejected; the values are the words of the log (`reason=`)."""
 
     FAILING = "failing"
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     REJECTS_ALL = "rejects all"
 
 
--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -30,23 +30,23 @@
         destination = self._table.destination(event.destination)
         message_class = classes[event.class_index]
         message = Message.admitted(event, message_class, destination, self._now)
-        if not self._traffic.take_quota(event.tenant):
+        if not self._traffic.consume_quota(event.tenant):
             message.weight *= self._settings.over_quota_weight
         if event.attempt_for_s is None:
             message.attempt_until = self._now + tuning.MINIMUM_ATTEMPT_FRACTION * event.time_left_s
         self._backlog.add(message)
-        last_useful_at = message.expires_at - self._latency.least_useful(destination)
+        last_useful_at = message.expires_at - self._latency.minimum_useful_s(destination)
         give_up_at = max(last_useful_at, min(message.attempt_until, message.expires_at))
         self._schedule(give_up_at, self._last_moment, message)
         message.late = message.objective_at <= self._now
         if not message.late:
-            late_at = max(self._now, message.objective_at - self._latency.expected(message))
+            late_at = max(self._now, message.objective_at - self._latency.expected_s(message))
             self._schedule(late_at, self._backlog.mark_late, message)
         return message
 
     def shed_load(self) -> None:
         """With nearly all messages open, give up the least weight of the longest queue."""
-        if self._backlog.open <= tuning.LOAD_SHEDDING_FRACTION * self._settings.max_open:
+        if self._backlog.open_count <= tuning.LOAD_SHEDDING_FRACTION * self._settings.max_open:
             return
         longest = max(self._table.destinations.values(), key=lambda destination: len(destination.queue))
         candidates = [message for message in longest.queue if may_give_up(message, self._now)]
--- a/juniperward/scheduler/backlog.py
+++ b/juniperward/scheduler/backlog.py
@@ -21,7 +21,7 @@
         self._round = round_
         self._rank = rank
         self.messages: dict[int, Message] = {}
-        self.open = 0  # messages without their final answer
+        self.open_count = 0  # messages without their final answer
         self.ordered_keys: dict[str, OrderedKey] = {}
         self.ring = RoundRobinRing()
         self._last_sequence = 0  # of messages
@@ -33,7 +33,7 @@
         self._last_sequence += 1
         message.sequence = self._last_sequence
         self.messages[message.id] = message
-        self.open += 1
+        self.open_count += 1
         if message.ordering_key is not None:
             self.ordered_keys.setdefault(message.ordering_key, OrderedKey()).queue.append(message)
 
@@ -47,8 +47,8 @@
             key = self.ordered_keys[message.ordering_key]
             if key.queue[0] is not message:
                 return
-            if key.rest_until > now + TIME_EPSILON_S and not message.attempts:
-                self._round.timers.schedule(key.rest_until, self.enqueue, message)
+            if key.cooldown_until > now + TIME_EPSILON_S and not message.attempts:
+                self._round.timers.schedule(key.cooldown_until, self.enqueue, message)
                 return
         message.destination.queue.put(message, self._rank(message))
         self.make_ready(message.destination)
@@ -75,16 +75,16 @@
             destination.wake_at = max(at, now + TIME_EPSILON_S)
             self._round.timers.schedule(destination.wake_at, self.make_ready, destination)
 
-    def rest_key(self, message: Message, rest_s: float) -> None:
+    def begin_key_cooldown(self, message: Message, rest_s: float) -> None:
         """Let nothing new of a message's key go for a while."""
         if message.ordering_key is not None:
-            self.ordered_keys[message.ordering_key].rest_until = self._round.now + rest_s
+            self.ordered_keys[message.ordering_key].cooldown_until = self._round.now + rest_s
 
     def end(self, message: Message) -> None:
         """End a message; with nothing in flight any more it is let go of, and the next of its key may go."""
         if not message.ended:
             message.ended = True
-            self.open -= 1
+            self.open_count -= 1
             message.destination.queue.remove(message)
         if message.in_flight or self.messages.pop(message.id, None) is None or message.ordering_key is None:
             return
@@ -93,11 +93,11 @@
         if key.queue:
             self.enqueue(key.queue[0])
         else:
-            self._round.timers.schedule(key.rest_until, self._drop_key, message.ordering_key)
+            self._round.timers.schedule(key.cooldown_until, self._drop_key, message.ordering_key)
 
     def _drop_key(self, name: str) -> None:
         key = self.ordered_keys.get(name)
-        if key is not None and not key.queue and key.rest_until <= self._round.now + TIME_EPSILON_S:
+        if key is not None and not key.queue and key.cooldown_until <= self._round.now + TIME_EPSILON_S:
             del self.ordered_keys[name]
 
     def new_attempt(self, endpoint: Endpoint) -> BatchAttempt:
@@ -119,7 +119,7 @@
         attempt.endpoint.in_flight[attempt.serial] = self.in_flight[attempt.serial] = attempt
         attempt.endpoint.destination.slots += 1
 
-    def leave(self, message: Message, attempt: BatchAttempt) -> bool:
+    def release_slot(self, message: Message, attempt: BatchAttempt) -> bool:
         """Note that a message's part of a call is over; returns whether the call is, and frees its slot then."""
         attempt.members.discard(message.id)
         if attempt.members:
--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -23,7 +23,7 @@
     def spacing(self, endpoint: Endpoint) -> float:
         """Return the seconds between calls. A limit counts calls: what comes meanwhile travels in one."""
         destination, route = endpoint.destination, endpoint.route
-        share, listed = self._traffic.limit_share(destination, route), destination.listed_rate > 0
+        share, listed = self._traffic.rate_quota(destination, route), destination.listed_rate > 0
         single = listed and self._settings.kind(endpoint.kind).batch_size <= 1
         max_s = self._traffic.min_deadline_s / tuning.MIN_CALLS_PER_DEADLINE
         if listed:
@@ -40,13 +40,13 @@
         destination = endpoint.destination
         attempt = self._backlog.new_attempt(endpoint)
         destination.queue.remove(head)
-        members = [head, *self._companions(head, endpoint)]
+        members = [head, *self._further_members(head, endpoint)]
         for message in members:
             self._add(attempt, message, shared=len(members) > 1)
         self._backlog.start(attempt)
         destination.record_call(endpoint, self._now, tuning.RECENT_ENDPOINTS, self._settings)
         self._slow_start.record_call(endpoint, 1.0 + tuning.BATCH_ITEM_WEIGHT * (len(members) - 1))
-        overdue_at = self._now + self._latency.overdue_after(destination)
+        overdue_at = self._now + self._latency.overdue_after_s(destination)
         self._schedule(overdue_at, self._outliers.check_overdue, attempt)
 
     def _add(self, attempt: BatchAttempt, message: Message, shared: bool) -> None:
@@ -54,26 +54,26 @@
         if message.idempotency is Idempotency.IDEMPOTENCY_KEY:
             within_s = retry_until(message) - self._now
         if shared:
-            needs_s = self._latency.shared_call_needs(message.destination)
+            needs_s = self._latency.shared_call_minimum_s(message.destination)
             within_s = min(within_s, message.expires_at - needs_s - self._now)
         timeout_s = max(message.expires_at - self._now, self._settings.timer_resolution_s)
         self._act(StartAttempt(message.id, attempt.endpoint.id, timeout_s, within_s, attempt.serial))
         message.record_attempt(attempt)
 
-    def _companions(self, head: Message, endpoint: Endpoint) -> list[Message]:
+    def _further_members(self, head: Message, endpoint: Endpoint) -> list[Message]:
         """Those that share the call of the head; it ends with the time of any, so each must have some."""
-        latest = self._now + self._latency.shared_call_needs(endpoint.destination)
+        latest = self._now + self._latency.shared_call_minimum_s(endpoint.destination)
         if endpoint.route.ejected or head.expires_at <= latest:
             return []
 
         def fits(message: Message) -> bool:
-            return message.expires_at > latest and self._may_share(message, endpoint)
+            return message.expires_at > latest and self._may_travel_with_others(message, endpoint)
 
         further = self._settings.kind(endpoint.kind).batch_size - 1
         room_bytes = self._settings.max_batch_bytes - head.batch_bytes
         return endpoint.destination.queue.take_batch(further, room_bytes, fits)
 
-    def _may_share(self, message: Message, endpoint: Endpoint) -> bool:
+    def _may_travel_with_others(self, message: Message, endpoint: Endpoint) -> bool:
         """Nothing of it may have executed, or a repeat is harmless."""
         anywhere = message.message_class.deduplication_scope is DeduplicationScope.ALL
         dropped = anywhere or message.zone == endpoint.zone
--- a/juniperward/scheduler/deficit_round_robin.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -42,7 +42,7 @@
         quantum_s, most_s = self._latency.quantum_s, self._latency.max_objective_s
         if found is None and destination.closed:  # looked at again at its time or with news of it
             self._backlog.ring.drop_current(deficit_s=most_s + quantum_s)
-        elif found is not None and destination.deficit_s > (cost_s := self._latency.expected(found[0])):
+        elif found is not None and destination.deficit_s > (cost_s := self._latency.expected_s(found[0])):
             destination.deficit_s -= cost_s
             self._batching.start(*found)
         else:
--- a/juniperward/scheduler/estimators.py
+++ b/juniperward/scheduler/estimators.py
@@ -15,6 +15,6 @@
     return rate * math.exp(-elapsed_s / memory_s)
 
 
-def observed_share(elapsed_s: float, memory_s: float) -> float:
+def observed_fraction(elapsed_s: float, memory_s: float) -> float:
     """Return the share of a decaying rate that can have been observed within a while, from 0 to 1."""
     return 1 - math.exp(-elapsed_s / memory_s)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -17,7 +17,7 @@
 
 
 class OutlierDetection(SchedulerPart):
-    """Ejects what fails or is silent, and begins the recovery of what answers again."""
+    """Ejects what fails or is unresponsive, and begins the recovery of what answers again."""
 
     def __init__(self, state: SchedulerState, rate_limits: RateLimits, slow_start: SlowStart) -> None:
         """Have rejections cut rate limits, and the slow start space trials."""
@@ -31,7 +31,7 @@
         )  # tells nothing of the others' call
         if finished.outcome not in NO_FAILURE:
             # A quick error must not earn turns: what it saved of the normal cost is charged after all.
-            normal_s = self._latency.expected(self._backlog.messages[finished.message])
+            normal_s = self._latency.expected_s(self._backlog.messages[finished.message])
             attempt.endpoint.destination.deficit_s -= max(0.0, finished.latency_s - normal_s)
         self.record_outcome(attempt.endpoint, finished, attempt.sent_at)
 
@@ -39,7 +39,7 @@
         """Take in the outcome of a call or a health check."""
         limit, left = result.reported_limit_per_s, result.capacity_left
         if limit is not None and left is not None and 0 < limit < math.inf:
-            endpoint.route.record_report(limit, left, tuning.LATENCY_MEAN_WEIGHT)
+            endpoint.route.record_load_report(limit, left, tuning.LATENCY_MEAN_WEIGHT)
         table_full = isinstance(result, AttemptFinished) and result.connection_table_full
         retry_after_s = result.retry_after_s if isinstance(result, AttemptFinished) else 0.0
         reached_at = self._now - self._settings.dial_timeout_s - 1.0
@@ -57,13 +57,13 @@
         route = endpoint.route
         endpoint.record_success(self._now, tuning.KEEPALIVE_RISE, tuning.RECENT_CALLS)
         route.record_delivery(self._now, sent_at, tuning.RATE_MEMORY_S)
-        # No recovery is shown by an answer from before the outage, but for one that was silent.
-        if endpoint.unhealthy and (endpoint.silent or sent_at >= endpoint.unhealthy_since):
+        # No recovery is shown by an answer from before the outage, but for one that was unresponsive.
+        if endpoint.unhealthy and (endpoint.unresponsive or sent_at >= endpoint.unhealthy_since):
             endpoint.mark_healthy()
         if not (route.ejected or route.staggered):
             route.consecutive_faults = 0
-        elif self._now >= route.retry_after_until and (endpoint.silent or sent_at >= route.ejected_at):
-            self._begin_recovery_ramp(endpoint)
+        elif self._now >= route.retry_after_until and (endpoint.unresponsive or sent_at >= route.ejected_at):
+            self._begin_recovery(endpoint)
 
     def _record_rejection(self, endpoint: Endpoint, sent_at: float, retry_after_s: float) -> None:
         route = endpoint.route
@@ -73,7 +73,7 @@
         if self._rate_limits.record_rejection(endpoint, sent_at, retry_after_s):
             self._eject(endpoint, EjectionReason.REJECTS_ALL)
         other_reason = route.first_delivery_at is not None or not endpoint.destination.listed_rate
-        if route.reported_limit > 0:
+        if route.reported_limit_per_s > 0:
             other_reason = self._traffic.has_capacity_left(route)
         if other_reason and not at_edge:
             self._record_fault(endpoint, EjectionReason.REJECTS_ALL)
@@ -107,7 +107,7 @@
             or (unreached and self._may_be_chance(endpoint))
         ):
             return
-        cold_share = settings.cold_capacity_share * settings.overload_multiple
+        cold_share = settings.slow_start_capacity_fraction * settings.overload_multiple
         keeping = 1.0 if idle_s <= settings.warm_up_s else cold_share
         certain = route.consecutive_faults > 1 or warming or route.retry_after_until > self._now
         if certain or self._random.random() > keeping:
@@ -126,7 +126,7 @@
     def _mark_unhealthy(self, endpoint: Endpoint, reason: EjectionReason) -> None:
         route = endpoint.route
         if not endpoint.unhealthy:
-            endpoint.mark_unhealthy(self._now, reason is EjectionReason.SILENT)
+            endpoint.mark_unhealthy(self._now, reason is EjectionReason.UNRESPONSIVE)
             interval_s = self._slow_start.trial_interval(endpoint.destination, route, 1.0)
             endpoint.next_trial_at = self._now + interval_s
         if all(other.unhealthy for other in endpoint.destination.endpoints_on(route) if other.is_ready):
@@ -146,7 +146,7 @@
         self._slow_start.bring_trial_forward(route)
         self._act(DestinationEjected(destination.id, reason))
 
-    def _begin_recovery_ramp(self, endpoint: Endpoint) -> None:
+    def _begin_recovery(self, endpoint: Endpoint) -> None:
         """A trial was answered: calls are let through at a rate that grows over the warm-up."""
         destination, route = endpoint.destination, endpoint.route
         route.ejected, route.staggered, route.consecutive_faults = False, False, 0
@@ -155,8 +155,8 @@
         route.slow_start_since = route.retry_after_until if told else self._now
         for other in destination.endpoints_on(route):
             other.mark_healthy()
-            other.silent = False
-        ramp_s = 0.0 if self._large_fleet else self._slow_start.ramp_interval(destination, route, 1.0)
+            other.unresponsive = False
+        ramp_s = 0.0 if self._large_fleet else self._slow_start.slow_start_interval(destination, route, 1.0)
         route.next_call_at = self._now + ramp_s
         self._act(DestinationRecovered(destination.id))
 
@@ -167,7 +167,7 @@
             return
         attempt.overdue = True
         self._backlog.make_ready(destination)
-        limit_s, age_s = self._latency.overdue_after(destination), self._now - attempt.sent_at
+        limit_s, age_s = self._latency.overdue_after_s(destination), self._now - attempt.sent_at
         overdue = sum(1 for other in endpoint.in_flight.values() if other.overdue)
         overtaken = endpoint.route.last_delivery_at > attempt.sent_at + limit_s / 2
         lost = overtaken and age_s >= tuning.LOST_CALL_FACTOR * limit_s - TIME_EPSILON_S
@@ -176,10 +176,10 @@
             # Later ones were answered: this one's connection is lost, or its endpoint where none was there.
             self._backlog.cancel(attempt)
             if endpoint.last_success_at <= attempt.sent_at:
-                self._mark_unhealthy(endpoint, EjectionReason.SILENT)
+                self._mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         unanswered = endpoint.last_success_at <= self._now - limit_s + TIME_EPSILON_S
         if overdue >= tuning.UNRESPONSIVE_CALLS and unanswered and not endpoint.unhealthy:
-            self._mark_unhealthy(endpoint, EjectionReason.SILENT)
+            self._mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         if endpoint.route.ejected:
             self._backlog.make_ready_at(destination, self._now)
         self._schedule(self._now + limit_s / 2, self.check_overdue, attempt)
@@ -191,14 +191,14 @@
             attempt = min(candidates, key=lambda candidate: (candidate.sent_at, candidate.serial))
             self._backlog.cancel(attempt)
             # Or cancelling would wipe out the evidence of silence.
-            self._mark_unhealthy(attempt.endpoint, EjectionReason.SILENT)
+            self._mark_unhealthy(attempt.endpoint, EjectionReason.UNRESPONSIVE)
 
     def _may_cancel(self, attempt: BatchAttempt) -> bool:
         endpoint = attempt.endpoint
         may_answer = not endpoint.unhealthy and endpoint.last_success_at >= attempt.sent_at
         if not attempt.overdue or attempt.cancelled or may_answer:
             return False
-        last_resort_s = tuning.LAST_RESORT_FACTOR * self._latency.overdue_after(endpoint.destination)
+        last_resort_s = tuning.LAST_RESORT_FACTOR * self._latency.overdue_after_s(endpoint.destination)
         return self._now - attempt.sent_at >= last_resort_s or self._may_retry_all(attempt)
 
     def _may_retry_all(self, attempt: BatchAttempt) -> bool:
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -21,7 +21,7 @@
     def record_rejection(self, endpoint: Endpoint, sent_at: float, retry_after_s: float) -> bool:
         """Cut the limit after a rejection; returns whether so many in a row are an outage."""
         now, destination, route = self._now, endpoint.destination, endpoint.route
-        mean_s = destination.mean_latency
+        mean_s = destination.mean_latency_s
         self.record_retry_after(route, retry_after_s)
         if now - route.rate_limit_cut_at >= (mean_s if mean_s is not None else self._latency.quantum_s):
             self._cut(destination, route)
@@ -37,10 +37,10 @@
         return shut or retry_after_s >= self._settings.overload_span_s
 
     def _cut(self, destination: Destination, route: RouteState) -> None:
-        share = self._traffic.limit_share(destination, route)
+        share = self._traffic.rate_quota(destination, route)
         least = tuning.MIN_CALLS_PER_DEADLINE / self._traffic.min_deadline_s
         over_limit = self._large_fleet and share > 0
-        if route.reported_limit:
+        if route.reported_limit_per_s:
             over_limit = not self._traffic.has_capacity_left(route)
         if over_limit:
             # A first may be chance at the limit's edge; the next in a row tells of a lower limit.
@@ -51,7 +51,7 @@
         else:
             present = route.rate_limit if route.rate_limit is not None else route.calls_within(self._now, 1.0)
             floor = max(
-                tuning.RATE_FLOOR * self._traffic.share(), tuning.LISTED_FLOOR_FRACTION * share, least
+                tuning.RATE_FLOOR * self._traffic.fraction(), tuning.LISTED_FLOOR_FRACTION * share, least
             )
             limit = max(tuning.RATE_CUT * present, floor)
         route.rate_limit, route.rate_limit_cut_at = limit, self._now
@@ -84,14 +84,14 @@
 
     def _step(self, destination: Destination, route: RouteState, limit: float) -> tuple[float, bool]:
         """Return by how much to raise a limit, and whether to drop it instead."""
-        share, idle = self._traffic.limit_share(destination, route), not destination.queue
+        share, idle = self._traffic.rate_quota(destination, route), not destination.queue
         if share > 0 and self._large_fleet:  # slow near what was too much, then ever faster
             since_cut_s = min(self._now - route.rate_limit_cut_at, tuning.RATE_MEMORY_S)
             step = tuning.CAUTIOUS_STEP_FRACTION * share * 2**since_cut_s
             if limit < share <= limit + step:  # at its share: slowly from here
                 step, route.rate_limit_cut_at = share - limit, self._now
             return step, limit > share and idle
-        part = min(1.0, tuning.SMALL_FLEET * self._traffic.share())
+        part = min(1.0, tuning.SMALL_FLEET * self._traffic.fraction())
         step = max(tuning.RATE_STEP_PER_S * part, tuning.LISTED_STEP_FRACTION * share)
         span_s = 1.0 if limit >= 1.0 else tuning.RATE_MEMORY_S  # a second tells nothing of fewer calls
         return step, idle and limit > route.calls_within(self._now, span_s) / span_s + step
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -119,7 +119,7 @@
     """The messages that share a key, in the order admitted, and the rest that the key needs."""
 
     queue: deque[Message] = field(default_factory=deque)
-    rest_until: float = -math.inf
+    cooldown_until: float = -math.inf
 
 
 @dataclass(slots=True, eq=False)
@@ -137,7 +137,7 @@
     recent: tuple[bool, ...] = ()  # whether the latest calls were answered; an empty deque takes 600 bytes
     unhealthy: bool = False
     unhealthy_since: float = 0.0
-    silent: bool = False
+    unresponsive: bool = False
     next_trial_at: float = 0.0
     last_success_at: float = -math.inf
     open_connections: int = 0  # as far as can be told
@@ -171,9 +171,9 @@
         """Remember a call without an answer."""
         self.recent = (*self.recent, False)[-remembered:]
 
-    def mark_unhealthy(self, now: float, silent: bool) -> None:
+    def mark_unhealthy(self, now: float, unresponsive: bool) -> None:
         """Note an outage of the endpoint."""
-        self.unhealthy, self.unhealthy_since, self.silent = True, now, silent
+        self.unhealthy, self.unhealthy_since, self.unresponsive = True, now, unresponsive
 
     def mark_healthy(self) -> None:
         """Note that it answers again; earlier calls say nothing any more."""
@@ -195,9 +195,9 @@
     on_ring: bool = False
     deficit_s: float = 0.0  # slot time that it may still use
     slots: int = 0  # in use
-    latency_by_class: dict[int, float] = field(default_factory=dict)  # running means
-    mean_latency: float | None = None
-    usual_latency: float = 0.0  # a slower mean
+    latency_by_class_s: dict[int, float] = field(default_factory=dict)  # running means
+    mean_latency_s: float | None = None
+    baseline_latency_s: float = 0.0  # a slower mean
     wake_at: float = -math.inf
     listed_rate: float = 0.0  # calls a second that all forwarders together may make
     last_used_at: float = 0.0
@@ -234,10 +234,10 @@
 
     def record_latency(self, class_index: int, latency_s: float, weight: float, usual_weight: float) -> None:
         """Add a latency to the running means."""
-        by_class = self.latency_by_class
+        by_class = self.latency_by_class_s
         by_class[class_index] = running_mean(by_class.get(class_index), latency_s, weight)
-        self.mean_latency = running_mean(self.mean_latency, latency_s, weight)
-        self.usual_latency = running_mean(self.usual_latency or None, latency_s, usual_weight)
+        self.mean_latency_s = running_mean(self.mean_latency_s, latency_s, weight)
+        self.baseline_latency_s = running_mean(self.baseline_latency_s or None, latency_s, usual_weight)
 
     def sample_endpoints(self, random: Random, most: int, drawn: int) -> Iterable[Endpoint]:
         """Return all endpoints, or of more than `most` those called of late and a few drawn.
@@ -252,7 +252,12 @@
 
     def forget(self, keep_ejection: bool) -> None:
         """Forget what was learned here."""
-        self.latency_by_class, self.mean_latency, self.usual_latency, self.deficit_s = {}, None, 0.0, 0.0
+        self.latency_by_class_s, self.mean_latency_s, self.baseline_latency_s, self.deficit_s = (
+            {},
+            None,
+            0.0,
+            0.0,
+        )
         for endpoint in self.endpoints.values():
             endpoint.recent, endpoint.unhealthy, endpoint.open_connections = (), False, 0
             endpoint.route.forget(keep_ejection)
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -48,11 +48,13 @@
         if finished.outcome.never_executed:
             message.possibly_executed.pop(finished.attempt, None)
         if finished.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self._backlog.rest_key(message, self._settings.key_rest_s)  # it may still run (rule 5)
+            self._backlog.begin_key_cooldown(
+                message, self._settings.key_cooldown_s
+            )  # it may still run (rule 5)
 
     def after_attempt(self, message: Message, finished: AttemptFinished) -> None:
         """Try again after an attempt without delivery, spaced, where that is harmless and in time."""
-        last_useful_at = message.expires_at - self._latency.least_useful(message.destination)
+        last_useful_at = message.expires_at - self._latency.minimum_useful_s(message.destination)
         too_late = last_useful_at <= self._now and may_give_up(message, self._now)
         if not self._give_up_unless_possible(message, too_late):
             return
--- a/juniperward/scheduler/route_state.py
+++ b/juniperward/scheduler/route_state.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field, fields
 
-from juniperward.scheduler.estimators import decayed, observed_share
+from juniperward.scheduler.estimators import decayed, observed_fraction
 
 LEAST_OBSERVED_S = 2.0  # a rate counts as observed for so long at least
 
@@ -33,9 +33,9 @@
     delivery_rate: float = 0.0  # decaying
     last_delivery_at: float = 0.0
     first_delivery_at: float | None = None
-    deliveries: int = 0
+    delivery_count: int = 0
     # Limits, by rate_limits
-    reported_limit: float = 0.0  # of all forwarders together
+    reported_limit_per_s: float = 0.0  # of all forwarders together
     reported_capacity_left: float = 0.0
     rate_limit: float | None = None
     rate_limit_cut_at: float = -math.inf
@@ -55,7 +55,7 @@
 
     def record_delivery(self, now: float, sent_at: float, memory_s: float) -> None:
         """Count a delivery, and add it to the decaying rate."""
-        self.deliveries += 1
+        self.delivery_count += 1
         self.consecutive_rejections = 0
         if self.first_delivery_at is None:
             self.first_delivery_at = sent_at
@@ -63,16 +63,18 @@
         self.last_delivery_at = now
 
     def recent_rate(self, now: float, memory_s: float) -> float:
-        """Return the deliveries a second of late."""
+        """Return the delivery_count a second of late."""
         if self.first_delivery_at is None:
             return 0.0
         observed_s = max(now - self.first_delivery_at, LEAST_OBSERVED_S)
         rate = decayed(self.delivery_rate, now - self.last_delivery_at, memory_s)
-        return rate / observed_share(observed_s, memory_s)
+        return rate / observed_fraction(observed_s, memory_s)
 
-    def record_report(self, limit: float, capacity_left: float, weight: float) -> None:
+    def record_load_report(self, limit: float, capacity_left: float, weight: float) -> None:
         """Take in a reported limit, whose noise is evened out, and the newest share of it that is left."""
-        self.reported_limit += (weight if self.reported_limit > 0 else 1.0) * (limit - self.reported_limit)
+        self.reported_limit_per_s += (weight if self.reported_limit_per_s > 0 else 1.0) * (
+            limit - self.reported_limit_per_s
+        )
         self.reported_capacity_left = min(max(capacity_left, 0.0), 1.0)
 
     def has_capacity_left(self, now: float, used_up: float, report_age_s: float) -> bool:
@@ -90,7 +92,7 @@
             retry_after_until=self.retry_after_until,
             ejected=keep_ejection and self.ejected,
             ejected_at=self.ejected_at,
-            deliveries=self.deliveries,
+            delivery_count=self.delivery_count,
         )
         for each in fields(fresh):
             setattr(self, each.name, getattr(fresh, each.name))
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -52,7 +52,7 @@
             return False
         if not ejected:
             return True
-        # The trials of many silent destinations must not take the slots of the others.
+        # The trials of many unresponsive destinations must not take the slots of the others.
         trials = sum(self._is_ejected(a.endpoint.destination) for a in self._backlog.in_flight.values())
         return trials < max(1, int(tuning.TRIAL_SLOT_FRACTION * slots))
 
@@ -71,7 +71,7 @@
     def _close(self, destination: Destination, head: Message, ejected: bool, opens_at: list[float]) -> None:
         destination.closed = True
         wake_at = min(opens_at, default=math.inf)
-        last_useful_at = head.expires_at - self._latency.least_useful(destination)
+        last_useful_at = head.expires_at - self._latency.minimum_useful_s(destination)
         if ejected and self._now < last_useful_at < wake_at < math.inf:
             if may_give_up(head, self._now):
                 # It cannot be served in time: answered at once, to free its place.
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -57,7 +57,7 @@
         self.state.begin_round(now)
         for event in events:
             self._take_in(event)
-        round_.timers.run_due(now)
+        round_.timers.run_expired(now)
         self.round_robin.release()
         timer = round_.timers.request(now, round_.settings.timer_resolution_s)
         if timer is not None:
@@ -106,7 +106,7 @@
         attempt = message.in_flight.pop(event.attempt, None) if message else None
         if message is None or attempt is None:
             return
-        if backlog.leave(message, attempt):
+        if backlog.release_slot(message, attempt):
             self.idle_expiry.call_ended(attempt.endpoint)
         self.rate_limits.record_retry_after(attempt.endpoint.route, event.retry_after_s)
         self.retries.record_outcome(message, event)
--- a/juniperward/scheduler/settings.py
+++ b/juniperward/scheduler/settings.py
@@ -105,13 +105,15 @@
     over_quota_weight: float = 1.0  # x the class's weight, for a message beyond its tenant's quota
     weight_decay: WeightDecay = WeightDecay.LINEAR
     answer_slack_s: float = 0.0  # after a message's time, in which its final answer still counts
-    cold_capacity_share: float = 0.2  # share of its capacity that a destination has right after an outage
+    slow_start_capacity_fraction: float = (
+        0.2  # share of its capacity that a destination has right after an outage
+    )
     warm_up_s: float = 10.0  # after which it has all of it
     overload_multiple: float = (
         1.5  # x its present capacity, for overload_span_s: a cold destination fails anew
     )
     overload_span_s: float = 2.0
-    key_rest_s: float = 0.0  # after an attempt that may still run, before the next message of its key
+    key_cooldown_s: float = 0.0  # after an attempt that may still run, before the next message of its key
     keepalive_s: float = 10.0  # after which an idle connection is closed by the endpoint
     dial_timeout_s: float = 1.0
     streams_per_connection: int = 1
@@ -138,7 +140,9 @@
         _check_positive(self, "slots", "max_open", "instances", "max_attempts", "warm_up_s")
         _check_positive(self, "overload_multiple", "overload_span_s", "streams_per_connection")
         _check_positive(self, "max_batch_bytes")
-        _check_not_negative(self, "over_quota_weight", "answer_slack_s", "cold_capacity_share", "key_rest_s")
+        _check_not_negative(
+            self, "over_quota_weight", "answer_slack_s", "slow_start_capacity_fraction", "key_cooldown_s"
+        )
         _check_not_negative(self, "keepalive_s", "dial_timeout_s", "max_retry_after_s", "timer_resolution_s")
         _check_not_negative(self, "rejection_price", "listed_rate_error")
         _check_member("weight_decay", self.weight_decay, WeightDecay)
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -26,7 +26,7 @@
         destination, route = endpoint.destination, endpoint.route
         route.last_call_at = self._now
         route.record_call(self._now, tuning.RATE_MEMORY_S)
-        interval = self.trial_interval if route.ejected else self.ramp_interval
+        interval = self.trial_interval if route.ejected else self.slow_start_interval
         interval_s = interval(destination, route, weight)
         if route.rate_limit is not None:
             interval_s = max(interval_s, 1.0 / route.rate_limit)  # a limit counts calls, whatever they carry
@@ -49,7 +49,7 @@
             # As of the last delivery, less half of its own weight: the outage must not wear down the memory.
             recent = route.recent_rate(route.last_delivery_at, memory_s) - 0.5 / memory_s
             route.rate_before_outage = max(recent, route.rate_before_outage * 0.5)
-        rate, cold_share = self._usual_rate(destination, route), settings.cold_capacity_share
+        rate, cold_share = self._usual_rate(destination, route), settings.slow_start_capacity_fraction
         min_s = min(settings.overload_span_s, tuning.TRIAL_MIN_S)
         if self._large_fleet:
             rate *= cold_share * settings.overload_multiple * tuning.TRIAL_BUDGET_FRACTION
@@ -59,18 +59,18 @@
         interval_s = weight / (rate * ((1 + settings.overload_multiple) / 2) * cold_share + TIME_EPSILON_S)
         return max(min_s, min(interval_s, tuning.TRIAL_MAX_SPANS * settings.overload_span_s))
 
-    def ramp_interval(self, destination: Destination, route: RouteState, weight: float) -> float:
+    def slow_start_interval(self, destination: Destination, route: RouteState, weight: float) -> float:
         """Return the seconds until the next call of a route that warms up; 0 where it does not."""
         if route.slow_start_since is None:
             return 0.0
-        warm_up_s, cold_share = self._settings.warm_up_s, self._settings.cold_capacity_share
+        warm_up_s, cold_share = self._settings.warm_up_s, self._settings.slow_start_capacity_fraction
         elapsed_s = self._now - route.slow_start_since
         rate = self._usual_rate(destination, route) * ((1 + self._settings.overload_multiple) / 2)
         if elapsed_s >= warm_up_s:
             # Warm: what was held meanwhile must not arrive at once; the rate limit goes on from here.
             route.slow_start_since = None
             if route.rate_limit is None:
-                floor = tuning.RATE_FLOOR * self._traffic.share()
+                floor = tuning.RATE_FLOOR * self._traffic.fraction()
                 self._rate_limits.start_limit(destination, route, max(floor, rate))
             return 0.0
         allowed = rate * (cold_share + (1 - cold_share) * elapsed_s / warm_up_s)
@@ -83,4 +83,4 @@
         if self._large_fleet:
             return self._traffic.expected_rate(destination, route)
         floor = tuning.RATE_FLOOR / self._settings.instances
-        return max(route.rate_before_outage, floor, self._traffic.limit_share(destination, route))
+        return max(route.rate_before_outage, floor, self._traffic.rate_quota(destination, route))
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -50,7 +50,7 @@
     endpoints = destination.endpoints.values()
     routes = list({id(e.route): e.route for e in endpoints}.values()) or [destination.shared_route]
     warming_up_for_s = _warming_up_for(routes, scheduler.state.round.settings.warm_up_s, now)
-    health = Health.HEALTHY if destination.mean_latency is not None else Health.UNKNOWN
+    health = Health.HEALTHY if destination.mean_latency_s is not None else Health.UNKNOWN
     if any(route.ejected for route in routes):
         health = Health.EJECTED
     elif warming_up_for_s is not None:
@@ -65,7 +65,7 @@
         listed_rate=destination.listed_rate,
         retry_after_s=max(max(route.retry_after_until for route in routes) - now, 0.0),
         warming_up_for_s=warming_up_for_s,
-        mean_latency_s=destination.mean_latency,
+        mean_latency_s=destination.mean_latency_s,
         ready_endpoints=sum(endpoint.is_ready for endpoint in endpoints),
     )
 
--- a/juniperward/scheduler/timers.py
+++ b/juniperward/scheduler/timers.py
@@ -26,7 +26,7 @@
         self._sequence += 1
         heapq.heappush(self._due, (at, self._sequence, callback, arguments))
 
-    def run_due(self, now: float) -> None:
+    def run_expired(self, now: float) -> None:
         """Call whatever is due, also what is scheduled meanwhile."""
         while self._due and self._due[0][0] <= now + TIME_EPSILON_S:
             _, _, callback, arguments = heapq.heappop(self._due)
--- a/juniperward/simulation/recovery_budget.py
+++ b/juniperward/simulation/recovery_budget.py
@@ -45,7 +45,7 @@
         """Return the budget that a forwarder's settings give a destination of that capacity."""
         return cls(
             capacity_per_s,
-            settings.cold_capacity_share,
+            settings.slow_start_capacity_fraction,
             settings.warm_up_s,
             settings.overload_multiple,
             settings.overload_span_s,
--- a/juniperward/simulation/recovery_parameters.py
+++ b/juniperward/simulation/recovery_parameters.py
@@ -106,7 +106,7 @@
         rates_listed=case.rate_listed,
         listed_rate_error=LISTED_RATE_ERROR if case.rate_listed else 0.0,
         health_checks=case.health_checks,
-        cold_capacity_share=SLOW_START_FRACTION,
+        slow_start_capacity_fraction=SLOW_START_FRACTION,
         warm_up_s=WARM_UP_S,
         overload_multiple=OVERLOAD_MULTIPLE,
         overload_span_s=OVERLOAD_SPAN_S,
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -141,7 +141,7 @@
         kinds=tuple(DestinationKind(group.batch_size) for group in scenario.groups),
         instances=scenario.forwarders,
         max_attempts=8,
-        cold_capacity_share=SLOW_START_FRACTION,
+        slow_start_capacity_fraction=SLOW_START_FRACTION,
         warm_up_s=WARM_UP_S,
         overload_multiple=OVERLOAD_MULTIPLE,
         overload_span_s=OVERLOAD_SPAN_S,
--- a/juniperward/simulator_adapter/wire.py
+++ b/juniperward/simulator_adapter/wire.py
@@ -44,7 +44,7 @@
 NO_SLOT_NOTE = 1  # in `WaitMs` of an attempt that was not sent: all slots were in use
 EJECTION_NOTES = {
     EjectionReason.FAILING: "failing",
-    EjectionReason.SILENT: "silent",
+    EjectionReason.UNRESPONSIVE: "silent",
     EjectionReason.REJECTS_ALL: "refuses all",
 }
 ANSWER_NAMES: dict[type[Action], str] = {
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,7 +57,7 @@
         "answer_slack_s": 0.02,
         "max_retry_after_s": 2.0,
         "cancellation": True,
-        "cold_capacity_share": 0.25,
+        "slow_start_capacity_fraction": 0.25,
     }
     return SchedulerSettings(**{**values, **changes})
 
--- a/tests/test_cold_return_budget.py
+++ b/tests/test_cold_return_budget.py
@@ -23,7 +23,7 @@
         "instances": count,
         "slots": 3,
         "rates_listed": True,
-        "cold_capacity_share": COLD,
+        "slow_start_capacity_fraction": COLD,
         "overload_multiple": MULTIPLE,
         "overload_span_s": SPAN,
         "warm_up_s": WARM,
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -157,7 +157,7 @@
 
 
 def test_5_messages_of_a_key_go_one_at_a_time_and_the_key_rests() -> None:
-    node = Node(settings(ORDERED, key_rest_s=0.3))
+    node = Node(settings(ORDERED, key_cooldown_s=0.3))
     node.arrive(ordering_key="a")
     assert sends(node.arrive(ordering_key="a")) == []
     assert sends(node.arrive(ordering_key="b")) == [3]
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -126,12 +126,12 @@
     node = Node()
     warm(node, 1, latency=1.0)
     d = node.destination(1)
-    mean, deficit = d.mean_latency, d.deficit_s
+    mean, deficit = d.mean_latency_s, d.deficit_s
     node.arrive()
     node.run(0.01)
     paid = d.deficit_s
     node.settle(node.serial, Outcome.ERROR)
-    assert d.mean_latency == mean and d.deficit_s <= paid and deficit == 0.0
+    assert d.mean_latency_s == mean and d.deficit_s <= paid and deficit == 0.0
 
 
 def test_a_full_connection_table_is_no_outage_and_is_not_dialled_again_at_once() -> None:
@@ -283,7 +283,7 @@
                 room = max(room - 1.0, -limit / 2)
                 node.settle(m, Outcome.OVERLOADED if full else Outcome.OK)
                 taken, refused = taken + (not full), refused + full
-            node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open))
+            node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open_count))
     return taken, refused
 
 
@@ -373,7 +373,7 @@
     # Without it nine partners of forty forwarders were pushed over in twenty runs of `many`, with it four.
     for rating, served, sick in ((80.0, False, False), (80.0, True, True), (0.0, False, True)):
         config = settings(
-            KEYED, instances=40, rates_listed=True, cold_capacity_share=0.001
+            KEYED, instances=40, rates_listed=True, slow_start_capacity_fraction=0.001
         )  # hardly one keeps a call
         node = Node(config, (EndpointEntry(10, 1, listed_rate=rating),))
         if served:
@@ -501,7 +501,7 @@
             for message in node.in_flight():
                 node.settle(message)  # those that wait for a place in the spacing come later
             node.run(gap - 0.01)
-        parts.append(node.scheduler.state.traffic.share())
+        parts.append(node.scheduler.state.traffic.fraction())
     assert parts[0] > 0.3 and parts[1] < 0.02
 
 
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -59,8 +59,8 @@
 def test_the_noise_of_told_limits_is_evened_out() -> None:
     route = RouteState()
     for limit in (10.0, *([9.0, 11.0] * 20)):
-        route.record_report(limit, 0.5, 0.2)
-    assert 9.5 < route.reported_limit < 10.5
+        route.record_load_report(limit, 0.5, 0.2)
+    assert 9.5 < route.reported_limit_per_s < 10.5
 
 
 def test_room_told_before_the_refusals_is_no_reason_to_doubt_a_destination() -> None:
--- a/tests/test_scheduler_settings.py
+++ b/tests/test_scheduler_settings.py
@@ -11,7 +11,8 @@
 
 
 @pytest.mark.parametrize(
-    "field", ["slots", "max_open", "instances", "max_attempts", "cold_capacity_share", "key_rest_s"]
+    "field",
+    ["slots", "max_open", "instances", "max_attempts", "slow_start_capacity_fraction", "key_cooldown_s"],
 )
 def test_negative_settings_are_named(field: str) -> None:
     with pytest.raises(ValueError, match=field):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -128,11 +128,11 @@
     node.arrive()
     node.run(0.1)
     node.settle(1)
-    assert node.destination(1).mean_latency is not None
+    assert node.destination(1).mean_latency_s is not None
     node.run(59.0)
-    assert node.destination(1).mean_latency is not None
+    assert node.destination(1).mean_latency_s is not None
     node.run(2.0)
-    assert node.destination(1).mean_latency is None
+    assert node.destination(1).mean_latency_s is None
     assert sends(node.arrive()) == [2]
 
 
@@ -333,7 +333,9 @@
 def test_trials_and_warming_go_by_the_listed_share() -> None:
     # Guards the return of large destinations: a trial each 3 s, then as many calls as were delivered lately.
     def calls(rating: float) -> tuple[int, int]:
-        node = listed(rating, cold_capacity_share=0.2, overload_multiple=2.0, overload_span_s=3.0, slots=40)
+        node = listed(
+            rating, slow_start_capacity_fraction=0.2, overload_multiple=2.0, overload_span_s=3.0, slots=40
+        )
         node.arrive(count=4)
         for message in range(1, 5):
             node.settle(message, Outcome.CONNECT_FAILED)
