--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -131,7 +131,7 @@
                     late_weight=objective.late_weight,
                 )
             )
-            late = sorted(clients.lateness)
+            late = sorted(clients.lateness_s)
             fallen = sum(p.capacity.crashed for p in cluster.destinations.values())
             return (
                 v.priority_weight_delivered,
@@ -147,10 +147,14 @@
     for g in s.groups:
         weights += [(len(weights) + 1 + n, g.traffic_fraction / g.count) for n in range(g.count)]
     t = s.traffic
-    tries = 2 if t.resubmit_fraction else 1
-    deadline_s = t.objective.deadline_s
-    traffic = Traffic(t.rate_per_s, tuple(weights), ACCOUNTS, deadline=deadline_s, tries=tries)
-    clients = Clients(traffic, cluster.front, cluster.recorder, seed, ClientOptions(threads=64))
+    traffic = Traffic(
+        t.rate_per_s,
+        tuple(weights),
+        ACCOUNTS,
+        deadline_s=t.objective.deadline_s,
+        max_submissions=2 if t.resubmit_fraction else 1,
+    )
+    clients = Clients(traffic, cluster.load_balancer, cluster.recorder, seed, ClientOptions(threads=64))
     clients.start(s.duration_s)
     return clients
 
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -14,14 +14,15 @@
 import time
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from juniperward.agent import processes
 from juniperward.benchmarks.local_cluster import BASE, ROOT, reserve
 from juniperward.benchmarks.report import Report
-from juniperward.fakes.clients import ready
 from juniperward.fakes.discovery import FakeDiscovery, ListedEndpoint
-from juniperward.fakes.load import LoadResult, Plan, Sinks, play, quantile
+from juniperward.fakes.histograms import LatencyHistogram
+from juniperward.fakes.instant_endpoints import InstantEndpoints
+from juniperward.fakes.load import LoadPlan, LoadResult, play
+from juniperward.fakes.load_balancer import is_ready
 from juniperward.fakes.records import Recorder, now
 
 DESTINATIONS = 8
@@ -37,26 +38,23 @@
 
     rate: float
     seen: LoadResult
-    ages: Any
+    ages: LatencyHistogram
     cpu: float
     memory: float
 
     @property
     def carried(self) -> bool:
         """Whether the forwarder took and delivered it all, with p99 within ADDED."""
-        whole = (
-            self.seen.refused + self.seen.failed == 0
-            and self.ages.get_total_count() >= 0.999 * self.seen.sent
-        )
-        return whole and quantile(self.ages, 0.99) <= ADDED
+        whole = self.seen.rejected + self.seen.failed == 0 and self.ages.count >= 0.999 * self.seen.sent
+        return whole and self.ages.quantile(0.99) <= ADDED
 
     def cells(self) -> list[str]:
         """A row of a table: milliseconds."""
         s = self.seen
-        figures = [f"{1000 * quantile(h, q):.1f}" for h in (s.accepted, self.ages) for q in (0.5, 0.99)]
+        figures = [f"{1000 * h.quantile(q):.1f}" for h in (s.accepted, self.ages) for q in (0.5, 0.99)]
         return [
-            f"{self.rate:.0f}", f"{s.sent}", f"{s.refused + s.failed}", *figures, f"{1000 * self.cpu:.3f}",
-            f"{self.memory / 2**20:.0f}", f"{1000 * quantile(s.lateness, 0.99):.1f}",
+            f"{self.rate:.0f}", f"{s.sent}", f"{s.rejected + s.failed}", *figures, f"{1000 * self.cpu:.3f}",
+            f"{self.memory / 2**20:.0f}", f"{1000 * s.lateness.quantile(0.99):.1f}",
             "void" if s.void else "yes" if self.carried else "no",
         ]  # fmt: skip
 
@@ -76,7 +74,7 @@
         cores = sorted(os.sched_getaffinity(0))
         self.own, self.others = frozenset(cores[:1]), frozenset(cores[1:])
         self.discovery = FakeDiscovery(Recorder())
-        self.sinks = Sinks(DESTINATIONS, self.others)
+        self.sinks = InstantEndpoints(DESTINATIONS, self.others)
         (self.port,) = reserve(1)
         self.address: tuple[str, int] = self.port.getsockname()
 
@@ -103,7 +101,7 @@
         if self.others:
             os.sched_setaffinity(self.child.pid, self.own)
         until = time.monotonic() + 10.0
-        while not ready(self.address):
+        while not is_ready(self.address):
             if time.monotonic() > until or self.child.poll() is not None:
                 raise RuntimeError((self.folder / "forwarder.log").read_text()[-2000:])
             time.sleep(0.01)
@@ -122,7 +120,7 @@
         start = now() + 1.5  # until the processes of the load are there
         self.sinks.reset(start + skip)
         plans = [
-            Plan(self.address, rate / SENDERS, start, skip + seconds, skip, seed * 100 + n, f"{rate:.0f}.{n}",
+            LoadPlan(self.address, rate / SENDERS, start, skip + seconds, skip, seed * 100 + n, f"{rate:.0f}.{n}",
                  tuple(range(1, DESTINATIONS + 1)), cores=self.others)
             for n in range(SENDERS)
         ]  # fmt: skip
--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -56,7 +56,7 @@
 
     def lateness(self) -> list[float]:
         """Return by how much messages were late at their clients, in seconds."""
-        return [late_s for batch in self._batches for late_s in batch.lateness]
+        return [late_s for batch in self._batches for late_s in batch.lateness_s]
 
 
 @dataclass(slots=True)
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -61,4 +61,4 @@
             clients.done.wait(seconds + 60.0)
             cluster.until(lambda s: s["ready"] == instances, 60.0)
             cluster.settle(40.0)
-            return cluster.verdict(), took, clients.lateness
+            return cluster.verdict(), took, clients.lateness_s
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -25,10 +25,11 @@
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request
 from juniperward.benchmarks.errors import AgentStartError, StatusTimeoutError
 from juniperward.fakes.checker import check
-from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
+from juniperward.fakes.load_balancer import LoadBalancer
 from juniperward.fakes.records import ProcessChange, ProcessEvent, Recorder, now
 from juniperward.fakes.verdict import DEFAULT_BOUNDS, Bounds, Verdict
 from juniperward.settings import fleet_pb2
@@ -115,7 +116,7 @@
         }
         self.file = folder / "fleet.textproto"
         self.agent: subprocess.Popen[bytes] | None = None
-        self.front = Front(self.addresses)
+        self.load_balancer = LoadBalancer(self.addresses)
         self.sets = chosen.settings
         self.base = json.loads(json.dumps(BASE))
         self.keep: fleet_pb2.Kept | None = None
@@ -163,7 +164,7 @@
         self.start_agent()
         if ready:
             self.until(lambda s: s["ready"] == len(self.names), 30.0)
-        self.front.start()
+        self.load_balancer.start()
 
     def start_agent(self) -> None:
         """Start the agent's process and wait until it answers."""
@@ -230,7 +231,7 @@
         weights = tuple((d, 1.0) for d in self.destinations)
         clients = Clients(
             Traffic(rate, weights, ACCOUNTS),
-            self.front,
+            self.load_balancer,
             self.recorder,
             self.seed,
             ClientOptions(threads, name),
@@ -290,7 +291,7 @@
     def close(self) -> None:
         """End everything that was started here."""
         self.watching = False
-        self.front.closed = True
+        self.load_balancer.closed = True
         if self.agent is not None and self.agent.poll() is None:
             with contextlib.suppress(AgentUnreachableError, AgentRejectedError):
                 request(self.socket, "shutdown", patience=2.0, instances=True)
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -21,7 +21,7 @@
 from juniperward.benchmarks.loaded_cluster import DESTINATIONS
 from juniperward.benchmarks.local_cluster import BASE, ROOT, LocalCluster
 from juniperward.benchmarks.report import Report, quantile
-from juniperward.fakes.clients import ready
+from juniperward.fakes.load_balancer import is_ready
 from juniperward.forwarder.clock import carry_over, read_boot_id
 from juniperward.forwarder.journal import JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message
@@ -108,7 +108,7 @@
 
     def wait_ready(self, name: str, began: float) -> float:
         """Seconds from its start to its ready page; infinity where that does not come."""
-        while not ready(self.addresses[name]):
+        while not is_ready(self.addresses[name]):
             if time.monotonic() - began > READY_WITHIN_S or self.children[name].poll() is not None:
                 return float("inf")
             time.sleep(0.005)
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -1,8 +1,9 @@
-"""Stand-ins of clients behind a plain front: an open loop that does not wait for answers before it goes on.
+"""Fakes of clients behind a load balancer: an open loop that does not wait for answers before it goes on.
 
-Messages are due by a Poisson process; a message's time counts from when it was due, however late the rig was.
-A message that is refused, or gets no answer, is handed in again as the protocol page says: with a fresh id, the
-same key, after the told wait or a backoff, and only while its own time lasts.
+In: the traffic to send, and the load balancer that chooses a forwarder. Out: a record of each submission and of its
+answer. Messages are scheduled by a Poisson process; a message's time counts from its schedule, however late the
+clients were themselves (`lateness_s`). A message that is rejected, or gets no answer, is submitted again as the
+protocol page says: with a fresh id, the same key, after the Retry-After or a backoff, and only before its deadline.
 """
 
 from __future__ import annotations
@@ -10,276 +11,258 @@
 import heapq
 import queue
 import random
-import socket
 import threading
 import time
 from dataclasses import dataclass, field
 
+from juniperward.fakes.client_connection import CONNECTION_ERRORS, ClientConnection, Submission
+from juniperward.fakes.load_balancer import LoadBalancer
 from juniperward.fakes.records import Recorder, SubmissionAnswered, Submitted, now
-from juniperward.net import sockets
-from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
-from juniperward.net.http_requests import encode_request
-from juniperward.net.http_responses import read_response
-from juniperward.net.stream import Stream
 
-ANSWER = 0.4  # seconds that a client waits for an answer
-BODY = b"a family of four, gate 3, cluster of the third generation"
+ANSWER_TIMEOUT_S = 0.4  # that a client waits for an answer
+LEAST_TIME_LEFT_S = 0.05  # with less, a message is not submitted any more
+NOBODY_READY_PAUSE_S = 0.05
+SCHEDULER_POLL_S = 0.1
+ACCEPTED = (200, 202)
+INVALID = 400  # a client does not submit again what was answered so
+NO_ANSWER = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What is sent; rates in messages a second, times in seconds."""
+    """What is sent."""
 
-    rate: float = 50.0
+    rate_per_s: float = 50.0
     destinations: tuple[tuple[int, float], ...] = ((1, 1.0),)  # number and weight
-    accounts: tuple[tuple[str, float], ...] = (("valiya-cluster", 1.0),)
-    cls: str = "booking-update"
-    deadline: float = 20.0
-    tries: int = 2  # of one message in all
-    backoff: float = 0.5
+    accounts: tuple[tuple[str, float], ...] = (("valiya-cluster", 1.0),)  # name and weight
+    message_class: str = "booking-update"
+    deadline_s: float = 20.0
+    max_submissions: int = 2  # of one message
+    backoff_s: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """How the clients run: `threads` that hand messages in, and `id_prefix` that begins every message's id."""
+    """How the clients run: `threads` that submit messages, and `id_prefix` that begins every message's id."""
 
     threads: int = 48
     id_prefix: str = "c"
 
 
+DEFAULT_OPTIONS = ClientOptions()
+
+
+@dataclass(order=True)
+class _ScheduledMessage:
+    """A message that is to be submitted at a moment; ordered by that."""
+
+    submit_at: float
+    number: int
+    first_id: str = field(compare=False)
+    account: str = field(compare=False)
+    destination: int = field(compare=False)
+    scheduled_at: float = field(compare=False)  # of its first submission
+    expires_at: float = field(compare=False)
+    submissions: int = field(compare=False, default=0)
+
+    @property
+    def key(self) -> str:
+        """The idempotency key of all its submissions."""
+        return f"k{self.first_id}"
+
+    def next_id(self) -> str:
+        """Count a submission and return its id."""
+        self.submissions += 1
+        return self.first_id if self.submissions == 1 else f"{self.first_id}-{self.submissions}"
+
+
 @dataclass(frozen=True, slots=True)
-class _Attempt:
-    """One attempt to hand a message in: its id, the forwarder it goes to, and its times in seconds."""
+class _Route:
+    """The forwarder that a submission goes to, and the message's time when it was chosen."""
 
-    name: str
     forwarder: str
-    time_left_s: float  # sent as X-Time-Left
-    expires: float  # the message's deadline on the shared monotonic clock
+    connection: ClientConnection
+    time_left_s: float
 
 
-@dataclass(order=True)
-class Due:
-    """A message to be handed in."""
+@dataclass(frozen=True, slots=True)
+class _Answer:
+    """The answer to a submission; NO_ANSWER as its status stands for none."""
 
-    at: float
-    number: int
-    first: str = field(compare=False, default="")
-    key: str = field(compare=False, default="")
-    account: str = field(compare=False, default="")
-    destination: int = field(compare=False, default=0)
-    due: float = field(compare=False, default=0.0)
-    tried: int = field(compare=False, default=0)
-
-
-class Front:
-    """Spreads clients over the forwarders that say they are ready; learns of changes by looking."""
-
-    def __init__(self, forwarders: dict[str, tuple[str, int]], every: float = 0.1) -> None:
-        """Look at the ready pages of `forwarders` every so many seconds."""
-        self.forwarders, self.every = forwarders, every
-        self.up: tuple[str, ...] = tuple(forwarders)
-        self.turn = 0
-        self.closed = False
-
-    def start(self) -> None:
-        """Begin to look."""
-        threading.Thread(target=self._look, daemon=True).start()
-
-    def next(self, avoid: frozenset[str] = frozenset()) -> str:
-        """The forwarder for the next message; any of them where none is ready."""
-        choice = [n for n in self.up if n not in avoid] or list(self.up) or list(self.forwarders)
-        self.turn += 1
-        return choice[self.turn % len(choice)]
-
-    def _look(self) -> None:
-        """Poll the ready pages until closed."""
-        while not self.closed:
-            self.up = tuple(n for n, address in self.forwarders.items() if ready(address))
-            time.sleep(self.every)
-
-
-def ready(address: tuple[str, int], patience: float = 0.3) -> bool:
-    """Whether a forwarder's ready page says yes."""
-    try:
-        with socket.create_connection(address, patience) as sock:
-            sock.settimeout(patience)
-            sock.sendall(encode_request("GET", "/health/ready", "front", {"Connection": "close"}, None))
-            return read_response(Stream(sock.recv)).status == 200
-    except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
-        return False
+    status: int
+    retry_after_s: float = 0.0
 
 
 class Clients:
-    """Threads that hand messages in; `lateness` has how late each was written."""
+    """Threads that submit messages; `done` is set once every message is settled for its client."""
 
     def __init__(
         self,
         traffic: Traffic,
-        front: Front,
+        load_balancer: LoadBalancer,
         recorder: Recorder,
         seed: int,
-        options: ClientOptions = ClientOptions(),
+        options: ClientOptions = DEFAULT_OPTIONS,
     ) -> None:
         """Draw messages from a seed; `options.id_prefix` begins their ids."""
-        self.traffic, self.front, self.recorder = traffic, front, recorder
-        self.random, self.name = random.Random(seed), options.id_prefix
-        self.threads = options.threads
-        self.jobs: queue.SimpleQueue[Due | None] = queue.SimpleQueue()
-        self.heap: list[Due] = []
-        self.changed = threading.Condition()
-        self.stop_at = float("inf")
-        self.numbers = 0
-        self.lateness: list[float] = []
-        self.open = 0  # messages that are not settled for their client
         self.done = threading.Event()
+        self.lateness_s: list[float] = []  # by which each message's first submission was late
+        self._traffic, self._load_balancer, self._recorder = traffic, load_balancer, recorder
+        self._options = options
+        self._random = random.Random(seed)
+        self._jobs: queue.SimpleQueue[_ScheduledMessage | None] = queue.SimpleQueue()
+        self._changed = threading.Condition()  # guards the two below
+        self._schedule: list[_ScheduledMessage] = []  # a heap
+        self._unsettled = 0  # messages
 
     def start(self, seconds: float) -> None:
-        """Send for so long; `done` is set once every message is settled for its client."""
-        began = now()
-        self.stop_at = began + seconds
-        at = began
-        while True:
-            at += self.random.expovariate(self.traffic.rate)
-            if at >= self.stop_at:
-                break
-            self.numbers += 1
-            t = self.traffic
-            account = self.random.choices([a for a, _ in t.accounts], [w for _, w in t.accounts])[0]
-            destination = self.random.choices([d for d, _ in t.destinations], [w for _, w in t.destinations])[
-                0
-            ]
-            first = f"{self.name}{self.numbers:07d}"
-            key = f"k{first}"
-            self.heap.append(Due(at, self.numbers, first, key, account, destination, at))
-        heapq.heapify(self.heap)
-        self.open = len(self.heap)
-        if not self.open:
+        """Send for so long."""
+        self._schedule = self._draw_messages(now(), seconds)
+        heapq.heapify(self._schedule)
+        self._unsettled = len(self._schedule)
+        if not self._unsettled:
             self.done.set()
-        threading.Thread(target=self._schedule, daemon=True).start()
-        for _ in range(self.threads):
+        threading.Thread(target=self._dispatch, daemon=True).start()
+        for _ in range(self._options.threads):
             threading.Thread(target=self._work, daemon=True).start()
 
-    def _schedule(self) -> None:
-        """Hand each message to the threads when it is due; then tell every thread to end."""
-        while True:
-            with self.changed:
-                if not self.heap:
-                    if self.done.is_set():
-                        break
-                    self.changed.wait(0.1)
-                    continue
-                wait = self.heap[0].at - now()
-                if wait > 0:
-                    self.changed.wait(min(wait, 0.1))
-                    continue
-                due = heapq.heappop(self.heap)
-            self.jobs.put(due)
-        for _ in range(self.threads):
-            self.jobs.put(None)
+    def _draw_messages(self, began: float, seconds: float) -> list[_ScheduledMessage]:
+        """Return the messages of so many seconds from `began`."""
+        traffic = self._traffic
+        accounts, account_weights = zip(*traffic.accounts, strict=True)
+        destinations, destination_weights = zip(*traffic.destinations, strict=True)
+        messages: list[_ScheduledMessage] = []
+        at = began + self._random.expovariate(traffic.rate_per_s)
+        while at < began + seconds:
+            number = len(messages) + 1
+            account = self._random.choices(accounts, account_weights)[0]
+            destination = self._random.choices(destinations, destination_weights)[0]
+            first_id = f"{self._options.id_prefix}{number:07d}"
+            messages.append(
+                _ScheduledMessage(at, number, first_id, account, destination, at, at + traffic.deadline_s)
+            )
+            at += self._random.expovariate(traffic.rate_per_s)
+        return messages
+
+    def _dispatch(self) -> None:
+        """Give each message to the threads at its time; once all are settled, end every thread."""
+        while not self.done.is_set():
+            with self._changed:
+                message = self._next_message()
+            if message is not None:
+                self._jobs.put(message)
+        for _ in range(self._options.threads):
+            self._jobs.put(None)
+
+    def _next_message(self) -> _ScheduledMessage | None:
+        """Return the next message where its time has come; else wait a little for a change and return None."""
+        wait_s = self._schedule[0].submit_at - now() if self._schedule else SCHEDULER_POLL_S
+        if wait_s > 0:
+            self._changed.wait(min(wait_s, SCHEDULER_POLL_S))
+            return None
+        return heapq.heappop(self._schedule)
 
     def _work(self) -> None:
-        """One thread: hand in messages over its own connections until told to end."""
-        connections: dict[str, tuple[socket.socket, Stream]] = {}
-        while (due := self.jobs.get()) is not None:
+        """One thread: submit messages over its own connections until there are no more."""
+        connections: dict[str, ClientConnection] = {}
+        while (message := self._jobs.get()) is not None:
             try:
-                self._hand_in(due, connections)
+                self._submit(message, connections)
             except Exception:
-                self._settled()
+                self._settle()
                 raise
-        for sock, _ in connections.values():
-            sock.close()
+        for connection in connections.values():
+            connection.close()
 
-    def _settled(self) -> None:
+    def _settle(self) -> None:
         """Count a message as settled for its client; set `done` after the last."""
-        with self.changed:
-            self.open -= 1
-            if self.open <= 0:
+        with self._changed:
+            self._unsettled -= 1
+            if self._unsettled <= 0:
                 self.done.set()
-                self.changed.notify_all()
-
-    def _hand_in(self, due: Due, connections: dict[str, tuple[socket.socket, Stream]]) -> None:
-        """Make one attempt of a message; schedule a retry where the answer allows one, else settle it."""
-        t = self.traffic
-        if due.tried == 0:
-            self.lateness.append(now() - due.at)
-        refused: frozenset[str] = frozenset()
-        expires = due.due + t.deadline
-        while True:
-            due.tried += 1
-            name = due.first if due.tried == 1 else f"{due.first}-{due.tried}"
-            forwarder = self.front.next(refused)
-            left = expires - now()
-            if left <= 0.05:
-                break
-            link = self._connect(forwarder, connections)
-            if link is None:
-                # Nobody was there: the front takes another at once, and that is no try of the client's.
-                refused |= {forwarder}
-                due.tried -= 1
-                if len(refused) >= len(self.front.forwarders):
-                    refused = frozenset()
-                    time.sleep(0.05)
-                continue
-            status, again = self._post(link, due, _Attempt(name, forwarder, left, expires), connections)
-            if status in (200, 202):
-                break
-            if due.tried >= t.tries or status == 400:
-                break
-            wait = again if again > 0 else t.backoff * (0.5 + self.random.random())
-            due.at = now() + wait
-            with self.changed:
-                heapq.heappush(self.heap, due)
-                self.changed.notify_all()
+                self._changed.notify_all()
+
+    def _submit(self, message: _ScheduledMessage, connections: dict[str, ClientConnection]) -> None:
+        """Submit a message once; schedule another submission where the answer allows one, else settle it."""
+        if message.submissions == 0:
+            self.lateness_s.append(now() - message.submit_at)
+        route = self._route(message, connections)
+        if route is None:
+            self._settle()
             return
-        self._settled()
-
-    def _connect(
-        self, forwarder: str, connections: dict[str, tuple[socket.socket, Stream]]
-    ) -> tuple[socket.socket, Stream] | None:
-        link = connections.get(forwarder)
-        if link is not None:
-            if sockets.is_reusable(link[0]):
-                return link
-            link[0].close()
-            del connections[forwarder]
-        # Time limits are the kernel's: with one of Python's own, a look without waiting waits for all of it.
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        try:
-            sockets.connect(*self.front.forwarders[forwarder], ANSWER, sock)
-        except OSError:
-            sock.close()
-            return None
-        connections[forwarder] = (sock, Stream(sock.recv))
-        return connections[forwarder]
+        answer = self._post(message, route, connections)
+        is_final = answer.status in ACCEPTED or answer.status == INVALID
+        if is_final or message.submissions >= self._traffic.max_submissions:
+            self._settle()
+            return
+        wait_s = answer.retry_after_s if answer.retry_after_s > 0 else self._draw_backoff()
+        message.submit_at = now() + wait_s
+        with self._changed:
+            heapq.heappush(self._schedule, message)
+            self._changed.notify_all()
+
+    def _draw_backoff(self) -> float:
+        """Return the seconds before another submission where the answer did not say: half to one and a half times."""
+        return self._traffic.backoff_s * (0.5 + self._random.random())
+
+    def _route(self, message: _ScheduledMessage, connections: dict[str, ClientConnection]) -> _Route | None:
+        """Return a forwarder that could be connected to, or None once the message has no time left.
+
+        Where nobody listens the load balancer takes another at once; that is no submission of the client's.
+        """
+        unreachable: frozenset[str] = frozenset()
+        while True:
+            forwarder = self._load_balancer.choose(unreachable)
+            time_left_s = message.expires_at - now()
+            if time_left_s <= LEAST_TIME_LEFT_S:
+                return None
+            connection = self._connect(forwarder, connections)
+            if connection is not None:
+                return _Route(forwarder, connection, time_left_s)
+            unreachable |= {forwarder}
+            if len(unreachable) >= len(self._load_balancer.forwarders):
+                unreachable = frozenset()
+                time.sleep(NOBODY_READY_PAUSE_S)
+
+    def _connect(self, forwarder: str, connections: dict[str, ClientConnection]) -> ClientConnection | None:
+        """Return the thread's connection to a forwarder, a new one where it has none that is fit; None if refused."""
+        connection = connections.pop(forwarder, None)
+        if connection is not None and not connection.reusable():
+            connection.close()
+            connection = None
+        if connection is None:
+            try:
+                connection = ClientConnection(self._load_balancer.forwarders[forwarder], ANSWER_TIMEOUT_S)
+            except OSError:
+                return None
+        connections[forwarder] = connection
+        return connection
 
     def _post(
-        self, link: tuple[socket.socket, Stream], due: Due, attempt: _Attempt,
-        connections: dict[str, tuple[socket.socket, Stream]],
-    ) -> tuple[int, float]:  # fmt: skip
-        """Post one attempt and record it; return the status (0: no answer) and the Retry-After in seconds."""
-        t, (sock, stream) = self.traffic, link
-        name, forwarder, left, expires = attempt.name, attempt.forwarder, attempt.time_left_s, attempt.expires
-        headers = {
-            "X-Correlation-Id": name, "X-Service-Class": t.cls, "X-Account": due.account,
-            "X-Time-Left": f"{left:.3f}", "X-Addressing": f"dest={due.destination}", "Idempotency-Key": due.key,
-        }  # fmt: skip
-        at = now()
-        self.recorder.add(
+        self, message: _ScheduledMessage, route: _Route, connections: dict[str, ClientConnection]
+    ) -> _Answer:
+        """Submit a message over a route, record it and its answer, and return that."""
+        message_class = self._traffic.message_class
+        submission = Submission(
+            message.next_id(), message_class, message.account, message.destination, message.key,
+            route.time_left_s,
+        )  # fmt: skip
+        self._recorder.add(
             Submitted(
-                at, name, due.first, due.key, t.cls, due.account, due.destination, forwarder, due.due, expires
+                now(), submission.id, message.first_id, message.key, message_class, message.account,
+                message.destination, route.forwarder, message.scheduled_at, message.expires_at,
             )
-        )
-        status, again, close = 0, 0.0, True
+        )  # fmt: skip
+        answer = _Answer(NO_ANSWER)
+        close = True
         try:
-            sockets.set_timeout(sock, socket.SO_RCVTIMEO, ANSWER)
-            sock.sendall(encode_request("POST", "/api", "api.internal", headers, BODY))
-            answer = read_response(stream)
-            status, close = answer.status, answer.close
-            again = float(answer.headers.get("retry-after", 0.0))
-        except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
+            response = route.connection.submit(submission)
+            close = response.close
+            answer = _Answer(response.status, float(response.headers.get("retry-after", 0.0)))
+        except CONNECTION_ERRORS:
             pass
         if close:
-            sock.close()
-            connections.pop(forwarder, None)
-        self.recorder.add(SubmissionAnswered(now(), name, status, again))
-        return status, again
+            route.connection.close()
+            connections.pop(route.forwarder, None)
+        self._recorder.add(SubmissionAnswered(now(), submission.id, answer.status, answer.retry_after_s))
+        return answer
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -181,8 +181,10 @@
         }
         cluster.start()
         destination = cluster.destinations[1]
-        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline=8.0)
-        clients = Clients(traffic, cluster.front, cluster.recorder, cluster.seed, ClientOptions(threads=48))
+        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline_s=8.0)
+        clients = Clients(
+            traffic, cluster.load_balancer, cluster.recorder, cluster.seed, ClientOptions(threads=48)
+        )
         clients.start(14.0)
         time.sleep(3.0)  # the load before, then the outage: the times are the case itself
         destination.inject_fault(mode)
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: a rig that is late, or a destination that is too kind, would judge wrongly."""
+"""The fakes themselves: clients that are late, or a destination that is too kind, would judge wrongly."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 import time
 import unittest
 
-from juniperward.fakes.clients import ClientOptions, Clients, Front, Traffic
+from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
+from juniperward.fakes.load_balancer import LoadBalancer
 from juniperward.fakes.records import (
     AttemptAnswered,
     AttemptReceived,
@@ -45,9 +46,11 @@
         door = Serving(handle)
         door.start()
         self.addCleanup(door.stop)
-        front = Front({"n0": ("127.0.0.1", door.port)})
+        load_balancer = LoadBalancer({"n0": ("127.0.0.1", door.port)})
         recorder = Recorder()
-        clients = Clients(Traffic(count, backoff=0.01), front, recorder, 1, ClientOptions(threads=2))
+        clients = Clients(
+            Traffic(count, backoff_s=0.01), load_balancer, recorder, 1, ClientOptions(threads=2)
+        )
         clients.start(1.0)
         self.assertTrue(clients.done.wait(20.0))
         return recorder, clients
@@ -56,8 +59,8 @@
         # Guards the rig's own pace: a look at a socket with one of Python's time-outs waited for all of it, so
         # two threads handed in five messages a second, and every latency was the rig's.
         recorder, clients = self.run_clients()
-        self.assertLess(sorted(clients.lateness)[len(clients.lateness) // 2], 0.1)
-        self.assertGreater(len(clients.lateness), 20)
+        self.assertLess(sorted(clients.lateness_s)[len(clients.lateness_s) // 2], 0.1)
+        self.assertGreater(len(clients.lateness_s), 20)
         taken = [r for r in recorder.records if isinstance(r, SubmissionAnswered)]
         self.assertEqual({r.status for r in taken}, {202})
 
