--- a/juniperward/fakes/destinations.py
+++ b/juniperward/fakes/destinations.py
@@ -19,6 +19,7 @@
 from juniperward.fakes.destination_capacity import DestinationCapacity, RateLimit
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.discovery import ListedEndpoint
+from juniperward.fakes.http_server import HttpServer, ServerConnection
 from juniperward.fakes.records import (
     AttemptAnswered,
     AttemptReceived,
@@ -27,7 +28,6 @@
     Recorder,
     now,
 )
-from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http_responses import encode_response
 from juniperward.net.http_values import HttpRequest
 
@@ -84,7 +84,7 @@
         self.random = random.Random(seed)
         self.lock = threading.Lock()
         self.listeners = [
-            Serving(self._handler(number), spec.max_connections) for number in range(spec.endpoints)
+            HttpServer(self._handler(number), spec.max_connections) for number in range(spec.endpoints)
         ]
         self.calls_in_service = [0] * spec.endpoints
         self.effect_times: dict[str, float] = {}  # by key
@@ -140,31 +140,33 @@
 
     # --- calls ---------------------------------------------------------------------------------------------
 
-    def _handler(self, number: int) -> Callable[[Link, HttpRequest, float], bool]:
+    def _handler(self, number: int) -> Callable[[ServerConnection, HttpRequest, float], bool]:
         """Return what serves the calls of endpoint `number`."""
-        return lambda link, request, began: self._handle(number, link, request, began)
+        return lambda connection, request, began_at: self._handle(number, connection, request, began_at)
 
-    def _handle(self, number: int, link: Link, request: HttpRequest, began: float) -> bool:
+    def _handle(
+        self, number: int, connection: ServerConnection, request: HttpRequest, began_at: float
+    ) -> bool:
         """Record a call, then reject or serve it; False ends the connection."""
         call_number = self.recorder.next_attempt()
         try:
             call = _Call(call_number, _items(request), request.path == "/receive-many")
         except (ValueError, KeyError, TypeError):
-            return link.write(encode_response(400, {}, b"", False))
+            return connection.write(encode_response(400, {}, b"", False))
         ids = tuple(item.id for item in call.items)
         keys = tuple(item.key for item in call.items)
         endpoint = self.endpoint_id(number)
         self.recorder.add(
-            AttemptReceived(now(), call_number, endpoint, self.spec.destination, ids, keys, began)
+            AttemptReceived(now(), call_number, endpoint, self.spec.destination, ids, keys, began_at)
         )
         if call.batch and len(call.items) > self.spec.batch_size:
-            return self._answer(link, call, _Answer(413, "later"))
+            return self._answer(connection, call, _Answer(413, "later"))
         match self._admit(number):
             case _Answer() as rejection:
-                return self._answer(link, call, rejection)
+                return self._answer(connection, call, rejection)
             case _Admission() as admission:
                 try:
-                    return self._serve(link, call, admission)
+                    return self._serve(connection, call, admission)
                 finally:
                     with self.lock:
                         self.calls_in_service[number] -= 1
@@ -178,25 +180,25 @@
             self.calls_in_service[number] += 1
             return _Admission(self.calls_in_service[number], self.random.random(), self._draw_latency())
 
-    def _serve(self, link: Link, call: _Call, admission: _Admission) -> bool:
+    def _serve(self, connection: ServerConnection, call: _Call, admission: _Admission) -> bool:
         """Serve a call that was admitted: fail it, leave it without an answer, or take effect and answer 200."""
         spec = self.spec
         if self.mode is FaultMode.FAILING and admission.failure_draw < self.failure_fraction:
             time.sleep(FAILURE_LATENCY_S)
-            return self._answer(link, call, _Answer(500, "error"))
+            return self._answer(connection, call, _Answer(500, "error"))
         queued = max(admission.concurrent_calls - spec.concurrency, 0) / spec.concurrency  # in service times
         time.sleep(admission.latency_s * (1 + queued) * self.capacity.slowdown())
         if self.mode in (FaultMode.UNRESPONSIVE, FaultMode.DOWN):
-            self._hang(link, call)
+            self._hang(connection, call)
             return False
         for item in call.items:
             self._take_effect(item)
-        return self._answer(link, call, _Answer(200, "ok", lists_states=call.batch))
+        return self._answer(connection, call, _Answer(200, "ok", lists_states=call.batch))
 
-    def _hang(self, link: Link, call: _Call) -> None:
+    def _hang(self, connection: ServerConnection, call: _Call) -> None:
         """Leave a call without an answer while the destination is unresponsive and the caller waits."""
         until = now() + UNRESPONSIVE_FOR_S
-        while self.mode is FaultMode.UNRESPONSIVE and not link.closed_by_peer() and now() < until:
+        while self.mode is FaultMode.UNRESPONSIVE and not connection.closed_by_peer() and now() < until:
             time.sleep(POLL_S)
         self.recorder.add(AttemptUnanswered(now(), call.number))
 
@@ -235,7 +237,7 @@
             return _Answer(429, "later", retry_after_s)
         return _Answer(503, "later")
 
-    def _answer(self, link: Link, call: _Call, answer: _Answer) -> bool:
+    def _answer(self, connection: ServerConnection, call: _Call, answer: _Answer) -> bool:
         """Write an answer and record it, or record the call as hung where it could not be written."""
         retry_after_s = answer.retry_after_s
         headers = {"Retry-After": f"{retry_after_s:.3f}"} if retry_after_s > 0 else {}
@@ -243,7 +245,7 @@
         if answer.lists_states:
             body = json.dumps([{"id": item.id, "state": answer.state} for item in call.items]).encode()
         at = now()
-        written = not link.closed_by_peer() and link.write(
+        written = not connection.closed_by_peer() and connection.write(
             encode_response(answer.status, headers, body, False)
         )
         if written:
--- a/juniperward/fakes/discovery.py
+++ b/juniperward/fakes/discovery.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from juniperward.fakes.http_server import HttpServer, ServerConnection
 from juniperward.fakes.records import NotificationReceived, Recorder, WatchEventSent, now
-from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http_responses import encode_response
 from juniperward.net.http_values import HttpRequest
 
@@ -60,15 +60,15 @@
         self.changed = threading.Condition()
         self.version = 1
         self.changes: dict[str, _Change] = {}  # the latest of each endpoint
-        self.listeners: dict[str, Serving] = {}
+        self.listeners: dict[str, HttpServer] = {}
         self.down = False
 
     def address_for(self, forwarder: str) -> str:
         """Return the address that this forwarder is to use, as host:port; starts its listener."""
         if forwarder not in self.listeners:
-            serving = Serving(lambda link, request, _: self._handle(forwarder, link, request))
-            serving.start()
-            self.listeners[forwarder] = serving
+            server = HttpServer(lambda connection, request, _: self._handle(forwarder, connection, request))
+            server.start()
+            self.listeners[forwarder] = server
         return self.listeners[forwarder].address
 
     def publish(self, *endpoints: ListedEndpoint) -> None:
@@ -94,16 +94,16 @@
         with self.changed:
             self.changed.notify_all()
 
-    def _handle(self, forwarder: str, link: Link, request: HttpRequest) -> bool:
+    def _handle(self, forwarder: str, connection: ServerConnection, request: HttpRequest) -> bool:
         """Serve one request: notifications by POST /status, the watch by GET /registry/instances."""
         if request.method == "POST" and request.path == "/status":
-            return self._receive_notifications(forwarder, link, request.body)
+            return self._receive_notifications(forwarder, connection, request.body)
         if request.method == "GET" and request.path == "/registry/instances":
-            self._watch(forwarder, link)
+            self._watch(forwarder, connection)
             return False
-        return link.write(encode_response(404, {}, b"", False))
+        return connection.write(encode_response(404, {}, b"", False))
 
-    def _receive_notifications(self, forwarder: str, link: Link, body: bytes) -> bool:
+    def _receive_notifications(self, forwarder: str, connection: ServerConnection, body: bytes) -> bool:
         """Record the notifications of a body, one JSON object a line; answer 400 to a body that does not parse."""
         at = now()
         try:
@@ -112,25 +112,25 @@
                 NotificationReceived(at, str(row["id"]), str(row["status"]), forwarder) for row in rows
             ]
         except (ValueError, KeyError, TypeError):
-            return link.write(encode_response(400, {}, b"", False))
+            return connection.write(encode_response(400, {}, b"", False))
         for record in records:
             self.recorder.add(record)
-        return link.write(b"HTTP/1.1 204 No Content\r\n\r\n")
+        return connection.write(b"HTTP/1.1 204 No Content\r\n\r\n")
 
-    def _watch(self, forwarder: str, link: Link) -> None:
+    def _watch(self, forwarder: str, connection: ServerConnection) -> None:
         """Send the complete list first, then changes, each after the delay; return once the watch has ended."""
-        if not link.write(WATCH_HEAD):
+        if not connection.write(WATCH_HEAD):
             return
         sent_version = 0
         full = True
         while not self.down:
             changes = self._next_changes(sent_version, wait=not full)
             if not changes and not full:
-                if not link.write(HEARTBEAT_CHUNK):
+                if not connection.write(HEARTBEAT_CHUNK):
                     return
                 continue
             sent_version = max([sent_version, *(change.version for change in changes)])
-            if not self._send(link, changes, max(sent_version, 1), full):
+            if not self._send(connection, changes, max(sent_version, 1), full):
                 return
             sent_at = now()
             full = False
@@ -138,12 +138,12 @@
                 endpoint = change.endpoint
                 self.recorder.add(WatchEventSent(sent_at, forwarder, endpoint.id, endpoint.state))
 
-    def _send(self, link: Link, changes: list[_Change], version: int, full: bool) -> bool:
+    def _send(self, connection: ServerConnection, changes: list[_Change], version: int, full: bool) -> bool:
         """Write one line of the watch; a full list leaves out what is removed. False where it was not written."""
         endpoints = [change.endpoint for change in changes]
         rows = [endpoint.row() for endpoint in endpoints if not (full and endpoint.state == "Gone")]
         line = json.dumps({"version": version, "full": full, "servers": rows}).encode() + b"\n"
-        return link.write(b"%x\r\n%s\r\n" % (len(line), line))
+        return connection.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def _next_changes(self, sent_version: int, wait: bool) -> list[_Change]:
         """Return the changes after `sent_version` that may be sent; with `wait`, wait a heartbeat for some."""
--- a/juniperward/fakes/instant_endpoints.py
+++ b/juniperward/fakes/instant_endpoints.py
@@ -11,9 +11,9 @@
 from multiprocessing.connection import Connection
 
 from juniperward.fakes.histograms import LatencyHistogram
+from juniperward.fakes.http_server import HttpServer, ServerConnection
 from juniperward.fakes.load import scheduled_at_of
 from juniperward.fakes.records import now
-from juniperward.fakes.serving import Link, Serving
 from juniperward.net.http_responses import encode_response
 from juniperward.net.http_values import HttpRequest
 
@@ -56,13 +56,13 @@
         self._since = 0.0
         self._answer = encode_response(200, {}, b"", False)
 
-    def handle(self, link: Link, request: HttpRequest, _began: float) -> bool:
+    def handle(self, connection: ServerConnection, request: HttpRequest, _began_at: float) -> bool:
         """Measure a call's message and answer 200."""
         scheduled_at = scheduled_at_of(request.headers["x-correlation-id"])
         with self._lock:
             if scheduled_at >= self._since:
                 self._ages.record(now() - scheduled_at)
-        return link.write(self._answer)
+        return connection.write(self._answer)
 
     def reset(self, since: float) -> None:
         """Begin anew, with messages that are scheduled from a moment on."""
@@ -81,7 +81,7 @@
     if cores:
         os.sched_setaffinity(0, cores)
     meter = _AgeMeter()
-    listeners = [Serving(meter.handle) for _ in range(count)]
+    listeners = [HttpServer(meter.handle) for _ in range(count)]
     for listener in listeners:
         listener.start()
     pipe.send([listener.address for listener in listeners])
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -11,6 +11,7 @@
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
+from juniperward.fakes.http_server import HttpServer
 from juniperward.fakes.load_balancer import LoadBalancer
 from juniperward.fakes.records import (
     AttemptAnswered,
@@ -22,7 +23,6 @@
     Submitted,
     WatchEventSent,
 )
-from juniperward.fakes.serving import Serving
 from juniperward.net.http_requests import encode_request
 from juniperward.net.http_responses import encode_response, read_response
 from juniperward.net.stream import Stream
@@ -33,20 +33,20 @@
         answers = list(statuses)
         lock = threading.Lock()
 
-        def handle(link, asked, _began):  # type: ignore[no-untyped-def]
-            if asked.path == "/health/ready":
-                return link.write(encode_response(200, {}, b"", False))
+        def handle(connection, request, _began_at):  # type: ignore[no-untyped-def]
+            if request.path == "/health/ready":
+                return connection.write(encode_response(200, {}, b"", False))
             with lock:
                 status = answers.pop(0) if answers else 202
             if status == 0:
                 return False
             headers = {"Retry-After": "0.010"} if status == 503 else {}
-            return link.write(encode_response(status, headers, b"", False))
+            return connection.write(encode_response(status, headers, b"", False))
 
-        door = Serving(handle)
-        door.start()
-        self.addCleanup(door.stop)
-        load_balancer = LoadBalancer({"n0": ("127.0.0.1", door.port)})
+        server = HttpServer(handle)
+        server.start()
+        self.addCleanup(server.stop)
+        load_balancer = LoadBalancer({"n0": ("127.0.0.1", server.port)})
         recorder = Recorder()
         clients = Clients(
             Traffic(count, backoff_s=0.01), load_balancer, recorder, 1, ClientOptions(threads=2)
@@ -55,27 +55,27 @@
         self.assertTrue(clients.done.wait(20.0))
         return recorder, clients
 
-    def test_a_kept_connection_is_used_again_without_a_wait(self) -> None:
-        # Guards the rig's own pace: a look at a socket with one of Python's time-outs waited for all of it, so
-        # two threads handed in five messages a second, and every latency was the rig's.
+    def test_a_pooled_connection_is_reused_without_a_wait(self) -> None:
+        # Guards the clients' own speed: a look at a socket with one of Python's time-outs waited for all of it, so
+        # two threads submitted five messages a second, and every latency was their own.
         recorder, clients = self.run_clients()
         self.assertLess(sorted(clients.lateness_s)[len(clients.lateness_s) // 2], 0.1)
         self.assertGreater(len(clients.lateness_s), 20)
-        taken = [r for r in recorder.records if isinstance(r, SubmissionAnswered)]
-        self.assertEqual({r.status for r in taken}, {202})
+        answers = [r for r in recorder.records if isinstance(r, SubmissionAnswered)]
+        self.assertEqual({r.status for r in answers}, {202})
 
-    def test_a_refused_message_comes_once_more_with_its_key_and_a_fresh_id(self) -> None:
+    def test_a_rejected_message_is_submitted_once_more_with_its_key_and_a_fresh_id(self) -> None:
         recorder, _ = self.run_clients(503, 0, 503, 503, count=4.0)
-        handed = [r for r in recorder.records if isinstance(r, Submitted)]
+        submissions = [r for r in recorder.records if isinstance(r, Submitted)]
         by_first: dict[str, list[Submitted]] = {}
-        for h in handed:
-            by_first.setdefault(h.first_id, []).append(h)
-        self.assertTrue(any(len(tries) == 2 for tries in by_first.values()))
-        for tries in by_first.values():
-            self.assertLessEqual(len(tries), 2)
-            self.assertEqual(len({h.key for h in tries}), 1)
-            self.assertEqual(len({h.id for h in tries}), len(tries))
-            self.assertEqual(len({h.expires_at for h in tries}), 1)
+        for submission in submissions:
+            by_first.setdefault(submission.first_id, []).append(submission)
+        self.assertTrue(any(len(submitted) == 2 for submitted in by_first.values()))
+        for submitted in by_first.values():
+            self.assertLessEqual(len(submitted), 2)
+            self.assertEqual(len({h.key for h in submitted}), 1)
+            self.assertEqual(len({h.id for h in submitted}), len(submitted))
+            self.assertEqual(len({h.expires_at for h in submitted}), 1)
 
 
 class DestinationTest(unittest.TestCase):
@@ -88,9 +88,9 @@
         return destination
 
     def call(
-        self, destination: FakeDestination, name: str, key: str | None = None, worker: int = 0
+        self, destination: FakeDestination, name: str, key: str | None = None, endpoint: int = 0
     ) -> tuple[int, float]:
-        with socket.create_connection(("127.0.0.1", destination.listeners[worker].port), 5.0) as sock:
+        with socket.create_connection(("127.0.0.1", destination.listeners[endpoint].port), 5.0) as sock:
             headers = {"X-Correlation-Id": name, "Idempotency-Key": key or name}
             sock.sendall(encode_request("POST", "/receive", "x", headers, b""))
             answer = read_response(Stream(sock.recv))
@@ -98,7 +98,7 @@
             return answer.status, float(answer.headers.get("retry-after", 0.0))
 
     def _recorded(self) -> None:
-        """An answer is noted once it is written: its caller may be faster than that."""
+        """An answer is recorded once it is written: its caller may be faster than that."""
         until = time.monotonic() + 5.0
         while time.monotonic() < until:
             records = list(self.recorder.records)
@@ -107,9 +107,9 @@
             ):
                 return
             time.sleep(0.001)
-        self.fail("a call that was answered was not noted")
+        self.fail("a call that was answered was not recorded")
 
-    def test_a_repeat_takes_no_second_effect_inside_the_window(self) -> None:
+    def test_a_duplicate_takes_no_second_effect_inside_the_window(self) -> None:
         destination = self.destination(deduplication_window_s=0.2)
         self.assertEqual([self.call(destination, f"m{n}", "k")[0] for n in range(3)], [200, 200, 200])
         self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 1)
@@ -117,13 +117,13 @@
         self.call(destination, "m4", "k")
         self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 2)
 
-    def test_its_rate_is_for_all_its_workers_and_tells_a_wait(self) -> None:
+    def test_its_rate_limit_is_for_all_its_endpoints_and_sends_retry_after(self) -> None:
         destination = self.destination(rate_limit=3.0)
-        found = [self.call(destination, f"m{n}", worker=n % 2) for n in range(4)]
+        found = [self.call(destination, f"m{n}", endpoint=n % 2) for n in range(4)]
         self.assertEqual([s for s, _ in found], [200, 200, 200, 429])
         self.assertTrue(0 < found[3][1] <= 1.0)
 
-    def test_outages_and_a_cold_return(self) -> None:
+    def test_faults_and_slow_start(self) -> None:
         destination = self.destination(concurrency=10)
         destination.inject_fault(FaultMode.REJECTING, 5.0)
         status, wait = self.call(destination, "a")
@@ -140,7 +140,7 @@
         destination.capacity.recovered_at = time.monotonic() - 11.0
         self.assertEqual(destination.capacity.present(), destination.spec.capacity)
 
-    def test_pushed_too_hard_while_cold_it_falls_over(self) -> None:
+    def test_overloaded_in_slow_start_it_crashes(self) -> None:
         destination = self.destination(rate_limit=4.0)
         destination.capacity.recovered_at = time.monotonic()
         for n in range(40):
@@ -148,7 +148,7 @@
         self.assertTrue(destination.capacity.crashed)
         self.assertEqual(self.call(destination, "z")[0], 503)
 
-    def test_a_call_is_recorded_whole(self) -> None:
+    def test_an_attempt_is_recorded_completely(self) -> None:
         destination = self.destination()
         self.call(destination, "m", "k")
         called, effect, replied = self.recorder.records
@@ -163,7 +163,7 @@
 
 
 class DiscoveryTest(unittest.TestCase):
-    def test_a_watch_hears_the_list_then_changes_and_each_is_recorded(self) -> None:
+    def test_a_watch_receives_the_list_then_changes_and_each_is_recorded(self) -> None:
         recorder = Recorder()
         discovery = FakeDiscovery(recorder)
         self.addCleanup(discovery.close)
@@ -179,7 +179,7 @@
             discovery.publish(*destination.listed("Terminating", 0))
             while b"Terminating" not in text:
                 text = lines.readline()
-        while len(told := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
+        while len(sent := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
             time.sleep(0.01)
-        self.assertEqual(told[-1].state, "Terminating")
-        self.assertEqual({t.forwarder for t in told}, {"n0"})
+        self.assertEqual(sent[-1].state, "Terminating")
+        self.assertEqual({t.forwarder for t in sent}, {"n0"})
