--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the agent's reducer asks for: files, processes, orders to instances, replies, log lines."""
+"""Carries out the effects of the agent's reducer: files, processes, orders to instances, replies, log lines."""
 
 from __future__ import annotations
 
@@ -6,19 +6,17 @@
 from typing import Any
 
 from juniperward.agent import processes
-from juniperward.agent.messages import (
+from juniperward.agent.effects import (
     Effect,
-    Event,
     LogEvent,
-    ProcessSpawned,
     ReplyToClient,
     SaveState,
     SendOrder,
     SendSignal,
     SpawnProcess,
-    StateSaved,
     WatchInstance,
 )
+from juniperward.agent.events import Event, ProcessSpawned, StateSaved
 from juniperward.agent.processes import Launcher
 from juniperward.agent.store import StateStore
 from juniperward.agent.watch import Watcher
@@ -66,10 +64,10 @@
 
     def _save(self, effect: SaveState) -> StateSaved:
         try:
-            self._store.save(effect.durable)
+            self._store.save(effect.state)
         except OSError as error:
-            return StateSaved(effect.durable, error.strerror or str(error))
-        return StateSaved(effect.durable)
+            return StateSaved(effect.state, error.strerror or str(error))
+        return StateSaved(effect.state)
 
     def _spawn(self, effect: SpawnProcess) -> ProcessSpawned:
         name, version = effect.name, effect.configuration_version
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -11,19 +11,19 @@
 
 from juniperward.agent import processes
 from juniperward.agent.effect_executor import EffectExecutor
-from juniperward.agent.log import EventLog
-from juniperward.agent.messages import (
+from juniperward.agent.effects import Effect
+from juniperward.agent.events import (
     ControlRequest,
-    Effect,
     Event,
-    Rules,
     RunningProcess,
     SettingsLoaded,
     StateRestored,
     Tick,
 )
+from juniperward.agent.log import EventLog
 from juniperward.agent.processes import Launcher
 from juniperward.agent.reducer import Reducer
+from juniperward.agent.state import Rules
 from juniperward.agent.store import StateStore
 from juniperward.agent.watch import Watcher
 from juniperward.settings.configuration_versions import ConfigurationVersions
@@ -63,18 +63,18 @@
 
     def begin(self) -> None:
         """Take up what an earlier agent left: its state, its processes, its roll."""
-        durable, damage = self._store.load()
+        stored, damage = self._store.load()
         for text in damage:
-            self.note("state file is damaged", "error", {"why": text})
+            self.note("state file damaged", "error", {"why": text})
         running = processes.find(self.launcher.mark)
-        for instance in durable.instances:
+        for instance in stored.instances:
             if instance.process is not None and processes.alive(instance.process):
                 running[instance.name] = instance.process
         now = time.monotonic()
         started = [
             RunningProcess(name, p, min(processes.started_at(p), now)) for name, p in sorted(running.items())
         ]
-        self.round([StateRestored(durable, tuple(started))])
+        self.round([StateRestored(stored, tuple(started))])
         self.round([self.configured(self.settings)])
 
     def configured(self, settings: FleetSettings, requested_by: int | None = None) -> SettingsLoaded:
@@ -126,7 +126,7 @@
         try:
             return self.reducer.reduce(time.monotonic(), events)
         except Exception as error:
-            self.note("unexpected", "error", {"where": "reducer", "error": repr(error)})
+            self.note("unexpected error", "error", {"where": "reducer", "error": repr(error)})
             for event in events:
                 if isinstance(event, ControlRequest) and self._executor.reply is not None:
                     body = {"error": f"unexpected: {error!r}"}
@@ -137,7 +137,7 @@
         try:
             return self._executor.execute(effect)
         except Exception as error:
-            self.note("unexpected", "error", {"where": type(effect).__name__, "error": repr(error)})
+            self.note("unexpected error", "error", {"where": type(effect).__name__, "error": repr(error)})
             return None
 
     def note(self, event: str, level: str, fields: dict[str, Any]) -> None:
@@ -160,4 +160,4 @@
                 if self.launcher.rotate(name, self.settings.log_bytes, self.settings.log_keep):
                     self.note("log rotated", "info", {"instance": name})
             except OSError as error:
-                self.note("log cannot be rotated", "warning", {"instance": name, "why": str(error)})
+                self.note("log rotation failed", "warning", {"instance": name, "why": str(error)})
--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -18,8 +18,8 @@
 
 from juniperward.agent import processes
 from juniperward.agent.dead_letter_service import DeadLetterService
+from juniperward.agent.events import ControlRequest
 from juniperward.agent.loop import Loop
-from juniperward.agent.messages import ControlRequest
 from juniperward.control.client import ControlClient
 from juniperward.control.codec import body_to_json
 from juniperward.control.errors import ControlError
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -1,89 +1,92 @@
-"""What the agent begins with: the operator's settings, and what an earlier agent left behind."""
+"""What the agent begins with: the operator's settings, and the state that an earlier agent stored."""
 
 from __future__ import annotations
 
 import signal
 from dataclasses import replace
 
-from juniperward.agent.messages import LogEvent, SendSignal, SettingsLoaded, StateRestored, WatchInstance
-from juniperward.agent.reducer.instances import Instances
+from juniperward.agent.effects import LogEvent, SendSignal, WatchInstance
+from juniperward.agent.events import RunningProcess, SettingsLoaded, StateRestored
+from juniperward.agent.reducer.instance_orders import InstanceOrders
 from juniperward.agent.reducer.round import Round
-from juniperward.fleet.model import DesiredState, Instance, Process
+from juniperward.fleet.model import DesiredState, Instance
 from juniperward.fleet.roll_model import Roll, RollStage
 
+REMOVED = "removed from settings"
+
 
 class Configuration:
     """Takes in the settings, and the state of an earlier agent."""
 
-    def __init__(self, round_: Round, instances: Instances) -> None:
-        """Stop what the settings no longer name through `instances`."""
-        self._round, self._instances = round_, instances
+    def __init__(self, round_: Round, orders: InstanceOrders) -> None:
+        """Stop what the settings no longer name through `orders`."""
+        self._round, self._orders = round_, orders
 
     def settings_loaded(self, event: SettingsLoaded) -> None:
-        """Know the instances that the settings name; what they no longer name is stopped and forgotten."""
+        """Add the instances that the settings name; what they no longer name is stopped and forgotten."""
         round_ = self._round
         before = round_.state
         instances = before.instances
         for name in event.names:
             if name not in instances:
-                wanted = DesiredState.STOPPED if name in event.stopped else DesiredState.RUNNING
-                instances = instances.set(name, Instance(name, wanted))
-        gone = frozenset(name for name in instances if name not in event.names)
+                desired = DesiredState.STOPPED if name in event.stopped else DesiredState.RUNNING
+                instances = instances.set(name, Instance(name, desired))
+        removed = frozenset(name for name in instances if name not in event.names)
         round_.state = replace(
             before,
             instances=instances,
             configuration_version=event.configuration_version,
             rules=event.rules,
-            leaving=gone,
+            removed=removed,
         )
-        for name in sorted(gone):
-            round_.log("taken out of the settings", {"instance": name})
-            self._instances.want_stopped(name, "taken out of the settings")
-        changed = before.configuration_version != event.configuration_version
-        if before.configuration_version and changed:
-            self._log_change(event.configuration_version, before.configuration_version, before.roll)
-        if event.requested_by is not None:
-            round_.reply(event.requested_by, {"edition": event.configuration_version, "changed": changed})
+        for name in sorted(removed):
+            round_.log(REMOVED, {"instance": name})
+            self._orders.set_desired_stopped(name, REMOVED)
+        self._report_change(event, before.configuration_version)
 
-    def _log_change(self, configuration_version: str, before: str, roll: Roll | None) -> None:
-        fields = {"edition": configuration_version, "before": before}
-        if roll is not None and not roll.over:
-            fields |= {"roll": roll.id, "goes_on_to": roll.target_version}
-        self._round.log("settings changed", fields)
+    def _report_change(self, event: SettingsLoaded, previous_version: str) -> None:
+        """Log a new version of the settings, and answer the client that had them read."""
+        version = event.configuration_version
+        changed = previous_version != version
+        if previous_version and changed:
+            fields = {"edition": version, "before": previous_version}
+            roll = self._round.state.roll
+            if roll is not None and not roll.over:
+                fields |= {"roll": roll.id, "goes_on_to": roll.target_version}
+            self._round.log("settings changed", fields)
+        if event.requested_by is not None:
+            self._round.reply(event.requested_by, {"edition": version, "changed": changed})
 
     def restored(self, event: StateRestored) -> None:
-        """Take up what an earlier agent left. Orders it had sent its processes are sent again if need be."""
-        round_, durable = self._round, event.durable
+        """Continue with what an earlier agent left. Orders that it had sent are sent again if need be."""
+        round_, stored = self._round, event.state
         running = {found.name for found in event.running}
-        for instance in durable.instances:
+        for instance in stored.instances:
             if instance.process is not None and instance.name not in running:
-                instance = _ended_unseen(instance)
+                instance = _exited_unobserved(instance)
             round_.put(instance)
         for found in event.running:
-            self._adopt(found.name, found.process, found.started_at, durable.roll)
-        roll = durable.roll
+            self._adopt(found, stored.roll)
+        roll = stored.roll
         round_.state = replace(
             round_.state,
             roll=roll,
-            rolls_made=durable.rolls_made,
-            configuration_version=durable.configuration_version,
-            saved=durable,
+            rolls_made=stored.rolls_made,
+            configuration_version=stored.configuration_version,
+            last_saved=stored,
         )
         if roll is not None and not roll.over:
-            round_.emit(LogEvent("roll taken up", {"roll": roll.id, "mode": roll.mode.value}))
+            round_.emit(LogEvent("roll continued", {"roll": roll.id, "mode": roll.mode.value}))
 
-    def _adopt(self, name: str, process: Process, started_at: float, roll: Roll | None) -> None:
-        """Go on with a process that outlived the earlier agent."""
-        round_ = self._round
+    def _adopt(self, found: RunningProcess, roll: Roll | None) -> None:
+        """Continue with a process that outlived the earlier agent."""
+        round_, name, process = self._round, found.name, found.process
         instance = round_.state.instances.get(name, Instance(name, DesiredState.RUNNING))
-        same = instance.process == process
-        if not same:
-            # A version that was never written down belongs to a start that was under way.
-            configuration_version = _version_being_started(roll, name) or instance.configuration_version
-            instance = replace(
-                instance, stopping_since=None, configuration_version=configuration_version, was_ready=False
-            )
-        round_.put(replace(instance, process=process, started_at=started_at))
+        if instance.process != process:
+            # A version that was never stored belongs to a start that was under way.
+            version = _version_being_started(roll, name) or instance.configuration_version
+            instance = replace(instance, stopping_since=None, configuration_version=version, was_ready=False)
+        round_.put(replace(instance, process=process, started_at=found.started_at))
         if instance.stopping_since is not None:
             # Ordered to end: ordered again, as that may not have reached it, and killed at the time set before.
             round_.emit(SendSignal(name, process, signal.SIGTERM))
@@ -91,15 +94,15 @@
         round_.emit(LogEvent("adopted", {"instance": name, "pid": process.pid}))
 
 
-def _ended_unseen(instance: Instance) -> Instance:
-    """Return an instance whose process ended while no agent looked; how is not known, and held against nobody."""
+def _exited_unobserved(instance: Instance) -> Instance:
+    """Return an instance whose process ended while no agent ran; how is not known, and counts as no crash."""
     return replace(
         instance, process=None, was_ready=False, stopping_since=None, last_exit="ended while no agent looked"
     )
 
 
 def _version_being_started(roll: Roll | None, name: str) -> str:
-    """Return the configuration version that a roll under way would start this instance with, if it is at that."""
+    """Return the configuration version that a roll under way is starting this instance with, else an empty text."""
     if roll is None or roll.over:
         return ""
     step = roll.step_of(name)
--- a/juniperward/agent/reducer/reducer.py
+++ b/juniperward/agent/reducer/reducer.py
@@ -5,26 +5,27 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from juniperward.agent.messages import (
+from juniperward.agent.effects import Effect, SaveState
+from juniperward.agent.events import (
     ControlRequest,
-    Effect,
     Event,
     InstanceAnswered,
     InstanceUnanswered,
     ProcessExited,
     ProcessSpawned,
-    SaveState,
     SettingsLoaded,
-    State,
     StateRestored,
     StateSaved,
     Tick,
 )
 from juniperward.agent.reducer.configuration import Configuration
-from juniperward.agent.reducer.instances import Instances
+from juniperward.agent.reducer.instance_orders import InstanceOrders
+from juniperward.agent.reducer.instance_status import InstanceStatus
 from juniperward.agent.reducer.requests import Requests
 from juniperward.agent.reducer.rolls import Rolls
 from juniperward.agent.reducer.round import Round
+from juniperward.agent.reducer.supervisor import Supervisor
+from juniperward.agent.state import State
 from juniperward.fleet.model import Instance, Phase
 
 SERVICE_HISTORY_S = 60.0  # of the fleet's attempts
@@ -36,10 +37,12 @@
     def __init__(self, seed: int) -> None:
         """Begin with an empty state; `seed` is that of the restarts' jitter."""
         self._round = Round()
-        self._instances = Instances(self._round, seed)
-        self._configuration = Configuration(self._round, self._instances)
-        self._rolls = Rolls(self._round, self._instances)
-        self._requests = Requests(self._round, self._instances, self._rolls)
+        orders = InstanceOrders(self._round)
+        self._instance_status = InstanceStatus(self._round, seed)
+        self._supervisor = Supervisor(self._round, orders)
+        self._configuration = Configuration(self._round, orders)
+        self._rolls = Rolls(self._round, orders)
+        self._requests = Requests(self._round, orders, self._rolls)
 
     @property
     def state(self) -> State:
@@ -48,7 +51,7 @@
 
     @property
     def effects(self) -> list[Effect]:
-        """The effects that the present round has asked for so far."""
+        """The effects of the present round so far."""
         return self._round.effects
 
     def phase_of(self, instance: Instance) -> Phase:
@@ -68,13 +71,13 @@
             case Tick():
                 self._tick()
             case InstanceAnswered():
-                self._instances.answered(event)
+                self._instance_status.answered(event)
             case InstanceUnanswered():
-                self._instances.unanswered(event)
+                self._instance_status.unanswered(event)
             case ProcessExited():
-                self._instances.exited(event)
+                self._instance_status.exited(event)
             case ProcessSpawned():
-                self._instances.spawned(event)
+                self._instance_status.spawned(event)
             case SettingsLoaded():
                 self._configuration.settings_loaded(event)
             case StateRestored():
@@ -93,13 +96,13 @@
         }
         meter = state.meter.with_readings(self._round.now, readings, SERVICE_HISTORY_S)
         self._round.state = replace(state, meter=meter)
-        self._instances.supervise()
+        self._supervisor.supervise()
         self._rolls.advance()
 
     def _save_if_changed(self) -> None:
         state = self.state
         if any(isinstance(effect, SaveState) for effect in self.effects):
             return
-        durable = state.durable()
-        if durable != state.saved and self._round.now >= state.save_again_at:
-            self._round.emit(SaveState(durable))
+        persistent = state.persistent()
+        if persistent != state.last_saved and self._round.now >= state.save_retry_at:
+            self._round.emit(SaveState(persistent))
--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -1,19 +1,19 @@
-"""The orders of clients: status, orders to instances, and orders to rolls."""
+"""The requests of clients: the status, orders to instances, and orders to rolls."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from juniperward.agent import views
-from juniperward.agent.messages import ControlRequest
-from juniperward.agent.reducer.instances import Instances
+from juniperward.agent.events import ControlRequest
+from juniperward.agent.reducer.instance_orders import InstanceOrders
 from juniperward.agent.reducer.roll_options import DRY_RUN, roll_rules
 from juniperward.agent.reducer.rolls import Rolls
 from juniperward.agent.reducer.round import Round
 from juniperward.fleet.roll_commands import check_not_over, end, pause, plan, resume, undo
 from juniperward.fleet.roll_errors import (
     NoRollError,
-    RollBeingWrittenError,
+    RollBeingSavedError,
     RollRejectedError,
     RollUnderWayError,
     UnknownInstanceError,
@@ -26,14 +26,14 @@
 
 
 class Requests:
-    """Follows what clients ask for, or says why not."""
+    """Follows the requests of clients, or replies why not."""
 
-    def __init__(self, round_: Round, instances: Instances, rolls: Rolls) -> None:
-        """Order instances through `instances` and change the roll through `rolls`."""
-        self._round, self._instances, self._rolls = round_, instances, rolls
+    def __init__(self, round_: Round, orders: InstanceOrders, rolls: Rolls) -> None:
+        """Order instances through `orders` and change the roll through `rolls`."""
+        self._round, self._orders, self._rolls = round_, orders, rolls
 
     def requested(self, event: ControlRequest) -> None:
-        """Follow one request; each gets one reply, that of a changed roll once it is written down."""
+        """Follow one request; each gets one reply, that of a changed roll once it is stored."""
         round_ = self._round
         known = round_.state.instances
         if event.verb == "status":
@@ -59,18 +59,18 @@
     def _order(self, verb: str, name: str) -> None:
         match verb:
             case "start":
-                self._instances.want_running(name)
+                self._orders.set_desired_running(name)
             case "stop":
-                self._instances.want_stopped(name, "stopped by order")
+                self._orders.set_desired_stopped(name, "stopped by order")
             case "kill" | "drain" | "resume":
-                self._instances.carry_out(RollOrder(RollCommand(verb), name))
+                self._orders.carry_out(RollOrder(RollCommand(verb), name))
             case _:
                 raise UnknownOrderError(verb)
 
     def _roll_requested(self, event: ControlRequest, names: list[str]) -> None:
         state = self._round.state
-        if state.writing:
-            raise RollBeingWrittenError
+        if state.saving_roll:
+            raise RollBeingSavedError
         if event.verb == "roll":
             self._new_roll(event, names)
         elif state.roll is None:
@@ -79,7 +79,7 @@
             self._round.reply(event.client, views.roll_view(state.roll))
         else:
             changed, orders = _change(state.roll, event.verb)
-            self._rolls.write(changed, orders, event.client)
+            self._rolls.save(changed, orders, event.client)
 
     def _new_roll(self, event: ControlRequest, names: list[str]) -> None:
         state = self._round.state
@@ -92,7 +92,7 @@
             self._round.reply(event.client, views.roll_view(roll))
             return
         self._round.state = replace(state, rolls_made=number)
-        self._rolls.write(roll, [], event.client)
+        self._rolls.save(roll, [], event.client)
 
 
 def _change(roll: Roll, verb: str) -> RollProgress:
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -1,7 +1,7 @@
-"""The roll under way: its steps, each written down before its orders are given.
+"""The roll under way: each of its steps is stored before its orders are carried out.
 
-A changed roll is saved first; `saved` gives the orders once it is on disk. Where it cannot be written, the roll
-stays where it was and pauses.
+A changed roll is saved first; `saved` has its orders carried out once it is on disk. Where it cannot be saved, the
+roll stays where it was and pauses.
 """
 
 from __future__ import annotations
@@ -11,78 +11,84 @@
 from typing import Any
 
 from juniperward.agent import views
-from juniperward.agent.messages import LogEvent, SaveState, State, StateSaved
-from juniperward.agent.reducer.instances import Instances
+from juniperward.agent.effects import LogEvent, SaveState
+from juniperward.agent.events import StateSaved
+from juniperward.agent.reducer.instance_orders import InstanceOrders
 from juniperward.agent.reducer.round import Round
+from juniperward.agent.state import State
 from juniperward.fleet.roll_commands import pause
 from juniperward.fleet.roll_model import Roll, RollMode, RollOrder, RollStage
 from juniperward.fleet.roll_progress import advance
 
-SAVE_RETRY_S = 1.0  # after which a state that could not be written is tried again
+SAVE_RETRY_S = 1.0  # after which a state that could not be saved is saved again
+HTTP_UNAVAILABLE = 503
 
 
 class Rolls:
-    """Takes the roll on, and has its steps written down."""
+    """Advances the roll, and has its steps stored."""
 
-    def __init__(self, round_: Round, instances: Instances) -> None:
-        """Carry the roll's orders out through `instances`."""
-        self._round, self._instances = round_, instances
+    def __init__(self, round_: Round, orders: InstanceOrders) -> None:
+        """Carry the roll's orders out through `orders`."""
+        self._round, self._orders = round_, orders
 
     def advance(self) -> None:
-        """Take the roll as far as the fleet lets it go, unless a step is being written down."""
+        """Take the roll as far as the fleet lets it go, unless a step is being stored."""
         roll = self._round.state.roll
-        if roll is None or roll.over or self._round.state.writing:
+        if roll is None or roll.over or self._round.state.saving_roll:
             return
         changed, orders = advance(roll, self._round.fleet())
         if changed != roll:
-            self.write(changed, orders)
+            self.save(changed, orders)
             return
         for order in orders:
-            self._instances.carry_out(order)
+            self._orders.carry_out(order)
 
-    def write(self, changed: Roll, orders: Sequence[RollOrder], client: int | None = None) -> None:
-        """Have a changed roll written down; its orders are given then, and the client is answered."""
+    def save(self, changed: Roll, orders: Sequence[RollOrder], client: int | None = None) -> None:
+        """Have a changed roll stored; then its orders are carried out, and the client is answered."""
         state = self._round.state
         self._round.state = replace(
             state,
             roll=changed,
-            before=state.before if state.writing else state.roll,
-            pending=(*state.pending, *orders),
-            replies=state.replies if client is None else (*state.replies, client),
-            writing=True,
+            saving_roll=True,
+            roll_before_save=state.roll_before_save if state.saving_roll else state.roll,
+            pending_orders=(*state.pending_orders, *orders),
+            waiting_clients=state.waiting_clients if client is None else (*state.waiting_clients, client),
         )
-        self._round.emit(SaveState(self._round.state.durable()))
+        self._round.emit(SaveState(self._round.state.persistent()))
 
     def saved(self, event: StateSaved) -> None:
-        """Give the orders of the step that is on disk now, or go back to the step before."""
+        """Carry out the orders of the step that is on disk now, or return to the step before."""
         before = self._round.state
-        self._round.state = replace(before, pending=(), before=None, replies=(), writing=False)
+        self._round.state = replace(
+            before, saving_roll=False, roll_before_save=None, pending_orders=(), waiting_clients=()
+        )
         if event.error:
-            self._not_saved(before, event.error)
+            self._save_failed(before, event.error)
             return
-        self._round.state = replace(self._round.state, saved=event.durable)
+        self._round.state = replace(self._round.state, last_saved=event.state)
         roll = before.roll
-        if roll is not None and before.writing:
-            self._log_changes(before.before, roll)
-        for order in before.pending:
-            self._instances.carry_out(order)
-        for client in before.replies:
+        if roll is not None and before.saving_roll:
+            self._log_changes(before.roll_before_save, roll)
+        for order in before.pending_orders:
+            self._orders.carry_out(order)
+        for client in before.waiting_clients:
             self._round.reply(client, views.roll_view(roll) if roll is not None else {})
 
-    def _not_saved(self, state: State, error: str) -> None:
+    def _save_failed(self, before: State, error: str) -> None:
         round_ = self._round
-        round_.log("cannot write the state", {"why": error}, "error")
-        round_.state = replace(round_.state, save_again_at=round_.now + SAVE_RETRY_S)
+        round_.log("state not saved", {"why": error}, "error")
+        round_.state = replace(round_.state, save_retry_at=round_.now + SAVE_RETRY_S)
         why = f"the plan cannot be written: {error}"
-        if state.roll is not None and state.writing:
-            previous = state.before
-            if previous is not None and previous.id == state.roll.id:
+        if before.roll is not None and before.saving_roll:
+            previous = before.roll_before_save
+            if previous is not None and previous.id == before.roll.id:
                 previous = pause(previous, why)
             round_.state = replace(round_.state, roll=previous)
-        for client in state.replies:
-            round_.reply(client, {"error": why}, 503)
+        for client in before.waiting_clients:
+            round_.reply(client, {"error": why}, HTTP_UNAVAILABLE)
 
     def _log_changes(self, before: Roll | None, roll: Roll) -> None:
+        """Log each instance's new stage, and the roll's new mode."""
         if before is not None and before.id != roll.id:
             before = None
         stages = {step.name: step.stage for step in before.steps} if before is not None else {}
--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -1,11 +1,12 @@
-"""What the handlers of one round share: the state, the time and the effects asked for so far."""
+"""What the handlers of one round share: the state, the time and the effects so far."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from juniperward.agent.messages import Effect, LogEvent, ReplyToClient, State
+from juniperward.agent.effects import Effect, LogEvent, ReplyToClient
+from juniperward.agent.state import State
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Instance, Phase
 from juniperward.fleet.roll_model import ACTIVE, FleetView
@@ -25,7 +26,7 @@
         self.now, self.effects = now, []
 
     def emit(self, *effects: Effect) -> None:
-        """Ask for effects; they are carried out in their order."""
+        """Add effects; they are carried out in their order."""
         self.effects += effects
 
     def put(self, instance: Instance) -> None:
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -16,9 +16,9 @@
 
 from juniperward.agent.api import Api
 from juniperward.agent.dead_letter_service import DeadLetterService
+from juniperward.agent.events import ControlRequest
 from juniperward.agent.log import configure
 from juniperward.agent.loop import Loop
-from juniperward.agent.messages import ControlRequest
 from juniperward.agent.running_fleet import ReadyInstance
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
@@ -110,10 +110,10 @@
         try:
             event = self._loop.configured(self._load_again())
         except SettingsError as error:
-            self._loop.note("settings stay as they were", "warning", {"why": str(error)})
+            self._loop.note("settings rejected", "warning", {"why": str(error)})
             return {"error": str(error), "faults": [str(fault) for fault in error.faults]}
         except (OSError, ValueError) as error:
-            self._loop.note("settings stay as they were", "warning", {"why": str(error)})
+            self._loop.note("settings rejected", "warning", {"why": str(error)})
             return {"error": str(error)}
         self._loop.post(event)
         self._configure_dead_letters(self._loop.settings.redrive)
@@ -162,14 +162,14 @@
         if self._dead_letters is not None:
             self._dead_letters.start()
         settings = self._loop.settings
-        self._loop.note("agent serves", "info", {"fleet": settings.name, "socket": str(settings.socket)})
+        self._loop.note("agent started", "info", {"fleet": settings.name, "socket": str(settings.socket)})
         try:
             self._loop.run()
         finally:
             self._api.close()
             if self._dead_letters is not None:
                 self._dead_letters.ended.set()
-            self._loop.note("agent ended", "info", {"fleet": settings.name})
+            self._loop.note("agent stopped", "info", {"fleet": settings.name})
             os.close(self._lock)
 
 
--- a/juniperward/agent/state_codec.py
+++ b/juniperward/agent/state_codec.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from juniperward.agent.messages import PersistentState
+from juniperward.agent.state import PersistentState
 from juniperward.fleet.model import Crashes, Instance, RollRules
 from juniperward.fleet.roll_model import Roll, RollStep
 from juniperward.settings.rule_keys import KEYS
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from juniperward.agent import state_codec
-from juniperward.agent.messages import PersistentState
 from juniperward.agent.processes import boot_id
+from juniperward.agent.state import PersistentState
 from juniperward.fleet.model import Crashes
 
 VERSION = 1
@@ -54,9 +54,9 @@
         self.file, self.old = folder / "state.json", folder / "state.json.old"
         self.fresh = folder / "state.json.new"
 
-    def save(self, durable: PersistentState) -> None:
+    def save(self, state: PersistentState) -> None:
         """Write it so that it survives the machine; raises OSError, and then the file before still counts."""
-        body = state_codec.encode(durable)
+        body = state_codec.encode(state)
         head = msgspec.json.encode(Header(VERSION, zlib.crc32(body), boot_id()))
         with self.fresh.open("wb") as file:
             file.write(head + b"\n" + body)
@@ -89,10 +89,10 @@
         try:
             header = msgspec.json.decode(head, type=Header)
             _check(header, body)
-            durable = state_codec.decode(body)
+            state = state_codec.decode(body)
         except msgspec.DecodeError as error:
             raise DamagedStateError(str(error)) from error
-        return durable if header.boot == boot_id() else _after_reboot(durable)
+        return state if header.boot == boot_id() else _after_reboot(state)
 
 
 def _check(header: Header, body: bytes) -> None:
@@ -102,16 +102,16 @@
         raise StateChecksumError
 
 
-def _after_reboot(durable: PersistentState) -> PersistentState:
+def _after_reboot(state: PersistentState) -> PersistentState:
     """Return the state without what means nothing on a machine started anew: its processes and its times."""
     instances = tuple(
         replace(
             instance, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes()
         )
-        for instance in durable.instances
+        for instance in state.instances
     )
-    roll = durable.roll
+    roll = state.roll
     if roll is not None:
         steps = tuple(replace(step, stage_since=0.0) for step in roll.steps)
         roll = replace(roll, steps=steps, made_at=0.0, blocked_since=None)
-    return replace(durable, instances=instances, roll=roll)
+    return replace(state, instances=instances, roll=roll)
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from juniperward.agent.messages import State
+from juniperward.agent.state import State
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import DesiredState, Instance, Phase, Timeouts
 from juniperward.fleet.roll_model import Roll
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from juniperward.agent import processes
+from juniperward.agent.events import Event, InstanceAnswered, InstanceUnanswered, ProcessExited
 from juniperward.agent.log import report_unexpected
-from juniperward.agent.messages import Event, InstanceAnswered, InstanceUnanswered, ProcessExited
 from juniperward.control.client import ControlClient
 from juniperward.control.errors import (
     ControlError,
--- a/juniperward/fleet/roll_errors.py
+++ b/juniperward/fleet/roll_errors.py
@@ -73,7 +73,7 @@
         super().__init__(f"roll {roll_id} is under way ({mode})")
 
 
-class RollBeingWrittenError(RollRejectedError):
+class RollBeingSavedError(RollRejectedError):
     """A step of the roll is being stored; the request may be sent again at once."""
 
     def __init__(self) -> None:
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -15,30 +15,31 @@
 import msgspec
 
 from juniperward.agent import state_codec
-from juniperward.agent.messages import (
-    ControlRequest,
+from juniperward.agent.effects import (
     Effect,
+    LogEvent,
+    ReplyToClient,
+    SaveState,
+    SendOrder,
+    SendSignal,
+    SpawnProcess,
+    WatchInstance,
+)
+from juniperward.agent.events import (
+    ControlRequest,
     Event,
     InstanceAnswered,
     InstanceUnanswered,
-    LogEvent,
-    PersistentState,
     ProcessExited,
     ProcessSpawned,
-    ReplyToClient,
-    Rules,
     RunningProcess,
-    SaveState,
-    SendOrder,
-    SendSignal,
     SettingsLoaded,
-    SpawnProcess,
     StateRestored,
     StateSaved,
     Tick,
-    WatchInstance,
 )
 from juniperward.agent.reducer import Reducer
+from juniperward.agent.state import PersistentState, Rules
 from juniperward.fleet.model import Process, Reading, RestartPolicy, RollRules, Timeouts
 from tests.test_fleet import BLANK
 
@@ -99,15 +100,15 @@
         self.reducer = Reducer(self.seed)
         self.watched.clear()
         self.unanswered.clear()
-        durable = PersistentState()
+        stored = PersistentState()
         for text in (self.disk, self.old):
             try:
-                durable = state_codec.decode(text)
+                stored = state_codec.decode(text)
                 break
             except msgspec.DecodeError:
                 continue
         running = tuple(RunningProcess(n, m.process, m.born) for n, m in sorted(self.machines.items()))
-        self.round([StateRestored(durable, running)])
+        self.round([StateRestored(stored, running)])
         self.configure()
 
     def configure(self, names: tuple[str, ...] | None = None) -> None:
@@ -127,17 +128,17 @@
 
     def perform(self, effect: Effect) -> list[Event]:
         match effect:
-            case SaveState(durable=durable):
+            case SaveState(state=stored):
                 self.saves += 1
                 if self.full(self.saves):
-                    return [StateSaved(durable, "No space left on device")]
-                text = state_codec.encode(durable)
+                    return [StateSaved(stored, "No space left on device")]
+                text = state_codec.encode(stored)
                 if self.tear_at == self.saves:
                     self.tear_at = None
                     self.old, self.disk = self.disk, text[: len(text) // 2]
                     raise AgentDiedError
                 self.old, self.disk = self.disk, text
-                return [StateSaved(durable)]
+                return [StateSaved(stored)]
             case SpawnProcess(name=name, configuration_version=configuration_version):
                 if name in self.hopeless:
                     return [ProcessSpawned(name, configuration_version, None, "cannot be started")]
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from unittest import mock
 
-from juniperward.agent.messages import PersistentState
+from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
 from juniperward.dead_letters.decisions import Clock
 from juniperward.dead_letters.spool import (
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -15,10 +15,11 @@
 
 from juniperward.agent import api, processes, store
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request, request_all
+from juniperward.agent.events import ControlRequest
 from juniperward.agent.loop import Loop
-from juniperward.agent.messages import ControlRequest, PersistentState
 from juniperward.agent.processes import MARK, Launcher
 from juniperward.agent.start import AgentRunningError, take
+from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
 from juniperward.fleet.model import DesiredState, Instance, Process
 from juniperward.settings.load import load
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -8,15 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.agent.messages import (
-    ControlRequest,
-    SaveState,
-    SendOrder,
-    SendSignal,
-    SpawnProcess,
-    StateRestored,
-    StateSaved,
-)
+from juniperward.agent.effects import SaveState, SendOrder, SendSignal, SpawnProcess
+from juniperward.agent.events import ControlRequest, StateRestored, StateSaved
 from juniperward.fleet.model import DesiredState, Instance, Phase, Process
 from juniperward.fleet.roll_model import RollMode
 from tests.agent_world import World
@@ -116,7 +109,7 @@
         effects = world.reducer.reduce(world.now, [ControlRequest(7, "roll")])
         save = [e for e in effects if isinstance(e, SaveState)][0]
         self.assertFalse([e for e in effects if isinstance(e, SendOrder | SendSignal | SpawnProcess)])
-        effects = world.reducer.reduce(world.now, [StateSaved(save.durable)])
+        effects = world.reducer.reduce(world.now, [StateSaved(save.state)])
         self.assertEqual(effects[-1].client if hasattr(effects[-1], "client") else 7, 7)
 
     @settings(derandomize=True, max_examples=40, deadline=None)
@@ -250,7 +243,7 @@
         world.run(1.5)
         self.assertIn("n1", world.machines)
         self.assertTrue(world.run(2.0, lambda: "n1" not in world.machines))
-        self.assertIn("does not end", [n.event for n in world.notes])
+        self.assertIn("stop timed out", [n.event for n in world.notes])
 
     def test_a_silent_one_is_told_and_comes_back(self) -> None:
         world = World()
@@ -299,7 +292,7 @@
         i = world.reducer.state.instances["n1"]
         assert i.process is not None
         other = replace(i, process=Process(i.process.pid, 1))
-        state = world.reducer.state.durable()
+        state = world.reducer.state.persistent()
         instances = tuple(other if x.name == "n1" else x for x in state.instances)
         fresh = World()
         fresh.machines.clear()
@@ -310,7 +303,7 @@
 
     def test_a_reading_of_another_process_is_not_taken(self) -> None:
         world = World()
-        from juniperward.agent.messages import InstanceAnswered
+        from juniperward.agent.events import InstanceAnswered
 
         before = world.reducer.state.instances["n1"]
         reading = replace(world.reading(world.machines["n1"]), pid=1)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -18,7 +18,7 @@
 import pytest
 
 from juniperward.agent import state_codec
-from juniperward.agent.messages import PersistentState
+from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
 from juniperward.dead_letters import spool as spools
 from juniperward.dead_letters.spool import Spool
