--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -1,54 +1,43 @@
-"""What an endpoint's answer says of the messages of a call, and of a health check; text to typed values."""
+"""The codec of endpoints' answers: a response to the outcome of each message of an attempt, or of a health check.
+
+Statuses and words are those of the protocol page, 'Forwarders to endpoints'; `answer_headers.py` reads the headers.
+"""
 
 from __future__ import annotations
 
-import json
-import math
 from dataclasses import dataclass
 
+from juniperward.forwarder.address import format_address
+from juniperward.forwarder.answer_headers import LoadReport, read_load_report, read_retry_after
 from juniperward.forwarder.effects import StartAttempt
+from juniperward.forwarder.limited_json import read_json
 from juniperward.forwarder.model import ItemOutcome
 from juniperward.forwarder.telemetry import increment, log
-from juniperward.net.http_values import DECIMAL, HttpResponse
+from juniperward.net.http_status import HttpStatus
+from juniperward.net.http_values import HttpResponse
 from juniperward.scheduler.events import Outcome
 
-LONGEST_RETRY_AFTER_S = 3600.0  # what tells a longer wait than this tells none
-MOST_REPORT_BYTES = 1024
-
-
-class TooDeepError(ValueError):
-    """JSON opens more arrays and objects than its reader asked for."""
-
-    def __init__(self, most_open: int) -> None:
-        """Say how many may open."""
-        super().__init__(f"more than {most_open} arrays and objects")
-
 
 @dataclass(frozen=True, slots=True)
-class LoadReport:
-    """A load report: the share of its limit that an endpoint has left, and that limit as calls a second."""
-
-    capacity_left: float | None = None
-    limit_per_s: float | None = None
+class ItemState:
+    """What the answer to a batch says of one message; `message_ended`: it is complete elsewhere."""
 
-    def makes_sense(self) -> bool:
-        """Return whether the share is within 0 and 1 and the limit a finite one."""
-        share_fits = self.capacity_left is None or 0 <= self.capacity_left <= 1
-        limit_fits = self.limit_per_s is None or 0 <= self.limit_per_s < math.inf
-        return share_fits and limit_fits
+    outcome: Outcome
+    message_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class ItemState:
-    """What an answer to several messages says of one of them; `message_ended`: nothing more is owed for it."""
+class AnswerMeaning:
+    """What the status of an answer says of every message of its attempt."""
 
     outcome: Outcome
+    no_slot_free: bool = False
     message_ended: bool = False
+    connection_table_full: bool = False
 
 
-NO_REPORT = LoadReport()
 UNKNOWN_STATE = ItemState(Outcome.ERROR)  # it possibly executed
-STATES = {  # by the word of the protocol
+STATES = {  # by the protocol's word
     "ok": ItemState(Outcome.OK),
     "error": ItemState(Outcome.ERROR),
     "later": ItemState(Outcome.OVERLOADED),
@@ -57,59 +46,22 @@
 }
 
 
-def outcomes_of_all(what: StartAttempt, outcome: Outcome, *, written: bool = True) -> tuple[ItemOutcome, ...]:
-    """Return the same outcome for every message of a call that got no answer."""
-    return tuple(ItemOutcome(item.message, outcome, written=written) for item in what.items)
-
-
-def read_retry_after(headers: dict[str, str]) -> float:
-    """Return the wait that an answer tells, in seconds; 0 where it tells none that makes sense."""
-    text = headers.get("retry-after", "0")
-    wait_s = float(text) if DECIMAL.fullmatch(text) else 0.0
-    return wait_s if wait_s <= LONGEST_RETRY_AFTER_S else 0.0
-
-
-def read_json(text: bytes, most_open: int) -> object:
-    """Decode JSON of so many arrays and objects at most; raises ValueError.
-
-    The decoder goes down in C with each that opens: 128 KiB of stack end before its own limit does.
-    """
-    if text.count(b"{") + text.count(b"[") > most_open:
-        raise TooDeepError(most_open)
-    decoded: object = json.loads(text)
-    return decoded
-
-
-def read_report(headers: dict[str, str]) -> LoadReport:
-    """Return the load report of an answer, where there is one that makes sense."""
-    text = headers.get("x-backend-load", "").encode("latin-1")
-    if not text:
-        return NO_REPORT
-    try:
-        given = read_json(text, 1)
-        if isinstance(given, dict) and len(text) <= MOST_REPORT_BYTES:
-            report = LoadReport(_number(given, "x0"), _number(given, "x1"))
-            if report.makes_sense():
-                return report
-    except (ValueError, TypeError, OverflowError):
-        pass
-    increment("reports_unread")
-    return NO_REPORT
-
-
-def _number(given: dict[str, str | float], field: str) -> float | None:
-    return float(given[field]) if field in given else None
+def same_outcomes(
+    attempt: StartAttempt, outcome: Outcome, *, written: bool = True
+) -> tuple[ItemOutcome, ...]:
+    """Return one outcome for all messages of an attempt that got no answer."""
+    return tuple(ItemOutcome(item.message, outcome, written=written) for item in attempt.items)
 
 
 def read_health(answer: HttpResponse, fresh: bool = False) -> Outcome:
-    """Return what a health check's answer says of its endpoint ('Forwarders to endpoints': 200 or 503)."""
+    """Return what a health check's answer says; `fresh`: it came on a new connection."""
     match answer.status:
-        case 200:
+        case HttpStatus.OK:
             return Outcome.OK
-        case 503 if fresh and answer.close and not read_retry_after(answer.headers):
+        case HttpStatus.SERVICE_UNAVAILABLE if fresh and _closed_at_once(answer):
             increment("connection_tables_full")
-            return Outcome.CONNECT_FAILED  # no place in its table, as for a call
-        case 503 | 429:
+            return Outcome.CONNECT_FAILED  # no place in its connection table, as for an attempt
+        case HttpStatus.SERVICE_UNAVAILABLE | HttpStatus.TOO_MANY_REQUESTS:
             return Outcome.OVERLOADED
         case status:
             increment("health_checks_unknown")
@@ -117,22 +69,15 @@
             return Outcome.ERROR
 
 
-@dataclass(frozen=True, slots=True)
-class AnswerMeaning:
-    """What the status of an answer says of every message of its call."""
-
-    outcome: Outcome
-    no_slot_free: bool = False
-    message_ended: bool = False
-    connection_table_full: bool = False
-
-
-def read_outcomes(what: StartAttempt, answer: HttpResponse, fresh: bool = False) -> tuple[ItemOutcome, ...]:
-    """Return what an answer says of each message of a call; `fresh`: it came on a new connection."""
-    retry_after_s, report = read_retry_after(answer.headers), read_report(answer.headers)
-    if answer.status == 200 and len(what.items) > 1:
-        return _read_each(what, answer, retry_after_s, report)
-    meaning = _meaning(what, answer, fresh and answer.close and retry_after_s <= 0)
+def read_outcomes(
+    attempt: StartAttempt, answer: HttpResponse, fresh: bool = False
+) -> tuple[ItemOutcome, ...]:
+    """Return what an answer says of each message of an attempt; `fresh`: it came on a new connection."""
+    retry_after_s = read_retry_after(answer.headers)
+    load_report = read_load_report(answer.headers)
+    if answer.status == HttpStatus.OK and len(attempt.items) > 1:
+        return _read_batch(attempt, answer, retry_after_s, load_report)
+    meaning = _read_status(attempt, answer, fresh and _closed_at_once(answer))
     return tuple(
         ItemOutcome(
             item.message,
@@ -140,51 +85,59 @@
             0.0 if meaning.connection_table_full else retry_after_s,
             meaning.no_slot_free,
             meaning.message_ended,
-            report.capacity_left,
-            report.limit_per_s,
+            load_report.capacity_left,
+            load_report.limit_per_s,
             meaning.connection_table_full,
         )
-        for item in what.items
+        for item in attempt.items
     )
 
 
-def _meaning(what: StartAttempt, answer: HttpResponse, closed_at_once: bool) -> AnswerMeaning:
-    """Read the status by the protocol's 'Forwarders to endpoints'."""
+def _closed_at_once(answer: HttpResponse) -> bool:
+    """Return whether an endpoint ends the connection without a wait to keep.
+
+    Over its rate limit an endpoint leaves the connection open; one that ends a new connection at once had no place
+    in its connection table.
+    """
+    return answer.close and read_retry_after(answer.headers) <= 0
+
+
+def _read_status(attempt: StartAttempt, answer: HttpResponse, no_place: bool) -> AnswerMeaning:
+    """Return what a status says; `no_place`: the endpoint ended a new connection at once."""
     meaning = AnswerMeaning(Outcome.ERROR)
     match answer.status:
-        case 200:
+        case HttpStatus.OK:
             meaning = AnswerMeaning(Outcome.OK)
-        case 503 if answer.headers.get("x-over-slots") == "1":
+        case HttpStatus.SERVICE_UNAVAILABLE if answer.headers.get("x-over-slots") == "1":
             meaning = AnswerMeaning(Outcome.NOT_SENT, no_slot_free=True)
-        case 503 if closed_at_once:
-            # Over its limit an endpoint keeps the connection; one that it ends at once had no place in its table.
+        case HttpStatus.SERVICE_UNAVAILABLE if no_place:
             increment("connection_tables_full")
             meaning = AnswerMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
-        case 429 | 503:
+        case HttpStatus.TOO_MANY_REQUESTS | HttpStatus.SERVICE_UNAVAILABLE:
             meaning = AnswerMeaning(Outcome.OVERLOADED)
-        case 504:
+        case HttpStatus.GATEWAY_TIMEOUT:
             meaning = AnswerMeaning(Outcome.NOT_SENT)
-        case 410:
+        case HttpStatus.GONE:
             meaning = AnswerMeaning(Outcome.NOT_SENT, message_ended=True)
-        case 400 | 413 if len(what.items) > 1:
+        case HttpStatus.BAD_REQUEST | HttpStatus.CONTENT_TOO_LARGE if len(attempt.items) > 1:
             increment("batches_rejected")
-            log("endpoint", "batch rejected", endpoint=f"{what.host}:{what.port}", messages=len(what.items))
+            log("endpoint", "batch rejected", endpoint=_name(attempt), messages=len(attempt.items))
             meaning = AnswerMeaning(Outcome.NOT_SENT)
-        case 500:
+        case HttpStatus.INTERNAL_SERVER_ERROR:
             pass
         case status:
             increment("answers_unknown")
-            log("endpoint", "unknown status", endpoint=f"{what.host}:{what.port}", status=status)
+            log("endpoint", "unknown status", endpoint=_name(attempt), status=status)
     return meaning
 
 
-def _read_each(
-    what: StartAttempt, answer: HttpResponse, retry_after_s: float, report: LoadReport
+def _read_batch(
+    attempt: StartAttempt, answer: HttpResponse, retry_after_s: float, load_report: LoadReport
 ) -> tuple[ItemOutcome, ...]:
-    """Read the outcomes of several messages; one that is not named, or not in words we know, possibly executed."""
-    states = _read_states(what, answer)
+    """Return the outcomes of a batch; a message that is not named, or in unknown words, possibly executed."""
+    states = _read_states(attempt, answer)
     outcomes = []
-    for item in what.items:
+    for item in attempt.items:
         state = states.get(item.content.id, UNKNOWN_STATE)
         outcomes.append(
             ItemOutcome(
@@ -192,21 +145,25 @@
                 state.outcome,
                 retry_after_s,
                 message_ended=state.message_ended,
-                capacity_left=report.capacity_left,
-                reported_limit_per_s=report.limit_per_s,
+                capacity_left=load_report.capacity_left,
+                reported_limit_per_s=load_report.limit_per_s,
             )
         )
     return tuple(outcomes)
 
 
-def _read_states(what: StartAttempt, answer: HttpResponse) -> dict[str, ItemState]:
-    """Read the states by id; none where the body cannot be read."""
+def _read_states(attempt: StartAttempt, answer: HttpResponse) -> dict[str, ItemState]:
+    """Return the states by message id; none where the body cannot be read."""
     try:
-        rows = read_json(answer.body, 1 + len(what.items))
+        rows = read_json(answer.body, 1 + len(attempt.items))
         if isinstance(rows, list):
             return {row["id"]: STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
     except (ValueError, TypeError, KeyError):
         pass
     increment("answers_unread")
-    log("endpoint", "answer unreadable", endpoint=f"{what.host}:{what.port}", messages=len(what.items))
+    log("endpoint", "answer unreadable", endpoint=_name(attempt), messages=len(attempt.items))
     return {}
+
+
+def _name(attempt: StartAttempt) -> str:
+    return format_address((attempt.host, attempt.port))
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -10,7 +10,7 @@
 from juniperward.forwarder.descriptors import MIN_SOCKETS, divide_descriptors
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
-from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
+from juniperward.forwarder.endpoint_client import EndpointClient, EndpointClientLimits
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.journal import JOURNAL_NAME, Journal
 from juniperward.forwarder.loop import Loop
@@ -59,8 +59,8 @@
         settings.keepalive_s,
         bounds.calls,
         bounds.idle_to_endpoints,
-        longest_read_s=max(message_class.deadline_s for message_class in settings.classes),
+        max_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
-    endpoint_client = build_endpoint_client(limits, queue.post, journal.append)
+    endpoint_client = EndpointClient(limits, queue.post, journal.append)
     discovery = DiscoveryClient(config.discovery, config.names, queue.post)
     return EffectExecutor(journal, server, endpoint_client, discovery, queue)
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -115,7 +115,7 @@
             case SetEndpointDraining(endpoint=endpoint, draining=draining):
                 self.endpoint_client.set_draining(endpoint, draining)
             case PauseRoute(route=route, until=until):
-                self.endpoint_client.hold(route, until)
+                self.endpoint_client.pause_route(route, until)
             case ForgetEndpoint(endpoint=endpoint):
                 self.endpoint_client.forget(endpoint)
             case StartWatch(version=version, epoch=epoch):
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -1,4 +1,7 @@
-"""Calls to endpoints as the loop sees them: a thread each while one is in flight, and the cancelling of calls."""
+"""Calls to endpoints as the loop sees them: started, cancelled, withdrawn; a thread each while one is in flight.
+
+The loop calls an `EndpointClient` by effects (`effect_executor.py`); outcomes come back as events by `post`.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from juniperward.forwarder.answers import outcomes_of_all
-from juniperward.forwarder.connection_pool import LONGEST_READ_S, ConnectionPool
+from juniperward.forwarder.active_call import ActiveCall
+from juniperward.forwarder.answers import same_outcomes
+from juniperward.forwarder.attempt_call import AttemptCalls
+from juniperward.forwarder.connection_pool import ConnectionPool
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
-from juniperward.forwarder.endpoint_call import ActiveCall, EndpointCalls
+from juniperward.forwarder.endpoint_connection import MAX_READ_S
+from juniperward.forwarder.endpoint_connections import EndpointConnections
 from juniperward.forwarder.events import AttemptAnswered, Event, HealthCheckAnswered
+from juniperward.forwarder.health_check_call import HealthCheckCalls, without_answer
 from juniperward.forwarder.model import AttemptProgress, RouteKey
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.send_gate import SendGate
@@ -29,65 +36,58 @@
     keepalive_s: float  # of the endpoints
     max_threads: int
     max_idle_connections: int
-    longest_read_s: float = LONGEST_READ_S
-
-
-def build_endpoint_client(
-    limits: EndpointClientLimits,
-    post: Callable[[Event], None],
-    append: Callable[[JournalRecord], None],
-) -> EndpointClient:
-    """Return an endpoint client with a pool and a gate of its own; `append` writes to the journal."""
-    pool = ConnectionPool(limits.keepalive_s, limits.max_idle_connections)
-    gate = SendGate()
-    calls = EndpointCalls(pool, gate, limits.dial_timeout_s, append, limits.longest_read_s)
-    return EndpointClient(calls, pool, gate, limits.max_threads, post)
+    max_read_s: float = MAX_READ_S
 
 
 class EndpointClient:
-    """Has threads make calls, and posts how they ended; the gate's lock guards the calls."""
+    """Has threads make calls, and posts their results; the gate's lock guards the calls."""
 
     def __init__(
         self,
-        calls: EndpointCalls,
-        pool: ConnectionPool,
-        gate: SendGate,
-        max_threads: int,
+        limits: EndpointClientLimits,
         post: Callable[[Event], None],
+        append: Callable[[JournalRecord], None],
     ) -> None:
-        """Begin without threads; at most so many are started as calls need them."""
-        self.calls, self.pool, self.gate = calls, pool, gate
-        self.max_threads = max_threads
+        """Begin without threads, they are started as calls need them; `append` writes to the journal."""
+        self.pool = ConnectionPool(limits.keepalive_s, limits.max_idle_connections)
+        self.gate = SendGate()
+        self.connections = EndpointConnections(self.pool, self.gate, limits.dial_timeout_s, limits.max_read_s)
+        self.attempts = AttemptCalls(self.connections, self.gate, append)
+        self.health_checks = HealthCheckCalls(self.connections, self.gate)
+        self.max_threads = limits.max_threads
         self._post = post
         self.active: dict[int, ActiveCall] = {}
         self.submitted: queue.SimpleQueue[ActiveCall] = queue.SimpleQueue()
-        self.threads = self.free_threads = 0
+        self.threads = 0
+        self.free_threads = 0  # below 0: calls that wait for a thread
 
     # --- called by the loop -----------------------------------------------------------------------------
 
-    def start(self, what: StartAttempt | StartHealthCheck) -> None:
+    def start(self, effect: StartAttempt | StartHealthCheck) -> None:
         """Have a thread make this attempt, or this health check."""
-        call = ActiveCall(what)
+        call = ActiveCall(effect)
         with self.gate.lock:
-            self.active[what.number] = call
-            grow = self.free_threads <= 0 and self.threads < self.max_threads
-            self.free_threads += grow - 1
-            self.threads += grow
-        if grow:
+            self.active[effect.number] = call
+            needs_thread = self.free_threads <= 0 and self.threads < self.max_threads
+            if needs_thread:
+                self.threads += 1
+            else:
+                self.free_threads -= 1
+        if needs_thread:
             self._start_thread()
         self.submitted.put(call)
 
     def _start_thread(self) -> None:
         try:
-            threading.Thread(target=self._work, name="worker", daemon=True).start()
+            threading.Thread(target=self._work, name="endpoint", daemon=True).start()
         except RuntimeError as error:
-            report_fault("workers", error)
+            report_fault("endpoint_threads", error)
             with self.gate.lock:
                 self.threads -= 1
                 self.free_threads -= 1
 
     def cancel(self, number: int) -> AttemptProgress:
-        """Close the connection of a call, whose end is not reported any more; returns how far it had come."""
+        """Close the connection of a call, whose result is not posted any more; return how far it had come."""
         with self.gate.lock:
             call = self.active.pop(number, None)
             if call is None:
@@ -99,9 +99,9 @@
         return progress
 
     def withdraw(self, number: int, message: int) -> AttemptProgress:
-        """Leave a message out of a call, if nothing of the call is written yet; returns how far it has come.
+        """Leave a message out of a call that is not written yet; return how far the call has come.
 
-        The others of the call may wait for seconds behind a dial; this one is over meanwhile.
+        The call may wait for its connection for seconds, and the message has ended meanwhile.
         """
         with self.gate.lock:
             call = self.active.get(number)
@@ -112,31 +112,31 @@
             return call.progress
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the connections to an endpoint that no call is on."""
+        """Close the idle connections to an endpoint."""
         self.pool.close_idle(endpoint)
 
     def set_draining(self, endpoint: int, draining: bool) -> None:
-        """Write nothing new to an endpoint that drains or is gone, or do so again."""
+        """Write no new call to an endpoint that drains or was removed, or do so again."""
         self.gate.set_draining(endpoint, draining)
         self.pool.set_draining(endpoint, draining)
 
     def forget(self, endpoint: int) -> None:
-        """Keep nothing of an endpoint that is gone and that no call is in flight to."""
+        """Release all that is stored of an endpoint that was removed and has no call in flight."""
         self.pool.close_idle(endpoint)
         self.gate.set_draining(endpoint, False)
         self.pool.set_draining(endpoint, False)
 
-    def hold(self, route: RouteKey, until: float) -> None:
-        """Write nothing to a route before a moment."""
-        self.gate.hold(route, until)
+    def pause_route(self, route: RouteKey, until: float) -> None:
+        """Write no call to a route before a moment."""
+        self.gate.pause_route(route, until)
 
     def sweep(self, now: float) -> None:
-        """Close connections that have rested for long, and forget holds that are over."""
+        """Close connections that have been idle for too long, and remove pauses of routes that are over."""
         self.pool.sweep(now)
         self.gate.sweep(now)
 
-    def end(self) -> None:
-        """Begin nothing any more."""
+    def stop_sending(self) -> None:
+        """Write no call any more; calls that are written may still be answered."""
         self.gate.close()
 
     # --- threads ----------------------------------------------------------------------------------------
@@ -144,27 +144,33 @@
     def _work(self) -> None:
         while True:
             call = self.submitted.get()
-            result = self._make(call)
+            result = self._run(call)
             with self.gate.lock:
                 self.free_threads += 1
-                known = self.active.pop(call.what.number, None) is not None
-            if known and not call.cancelled:
+                is_active = self.active.pop(call.effect.number, None) is not None
+            if is_active and not call.cancelled:
                 self._post(result)
 
-    def _make(self, call: ActiveCall) -> Event:
-        """Make a call; whatever fails in it, its messages get an outcome."""
-        began = time.monotonic()
-        match call.what:
+    def _run(self, call: ActiveCall) -> Event:
+        """Make a call; an unexpected error gives all its messages an outcome, too."""
+        match call.effect:
             case StartHealthCheck() as check:
-                try:
-                    return self.calls.check_health(call, check)
-                except Exception as error:
-                    report_fault("worker", error)
-                    latency_s = time.monotonic() - began
-                    return HealthCheckAnswered(check.number, check.endpoint, Outcome.RESET, latency_s)
+                return self._run_health_check(call, check)
             case StartAttempt() as attempt:
-                try:
-                    return AttemptAnswered(attempt.number, self.calls.attempt(call, attempt))
-                except Exception as error:
-                    report_fault("worker", error)
-                    return AttemptAnswered(attempt.number, outcomes_of_all(attempt, Outcome.RESET))
+                return self._run_attempt(call, attempt)
+
+    def _run_attempt(self, call: ActiveCall, attempt: StartAttempt) -> AttemptAnswered:
+        try:
+            outcomes = self.attempts.run(call, attempt)
+        except Exception as error:
+            report_fault("attempt", error)
+            outcomes = same_outcomes(attempt, Outcome.RESET)
+        return AttemptAnswered(attempt.number, outcomes)
+
+    def _run_health_check(self, call: ActiveCall, check: StartHealthCheck) -> HealthCheckAnswered:
+        began = time.monotonic()
+        try:
+            return self.health_checks.run(call, check)
+        except Exception as error:
+            report_fault("health_check", error)
+            return without_answer(check, Outcome.RESET, began)
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -68,5 +68,5 @@
                 self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
                 executor.endpoint_client.sweep(now)
         # What has come by now is journalled and answered; what threads find out later, the next process finds out.
-        executor.endpoint_client.end()
+        executor.endpoint_client.stop_sending()
         self.round(self.queue.wait(0.0))
--- a/juniperward/forwarder/send_gate.py
+++ b/juniperward/forwarder/send_gate.py
@@ -1,4 +1,7 @@
-"""What may be written now: nothing to endpoints that drain, to routes that are held, or once the process ends."""
+"""Whether a call may be written now: not to a draining endpoint or a paused route, nor once the process ends.
+
+The loop closes and opens the gate; the threads that make calls look at it right before a call's first byte.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +13,47 @@
 
 
 def route_of(call: StartAttempt | StartHealthCheck) -> RouteKey:
-    """Return what a Retry-After of the called endpoint binds."""
+    """Return the route that a Retry-After of the called endpoint pauses."""
     return call.destination if call.route is None else call.route
 
 
 class SendGate:
-    """Asked right before the first byte of a call is written, under its `lock`."""
+    """Guards the first byte of each call; `lock` also guards the calls in flight."""
 
     def __init__(self) -> None:
         """Begin open."""
         self.lock = threading.Lock()
         self.draining: set[int] = set()
-        self.held_until: dict[RouteKey, float] = {}
+        self.paused_until: dict[RouteKey, float] = {}
         self.closed = False
 
     def is_open(self, call: StartAttempt | StartHealthCheck, now: float) -> bool:
         """Return whether a call may be written; the caller holds the lock."""
         if self.closed or call.endpoint in self.draining or now >= call.deadline:
             return False
-        return now >= self.held_until.get(route_of(call), -math.inf)
+        return now >= self.paused_until.get(route_of(call), -math.inf)
 
     def set_draining(self, endpoint: int, draining: bool) -> None:
-        """Write nothing new to an endpoint that drains or is gone."""
+        """Write no new call to an endpoint that drains or was removed, or do so again."""
         with self.lock:
             if draining:
                 self.draining.add(endpoint)
             else:
                 self.draining.discard(endpoint)
 
-    def hold(self, route: RouteKey, until: float) -> None:
-        """Write nothing to a route before a moment."""
+    def pause_route(self, route: RouteKey, until: float) -> None:
+        """Write no call to a route before `until`, or before a later moment set earlier."""
         with self.lock:
-            self.held_until[route] = max(until, self.held_until.get(route, until))
+            self.paused_until[route] = max(until, self.paused_until.get(route, until))
 
     def sweep(self, now: float) -> None:
-        """Forget holds that are over."""
+        """Remove pauses that are over."""
         with self.lock:
-            for route in [route for route, until in self.held_until.items() if until <= now]:
-                del self.held_until[route]
+            expired = [route for route, until in self.paused_until.items() if until <= now]
+            for route in expired:
+                del self.paused_until[route]
 
     def close(self) -> None:
-        """Let nothing through any more: what is written from here on, the journal's next reader might not find."""
+        """Write no call any more: the journal's next reader might not find its record."""
         with self.lock:
             self.closed = True
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -119,7 +119,7 @@
 def _start_trace(config: Config, loop: Loop) -> None:
     trace = Trace(time.time() - time.monotonic())
     loop.trace = trace
-    loop.executor.endpoint_client.calls.trace = trace
+    loop.executor.endpoint_client.attempts.trace = trace
     log("trace", "settings", value=config.settings)
 
 
--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from juniperward.forwarder.endpoint_client import EndpointClientLimits, build_endpoint_client
+from juniperward.forwarder.endpoint_client import EndpointClient, EndpointClientLimits
 from juniperward.forwarder.events import Event
 
 LIMITS = EndpointClientLimits(1.0, 10.0, max_threads=4, max_idle_connections=4)
@@ -23,7 +23,7 @@
 
     def setUp(self) -> None:
         self.events: queue.Queue[Event] = queue.Queue()
-        self.client = build_endpoint_client(LIMITS, self.events.put, mock.Mock())
+        self.client = EndpointClient(LIMITS, self.events.put, mock.Mock())
         self.door = socket.create_server(("127.0.0.1", 0))
         self.door.settimeout(5.0)
         self.addCleanup(self.door.close)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -67,7 +67,9 @@
     def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
         # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
         message = Message("m0", 0, 0, 7, 9.0, None, b"")
-        with mock.patch("juniperward.forwarder.endpoint_call.socket.socket", side_effect=NO_DESCRIPTOR):
+        with mock.patch(
+            "juniperward.forwarder.endpoint_connections.socket.socket", side_effect=NO_DESCRIPTOR
+        ):
             self.client.start(
                 StartAttempt(1, 3, "127.0.0.1", self.port, 7, (BatchItem(0, message),), 1e12, "s-3")
             )
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -9,10 +9,10 @@
 from dataclasses import replace
 from unittest import mock
 
-from juniperward.forwarder import connection_pool
-from juniperward.forwarder.answers import read_retry_after
-from juniperward.forwarder.connection_pool import EndpointConnection
+from juniperward.forwarder import endpoint_connection
+from juniperward.forwarder.answer_headers import read_retry_after
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
+from juniperward.forwarder.endpoint_connection import EndpointConnection
 from juniperward.forwarder.events import AttemptAnswered, HealthCheckAnswered
 from juniperward.forwarder.model import BatchItem, Message
 from juniperward.net.stream import Stream
@@ -78,11 +78,11 @@
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
-            with self.subTest(text), mock.patch.object(connection_pool, "ANSWER_TRANSFER_S", 60.0):
+            with self.subTest(text), mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 60.0):
                 ours, theirs = socket.socketpair()
                 self.addCleanup(theirs.close)
                 kept = EndpointConnection(ours, ("127.0.0.1", self.port))
-                kept.used_at -= 1.0
+                kept.idle_since -= 1.0
                 kept.stream = Stream(lambda _, kept=kept: kept._receive(1))  # type: ignore[misc]
                 self.client.pool.idle[WORKER] = [kept]
                 self.client.start(self.probe(number, 0.3))
@@ -115,7 +115,7 @@
     def test_a_connection_dialled_with_little_time_left_keeps_no_limit_of_that(self) -> None:
         # Guards large calls: the time that its first message had left for the dial went on to bound each later
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
-        self.client.calls.dial_timeout_s = 5.0
+        self.client.connections.dial_timeout_s = 5.0
         self.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.client.start(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
         sock = self.accept()
@@ -147,7 +147,7 @@
             self.addCleanup(sock.close)
             sock.setblocking(False)
             sock.connect_ex(silent.getsockname())
-        self.client.calls.dial_timeout_s = 0.01
+        self.client.connections.dial_timeout_s = 0.01
         port = silent.getsockname()[1]
         self.client.start(delegate(0, port))
         self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -75,7 +75,7 @@
         self.loop.queue.post(ShutdownRequested(0.0, 0.0))
         self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
-        self.assertEqual(self.asked(), ["endpoint_client.end", "server.answer"])
+        self.assertEqual(self.asked(), ["endpoint_client.stop_sending", "server.answer"])
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
         self.assertEqual(len(self.journal.live), 0)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,14 +13,15 @@
 from typing import Any
 from unittest import mock
 
-from juniperward.forwarder import client_connection, connection_pool
-from juniperward.forwarder.answers import read_outcomes, read_retry_after
+from juniperward.forwarder import client_connection, endpoint_connection
+from juniperward.forwarder.active_call import ActiveCall
+from juniperward.forwarder.answer_headers import read_retry_after
+from juniperward.forwarder.answers import read_outcomes
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import UnreadableMessageError, decode_message
-from juniperward.forwarder.connection_pool import EndpointConnection
 from juniperward.forwarder.effects import StartAttempt
-from juniperward.forwarder.endpoint_call import ActiveCall
-from juniperward.forwarder.endpoint_client import build_endpoint_client
+from juniperward.forwarder.endpoint_client import EndpointClient
+from juniperward.forwarder.endpoint_connection import EndpointConnection
 from juniperward.forwarder.events import AttemptAnswered, Event, MessageReceived
 from juniperward.forwarder.model import AttemptProgress, BatchItem, ItemOutcome, Message
 from juniperward.forwarder.server import Server
@@ -341,7 +342,7 @@
         self.client.start(start_attempt(1, self.port))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
         self.client.set_draining(3, False)
-        self.client.hold(7, 1e12)
+        self.client.pause_route(7, 1e12)
         self.client.start(start_attempt(2, self.port))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
         for _ in range(2):
@@ -478,8 +479,8 @@
                 ours, theirs = socket.socketpair()
                 theirs.sendall(text[:cut])
                 theirs.shutdown(socket.SHUT_WR)
-                ends = self.client.calls._exchange(
-                    ActiveCall(what), what, EndpointConnection(ours, ("w", 1)), True
+                ends = self.client.attempts._exchange(
+                    ActiveCall(what), what, EndpointConnection(ours, ("w", 1))
                 )
                 theirs.close()
                 self.assertEqual([e.message for e in ends], list(range(count)))
@@ -490,8 +491,8 @@
     def test_an_answer_is_waited_for_as_long_as_the_longest_class_may_wait(self) -> None:
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
         for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
-            limits = replace(LIMITS, longest_read_s=deadline)
-            self.client = build_endpoint_client(limits, self.events.put, mock.Mock())
+            limits = replace(LIMITS, max_read_s=deadline)
+            self.client = EndpointClient(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
             self.addCleanup(sock.close)
@@ -530,7 +531,7 @@
             self.addCleanup(theirs.close)
             self.addCleanup(ours.close)
             k = kept[name] = EndpointConnection(ours, ("w", 1))
-            k.used_at -= ago
+            k.idle_since -= ago
         self.client.pool.idle[3] = list(kept.values())
         slept: list[float] = []
         with mock.patch("juniperward.forwarder.connection_pool.time.sleep", slept.append):
@@ -557,14 +558,14 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(self.outcome(), Outcome.OK)
         (kept,) = self.client.pool.idle[3]
-        self.client.sweep(kept.used_at + 8.9)
+        self.client.sweep(kept.idle_since + 8.9)
         self.assertIn(3, self.client.pool.idle)
-        self.client.sweep(kept.used_at + 9.1)
+        self.client.sweep(kept.idle_since + 9.1)
         self.assertEqual(sock.recv(1), b"")
 
     def test_an_answer_that_does_not_end_does_not_hold_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
-        with mock.patch.object(connection_pool, "ANSWER_TRANSFER_S", 0.05):
+        with mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
                 (b"HTTP/1.1 500 Internal", Outcome.RESET),
                 (b"HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\n", Outcome.RESET),
@@ -600,9 +601,10 @@
     def test_nothing_is_kept_of_a_worker_that_is_gone(self) -> None:
         # Guards memory over months, and who comes at its address: it must not inherit a bar.
         self.client.set_draining(3, True)
-        self.client.hold(7, time.monotonic() + 1.0)
+        self.client.pause_route(7, time.monotonic() + 1.0)
         self.client.forget(3)
         self.client.sweep(time.monotonic() + 2.0)
         self.assertEqual(
-            (self.client.gate.draining, self.client.gate.held_until, self.client.pool.idle), (set(), {}, {})
+            (self.client.gate.draining, self.client.gate.paused_until, self.client.pool.idle),
+            (set(), {}, {}),
         )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import load
 from juniperward.forwarder.effects import Effect, ReplyToClient, SendNotifications, SetTimer, StartAttempt
-from juniperward.forwarder.endpoint_client import build_endpoint_client
+from juniperward.forwarder.endpoint_client import EndpointClient
 from juniperward.forwarder.events import (
     AttemptAnswered,
     EndpointsUpdated,
@@ -56,7 +56,7 @@
         self.journal = self.open()
         for n in range(2):
             self.journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
-        self.client = build_endpoint_client(LIMITS, self.events.put, self.journal.append)
+        self.client = EndpointClient(LIMITS, self.events.put, self.journal.append)
 
     def open(self) -> Journal:
         journal = Journal(self.folder, 100_000, 0.0)
@@ -107,7 +107,7 @@
 
     def test_nothing_is_begun_once_the_process_ends(self) -> None:
         # Guards the last moment: the next life may have read the journal already.
-        self.client.end()
+        self.client.stop_sending()
         self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
@@ -118,7 +118,7 @@
     def test_what_the_journal_has_no_room_for_is_not_written(self) -> None:
         # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
         failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
-        self.client.calls.append = failing
+        self.client.attempts.append = failing
         self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
         self.addCleanup(sock.close)
@@ -178,7 +178,7 @@
             ):
                 self.assertRaises(
                     OSError,
-                    loop.executor.endpoint_client.calls.append,
+                    loop.executor.endpoint_client.attempts.append,
                     AttemptStartedRecord("m0", 1.0, "s-7"),
                 )
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from juniperward.forwarder import discovery_watch
-from juniperward.forwarder.answers import LoadReport, read_report
+from juniperward.forwarder.answer_headers import LoadReport, read_load_report
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import PauseRoute, SetTimer, StartHealthCheck, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, HealthCheckAnswered, WatchLost
@@ -313,12 +313,12 @@
         for text in ('{"x1":20}', '{"x0":-0.1,"x1":20}', '{"x0":1.5,"x1":20}', '{"x0":"a","x1":20}',
                      '{"x0":NaN,"x1":20}', '{"x0":0.5,"x1":-3}', "[1]", "{"):  # fmt: skip
             with self.subTest(text=text):
-                found = read_report({"x-backend-load": text})
+                found = read_load_report({"x-backend-load": text})
                 told = [x for x in (found.capacity_left, found.limit_per_s) if x is not None]
                 self.assertLessEqual(found.capacity_left or 0.0, 1.0)
                 self.assertGreaterEqual(min(told, default=0.0), 0.0)
-        self.assertEqual(read_report({"x-backend-load": '{"x1":20}'}), LoadReport(limit_per_s=20.0))
-        self.assertEqual(read_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), LoadReport())
+        self.assertEqual(read_load_report({"x-backend-load": '{"x1":20}'}), LoadReport(limit_per_s=20.0))
+        self.assertEqual(read_load_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), LoadReport())
 
 
 if __name__ == "__main__":
