--- a/juniperward/forwarder/discovery_client.py
+++ b/juniperward/forwarder/discovery_client.py
@@ -1,4 +1,7 @@
-"""Discovery as the loop sees it: a watch on the list, and notifications to the platform at the same address."""
+"""Discovery as the loop sees it: the watch on the endpoint list, and notifications, which go to the same address.
+
+Called by `effect_executor.py`; updates, the end of a watch and acknowledgements come back as events by `post`.
+"""
 
 from __future__ import annotations
 
@@ -16,22 +19,22 @@
     """Owns the watch and the sender of notifications, a thread each."""
 
     def __init__(self, address: tuple[str, int], names: SettingsNames, post: Callable[[Event], None]) -> None:
-        """Begin at an address; nothing is opened before `start`."""
+        """Begin at an address; no connection is opened before `start`."""
         self.address = DiscoveryAddress(address)
         self.watcher = DiscoveryWatch(self.address, names, post)
         self.notifications = NotificationSender(self.address, post)
 
     def start(self) -> None:
-        """Begin to work off what is asked for."""
+        """Start the threads, which wait for work."""
         self.watcher.start_thread()
         self.notifications.start_thread()
 
     def watch(self, version: int, epoch: int) -> None:
-        """Watch for what changed after a version; `WatchLost` reports the end."""
-        self.watcher.begin(version, epoch)
+        """Watch for changes after a version; `WatchLost` reports the end."""
+        self.watcher.request(version, epoch)
 
     def change_address(self, address: tuple[str, int], epoch: int) -> None:
-        """End what is open to the old address; notifications that are not acknowledged go again to the new one."""
+        """End what is open to the former address; notifications without acknowledgement go to the new one."""
         self.address.change(address, epoch)
 
     def notify(self, notifications: tuple[OutcomeNotification, ...]) -> None:
--- a/juniperward/forwarder/discovery_stream.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -1,4 +1,7 @@
-"""Discovery's stream of changes: JSON objects in whatever layout, cut at any byte. No I/O."""
+"""The JSON objects of discovery's stream, in any layout and cut at any byte. No I/O.
+
+`discovery_watch.py` feeds the chunks of the stream in, and gets the objects that they complete.
+"""
 
 from __future__ import annotations
 
@@ -6,21 +9,22 @@
 import re
 from typing import Any
 
-MOST_OBJECT_BYTES = 4 * 1024 * 1024  # some 10,000 servers, indented
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # some 10,000 servers, indented
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON has no line end inside a string
 DECODER = json.JSONDecoder()
 
 
 class ObjectTooLargeError(ValueError):
-    """An object is larger than any list could be."""
+    """An object is larger than an endpoint list can be; `max_bytes` is the limit."""
 
-    def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("an object that is too large")
+    def __init__(self, max_bytes: int) -> None:
+        """Name the limit."""
+        super().__init__(f"an object of more than {max_bytes} bytes")
+        self.max_bytes = max_bytes
 
 
 class BrokenObjectError(ValueError):
-    """An object breaks off."""
+    """An object is not complete, and an empty line follows."""
 
     def __init__(self) -> None:
         """Describe it."""
@@ -28,67 +32,80 @@
 
 
 class JsonObjects:
-    """Collects objects of one line or of several; an empty line is a sign of life between two of them."""
+    """Collects objects of one line or of several; an empty line between two of them is a heartbeat."""
 
     def __init__(self) -> None:
         """Begin between two objects."""
-        self.lines: list[bytes] = []  # whole lines of an object that is not whole
-        self.depth = self.size = 0
-        self.rest = b""  # of a line that is not whole
+        self._lines: list[bytes] = []  # the complete lines of an object that is not complete
+        self._depth = 0  # of braces that are open in them
+        self._size = 0  # of them, in bytes
+        self._partial_line = b""
 
     @property
     def begun(self) -> bool:
-        """Whether an object has begun that is not whole."""
-        return bool(self.lines or self.rest)
+        """Whether an object has begun that is not complete."""
+        return bool(self._lines or self._partial_line)
 
     def feed(self, data: bytes) -> list[Any]:
-        """Return the objects that these bytes complete; raises ValueError where what came is none."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        found = []
+        """Return the objects that these bytes complete; raises ValueError for bytes that are not JSON."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        complete: list[Any] = []
         for line in lines:
-            found += self._line(line)
-        if self.rest.rstrip().endswith(b"}") and self.depth + _opened(self.rest) == 0:
-            # Its line end may be as far away as the next sign of life.
-            try:
-                early = _decode(b"".join((*self.lines, self.rest)))
-            except ValueError:
-                pass  # the brace stood in a string that goes on
-            else:
-                found += early
-                self._clear()
-                self.rest = b""
-        if self.size + len(self.rest) > MOST_OBJECT_BYTES:
-            raise ObjectTooLargeError
-        return found
-
-    def _line(self, line: bytes) -> list[Any]:
+            complete += self._add_line(line)
+        complete += self._decode_partial_line()
+        if self._size + len(self._partial_line) > MAX_OBJECT_BYTES:
+            raise ObjectTooLargeError(MAX_OBJECT_BYTES)
+        return complete
+
+    def _add_line(self, line: bytes) -> list[Any]:
+        """Add a line and return the objects that it completes."""
         if not line.strip():
-            if self.lines:
+            if self._lines:
                 raise BrokenObjectError
             return []
-        self.lines.append(line)
-        self.size += len(line)
-        self.depth += _opened(line)
-        if self.depth > 0:
+        self._lines.append(line)
+        self._size += len(line)
+        self._depth += _open_braces(line)
+        if self._depth > 0:
             return []
-        text = b"".join(self.lines)
+        text = b"".join(self._lines)
         self._clear()
         return _decode(text)
 
+    def _decode_partial_line(self) -> list[Any]:
+        """Return the objects that end without a line end, which may be as far away as the next heartbeat."""
+        if not self._partial_line.rstrip().endswith(b"}"):
+            return []
+        if self._depth + _open_braces(self._partial_line) != 0:
+            return []
+        try:
+            complete = _decode(b"".join((*self._lines, self._partial_line)))
+        except ValueError:
+            return []  # the brace is inside a string that is not complete
+        self._clear()
+        self._partial_line = b""
+        return complete
+
     def _clear(self) -> None:
-        self.lines, self.depth, self.size = [], 0, 0
+        self._lines = []
+        self._depth = 0
+        self._size = 0
 
 
-def _opened(line: bytes) -> int:
-    bare = STRING.sub(b"", line)
-    return bare.count(b"{") - bare.count(b"}")
+def _open_braces(line: bytes) -> int:
+    """Return how many braces of a line are open at its end; negative where it closes earlier ones."""
+    without_strings = STRING.sub(b"", line)
+    return without_strings.count(b"{") - without_strings.count(b"}")
 
 
 def _decode(data: bytes) -> list[Any]:
-    text, at, found = data.decode().strip(), 0, []
-    while at < len(text):
-        value, at = DECODER.raw_decode(text, at)
-        found.append(value)
-        while text[at : at + 1].isspace():
-            at += 1
-    return found
+    """Return the objects of a text, one after another; raises ValueError."""
+    text = data.decode().strip()
+    position = 0
+    objects = []
+    while position < len(text):
+        value, position = DECODER.raw_decode(text, position)
+        objects.append(value)
+        while text[position : position + 1].isspace():
+            position += 1
+    return objects
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -1,114 +1,78 @@
-"""Sends notifications to the platform until they are acknowledged, on a thread and a connection of its own."""
+"""Sends notifications to the platform until they are acknowledged, on a thread and a connection of its own.
+
+`discovery_client.py` submits notifications; `NotificationAcknowledged` is posted for what the platform accepted.
+"""
 
 from __future__ import annotations
 
-import json
 import queue
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
 
 from juniperward.forwarder.discovery_address import AddressChangedError, DiscoveryAddress
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
+from juniperward.forwarder.notification_codec import encode_notifications
+from juniperward.forwarder.platform_connection import PlatformConnection
 from juniperward.forwarder.telemetry import increment, log, report_fault
-from juniperward.net import sockets
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
-from juniperward.net.http_requests import encode_request
-from juniperward.net.http_responses import read_response
-from juniperward.net.http_values import HttpResponse
-from juniperward.net.stream import Stream
-
-# For a connection, and for the answer, which comes straight away. Beyond that they go again by another connection:
-# twice this fits between a message's last moment and 0.3 s after its time.
-ANSWER_TIMEOUT_S = 0.3
-RETRY_FIRST_S, RETRY_MAX_S = 0.05, 0.4  # before notifications are sent again, doubling
+from juniperward.net.http_status import HttpStatus
+
+FIRST_BACKOFF_S = 0.05  # before notifications are sent again, doubling
+MAX_BACKOFF_S = 0.4
 MAX_PER_REQUEST = 200
-HTTP_NO_CONTENT, HTTP_BAD_REQUEST = 204, 400
 
 
 class NotificationsRejectedError(Exception):
-    """The platform did not accept notifications, and may later."""
+    """The platform did not accept notifications, and may later; `status` is that of its answer."""
 
     def __init__(self, status: int) -> None:
         """Name the status."""
         super().__init__(f"answered {status}")
-
-
-class PlatformConnection:
-    """A connection to the platform, for one request after another."""
-
-    def __init__(self, address: DiscoveryAddress) -> None:
-        """Connect; raises OSError or AddressChangedError."""
-        sock, connected = address.open_socket("notices")
-        try:
-            sockets.connect(*connected, ANSWER_TIMEOUT_S, sock)
-        except OSError:
-            sock.close()
-            raise
-        if connected != address.address:
-            sock.close()
-            raise AddressChangedError
-        self._sock = sock
-        self._timed = sockets.DeadlineReader(sock, ANSWER_TIMEOUT_S)
-        self._stream = Stream(self._timed.receive)
-        self._host = f"{connected[0]}:{connected[1]}"
-
-    def is_quiet(self) -> bool:
-        """Return whether it may be used again."""
-        return sockets.is_reusable(self._sock)
-
-    def post(self, body: bytes) -> HttpResponse:
-        """Post notifications; raises OSError, Broken or Malformed."""
-        self._timed.restart()
-        self._sock.sendall(encode_request("POST", "/status", self._host, {}, body))
-        return read_response(self._stream)
-
-    def close(self) -> None:
-        """Close it."""
-        self._sock.close()
+        self.status = status
 
 
 class NotificationSender:
-    """Posts `NotificationAcknowledged` for what the platform accepted."""
+    """A queue of notifications and the thread that sends them."""
 
     def __init__(self, address: DiscoveryAddress, post: Callable[[Event], None]) -> None:
-        """Send to an address once asked to."""
+        """Send to an address; no connection is opened before the first notification."""
         self._address, self._post = address, post
-        self._waiting: queue.SimpleQueue[OutcomeNotification] = queue.SimpleQueue()
+        self._queued: queue.SimpleQueue[OutcomeNotification] = queue.SimpleQueue()
         self._connection: PlatformConnection | None = None
 
     def start_thread(self) -> None:
-        """Begin to work off what is asked for."""
-        threading.Thread(target=self._work, name="notices", daemon=True).start()
+        """Start the thread that sends."""
+        threading.Thread(target=self._work, name="notifications", daemon=True).start()
 
     def send(self, notifications: tuple[OutcomeNotification, ...]) -> None:
-        """Send notifications until they are acknowledged."""
+        """Have the thread send notifications until they are acknowledged."""
         for notification in notifications:
-            self._waiting.put(notification)
+            self._queued.put(notification)
 
     def _work(self) -> None:
         while True:
             batch = self._next_batch()
-            retry_s = RETRY_FIRST_S
-            while not self._try_to_deliver(batch):
+            backoff_s = FIRST_BACKOFF_S
+            while not self._attempt(batch):
                 increment("notifications_retried")
                 self._drop_connection()
-                time.sleep(retry_s)
-                retry_s = min(2 * retry_s, RETRY_MAX_S)
+                time.sleep(backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     def _next_batch(self) -> list[OutcomeNotification]:
-        batch = [self._waiting.get()]
+        """Wait for a notification; return it with those queued behind it."""
+        batch = [self._queued.get()]
         try:
             while len(batch) < MAX_PER_REQUEST:
-                batch.append(self._waiting.get_nowait())
+                batch.append(self._queued.get_nowait())
         except queue.Empty:
             pass
         return batch
 
-    def _try_to_deliver(self, batch: list[OutcomeNotification]) -> bool:
-        """Deliver a batch; what was acknowledged before a failure is taken out of it."""
+    def _attempt(self, batch: list[OutcomeNotification]) -> bool:
+        """Deliver a batch and return whether all of it was; what was delivered is removed from it."""
         try:
             self._deliver(batch)
         except (
@@ -120,35 +84,37 @@
         ) as error:
             log("notifications", "not acknowledged", error=error)
         except Exception as error:
-            report_fault("notices", error)
+            report_fault("notifications", error)
         return not batch
 
     def _deliver(self, batch: list[OutcomeNotification]) -> None:
         status = self._request(batch)
-        if status == HTTP_BAD_REQUEST and len(batch) > 1:
-            # One that cannot be read must not hold up the others.
-            for notification in list(batch):
-                single = [notification]
-                self._deliver(single)
-                batch.remove(notification)
+        if status == HttpStatus.BAD_REQUEST and len(batch) > 1:
+            self._deliver_one_by_one(batch)
             return
-        if status == HTTP_BAD_REQUEST:
+        if status == HttpStatus.BAD_REQUEST:
             increment("notifications_dropped")
             log("notifications", "dropped", message=batch[0].id)
-        elif status == HTTP_NO_CONTENT:
+        elif status == HttpStatus.NO_CONTENT:
             increment("notifications_acknowledged", len(batch))
         else:
             raise NotificationsRejectedError(status)
         self._post(NotificationAcknowledged(tuple(notification.id for notification in batch)))
         batch.clear()
 
+    def _deliver_one_by_one(self, batch: list[OutcomeNotification]) -> None:
+        """Deliver a batch with a notification that the platform cannot read: it must not block the others."""
+        for notification in list(batch):
+            self._deliver([notification])
+            batch.remove(notification)
+
     def _request(self, batch: list[OutcomeNotification]) -> int:
         """Post a batch and return the status of the answer."""
-        if self._connection is not None and not self._connection.is_quiet():
+        if self._connection is not None and not self._connection.is_reusable():
             self._drop_connection()
         if self._connection is None:
             self._connection = PlatformConnection(self._address)
-        answer = self._connection.post(b"".join(_encode(notification) for notification in batch))
+        answer = self._connection.post(encode_notifications(batch))
         if answer.close:
             self._drop_connection()
         return answer.status
@@ -157,12 +123,3 @@
         if self._connection is not None:
             self._connection.close()
             self._connection = None
-
-
-def _encode(notification: OutcomeNotification) -> bytes:
-    row: dict[str, Any] = {"id": notification.id, "status": "undeliverable"}
-    if notification.retry_after_s is not None:
-        row["status"] = "deferred"
-        if notification.retry_after_s > 0:
-            row["again_ms"] = round(notification.retry_after_s * 1000)
-    return json.dumps(row, separators=(",", ":")).encode() + b"\n"
--- /dev/null
+++ b/juniperward/forwarder/platform_connection.py
@@ -0,0 +1,50 @@
+"""A connection to the platform for notifications, one request after another; used by `notification_sender.py`."""
+
+from __future__ import annotations
+
+from juniperward.forwarder.address import format_address
+from juniperward.forwarder.discovery_address import AddressChangedError, ConnectionUse, DiscoveryAddress
+from juniperward.net import sockets
+from juniperward.net.http_requests import encode_request
+from juniperward.net.http_responses import read_response
+from juniperward.net.http_values import HttpResponse
+from juniperward.net.stream import Stream
+
+NOTIFICATION_PATH = "/status"
+# For a connection, and for an answer, which usually comes at once. After it notifications are sent again on another
+# connection: twice this fits between a message's last moment and 0.3 s after its deadline.
+ANSWER_TIMEOUT_S = 0.3
+
+
+class PlatformConnection:
+    """A connection to the platform; used by one thread."""
+
+    def __init__(self, address: DiscoveryAddress) -> None:
+        """Connect; raises OSError or AddressChangedError."""
+        sock, connected = address.open_socket(ConnectionUse.NOTIFICATIONS)
+        try:
+            sockets.connect(*connected, ANSWER_TIMEOUT_S, sock)
+        except OSError:
+            sock.close()
+            raise
+        if connected != address.address:
+            sock.close()
+            raise AddressChangedError
+        self._sock = sock
+        self._reader = sockets.DeadlineReader(sock, ANSWER_TIMEOUT_S)
+        self._stream = Stream(self._reader.receive)
+        self._host = format_address(connected)
+
+    def is_reusable(self) -> bool:
+        """Return whether another request may be sent on it."""
+        return sockets.is_reusable(self._sock)
+
+    def post(self, body: bytes) -> HttpResponse:
+        """Post notifications; raises OSError, IncompleteMessageError or MalformedMessageError."""
+        self._reader.restart()
+        self._sock.sendall(encode_request("POST", NOTIFICATION_PATH, self._host, {}, body))
+        return read_response(self._stream)
+
+    def close(self) -> None:
+        """Close the socket."""
+        self._sock.close()
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -19,6 +19,7 @@
 from typing import cast
 from unittest import mock
 
+from juniperward.forwarder.discovery_address import ConnectionUse
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.effects import Effect
@@ -173,7 +174,9 @@
         self.forwarder.call_begins(len(self.begun_at) - 1)
         super().watch(version, epoch)
 
-    def open_late(self, use: str, epoch: int | None = None) -> tuple[socket.socket, tuple[str, int]]:
+    def open_late(
+        self, use: ConnectionUse, epoch: int | None = None
+    ) -> tuple[socket.socket, tuple[str, int]]:
         call = self.forwarder.call(len(self.begun_at) - 1)
         if isinstance(call, Reply) and call.dial_delay:
             threading.Event().wait(call.dial_delay)
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -21,7 +21,7 @@
 
 from juniperward.forwarder import discovery_watch
 from juniperward.forwarder.discovery_client import DiscoveryClient
-from juniperward.forwarder.discovery_watch import DIAL_TIMEOUT_S, SILENCE_TIMEOUT_S
+from juniperward.forwarder.discovery_watch import DIAL_TIMEOUT_S, STREAM_TIMEOUT_S
 from juniperward.forwarder.effects import Effect, SetTimer, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.net import sockets
@@ -43,7 +43,7 @@
 DEADLINE = 6.0  # seconds after which a change counts as told
 MARGIN = 0.25  # seconds kept for the call that tells it, and for a busy machine
 SPREAD = 1.25  # the longest of the module's random spread of a wait
-# Seconds by which the kernel may end a wait of SILENCE_TIMEOUT_S late: its timers of 512 ticks and more are kept to
+# Seconds by which the kernel may end a wait of STREAM_TIMEOUT_S late: its timers of 512 ticks and more are kept to
 # 64 ticks, which at 250 ticks a second is most.
 TIMER_LATE = 64 / 250
 
@@ -88,7 +88,7 @@
         """Seconds from the begin of a failing call to the begin of the next, at most."""
         took = DIAL_TIMEOUT_S if call is BLACKHOLED else 0.0
         if call in (NO_ANSWER, CUT_AND_OPEN, CUT_WITHIN_A_CHUNK, SILENT_WATCH):
-            took = SILENCE_TIMEOUT_S + TIMER_LATE
+            took = STREAM_TIMEOUT_S + TIMER_LATE
         return took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD
 
 
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_calls_follow_one_another_within_their_bound_however_each_failed(seed: int) -> None:
     # Guards the bounds that the cases above add up: the time of a call that failed counts towards its back-off.
-    durations = (0.0, 0.01, 0.5, DIAL_TIMEOUT_S, 1.4, 2.0, SILENCE_TIMEOUT_S)
+    durations = (0.0, 0.01, 0.5, DIAL_TIMEOUT_S, 1.4, 2.0, STREAM_TIMEOUT_S)
     for first, second in itertools.product(durations, repeat=2):
         asks = Asks(seed, longest_waits=False)
         for took in (0.0, 0.0, 0.0, first, second, first, second):
@@ -234,7 +234,7 @@
     sockets_connect = sockets.connect
     events: queue.Queue[Event] = queue.Queue()
     with (
-        mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 1.0),
+        mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 1.0),
         mock.patch.object(sockets, "connect", dial_late),
     ):
         registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
@@ -250,7 +250,7 @@
 def test_a_watch_that_falls_silent_right_behind_a_late_head_has_lived(door: socket.socket) -> None:
     # Guards the 6 s after silence: its time counted from before the head, so that it never lived and waits doubled.
     events: queue.Queue[Event] = queue.Queue()
-    with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.5):
+    with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
         registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
         registry.start()
         registry.watch(41, 0)
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from juniperward.forwarder.discovery_stream import MOST_OBJECT_BYTES, JsonObjects
+from juniperward.forwarder.discovery_stream import MAX_OBJECT_BYTES, JsonObjects
 
 ROWS: list[Any] = [
     {
@@ -53,7 +53,7 @@
 def test_an_object_without_an_end_is_not_kept() -> None:
     objects = JsonObjects()
     with pytest.raises(ValueError):
-        for _ in range(MOST_OBJECT_BYTES // 65536 + 2):
+        for _ in range(MAX_OBJECT_BYTES // 65536 + 2):
             objects.feed(b'"' + b"x" * 65536)
 
 
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -13,7 +13,7 @@
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.events import Event, NotificationAcknowledged
 from juniperward.forwarder.model import OutcomeNotification
-from juniperward.forwarder.notification_sender import ANSWER_TIMEOUT_S
+from juniperward.forwarder.platform_connection import ANSWER_TIMEOUT_S
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError
 from juniperward.net.http_requests import read_request
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -68,7 +68,7 @@
             door = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(door.close)
             events: queue.Queue[Event] = queue.Queue()
-            with self.subTest(lived), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
+            with self.subTest(lived), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
                 registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
@@ -92,7 +92,7 @@
             events: queue.Queue[Event] = queue.Queue()
             over = threading.Event()
             self.addCleanup(over.set)
-            with self.subTest(begin), mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.2):
+            with self.subTest(begin), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.2):
                 registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
@@ -116,7 +116,7 @@
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
         pause = threading.Event()
-        with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.5):
+        with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
             registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
             registry.start()
             registry.watch(41, 0)
@@ -188,7 +188,7 @@
 
     def test_a_watch_that_falls_silent_is_broken_and_opened_anew(self) -> None:
         # Guards the 6 s after which what a silent watch misses counts as told: a drain among it.
-        self.assertLess(discovery_watch.SILENCE_TIMEOUT_S, 4.0)
+        self.assertLess(discovery_watch.STREAM_TIMEOUT_S, 4.0)
         door = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(door.close)
         events: queue.Queue[Event] = queue.Queue()
@@ -196,7 +196,7 @@
             door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
         reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
-        with mock.patch.object(discovery_watch, "SILENCE_TIMEOUT_S", 0.1):
+        with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
