--- a/juniperward/scheduler/settings_codec.py
+++ b/juniperward/scheduler/settings_codec.py
@@ -1,7 +1,7 @@
 """Reads the settings object of the platform and of the simulator; their keys are mapped to the field's names here.
 
-Unknown keys are passed over. Times come in milliseconds. What cannot be used raises ValueError (SettingsError among
-them), which names the place.
+Unknown keys are ignored. Times come in milliseconds. A value that cannot be used raises ValueError (SettingsError
+among them), which names its place.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 Member = TypeVar("Member", bound=Enum)
 
 
-# The keys of settings whose range is checked, by the field's name.
+# The platform's keys of the settings whose range is checked, by the field's name.
 KEYS = {
     "latency_objective_s": "AimMs",
     "deadline_s": "DeadlineMs",
@@ -75,10 +75,10 @@
 
 
 class UnknownValueError(ValueError):
-    """A key has a word that is not among those it may have."""
+    """A key has a value that is not among those it may have."""
 
     def __init__(self, key: str, value: object) -> None:
-        """Name the key and the word."""
+        """Name the key and the value."""
         super().__init__(f"{key}: unknown value {value!r}")
         self.key = key
         self.value = value
@@ -144,7 +144,7 @@
 
 
 def _read_class(number: int, service: dict[str, Any]) -> MessageClass:
-    """Read one of `Services`; what is wrong with it is told with its place."""
+    """Read one of `Services`; raises ServiceError, which names its place."""
     try:
         return MessageClass(
             latency_objective_s=service["AimMs"] * S_PER_MS,
--- a/juniperward/simulator_adapter/__main__.py
+++ b/juniperward/simulator_adapter/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from juniperward.simulator_adapter.adapter import serve
-from juniperward.simulator_adapter.wire import WireError
+from juniperward.simulator_adapter.errors import WireError
 
 
 def main() -> int:
--- a/juniperward/simulator_adapter/adapter.py
+++ b/juniperward/simulator_adapter/adapter.py
@@ -11,138 +11,96 @@
 
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler.events import Event
-from juniperward.scheduler.settings_codec import read_settings
-from juniperward.simulator_adapter.wire import (
-    S_PER_MS,
-    BadLineError,
-    Body,
-    Catalogs,
-    MisplacedLineError,
-    NotAnObjectError,
-    TruncatedBatchError,
-    WireError,
-    decode_catalog,
-    decode_event,
-    encode_action,
-)
-
-Line = tuple[str, Body]
+from juniperward.scheduler.settings_codec import S_PER_MS, read_settings
+from juniperward.simulator_adapter.batch_reader import Batch, BatchReader, Line
+from juniperward.simulator_adapter.errors import BadLineError, TruncatedBatchError, WireError
+from juniperward.simulator_adapter.wire import Catalogs, Fields, decode_catalog, decode_event, encode_action
 
 
 class SimulatorAdapter:
-    """Turns batches of events into answers, an instance of the forwarder at a time."""
+    """Converts batches of lines into answers, an instance of the forwarder at a time."""
 
     def __init__(self) -> None:
         """Begin without instances."""
-        self.schedulers: dict[str, DeliveryScheduler] = {}
-        self.catalogs: Catalogs = {}
+        self._schedulers: dict[str, DeliveryScheduler] = {}  # by instance
+        self._catalogs: Catalogs = {}
 
-    def answer(self, now_ms: float, lines: list[Line]) -> list[Body]:
+    def answer(self, batch: Batch) -> list[Fields]:
         """Return the answers to one batch, in the order of first mention of each instance."""
-        answers: list[Body] = []
-        pending: dict[str, list[Event]] = {}
-        for name, body in lines:
-            match name:
-                case "Catalog":
-                    self.catalogs[body["Slot"]] = decode_catalog(body)
-                case "Exit":
-                    self.schedulers.pop(body["Who"], None)
-                    pending.pop(body["Who"], None)
-                case "Configure":
-                    pending[body["Who"]] = []
-                    if (refusal := self._configure(body)) is not None:
-                        del pending[body["Who"]]
-                        answers.append(refusal)
-                case _:
-                    event = decode_event(name, body, self.catalogs)
-                    if event is not None and body["Who"] in self.schedulers:
-                        pending.setdefault(body["Who"], []).append(event)
+        answers: list[Fields] = []
+        pending: dict[str, list[Event]] = {}  # by instance
+        for line in batch.lines:
+            answers += self._read_line(line, pending)
         for instance, events in pending.items():
-            answers += self._handle(instance, now_ms * S_PER_MS, events)
+            answers += self._handle(instance, batch.time_ms * S_PER_MS, events)
         return answers
 
-    def _configure(self, body: Body) -> Body | None:
+    def _read_line(self, line: Line, pending: dict[str, list[Event]]) -> list[Fields]:
+        """Apply a line, or add its event to those pending; returns what it is answered at once."""
+        fields = line.fields
+        match line.name:
+            case "Catalog":
+                self._catalogs[fields["Slot"]] = decode_catalog(fields)
+            case "Exit":
+                self._schedulers.pop(fields["Who"], None)
+                pending.pop(fields["Who"], None)
+            case "Configure":
+                return self._configure(fields, pending)
+            case name:
+                event = decode_event(name, fields, self._catalogs)
+                if event is not None and fields["Who"] in self._schedulers:
+                    pending.setdefault(fields["Who"], []).append(event)
+        return []
+
+    def _configure(self, fields: Fields, pending: dict[str, list[Event]]) -> list[Fields]:
         """Start an instance; returns the answer that ends it where its settings cannot be used."""
-        instance = body["Who"]
+        instance = fields["Who"]
+        pending[instance] = []
         try:
-            self.schedulers[instance] = DeliveryScheduler(read_settings(body["Config"]), body["Entropy"])
+            self._schedulers[instance] = DeliveryScheduler(read_settings(fields["Config"]), fields["Entropy"])
         except (ValueError, KeyError) as error:
-            return _die(instance, f"settings: {error}")
-        return None
+            del pending[instance]
+            return [_die(instance, f"settings: {error}")]
+        return []
 
-    def _handle(self, instance: str, now: float, events: list[Event]) -> list[Body]:
-        """Run a round; whatever fails in it ends the day with its reason."""
+    def _handle(self, instance: str, now: float, events: list[Event]) -> list[Fields]:
+        """Run a round; an error in it ends the simulated day with its reason."""
         try:
-            actions = self.schedulers[instance].handle(now, events)
+            actions = self._schedulers[instance].handle(now, events)
         except Exception as error:
-            return [_die(instance, f"{type(error).__name__}: {error} (line {_line_of(error)})")]
+            return [_die(instance, f"{type(error).__name__}: {error} (line {_line_number(error)})")]
         return [encode_action(instance, action) for action in actions]
 
 
-def _die(instance: str, note: str) -> Body:
-    return {"Die": {"Who": instance, "NoteText": note}}
-
-
-def _line_of(error: Exception) -> int:
-    """Return the line at which an error was raised."""
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    return place.tb_lineno if place else 0
-
-
-class BatchReader:
-    """Collects the lines of a batch, from its `Mark` to its `Go`."""
-
-    def __init__(self) -> None:
-        """Begin outside a batch."""
-        self.mark: Body | None = None
-        self.lines: list[Line] = []
-
-    def take(self, text: str) -> Body | None:
-        """Take in a line; returns the batch's `Mark` once the batch is whole; raises WireError."""
-        name, body = _parse(text)
-        if name == "Mark" and self.mark is not None:
-            raise MisplacedLineError(name, inside_batch=True)
-        if name == "Mark":
-            self.mark, self.lines = body, []
-        elif self.mark is None:
-            raise MisplacedLineError(name, inside_batch=False)
-        elif name == "Go":
-            mark, self.mark = self.mark, None
-            return mark
-        else:
-            self.lines.append((name, body))
-        return None
-
-
 def serve(source: TextIO, sink: TextIO) -> None:
     """Answer batches until the input ends; raises WireError."""
-    adapter, reader = SimulatorAdapter(), BatchReader()
+    adapter = SimulatorAdapter()
+    reader = BatchReader()
     for number, text in enumerate(source, 1):
         if not text.strip():
             continue
         try:
-            mark = reader.take(text)
-            if mark is not None:
-                answers = adapter.answer(mark["TimeMs"], reader.lines)
-                _reply(sink, [*answers, {"Eor": {"turn": mark["turn"]}}])
+            batch = reader.add(text)
+            if batch is not None:
+                _reply(sink, [*adapter.answer(batch), {"Eor": {"turn": batch.turn}}])
         except (WireError, ValueError, KeyError, TypeError) as error:
             raise BadLineError(number, error) from error
-    if reader.mark is not None:
+    if reader.inside_batch:
         raise TruncatedBatchError
 
 
-def _parse(text: str) -> Line:
-    message = json.loads(text)
-    if not isinstance(message, dict) or len(message) != 1:
-        raise NotAnObjectError
-    ((name, body),) = message.items()
-    if not isinstance(body, dict):
-        raise NotAnObjectError
-    return name, body
-
-
-def _reply(sink: TextIO, answers: list[Body]) -> None:
+def _reply(sink: TextIO, answers: list[Fields]) -> None:
     sink.write("".join(json.dumps(answer, separators=(",", ":")) + "\n" for answer in answers))
     sink.flush()
+
+
+def _die(instance: str, reason: str) -> Fields:
+    return {"Die": {"Who": instance, "NoteText": reason}}
+
+
+def _line_number(error: Exception) -> int:
+    """Return the line of code at which an error was raised."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    return traceback.tb_lineno if traceback else 0
--- a/juniperward/simulator_adapter/wire.py
+++ b/juniperward/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
 """The simulator's wire: its events as the scheduler's, and the scheduler's actions as its answers.
 
 A wire object has a single key, its name, with an object of its fields. Times are in milliseconds. Unknown fields
-are passed over.
+are ignored. The wire's words stand in this module alone.
 """
 
 from __future__ import annotations
@@ -36,13 +36,14 @@
     Outcome,
     TimerFired,
 )
+from juniperward.scheduler.settings_codec import S_PER_MS
+from juniperward.simulator_adapter.errors import UnknownEventError
 
-Body = dict[str, Any]
+Fields = dict[str, Any]  # of one wire object, or the object itself
 Catalogs = dict[int, tuple[EndpointEntry, ...]]  # numbered lists of endpoints
 
-S_PER_MS = 0.001
-NO_SLOT_NOTE = 1  # in `WaitMs` of an attempt that was not sent: all slots were in use
-EJECTION_NOTES = {
+NO_SLOT_FREE = 1  # in `WaitMs` of an attempt that was not sent: all slots were in use
+EJECTION_REASONS = {  # in `NoteText`
     EjectionReason.FAILING: "failing",
     EjectionReason.UNRESPONSIVE: "silent",
     EjectionReason.REJECTS_ALL: "refuses all",
@@ -61,52 +62,8 @@
 }
 
 
-class WireError(Exception):
-    """The input does not follow the wire; the text says where and how."""
-
-
-class BadLineError(WireError):
-    """A line cannot be used; it is named by its number."""
-
-    def __init__(self, number: int, cause: Exception) -> None:
-        """Describe the line and what is wrong with it."""
-        super().__init__(f"line {number}: {type(cause).__name__}: {cause}")
-
-
-class MisplacedLineError(WireError):
-    """A line stands where it must not."""
-
-    def __init__(self, name: str, inside_batch: bool) -> None:
-        """Describe the line and its place."""
-        super().__init__(f"{name} {'inside' if inside_batch else 'outside'} a batch")
-
-
-class NotAnObjectError(WireError):
-    """A line is not an object with a single key, whose value is an object."""
-
-    def __init__(self) -> None:
-        """Describe what is asked for."""
-        super().__init__("not an object with a single key and its fields")
-
-
-class TruncatedBatchError(WireError):
-    """The input ended inside a batch."""
-
-    def __init__(self) -> None:
-        """Describe the end."""
-        super().__init__("the input ended inside a batch")
-
-
-class UnknownEventError(WireError):
-    """An event has a name that the wire does not know."""
-
-    def __init__(self, name: str) -> None:
-        """Describe the event."""
-        super().__init__(f"unknown event {name!r}")
-
-
-def decode_catalog(body: Body) -> tuple[EndpointEntry, ...]:
-    """Return the entries of a `Catalog`."""
+def decode_catalog(fields: Fields) -> tuple[EndpointEntry, ...]:
+    """Return the entries of a `Catalog`, a numbered list of endpoints."""
     return tuple(
         EndpointEntry(
             host["Endpoint"],
@@ -116,29 +73,31 @@
             host.get("Locality") or 0,
             host.get("Rating") or 0.0,
         )
-        for host in body["Hosts"]
+        for host in fields["Hosts"]
     )
 
 
-def decode_event(name: str, body: Body, catalogs: Catalogs) -> Event | None:
-    """Return the event of one line, None for one that concerns no scheduler; raises WireError."""
+def decode_event(name: str, fields: Fields, catalogs: Catalogs) -> Event | None:
+    """Return the event of one line, None for one that concerns no scheduler.
+
+    Raises UnknownEventError for an unknown name, KeyError for a missing field, ValueError for an unknown number.
+    """
     event: Event | None = None
     match name:
         case "Query":
-            event = _decode_query(body)
+            event = _decode_message(fields)
         case "Settled":
-            event = _decode_settled(body)
+            event = _decode_attempt(fields)
         case "TickDue":
-            event = TimerFired(body["Nonce"])
+            event = TimerFired(fields["Nonce"])
         case "Fleet":
-            scope = ListScope(body["Scope"])
-            event = EndpointListUpdated(scope, () if scope is ListScope.FAILED else catalogs[body["Slot"]])
+            event = _decode_endpoint_list(fields, catalogs)
         case "Withdrawn":
-            event = MessageWithdrawn(body["Corr"])
+            event = MessageWithdrawn(fields["Corr"])
         case "Accepted":
-            event = AnswerStarted(body["Corr"], body["SendNo"], body["Endpoint"])
+            event = AnswerStarted(fields["Corr"], fields["SendNo"], fields["Endpoint"])
         case "Probed":
-            event = _decode_probed(body)
+            event = _decode_health_check(fields)
         case "Whisper":
             pass  # forwarders share nothing
         case _:
@@ -146,54 +105,62 @@
     return event
 
 
-def _decode_query(body: Body) -> MessageAdmitted:
+def _decode_message(fields: Fields) -> MessageAdmitted:
     return MessageAdmitted(
-        message=body["Corr"],
-        class_index=body["Qos"],
-        destination=body["ToExchange"],
-        time_left_s=body["BudgetMs"] * S_PER_MS,
-        tenant=body.get("Customer") or 0,
-        ordering_key=body.get("Entity"),
-        size_hint_s=(body.get("SizeHintMs") or 0.0) * S_PER_MS,
+        message=fields["Corr"],
+        class_index=fields["Qos"],
+        destination=fields["ToExchange"],
+        time_left_s=fields["BudgetMs"] * S_PER_MS,
+        tenant=fields.get("Customer") or 0,
+        ordering_key=fields.get("Entity"),
+        size_hint_s=(fields.get("SizeHintMs") or 0.0) * S_PER_MS,
     )
 
 
-def _decode_settled(body: Body) -> AttemptFinished:
-    report = body.get("Report") or {}
-    outcome, note = Outcome(body["Status"]), body.get("WaitMs") or 0
+def _decode_attempt(fields: Fields) -> AttemptFinished:
+    load_report = fields.get("Report") or {}
+    outcome = Outcome(fields["Status"])
+    wait_ms = fields.get("WaitMs") or 0
     return AttemptFinished(
-        message=body["Corr"],
-        attempt=body["SendNo"],
-        endpoint=body["Endpoint"],
+        message=fields["Corr"],
+        attempt=fields["SendNo"],
+        endpoint=fields["Endpoint"],
         outcome=outcome,
-        latency_s=body["DelaySeenMs"] * S_PER_MS,
-        message_ended=bool(body.get("Ended")),
-        retry_after_s=note * S_PER_MS if outcome is Outcome.OVERLOADED else 0.0,
-        no_slot_free=outcome is Outcome.NOT_SENT and note == NO_SLOT_NOTE,
-        capacity_left=report.get("x0"),
-        reported_limit_per_s=report.get("x1"),
+        latency_s=fields["DelaySeenMs"] * S_PER_MS,
+        message_ended=bool(fields.get("Ended")),
+        retry_after_s=wait_ms * S_PER_MS if outcome is Outcome.OVERLOADED else 0.0,
+        no_slot_free=outcome is Outcome.NOT_SENT and wait_ms == NO_SLOT_FREE,
+        capacity_left=load_report.get("x0"),
+        reported_limit_per_s=load_report.get("x1"),
     )
 
 
-def _decode_probed(body: Body) -> HealthCheckFinished:
-    report = body.get("Report") or {}
+def _decode_endpoint_list(fields: Fields, catalogs: Catalogs) -> EndpointListUpdated:
+    scope = ListScope(fields["Scope"])
+    if scope is ListScope.FAILED:
+        return EndpointListUpdated(scope)
+    return EndpointListUpdated(scope, catalogs[fields["Slot"]])
+
+
+def _decode_health_check(fields: Fields) -> HealthCheckFinished:
+    load_report = fields.get("Report") or {}
     return HealthCheckFinished(
-        endpoint=body["Endpoint"],
-        outcome=Outcome(body["Status"]),
-        latency_s=body["DelaySeenMs"] * S_PER_MS,
-        capacity_left=report.get("x0"),
-        reported_limit_per_s=report.get("x1"),
+        endpoint=fields["Endpoint"],
+        outcome=Outcome(fields["Status"]),
+        latency_s=fields["DelaySeenMs"] * S_PER_MS,
+        capacity_left=load_report.get("x0"),
+        reported_limit_per_s=load_report.get("x1"),
     )
 
 
-def encode_action(instance: str, action: Action) -> Body:
-    """Return the answer of an instance that asks for an action."""
-    name, fields = ANSWER_NAMES[type(action)], _encode_fields(action)
-    return {name: {"Who": instance, **fields}}
+def encode_action(instance: str, action: Action) -> Fields:
+    """Return the wire object of an action of an instance."""
+    name = ANSWER_NAMES[type(action)]
+    return {name: {"Who": instance, **_encode_fields(action)}}
 
 
-def _encode_fields(action: Action) -> Body:
-    fields: Body = {}
+def _encode_fields(action: Action) -> Fields:
+    fields: Fields = {}
     match action:
         case StartAttempt(message=message, endpoint=endpoint, timeout_s=timeout_s):
             fields = {"Corr": message, "Endpoint": endpoint, "TimeoutMs": timeout_s / S_PER_MS}
@@ -210,7 +177,7 @@
         case PollEndpointList():
             fields = {"On": True}
         case DestinationEjected(destination=destination, reason=reason):
-            fields = {"NoteText": f"destination {destination}: {EJECTION_NOTES[reason]}, held to trials"}
+            fields = {"NoteText": f"destination {destination}: {EJECTION_REASONS[reason]}, held to trials"}
         case DestinationRecovered(destination=destination):
             fields = {"NoteText": f"destination {destination}: answers again, warming up"}
     return fields
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -13,7 +13,7 @@
 import pytest
 
 from juniperward.simulator_adapter.adapter import serve
-from juniperward.simulator_adapter.wire import WireError
+from juniperward.simulator_adapter.errors import WireError
 
 ROOT = Path(__file__).parent.parent
 CONFIG: dict[str, Any] = {
