--- a/juniperward/scheduler/actions.py
+++ b/juniperward/scheduler/actions.py
@@ -1,4 +1,4 @@
-"""What a scheduler asks for: attempts, final answers, health checks, timers; durations are in seconds."""
+"""What a scheduler has its caller do: attempts, final answers, health checks, timers; durations are in seconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     message: int
     endpoint: int
     timeout_s: float
-    start_within_s: float = math.inf  # after which it must not begin
+    start_within_s: float = math.inf  # after which the call must not begin
     batch: int = 0
 
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Post a `TimerFired` with the token after a delay."""
 
     delay_s: float
     token: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Ask for changes of the endpoint list from now on."""
+    """Poll the endpoint list, and post the updates from now on."""
 
 
 class EjectionReason(Enum):
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationEjected:
-    """To be logged: a route of a destination gets trials only."""
+    """Log that a route of a destination gets trials only."""
 
     destination: int
     reason: EjectionReason
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationRecovered:
-    """To be logged: a route of a destination answers again, and warms up."""
+    """Log that a route of a destination answers again, and warms up."""
 
     destination: int
 
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -1,7 +1,7 @@
-"""What a scheduler is told: changes of the endpoint list, messages, ends of attempts and health checks, timers.
+"""What a scheduler receives: endpoint list updates, messages, outcomes of attempts and health checks, timers.
 
-Durations are in seconds; moments (`_at`) are seconds of the caller's monotonic clock. Ids are opaque and come back
-as they were told.
+Durations are in seconds; moments (`_at`) are seconds of the caller's monotonic clock. Ids are opaque and come
+back unchanged in actions.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class EndpointPhase(IntEnum):
-    """What the list says of an endpoint; it says nothing of its health."""
+    """Whether the list lets an endpoint be called; it says nothing of its health."""
 
     DRAINING = 0
     READY = 1
@@ -37,11 +37,11 @@
 
 
 class ListScope(IntEnum):
-    """What an update of the endpoint list holds."""
+    """What an update of the endpoint list contains."""
 
     DELTA = 0  # what has changed
-    FULL = 1  # the whole list
-    CACHED = 2  # the whole list as it was last known
+    FULL = 1  # the complete list
+    CACHED = 2  # the complete list as it was last known
     FAILED = 3  # nothing: the poll failed, or the watch was lost
 
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdated:
-    """The endpoint list has changed, or could not be had."""
+    """The endpoint list has changed, or could not be read."""
 
     scope: ListScope
     entries: tuple[EndpointEntry, ...] = ()
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAdmitted:
-    """A message was accepted, or is back after a restart; it is owed one final answer within `time_left_s`."""
+    """A message was accepted, or is back after a restart; it gets one final answer within `time_left_s`."""
 
     message: int
     class_index: int
@@ -85,11 +85,10 @@
     ordering_key: str | None = None
     size_hint_s: float = 0.0
     history: tuple[PastAttempt, ...] = ()
-    attempt_for_s: float | None = (
-        None  # it is not given up unattempted before; None: a share of `time_left_s`
-    )
+    # While it surely has not executed it is not given up before; None: a fraction of `time_left_s`.
+    attempt_for_s: float | None = None
     never_attempted: bool = False  # back after a restart without an attempt: it goes before the others
-    batch_bytes: int = 0  # that it takes in a call of several messages
+    batch_bytes: int = 0  # its size in a call of several messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,11 +103,9 @@
     message_ended: bool = False  # the message is over as well
     retry_after_s: float = 0.0
     no_slot_free: bool = False
-    capacity_left: float | None = None  # share of the reported limit that is left
+    capacity_left: float | None = None  # fraction of the reported limit
     reported_limit_per_s: float | None = None
-    connection_table_full: bool = (
-        False  # of a failed connection: the endpoint runs, and takes no more of them
-    )
+    connection_table_full: bool = False  # of a failed connection: the endpoint runs, but accepts no more
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client took the message back; no answer is owed."""
+    """The client withdrew the message, and expects no answer."""
 
     message: int
 
@@ -140,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the scheduler set is due."""
+    """A timer that the scheduler had set has fired."""
 
     token: int
 
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler: composes one part a decision, and hands each event of a round to the parts that it concerns.
+"""The scheduler: composes one part a decision, and passes each event of a round to the parts that it concerns.
 
 It decides nothing itself. `handle` is called by the forwarder's reducer, the simulator's adapter and the
-simulation; what it returns is to be done in that order.
+simulation; the actions that it returns are to be done in their order.
 """
 
 from __future__ import annotations
@@ -59,11 +59,11 @@
         self.idle_expiry = IdleExpiry(state)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take in all events of a round, then decide once; `now` does not go back from round to round."""
+        """Apply all events of a round, then decide once; `now` does not go back from round to round."""
         round_ = self.state.round
         self.state.begin_round(now)
         for event in events:
-            self._take_in(event)
+            self._dispatch(event)
         round_.timers.run_expired(now)
         self.round_robin.release()
         timer = round_.timers.request(now, round_.settings.timer_resolution_s)
@@ -78,10 +78,10 @@
 
     @property
     def timer_token(self) -> int:
-        """The token of the latest timer that was asked for."""
+        """The token of the latest timer that was requested."""
         return self.state.round.timers.token
 
-    def _take_in(self, event: Event) -> None:
+    def _dispatch(self, event: Event) -> None:
         match event:
             case MessageAdmitted():
                 self._message_admitted(event)
@@ -94,8 +94,12 @@
             case HealthCheckFinished():
                 self._health_check_finished(event)
             case MessageWithdrawn(message=number):
-                if (message := self.state.backlog.messages.get(number)) is not None:
-                    self.state.backlog.end(message)
+                self._message_withdrawn(number)
+
+    def _message_withdrawn(self, number: int) -> None:
+        message = self.state.backlog.messages.get(number)
+        if message is not None:
+            self.state.backlog.end(message)
 
     def _message_admitted(self, event: MessageAdmitted) -> None:
         message = self.admission.admit(event)
@@ -128,8 +132,10 @@
             self.retries.after_attempt(message, event)
 
     def _health_check_finished(self, event: HealthCheckFinished) -> None:
-        if (endpoint := self.state.table.endpoints.get(event.endpoint)) is not None:
-            self.outliers.record_outcome(endpoint, event, self.state.round.now - event.latency_s)
+        endpoint = self.state.table.endpoints.get(event.endpoint)
+        if endpoint is not None:
+            sent_at = self.state.round.now - event.latency_s
+            self.outliers.record_outcome(endpoint, event, sent_at)
             self.state.backlog.make_ready(endpoint.destination)
 
     def _endpoint_list_updated(self, event: EndpointListUpdated) -> None:
--- a/juniperward/scheduler/settings.py
+++ b/juniperward/scheduler/settings.py
@@ -1,7 +1,7 @@
-"""What a scheduler is told at its start: classes of message, kinds of destination, limits and rules.
+"""The settings of a scheduler: classes of message, kinds of destination, limits and rules.
 
 Durations are in seconds, rates per second. A value out of its range raises `SettingsError`, which names the field.
-The values of the enumerations are the words that settings files and stored data use.
+The values of the enumerations are those of settings files and stored data.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class WeightDecay(Enum):
-    """How the weight of a message falls after its latency objective."""
+    """How the weight of a message decays after its latency objective."""
 
     LINEAR = "even"
     HALVING = "by_half"
@@ -52,7 +52,7 @@
     deadline_s: float
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the weight that is left at the deadline
+    late_weight: float = 0.0  # fraction of the weight that is left at the deadline
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_s: float = 0.0
     in_order: bool = False
@@ -93,25 +93,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """All that a scheduler is told at its start."""
+    """All settings of a scheduler."""
 
     classes: tuple[MessageClass, ...]
     slots: int  # attempts that may be in flight at once
-    max_open: int  # messages that may be held at once
+    max_open: int  # messages without their final answer that may be open at once
     kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     instances: int = 1  # forwarders that share the destinations
     max_attempts: int = 3
     over_quota_weight: float = 1.0  # x the class's weight, for a message beyond its tenant's quota
     weight_decay: WeightDecay = WeightDecay.LINEAR
-    answer_slack_s: float = 0.0  # after a message's time, in which its final answer still counts
-    slow_start_capacity_fraction: float = (
-        0.2  # share of its capacity that a destination has right after an outage
-    )
+    answer_slack_s: float = 0.0  # after a message's time, in which its final answer is still in time
+    slow_start_capacity_fraction: float = 0.2  # of its capacity, that a destination has after an outage
     warm_up_s: float = 10.0  # after which it has all of it
-    overload_multiple: float = (
-        1.5  # x its present capacity, for overload_span_s: a cold destination fails anew
-    )
+    # x its present capacity, for overload_span_s: the calls with which a destination that warms up fails anew
+    overload_multiple: float = 1.5
     overload_span_s: float = 2.0
     key_cooldown_s: float = 0.0  # after an attempt that may still run, before the next message of its key
     keepalive_s: float = 10.0  # after which an idle connection is closed by the endpoint
@@ -119,9 +116,9 @@
     streams_per_connection: int = 1
     max_retry_after_s: float = 0.0
     timer_resolution_s: float = 0.005
-    endpoints_polled: bool = False  # the endpoint list is asked for; else it is pushed
-    rates_listed: bool = False  # the list says how many calls a second a destination takes
-    listed_rate_error: float = 0.0  # share by which a listed rate may be wrong
+    endpoints_polled: bool = False  # the endpoint list is polled; else it is pushed
+    rates_listed: bool = False  # the list names the limit of a destination, in calls a second
+    listed_rate_error: float = 0.0  # fraction by which a listed rate may be wrong
     health_checks: bool = False  # health checks are allowed
     cancellation: bool = False  # attempts may be cancelled
     hedging: bool = False  # two attempts of a message may be in flight
@@ -130,7 +127,7 @@
     max_batch_bytes: int = 65_535  # of all messages of one call (protocol: no body over 64 KiB)
 
     def kind(self, number: int) -> DestinationKind:
-        """Return a kind of destination by its number; one that is not named is the default."""
+        """Return a kind of destination by its number; one without settings is the default."""
         return self.kinds[number] if 0 <= number < len(self.kinds) else DestinationKind()
 
     def __post_init__(self) -> None:
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -1,4 +1,4 @@
-"""What the scheduler thinks of each destination, for people to look at; nothing here decides."""
+"""What the scheduler knows of each destination, for operators to read; nothing here decides."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Health(StrEnum):
-    """How a destination is; the values are the words of the control channel."""
+    """How a destination is; the values are those of the control channel."""
 
     HEALTHY = "well"
     EJECTED = "failing"
--- a/juniperward/scheduler/token_bucket.py
+++ b/juniperward/scheduler/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket."""
+"""A token bucket, by which admission applies the quotas of tenants."""
 
 from __future__ import annotations
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -75,8 +75,8 @@
             opens = [self.routing.opens_at(ep) for ep in d.endpoint_order if ep.phase is EndpointPhase.READY]
             at = min(opens, default=math.inf)
             assert at > now, f"{d.id} is open and off the ring"
-            due = timers.pending(backlog.make_ready)
-            woken = any(arguments == (d,) and when <= at + 1e-6 for when, arguments in due)
+            scheduled = timers.pending(backlog.make_ready)
+            woken = any(timer.arguments == (d,) and timer.at <= at + 1e-6 for timer in scheduled)
             assert at == math.inf or woken, f"{d.id} opens at {at}, nothing wakes it"
             assert at < math.inf or d.slots or not opens, f"{d.id} waits for news that cannot come"
         return actions
