--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -12,23 +12,31 @@
 from typing import Any
 
 from juniperward.agent.running_fleet import RunningFleet
-from juniperward.dead_letters.decisions import (
-    DeadLetter,
-    RedriveSafety,
-    Status,
-    certain_now,
-    judge_redrive,
-    wanted_by,
-)
-from juniperward.dead_letters.redriver import Redriver, RedriveRules
-from juniperward.dead_letters.store import DeadLetterStore, Filter, LeaseLostError
+from juniperward.dead_letters.clock import certain_now
+from juniperward.dead_letters.dead_letter import DeadLetter, Status
+from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.redrive_rules import requested_by
+from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.redriver import Redriver
+from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.store import DeadLetterStore
+from juniperward.dead_letters.store_errors import LeaseLostError
 from juniperward.settings.load import SettingsError, load
 
 MAX_PAGE = 500
 DEFAULT_PAGE = 100
-BEFORE_ALL = (-1.0, "")  # the place before the first message: time given up, id
 CHANGES = frozenset({"resend", "settle", "discard", "undo"})
-FILTERS = ("stand", "destination", "cls", "account", "key", "since", "until", "wished")
+FILTERS = {  # the keys of a request, and the fields of `Filter`
+    "stand": "status",
+    "destination": "destination",
+    "cls": "class_name",
+    "account": "account",
+    "key": "idempotency_key",
+    "since": "since",
+    "until": "until",
+    "wished": "redrive_requested",
+}
 JUDGEMENT = ("kind", "may_go", "why", "wanted_by")
 
 Answer = tuple[int, dict[str, Any]]  # HTTP status, JSON object
@@ -110,7 +118,8 @@
     def _change(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> dict[str, Any]:
         match action:
             case "resend":
-                return {"asked": self._store.wish(ids, who, bool(options.get("partner_sure")))}
+                confirmed = bool(options.get("partner_sure"))
+                return {"asked": self._store.request_redrive(ids, who, confirmed)}
             case "discard":
                 return {"discarded": self._store.discard(ids, who)}
             case "undo":
@@ -123,13 +132,14 @@
         if not why:
             raise ReasonMissingError
         message = str(options["id"])
-        self._store.settle(message, bool(options["delivered"]), who, why, self._now())
+        statement = Statement(bool(options["delivered"]), who, why)
+        self._store.settle(message, statement, self._now())
         return {"settled": message}
 
     # --- questions -----------------------------------------------------------------------------------------
 
     def _now(self) -> float:
-        return certain_now(self._fleet.clock(), self._store.seen())
+        return certain_now(self._fleet.clock(), self._store.recorded_clock())
 
     def _show(self, options: Options, who: str) -> Answer:
         message = str(options["id"])
@@ -139,21 +149,22 @@
         (row,) = self._list({"ids": [message]})["messages"]
         found |= {name: row[name] for name in JUDGEMENT}
         if options.get("body"):
-            found["body"] = base64.b64encode(self._store.body(message, who) or b"").decode()
+            found["body"] = base64.b64encode(self._store.show_body(message, who) or b"").decode()
         return HTTPStatus.OK, found
 
     def _stats(self, _: Options) -> dict[str, Any]:
-        paces = {str(destination): pace.why for destination, pace in self._redriver.paces.items()}
+        rates = {str(destination): rate.reason for destination, rate in self._redriver.rates.items()}
         open_count = len(self._store.open_redrives())
-        return {**self._store.stats(), "open": open_count, "paces": paces, **self._progress()}
+        return {**self._store.stats(), "open": open_count, "paces": rates, **self._progress()}
 
     def _list(self, options: Options) -> dict[str, Any]:
         """Return a page of messages, each with its judgement; `next` begins the page after, null at the end."""
-        chosen = {name: options[name] for name in FILTERS if options.get(name) is not None}
+        chosen = {field: options[key] for key, field in FILTERS.items() if options.get(key) is not None}
         limit = min(int(options.get("limit", DEFAULT_PAGE)), MAX_PAGE)
-        after = options.get("after") or BEFORE_ALL
+        given_up_at, last_id = options.get("after") or BEFORE_ALL
+        after = Position(float(given_up_at), str(last_id))
         selected = Filter(tuple(options.get("ids", ())), **chosen)
-        messages = self._store.facts(selected, limit, (float(after[0]), str(after[1])))
+        messages = self._store.select(selected, limit, after)
         now = self._now()
         destinations = {message.destination for message in messages}
         listed = {number: self._fleet.known_endpoints(number) for number in destinations}
@@ -164,22 +175,23 @@
         }
 
     def _row(self, message: DeadLetter, now: float, listed: frozenset[str] | None) -> dict[str, Any]:
-        rules = self._redriver.rules
-        judgement = judge_redrive(message, now, listed, rules.allowance)
+        settings = self._redriver.settings
+        judgement = judge_redrive(message, now, listed, settings.clock_allowance_s)
+        is_stored = message.status is Status.STORED
         return {
             "id": message.id,
-            "stand": message.stand.value,
+            "stand": message.status.value,
             "kind": judgement.kind.value,
             "may_go": judgement.may_go,
             "why": judgement.why,
-            "wanted_by": wanted_by(message, rules.rules, now) if message.stand is Status.STORED else "",
+            "wanted_by": requested_by(message, settings.rules, now) if is_stored else "",
             "destination": message.destination,
-            "class": message.cls,
+            "class": message.class_name,
             "account": message.account,
-            "key": message.key,
+            "key": message.idempotency_key,
             "given_up_at": message.given_up_at,
-            "resends": message.resends,
-            "ran_at": message.ran_at,
+            "resends": message.redrives,
+            "ran_at": message.executed_at,
         }
 
     def _audit(self, options: Options) -> dict[str, Any]:
@@ -197,29 +209,29 @@
 
     def _simulate(self, options: Options) -> dict[str, Any]:
         """Return what a file's rules would have go now, and what keeps the rest; nothing is sent."""
-        rules = _rules_of(Path(str(options["file"])))
+        settings = _redrive_settings(Path(str(options["file"])))
         now = self._now()
         go: dict[str, dict[str, int]] = {}
         stay: dict[str, int] = {}
         after = BEFORE_ALL
-        while page := self._store.facts(Filter(stand="kept"), MAX_PAGE, after):
-            after = (page[-1].given_up_at, page[-1].id)
+        while page := self._store.select(Filter(status=Status.STORED), MAX_PAGE, after):
+            after = Position(page[-1].given_up_at, page[-1].id)
             for message in page:
-                rule, why = self._verdict(message, now, rules)
+                rule, why = self._verdict(message, now, settings)
                 if rule:
                     destination = str(message.destination)
                     count = go.setdefault(rule, {})
                     count[destination] = count.get(destination, 0) + 1
                 else:
                     stay[why] = stay.get(why, 0) + 1
-        return {"go": go, "stay": stay, "most_rate": rules.pace.most}
+        return {"go": go, "stay": stay, "most_rate": settings.rate_limits.max_per_s}
 
-    def _verdict(self, message: DeadLetter, now: float, rules: RedriveRules) -> tuple[str, str]:
+    def _verdict(self, message: DeadLetter, now: float, settings: RedriveSettings) -> tuple[str, str]:
         """Return the rule that would have a message go, or an empty text and why it stays."""
         listed = self._fleet.known_endpoints(message.destination)
-        judgement = judge_redrive(message, now, listed, rules.allowance)
+        judgement = judge_redrive(message, now, listed, settings.clock_allowance_s)
         if judgement.may_go:
-            return wanted_by(message, rules.rules, now), "no rule takes it"
+            return requested_by(message, settings.rules, now), "no rule takes it"
         if judgement.kind is RedriveSafety.UNCERTAIN:
             return "", judgement.kind.value
         return "", judgement.why
@@ -232,11 +244,11 @@
     return ids
 
 
-def _rules_of(file: Path) -> RedriveRules:
+def _redrive_settings(file: Path) -> RedriveSettings:
     try:
-        rules = load(file).redrive
+        settings = load(file).redrive
     except SettingsError as error:
         raise QuestionError(str(error)) from error
-    if rules is None:
+    if settings is None:
         raise NothingStoredError(file)
-    return rules
+    return settings
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -10,7 +10,8 @@
 
 from juniperward.agent.dead_letter_queries import Answer, DeadLetterQueries
 from juniperward.agent.running_fleet import ReadyInstances, RunningFleet
-from juniperward.dead_letters.redriver import Redriver, RedriveRules, Round
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.redriver import Redriver, Round
 from juniperward.dead_letters.store import DeadLetterStore
 
 ROUND_INTERVAL_S = 0.25
@@ -30,7 +31,7 @@
     def __init__(
         self,
         folder: Path,
-        rules: RedriveRules,
+        settings: RedriveSettings,
         names: Callable[[], list[str]],
         ready: ReadyInstances,
         log: LogFunction = _log_nothing,
@@ -38,21 +39,21 @@
         """Open the store in the agent's folder; raises StoreError."""
         self.store = DeadLetterStore(folder / "kept.db")
         self.fleet = RunningFleet(folder, names, ready)
-        self.resender = Redriver(self.store, self.fleet, rules)
+        self.redriver = Redriver(self.store, self.fleet, settings)
         self.latest = Round()
         self.fault = ""  # why the latest round failed
         self.ended = threading.Event()
         self._log = log
-        self._queries = DeadLetterQueries(self.store, self.fleet, self.resender, self._progress)
+        self._queries = DeadLetterQueries(self.store, self.fleet, self.redriver, self._progress)
         self._sweep_at = 0.0
 
     def start(self) -> None:
         """Begin rounds."""
-        threading.Thread(target=self._run, name="resender", daemon=True).start()
+        threading.Thread(target=self._run, name="redriver", daemon=True).start()
 
-    def configure(self, rules: RedriveRules) -> None:
-        """Take new rules, from the next round on."""
-        self.resender.rules = rules
+    def configure(self, settings: RedriveSettings) -> None:
+        """Use new settings, from the next round on."""
+        self.redriver.settings = settings
 
     def answer(self, options: dict[str, Any], who: str) -> Answer:
         """Answer one question or order; `who` is the user at the other end."""
@@ -61,7 +62,7 @@
     def _progress(self) -> dict[str, Any]:
         return {
             "trouble": self.fault,
-            "lost_memory": self.latest.lost_memory,
+            "lost_memory": self.latest.forgotten,
             "damaged_lines": self.fleet.damaged_lines,
         }
 
@@ -78,12 +79,12 @@
                 self.ended.wait(ERROR_PAUSE_S)
 
     def _round(self) -> None:
-        self.latest = self.resender.round()
-        if self.latest.taken_in:
-            self._log("dead letters stored", "info", {"messages": self.latest.taken_in})
+        self.latest = self.redriver.round()
+        if self.latest.stored:
+            self._log("dead letters stored", "info", {"messages": self.latest.stored})
         if time.monotonic() >= self._sweep_at:
             self._sweep_at = time.monotonic() + SWEEP_INTERVAL_S
-            if dropped := self.resender.sweep():
+            if dropped := self.redriver.sweep():
                 self._log("dead letters dropped", "warning", {"messages": dropped})
         if self.fault:
             self._log("redrive resumed", "info", {})
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -11,11 +11,18 @@
 from juniperward.control.client import ControlClient
 from juniperward.control.errors import ControlError
 from juniperward.control.protocol import DestinationRow, EndpointRow, Verb
-from juniperward.dead_letters import spool
-from juniperward.dead_letters.decisions import Clock, DestinationView
-from juniperward.dead_letters.fleet import ReportedOutcomes
-from juniperward.dead_letters.resubmission import NOBODY_THERE, Resubmission, SubmissionAnswer, resubmit
-from juniperward.dead_letters.spool import SpooledMessage
+from juniperward.dead_letters import spool_files
+from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.fleet import ReportedOutcome
+from juniperward.dead_letters.redrive_rate import DestinationView
+from juniperward.dead_letters.resubmission import (
+    NOT_CONNECTED,
+    Resubmission,
+    SubmissionAnswer,
+    resubmit,
+)
+from juniperward.dead_letters.selection import SpoolPosition
+from juniperward.dead_letters.spool_format import SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Reading
 
@@ -76,9 +83,9 @@
             if row is None:
                 found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
             else:
-                paced = row.rate_limit_per_s is not None
+                rate_limited = row.rate_limit_per_s is not None
                 view = DestinationView(
-                    row.health, row.retry_after_s, paced, row.listed_rate_per_s, row.queued, slots
+                    row.health, row.retry_after_s, rate_limited, row.listed_rate_per_s, row.queued, slots
                 )
                 found.append(view)
         return found
@@ -131,10 +138,10 @@
     def _read_spool(self, store: DeadLetterStore, name: str) -> int:
         """Read on in one; what is in the store is acknowledged, and the forwarder deletes it."""
         folder = self._folder / "spool" / name
-        segments = spool.segments(folder)
+        segments = spool_files.segments(folder)
         if not segments:
             return 0
-        current, offset = store.place(name)
+        current, offset = store.spool_position(name)
         new = 0
         for number, path in segments:
             if number < current:
@@ -145,18 +152,18 @@
             except FileNotFoundError:
                 continue
             if end > begin or number > current:
-                new += store.take_in(name, messages, number, end)
+                new += store.add(name, messages, SpoolPosition(number, end))
                 current, offset = number, end
         newest = segments[-1][0]
-        if newest > spool.acknowledged_segment(folder) + 1:
+        if newest > spool_files.acknowledged_segment(folder) + 1:
             # All but the newest are complete: the forwarder writes to that one only.
-            spool.acknowledge_segment(folder, newest - 1)
+            spool_files.acknowledge_segment(folder, newest - 1)
         return new
 
     def _read_segment(self, path: Path, offset: int) -> tuple[list[SpooledMessage], int]:
         """Return the messages from an offset on, and where the next one will begin."""
         messages = []
-        for message, behind in spool.read(path, offset):
+        for message, behind in spool_files.read(path, offset):
             offset = behind
             if message is None:
                 self.damaged_lines += 1
@@ -169,16 +176,16 @@
     def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
         """Hand a message in; return status and Retry-After wait, as `resubmission.resubmit` does."""
         ready = self._ready().get(forwarder)
-        return resubmit(ready.address, message) if ready is not None else SubmissionAnswer(NOBODY_THERE, 0.0)
+        return resubmit(ready.address, message) if ready is not None else SubmissionAnswer(NOT_CONNECTED, 0.0)
 
-    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
+    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
         """Return what became of redriven messages; None where the forwarder does not answer."""
         try:
             answer = self._client(forwarder).redrive_outcomes(ids)
         except ControlError:
             return None
         return {
-            row.id: ReportedOutcomes(row.outcome, row.executed_at, answer.complete_since)
+            row.id: ReportedOutcome(row.outcome, row.executed_at, answer.complete_since)
             for row in answer.outcomes
         }
 
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -22,8 +22,8 @@
 from juniperward.agent.running_fleet import ReadyInstance
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
-from juniperward.dead_letters.redriver import RedriveRules
-from juniperward.dead_letters.store import StoreError
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.store_errors import StoreError
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Phase
 from juniperward.settings.load import FleetSettings, SettingsError, load
@@ -81,10 +81,10 @@
         if settings.redrive is not None:
             self._open_dead_letters(settings.redrive)
 
-    def _open_dead_letters(self, rules: RedriveRules) -> DeadLetterService:
+    def _open_dead_letters(self, settings: RedriveSettings) -> DeadLetterService:
         """Begin to look after dead letters; raises StoreError."""
         folder = self._loop.settings.folder
-        service = DeadLetterService(folder, rules, self._names, self._ready, self._loop.note)
+        service = DeadLetterService(folder, settings, self._names, self._ready, self._loop.note)
         self._dead_letters = service
         self._api.serve_dead_letters(service)
         return service
@@ -125,14 +125,16 @@
             raise FolderChangedError
         return settings
 
-    def _configure_dead_letters(self, rules: RedriveRules | None) -> None:
-        """Take new rules; where dead letters are switched off, what is stored stays, and nothing goes by rule."""
+    def _configure_dead_letters(self, settings: RedriveSettings | None) -> None:
+        """Use new settings; where dead letters are switched off, what is stored stays, and no rule redrives it."""
         service = self._dead_letters
         if service is not None:
-            service.configure(rules or RedriveRules(rules=(), pace=service.resender.rules.pace))
-        elif rules is not None:
+            if settings is None:
+                settings = RedriveSettings(rate_limits=service.redriver.settings.rate_limits)
+            service.configure(settings)
+        elif settings is not None:
             try:
-                self._open_dead_letters(rules).start()
+                self._open_dead_letters(settings).start()
             except StoreError as error:
                 self._loop.note("dead letters unavailable", "error", {"why": str(error)})
 
--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -13,7 +13,7 @@
 
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError
 from juniperward.benchmarks.local_cluster import LocalCluster
-from juniperward.dead_letters.decisions import Status
+from juniperward.dead_letters.dead_letter import Status
 from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.records import Effect, SubmissionAnswered, Submitted
 from juniperward.fakes.verdict import Verdict
--- a/juniperward/benchmarks/measure_dead_letters.py
+++ b/juniperward/benchmarks/measure_dead_letters.py
@@ -24,10 +24,14 @@
     wait_until_settled,
 )
 from juniperward.benchmarks.report import Report, quantile
-from juniperward.dead_letters.spool import Spool, SpooledAttempt, SpooledMessage
-from juniperward.dead_letters.store import DeadLetterStore, Filter
+from juniperward.dead_letters.dead_letter import Status
+from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position, SpoolPosition
+from juniperward.dead_letters.spool import Spool
+from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
+from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fakes.checker import check
 from juniperward.fakes.destination_spec import FaultMode
+from juniperward.scheduler.settings import Idempotency
 
 AT_ONCE = 10  # runs of the acceptance
 AWAY = 10.0  # seconds, unless told otherwise, for which the destination is down
@@ -160,10 +164,10 @@
                 destination = 1 + n % 3
                 workers = tuple(f"s-{destination}-{worker}" for worker in (0, 1))
                 name, key, body = f"w{n}", f"kw{n}", b"x" * 50
-                spool.keep(
+                spool.append(
                     SpooledMessage(
                         name, "booking-update", "valiya-cluster", destination, key, body, at - 4, at,
-                        attempt, "by_key", 12.0, workers,
+                        attempt, Idempotency.IDEMPOTENCY_KEY, 12.0, workers,
                     )
                 )  # fmt: skip
             spool.close()
@@ -229,30 +233,38 @@
             return [
                 SpooledMessage(
                     f"m{n}", f"c{n % 7}", f"cluster-{n % 40}", n % 500, f"k{n}", b"x" * 200, float(n), float(n),
-                    attempt, "by_key", 12.0, (),
+                    attempt, Idempotency.IDEMPOTENCY_KEY, 12.0, (),
                 )
                 for n in range(first, first + 1000)
             ]  # fmt: skip
 
         began = time.monotonic()
         for first in range(0, count, 1000):
-            made.take_in("n0", batch(first), 1, first)
+            made.add("n0", batch(first), SpoolPosition(1, first))
         spent = time.monotonic() - began
         rows.append(["taken in, 1,000 a transaction", f"{count / spent:,.0f}", f"{1000 * spent / count:.3f}"])
-        began, seen, after = time.monotonic(), 0, (-1.0, "")
-        while page := made.facts(Filter(stand="kept"), 500, after):
-            seen, after = seen + len(page), (page[-1].given_up_at, page[-1].id)
+        began, seen, after = time.monotonic(), 0, BEFORE_ALL
+        while page := made.select(Filter(status=Status.STORED), 500, after):
+            seen, after = seen + len(page), Position(page[-1].given_up_at, page[-1].id)
         spent = time.monotonic() - began
         rows.append(["listed, pages of 500", f"{seen / spent:,.0f}", f"{1000 * spent / max(seen, 1):.3f}"])
-        timed("search by destination, 100 found", 500, lambda n: made.facts(Filter(destination=n), 100))
-        timed("search by account, 100 found", 40, lambda n: made.facts(Filter(account=f"cluster-{n}"), 100))
-        timed("search by key", 1000, lambda n: made.facts(Filter(key=f"k{n * (count // 1000)}"), 100))
-        timed("search by class, 100 found", 7, lambda n: made.facts(Filter(cls=f"c{n}"), 100))
-        timed("search for a class that is not there", 2, lambda n: made.facts(Filter(cls=f"none{n}"), 100))
+        timed("search by destination, 100 found", 500, lambda n: made.select(Filter(destination=n), 100))
+        timed("search by account, 100 found", 40, lambda n: made.select(Filter(account=f"cluster-{n}"), 100))
+        timed(
+            "search by key",
+            1000,
+            lambda n: made.select(Filter(idempotency_key=f"k{n * (count // 1000)}"), 100),
+        )
+        timed("search by class, 100 found", 7, lambda n: made.select(Filter(class_name=f"c{n}"), 100))
+        timed(
+            "search for a class that is not there",
+            2,
+            lambda n: made.select(Filter(class_name=f"none{n}"), 100),
+        )
         timed("all about one", 1000, lambda n: made.complete_record(f"m{n}"))
         timed("claim, each durable", 1000, lambda n: made.acquire_lease(f"m{n}", None, "n0", 1.0, "rule"))
         many = [[f"m{5000 + n * 200 + k}" for k in range(200)] for n in range(20)]
-        timed("wish for 200, one transaction", 20, lambda n: made.wish(many[n], "me"))
+        timed("wish for 200, one transaction", 20, lambda n: made.request_redrive(many[n], "me"))
         timed("counts by stand", 3, lambda _: made.stats())
         timed("integrity check", 1, lambda _: made.check())
         timed("backup while in use", 1, lambda _: made.backup(Path(folder) / "copy.db"))
--- a/juniperward/dead_letters/database.py
+++ b/juniperward/dead_letters/database.py
@@ -21,7 +21,8 @@
 
     def __init__(self, file: Path, synchronous: str = "FULL") -> None:
         """Open the file and bring its schema to the present version; raises StoreError."""
-        self.file, self._synchronous = file, synchronous
+        self.file = file
+        self._synchronous = synchronous
         self._local = threading.local()
         self._write_lock = threading.Lock()  # one writer at a time, without SQLite's busy waits
         file.parent.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
@@ -51,8 +52,8 @@
             self._local.db = None
 
     @contextmanager
-    def change(self) -> Iterator[sqlite3.Connection]:
-        """Begin a transaction, and commit it at the end; an error takes all of it back."""
+    def transaction(self) -> Iterator[sqlite3.Connection]:
+        """Begin a transaction, and commit it at the end; an error rolls all of it back."""
         with self._write_lock:
             db = self.db
             db.execute("BEGIN IMMEDIATE")
@@ -69,14 +70,14 @@
         if version > len(MIGRATIONS):
             raise StoreVersionError(self.file, version, len(MIGRATIONS))
         for number in range(version, len(MIGRATIONS)):
-            with self.change() as db:
+            with self.transaction() as db:
                 for statement in statements(MIGRATIONS[number]):
                     db.execute(statement)
                 db.execute(f"PRAGMA user_version={number + 1}")
 
     def check(self) -> list[str]:
-        """Return what SQLite finds wrong with the file; empty where it is whole."""
-        rows = [r[0] for r in self.db.execute("PRAGMA integrity_check")]
+        """Return what SQLite finds wrong with the file; empty where it is complete."""
+        rows = [row[0] for row in self.db.execute("PRAGMA integrity_check")]
         return [] if rows == ["ok"] else rows
 
     def backup(self, target: Path) -> None:
--- /dev/null
+++ b/juniperward/dead_letters/queries.py
@@ -0,0 +1,85 @@
+"""What the dead letter store is read for: pages of messages, one message's record, counts. Changes nothing.
+
+Each function takes the caller's connection; `DeadLetterStore` calls them.
+"""
+
+from __future__ import annotations
+
+import json
+import sqlite3
+from typing import Any
+
+from juniperward.dead_letters.dead_letter import DeadLetter
+from juniperward.dead_letters.rows import COLUMNS, dead_letter
+from juniperward.dead_letters.selection import Filter, Position
+
+BODY_COLUMN = "body"
+
+
+def select(db: sqlite3.Connection, chosen: Filter, limit: int, after: Position) -> list[DeadLetter]:
+    """Return a page of the selected messages, in the order in which they were given up."""
+    where, values = chosen.sql()
+    rows = db.execute(
+        f"SELECT {COLUMNS} FROM message WHERE {where} AND (given_up_at, id) > (?, ?)"
+        " ORDER BY given_up_at, id LIMIT ?",
+        (*values, *after, limit),
+    )
+    return [dead_letter(row) for row in rows]
+
+
+def complete_record(db: sqlite3.Connection, message: str) -> dict[str, Any] | None:
+    """Return the columns of a message but its body, and the rows of its attempts, redrives and audit trail."""
+    row = db.execute("SELECT * FROM message WHERE id = ?", (message,)).fetchone()
+    if row is None:
+        return None
+    columns = dict(row)
+    del columns[BODY_COLUMN]
+    columns["workers"] = json.loads(columns["workers"])
+    return {
+        **columns,
+        "attempts": _rows_of(db, "attempt", message, "n"),
+        "resent": _rows_of(db, "resend", message, "fence"),
+        "audit": _rows_of(db, "audit", message, "seq"),
+    }
+
+
+def _rows_of(db: sqlite3.Connection, table: str, message: str, order: str) -> list[dict[str, Any]]:
+    rows = db.execute(f"SELECT * FROM {table} WHERE message = ? ORDER BY {order}", (message,))
+    return [dict(row) for row in rows]
+
+
+def body(db: sqlite3.Connection, message: str) -> bytes | None:
+    """Return the body of a message; None where it is not in the store."""
+    row = db.execute("SELECT body FROM message WHERE id = ?", (message,)).fetchone()
+    return bytes(row[0]) if row is not None else None
+
+
+def destinations(db: sqlite3.Connection, redrive_requested: bool) -> dict[int, int]:
+    """Return how many messages with the status STORED each destination has."""
+    more = " AND wished IS NOT NULL" if redrive_requested else ""
+    rows = db.execute(
+        f"SELECT destination, count(*) FROM message WHERE stand = 'kept'{more} GROUP BY destination"
+    )
+    return {row[0]: row[1] for row in rows}
+
+
+def stats(db: sqlite3.Connection) -> dict[str, Any]:
+    """Return counts by status, the bytes, and the oldest, with the keys of the agent's answer."""
+    statuses = {row[0]: row[1] for row in db.execute("SELECT stand, count(*) FROM message GROUP BY stand")}
+    count, size_bytes, oldest = db.execute(
+        "SELECT count(*), coalesce(sum(bytes), 0), min(given_up_at) FROM message"
+    ).fetchone()
+    requested = db.execute("SELECT count(*) FROM message WHERE wished IS NOT NULL").fetchone()[0]
+    return {
+        "messages": count,
+        "bytes": size_bytes,
+        "oldest": oldest,
+        "stands": statuses,
+        "wished": requested,
+    }
+
+
+def audit(db: sqlite3.Connection, since: int, limit: int) -> list[dict[str, Any]]:
+    """Return the audit trail after a sequence number."""
+    rows = db.execute("SELECT * FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (since, limit))
+    return [dict(row) for row in rows]
--- a/juniperward/dead_letters/retention.py
+++ b/juniperward/dead_letters/retention.py
@@ -1,20 +1,23 @@
-"""How long dead letters stay: what is too old or too much is dropped, the oldest first."""
+"""The retention of dead letters: what is too old or too much is dropped, the oldest first.
+
+`DeadLetterStore.sweep` calls it in a transaction.
+"""
 
 from __future__ import annotations
 
 import sqlite3
 from dataclasses import dataclass
 
-from juniperward.dead_letters.rows import audit
+from juniperward.dead_letters.rows import append_audit
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings let the store hold."""
+    """What the settings let the store have."""
 
-    age_s: float
-    messages: int
-    size_bytes: int
+    max_age_s: float
+    max_messages: int
+    max_bytes: int
 
 
 def drop_oldest(db: sqlite3.Connection, now: float, limits: Limits) -> int:
@@ -26,21 +29,23 @@
     rows = db.execute(
         "SELECT id, given_up_at, bytes, stand FROM message WHERE stand != 'claimed' ORDER BY given_up_at"
     )
-    too_much = count > limits.messages or size_bytes > limits.size_bytes
+    too_much = count > limits.max_messages or size_bytes > limits.max_bytes
     dropped = 0
     for row in rows.fetchall() if too_much else rows:
         why = _why_dropped(now - row["given_up_at"], count, size_bytes, limits)
         if not why:
             break
         db.execute("DELETE FROM message WHERE id = ?", (row["id"],))
-        audit(db, "agent", "dropped", row["id"], f"{row['stand']}; for {why}")
-        count, size_bytes, dropped = count - 1, size_bytes - row["bytes"], dropped + 1
+        append_audit(db, "agent", "dropped", row["id"], f"{row['stand']}; for {why}")
+        count -= 1
+        size_bytes -= row["bytes"]
+        dropped += 1
     return dropped
 
 
 def _why_dropped(age_s: float, count: int, size_bytes: int, limits: Limits) -> str:
-    if age_s > limits.age_s:
+    if age_s > limits.max_age_s:
         return "its age"
-    if count > limits.messages:
+    if count > limits.max_messages:
         return "the store's number"
-    return "the store's bytes" if size_bytes > limits.size_bytes else ""
+    return "the store's bytes" if size_bytes > limits.max_bytes else ""
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -1,4 +1,7 @@
-"""Rows of the dead letter store: their columns, ids, and the line of the audit trail."""
+"""Rows of the dead letter store: the one place where its column names become the names of our values.
+
+Used by the modules that read and change the store: `queries.py`, `leases.py`, `operator_actions.py`, `retention.py`.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,10 @@
 import sqlite3
 import time
 
-from juniperward.dead_letters.decisions import DeadLetter, Status
+from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.ownership import REDRIVE_PREFIX
+from juniperward.dead_letters.spool_format import SpooledMessage
+from juniperward.scheduler.settings import Idempotency
 
 COLUMNS = (
     "id, stand, effect, window, ran_at, destination, cls, account, given_up_at, resends, wished, partner_sure, "
@@ -18,33 +23,67 @@
 REDRIVE_ID_DIGITS = 20  # of the hash
 
 
-def redrive_id(message: str, number: int) -> str:
+def redrive_id(message: str, fence: int) -> str:
     """Return the id of a message's redrive with this fence: the same for whoever makes it."""
-    return f"{REDRIVE_PREFIX}{hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_DIGITS]}-{number}"
+    digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_DIGITS]
+    return f"{REDRIVE_PREFIX}{digest}-{fence}"
 
 
 def dead_letter(row: sqlite3.Row) -> DeadLetter:
     """Return what decides about a message, from a row with COLUMNS."""
     return DeadLetter(
         id=row["id"],
-        stand=Status(row["stand"]),
-        effect=row["effect"],
-        window=row["window"],
-        ran_at=row["ran_at"],
+        status=Status(row["stand"]),
+        idempotency=Idempotency(row["effect"]),
+        deduplication_window_s=row["window"],
+        executed_at=row["ran_at"],
         destination=row["destination"],
-        cls=row["cls"],
+        class_name=row["cls"],
         account=row["account"],
         given_up_at=row["given_up_at"],
-        resends=row["resends"],
-        wished=row["wished"] is not None,
-        partner_sure=bool(row["partner_sure"]),
-        workers=tuple(json.loads(row["workers"])),
-        key=row["key"],
+        redrives=row["resends"],
+        redrive_requested=row["wished"] is not None,
+        destination_confirmed=bool(row["partner_sure"]),
+        endpoints=tuple(json.loads(row["workers"])),
+        idempotency_key=row["key"],
+    )
+
+
+def insert_message(db: sqlite3.Connection, forwarder: str, message: SpooledMessage) -> bool:
+    """Add a message with its attempts, in the transaction of `db`; return whether it was new."""
+    executed_at = min(
+        (attempt.started_at for attempt in message.attempts if attempt.possibly_executed), default=None
     )
+    row = {
+        "id": message.id,
+        "forwarder": forwarder,
+        "cls": message.class_name,
+        "account": message.account,
+        "destination": message.destination,
+        "key": message.idempotency_key,
+        "body": message.body,
+        "taken_at": message.received_at,
+        "given_up_at": message.given_up_at,
+        "effect": message.idempotency.value,
+        "window": message.deduplication_window_s,
+        "workers": json.dumps(message.endpoints),
+        "ran_at": executed_at,
+        "bytes": len(message.body) + ROW_BYTES,
+    }
+    marks = ", ".join(f":{column}" for column in row)
+    inserted = db.execute(f"INSERT OR IGNORE INTO message ({', '.join(row)}) VALUES ({marks})", row)
+    if not inserted.rowcount:
+        return False
+    attempts = [
+        (message.id, number, attempt.endpoint, attempt.started_at, attempt.outcome, attempt.possibly_executed)
+        for number, attempt in enumerate(message.attempts)
+    ]
+    db.executemany("INSERT INTO attempt VALUES (?,?,?,?,?,?)", attempts)
+    return True
 
 
-def audit(db: sqlite3.Connection, who: str, what: str, message: str | None, detail: str = "") -> None:
-    """Write a line of the audit trail, in the transaction of the change that it tells."""
+def append_audit(db: sqlite3.Connection, who: str, what: str, message: str | None, detail: str = "") -> None:
+    """Append a line to the audit trail, in the transaction of the change that it records."""
     db.execute(
         "INSERT INTO audit (at, who, what, message, detail) VALUES (?,?,?,?,?)",
         (time.time(), who, what, message, detail),
--- a/juniperward/dead_letters/schema.py
+++ b/juniperward/dead_letters/schema.py
@@ -1,4 +1,4 @@
-"""The schema of the dead letter store, as the steps that lead from each version to the next.
+"""The schema of the dead letter store, as the migrations from each version to the next.
 
 A step that was released is never changed: the version of a file is the number of steps that it has taken.
 """
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -1,4 +1,4 @@
-"""The values that the dead letter store is asked with, and the leases that it gives."""
+"""The values that the dead letter store is queried with, and the leases that it gives."""
 
 from __future__ import annotations
 
@@ -13,53 +13,60 @@
     offset: int
 
 
+class Position(NamedTuple):
+    """A place in the order of messages; a page begins behind it."""
+
+    given_up_at: float  # Unix time
+    id: str
+
+
+BEFORE_ALL = Position(-1.0, "")
+
+
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right to one redrive of a message; it is durable before anything is handed in."""
+    """The right to one redrive of a message; it is durable before anything is submitted."""
 
     redrive_id: str
     message: str
     fence: int
     forwarder: str
     leased_at: float  # Unix time; the store's column is `claimed_at`
-    ran_at: float | None
+    executed_at: float | None  # when the message first may have executed; None: never
 
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """Which messages are meant; None takes all."""
+    """Which messages are selected; None (and no ids) selects all. Times are Unix time."""
 
     ids: tuple[str, ...] = ()
-    stand: str | None = None
+    status: str | None = None
     destination: int | None = None
-    cls: str | None = None
+    class_name: str | None = None
     account: str | None = None
-    key: str | None = None
+    idempotency_key: str | None = None
     since: float | None = None  # given up at or after
-    until: float | None = None
-    wished: bool | None = None
-    ran_since: float | None = None  # first may have run at or after
+    until: float | None = None  # given up before
+    redrive_requested: bool | None = None
+    executed_since: float | None = None  # first may have executed at or after
 
     def sql(self) -> tuple[str, list[Any]]:
-        """Return a condition and its values."""
-        parts: list[str] = []
-        values: list[Any] = []
+        """Return a condition in the store's column names, and its values."""
+        conditions = (
+            ("stand = ?", self.status),
+            ("destination = ?", self.destination),
+            ("cls = ?", self.class_name),
+            ("account = ?", self.account),
+            ("key = ?", self.idempotency_key),
+            ("given_up_at >= ?", self.since),
+            ("given_up_at < ?", self.until),
+            ("ran_at >= ?", self.executed_since),
+        )
+        parts = [condition for condition, value in conditions if value is not None]
+        values: list[Any] = [value for _, value in conditions if value is not None]
         if self.ids:
             parts.append(f"id IN ({','.join('?' * len(self.ids))})")
             values += self.ids
-        for name in ("stand", "destination", "cls", "account", "key"):
-            if (value := getattr(self, name)) is not None:
-                parts.append(f"{name} = ?")
-                values.append(value)
-        if self.since is not None:
-            parts.append("given_up_at >= ?")
-            values.append(self.since)
-        if self.until is not None:
-            parts.append("given_up_at < ?")
-            values.append(self.until)
-        if self.ran_since is not None:
-            parts.append("ran_at >= ?")
-            values.append(self.ran_since)
-        if self.wished is not None:
-            parts.append("wished IS NOT NULL" if self.wished else "wished IS NULL")
+        if self.redrive_requested is not None:
+            parts.append("wished IS NOT NULL" if self.redrive_requested else "wished IS NULL")
         return " AND ".join(parts) or "1", values
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import replace
 
 from juniperward.control.protocol import RedriveOutcomeRow, RedriveOutcomes
-from juniperward.dead_letters.spool import RedriveOutcome, Spool, SpooledAttempt, SpooledMessage
+from juniperward.dead_letters.outcome import RedriveOutcome
+from juniperward.dead_letters.spool import Spool
+from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log
@@ -28,7 +29,7 @@
     def store(self, effect: StoreDeadLetter) -> None:
         """Write a message that is given up to the spool."""
         try:
-            self.spool.keep(self._dead_letter(effect))
+            self.spool.append(self._dead_letter(effect))
             increment("dead_letters_stored")
         except OSError as error:
             increment("dead_letters_failed")
@@ -52,7 +53,7 @@
             effect.received_at + self._to_unix,
             effect.given_up_at + self._to_unix,
             attempts,
-            message_class.idempotency.value,
+            message_class.idempotency,
             message_class.deduplication_window_s,
             effect.endpoints,
         )
@@ -61,17 +62,19 @@
         """Write down what became of a redrive."""
         executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
         try:
-            self.spool.remember(effect.id, RedriveOutcome(effect.outcome, executed_at))
+            self.spool.outcomes.record(effect.id, RedriveOutcome(effect.outcome, executed_at))
         except OSError as error:
             increment("dead_letters_failed")
             log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
-            self.spool.complete_since = math.inf  # nothing may be concluded from its absence
+            self.spool.outcomes.mark_incomplete()
 
     def redrive_outcomes(self, known: RedriveOutcomes) -> RedriveOutcomes:
         """Return the reducer's answer with what the spool remembers: what is over the reducer does not know."""
         rows = []
         for row in known.outcomes:
-            stored = self.spool.outcomes.get(row.id)
-            rows.append(RedriveOutcomeRow(row.id, stored.end, stored.ran_at) if stored is not None else row)
-        since = min(self.spool.complete_since, LARGEST_UNIX_TIME)
+            outcome = self.spool.outcomes.get(row.id)
+            if outcome is not None:
+                row = RedriveOutcomeRow(row.id, outcome.result, outcome.executed_at)
+            rows.append(row)
+        since = min(self.spool.outcomes.complete_since, LARGEST_UNIX_TIME)
         return replace(known, complete_since=since, outcomes=tuple(rows))
--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -5,18 +5,17 @@
 import json
 import re
 from collections.abc import Sequence
-from dataclasses import fields
 from pathlib import Path
 from typing import Any
 
-from juniperward.dead_letters.redriver import RedriveRules
+from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.fleet.model import RestartPolicy, RollRules, Timeouts
 from juniperward.settings import fleet_pb2
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import lines
-from juniperward.settings.redrive_checker import redrive_rules
-from juniperward.settings.rule_keys import field_values, key_of
+from juniperward.settings.redrive_checker import redrive_settings
+from juniperward.settings.rule_keys import field_values
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,31}")
 NAME_NEEDED = "1 to 32 letters, digits, '-' and '_' are needed"
@@ -82,7 +81,7 @@
             logs.bytes if logs.HasField("bytes") else DEFAULT_LOG_BYTES,
             logs.keep if logs.HasField("keep") else DEFAULT_LOG_FILES_RETAINED,
             logs.json if logs.HasField("json") else None,
-            self._redrive_rules(),
+            self._redrive_settings(),
         )
         if self._faults:
             raise SettingsError(self._faults)
@@ -90,23 +89,22 @@
 
     # --- parts ---------------------------------------------------------------------------------------------
 
-    def numbers(self, field: str, given: Any, kind: type[Any], only_numbers: bool = False) -> dict[str, Any]:
-        """Return the set fields of a part, each within its bounds; `only_numbers` passes over the others."""
-        known = {key_of(kind, known_field.name) for known_field in fields(kind)}
+    def numbers(self, field: str, given: Any) -> dict[str, Any]:
+        """Return the set numbers of a part by key, each checked against its bounds."""
         found: dict[str, Any] = {}
         for descriptor, value in given.ListFields():
-            name = descriptor.name
-            if only_numbers and (not isinstance(value, int | float) or isinstance(value, bool)):
+            is_number = isinstance(value, int | float) and not isinstance(value, bool)
+            if not is_number:
                 continue
-            if wrong := _out_of_bounds(name, value):
-                self.fault(f"{field}.{name}", wrong)
-            assert only_numbers or name in known, name
-            found[name] = value
+            wrong = _out_of_bounds(descriptor.name, value)
+            if wrong:
+                self.fault(f"{field}.{descriptor.name}", wrong)
+            found[descriptor.name] = value
         return found
 
     def _rules(self, part: str, given: Any, kind: type[Any]) -> dict[str, Any]:
         """Return the set fields of a part of the file by the fields' names of `kind`."""
-        return field_values(kind, self.numbers(part, given, kind))
+        return field_values(kind, self.numbers(part, given))
 
     def _roll(self, instances: Sequence[InstanceSettings]) -> RollRules:
         given = self._message.roll
@@ -123,9 +121,9 @@
         part: fleet_pb2.Kept = self._message.kept
         return part
 
-    def _redrive_rules(self) -> RedriveRules | None:
+    def _redrive_settings(self) -> RedriveSettings | None:
         given = self._dead_letter_message()
-        return redrive_rules(self, given, self._deadlines()) if given.on else None
+        return redrive_settings(self, given, self._deadlines()) if given.on else None
 
     def _deadlines(self) -> dict[str, float]:
         """Return each class's time in seconds, over all base files."""
--- a/juniperward/settings/fleet_settings.py
+++ b/juniperward/settings/fleet_settings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.dead_letters.redriver import RedriveRules
+from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.fleet.model import RestartPolicy, RollRules, Timeouts
 
 
@@ -37,4 +37,4 @@
     log_bytes: int
     log_keep: int
     log_json: bool | None
-    redrive: RedriveRules | None = None  # None: dead letters are off
+    redrive: RedriveSettings | None = None  # None: dead letters are off
--- a/juniperward/settings/redrive_checker.py
+++ b/juniperward/settings/redrive_checker.py
@@ -1,4 +1,4 @@
-"""Checks the part of a settings file that says how dead letters are sent again."""
+"""Checks the `kept` part of a settings file, and maps its keys to the fields of `RedriveSettings`."""
 
 from __future__ import annotations
 
@@ -6,44 +6,59 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
 
-from juniperward.dead_letters.decisions import PaceRules, Rule
-from juniperward.dead_letters.redriver import RedriveRules
-
-HOURS_A_DAY = 24
-SECONDS_A_DAY = 86400.0
-DEFAULT_MAX_DAYS = 30.0
-SELECTORS = frozenset({"destination", "class", "account", "name"})
+from juniperward.dead_letters.redrive_rate import RedriveRateLimits
+from juniperward.dead_letters.redrive_rules import HOURS_A_DAY, Rule
+from juniperward.dead_letters.redrive_settings import DEFAULT_MAX_AGE_S, SECONDS_A_DAY, RedriveSettings
+
+RATE_KEYS = {  # of `kept.pace`, and the fields of RedriveRateLimits
+    "first": "initial_per_s",
+    "step": "increase_per_s",
+    "cut": "decrease_factor",
+    "most": "max_per_s",
+    "share_of_rate": "fraction_of_rate_limit",
+    "share_of_slots": "fraction_of_slots",
+}
+RULE_KEYS = {  # of `kept.rule`, and the fields of Rule; repeated ones are read by themselves
+    "least_age": "min_age_s",
+    "most_age": "max_age_s",
+    "most_resends": "max_redrives",
+    "from_hour": "from_hour",
+    "to_hour": "to_hour",
+}
 
 
 class Checker(Protocol):
-    """What gathers the faults of the whole file."""
+    """What collects the faults of the complete file."""
 
     def fault(self, field: str, text: str) -> None:
-        """Note a fault at a field."""
+        """Record a fault at a field."""
 
     def check_name(self, field: str, name: str) -> bool:
-        """Note a fault for a text that is no name; return whether it is one."""
+        """Record a fault for a text that is no name; return whether it is one."""
 
-    def numbers(self, field: str, given: Any, kind: type[Any], only_numbers: bool = False) -> dict[str, Any]:
-        """Return the set numbers of a part, each within its bounds."""
+    def numbers(self, field: str, given: Any) -> dict[str, Any]:
+        """Return the set numbers of a part by key, each checked against its bounds."""
 
 
-def redrive_rules(checker: Checker, given: Any, deadlines_s: Mapping[str, float]) -> RedriveRules:
-    """Return the rules; `deadlines_s` are the times of the classes, which a redrive never goes beyond."""
-    checker.numbers("kept", given, RedriveRules, only_numbers=True)
-    pace = PaceRules(**checker.numbers("kept.pace", given.pace, PaceRules))
+def redrive_settings(checker: Checker, given: Any, deadlines_s: Mapping[str, float]) -> RedriveSettings:
+    """Return the settings; `deadlines_s` are the deadlines of the classes, which no redrive goes beyond."""
+    numbers = checker.numbers("kept", given)
+    rate = checker.numbers("kept.pace", given.pace)
     rules = tuple(_rule(checker, number, rule) for number, rule in enumerate(given.rule))
     _check_names(checker, [rule.name for rule in rules])
-    defaults, set_fields = RedriveRules(), _set_fields(given)
-    time_left_s = {name: min(set_fields.get("time_left", own), own) for name, own in deadlines_s.items()}
-    return RedriveRules(
-        rules,
-        pace,
-        set_fields.get("allowance", defaults.allowance),
-        time_left_s,
-        set_fields.get("most_days", DEFAULT_MAX_DAYS) * SECONDS_A_DAY,
-        set_fields.get("most", defaults.most),
-        set_fields.get("most_bytes", defaults.most_bytes),
+    defaults = RedriveSettings()
+    max_days = numbers.get("most_days", DEFAULT_MAX_AGE_S / SECONDS_A_DAY)
+    return RedriveSettings(
+        rules=rules,
+        rate_limits=RedriveRateLimits(**{RATE_KEYS[key]: value for key, value in rate.items()}),
+        clock_allowance_s=numbers.get("allowance", defaults.clock_allowance_s),
+        time_left_s={
+            name: min(numbers.get("time_left", deadline_s), deadline_s)
+            for name, deadline_s in deadlines_s.items()
+        },
+        max_age_s=max_days * SECONDS_A_DAY,
+        max_messages=numbers.get("most", defaults.max_messages),
+        max_bytes=numbers.get("most_bytes", defaults.max_bytes),
     )
 
 
@@ -56,18 +71,17 @@
 
 def _rule(checker: Checker, number: int, given: Any) -> Rule:
     place = f"kept.rule[{number}]"
-    set_fields = _set_fields(given)
-    for name in ("from_hour", "to_hour"):
-        if not 0 <= set_fields.get(name, 0) <= HOURS_A_DAY:
-            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY}, not {set_fields[name]:g}"
-            checker.fault(f"{place}.{name}", why)
-    if set_fields.get("least_age", 0) > set_fields.get("most_age", math.inf):
+    values = {descriptor.name: value for descriptor, value in given.ListFields()}
+    for key in ("from_hour", "to_hour"):
+        if not 0 <= values.get(key, 0) <= HOURS_A_DAY:
+            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY:g}, not {values[key]:g}"
+            checker.fault(f"{place}.{key}", why)
+    if values.get("least_age", 0) > values.get("most_age", math.inf):
         checker.fault(f"{place}.most_age", "below least_age: no message is ever of such an age")
-    plain = {name: value for name, value in set_fields.items() if name not in SELECTORS}
-    classes = frozenset(getattr(given, "class"))
-    return Rule(given.name, frozenset(given.destination), classes, frozenset(given.account), **plain)
-
-
-def _set_fields(given: Any) -> dict[str, Any]:
-    """Return the fields of a message that the file sets."""
-    return {descriptor.name: value for descriptor, value in given.ListFields()}
+    return Rule(
+        given.name,
+        frozenset(given.destination),
+        frozenset(getattr(given, "class")),
+        frozenset(given.account),
+        **{field: values[key] for key, field in RULE_KEYS.items() if key in values},
+    )
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -16,14 +16,13 @@
 
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
-from juniperward.dead_letters.decisions import Clock
-from juniperward.dead_letters.spool import (
-    RedriveOutcome,
-    Spool,
-    SpooledAttempt,
-    SpooledMessage,
-    acknowledge_segment,
-)
+from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.outcome import RedriveOutcome
+from juniperward.dead_letters.selection import SpoolPosition
+from juniperward.dead_letters.spool import Spool
+from juniperward.dead_letters.spool_files import acknowledge_segment
+from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Crashes, DesiredState, Instance, Process, RollRules
 from juniperward.fleet.roll_model import Roll, RollMode, RollStage, RollStep
@@ -36,6 +35,7 @@
     CompletedRecord,
     OutcomeDecidedRecord,
 )
+from juniperward.scheduler.settings import Idempotency
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import load
 
@@ -79,26 +79,26 @@
     (folder / "clock").write_text(json.dumps([BOOT_ID, WRITTEN_AT]), encoding="ascii")
 
 
-def undelivered(name: str, effect: str, may_have_run: bool) -> SpooledMessage:
+def undelivered(name: str, idempotency: Idempotency, may_have_run: bool) -> SpooledMessage:
     """A message that was given up."""
     attempts = (SpooledAttempt("s-1", WRITTEN_AT - 5.0, "timeout" if may_have_run else "full", may_have_run),)
     return SpooledMessage(
         name, "booking", "acme", 7, f"key-{name}", bytes(range(256)), WRITTEN_AT - 20.0, WRITTEN_AT, attempts,
-        effect, 12.0, ("s-1", "s-2"),
+        idempotency, 12.0, ("s-1", "s-2"),
     )  # fmt: skip
 
 
 def write_spool(folder: Path) -> None:
     """Two segments, the first acknowledged; the ends of resends; a damaged line and a torn tail."""
-    with mock.patch("juniperward.dead_letters.spool.time.time", return_value=WRITTEN_AT):
+    with mock.patch("juniperward.dead_letters.outcome_log.time.time", return_value=WRITTEN_AT):
         spool = Spool(folder, 1_000_000)
-        spool.keep(undelivered("m-repeatable", "repeatable", True))
-        spool.keep(undelivered("m-by-key", "by_key", True))
-        spool._next()
-        spool.keep(undelivered("m-once", "once", False))
-        spool.remember("kept-a-1", RedriveOutcome("delivered", WRITTEN_AT - 4.0))
-        spool.remember("kept-b-1", RedriveOutcome("undeliverable", None))
-        spool.remember("kept-c-2", RedriveOutcome("deferred", WRITTEN_AT - 3.0))
+        spool.append(undelivered("m-repeatable", Idempotency.IDEMPOTENT, True))
+        spool.append(undelivered("m-by-key", Idempotency.IDEMPOTENCY_KEY, True))
+        spool.begin_segment()
+        spool.append(undelivered("m-once", Idempotency.NON_IDEMPOTENT, False))
+        spool.outcomes.record("kept-a-1", RedriveOutcome("delivered", WRITTEN_AT - 4.0))
+        spool.outcomes.record("kept-b-1", RedriveOutcome("undeliverable", None))
+        spool.outcomes.record("kept-c-2", RedriveOutcome("deferred", WRITTEN_AT - 3.0))
         spool.close()
     acknowledge_segment(folder, 1)
     with (folder / "00000002.kept").open("ab") as file:
@@ -114,17 +114,19 @@
     with mock.patch("juniperward.dead_letters.rows.time.time", return_value=WRITTEN_AT):
         store = DeadLetterStore(folder / "store.db", "OFF")
         names = ("waiting", "wished", "claimed", "delivered", "deferred", "discarded", "settled")
-        messages = [undelivered(f"m-{name}", "by_key", name != "waiting") for name in names]
-        store.take_in("n1", messages, 2, 345)
-        store.wish(["m-wished"], "anna", partner_sure=True)
+        messages = [
+            undelivered(f"m-{name}", Idempotency.IDEMPOTENCY_KEY, name != "waiting") for name in names
+        ]
+        store.add("n1", messages, SpoolPosition(2, 345))
+        store.request_redrive(["m-wished"], "anna", destination_confirmed=True)
         store.acquire_lease("m-claimed", None, "n1", WRITTEN_AT + 1.0, "rule")
         for name, end in (("delivered", "delivered"), ("deferred", "deferred")):
             lease = store.acquire_lease(f"m-{name}", None, "n1", WRITTEN_AT + 2.0, "anna")
             store.settle_redrive(lease, end, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
         store.discard(["m-discarded"], "anna")
         store.acquire_lease("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
-        store.settle("m-settled", True, "anna", "seen at the partner", WRITTEN_AT + 9.0)
-        store.see(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
+        store.settle("m-settled", Statement(True, "anna", "seen at the partner"), WRITTEN_AT + 9.0)
+        store.record_clock(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
         store.close()
     with sqlite3.connect(folder / "store.db") as db:  # one file, without the write-ahead log beside it
         db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -17,8 +17,9 @@
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
 from juniperward.cli.shared import console
-from juniperward.dead_letters.decisions import Rule
-from juniperward.dead_letters.redriver import RedriveRules
+from juniperward.dead_letters.redrive_rules import Rule
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.selection import SpoolPosition
 from juniperward.settings.load import load
 from tests.test_dead_letter_store import kept
 from tests.test_settings import GOOD
@@ -35,8 +36,8 @@
         fleet = load(self.file)
         fleet.folder.mkdir(mode=0o700)
         self.api = api.Api(fleet.socket, Loop(fleet, StateStore(fleet.folder), 1), lambda: {}, lambda _: None)
-        rules = RedriveRules((Rule("seven", frozenset({7})),))
-        self.service = DeadLetterService(fleet.folder, rules, list, dict)
+        redrive = RedriveSettings((Rule("seven", frozenset({7})),))
+        self.service = DeadLetterService(fleet.folder, redrive, list, dict)
         self.addCleanup(self.service.store.close)
         self.api.serve_dead_letters(self.service)
         self.api.start()
@@ -44,7 +45,7 @@
         messages = [
             kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
         ]
-        self.service.store.take_in("n0", messages, 1, 1)
+        self.service.store.add("n0", messages, SpoolPosition(1, 1))
         self.service.fleet.notified["n0"] = NotifiedDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
 
     def run_tool(self, *words: object, code: int = 0) -> Result:
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -11,20 +11,21 @@
 from pathlib import Path
 from unittest import mock
 
+from juniperward.dead_letters import outcome_log
 from juniperward.dead_letters import spool as spools
-from juniperward.dead_letters.decisions import Clock, Status
+from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.dead_letter import Status
+from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.outcome import RedriveOutcome
+from juniperward.dead_letters.retention import Limits
 from juniperward.dead_letters.schema import MIGRATIONS, statements
-from juniperward.dead_letters.spool import (
-    RedriveOutcome,
-    Spool,
-    SpooledAttempt,
-    SpooledMessage,
-    SpoolFullError,
-    acknowledge_segment,
-    read,
-    segments,
-)
-from juniperward.dead_letters.store import DeadLetterStore, Filter, LeaseLostError, StoreError
+from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position, SpoolPosition
+from juniperward.dead_letters.spool import Spool, SpoolFullError
+from juniperward.dead_letters.spool_files import acknowledge_segment, read, segments
+from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
+from juniperward.dead_letters.store import DeadLetterStore
+from juniperward.dead_letters.store_errors import LeaseLostError, StoreError
+from juniperward.scheduler.settings import Idempotency
 
 
 def kept(
@@ -36,7 +37,18 @@
         else (SpooledAttempt("s-1", at, "full", False),)
     )
     return SpooledMessage(
-        name, "c", "acme", destination, f"k{name}", body, at - 20.0, at, attempts, "by_key", 12.0, ("s-1",)
+        name,
+        "c",
+        "acme",
+        destination,
+        f"k{name}",
+        body,
+        at - 20.0,
+        at,
+        attempts,
+        Idempotency.IDEMPOTENCY_KEY,
+        12.0,
+        ("s-1",),
     )
 
 
@@ -67,14 +79,14 @@
 
     def test_messages_come_back_whole(self) -> None:
         one = kept("a", ran=995.0, body=bytes(range(256)))
-        self.spool().keep(one)
+        self.spool().append(one)
         ((found, _),) = read(segments(self.folder)[0][1], 0)
         self.assertEqual(found, one)
 
     def test_a_tail_torn_at_any_byte_loses_only_its_message(self) -> None:
         mine = self.spool()
         for name in "abc":
-            mine.keep(kept(name))
+            mine.append(kept(name))
         path = segments(self.folder)[0][1]
         whole = path.read_bytes()
         start = whole.rindex(b"\n", 0, -1) + 1
@@ -82,14 +94,14 @@
             path.write_bytes(whole[:length])
             self.assertEqual(self.messages(), ["a", "b"])
             # The next life does not write behind the torn end.
-            Spool(self.folder, 1_000_000).keep(kept("d"))
+            Spool(self.folder, 1_000_000).append(kept("d"))
             self.assertEqual(self.messages(), ["a", "b", "d"])
             segments(self.folder)[-1][1].unlink()
 
     def test_a_damaged_line_is_left_out_and_said(self) -> None:
         mine = self.spool()
         for name in "abc":
-            mine.keep(kept(name))
+            mine.append(kept(name))
         path = segments(self.folder)[0][1]
         lines = path.read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b"acme", b"acmf")
@@ -97,15 +109,15 @@
         self.assertEqual([k.id if k is not None else None for k, _ in read(path, 0)], ["a", None, "c"])
 
     def test_one_that_an_earlier_life_kept_is_not_kept_twice(self) -> None:
-        self.spool().keep(kept("a"))
+        self.spool().append(kept("a"))
         again = self.spool()
         self.assertEqual(again.ids, {"a"})
-        again.keep(kept("a"))
+        again.append(kept("a"))
         self.assertEqual(self.messages(), ["a"])
 
     def test_acknowledged_segments_go_only_after_their_ids_were_read(self) -> None:
-        self.spool().keep(kept("a"))
-        self.spool().keep(kept("b"))
+        self.spool().append(kept("a"))
+        self.spool().append(kept("b"))
         acknowledge_segment(self.folder, 1)
         third = self.spool()
         self.assertEqual(third.ids, {"a", "b"})
@@ -113,9 +125,9 @@
 
     def test_a_full_spool_and_a_full_disk_keep_nothing_of_a_message(self) -> None:
         mine = self.spool(2000)
-        mine.keep(kept("a"))
+        mine.append(kept("a"))
         with self.assertRaises(SpoolFullError):
-            mine.keep(kept("b", body=b"x" * 3000))
+            mine.append(kept("b", body=b"x" * 3000))
         part = iter([5])
 
         def torn(file: int, data: memoryview) -> int:
@@ -126,34 +138,34 @@
 
         real = os.write
         with mock.patch("os.write", torn), self.assertRaises(OSError):
-            mine.keep(kept("c"))
-        mine.keep(kept("d"))
+            mine.append(kept("c"))
+        mine.append(kept("d"))
         self.assertEqual(self.messages(), ["a", "d"])
 
     def test_room_comes_back_when_the_agent_has_taken_in(self) -> None:
         with mock.patch.object(spools, "SEGMENT_BYTES", 100):
             mine = self.spool(1000)
-            mine.keep(kept("a"))
-            mine.keep(kept("b"))
-            mine.keep(kept("c"))
+            mine.append(kept("a"))
+            mine.append(kept("b"))
+            mine.append(kept("c"))
             with self.assertRaises(SpoolFullError):
-                mine.keep(kept("d"))
+                mine.append(kept("d"))
             acknowledge_segment(self.folder, 2)
-            mine.keep(kept("d"))
+            mine.append(kept("d"))
         self.assertEqual(self.messages(), ["c", "d"])
 
     def test_fates_outlast_the_process_and_the_first_one_stays(self) -> None:
         mine = self.spool()
-        mine.remember("kept-a-1", RedriveOutcome("delivered", 5.0))
-        mine.remember("kept-a-1", RedriveOutcome("undeliverable"))
-        since = mine.complete_since
+        mine.outcomes.record("kept-a-1", RedriveOutcome("delivered", 5.0))
+        mine.outcomes.record("kept-a-1", RedriveOutcome("undeliverable"))
+        since = mine.outcomes.complete_since
         again = self.spool()
         self.assertEqual(again.outcomes, {"kept-a-1": RedriveOutcome("delivered", 5.0)})
-        self.assertEqual(again.complete_since, since)
-        with mock.patch.object(spools, "MAX_OUTCOMES", 2):
+        self.assertEqual(again.outcomes.complete_since, since)
+        with mock.patch.object(outcome_log, "MAX_OUTCOMES", 2):
             for n in range(3):
-                again.remember(f"kept-b-{n}", RedriveOutcome("delivered"))
-        self.assertGreater(again.complete_since, since)
+                again.outcomes.record(f"kept-b-{n}", RedriveOutcome("delivered"))
+        self.assertGreater(again.outcomes.complete_since, since)
         self.assertNotIn("kept-a-1", self.spool().outcomes)
 
 
@@ -166,14 +178,16 @@
         self.addCleanup(self.store.close)
 
     def fill(self, count: int) -> None:
-        self.store.take_in("n0", [kept(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], 1, 10)
+        self.store.add("n0", [kept(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10))
 
     def test_a_spool_taken_in_twice_says_the_same(self) -> None:
         messages = [kept("a"), kept("b", ran=995.0)]
-        self.assertEqual(self.store.take_in("n0", messages, 1, 50), 2)
-        self.assertEqual(self.store.take_in("n0", messages, 1, 50), 0)
-        self.assertEqual(self.store.place("n0"), (1, 50))
-        self.assertEqual([(f.id, f.ran_at) for f in self.store.facts(Filter())], [("a", None), ("b", 995.0)])
+        self.assertEqual(self.store.add("n0", messages, SpoolPosition(1, 50)), 2)
+        self.assertEqual(self.store.add("n0", messages, SpoolPosition(1, 50)), 0)
+        self.assertEqual(self.store.spool_position("n0"), (1, 50))
+        self.assertEqual(
+            [(f.id, f.executed_at) for f in self.store.select(Filter())], [("a", None), ("b", 995.0)]
+        )
 
     def test_two_processes_and_a_rule_claim_each_message_once(self) -> None:
         self.fill(200)
@@ -207,22 +221,22 @@
         with self.assertRaises(LeaseLostError):
             self.store.settle_redrive(lease, "delivered", None, 4.0)  # an old lease says nothing any more
         self.store.settle_redrive(again, "undeliverable", 3.5, 4.0)
-        (facts,) = self.store.facts(Filter())
-        self.assertEqual((facts.stand, facts.ran_at, facts.resends), (Status.STORED, 3.5, 1))
+        (facts,) = self.store.select(Filter())
+        self.assertEqual((facts.status, facts.executed_at, facts.redrives), (Status.STORED, 3.5, 1))
 
     def test_people_settle_discard_and_undo_and_all_is_written_down(self) -> None:
         self.fill(3)
         lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        self.store.settle("m0", True, "ann", "the partner has it", 2.0)
+        self.store.settle("m0", Statement(True, "ann", "the partner has it"), 2.0)
         with self.assertRaises(LeaseLostError):
             self.store.settle_redrive(lease, "undeliverable", None, 3.0)
         with self.assertRaises(LeaseLostError):
-            self.store.settle("m0", False, "bob", "no", 3.0)
-        self.assertEqual(self.store.wish(["m1", "m0", "none"], "ann"), 1)
-        self.assertEqual(self.store.wish(["m1"], "bob"), 0)
+            self.store.settle("m0", Statement(False, "bob", "no"), 3.0)
+        self.assertEqual(self.store.request_redrive(["m1", "m0", "none"], "ann"), 1)
+        self.assertEqual(self.store.request_redrive(["m1"], "bob"), 0)
         self.assertEqual(self.store.discard(["m1", "m2"], "bob"), 2)
         self.assertEqual(self.store.undo(["m1", "m0"], "bob"), 1)
-        self.assertEqual(self.store.body("m1", "cy"), b"x")
+        self.assertEqual(self.store.show_body("m1", "cy"), b"x")
         said = [(a["who"], a["what"], a["message"]) for a in self.store.audit()]
         self.assertIn(("ann", "settled: delivered", "m0"), said)
         self.assertIn(("cy", "showed the body", "m1"), said)
@@ -238,22 +252,24 @@
     def test_pages_and_filters(self) -> None:
         self.fill(25)
         seen: list[str] = []
-        after = (-1.0, "")
-        while page := self.store.facts(Filter(destination=2), 2, after):
+        after = BEFORE_ALL
+        while page := self.store.select(Filter(destination=2), 2, after):
             seen += [f.id for f in page]
-            after = (page[-1].given_up_at, page[-1].id)
+            after = Position(page[-1].given_up_at, page[-1].id)
         self.assertEqual(seen, ["m2", "m7", "m12", "m17", "m22"])
-        self.assertEqual(len(self.store.facts(Filter(since=1010.0, until=1012.0))), 2)
-        self.assertEqual(len(self.store.facts(Filter(key="km3", account="acme", stand="kept"))), 1)
+        self.assertEqual(len(self.store.select(Filter(since=1010.0, until=1012.0))), 2)
+        self.assertEqual(
+            len(self.store.select(Filter(idempotency_key="km3", account="acme", status="kept"))), 1
+        )
         self.assertEqual(self.store.destinations(), {n: 5 for n in range(5)})
 
     def test_retention_drops_the_oldest_and_tells(self) -> None:
         self.fill(10)
         self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        self.assertEqual(self.store.sweep(1010.0, 5.5, 100, 10**9), 4)  # m1 to m4; m0 is under way
-        self.assertEqual(self.store.sweep(1010.0, 1e9, 4, 10**9), 2)
-        self.assertEqual(self.store.sweep(1010.0, 1e9, 100, 1100), 2)
-        self.assertEqual({f.id for f in self.store.facts(Filter())}, {"m0", "m9"})
+        self.assertEqual(self.store.sweep(1010.0, Limits(5.5, 100, 10**9)), 4)  # m1 to m4; m0 is under way
+        self.assertEqual(self.store.sweep(1010.0, Limits(1e9, 4, 10**9)), 2)
+        self.assertEqual(self.store.sweep(1010.0, Limits(1e9, 100, 1100)), 2)
+        self.assertEqual({f.id for f in self.store.select(Filter())}, {"m0", "m9"})
         told = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
         self.assertEqual(len(told), 8)
         self.assertIn("kept; for its age", told)
@@ -269,8 +285,8 @@
         )
         db.commit()
         db.close()
-        (facts,) = DeadLetterStore(old).facts(Filter())
-        self.assertEqual((facts.id, facts.wished), ("a", False))
+        (facts,) = DeadLetterStore(old).select(Filter())
+        self.assertEqual((facts.id, facts.redrive_requested), ("a", False))
         self.store.db.execute("PRAGMA user_version=99")
         with self.assertRaisesRegex(StoreError, "schema 99"):
             DeadLetterStore(self.file)
@@ -279,7 +295,7 @@
         self.fill(500)
         copy = self.file.parent / "copy.db"
         self.store.backup(copy)
-        self.assertEqual(len(DeadLetterStore(copy).facts(Filter())), 500)
+        self.assertEqual(len(DeadLetterStore(copy).select(Filter())), 500)
         self.assertEqual(self.store.check(), [])
         self.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         self.store.close()
@@ -292,15 +308,15 @@
 
     def test_a_disk_that_fills_amid_a_change_takes_none_of_it(self) -> None:
         self.fill(5)
-        with self.assertRaises(sqlite3.OperationalError), self.store.change() as db:
+        with self.assertRaises(sqlite3.OperationalError), self.store.transaction() as db:
             db.execute("UPDATE message SET wished = 'x'")
             raise sqlite3.OperationalError("database or disk is full")
-        self.assertEqual(self.store.facts(Filter(wished=True)), [])
+        self.assertEqual(self.store.select(Filter(redrive_requested=True)), [])
 
     def test_moments_are_remembered_and_threads_have_their_own_connections(self) -> None:
-        self.store.see(Clock(5.0, 6.0, "b"))
-        self.store.see(Clock(float("inf"), 7.0, "b"))
-        self.assertEqual(self.store.seen(), Clock(5.0, 6.0, "b"))
+        self.store.record_clock(Clock(5.0, 6.0, "b"))
+        self.store.record_clock(Clock(float("inf"), 7.0, "b"))
+        self.assertEqual(self.store.recorded_clock(), Clock(5.0, 6.0, "b"))
         found: list[object] = []
         thread = threading.Thread(target=lambda: found.append(self.store.stats()["messages"]))
         thread.start()
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -14,7 +14,9 @@
 from juniperward.agent.client import AgentUnreachableError, request
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.control.protocol import RedriveOutcomes, Request, Verb
-from juniperward.dead_letters.spool import RedriveOutcome, Spool, read, segments
+from juniperward.dead_letters.outcome import RedriveOutcome
+from juniperward.dead_letters.spool import Spool
+from juniperward.dead_letters.spool_files import read, segments
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.records import SubmissionAnswered, Submitted
 from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
@@ -41,6 +43,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.scheduler.events import EndpointPhase, MessageAdmitted
 from juniperward.scheduler.events import PastAttempt as ModuleTried
+from juniperward.scheduler.settings import Idempotency
 from juniperward.settings import fleet_pb2
 from tests.helpers import KEYED, settings
 from tests.player import Player, Program
@@ -169,9 +172,10 @@
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
             )
             self.assertEqual(counters()["dead_letters_failed"], before + 1)
-            spool.remember("kept-a-1", RedriveOutcome("delivered"))
+            spool.outcomes.record("kept-a-1", RedriveOutcome("delivered"))
             self.assertEqual(
-                writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since, spool.complete_since
+                writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since,
+                spool.outcomes.complete_since,
             )
             spool.close()
             writer.record_redrive_outcome(RecordRedriveOutcome("kept-b-1", "delivered", None))
@@ -192,9 +196,10 @@
             player._signal("restart")
             found = [k for _, p in segments(Path(name) / "spool") for k, _ in read(p, 0)]
             self.assertEqual(
-                [(k.id, k.effect, k.account) for k in found if k is not None], [("m1", "once", "acme")]
+                [(k.id, k.idempotency, k.account) for k in found if k is not None],
+                [("m1", Idempotency.NON_IDEMPOTENT, "acme")],
             )
-            self.assertEqual([a.may_have_run for a in found[0].attempts] if found[0] else [], [True])
+            self.assertEqual([a.possibly_executed for a in found[0].attempts] if found[0] else [], [True])
             player.close()
             program.end()
 
--- a/tests/test_redrive_decisions.py
+++ b/tests/test_redrive_decisions.py
@@ -9,39 +9,38 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.dead_letters.decisions import (
-    LEAST_LEFT,
-    MARGIN,
-    Clock,
-    DeadLetter,
+from juniperward.dead_letters.clock import Clock, certain_now
+from juniperward.dead_letters.dead_letter import DeadLetter, Status
+from juniperward.dead_letters.redrive_rate import (
     DestinationView,
-    Pace,
-    PaceRules,
+    RedriveRate,
+    RedriveRateLimits,
+    adjust_rate,
+    max_in_flight,
+    spend,
+)
+from juniperward.dead_letters.redrive_rules import Rule, matches, requested_by
+from juniperward.dead_letters.redrive_safety import (
+    MIN_WINDOW_LEFT_S,
+    WINDOW_MARGIN_S,
     RedriveSafety,
-    Rule,
-    Status,
-    adjust_pace,
-    certain_now,
     judge_redrive,
-    matches,
-    may_have_out,
-    spend,
-    wanted_by,
 )
+from juniperward.scheduler.settings import Idempotency
 
 NOW = 1_000_000.0
 BASE = DeadLetter(
     "m",
     Status.STORED,
-    "by_key",
+    Idempotency.IDEMPOTENCY_KEY,
     12.0,
     None,
     7,
     "booking-update",
     "acme",
     NOW - 5.0,
-    workers=("s-1",),
-    key="k",
+    endpoints=("s-1",),
+    idempotency_key="k",
 )
 HERE = frozenset({"s-1", "s-2"})
 WELL = DestinationView("well", 0.0, False, 100.0, 0, 32)
@@ -49,28 +48,38 @@
 
 class JudgeTest(unittest.TestCase):
     def test_each_case(self) -> None:
-        ran = replace(BASE, ran_at=NOW - 4.0)
-        old = replace(BASE, ran_at=NOW - 20.0)
+        ran = replace(BASE, executed_at=NOW - 4.0)
+        old = replace(BASE, executed_at=NOW - 20.0)
         cases = [
             (BASE, RedriveSafety.SAFE, True, "no attempt"),
             (ran, RedriveSafety.IN_WINDOW, True, "dropped for"),
             (old, RedriveSafety.UNCERTAIN, False, "may not drop"),
-            (replace(ran, effect="once"), RedriveSafety.UNCERTAIN, False, "may not be repeated"),
-            (replace(ran, key=None), RedriveSafety.UNCERTAIN, False, "may not be repeated"),
-            (replace(old, effect="repeatable"), RedriveSafety.SAFE, True, "may be repeated"),
-            (replace(BASE, ran_at=NOW + 3600.0), RedriveSafety.UNCERTAIN, False, "has not reached"),
-            (replace(BASE, stand=Status.LEASED), RedriveSafety.SAFE, False, "is claimed"),
-            (replace(BASE, stand=Status.DISCARDED), RedriveSafety.SAFE, False, "is discarded"),
-            (replace(BASE, workers=("s-9",)), RedriveSafety.SAFE, False, "another partner"),
-            (replace(BASE, workers=("s-9",), partner_sure=True), RedriveSafety.SAFE, True, "no attempt"),
-            (replace(BASE, workers=()), RedriveSafety.SAFE, True, "no attempt"),
+            (
+                replace(ran, idempotency=Idempotency.NON_IDEMPOTENT),
+                RedriveSafety.UNCERTAIN,
+                False,
+                "may not be repeated",
+            ),
+            (replace(ran, idempotency_key=None), RedriveSafety.UNCERTAIN, False, "may not be repeated"),
+            (replace(old, idempotency=Idempotency.IDEMPOTENT), RedriveSafety.SAFE, True, "may be repeated"),
+            (replace(BASE, executed_at=NOW + 3600.0), RedriveSafety.UNCERTAIN, False, "has not reached"),
+            (replace(BASE, status=Status.LEASED), RedriveSafety.SAFE, False, "is claimed"),
+            (replace(BASE, status=Status.DISCARDED), RedriveSafety.SAFE, False, "is discarded"),
+            (replace(BASE, endpoints=("s-9",)), RedriveSafety.SAFE, False, "another destination"),
+            (
+                replace(BASE, endpoints=("s-9",), destination_confirmed=True),
+                RedriveSafety.SAFE,
+                True,
+                "no attempt",
+            ),
+            (replace(BASE, endpoints=()), RedriveSafety.SAFE, True, "no attempt"),
         ]
         for facts, kind, may, why in cases:
             with self.subTest(why=why):
                 j = judge_redrive(facts, NOW, HERE, 0.5)
                 self.assertEqual((j.kind, j.may_go), (kind, may), j)
                 self.assertIn(why, j.why)
-        self.assertIn("has no workers", judge_redrive(BASE, NOW, frozenset(), 0.5).why)
+        self.assertIn("has no endpoints", judge_redrive(BASE, NOW, frozenset(), 0.5).why)
         self.assertIn("no forwarder", judge_redrive(BASE, NOW, None, 0.5).why)
 
     @settings(derandomize=True, max_examples=500)
@@ -78,22 +87,22 @@
         st.floats(-30, 30),
         st.floats(0, 30),
         st.floats(0, 5),
-        st.sampled_from(["by_key", "once", "repeatable"]),
+        st.sampled_from(list(Idempotency)),
     )
     def test_no_repeat_outside_its_window(
-        self, ran: float, window: float, allowance: float, effect: str
+        self, ran: float, window: float, allowance: float, idempotency: Idempotency
     ) -> None:
-        facts = replace(BASE, ran_at=NOW + ran, window=window, effect=effect)
+        facts = replace(BASE, executed_at=NOW + ran, deduplication_window_s=window, idempotency=idempotency)
         j = judge_redrive(facts, NOW, HERE, allowance)
-        if j.may_go and effect != "repeatable":
-            self.assertEqual(effect, "by_key")
+        if j.may_go and idempotency is not Idempotency.IDEMPOTENT:
+            self.assertEqual(idempotency, Idempotency.IDEMPOTENCY_KEY)
             # Even where the clocks differ by all of the allowance, it is over inside the window.
-            self.assertLessEqual(j.until + allowance + MARGIN, NOW + ran + window + 1e-6)
-            self.assertGreaterEqual(j.until - NOW, LEAST_LEFT - 1e-6)
+            self.assertLessEqual(j.until + allowance + WINDOW_MARGIN_S, NOW + ran + window + 1e-6)
+            self.assertGreaterEqual(j.until - NOW, MIN_WINDOW_LEFT_S - 1e-6)
 
     def test_the_window_counts_from_the_first_that_may_have_run(self) -> None:
         self.assertAlmostEqual(
-            judge_redrive(replace(BASE, ran_at=NOW - 4.0), NOW, HERE, 0.5).until, NOW + 8.0 - 0.75
+            judge_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until, NOW + 8.0 - 0.75
         )
 
 
@@ -105,14 +114,14 @@
         self.assertEqual(certain_now(Clock(NOW - 3600.0, 5.0, "b2"), seen), math.inf)
         self.assertEqual(certain_now(Clock(NOW + 60.0, 5.0, "b2"), seen), NOW + 60.0)
         self.assertEqual(certain_now(Clock(NOW, 5.0, "b2"), None), NOW)
-        ran = replace(BASE, ran_at=NOW - 1.0)
+        ran = replace(BASE, executed_at=NOW - 1.0)
         self.assertEqual(judge_redrive(ran, math.inf, HERE, 0.5).kind, RedriveSafety.UNCERTAIN)
         self.assertTrue(judge_redrive(BASE, math.inf, HERE, 0.5).may_go)
 
     def test_two_machines_that_differ_by_two_seconds(self) -> None:
         # The partner saw the attempt at NOW - 11.6; the clock here is two seconds behind. With an allowance of
         # two seconds nothing is sent that would arrive outside; with none it would be.
-        ran = replace(BASE, ran_at=NOW - 11.6)
+        ran = replace(BASE, executed_at=NOW - 11.6)
         self.assertFalse(judge_redrive(ran, NOW - 2.0, HERE, 2.0).may_go)
         self.assertTrue(judge_redrive(ran, NOW - 2.0, HERE, 0.0).may_go)
 
@@ -120,81 +129,92 @@
 class RulesTest(unittest.TestCase):
     def test_each_condition(self) -> None:
         noon = 12 * 3600.0
-        facts = replace(BASE, given_up_at=noon - 100.0, resends=1)
+        facts = replace(BASE, given_up_at=noon - 100.0, redrives=1)
         good = [
             Rule("r"), Rule("r", destinations=frozenset({7})), Rule("r", classes=frozenset({"booking-update"})),
-            Rule("r", accounts=frozenset({"acme"})), Rule("r", least_age=50.0, most_age=200.0),
-            Rule("r", most_resends=2), Rule("r", from_hour=11.0, to_hour=13.0),
+            Rule("r", accounts=frozenset({"acme"})), Rule("r", min_age_s=50.0, max_age_s=200.0),
+            Rule("r", max_redrives=2), Rule("r", from_hour=11.0, to_hour=13.0),
             Rule("r", from_hour=22.0, to_hour=13.0),
         ]  # fmt: skip
         bad = [
             Rule("r", destinations=frozenset({8})), Rule("r", classes=frozenset({"x"})),
-            Rule("r", accounts=frozenset({"x"})), Rule("r", least_age=200.0), Rule("r", most_age=50.0),
-            Rule("r", most_resends=1), Rule("r", from_hour=13.0, to_hour=15.0),
+            Rule("r", accounts=frozenset({"x"})), Rule("r", min_age_s=200.0), Rule("r", max_age_s=50.0),
+            Rule("r", max_redrives=1), Rule("r", from_hour=13.0, to_hour=15.0),
             Rule("r", from_hour=22.0, to_hour=6.0),
         ]  # fmt: skip
         for rule in good:
             self.assertTrue(matches(rule, facts, noon), rule)
         for rule in bad:
             self.assertFalse(matches(rule, facts, noon), rule)
-        self.assertEqual(wanted_by(facts, [*bad, Rule("last")], noon), "last")
-        self.assertEqual(wanted_by(facts, bad, noon), "")
-        self.assertEqual(wanted_by(replace(facts, wished=True), [], noon), "a person")
-
-
-class PaceTest(unittest.TestCase):
-    def run_pace(
-        self, sights: list[DestinationView], seconds: float, pace: Pace, now: float, refused: bool = False
-    ) -> Pace:
+        self.assertEqual(requested_by(facts, [*bad, Rule("last")], noon), "last")
+        self.assertEqual(requested_by(facts, bad, noon), "")
+        self.assertEqual(requested_by(replace(facts, redrive_requested=True), [], noon), "a person")
+
+
+class RedriveRateTest(unittest.TestCase):
+    def run_rate(
+        self,
+        views: list[DestinationView],
+        seconds: float,
+        rate: RedriveRate,
+        now: float,
+        rejected: bool = False,
+    ) -> RedriveRate:
         for _ in range(int(seconds * 4)):
             now += 0.25
-            pace = adjust_pace(pace, sights, refused, now, PaceRules())
-            pace = spend(pace, int(pace.tokens))
-        return pace
+            rate = adjust_rate(rate, views, rejected, now, RedriveRateLimits())
+            rate = spend(rate, int(rate.tokens))
+        return rate
 
     def test_it_ramps_additively_to_its_share_of_the_rate(self) -> None:
-        pace = self.run_pace([WELL, WELL], 5.0, Pace(), 100.0)
-        self.assertAlmostEqual(pace.rate, 1.0 + 5.0, delta=0.6)
-        pace = self.run_pace([WELL, WELL], 100.0, pace, 105.0)
-        self.assertEqual(pace.rate, 25.0)  # a quarter of 100, from all instances together
+        rate = self.run_rate([WELL, WELL], 5.0, RedriveRate(), 100.0)
+        self.assertAlmostEqual(rate.per_s, 1.0 + 5.0, delta=0.6)
+        rate = self.run_rate([WELL, WELL], 100.0, rate, 105.0)
+        self.assertEqual(rate.per_s, 25.0)  # a quarter of 100, from all instances together
 
     def test_nothing_goes_to_a_cold_partner_whoever_sees_it_so(self) -> None:
         for health in ("failing", "warming"):
             sick = replace(WELL, health=health, waiting=1)
-            pace = self.run_pace([WELL, sick, WELL], 30.0, Pace(), 100.0)
-            self.assertEqual((pace.rate, pace.tokens), (0.0, 0.0))
-            self.assertIn(health, pace.why)
-        self.assertEqual(adjust_pace(Pace(), [], False, 100.0, PaceRules()).tokens, 0.0)
+            rate = self.run_rate([WELL, sick, WELL], 30.0, RedriveRate(), 100.0)
+            self.assertEqual((rate.per_s, rate.tokens), (0.0, 0.0))
+            self.assertIn(health, rate.reason)
+        self.assertEqual(adjust_rate(RedriveRate(), [], False, 100.0, RedriveRateLimits()).tokens, 0.0)
 
     def test_an_outage_that_no_live_message_tries_is_tried_by_one_resend_at_a_time(self) -> None:
         # Guards against a wait without end: nobody probes, so without messages no outage is seen to end.
-        sick, pace, now, sent = replace(WELL, health="failing"), Pace(), 100.0, 0
+        sick, rate, now, sent = replace(WELL, health="failing"), RedriveRate(), 100.0, 0
         for _ in range(40):
             now += 0.25
-            pace = adjust_pace(pace, [WELL, sick], False, now, PaceRules())
-            sent += int(pace.tokens)
-            pace = spend(pace, int(pace.tokens))
+            rate = adjust_rate(rate, [WELL, sick], False, now, RedriveRateLimits())
+            sent += int(rate.tokens)
+            rate = spend(rate, int(rate.tokens))
         self.assertEqual(sent, 4)
         warming = replace(WELL, health="warming")
-        self.assertEqual(adjust_pace(Pace(), [sick, warming], False, now, PaceRules()).tokens, 0.0)
+        self.assertEqual(
+            adjust_rate(RedriveRate(), [sick, warming], False, now, RedriveRateLimits()).tokens, 0.0
+        )
 
     def test_it_halves_at_a_refusal_once_a_second_and_yields_to_a_wait(self) -> None:
-        pace = Pace(16.0, 100.0, 0.0, 0.0)
-        pace = adjust_pace(pace, [replace(WELL, paced=True)], False, 100.25, PaceRules())
-        self.assertEqual(pace.rate, 8.0)
-        pace = adjust_pace(pace, [replace(WELL, paced=True)], False, 100.5, PaceRules())
-        self.assertEqual(pace.rate, 8.0)
-        pace = adjust_pace(pace, [WELL], True, 101.5, PaceRules())
-        self.assertEqual(pace.rate, 4.0)
-        pace = adjust_pace(pace, [WELL, replace(WELL, wait=1.0)], False, 102.0, PaceRules())
-        self.assertEqual((pace.rate, pace.tokens), (2.0, 0.0))
+        rate = RedriveRate(16.0, 100.0, 0.0, 0.0)
+        rate = adjust_rate(rate, [replace(WELL, rate_limited=True)], False, 100.25, RedriveRateLimits())
+        self.assertEqual(rate.per_s, 8.0)
+        rate = adjust_rate(rate, [replace(WELL, rate_limited=True)], False, 100.5, RedriveRateLimits())
+        self.assertEqual(rate.per_s, 8.0)
+        rate = adjust_rate(rate, [WELL], True, 101.5, RedriveRateLimits())
+        self.assertEqual(rate.per_s, 4.0)
+        rate = adjust_rate(rate, [WELL, replace(WELL, retry_after_s=1.0)], False, 102.0, RedriveRateLimits())
+        self.assertEqual((rate.per_s, rate.tokens), (2.0, 0.0))
 
     def test_live_messages_go_first_and_an_old_pace_is_forgotten(self) -> None:
         busy = replace(WELL, waiting=40)
-        self.assertEqual(adjust_pace(Pace(16.0, 100.0, 5.0), [busy], False, 100.2, PaceRules()).tokens, 0.0)
-        self.assertLess(adjust_pace(Pace(16.0, 100.0, 5.0), [WELL], False, 200.0, PaceRules()).rate, 2.0)
-        self.assertEqual(may_have_out(100, PaceRules()), 25)
-        self.assertEqual(may_have_out(0, PaceRules()), 1)
+        self.assertEqual(
+            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [busy], False, 100.2, RedriveRateLimits()).tokens, 0.0
+        )
+        self.assertLess(
+            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [WELL], False, 200.0, RedriveRateLimits()).per_s, 2.0
+        )
+        self.assertEqual(max_in_flight(100, RedriveRateLimits()), 25)
+        self.assertEqual(max_in_flight(0, RedriveRateLimits()), 1)
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.booleans(), st.sampled_from(["well", "failing", "unknown"]),
@@ -202,13 +222,13 @@
     def test_no_history_makes_it_faster_than_its_bounds(
         self, history: list[tuple[float, bool, str, float]]
     ) -> None:
-        pace, now, sent, rules = Pace(), 100.0, list[float](), PaceRules()
-        for passed, refused, health, wait in history:
+        rate, now, sent, rules = RedriveRate(), 100.0, list[float](), RedriveRateLimits()
+        for passed, rejected, health, wait in history:
             now += passed
-            sight = replace(WELL, health=health, wait=wait if wait > 1.9 else 0.0)
-            pace = adjust_pace(pace, [sight], refused, now, rules)
-            sent += [now] * int(pace.tokens)
-            pace = spend(pace, int(pace.tokens))
-            self.assertLessEqual(pace.rate, 25.0)
-            self.assertGreaterEqual(pace.rate, 0.0)
+            view = replace(WELL, health=health, retry_after_s=wait if wait > 1.9 else 0.0)
+            rate = adjust_rate(rate, [view], rejected, now, rules)
+            sent += [now] * int(rate.tokens)
+            rate = spend(rate, int(rate.tokens))
+            self.assertLessEqual(rate.per_s, 25.0)
+            self.assertGreaterEqual(rate.per_s, 0.0)
             self.assertLessEqual(sum(now - t <= 1.0 for t in sent), 2 * 25 + 1)
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -1,7 +1,7 @@
 """The protocol of lease, hand-in and fate, explored: every crash, every lost answer, and planted bugs it must find.
 
-`Sim` is a small world of two forwarders and a partner, all in memory; the resender and its store are the real ones.
-A crash takes the resender away before any of its operations, and a new one begins with the store alone.
+`Sim` is a small world of two forwarders and a partner, all in memory; the redriver and its store are the real ones.
+A crash takes the redriver away before any of its operations, and a new one begins with the store alone.
 """
 
 from __future__ import annotations
@@ -17,34 +17,38 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.dead_letters.decisions import (
-    Clock,
-    DeadLetter,
-    DestinationView,
-    Judgement,
-    PaceRules,
-    RedriveSafety,
-    Rule,
-)
-from juniperward.dead_letters.fleet import ReportedOutcomes
-from juniperward.dead_letters.redriver import Redriver, RedriveRules
+from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.dead_letter import DeadLetter
+from juniperward.dead_letters.fleet import ReportedOutcome
+from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.redrive_rate import DestinationView, RedriveRateLimits
+from juniperward.dead_letters.redrive_rules import Rule
+from juniperward.dead_letters.redrive_safety import Judgement, RedriveSafety
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.redriver import Redriver
 from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
-from juniperward.dead_letters.spool import SpooledAttempt, SpooledMessage
-from juniperward.dead_letters.store import DeadLetterStore, Filter, Lease, LeaseLostError
+from juniperward.dead_letters.selection import Filter, Lease, SpoolPosition
+from juniperward.dead_letters.settlement import RedriveSettler
+from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
+from juniperward.dead_letters.store import DeadLetterStore
+from juniperward.dead_letters.store_errors import LeaseLostError
+from juniperward.scheduler.settings import Idempotency
 
 WINDOW = 12.0
-RULES = RedriveRules(
-    (Rule("all", most_resends=50),), PaceRules(first=4.0, most=50.0, share_of_rate=1.0, share_of_slots=1.0),
-    allowance=0.5, time_left={"c": 5.0},
-)  # fmt: skip
+SETTINGS = RedriveSettings(
+    (Rule("all", max_redrives=50),),
+    RedriveRateLimits(initial_per_s=4.0, max_per_s=50.0, fraction_of_rate_limit=1.0, fraction_of_slots=1.0),
+    clock_allowance_s=0.5,
+    time_left_s={"c": 5.0},
+)
 
 
 class CrashError(Exception):
-    """The resender's process is gone."""
+    """The redriver's process is gone."""
 
 
 class Sim:
-    """Two forwarders, a partner, and a resender that may be killed."""
+    """Two forwarders, a partner, and a redriver that may be killed."""
 
     def __init__(self, folder: Path, ran: tuple[float | None, ...] = (None, None, -4.0)) -> None:
         self.store = DeadLetterStore(folder / "kept.db", "OFF")
@@ -54,7 +58,7 @@
         self.alive = {"n0": True, "n1": True}
         self.held: dict[str, dict[str, Resubmission]] = {"n0": {}, "n1": {}}
         self.late: list[tuple[str, Resubmission]] = []  # requests still on their way when their sender died
-        self.told: dict[str, dict[str, ReportedOutcomes]] = {"n0": {}, "n1": {}}
+        self.told: dict[str, dict[str, ReportedOutcome]] = {"n0": {}, "n1": {}}
         self.fenced: set[str] = set()
         self.fencing = True
         self.effects: dict[str, list[float]] = {}
@@ -82,20 +86,20 @@
                     0.0,
                     self.now - 1.0,
                     attempts,
-                    "by_key",
+                    Idempotency.IDEMPOTENCY_KEY,
                     WINDOW,
                     ("s-1",),
                 )
             )
-        self.store.take_in("n0", spooled, 1, 1)
-        self.resender = Redriver(self.store, self, RULES)
+        self.store.add("n0", spooled, SpoolPosition(1, 1))
+        self.redriver = Redriver(self.store, self, SETTINGS)
         self.restart()
 
     def restart(self) -> None:
-        """A new resender with nothing but the store."""
+        """A new redriver with nothing but the store."""
         self.store.close()
-        self.resender = Redriver(self.store, self, RULES)
-        for name in ("acquire_lease", "settle_redrive", "open_redrives", "see"):
+        self.redriver = Redriver(self.store, self, SETTINGS)
+        for name in ("acquire_lease", "settle_redrive", "open_redrives", "record_clock"):
             real: Callable[..., Any] = getattr(DeadLetterStore, name).__get__(self.store)
             setattr(self.store, name, self._counted(real))
 
@@ -111,7 +115,7 @@
         if self.operations in self.crash_at:
             raise CrashError
 
-    # --- what the resender sees ----------------------------------------------------------------------------------
+    # --- what the redriver sees ----------------------------------------------------------------------------------
 
     def clock(self) -> Clock:
         return Clock(self.now, self.now, "b")
@@ -146,18 +150,18 @@
         self._operation()  # and after it: it was taken, and nobody noted that
         return SubmissionAnswer(status, 0.0)
 
-    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
+    def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
         self._operation()
         if not self.alive[forwarder]:
             return None
         found = {}
         for name in ids:
             if name in self.held[forwarder]:
-                found[name] = ReportedOutcomes("held", None, 0.0)
+                found[name] = ReportedOutcome("held", None, 0.0)
             elif name in self.told[forwarder]:
                 found[name] = self.told[forwarder][name]
             else:
-                found[name] = ReportedOutcomes("unknown", None, 0.0)
+                found[name] = ReportedOutcome("unknown", None, 0.0)
                 self.fenced.add(name)
         return found
 
@@ -169,9 +173,11 @@
             return
         base = h.id.rsplit("-", 1)[0]
         for held in self.held.values():
-            assert not any(x.rsplit("-", 1)[0] == base for x in held), f"two resends of {h.key} are under way"
+            assert not any(x.rsplit("-", 1)[0] == base for x in held), (
+                f"two resends of {h.idempotency_key} are under way"
+            )
         self.held[forwarder][h.id] = h
-        self.ran[h.id] = [self.now - h.ran_ago] if h.ran_ago is not None else []
+        self.ran[h.id] = [self.now - h.executed_ago_s] if h.executed_ago_s is not None else []
 
     def arrive_late(self) -> None:
         late, self.late = self.late, []
@@ -193,7 +199,7 @@
                     self.end(forwarder, name, "undeliverable")
                     continue
                 if what != "failed":
-                    self.effect(h.key or "")
+                    self.effect(h.idempotency_key or "")
                 if what == "ok":
                     self.end(forwarder, name, "delivered")
                 else:
@@ -202,7 +208,7 @@
 
     def end(self, forwarder: str, name: str, end: str) -> None:
         del self.held[forwarder][name]
-        self.told[forwarder][name] = ReportedOutcomes(end, min(self.ran[name], default=None), 0.0)
+        self.told[forwarder][name] = ReportedOutcome(end, min(self.ran[name], default=None), 0.0)
 
     def effect(self, key: str) -> None:
         if key in self.done and self.now < self.done[key] + WINDOW:
@@ -213,7 +219,7 @@
 
     def round(self) -> None:
         try:
-            self.resender.round()
+            self.redriver.round()
         except CrashError:
             self.restart()
 
@@ -229,15 +235,15 @@
         self.alive = dict.fromkeys(self.alive, True)
         self.arrive_late()
         self.run(50)
-        for f in self.store.facts(Filter()):
-            count = len(self.effects.get(f.key or "", []))
+        for f in self.store.select(Filter()):
+            count = len(self.effects.get(f.idempotency_key or "", []))
             assert count <= 1
-            if f.stand == "delivered":
+            if f.status == "delivered":
                 assert count == 1, f"{f.id} is called delivered and never was"
-            elif f.stand == "kept":
-                assert f.ran_at is not None, f"{f.id} may go and has not gone"
+            elif f.status == "kept":
+                assert f.executed_at is not None, f"{f.id} may go and has not gone"
             else:
-                raise AssertionError(f"{f.id} is {f.stand} for ever")
+                raise AssertionError(f"{f.id} is {f.status} for ever")
         self.store.close()
 
 
@@ -293,7 +299,7 @@
 
             def lease(*args: Any) -> Lease:
                 made = real(*args)
-                with sim.store.change() as db:
+                with sim.store.transaction() as db:
                     db.execute("UPDATE message SET stand = 'kept' WHERE id = ?", (made.message,))
                     db.execute("DELETE FROM resend WHERE id = ?", (made.redrive_id,))
                 return made
@@ -304,27 +310,27 @@
             self.explore(forgetful, pairs=False)
 
     def test_it_finds_silence_taken_for_never_taken(self) -> None:
-        real = Redriver._settle_one
+        real = RedriveSettler._settle_one
 
         def guess(
-            self: Redriver, done: Any, lease: Lease, reported: ReportedOutcomes | None, now: float
+            self: RedriveSettler, settlement: Any, lease: Lease, reported: ReportedOutcome | None, now: float
         ) -> None:
-            if reported is not None and reported.end == "held":
-                reported = ReportedOutcomes("unknown", None, 0.0)
-            real(self, done, lease, reported, now)
+            if reported is not None and reported.result == "held":
+                reported = ReportedOutcome("unknown", None, 0.0)
+            real(self, settlement, lease, reported, now)
 
-        with mock.patch.object(Redriver, "_settle_one", guess), self.assertRaises(AssertionError):
+        with mock.patch.object(RedriveSettler, "_settle_one", guess), self.assertRaises(AssertionError):
             self.explore(pairs=False)
 
     def test_it_finds_a_window_that_is_not_looked_at(self) -> None:
-        # Two hold it: the resender's judgement, and the forwarder's module, which is told when it may have run.
+        # Two hold it: the redriver's judgement, and the forwarder's module, which is told when it may have run.
         def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> Judgement:
-            return Judgement(RedriveSafety.SAFE, m.stand == "kept")
+            return Judgement(RedriveSafety.SAFE, m.status == "kept")
 
         def hasty(sim: Sim) -> None:
             sim.now += 20.0
 
-        judging = mock.patch("juniperward.dead_letters.redriver.judge_redrive", always)
+        judging = mock.patch("juniperward.dead_letters.redrive_safety.judge_redrive", always)
         with judging:
             alone = self.sim()
             hasty(alone)
@@ -334,7 +340,7 @@
         real = Sim.take
 
         def untold(sim: Sim, forwarder: str, h: Resubmission) -> None:
-            real(sim, forwarder, replace(h, ran_ago=None))
+            real(sim, forwarder, replace(h, executed_ago_s=None))
 
         seen = self.assertRaisesRegex(AssertionError, "a second effect")
         with judging, mock.patch.object(Sim, "take", untold), seen:
@@ -368,7 +374,7 @@
                 case "late":
                     sim.arrive_late()
                 case "wish":
-                    sim.store.wish([name], "ann")
+                    sim.store.request_redrive([name], "ann")
                 case "discard":
                     if sim.store.discard([name], "ann"):
                         discarded.add(name)
@@ -390,19 +396,20 @@
         sim.held[lease.forwarder].clear()
         real = sim.outcomes
 
-        def forgot(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcomes] | None:
+        def forgot(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
             found = real(forwarder, ids) or {}
             return {
-                k: ReportedOutcomes(t.end, t.ran_at, sim.now) if t.end == "unknown" else t
+                k: ReportedOutcome(t.result, t.executed_at, sim.now) if t.result == "unknown" else t
                 for k, t in found.items()
             }
 
         sim.outcomes = forgot  # type: ignore[method-assign]
         sim.run(20)
-        self.assertIn(lease.redrive_id, sim.resender.round().lost_memory)
-        (facts,) = sim.store.facts(Filter(ids=(lease.message,)))
-        self.assertEqual(facts.stand, "claimed")
-        sim.store.settle(lease.message, False, "ann", "the partner never saw it", sim.now)
+        self.assertIn(lease.redrive_id, sim.redriver.round().forgotten)
+        (facts,) = sim.store.select(Filter(ids=(lease.message,)))
+        self.assertEqual(facts.status, "claimed")
+        statement = Statement(False, "ann", "the partner never saw it")
+        sim.store.settle(lease.message, statement, sim.now)
         sim.outcomes = real  # type: ignore[method-assign]
         sim.finish()
 
@@ -418,8 +425,8 @@
         sim.store.acquire_lease = slow  # type: ignore[method-assign, assignment]
         sim.run(8)
         self.assertEqual(sim.told, {"n0": {}, "n1": {}})
-        (facts,) = sim.store.facts(Filter())
-        self.assertEqual(facts.stand, "kept")
+        (facts,) = sim.store.select(Filter())
+        self.assertEqual(facts.status, "kept")
         with self.assertRaises(LeaseLostError):
             sim.store.acquire_lease("m9", None, "n0", 0.0, "x")
         sim.store.close()
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -23,7 +23,17 @@
     "juniperward.control.codec",
     "juniperward.control.protocol",
     "juniperward.dead_letters.spool",
-    "juniperward.dead_letters.decisions",
+    "juniperward.dead_letters.spool_files",
+    "juniperward.dead_letters.spool_format",
+    "juniperward.dead_letters.outcome",
+    "juniperward.dead_letters.outcome_log",
+    "juniperward.dead_letters.clock",
+    "juniperward.dead_letters.dead_letter",
+    "juniperward.dead_letters.redrive_rate",
+    "juniperward.dead_letters.redrive_rules",
+    "juniperward.dead_letters.redrive_safety",
+    "juniperward.dead_letters.redrive_settings",
+    "juniperward.dead_letters.redriver",
 )
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,9 +20,11 @@
 from juniperward.agent import state_codec
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
-from juniperward.dead_letters import spool as spools
+from juniperward.dead_letters.selection import Filter
 from juniperward.dead_letters.spool import Spool
-from juniperward.dead_letters.store import DeadLetterStore, Filter
+from juniperward.dead_letters.spool_files import segments
+from juniperward.dead_letters.spool_format import decode_message, encode_message
+from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import DesiredState
 from juniperward.fleet.roll_model import RollMode, RollStage
 from juniperward.forwarder import clock, journal_codec
@@ -216,22 +218,24 @@
 
 def test_the_spool_gives_back_undelivered_messages_and_the_ends_of_resends(folder: Path) -> None:
     path = folder / "spool"
-    found = [(message, data) for _, file in spools.segments(path) for message, data in read_lines(file)]
+    found = [(message, data) for _, file in segments(path) for message, data in read_lines(file)]
     messages = {message.id: message for message, _ in found if message is not None}
     assert set(messages) == {"m-repeatable", "m-by-key", "m-once"}
-    assert all(spools.encode(message) == data for message, data in found if message is not None)
+    assert all(encode_message(message) == data for message, data in found if message is not None)
     assert sum(message is None for message, _ in found) == 1
-    assert messages["m-once"].body == bytes(range(256)) and not messages["m-once"].attempts[0].may_have_run
+    assert (
+        messages["m-once"].body == bytes(range(256)) and not messages["m-once"].attempts[0].possibly_executed
+    )
     spool = Spool(path, 1_000_000)
     spool.close()
     assert spool.ids == set(messages)
-    assert [n for n, _ in spools.segments(path)] == [2]  # the first was acknowledged
-    assert {name: (fate.end, fate.ran_at) for name, fate in spool.outcomes.items()} == {
+    assert [n for n, _ in segments(path)] == [2]  # the first was acknowledged
+    assert {name: (outcome.result, outcome.executed_at) for name, outcome in spool.outcomes.items()} == {
         "kept-a-1": ("delivered", WRITTEN_AT - 4.0),
         "kept-b-1": ("undeliverable", None),
         "kept-c-2": ("deferred", WRITTEN_AT - 3.0),
     }
-    assert spool.complete_since == WRITTEN_AT
+    assert spool.outcomes.complete_since == WRITTEN_AT
     good = (FOLDER / "spool" / "fates").read_bytes().split(b"\n")[:4]
     assert (path / "fates").read_bytes() == b"\n".join(good) + b"\n"
 
@@ -239,14 +243,14 @@
 def read_lines(file: Path) -> list[tuple[Any, bytes]]:
     """Each line of a segment as a message, and as its bytes."""
     return [
-        (spools.decode(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"
+        (decode_message(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"
     ]
 
 
 def test_the_store_gives_back_each_message_with_its_story(folder: Path) -> None:
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
     assert store.check() == []
-    stands = {str(f.id): str(f.stand.value) for f in store.facts(Filter())}
+    stands = {str(f.id): str(f.status.value) for f in store.select(Filter())}
     assert stands == {
         "m-waiting": "kept", "m-wished": "kept", "m-claimed": "claimed", "m-delivered": "delivered",
         "m-deferred": "kept", "m-discarded": "discarded", "m-settled": "delivered",
@@ -263,11 +267,11 @@
         "n1",
         WRITTEN_AT + 1,
     )
-    assert store.place("n1") == (2, 345)
-    seen = store.seen()
+    assert store.spool_position("n1") == (2, 345)
+    seen = store.recorded_clock()
     assert seen is not None and (seen.wall, seen.boot, seen.boot_id) == (WRITTEN_AT + 10.0, 500.0, BOOT_ID)
     store.settle_redrive(lease, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
-    assert {f.id for f in store.facts(Filter(stand="claimed"))} == set()
+    assert {f.id for f in store.select(Filter(status="claimed"))} == set()
     store.close()
 
 
