--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -18,7 +18,10 @@
 
 LIST_NAME = "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
-LIST_VARIABLE, SEEN_VARIABLE = "KNOWN_RED_LIST", "KNOWN_RED_SEEN"  # paths that the plugin is told
+UNUSABLE_LIST = 2  # exit code
+# Environment variables with paths for the plugin: the list, and where it writes the failures that it saw.
+LIST_VARIABLE = "KNOWN_RED_LIST"
+SEEN_VARIABLE = "KNOWN_RED_SEEN"
 PLUGIN = "known_red_plugin"
 # A pytest id (its parameters may hold commas and spaces), the cause (may hold commas), the issue.
 LINE = re.compile(
@@ -27,7 +30,49 @@
 
 
 class ListError(Exception):
-    """The list cannot be used; the text names the line."""
+    """The list cannot be used; the text names the file, the line and what is wrong with it."""
+
+
+class ListEncodingError(ListError):
+    """The list is not UTF-8."""
+
+    def __init__(self, path: Path, error: UnicodeDecodeError) -> None:
+        """Take the list and what cannot be decoded."""
+        self.path, self.error = path, error
+        super().__init__(f"{path.name}: not UTF-8: {error}")
+
+
+class EntryError(ListError):
+    """A line of the list cannot be used."""
+
+    def __init__(self, path: Path, line: int, why: str) -> None:
+        """Take the list, the line's number from 1, and what is wrong with it."""
+        self.path, self.line, self.why = path, line, why
+        super().__init__(f"{path.name}: line {line}: {why}")
+
+
+class EntryFormError(EntryError):
+    """A line has another form than `test id, cause, issue`."""
+
+    def __init__(self, path: Path, line: int, text: str) -> None:
+        """Take the list, the line's number and its text."""
+        super().__init__(path, line, f"not of the form `test id, cause, issue`: {text}")
+
+
+class EntryRepeatedError(EntryError):
+    """A test is listed twice."""
+
+    def __init__(self, path: Path, line: int, test: str) -> None:
+        """Take the list, the line's number and the test."""
+        super().__init__(path, line, f"{test} is listed twice")
+
+
+class TooManyEntriesError(EntryError):
+    """More tests are listed than may be."""
+
+    def __init__(self, path: Path, line: int) -> None:
+        """Take the list and the number of the first line too many."""
+        super().__init__(path, line, f"more than {MOST_KNOWN_RED} tests are listed")
 
 
 @dataclass(frozen=True)
@@ -40,13 +85,13 @@
 
 
 def read_list(path: Path) -> list[KnownRed]:
-    """The listed tests, none where the file is missing or empty; raises ListError."""
+    """Return the listed tests, none where the file is missing or empty; raises ListError."""
     if not path.exists():
         return []
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
     except UnicodeDecodeError as error:
-        raise ListError(f"{path.name}: not UTF-8: {error}") from error
+        raise ListEncodingError(path, error) from error
     known: list[KnownRed] = []
     for number, line in enumerate(lines, 1):
         text = line.strip()
@@ -54,38 +99,42 @@
             continue
         match = LINE.fullmatch(text)
         if match is None:
-            raise ListError(f"{path.name}: line {number}: not of the form `test id, cause, issue`: {text}")
+            raise EntryFormError(path, number, text)
         entry = KnownRed(**match.groupdict())
         if any(entry.test == other.test for other in known):
-            raise ListError(f"{path.name}: line {number}: {entry.test} is listed twice")
+            raise EntryRepeatedError(path, number, entry.test)
         if len(known) == MOST_KNOWN_RED:
-            raise ListError(f"{path.name}: line {number}: more than {MOST_KNOWN_RED} tests are listed")
+            raise TooManyEntriesError(path, number)
         known.append(entry)
     return known
 
 
 def run_command(folder: Path, command: str, environment: dict[str, str]) -> int:
-    """The command's exit code."""
+    """Run the command with bash in the folder; return its exit code."""
     return subprocess.run(
         ["bash", "-euo", "pipefail", "-c", command], cwd=folder, env=environment, check=False
     ).returncode
 
 
+def plugin_environment(listed: Path, seen: Path) -> dict[str, str]:
+    """Return our environment with the plugin; it reads `listed` and writes to `seen`."""
+    paths = [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH", "")]
+    plugins = [PLUGIN, os.environ.get("PYTEST_PLUGINS", "")]
+    return {
+        **os.environ,
+        "PYTHONPATH": os.pathsep.join(filter(None, paths)),
+        "PYTEST_PLUGINS": ",".join(filter(None, plugins)),
+        LIST_VARIABLE: str(listed),
+        SEEN_VARIABLE: str(seen),
+    }
+
+
 def run_with_known_red(folder: Path, command: str, known: list[KnownRed]) -> int:
-    """Run the command with the plugin; 0 where each listed test was seen to fail and nothing else did."""
+    """Run the command with the plugin; return 0 where each listed test was seen to fail and nothing else did."""
     with tempfile.TemporaryDirectory() as scratch:
         seen = Path(scratch) / "seen"
         seen.touch()
-        paths = [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH", "")]
-        plugins = [PLUGIN, os.environ.get("PYTEST_PLUGINS", "")]
-        environment = {
-            **os.environ,
-            "PYTHONPATH": os.pathsep.join(filter(None, paths)),
-            "PYTEST_PLUGINS": ",".join(filter(None, plugins)),
-            LIST_VARIABLE: str(folder / LIST_NAME),
-            SEEN_VARIABLE: str(seen),
-        }
-        code = run_command(folder, command, environment)
+        code = run_command(folder, command, plugin_environment(folder / LIST_NAME, seen))
         failed = set(seen.read_text(encoding="utf-8").splitlines())
     missing = [entry.test for entry in known if entry.test not in failed]
     for test in missing:
@@ -98,12 +147,12 @@
 
 
 def main(folder: Path, command: str) -> int:
-    """The exit code of the run: 0 where all is well but for what is listed."""
+    """Run the command; return 0 where all is well but for what is listed, 2 where the list cannot be used."""
     try:
         known = read_list(folder / LIST_NAME)
     except ListError as error:
         print(error, file=sys.stderr)
-        return 2
+        return UNUSABLE_LIST
     if not known:
         return run_command(folder, command, dict(os.environ))
     return run_with_known_red(folder, command, known)
--- a/.ci/known_red_plugin.py
+++ b/.ci/known_red_plugin.py
@@ -1,4 +1,4 @@
-"""A pytest plugin that passes over failures of the tests in KNOWN-RED.txt; `known_red.py` loads it.
+"""A pytest plugin that passes over failures of the tests in KNOWN-RED.txt; `known_red.py` has pytest load it.
 
 It reports such a failure as an expected one and writes the test's id down. `known_red.py` judges what is missing.
 """
@@ -12,6 +12,7 @@
 import pytest
 from known_red import LIST_VARIABLE, SEEN_VARIABLE, read_list
 
+SEEN = Path(os.environ[SEEN_VARIABLE])
 KNOWN = {entry.test: entry for entry in read_list(Path(os.environ[LIST_VARIABLE]))}
 
 
@@ -23,6 +24,6 @@
     if entry is not None and report.failed and report.when in ("setup", "call"):
         report.outcome = "skipped"
         report.wasxfail = f"known red: {entry.cause} ({entry.issue})"
-        with open(os.environ[SEEN_VARIABLE], "a", encoding="utf-8") as seen:
+        with SEEN.open("a", encoding="utf-8") as seen:
             seen.write(f"{item.nodeid}\n")
     return report
--- /dev/null
+++ b/juniperward/cli/agents.py
@@ -0,0 +1,76 @@
+"""Which agents a command is for, and what becomes of it where one does not answer or rejects a request."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+import typer
+
+from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request_all
+from juniperward.cli.output import ExitCode, errors, short_name
+from juniperward.settings.load import SettingsError, load
+
+SETTINGS_SUFFIX = ".textproto"
+
+
+def sockets_of(agents: list[Path] | None) -> list[Path]:
+    """Return the sockets meant; exits with USAGE where a settings file cannot be read or no agent is named."""
+    if not agents:
+        agents = sorted(Path().glob(f"*{SETTINGS_SUFFIX}"))
+        if len(agents) != 1:
+            errors.print("name an agent: --agent SOCKET or --agent FILE.textproto, or set JUNIPERWARD_AGENT")
+            raise typer.Exit(ExitCode.USAGE)
+    return [_socket(path) for path in agents]
+
+
+def _socket(path: Path) -> Path:
+    if path.suffix != SETTINGS_SUFFIX:
+        return path
+    try:
+        return load(path).socket
+    except SettingsError as error:
+        errors.print(str(error), markup=False, highlight=False, soft_wrap=True)
+        raise typer.Exit(ExitCode.USAGE) from None
+
+
+@contextmanager
+def exit_on_failure(agent: Path | None = None) -> Iterator[None]:
+    """Print why a request failed and exit with UNRESPONSIVE or REJECTED; an agent that is given is named."""
+    prefix = f"{short_name(agent)}: " if agent is not None else ""
+    try:
+        yield
+    except AgentUnreachableError as error:
+        errors.print(f"{prefix}{error}", markup=False)
+        raise typer.Exit(ExitCode.UNRESPONSIVE) from None
+    except AgentRejectedError as error:
+        errors.print(f"{prefix}{error}", markup=False)
+        raise typer.Exit(ExitCode.REJECTED) from None
+
+
+def owners(paths: list[Path], names: list[str], timeout_s: float) -> list[tuple[Path, list[str]]]:
+    """Return each agent that has some of the named instances, with them; exits for names that none has."""
+    if len(paths) == 1 or not names:
+        return [(path, names) for path in paths]
+    found: list[tuple[Path, list[str]]] = []
+    missing = set(names)
+    replies = request_all(paths, "status", patience=timeout_s)
+    for reply in replies:
+        instances = {row["name"] for row in reply.body.get("instances", [])}
+        owned = [name for name in names if name in instances]
+        missing -= set(owned)
+        if owned:
+            found.append((reply.agent, owned))
+    if missing:
+        unresponsive = [short_name(reply.agent) for reply in replies if reply.error]
+        more = f" ({', '.join(unresponsive)} did not answer)" if unresponsive else ""
+        errors.print(f"no such instance: {', '.join(sorted(missing))}{more}", markup=False)
+        raise typer.Exit(ExitCode.UNRESPONSIVE if unresponsive else ExitCode.REJECTED)
+    return found
+
+
+def owner(paths: list[Path], name: str, timeout_s: float) -> Path:
+    """Return the agent that has one instance; exits where none has it."""
+    ((path, _),) = owners(paths, [name], timeout_s)[:1]
+    return path
--- a/juniperward/cli/config.py
+++ b/juniperward/cli/config.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 
-from juniperward.cli.shared import USAGE, Output, OutputOption, console, print_json
+from juniperward.cli.options import OutputOption
+from juniperward.cli.output import ExitCode, Output, console, print_json
+from juniperward.settings.faults import Fault
 from juniperward.settings.load import SettingsError, load, show
 
 app = typer.Typer(help="Check and show settings files.", no_args_is_help=True)
@@ -21,26 +23,29 @@
         settings = load(file)
     except SettingsError as error:
         if output is Output.JSON:
-            rows = [{"file": f.file, "line": f.line, "field": f.field, "why": f.text} for f in error.faults]
-            print_json({"ok": False, "faults": rows})
+            print_json({"ok": False, "faults": [_fault_row(fault) for fault in error.faults]})
         else:
             for fault in error.faults:
                 console.print(str(fault), markup=False, highlight=False, soft_wrap=True)
-        raise typer.Exit(USAGE) from None
+        raise typer.Exit(ExitCode.USAGE) from None
     if output is Output.JSON:
         print_json({"ok": True, "instances": len(settings.instances)})
     else:
         console.print(f"{file}: good, {len(settings.instances)} instances", markup=False, highlight=False)
 
 
+def _fault_row(fault: Fault) -> dict[str, Any]:
+    return {"file": fault.file, "line": fault.line, "field": fault.field, "why": fault.text}
+
+
 @app.command("show")
-def show_(file: FileArgument) -> None:
+def show_understood(file: FileArgument) -> None:
     """Print a file as it is understood, with every default filled in."""
     try:
         typer.echo(show(load(file)), nl=False)
     except SettingsError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(USAGE) from None
+        raise typer.Exit(ExitCode.USAGE) from None
 
 
 @app.command()
--- a/juniperward/cli/dead_letter_rules.py
+++ b/juniperward/cli/dead_letter_rules.py
@@ -8,16 +8,8 @@
 import typer
 
 from juniperward.cli.dead_letter_access import call
-from juniperward.cli.shared import (
-    USAGE,
-    AgentOption,
-    Output,
-    OutputOption,
-    TimeOption,
-    console,
-    print_json,
-    table,
-)
+from juniperward.cli.options import AgentOption, OutputOption, TimeOption
+from juniperward.cli.output import ExitCode, Output, console, print_json, table
 from juniperward.settings.load import SettingsError, load
 
 app = typer.Typer(help="Rules of redrives.", no_args_is_help=True)
@@ -30,16 +22,18 @@
         found = load(file).redrive
     except SettingsError as error:
         console.print(str(error), markup=False, highlight=False, soft_wrap=True)
-        raise typer.Exit(USAGE) from None
-    count = len(found.rules) if found is not None else 0
-    console.print(f"{file}: good, {count} rules" if found else f"{file}: nothing is kept", markup=False)
+        raise typer.Exit(ExitCode.USAGE) from None
+    verdict = f"good, {len(found.rules)} rules" if found is not None else "nothing is kept"
+    console.print(f"{file}: {verdict}", markup=False)
 
 
 @app.command("simulate")
 def rules_simulate(
     file: Annotated[Path, typer.Argument(help="A fleet's settings.")],
-    agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 30.0,
-) -> None:  # fmt: skip
+    agent: AgentOption = None,
+    output: OutputOption = Output.TABLE,
+    timeout: TimeOption = 30.0,
+) -> None:
     """Say what a file's rules would have go now, and what keeps the rest, without sending anything."""
     found = call(agent, timeout, "simulate", file=str(file.resolve()))
     if output is Output.JSON:
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -4,7 +4,7 @@
 
 import time
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 from rich.live import Live
@@ -16,25 +16,13 @@
     request,
     request_all,
 )
+from juniperward.cli.agents import exit_on_failure, owner, owners, sockets_of
 from juniperward.cli.fleet_tables import replies_json, show_instance, status_table
-from juniperward.cli.owners import owner, owners
+from juniperward.cli.options import AgentOption, NamesArgument, OutputOption, TimeOption
+from juniperward.cli.output import ExitCode, Output, console, exit_code, print_json, short_name
 from juniperward.cli.roll import restart, roll
-from juniperward.cli.shared import (
-    DONE,
-    REFUSED,
-    SILENT,
-    AgentOption,
-    NamesArgument,
-    Output,
-    OutputOption,
-    TimeOption,
-    code_of,
-    console,
-    errors,
-    print_json,
-    short,
-    sockets_of,
-)
+
+EVENT_KEYS = ("seq", "at", "event", "level")  # of an event; the others are its fields
 
 app = typer.Typer(help="Look at instances and give them orders.", no_args_is_help=True)
 
@@ -52,7 +40,7 @@
             if latest is not None and not latest["over"]:
                 text = f"roll {latest['id']} is {latest['mode']}: {latest['why'] or 'under way'}"
                 console.print(text, markup=False)
-    raise typer.Exit(code_of(replies))
+    raise typer.Exit(exit_code(replies))
 
 
 @app.command()
@@ -79,9 +67,9 @@
     """Give an order to the agents that have these instances."""
     paths = sockets_of(agent)
     replies = []
-    for path, mine in owners(paths, names or [], timeout):
+    for path, owned in owners(paths, names or [], timeout):
         try:
-            replies.append(InstanceReply(path, request(path, verb, mine, timeout)))
+            replies.append(InstanceReply(path, request(path, verb, owned, timeout)))
         except AgentUnreachableError as error:
             replies.append(InstanceReply(path, error=str(error), silent=True))
         except AgentRejectedError as error:
@@ -91,8 +79,8 @@
     else:
         for reply in replies:
             text = reply.error or f"{verb}: {', '.join(reply.body.get('instances', []))}"
-            console.print(f"{short(reply.agent)}: {text}", markup=False, highlight=False)
-    raise typer.Exit(code_of(replies))
+            console.print(f"{short_name(reply.agent)}: {text}", markup=False, highlight=False)
+    raise typer.Exit(exit_code(replies))
 
 
 def _add(verb: str, text: str) -> None:
@@ -126,16 +114,13 @@
 ) -> None:
     """Show all that one instance tells of itself: state, destinations, workers, counters."""
     path = owner(sockets_of(agent), name, timeout)
-    try:
+    with exit_on_failure():
         found = request(path, "inspect", [name], timeout)
-    except (AgentUnreachableError, AgentRejectedError) as error:
-        errors.print(str(error), markup=False)
-        raise typer.Exit(SILENT if isinstance(error, AgentUnreachableError) else REFUSED) from None
     if output is Output.JSON:
         print_json(found)
     else:
         show_instance(found)
-    raise typer.Exit(SILENT if found["unanswered"] else DONE)
+    raise typer.Exit(ExitCode.UNRESPONSIVE if found["unanswered"] else ExitCode.DONE)
 
 
 @app.command()
@@ -147,12 +132,10 @@
 ) -> None:
     """Print the last lines of an instance's log."""
     path = owner(sockets_of(agent), name, timeout)
-    try:
-        for line in request(path, "logs", [name], timeout, lines=lines)["lines"]:
-            typer.echo(line)
-    except (AgentUnreachableError, AgentRejectedError) as error:
-        errors.print(str(error), markup=False)
-        raise typer.Exit(SILENT if isinstance(error, AgentUnreachableError) else REFUSED) from None
+    with exit_on_failure():
+        found = request(path, "logs", [name], timeout, lines=lines)
+    for line in found["lines"]:
+        typer.echo(line)
 
 
 @app.command()
@@ -167,17 +150,23 @@
     if output is Output.JSON:
         print_json(replies_json(replies))
     else:
-        rows = [(e, short(reply.agent)) for reply in replies for e in reply.body.get("events", [])]
-        for e, name in sorted(rows, key=lambda x: x[0]["at"]):
-            clock = time.strftime("%H:%M:%S", time.localtime(e["at"])) + f"{e['at'] % 1:.3f}"[1:]
-            more = " ".join(f"{k}={v}" for k, v in e.items() if k not in ("seq", "at", "event", "level"))
-            console.print(
-                f"{clock} {name} {e['event']} {more}", markup=False, highlight=False, soft_wrap=True
-            )
+        rows = [
+            (event, short_name(reply.agent)) for reply in replies for event in reply.body.get("events", [])
+        ]
+        for event, name in sorted(rows, key=lambda row: row[0]["at"]):
+            console.print(_event_line(event, name), markup=False, highlight=False, soft_wrap=True)
         for reply in replies:
             if reply.error:
-                console.print(f"{short(reply.agent)}: {reply.error}", style="red", markup=False)
-    raise typer.Exit(code_of(replies))
+                console.print(f"{short_name(reply.agent)}: {reply.error}", style="red", markup=False)
+    raise typer.Exit(exit_code(replies))
+
+
+def _event_line(event: dict[str, Any], agent: str) -> str:
+    """Return an event of an agent as one line: local time, agent, event, its fields."""
+    clock = time.strftime("%H:%M:%S", time.localtime(event["at"]))
+    milliseconds = f"{event['at'] % 1:.3f}"[1:]
+    fields = " ".join(f"{key}={value}" for key, value in event.items() if key not in EVENT_KEYS)
+    return f"{clock}{milliseconds} {agent} {event['event']} {fields}"
 
 
 @app.command()
@@ -189,9 +178,10 @@
     else:
         for reply in replies:
             console.print(
-                f"{short(reply.agent)}: {reply.error or 'edition ' + reply.body['edition']}", markup=False
+                f"{short_name(reply.agent)}: {reply.error or 'edition ' + reply.body['edition']}",
+                markup=False,
             )
-    raise typer.Exit(code_of(replies))
+    raise typer.Exit(exit_code(replies))
 
 
 @app.command()
@@ -203,5 +193,5 @@
     """End the agents; their instances go on, unless --instances is given."""
     replies = request_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
     for reply in replies:
-        console.print(f"{short(reply.agent)}: {reply.error or 'ends'}", markup=False)
-    raise typer.Exit(code_of(replies))
+        console.print(f"{short_name(reply.agent)}: {reply.error or 'ends'}", markup=False)
+    raise typer.Exit(exit_code(replies))
--- a/juniperward/cli/fleet_tables.py
+++ b/juniperward/cli/fleet_tables.py
@@ -7,7 +7,7 @@
 from rich.table import Table
 
 from juniperward.agent.client import InstanceReply
-from juniperward.cli.shared import console, short, table, width
+from juniperward.cli.output import cell, console, short_name, table
 
 COLOURS = {"ready": "green", "silent": "red", "failed": "red", "stopped": "yellow", "drained": "cyan"}
 
@@ -20,10 +20,10 @@
     )  # fmt: skip
     for reply in replies:
         if reply.error:
-            made.add_row(short(reply.agent), "-", "[red]no answer[/red]", *["-"] * 8, reply.error)
+            made.add_row(short_name(reply.agent), "-", "[red]no answer[/red]", *["-"] * 8, reply.error)
             continue
         for row in reply.body["instances"]:
-            made.add_row(*_instance_cells(short(reply.agent), row))
+            made.add_row(*_instance_cells(short_name(reply.agent), row))
     return made
 
 
@@ -35,10 +35,10 @@
         agent,
         row["name"],
         f"[{colour}]{row['state']}[/{colour}]",
-        width(row["up"]),
-        width(row["held"]),
+        cell(row["up"]),
+        cell(row["held"]),
         in_flight,
-        *(width(row[name]) for name in counts),
+        *(cell(row[name]) for name in counts),
         row["why"],
     ]
 
@@ -60,18 +60,18 @@
 
 
 def show_instance(found: dict[str, Any]) -> None:
-    """Print all that an instance tells of itself, and what it did not answer."""
+    """Print all that an instance reports of itself, and what it did not answer."""
     if "status" in found:
         made = table("field", "value", title=found["name"])
         for key, value in found["status"].items():
-            made.add_row(key, width(value))
+            made.add_row(key, cell(value))
         console.print(made)
     for key in ("destinations", "workers"):
         rows = found.get(key) or []
         if rows:
             made = table(*rows[0], title=key)
             for row in rows:
-                made.add_row(*(width(v) for v in row.values()))
+                made.add_row(*(cell(value) for value in row.values()))
             console.print(made)
     if found.get("counters"):
         made = table("counter", ">count", title="counters")
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -9,7 +9,7 @@
 import typer
 
 from juniperward.cli import config, dead_letters, fleet, simulation
-from juniperward.cli.shared import command_of_options
+from juniperward.cli.options import from_options
 
 app = typer.Typer(
     name="juniperward",
@@ -23,7 +23,7 @@
 app.add_typer(config.app, name="config")
 app.add_typer(dead_letters.app, name="dead-letters")
 app.add_typer(simulation.app, name="simulate")
-# The names of before, read for one release.
+# The former names, read for one release.
 app.add_typer(dead_letters.app, name="kept", hidden=True, deprecated=True)
 app.add_typer(simulation.app, name="lab", hidden=True, deprecated=True)
 
@@ -42,12 +42,12 @@
 @app.command()
 def demo(
     rate: Annotated[float, typer.Option(help="Messages a second.")] = 60.0,
-    keep: Annotated[Path | None, typer.Option(help="Keep all files in this folder.")] = None,
+    folder: Annotated[Path | None, typer.Option("--keep", help="Keep all files in this folder.")] = None,
 ) -> None:
     """Start an agent, three forwarders, a registry and partners; roll all three under load; judge the run."""
     from juniperward.benchmarks.demo import demo as play
 
-    raise typer.Exit(play(rate, keep))
+    raise typer.Exit(play(rate, folder))
 
 
 @dataclass(frozen=True)
@@ -61,12 +61,14 @@
         int | None, typer.Option(help="chaos: kills; dead-letters, slow-start: seeds; store: messages.")
     ] = None
     rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None
-    away: Annotated[
-        float | None, typer.Option(help="dead-letters: seconds for which the partner is away.")
+    outage_s: Annotated[
+        float | None, typer.Option("--away", help="dead-letters: seconds for which the partner is away.")
     ] = None
 
 
-def _measure(options: MeasureOptions) -> None:
+@app.command()
+@from_options
+def measure(options: MeasureOptions) -> None:
     """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
     from juniperward.benchmarks.all import ALL, FORMER_NAMES
 
@@ -74,14 +76,11 @@
     if name not in ALL:
         why = f"{name!r} is none of {', '.join(ALL)}"
         raise typer.BadParameter(why, param_hint="NAME")
-    sizes = (("rounds", options.rounds), ("rate", options.rate), ("away", options.away))
+    sizes = (("rounds", options.rounds), ("rate", options.rate), ("away", options.outage_s))
     more = {key: value for key, value in sizes if value is not None}
     raise typer.Exit(0 if ALL[name](options.seed, options.out, **more) else 1)
 
 
-app.command("measure")(command_of_options(MeasureOptions, _measure))
-
-
 def main() -> int:
     """Run the tool; it ends the process with its own exit code where that is not 0."""
     app()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from juniperward.agent.views import status as status_view
 from juniperward.cli import roll
 from juniperward.cli.main import app
-from juniperward.cli.shared import console
+from juniperward.cli.output import console
 from juniperward.net.http_errors import ConnectionClosedError
 from juniperward.net.http_requests import read_request
 from juniperward.net.http_responses import encode_response
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -16,7 +16,7 @@
 from juniperward.agent.running_fleet import NotifiedDestinations
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
-from juniperward.cli.shared import console
+from juniperward.cli.output import console
 from juniperward.dead_letters.redrive_rules import Rule
 from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.dead_letters.selection import SpoolPosition
@@ -93,7 +93,7 @@
     def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(self) -> None:
         """Two parts of up to 200: it dies before or after either of them has come to the agent."""
         from juniperward.cli import dead_letter_access as access
-        from juniperward.cli import dead_letters as tool
+        from juniperward.cli import dead_letter_orders as tool
 
         class Dies(BaseException):
             """As SIGKILL: nothing of the tool's own runs after it."""
