--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -83,7 +83,7 @@
         in_use = {instance.configuration_version for instance in state.instances.values()}
         if state.roll is not None:
             in_use |= {state.roll.target_version} | {step.previous_version for step in state.roll.steps}
-        version = self._versions.keep(settings, in_use)
+        version = self._versions.save(settings, in_use)
         self.settings = settings
         return SettingsLoaded(
             tuple(instance.name for instance in settings.instances),
@@ -157,7 +157,7 @@
         self._rotate_at = now + ROTATE_S
         for name in self.reducer.state.instances:
             try:
-                if self.launcher.rotate(name, self.settings.log_bytes, self.settings.log_keep):
+                if self.launcher.rotate(name, self.settings.log_bytes, self.settings.log_files_retained):
                     self.note("log rotated", "info", {"instance": name})
             except OSError as error:
                 self.note("log rotation failed", "warning", {"instance": name, "why": str(error)})
--- a/juniperward/settings/configuration_versions.py
+++ b/juniperward/settings/configuration_versions.py
@@ -1,4 +1,7 @@
-"""Saved versions of a configuration: a roll can go back to each that an instance still runs."""
+"""Saved versions of a configuration, on disk: a roll can go back to each that an instance still runs.
+
+The agent saves one at its start and at each reload: a folder a version, a JSON file an instance.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,8 @@
     """A saved configuration is no object."""
 
     def __init__(self, version: str, instance: str) -> None:
-        """Name the file."""
-        super().__init__(f"edition {version}: {instance}.json holds no object")
+        """Take the version and the instance."""
+        super().__init__(f"configuration version {version}: {instance}.json holds no object")
 
 
 def version_of(settings: FleetSettings) -> str:
@@ -37,7 +40,7 @@
         """Save versions in `folder`, which is made with the first."""
         self.folder = folder
 
-    def keep(self, settings: FleetSettings, in_use: set[str]) -> str:
+    def save(self, settings: FleetSettings, in_use: set[str]) -> str:
         """Save the configuration, if it is new, and drop the oldest; return its version. Raises OSError."""
         name = version_of(settings)
         target = self.folder / name
@@ -60,9 +63,9 @@
             if old.name not in in_use:
                 shutil.rmtree(old, ignore_errors=True)
 
-    def read(self, edition: str, instance: str) -> dict[str, Any]:
+    def read(self, version: str, instance: str) -> dict[str, Any]:
         """Return the configuration of an instance in a version; raises OSError or ValueError."""
-        found = json.loads((self.folder / edition / f"{instance}.json").read_text())
+        found = json.loads((self.folder / version / f"{instance}.json").read_text())
         if not isinstance(found, dict):
-            raise SavedVersionError(edition, instance)
+            raise SavedVersionError(version, instance)
         return found
--- a/juniperward/settings/faults.py
+++ b/juniperward/settings/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: each fault with its file, line and field."""
+"""What is wrong with a settings file: each fault with its file, line and field. `load` raises them all at once."""
 
 from __future__ import annotations
 
--- a/juniperward/settings/fleet_settings.py
+++ b/juniperward/settings/fleet_settings.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """One forwarder; `config` is what its process is given, whole, but for the seed of each start."""
+    """One forwarder; `config` is the complete configuration of its process but for the seed of each start."""
 
     name: str
     listen: str
@@ -35,6 +35,6 @@
     timeouts: Timeouts
     roll: RollRules
     log_bytes: int
-    log_keep: int
+    log_files_retained: int  # rotated ones, of each instance
     log_json: bool | None
     redrive: RedriveSettings | None = None  # None: dead letters are off
--- a/juniperward/settings/line_index.py
+++ b/juniperward/settings/line_index.py
@@ -1,4 +1,4 @@
-"""Where each field of a text-format file stands, so that a fault can name its line."""
+"""The line of each field of a text-format file, so that a fault can name it."""
 
 from __future__ import annotations
 
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -1,4 +1,7 @@
-"""Reading a fleet's settings: text format in, checked values out, and every fault with its file, line and field."""
+"""Reading a fleet's settings: text format in, checked values out, and every fault with its file, line and field.
+
+The agent loads its settings here, and the tool the files that it checks.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from google.protobuf import text_format
 
 from juniperward.settings import fleet_pb2
-from juniperward.settings.checker import FleetChecker
+from juniperward.settings.checker import check_settings
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import lines
@@ -31,7 +34,7 @@
         line = error.GetLine() or 0
         reason = re.sub(r"^\d+:\d+ : ", "", str(error))
         raise SettingsError([Fault(str(file), line, "", reason)]) from error
-    return FleetChecker(file, text, message).settings()
+    return check_settings(file, text, message)
 
 
 def show(settings: FleetSettings) -> str:
@@ -55,5 +58,6 @@
             key = key_of(type(values), field.name)
             if key in part.DESCRIPTOR.fields_by_name:
                 setattr(part, key, getattr(values, field.name))
-    message.logs.bytes, message.logs.keep = settings.log_bytes, settings.log_keep
+    message.logs.bytes = settings.log_bytes
+    message.logs.keep = settings.log_files_retained
     return text_format.MessageToString(message)
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -147,7 +147,7 @@
     folder.mkdir()
     (folder / "base.json").write_text(json.dumps({"settings": {}}))
     (folder / "fleet.textproto").write_text(FLEET)
-    configuration_version = ConfigurationVersions(folder / "editions").keep(
+    configuration_version = ConfigurationVersions(folder / "editions").save(
         load(folder / "fleet.textproto"), set()
     )
     steps = (
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -98,12 +98,12 @@
 
     def test_editions_are_kept_and_dropped(self) -> None:
         editions = ConfigurationVersions(self.folder / "e")
-        first = editions.keep(self.load(GOOD), set())
+        first = editions.save(self.load(GOOD), set())
         self.assertEqual(first, version_of(self.load(GOOD)))
         self.assertEqual(editions.read(first, "n2")["listen"], "127.0.0.1:8082")
         names = [first]
         for port in range(9000, 9012):
-            names.append(editions.keep(self.load(GOOD.replace("8082", str(port))), {first}))
+            names.append(editions.save(self.load(GOOD.replace("8082", str(port))), {first}))
         left = {p.name for p in (self.folder / "e").iterdir()}
         self.assertIn(first, left)  # in use
         self.assertIn(names[-1], left)
