--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -6,6 +6,8 @@
 
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import (
+    HTTP_ACCEPTED,
+    HTTP_UNAVAILABLE,
     AcceptMessage,
     AppendRecord,
     BeginShutdown,
@@ -46,7 +48,6 @@
     from juniperward.control.protocol import Answer
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
-HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
 JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
 
 
--- a/juniperward/forwarder/model.py
+++ b/juniperward/forwarder/model.py
@@ -1,4 +1,4 @@
-"""The values that all parts of a forwarder speak of: messages, endpoints, and the outcomes of attempts.
+"""The values that all parts of a forwarder share: messages, endpoints, and the outcomes of attempts.
 
 Moments are seconds of the monotonic clock. A message is decoded once; from then on it is known by a number of this
 process.
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from juniperward.forwarder.stored_outcomes import StoredOutcome
 from juniperward.scheduler.events import EndpointPhase, Outcome
 
-RouteKey = (
-    int | str
-)  # what shares a limit: a destination, or the id of an endpoint that is a route of its own
+# What shares a rate limit: a destination, or the id of an endpoint that is a route of its own.
+RouteKey = int | str
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A client's message, decoded from whatever protocol it came by."""
+    """A client's message, decoded from the protocol that it came by."""
 
     id: str
     class_index: int
@@ -28,12 +28,14 @@
     time_left_s: float
     idempotency_key: str | None
     body: bytes
-    executed_ago_s: float | None = None  # of a redrive: since it first possibly executed, before it came here
+    executed_ago_s: float | None = (
+        None  # of a redrive: since it first possibly executed, when it was received
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of discovery's list; `id` is the text that discovery uses, `listed_rate` calls a second or 0."""
+    """One entry of discovery's list; `id` is discovery's, `listed_rate` attempts a second, or 0."""
 
     id: str
     host: str
@@ -55,12 +57,12 @@
 
 
 class AttemptProgress(Enum):
-    """How far an attempt's call has come; the values are the words of the trace."""
+    """How far an attempt has come; the values are those of the trace."""
 
-    WAITING = "waits"  # nothing of it is written: its connection is not up, or it stands in line for a thread
+    WAITING = "waits"  # nothing of it is written: its connection is not open, or it waits for a thread
     WRITING = "writes"
     WRITTEN = "written"
-    FINISHED = "over"  # its end is known, and on its way
+    FINISHED = "over"  # its outcomes are known, and posted
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,23 +76,23 @@
     message_ended: bool = False
     capacity_left: float | None = None
     reported_limit_per_s: float | None = None
-    connection_table_full: bool = False  # the endpoint runs, and takes no more connections
-    written: bool = True  # whether a byte of its call may have been written, so that the journal has it
+    connection_table_full: bool = False  # the endpoint runs, and accepts no more connections
+    written: bool = True  # a byte of it may have been written, and so the journal has it
 
 
 @dataclass(frozen=True, slots=True)
 class PastAttempt:
-    """One attempt of a message that is given up; `outcome` is the word that stored data uses."""
+    """One attempt of a message that is given up."""
 
     endpoint: str
     started_at: float
-    outcome: str
+    outcome: StoredOutcome
     possibly_executed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeNotification:
-    """The end of a message that was accepted and not delivered; without `retry_after_s` it failed."""
+    """The final outcome of an accepted message that was not delivered: failed, or rejected with `retry_after_s`."""
 
     id: str
     retry_after_s: float | None = None
--- a/juniperward/forwarder/reducer/attempts.py
+++ b/juniperward/forwarder/reducer/attempts.py
@@ -1,4 +1,8 @@
-"""Attempts: which messages travel in which, how each of them ended, and the cancelling of them."""
+"""Attempts: which messages travel in which, the outcome of each message, and cancellation.
+
+Called by scheduling with what the scheduler starts and cancels, and by the reducer with what came of it. Outcomes go
+to the scheduler as `AttemptFinished`, and messages that are over with them to completion.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +23,10 @@
     CancellationTimerFired,
     DeadlineReached,
 )
-from juniperward.forwarder.model import (
-    AttemptProgress,
-    BatchItem,
-    Endpoint,
-    ItemOutcome,
-    PastAttempt,
-    RouteKey,
-)
-from juniperward.forwarder.outcome_words import OUTCOME_WORDS
+from juniperward.forwarder.model import AttemptProgress, BatchItem, Endpoint, ItemOutcome, RouteKey
 from juniperward.forwarder.records import AttemptFinishedRecord
 from juniperward.forwarder.reducer.completion import Completion
+from juniperward.forwarder.reducer.dead_letters import DeadLetters
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import AttemptInFlight, PendingMessage
 from juniperward.forwarder.telemetry import check_invariant, increment, report_fault
@@ -37,25 +34,27 @@
 from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.scheduler.settings import SchedulerSettings
 
-LAST_ATTEMPT_BEFORE_EXIT_S = 0.9  # before the process must end, after which no attempt is started
+LAST_ATTEMPT_BEFORE_EXIT_S = 0.9  # before the process must exit, after which no attempt is started
 
 
 def route_of(endpoint: Endpoint, settings: SchedulerSettings) -> RouteKey:
-    """Return what a Retry-After of an endpoint binds: its destination, or the endpoint where routes are separate."""
+    """Return what a Retry-After of an endpoint applies to: its destination, or itself where routes are separate."""
     return endpoint.id if settings.kind(endpoint.kind).separate_routes else endpoint.destination
 
 
 class Attempts:
-    """Starts attempts that the scheduler asks for, and brings them to their end."""
+    """Starts the attempts of the scheduler and reports their outcomes; owns those in flight."""
 
-    def __init__(self, round_: Round, completion: Completion) -> None:
-        """End messages by way of the completion."""
-        self._round, self._completion = round_, completion
+    def __init__(self, round_: Round, completion: Completion, dead_letters: DeadLetters) -> None:
+        """Complete messages by `completion`, and have `dead_letters` remember their attempts."""
+        self._round = round_
+        self._completion = completion
+        self._dead_letters = dead_letters
 
     # --- starting ---------------------------------------------------------------------------------------
 
     def start(self, endpoint_number: int, scheduled: Sequence[ScheduledAttempt]) -> None:
-        """Start calls to an endpoint with messages that the scheduler lets share one, as far as a batch goes."""
+        """Start attempts at an endpoint with messages that may share one, as many in each as its batch size."""
         state = self._round.state
         exit_by = state.lifecycle.exit_by
         if exit_by is not None and self._round.now > exit_by - LAST_ATTEMPT_BEFORE_EXIT_S:
@@ -63,8 +62,8 @@
         endpoint = state.directory.endpoints[endpoint_number]
         batch_size = self._round.settings.kind(endpoint.kind).batch_size
         for first in range(0, len(scheduled), batch_size):
-            attempt = AttemptInFlight(state.attempts.next_number(), endpoint_number, self._round.now)
-            state.attempts.in_flight[attempt.number] = attempt
+            attempt = AttemptInFlight(state.call_numbers.next(), endpoint_number, self._round.now)
+            state.attempts_in_flight[attempt.number] = attempt
             try:
                 self._start_one(attempt, endpoint, scheduled[first : first + batch_size])
             except Exception as error:
@@ -77,20 +76,11 @@
     def _start_one(
         self, attempt: AttemptInFlight, endpoint: Endpoint, scheduled: Sequence[ScheduledAttempt]
     ) -> None:
-        """Make a call; its thread journals the attempts right before their first byte."""
-        now, state = self._round.now, self._round.state
-        items = []
-        for asked in scheduled:
-            pending = state.messages.pending[asked.message]
-            check_invariant(pending.attempt_number is None, "one_attempt_at_a_time")
-            check_invariant(pending.message.destination == endpoint.destination, "only_to_its_destination")
-            attempt.unanswered[asked.message] = pending.attempts
-            pending.attempts += 1
-            pending.attempt_number, pending.attempt_started_at = attempt.number, now
-            items.append(BatchItem(asked.message, pending.message, now + asked.start_within_s))
-            deadline = DeadlineReached(attempt.number, asked.message)
-            self._round.emit(SetTimer(now + asked.timeout_s, deadline))
-        check_invariant(len(state.attempts.in_flight) <= self._round.settings.slots, "attempts_within_slots")
+        """Start one attempt; its thread journals the messages right before their first byte."""
+        now = self._round.now
+        items = tuple(self._add_message(attempt, endpoint, message) for message in scheduled)
+        in_flight = len(self._round.state.attempts_in_flight)
+        check_invariant(in_flight <= self._round.settings.slots, "attempts_within_slots")
         increment("attempts")
         self._round.emit(
             StartAttempt(
@@ -99,22 +89,37 @@
                 endpoint.host,
                 endpoint.port,
                 endpoint.destination,
-                tuple(items),
-                now + max(asked.timeout_s for asked in scheduled),
+                items,
+                now + max(message.timeout_s for message in scheduled),
                 endpoint.id,
                 route_of(endpoint, self._round.settings),
             )
         )
 
-    # --- ending -----------------------------------------------------------------------------------------
+    def _add_message(
+        self, attempt: AttemptInFlight, endpoint: Endpoint, scheduled: ScheduledAttempt
+    ) -> BatchItem:
+        """Add a message to an attempt, with a timer for its deadline."""
+        now, number = self._round.now, scheduled.message
+        pending = self._round.state.messages.pending[number]
+        check_invariant(pending.attempt_number is None, "one_attempt_at_a_time")
+        check_invariant(pending.message.destination == endpoint.destination, "only_to_its_destination")
+        attempt.unanswered[number] = pending.attempts
+        pending.attempts += 1
+        pending.attempt_number = attempt.number
+        pending.attempt_started_at = now
+        self._round.emit(SetTimer(now + scheduled.timeout_s, DeadlineReached(attempt.number, number)))
+        return BatchItem(number, pending.message, now + scheduled.start_within_s)
+
+    # --- outcomes ---------------------------------------------------------------------------------------
 
     def answered(self, event: AttemptAnswered) -> None:
-        """Take in the outcomes of an attempt."""
-        in_flight = self._round.state.attempts.in_flight
+        """Apply the outcomes of an attempt."""
+        in_flight = self._round.state.attempts_in_flight
         attempt = in_flight.get(event.attempt_number)
         if attempt is None:
             return  # cancelled meanwhile
-        # What the scheduler learns from is the first outcome it hears of: the rejections among them, if any.
+        # The scheduler learns from the first outcome of an attempt: a rejection, if there is one.
         rejections_first = sorted(
             event.outcomes, key=lambda item: (item.outcome is not Outcome.OVERLOADED, item.message)
         )
@@ -127,7 +132,7 @@
         in_flight.pop(event.attempt_number, None)
 
     def _finish(self, attempt: AttemptInFlight, item: ItemOutcome) -> None:
-        """End a message's part of an attempt."""
+        """Apply the outcome of one message of an attempt, and report it to the scheduler."""
         ordinal = attempt.unanswered.pop(item.message)
         endpoint = self._round.state.directory.endpoints[attempt.endpoint]
         increment(f"attempts_{item.outcome.name.lower()}")
@@ -157,7 +162,7 @@
     def _finish_pending(
         self, pending: PendingMessage, endpoint: Endpoint, item: ItemOutcome, message_ended: bool
     ) -> None:
-        """Note an outcome with the message that it ends, or that is attempted again."""
+        """Complete a message by an outcome, or leave it for another attempt."""
         executed = not item.outcome.never_executed
         pending.attempt_number = None
         if pending.never_attempted and item.written:
@@ -165,10 +170,7 @@
             increment("restored_attempted")
         if executed and not message_ended and pending.executed_at is None:
             pending.executed_at = pending.attempt_started_at
-        if self._completion.stores_dead_letters:
-            word = OUTCOME_WORDS[item.outcome]
-            past = PastAttempt(endpoint.id, pending.attempt_started_at, word, executed)
-            pending.past_attempts.append(past)
+        self._dead_letters.add_attempt(pending, endpoint, item)
         if item.outcome is Outcome.OK:
             increment("messages_delivered")
         if message_ended:
@@ -176,60 +178,62 @@
         elif item.written:
             self._round.emit(AppendRecord(AttemptFinishedRecord(pending.message.id, executed)))
 
-    # --- cancelling -------------------------------------------------------------------------------------
+    # --- cancellation -----------------------------------------------------------------------------------
 
     def deadline_reached(self, event: DeadlineReached) -> None:
-        """The time of one message is up: others of the same call may still wait.
+        """Withdraw one message from its attempt, where others may still be in time.
 
-        It is withdrawn from the call first, or a connection that comes up late would carry it after its end.
+        It comes before any outcome, or a connection that opens late would carry the message after its end.
         """
-        attempt = self._round.state.attempts.in_flight.get(event.attempt_number)
+        attempt = self._round.state.attempts_in_flight.get(event.attempt_number)
         if attempt is not None and event.message in attempt.unanswered:
             self._round.emit(WithdrawFromBatch(event.attempt_number, event.message))
 
     def item_withdrawn(self, event: BatchItemWithdrawn) -> None:
-        """End a message whose time is up, by how far its call had come."""
+        """End a message whose deadline has passed, by how far its attempt had come."""
         state = self._round.state
-        attempt = state.attempts.in_flight.get(event.attempt_number)
+        attempt = state.attempts_in_flight.get(event.attempt_number)
         finished = event.progress is AttemptProgress.FINISHED  # what was answered in time counts as answered
         if attempt is None or event.message not in attempt.unanswered or finished:
             return
         pending = state.messages.pending.get(event.message)
-        client_deadline_at = pending.client_deadline_at if pending is not None else self._round.now
+        cancel_at = pending.client_deadline_at if pending is not None else self._round.now
         self._finish(attempt, self._unanswered(event.message, event.progress, Outcome.TIMEOUT))
         if not attempt.unanswered:
-            del state.attempts.in_flight[event.attempt_number]
+            del state.attempts_in_flight[event.attempt_number]
             self._round.emit(CancelAttempt(event.attempt_number))
         elif event.progress is AttemptProgress.WRITING:
-            # Half a call cannot lose one of its messages: what is not written whole yet is cancelled whole.
+            # A message cannot be taken out of a request that is half written: all of it is cancelled.
             self.cancel(event.attempt_number)
         elif event.progress is AttemptProgress.WRITTEN:
-            # A call has one fate: past the time of one of its messages an answer was seen to count for none of them.
-            self._round.emit(SetTimer(client_deadline_at, CancellationTimerFired(event.attempt_number)))
+            # They share its answer, and one after this client's deadline was seen to count for none of them.
+            self._round.emit(SetTimer(cancel_at, CancellationTimerFired(event.attempt_number)))
 
     def cancel(self, attempt_number: int) -> None:
-        """Close an attempt's connection first; how far it had come says what that means for its messages."""
-        attempt = self._round.state.attempts.in_flight.get(attempt_number)
+        """Close an attempt's connection; how far it had come decides on the outcomes of its messages."""
+        attempt = self._round.state.attempts_in_flight.get(attempt_number)
         if attempt is not None and not attempt.cancelled:
             attempt.cancelled = True
             self._round.emit(CancelAttempt(attempt_number))
 
     def cancel_message(self, number: int) -> None:
-        """Cancel the attempt of a message; one connection, one fate: the others of the call are cancelled with it."""
+        """Cancel the attempt of a message, and with it all messages that share its connection."""
         pending = self._round.state.messages.pending.get(number)
         if pending is not None and pending.attempt_number is not None:
             self.cancel(pending.attempt_number)
 
     def cancelled(self, event: AttemptCancelled) -> None:
-        """A call that was not begun has not executed, and one whose end is on its way ends so."""
+        """Give the messages of a cancelled attempt their outcomes; one that had finished keeps its own."""
         if event.progress is AttemptProgress.FINISHED:
             return
-        attempt = self._round.state.attempts.in_flight.pop(event.attempt_number, None)
-        for message in list(attempt.unanswered) if attempt is not None else ():
-            assert attempt is not None
+        attempt = self._round.state.attempts_in_flight.pop(event.attempt_number, None)
+        if attempt is None:
+            return
+        for message in list(attempt.unanswered):
             self._finish(attempt, self._unanswered(message, event.progress, Outcome.CANCELLED))
 
     @staticmethod
     def _unanswered(message: int, progress: AttemptProgress, outcome: Outcome) -> ItemOutcome:
+        """Return the outcome of a message without an answer: not sent, where nothing of it was written."""
         written = progress is not AttemptProgress.WAITING
         return ItemOutcome(message, outcome if written else Outcome.NOT_SENT, written=written)
--- a/juniperward/forwarder/reducer/control.py
+++ b/juniperward/forwarder/reducer/control.py
@@ -1,9 +1,13 @@
-"""The control channel's requests: looks at the state, and orders to drain, resume and stop."""
+"""The control channel's requests: status and tables, and orders to drain, resume and stop.
+
+Loaded at the first request; `introspection` builds the answers from the state.
+"""
 
 from __future__ import annotations
 
 from juniperward.control.protocol import (
     Answer,
+    Body,
     RedriveOutcomeRow,
     RedriveOutcomes,
     RedriveState,
@@ -14,58 +18,61 @@
 from juniperward.forwarder.events import ControlRequested
 from juniperward.forwarder.reducer import introspection
 from juniperward.forwarder.reducer.round import Round
+from juniperward.forwarder.reducer.shutdown import Shutdown
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler import DeliveryScheduler
 
-FENCE_DURATION_S = 120.0  # for which a redrive that was told unknown is rejected
+FENCE_DURATION_S = 120.0  # for which a redrive that was reported unknown is rejected
 
 
 class Control:
-    """Answers requests."""
+    """Answers requests; owns the fenced redrives."""
 
-    def __init__(self, round_: Round, scheduler: DeliveryScheduler) -> None:
-        """Look at the state and at the scheduler."""
-        self._round, self._scheduler = round_, scheduler
+    def __init__(self, round_: Round, scheduler: DeliveryScheduler, shutdown: Shutdown) -> None:
+        """Read the state and the scheduler; drain and resume by `shutdown`."""
+        self._round = round_
+        self._scheduler = scheduler
+        self._shutdown = shutdown
 
     def requested(self, event: ControlRequested) -> None:
-        """Look, or take an order; an order that changes nothing is no error: it may have been sent twice."""
+        """Follow an order and answer; an order that changes nothing is no error: it may have been sent twice."""
         request = event.request
-        self._obey(request.verb)
+        self._follow_order(request.verb)
+        self._round.emit(SendControlReply(event.client, Answer(request.id, self._body(request))))
+
+    def _body(self, request: Request) -> Body:
         if request.verb is Verb.REDRIVE_OUTCOMES:
-            self._round.emit(
-                SendControlReply(event.client, Answer(request.id, self._redrive_outcomes(request)))
-            )
-            return
+            return self._redrive_outcomes(request)
         round_ = self._round
-        body = introspection.answer(request.verb, round_.state, round_.settings, self._scheduler, round_.now)
-        round_.emit(SendControlReply(event.client, Answer(request.id, body)))
+        return introspection.answer(request.verb, round_.state, round_.settings, self._scheduler, round_.now)
 
-    def _obey(self, verb: Verb) -> None:
-        lifecycle = self._round.state.lifecycle
-        if lifecycle.exit_by is not None:
-            return
-        if verb in (Verb.DRAIN, Verb.RESUME) and lifecycle.draining != (verb is Verb.DRAIN):
-            lifecycle.draining = verb is Verb.DRAIN
-            increment("drains" if lifecycle.draining else "resumes")
-            self._round.emit(
-                DrainClients(lifecycle.draining), WriteLog("control order", (("verb", verb.value),))
-            )
-        elif verb is Verb.STOP:
-            self._round.emit(BeginShutdown())
+    def _follow_order(self, verb: Verb) -> None:
+        match verb:
+            case Verb.DRAIN | Verb.RESUME:
+                self._set_draining(verb)
+            case Verb.STOP if self._round.state.lifecycle.exit_by is None:
+                self._round.emit(BeginShutdown())
+
+    def _set_draining(self, verb: Verb) -> None:
+        draining = verb is Verb.DRAIN
+        if self._shutdown.set_draining(draining):
+            increment("drains" if draining else "resumes")
+            self._round.emit(DrainClients(draining), WriteLog("control order", (("verb", verb.value),)))
 
     def _redrive_outcomes(self, request: Request) -> RedriveOutcomes:
-        """Say what became of redrives; one that is unknown is never taken from now on.
+        """Report what became of redrives, and fence the unknown ones: none of them is accepted from now on.
 
-        What its sender had under way when it asked has come, or has ended with its connection, by then.
+        What the agent had submitted before this request has been received, or has ended with its connection.
         """
-        messages, now = self._round.state.messages, self._round.now
+        state, now = self._round.state, self._round.now
         rows = tuple(
             RedriveOutcomeRow(
-                name, RedriveState.PENDING if name in messages.numbers else RedriveState.UNKNOWN
+                redrive_id,
+                RedriveState.PENDING if redrive_id in state.messages.numbers else RedriveState.UNKNOWN,
             )
-            for name in request.ids
+            for redrive_id in request.ids
         )
-        fenced = {name: at for name, at in messages.fenced.items() if now - at < FENCE_DURATION_S}
+        fenced = {name: at for name, at in state.fenced_redrives.items() if now - at < FENCE_DURATION_S}
         fenced.update((row.id, now) for row in rows if row.outcome == RedriveState.UNKNOWN)
-        messages.fenced = fenced
+        state.fenced_redrives = fenced
         return RedriveOutcomes(0.0, rows)
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -1,4 +1,8 @@
-"""Discovery's part: the watch, and what updates of the list do to the endpoints that are known."""
+"""The endpoint list: the watch on discovery, its updates, and endpoints that were removed.
+
+Called by scheduling where the scheduler polls, and by the reducer with what discovery sent. Each update goes to the
+scheduler as `EndpointListUpdated`.
+"""
 
 from __future__ import annotations
 
@@ -11,25 +15,25 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
 
-EMPTY_DESTINATION_RETENTION_S = 60.0  # for which a destination without endpoints is still one
+EMPTY_DESTINATION_RETENTION_S = 60.0  # for which a destination without endpoints is still known
 
 
 class EndpointList:
-    """Keeps the directory of endpoints."""
+    """Owns the directory of endpoints."""
 
     def __init__(self, round_: Round) -> None:
         """Begin without endpoints."""
         self._round = round_
 
     def watch(self) -> None:
-        """Begin a watch; one at a time, a second would only stand in line behind it."""
+        """Start a watch, unless one is started; discovery serves one at a time."""
         directory = self._round.state.directory
         if not directory.watching:
             directory.watching = True
             self._round.emit(StartWatch(directory.version, directory.epoch))
 
     def address_changed(self, address: tuple[str, int]) -> None:
-        """Move to another address: what the old watch still tells does not count, the new one goes on from here."""
+        """Watch at another address; updates of the old watch, of a lower epoch, are ignored from now on."""
         directory = self._round.state.directory
         directory.epoch += 1
         directory.watching = False
@@ -43,16 +47,16 @@
             return
         increment("watches_lost")
         directory.watching = False
-        if event.established:  # polled again soon: it is no call that failed, one after another
+        if event.established:  # no failure of one poll after another: the scheduler polls again soon
             self._round.notify_scheduler(EndpointListUpdated(ListScope.DELTA))
         self._round.notify_scheduler(EndpointListUpdated(ListScope.FAILED))
 
     def updated(self, event: EndpointsUpdated) -> None:
-        """Take in an update of the present watch, or the list that the configuration names."""
+        """Apply an update of the present watch, or the cached list of the configuration."""
         if event.cached or event.epoch == self._round.state.directory.epoch:
             self._apply(event)
         if event.cached:
-            # Where lists are pushed they come only over a watch, whatever the scheduler asks for.
+            # Where lists are pushed they come over a watch only, also before the scheduler polls.
             self.watch()
 
     def _apply(self, event: EndpointsUpdated) -> None:
@@ -71,7 +75,7 @@
         if event.cached:
             scope = ListScope.CACHED
         self._round.notify_scheduler(EndpointListUpdated(scope, entries))
-        self._forget()
+        self._drop_removed()
 
     def _apply_entry(self, endpoint: Endpoint) -> EndpointEntry:
         directory = self._round.state.directory
@@ -86,10 +90,10 @@
             number, endpoint.destination, endpoint.phase, endpoint.kind, endpoint.zone, endpoint.listed_rate
         )
 
-    def _forget(self) -> None:
-        """Endpoints come and go for months: keep nothing of those that are gone, nor of their destinations."""
+    def _drop_removed(self) -> None:
+        """Drop removed endpoints without attempts, and their destinations: a process runs for months."""
         directory = self._round.state.directory
-        busy = {attempt.endpoint for attempt in self._round.state.attempts.in_flight.values()}
+        busy = {attempt.endpoint for attempt in self._round.state.attempts_in_flight.values()}
         listed = {
             e.destination for number, e in directory.endpoints.items() if number not in directory.removed
         }
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, where the settings allow them and the scheduler asks for one."""
+"""Health checks of endpoints, which the scheduler starts where the settings allow them, and their outcomes for it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class HealthChecks:
-    """Starts health checks and reports them to the scheduler."""
+    """Starts health checks and reports them to the scheduler; owns those in flight."""
 
     def __init__(self, round_: Round) -> None:
         """Begin without health checks."""
         self._round = round_
 
     def start(self, number: int) -> None:
-        """Check an endpoint; one that is not listed any more is answered at once as not checked."""
+        """Check an endpoint; one that was removed is reported at once as not checked."""
         state, settings = self._round.state, self._round.settings
         endpoint = state.directory.endpoints.get(number)
         if endpoint is None or number in state.directory.removed:
             self._round.notify_scheduler(HealthCheckFinished(number, Outcome.NOT_SENT, 0.0))
             return
-        check = state.attempts.next_number()
-        state.attempts.health_checks[check] = number
+        check = state.call_numbers.next()
+        state.health_checks_in_flight[check] = number
         increment("health_checks")
         self._round.emit(
             StartHealthCheck(
@@ -44,7 +44,7 @@
     def answered(self, event: HealthCheckAnswered) -> None:
         """Report the outcome of a health check."""
         state = self._round.state
-        if state.attempts.health_checks.pop(event.number, None) is None:
+        if state.health_checks_in_flight.pop(event.number, None) is None:
             return
         endpoint = state.directory.endpoints.get(event.endpoint)
         if event.retry_after_s > 0 and endpoint is not None:
--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -72,7 +72,7 @@
         pending=len(messages.pending),
         accepting=len(messages.accepting),
         unacknowledged=len(state.unacknowledged),
-        attempts_in_flight=len(state.attempts.in_flight),
+        attempts_in_flight=len(state.attempts_in_flight),
         slots=settings.slots,
         max_open=settings.max_open,
         oldest_pending_age_s=max(0.0, now - oldest.received_at) if oldest is not None else 0.0,
@@ -116,7 +116,7 @@
 
 def _endpoint_rows(state: ForwarderState) -> tuple[EndpointRow, ...]:
     in_flight: dict[int, int] = {}
-    for attempt in state.attempts.in_flight.values():
+    for attempt in state.attempts_in_flight.values():
         in_flight[attempt.endpoint] = in_flight.get(attempt.endpoint, 0) + 1
     rows = []
     for number, endpoint in sorted(state.directory.endpoints.items()):
--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -13,9 +13,11 @@
 from juniperward.forwarder.effects import Effect
 from juniperward.forwarder.reducer.attempts import Attempts
 from juniperward.forwarder.reducer.completion import Completion
+from juniperward.forwarder.reducer.dead_letters import DeadLetters
 from juniperward.forwarder.reducer.endpoint_list import EndpointList
 from juniperward.forwarder.reducer.health_checks import HealthChecks
 from juniperward.forwarder.reducer.intake import Intake
+from juniperward.forwarder.reducer.notifications import Notifications
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.reducer.scheduling import Handlers, Scheduling
 from juniperward.forwarder.reducer.shutdown import Shutdown
@@ -39,19 +41,21 @@
         stores_dead_letters: bool = False,
         stored: frozenset[str] = frozenset(),
     ) -> None:
-        """Begin empty; `stored` are dead letters from before a restart that the journal may still have."""
+        """Begin empty; `stored`: ids of dead letters of before a restart, which the journal may still have."""
         self.settings = settings
         self.scheduler = DeliveryScheduler(settings, seed)
         self.state = ForwarderState()
         round_ = self._round = Round(settings, self.state)
-        self._completion = Completion(round_, stores_dead_letters, stored)
-        self._intake = Intake(round_, self._completion)
-        self._attempts = Attempts(round_, self._completion)
+        dead_letters = DeadLetters(round_, stores_dead_letters, stored)
+        self._notifications = Notifications(round_)
+        completion = Completion(round_, self._notifications, dead_letters)
+        self._intake = Intake(round_, completion, self._notifications, dead_letters)
+        self._attempts = Attempts(round_, completion, dead_letters)
         self._health_checks = HealthChecks(round_)
         self._endpoint_list = EndpointList(round_)
         self._control: Control | None = None
         self._shutdown = Shutdown(round_)
-        handlers = Handlers(self._attempts, self._health_checks, self._completion, self._endpoint_list)
+        handlers = Handlers(self._attempts, self._health_checks, completion, self._endpoint_list)
         self._scheduling = Scheduling(round_, self.scheduler, handlers)
 
     @property
@@ -87,7 +91,7 @@
                 for restored in messages:
                     self._intake.restore(restored)
             case events.NotificationAcknowledged(ids=ids):
-                self._completion.acknowledge(ids)
+                self._notifications.acknowledged(ids)
             case events.SchedulerTimerFired(token=token):
                 self._round.notify_scheduler(TimerFired(token))
             case events.ShutdownRequested():
@@ -101,7 +105,7 @@
         from juniperward.forwarder.reducer.control import Control  # not loaded where no channel is open
 
         if self._control is None:
-            self._control = Control(self._round, self.scheduler)
+            self._control = Control(self._round, self.scheduler, self._shutdown)
         return self._control
 
     def _dispatch_endpoint_event(self, event: events.EndpointEvent) -> None:
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -1,4 +1,4 @@
-"""Asks the scheduler at the end of a round, and turns its actions into effects."""
+"""The scheduler's part of a round: its events in, its actions to the handlers that turn them into effects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler import actions as scheduler_actions
 
-RETRY_AFTER_ERROR_S = 0.05  # after which the scheduler is asked again where it failed
+RETRY_AFTER_ERROR_S = 0.05  # after which the scheduler is called again where it failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,34 +29,36 @@
 
 
 class Scheduling:
-    """Carries out what the scheduler decides."""
+    """Carries out what the scheduler decides; owns no state."""
 
     def __init__(self, round_: Round, scheduler: DeliveryScheduler, handlers: Handlers) -> None:
         """Hand each action to the handler that it concerns."""
-        self._round, self._scheduler, self._handlers = round_, scheduler, handlers
+        self._round = round_
+        self._scheduler = scheduler
+        self._handlers = handlers
 
     def decide(self) -> None:
-        """Tell the scheduler what happened and do what it asks for."""
+        """Pass the round's events to the scheduler and carry out its actions."""
         to_start: dict[tuple[int, int], list[scheduler_actions.StartAttempt]] = {}  # by endpoint and batch
         for action in self._actions():
             if isinstance(action, scheduler_actions.StartAttempt):
                 to_start.setdefault((action.endpoint, action.batch), []).append(action)
             else:
                 self._carry_out(action)
-        # Attempts come last: what a round gives up or closes must not be met by what it starts.
+        # Attempts come last: what they start must not meet what the same round gives up or closes.
         for (endpoint, _), scheduled in to_start.items():
             self._handlers.attempts.start(endpoint, scheduled)
 
     def _actions(self) -> list[scheduler_actions.Action]:
-        """Ask the scheduler; whatever fails in it must not take its other messages along."""
+        """Return the scheduler's actions; after an error those decided on before it, and a timer to go on."""
         try:
             return self._scheduler.handle(self._round.now, self._round.scheduler_events)
         except Exception as error:
             if __debug__:
                 raise
-            report_fault("module", error)
-            ask_again = scheduler_actions.SetTimer(RETRY_AFTER_ERROR_S, self._scheduler.timer_token)
-            return [*self._scheduler.pending_actions, ask_again]
+            report_fault("scheduler", error)
+            retry_timer = scheduler_actions.SetTimer(RETRY_AFTER_ERROR_S, self._scheduler.timer_token)
+            return [*self._scheduler.pending_actions, retry_timer]
 
     def _carry_out(self, action: scheduler_actions.Action) -> None:
         match action:
@@ -82,12 +84,12 @@
                 self._round.emit(WriteLog("destination recovered", (("destination", destination),)))
 
     def _give_up(self, number: int, retry_after_s: float | None) -> None:
-        """End a message undelivered; an attempt of it that is still in flight goes on to its own end."""
+        """Give a message up; an attempt of it that is in flight still has its own outcome."""
         pending = self._round.state.messages.pending.get(number)
         if pending is None:
             check_invariant(False, "one_final_answer")
             return
         if pending.never_attempted:
             increment("restored_never_attempted")
-        self._handlers.completion.forget(pending)
+        self._handlers.completion.remove(pending)
         self._handlers.completion.give_up(pending, retry_after_s)
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -1,7 +1,7 @@
 """The reducer's state beside the scheduler's: messages, attempts in flight, endpoints, notifications, lifecycle.
 
 Each part's docstring names its owner, the one handler of the reducer that writes it, and what bounds it. Moments
-(`_at`, `_until`) are seconds of the monotonic clock.
+(`_at`, `_until`, `_by`) are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """A message that was accepted and has no final answer."""
+    """A message that was accepted, or is being accepted, and has no final outcome.
+
+    Intake makes it; from then on Attempts alone writes it, and DeadLetters its `past_attempts`.
+    """
 
     number: int
     message: Message
@@ -30,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptInFlight:
-    """An attempt, and its messages that have no outcome yet."""
+    """An attempt, and its messages that have no outcome yet; written by Attempts. Bound: the batch size."""
 
     number: int
     endpoint: int
@@ -39,42 +42,61 @@
     cancelled: bool = False
 
 
+@dataclass(slots=True)
+class NumberSequence:
+    """The numbers of attempts and health checks, which share one sequence."""
+
+    last: int = 0
+
+    def next(self) -> int:
+        """Return the next number, from 1 on."""
+        self.last += 1
+        return self.last
+
+
 @dataclass(slots=True)
 class MessageTable:
-    """Messages by their number in this process; changed by intake and by completion."""
+    """Messages by their number in this process: Intake adds them, Completion removes them, by the methods here.
+
+    Bound: `max_open` of the settings for `pending` and `accepting` together; `completed` has Completion's own.
+    """
 
-    pending: dict[int, PendingMessage] = field(default_factory=dict)
+    pending: dict[int, PendingMessage] = field(default_factory=dict)  # in the order accepted
     accepting: dict[int, PendingMessage] = field(default_factory=dict)  # their clients not answered yet
     numbers: dict[str, int] = field(default_factory=dict)  # of pending and accepting messages, by id
-    last_number: int = 0
-    completed: dict[str, float] = field(default_factory=dict)  # ids of messages that are over, and since when
-    fenced: dict[str, float] = field(
-        default_factory=dict
-    )  # redrives told unknown, and when: never to be taken
+    completed: dict[str, float] = field(default_factory=dict)  # ids, and since when; written by Completion
+    sequence: NumberSequence = field(default_factory=NumberSequence)
 
-    def next_number(self) -> int:
-        """Return the number of a new message."""
-        self.last_number += 1
-        return self.last_number
+    def begin_accepting(self, pending: PendingMessage) -> None:
+        """Add a message whose client is not answered yet."""
+        self.accepting[pending.number] = pending
+        self.numbers[pending.message.id] = pending.number
 
+    def accept(self, number: int) -> PendingMessage:
+        """Make a message pending whose client was answered; return it."""
+        pending = self.pending[number] = self.accepting.pop(number)
+        return pending
 
-@dataclass(slots=True)
-class AttemptTable:
-    """Attempts and health checks in flight, by number; changed by attempts and health checks."""
+    def withdraw(self, number: int) -> PendingMessage:
+        """Remove a message whose client could not be answered; return it."""
+        pending = self.accepting.pop(number)
+        del self.numbers[pending.message.id]
+        return pending
 
-    in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)
-    health_checks: dict[int, int] = field(default_factory=dict)  # the endpoint of each
-    last_number: int = 0
+    def restore(self, pending: PendingMessage) -> None:
+        """Add a message of the journal, whose client was answered before the restart."""
+        self.pending[pending.number] = pending
+        self.numbers[pending.message.id] = pending.number
 
-    def next_number(self) -> int:
-        """Return the number of a new attempt or health check."""
-        self.last_number += 1
-        return self.last_number
+    def remove(self, pending: PendingMessage) -> None:
+        """Remove a pending message that has its final outcome."""
+        del self.pending[pending.number]
+        del self.numbers[pending.message.id]
 
 
 @dataclass(slots=True)
 class EndpointDirectory:
-    """What discovery says; changed by the endpoint list."""
+    """Discovery's endpoint list; written by EndpointList. Bound: what discovery lists, and what is in flight."""
 
     endpoints: dict[int, Endpoint] = field(default_factory=dict)  # by the scheduler's number
     numbers: dict[str, int] = field(default_factory=dict)  # by discovery's id
@@ -86,20 +108,20 @@
     epoch: int = 0  # how often its address was changed
     watching: bool = False  # a watch is started
 
-    def number(self, name: str) -> int:
+    def number(self, endpoint_id: str) -> int:
         """Return the number of an endpoint by discovery's id; a new one gets the next."""
-        if name not in self.numbers:
+        if endpoint_id not in self.numbers:
             self.last_number += 1
-            self.numbers[name] = self.last_number
-        return self.numbers[name]
+            self.numbers[endpoint_id] = self.last_number
+        return self.numbers[endpoint_id]
 
 
 @dataclass(slots=True)
 class Lifecycle:
-    """Whether new messages are taken; changed by control and by shutdown."""
+    """Whether new messages are accepted; written by Shutdown."""
 
     draining: bool = False
-    accept_until: float = 0.0
+    accept_until: float = 0.0  # the process does not exit before
     exit_by: float | None = None  # set once a shutdown was requested
 
     @property
@@ -110,15 +132,25 @@
 
 @dataclass(slots=True)
 class ForwarderState:
-    """All of it."""
+    """All of it.
+
+    `attempts_in_flight` (by Attempts) is bounded by the slots, `health_checks_in_flight` (by HealthChecks) by the
+    endpoints, `unacknowledged` (by Notifications) by what was given up and not acknowledged, `fenced_redrives` (by
+    Control) by the requests in FENCE_DURATION_S.
+    """
 
     messages: MessageTable = field(default_factory=MessageTable)
-    attempts: AttemptTable = field(default_factory=AttemptTable)
+    attempts_in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)  # by number
+    health_checks_in_flight: dict[int, int] = field(default_factory=dict)  # number to endpoint
+    call_numbers: NumberSequence = field(default_factory=NumberSequence)
     directory: EndpointDirectory = field(default_factory=EndpointDirectory)
-    unacknowledged: dict[str, OutcomeNotification] = field(default_factory=dict)  # changed by completion
+    unacknowledged: dict[str, OutcomeNotification] = field(
+        default_factory=dict
+    )  # notifications, by message id
+    fenced_redrives: dict[str, float] = field(default_factory=dict)  # reported unknown, and when: rejected
     lifecycle: Lifecycle = field(default_factory=Lifecycle)
 
     def has_work(self) -> bool:
         """Whether a message, an attempt or a notification is unfinished."""
-        busy = self.attempts.in_flight or self.unacknowledged or self.messages.accepting
-        return bool(busy or self.messages.pending)
+        messages = self.messages.accepting or self.messages.pending
+        return bool(messages or self.attempts_in_flight or self.unacknowledged)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -33,7 +33,7 @@
     NotificationAcknowledged,
 )
 from juniperward.forwarder.model import Endpoint, OutcomeNotification
-from juniperward.forwarder.outcome_words import OUTCOME_WORDS
+from juniperward.forwarder.stored_outcomes import STORED_OUTCOMES
 from juniperward.forwarder.telemetry import format_event
 
 PREFIX = "juniperward: trace:"
@@ -109,7 +109,8 @@
     match event:
         case AttemptAnswered(outcomes=outcomes):
             return [
-                f"ended {number} {OUTCOME_WORDS[item.outcome]} {item.retry_after_s:.3f}" for item in outcomes
+                f"ended {number} {STORED_OUTCOMES[item.outcome]} {item.retry_after_s:.3f}"
+                for item in outcomes
             ]
         case DeadlineReached():
             return [f"up {number}"]
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -79,6 +79,7 @@
     RecordedAttempt,
     RestoredMessage,
 )
+from juniperward.forwarder.stored_outcomes import StoredOutcome
 from juniperward.scheduler.events import EndpointPhase, Outcome
 
 EVENTS: dict[str, type] = {
@@ -186,8 +187,8 @@
 
 
 def _encode_enum(value: Enum) -> Any:
-    """Return an enum's recorded form; what became of a redrive was a plain string."""
-    if isinstance(value, RedriveState):
+    """Return an enum's recorded form; outcomes that are stored were plain strings."""
+    if isinstance(value, RedriveState | StoredOutcome):
         return value.value
     return {_ENUM_NAMES[type(value)]: value.value}
 
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -41,6 +41,7 @@
 from juniperward.forwarder.model import Endpoint, Message, PastAttempt
 from juniperward.forwarder.records import AcceptedRecord, OutcomeDecidedRecord
 from juniperward.forwarder.reducer import Reducer
+from juniperward.forwarder.stored_outcomes import StoredOutcome
 from juniperward.scheduler.events import EndpointPhase, MessageAdmitted
 from juniperward.scheduler.events import PastAttempt as ModuleTried
 from juniperward.scheduler.settings import Idempotency
@@ -167,7 +168,7 @@
 
             before = counters().get("dead_letters_failed", 0)
             writer = DeadLetterWriter(spool, settings(KEYED), SettingsNames(("c",), (20.0,), (), (), ()), 0.0)
-            tried = PastAttempt("s-1", 1.0, "timeout", True)
+            tried = PastAttempt("s-1", 1.0, StoredOutcome.TIMEOUT, True)
             writer.store(
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
             )
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -70,7 +70,7 @@
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
         self.hand_in()
         self.parts.reset_mock()
-        (number,) = self.loop.reducer.state.attempts.in_flight
+        (number,) = self.loop.reducer.state.attempts_in_flight
         self.loop.queue.post(AttemptAnswered(number, (ItemOutcome(1, Outcome.OK),)))
         self.loop.queue.post(ShutdownRequested(0.0, 0.0))
         self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -36,7 +36,7 @@
             with self.subTest(destination):
                 self.assertIn(destination, state.directory.destinations)
         drive.message()
-        self.assertEqual((state.messages.pending, state.attempts.in_flight), ({}, {}))
+        self.assertEqual((state.messages.pending, state.attempts_in_flight), ({}, {}))
 
     def test_an_entry_that_cannot_be_used_costs_no_other(self) -> None:
         value = listed(1024)
