--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -4,27 +4,30 @@
 
 import queue
 import socket
-import unittest
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder.endpoint_client import EndpointClient, EndpointClientLimits
 from juniperward.forwarder.events import Event
+from tests.resources import Resources
 
 LIMITS = EndpointClientLimits(1.0, 10.0, max_threads=4, max_idle_connections=4)
 
 
-class EndpointClientRig(unittest.TestCase):
-    """An endpoint client (LIMITS) and a door on a port the system gives.
-
-    Not collected alone: its subclasses hold the tests (`__test__` is set back on each of them).
-    """
+class EndpointClientRig:
+    """An endpoint client (LIMITS) and a listening socket on a port the system gives."""
 
-    __test__ = False
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources) -> None:
+        self.listen(resources)
 
-    def setUp(self) -> None:
+    def listen(self, resources: Resources) -> None:
+        """Listen on a port and build the client."""
+        self.resources = resources
         self.events: queue.Queue[Event] = queue.Queue()
         self.client = EndpointClient(LIMITS, self.events.put, mock.Mock())
         self.door = socket.create_server(("127.0.0.1", 0))
         self.door.settimeout(5.0)
-        self.addCleanup(self.door.close)
+        self.resources.callback(self.door.close)
         self.port = self.door.getsockname()[1]
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -4,7 +4,6 @@
 
 import base64
 import json
-import unittest
 
 from juniperward.forwarder.batch import encode_batch, item_bytes
 from juniperward.forwarder.model import Message
@@ -24,20 +23,16 @@
 ]
 
 
-class BatchTest(unittest.TestCase):
+class TestBatch:
     def test_what_each_message_takes_adds_up_to_the_body(self) -> None:
         for count in range(1, len(MESSAGES) + 1):
             chosen = MESSAGES[:count]
-            self.assertEqual(len(encode_batch(chosen)), 1 + sum(map(item_bytes, chosen)))
+            assert len(encode_batch(chosen)) == 1 + sum(map(item_bytes, chosen))
 
     def test_the_body_reads_back_as_what_went_in(self) -> None:
         rows = json.loads(encode_batch(MESSAGES))
-        self.assertEqual(
-            [(row["id"], row.get("key")) for row in rows], [(m.id, m.idempotency_key) for m in MESSAGES]
-        )
-        self.assertEqual([base64.b64decode(row["body"]) for row in rows], [m.body for m in MESSAGES])
+        assert [(row["id"], row.get("key")) for row in rows] == [(m.id, m.idempotency_key) for m in MESSAGES]
+        assert [base64.b64decode(row["body"]) for row in rows] == [m.body for m in MESSAGES]
 
     def test_what_the_module_fills_is_what_the_protocol_allows(self) -> None:
-        self.assertEqual(
-            SchedulerSettings((MessageClass(1.0, 2.0),), 1, 1).max_batch_bytes + 1, MAX_BODY_BYTES
-        )
+        assert SchedulerSettings((MessageClass(1.0, 2.0),), 1, 1).max_batch_bytes + 1 == MAX_BODY_BYTES
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -4,10 +4,11 @@
 
 import json
 import tempfile
-import unittest
 from collections.abc import Callable
 from pathlib import Path
 
+import pytest
+
 from juniperward.fakes.checker import check
 from juniperward.fakes.records import (
     AnyRecord,
@@ -60,25 +61,30 @@
     return records
 
 
-class CheckerTest(unittest.TestCase):
+class TestChecker:
     def test_a_good_run_is_good(self) -> None:
         v = check(run())
-        self.assertEqual(v.lines(), ["every rule held"])
-        self.assertEqual(
-            (v.offered, v.submissions, v.accepted, v.delivered, v.notified, v.rejected), (7, 8, 7, 6, 1, 1)
+        assert v.lines() == ["every rule held"]
+        assert (v.offered, v.submissions, v.accepted, v.delivered, v.notified, v.rejected) == (
+            7,
+            8,
+            7,
+            6,
+            1,
+            1,
         )
-        self.assertAlmostEqual(v.priority_weight_delivered, (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, places=6)
-        self.assertTrue(check([]).passed)
+        assert v.priority_weight_delivered == pytest.approx((5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, abs=5e-7)
+        assert check([]).passed
 
     def plant(
         self, rule: Rule, subject: str, change: Callable[[list[AnyRecord]], list[AnyRecord]]
     ) -> Verdict:
         v = check(change(run()))
-        self.assertIn(rule, [x.rule for x in v.violations], f"{rule} was not seen")
+        assert rule in [x.rule for x in v.violations], f"{rule} was not seen"
         found = next(x for x in v.violations if x.rule == rule)
-        self.assertEqual(found.subject, subject)
-        self.assertTrue(found.story)
-        self.assertIn(rule, v.lines()[1])
+        assert found.subject == subject
+        assert found.story
+        assert rule in v.lines()[1]
         return v
 
     def test_a_lost_message_is_seen(self) -> None:
@@ -100,8 +106,8 @@
             ProcessEvent(61.0, "n1", ProcessChange.START),
         ]
         records = [r for r in run() if not isinstance(r, NotificationReceived)] + away
-        self.assertTrue(check([*records, NotificationReceived(62.5, "y", "undeliverable", "n1")]).passed)
-        self.assertFalse(check([*records, NotificationReceived(63.0, "y", "undeliverable", "n1")]).passed)
+        assert check([*records, NotificationReceived(62.5, "y", "undeliverable", "n1")]).passed
+        assert not check([*records, NotificationReceived(63.0, "y", "undeliverable", "n1")]).passed
 
     def test_two_ends_are_seen(self) -> None:
         self.plant(
@@ -113,30 +119,26 @@
         self.plant(Rule.ONE_OUTCOME, "x", lambda rs: [*rs, NotificationReceived(30.5, "x", "deferred", "n0")])
 
     def test_a_notice_that_comes_again_is_no_second_end(self) -> None:
-        self.assertTrue(check([*run(), NotificationReceived(59.95, "y", "undeliverable", "n1")]).passed)
+        assert check([*run(), NotificationReceived(59.95, "y", "undeliverable", "n1")]).passed
 
     def test_a_notice_that_crossed_the_answer_is_allowed(self) -> None:
         # Guards against a verdict on a race that the protocol page calls harmless: 1 ms after the answer.
-        self.assertTrue(
-            check([*run(), NotificationReceived(11.06 + 0.04, "m1", "undeliverable", "n1")]).passed
-        )
-        self.assertFalse(
-            check([*run(), NotificationReceived(11.06 + 0.06, "m1", "undeliverable", "n1")]).passed
-        )
+        assert check([*run(), NotificationReceived(11.06 + 0.04, "m1", "undeliverable", "n1")]).passed
+        assert not check([*run(), NotificationReceived(11.06 + 0.06, "m1", "undeliverable", "n1")]).passed
 
     def test_a_notice_that_crossed_a_restart_is_allowed(self) -> None:
         crossed: list[AnyRecord] = [
             ProcessEvent(12.0, "n1", ProcessChange.KILL), ProcessEvent(12.5, "n1", ProcessChange.START),
             NotificationReceived(25.0, "m1", "undeliverable", "n1"),
         ]  # fmt: skip
-        self.assertTrue(check([*run(), *crossed]).passed)
+        assert check([*run(), *crossed]).passed
 
     def test_a_second_copy_is_seen(self) -> None:
         copy = AttemptReceived(10.03, 90, "s-1-0", 1, ("m0",), ("km0",), 10.03)
         self.plant(Rule.ONE_IN_FLIGHT, "m0", lambda rs: [*rs, copy, AttemptAnswered(10.2, 90, ("ok",))])
 
     def test_a_call_after_one_that_hung_is_no_second_copy(self) -> None:
-        self.assertEqual(check(run()).retries, 2)
+        assert check(run()).retries == 2
 
     def test_a_second_effect_is_seen(self) -> None:
         self.plant(Rule.ONE_EFFECT, "m0", lambda rs: [*rs, Effect(25.0, 1, "m0", "km0")])
@@ -145,24 +147,24 @@
         def late(after: float) -> list[AnyRecord]:
             return [*run(), *message("z", 20.0 + after - 0.02, 91)]
 
-        self.assertTrue(check(late(0.24)).passed)
+        assert check(late(0.24)).passed
         self.plant(Rule.DRAINING, "s-1-0", lambda _: late(0.26))
         # Notified again that it drains, it is not given another quarter of a second.
         self.plant(
             Rule.DRAINING, "s-1-0", lambda _: [*late(5.0), WatchEventSent(24.9, "n0", "s-1-0", "Gone")]
         )
-        self.assertTrue(check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).passed)
+        assert check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).passed
 
     def test_a_call_within_a_wait_is_seen(self) -> None:
         early = AttemptReceived(32.5, 92, "s-2-1", 2, ("x-2",), ("kx",), 32.5)
         self.plant(Rule.RETRY_AFTER, "destination 2", lambda rs: [*rs, early])
         under_way = AttemptReceived(31.1, 92, "s-2-1", 2, ("x-2",), ("kx",), 31.1)
-        self.assertNotIn(Rule.RETRY_AFTER, [v.rule for v in check([*run(), under_way]).violations])
+        assert Rule.RETRY_AFTER not in [v.rule for v in check([*run(), under_way]).violations]
         restart: list[AnyRecord] = [
             ProcessEvent(32.0, "n1", ProcessChange.KILL),
             ProcessEvent(32.3, "n1", ProcessChange.START),
         ]
-        self.assertNotIn(Rule.RETRY_AFTER, [v.rule for v in check([*run(), *restart, early]).violations])
+        assert Rule.RETRY_AFTER not in [v.rule for v in check([*run(), *restart, early]).violations]
 
     def test_strangers_are_seen(self) -> None:
         one = AttemptReceived(15.0, 93, "s-1-0", 1, ("who",), ("k",), 15.0)
@@ -189,7 +191,7 @@
             recorder.add(r)
         with tempfile.TemporaryDirectory() as folder:
             recorder.write(Path(folder) / "a")
-            self.assertEqual(list(read([Path(folder) / "a"])), run())
+            assert list(read([Path(folder) / "a"])) == run()
 
     def test_files_keep_the_tags_and_keys_of_earlier_runs(self) -> None:
         # Guards files of earlier runs: the records' names have changed since, their form on disk has not.
@@ -213,4 +215,4 @@
             for record in read([before]):
                 recorder.add(record)
             recorder.write(after)
-            self.assertEqual([json.loads(line) for line in after.read_text().splitlines()], lines)
+            assert [json.loads(line) for line in after.read_text().splitlines()] == lines
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -11,10 +11,11 @@
 import tempfile
 import threading
 import time
-import unittest
 from pathlib import Path
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder import client_connection, client_session
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.codec import decode_message
@@ -27,6 +28,7 @@
 from juniperward.net.stream import Stream
 from tests.helpers import open_descriptors
 from tests.player import WAIT, Line, Program
+from tests.resources import Resources, UsesResources
 
 NAMES = SettingsNames(("c",), (12.0,), ("acme",), (), ())
 HEADERS = (
@@ -57,23 +59,21 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-class FormsTest(unittest.TestCase):
-    def test_a_time_left_may_have_as_many_decimals_as_a_double_has(self) -> None:
+class TestForms:
+    def test_a_time_left_may_have_as_many_decimals_as_a_double_has(self, subtests: pytest.Subtests) -> None:
         # Guards clients that print a double as it is: what had more than nine decimals was answered 400, as failed.
         cases = (("0.47999999999999998", 0.48), ("0.1000000000000000055511151231257827", 0.1), (".5", 0.5))
         for text, seconds in cases:
             headers = tuple(h.replace("0.480", text) for h in HEADERS)
-            with self.subTest(text):
+            with subtests.test(text=text):
                 call = decode_message(read_request(pieces(request("m1", headers))), NAMES)
-                self.assertAlmostEqual(call.time_left_s, seconds, 6)
+                assert call.time_left_s == pytest.approx(seconds, abs=5e-7)
 
     def test_a_message_is_the_same_in_every_form_that_the_protocol_allows(self) -> None:
         # Guards herd: any order and case of the headers, blanks about their values, line ends before the request,
         # bare line feeds, the absolute form of the target, and each of these cut at each of its bytes.
         whole = decode_message(read_request(pieces(request("m1"))), NAMES)
-        self.assertEqual(
-            (whole.id, whole.idempotency_key, whole.body, whole.destination), ("m1", "k1", b"hello", 7)
-        )
+        assert (whole.id, whole.idempotency_key, whole.body, whole.destination) == ("m1", "k1", b"hello", 7)
         orders = [HEADERS, HEADERS[::-1], *(random.Random(n).sample(HEADERS, len(HEADERS)) for n in range(4))]
         forms = [request("m1", tuple(order)) for order in orders]
         split = [h.split(": ") for h in HEADERS]
@@ -88,20 +88,20 @@
         ]
         for form, place in itertools.product(forms, range(len(request("m1")))):
             asked = read_request(pieces(form[:place], form[place:])) if place else read_request(pieces(form))
-            self.assertEqual((decode_message(asked, NAMES), asked.path), (whole, "/api"), (form, place))
+            assert (decode_message(asked, NAMES), asked.path) == (whole, "/api"), (form, place)
 
 
-class Door(unittest.TestCase):
+class Door:
     """A server whose reducer takes on all that comes, on a port that the system gives; its subclasses hold tests."""
 
-    __test__ = False
-
-    def setUp(self) -> None:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources) -> None:
+        self.resources = resources
         self.handed: queue.Queue[str] = queue.Queue()
         self.server = Server(("127.0.0.1", 0), NAMES, 20, self.take)
         self.address = self.server.listener.getsockname()
         self.server.start()
-        self.addCleanup(self.server.close)
+        self.resources.callback(self.server.close)
 
     def take(self, event: Event) -> None:
         assert isinstance(event, MessageReceived)
@@ -111,7 +111,7 @@
     def connect(self) -> socket.socket:
         sock = socket.create_connection(self.address, WAIT)
         sock.settimeout(WAIT)
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         return sock
 
     def client(self) -> ClientConnection:
@@ -142,22 +142,20 @@
         return found
 
 
-class PipelineTest(Door):
-    __test__ = True
-
+class TestPipeline(Door):
     def test_many_commands_sent_at_once_are_answered_each_and_in_their_order(self) -> None:
         # Guards herd with `pipeline`: what came along with a command was dropped, or answered out of its turn.
         sock = self.connect()
         sock.sendall(b"".join(request(f"n{n}") for n in range(200)))
         stream = Stream(sock.recv)
-        self.assertEqual([read_response(stream).status for _ in range(200)], [202] * 200)
-        self.assertEqual([self.handed.get_nowait() for _ in range(200)], [f"n{n}" for n in range(200)])
+        assert [read_response(stream).status for _ in range(200)] == [202] * 200
+        assert [self.handed.get_nowait() for _ in range(200)] == [f"n{n}" for n in range(200)]
 
 
-class FloodTest(Door):
-    __test__ = True
-
-    def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(self) -> None:
+class TestFlood(Door):
+    def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards join: a megabyte of commands, of one head, of one body and of nonsense, ended in every way.
         before = open_descriptors()
         floods = (
@@ -169,7 +167,7 @@
             b"\r\n" * 500_000,
         )
         for flood, end in itertools.product(floods, ("close", "reset", "half")):
-            with self.subTest((flood[:40], end)):
+            with subtests.test(case=flood[:40], end=end):
                 sock = self.connect()
                 sock.settimeout(0.2)
                 with contextlib.suppress(OSError):  # it does not read on, or has ended the connection
@@ -180,10 +178,10 @@
                     with contextlib.suppress(OSError):  # ended already
                         sock.shutdown(socket.SHUT_WR)
                 sock.close()
-        self.assertLessEqual(self.descriptors(before), before)
+        assert self.descriptors(before) <= before
         sock = self.connect()
         sock.sendall(request("last"))
-        self.assertEqual(read_response(Stream(sock.recv)).status, 202)
+        assert read_response(Stream(sock.recv)).status == 202
 
     def test_clients_that_leave_in_a_burst_leave_nothing_behind(self) -> None:
         # Guards zone: clients that go at once at each point of a request, before its answer and after it.
@@ -196,18 +194,18 @@
             if number % 2:
                 reset_on_close(sock)
             sock.close()
-        self.assertLessEqual(self.descriptors(before), before)
-
+        assert self.descriptors(before) <= before
 
-class CloseTest(Door):
-    __test__ = True
 
+class TestClose(Door):
     def test_nothing_is_held_back_on_a_clients_connection(self) -> None:
         # Guards small answers: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
         self.connect()
-        self.assertTrue(self.client().sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+        assert self.client().sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    def test_a_request_that_crosses_the_close_of_a_resting_connection_is_not_met_by_a_reset(self) -> None:
+    def test_a_request_that_crosses_the_close_of_a_resting_connection_is_not_met_by_a_reset(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards clients that rest until we end them: a close over the unread request reset the connection; and what
         # is read behind the shutdown is not sent on, as its client sends it again.
         shut = sockets.shutdown
@@ -215,7 +213,7 @@
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 theirs = socket.create_connection(listener.getsockname(), WAIT)
                 ours, _ = listener.accept()
-            self.addCleanup(theirs.close)
+            self.resources.callback(theirs.close)
 
             def crossed(
                 sock: socket.socket, how: int = socket.SHUT_RDWR, theirs: socket.socket = theirs
@@ -226,29 +224,27 @@
             client = ClientConnection(99, ours)
             client.served, client.read_by = served, client.idle_since + 0.01
             with (
-                self.subTest(served=served),
+                subtests.test(served=served),
                 mock.patch.object(client_session, "IDLE_S", 0.01),
                 mock.patch("juniperward.net.sockets.shutdown", crossed),
             ):
                 self.server._serve(client)
-                self.assertEqual(theirs.recv(1000), b"")  # an end and no reset
-                self.assertTrue(self.handed.empty())
+                assert theirs.recv(1000) == b""  # an end and no reset
+                assert self.handed.empty()
 
     def test_a_request_is_never_sent_on_behind_a_shutdown(self) -> None:
         # Guards what is read once we have shut a connection: a request that crosses is refused, or read by nobody.
         sock = self.connect()
         sock.sendall(request("n1"))
-        self.assertEqual(read_response(Stream(sock.recv)).status, 202)
+        assert read_response(Stream(sock.recv)).status == 202
         self.server.stop()
         with contextlib.suppress(ConnectionError):  # it was closed before the request came
             sock.sendall(request("n2"))
-            self.assertNotIn(b" 202 ", sock.recv(1000))
-        self.assertTrue(self.nobody())
-
+            assert b" 202 " not in sock.recv(1000)
+        assert self.nobody()
 
-class SlowWriterTest(Door):
-    __test__ = True
 
+class TestSlowWriter(Door):
     def test_a_first_request_has_its_whole_time_from_its_first_byte(self) -> None:
         # Guards slow writers that connected some time before: their first request had only what connecting had left
         # of its 2 s, and was answered 408, as failed.
@@ -262,9 +258,9 @@
         while client.idle and time.monotonic() < until:
             time.sleep(0)
         left = client.read_by - time.monotonic()
-        self.assertTrue(client_connection.REQUEST_S - 1.0 < left <= client_connection.REQUEST_S, left)
+        assert client_connection.REQUEST_S - 1.0 < left <= client_connection.REQUEST_S, left
         sock.sendall(request("n1")[10:])
-        self.assertEqual(read_response(Stream(sock.recv)).status, 202)
+        assert read_response(Stream(sock.recv)).status == 202
 
     def test_during_a_stop_a_first_request_is_bounded_from_connecting(self) -> None:
         # Guards the end of the process: who trickles a request in must not hold it up beyond its SIGKILL.
@@ -275,16 +271,15 @@
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        self.assertEqual(client.read_by, client.idle_since + client_connection.FIRST_REQUEST_S)
+        assert client.read_by == client.idle_since + client_connection.FIRST_REQUEST_S
 
 
-class KillTest(unittest.TestCase):
+class TestKill(UsesResources):
     def test_a_kill_right_behind_the_answer_loses_no_message(self) -> None:
         # Guards the order of journal and answer on the process itself: SIGKILL as soon as the 202 is read, three
         # lives long; each message is called for by a later life if no earlier one could.
         with tempfile.TemporaryDirectory() as folder:
-            program = Program(Path(folder))
-            self.addCleanup(program.close)
+            program = self.resources.closing(Program(Path(folder)))
             program.start()
             for life in range(3):
                 with socket.create_connection(program.address, WAIT) as client:
@@ -293,7 +288,7 @@
                     Line(client).take(len(b"HTTP/1.1 202 Accepted\r\n"))
                     program.end()
                 journal = b"".join(p.read_bytes() for p in program.state.iterdir() if p.is_file())
-                self.assertIn(f'"m-{life}"'.encode(), journal)
+                assert f'"m-{life}"'.encode() in journal
                 program.start()
             found: set[str] = set()
             until = time.monotonic() + WAIT
@@ -306,4 +301,4 @@
                         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     except Exception:  # of a life that was killed: nothing came, or not whole
                         continue
-            self.assertEqual(found, {"m-0", "m-1", "m-2"})
+            assert found == {"m-0", "m-1", "m-2"}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,11 +6,11 @@
 import os
 import subprocess
 import sys
-import tempfile
-import unittest
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from juniperward.forwarder.address import parse_address
 from juniperward.forwarder.config import ConfigError, load
 from juniperward.forwarder.events import DiscoveryAddressChanged
@@ -29,11 +29,10 @@
 }
 
 
-class ConfigTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = folder.name
+class TestConfig:
+    @pytest.fixture(autouse=True)
+    def set_up(self, tmp_path: Path) -> None:
+        self.folder = str(tmp_path)
 
     def given(self, value: Any) -> dict[str, str]:
         path = Path(self.folder) / "config.json"
@@ -42,27 +41,27 @@
 
     def test_a_good_one_is_read_and_the_environment_goes_first(self) -> None:
         config = load({**self.given(GOOD), "ROUTER_LISTEN": "127.0.0.2:99"})
-        self.assertEqual((config.listen, config.discovery), (("127.0.0.2", 99), ("127.0.0.1", 10)))
-        self.assertEqual((config.seed, config.journal_max_bytes), (0x8C1F, 3_000_000))
-        self.assertEqual(config.settings.slots, 4)
+        assert (config.listen, config.discovery) == (("127.0.0.2", 99), ("127.0.0.1", 10))
+        assert (config.seed, config.journal_max_bytes) == (0x8C1F, 3_000_000)
+        assert config.settings.slots == 4
 
     def test_a_new_file_moves_the_registry_and_a_bad_one_changes_nothing(self) -> None:
         # Guards a running forwarder against a file that is half written or wrong; the file's address counts
         # over the environment's from the first SIGHUP on.
         environment = {**self.given(GOOD), "ROUTER_DISCOVERY": "127.0.0.1:10"}
         reloader = Reloader(load(environment), environment)
-        self.assertIsNone(reloader.reload())
+        assert reloader.reload() is None
         for bad in ("", json.dumps(GOOD)[:99], "[]", {**GOOD, "discovery": None}, {**GOOD, "seed": "x"}):
             self.given(bad)
-            self.assertIsNone(reloader.reload())
+            assert reloader.reload() is None
         self.given({**GOOD, "discovery": "127.0.0.1:11"})
-        self.assertEqual(reloader.reload(), DiscoveryAddressChanged(("127.0.0.1", 11)))
+        assert reloader.reload() == DiscoveryAddressChanged(("127.0.0.1", 11))
         Path(environment["ROUTER_CONFIG"]).unlink()
-        self.assertIsNone(reloader.reload())
+        assert reloader.reload() is None
         self.given({**GOOD, "limits": {"sockets": 50}})
-        self.assertEqual(reloader.reload(), DiscoveryAddressChanged(("127.0.0.1", 10)))
+        assert reloader.reload() == DiscoveryAddressChanged(("127.0.0.1", 10))
 
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_what_is_wrong_is_named(self, subtests: pytest.Subtests) -> None:
         bad: tuple[tuple[Any, str], ...] = (
             ("{", "not JSON"),
             ([], "list"),
@@ -71,24 +70,26 @@
             ({**GOOD, "settings": {**SETTINGS, "Specifics": {"MaxCalls": -1}}}, "Specifics.MaxCalls"),
         )
         for value, word in bad:
-            with self.subTest(word), self.assertRaisesRegex(ConfigError, word):
+            with subtests.test(word=word), pytest.raises(ConfigError, match=word):
                 load(self.given(value))
-        with self.assertRaisesRegex(ConfigError, "no such folder"):
+        with pytest.raises(ConfigError, match="no such folder"):
             load({**self.given(GOOD), "ROUTER_STATE": "/nonesuch"})
-        with self.assertRaisesRegex(ConfigError, "ROUTER_CONFIG"):
+        with pytest.raises(ConfigError, match="ROUTER_CONFIG"):
             load({})
 
-    def test_a_class_or_a_limit_that_makes_no_sense_ends_the_start_with_its_place(self) -> None:
+    def test_a_class_or_a_limit_that_makes_no_sense_ends_the_start_with_its_place(
+        self, subtests: pytest.Subtests
+    ) -> None:
         for key, value, word in (
             ("DeadlineMs", 0, r"Services\[1\]: DeadlineMs"), ("DeadlineMs", "x", r"Services\[1\]"),
             ("Effect", "maybe", r"Services\[1\]: Effect"), ("DeadlineMs", None, r"Services\[1\]"),
             ("WindowMs", -1.0, r"Services\[1\]: WindowMs"),
         ):  # fmt: skip
             services = [SETTINGS["Services"][0], {**SETTINGS["Services"][1], key: value}]
-            with self.subTest(key), self.assertRaisesRegex(ConfigError, word):
+            with subtests.test(key=key), pytest.raises(ConfigError, match=word):
                 load(self.given({**GOOD, "settings": {**SETTINGS, "Services": services}}))
         limits = {**SETTINGS["Limits"], "MaxAttempts": 0}
-        with self.assertRaisesRegex(ConfigError, "Limits.MaxAttempts"):
+        with pytest.raises(ConfigError, match="Limits.MaxAttempts"):
             load(self.given({**GOOD, "settings": {**SETTINGS, "Limits": limits}}))
 
     def test_settings_of_other_deployments_are_read(self) -> None:
@@ -114,15 +115,15 @@
                 "Specifics": {"MaxCalls": 40, "BatchByKind": [500, 1, 50]}}  # fmt: skip
         for given, classes, longest in ((few, 1, 0.3), (many, 12, 600.0)):
             config = load(self.given({**GOOD, "settings": given}))
-            self.assertEqual(len(config.settings.classes), classes)
-            self.assertAlmostEqual(max(config.names.deadlines_s), longest)
+            assert len(config.settings.classes) == classes
+            assert max(config.names.deadlines_s) == pytest.approx(longest, abs=5e-8)
 
     def test_one_odd_entry_does_not_cost_the_list(self) -> None:
         # Guards against news that fail for good: the same entry comes again with every watch.
         entry = {"id": "s-1", "addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         odd = ({**entry, "state": "Odd"}, {**entry, "addr": "x"}, "text", {**entry, "id": "s-2"})
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": odd}}))
-        self.assertEqual([(e.id, e.kind) for e in config.known_endpoints.endpoints], [("s-2", 1)])
+        assert [(e.id, e.kind) for e in config.known_endpoints.endpoints] == [("s-2", 1)]
 
     def test_a_listed_rate_that_makes_no_sense_is_none_and_counted(self) -> None:
         # Guards a worker against its own rate: one that was no number cost it the whole entry.
@@ -132,18 +133,20 @@
         before = counters().get("listed_rates_unread", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
         found = [e.listed_rate for e in config.known_endpoints.endpoints]
-        self.assertEqual(found, [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0])
-        self.assertEqual(counters()["listed_rates_unread"] - before, 6)
+        assert found == [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]
+        assert counters()["listed_rates_unread"] - before == 6
 
-    def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(self) -> None:
-        self.assertEqual(load(self.given(GOOD)).settings.instances, 1)
+    def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(
+        self, subtests: pytest.Subtests
+    ) -> None:
+        assert load(self.given(GOOD)).settings.instances == 1
         for count in (0, -3, "forty", None, True, float("nan")):
-            with self.subTest(count), self.assertRaisesRegex(ConfigError, "Instances: must be above 0"):
+            with subtests.test(count=count), pytest.raises(ConfigError, match="Instances: must be above 0"):
                 load(self.given({**GOOD, "settings": {**SETTINGS, "Instances": count}}))
 
-    def test_addresses(self) -> None:
+    def test_addresses(self, subtests: pytest.Subtests) -> None:
         for text in ("", "a", ":1", "a:", "a:0", "a:70000", "a:-1"):
-            with self.subTest(text), self.assertRaises(ValueError):
+            with subtests.test(text=text), pytest.raises(ValueError):
                 parse_address(text)
 
     def test_the_program_says_it_in_one_line(self) -> None:
@@ -155,5 +158,5 @@
             text=True,
             check=False,
         )
-        self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1))
-        self.assertIn("'servers' is missing", done.stderr)
+        assert (done.returncode, len(done.stderr.splitlines())) == (2, 1)
+        assert "'servers' is missing" in done.stderr
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,11 +12,11 @@
 import tempfile
 import threading
 import time
-import unittest
 from collections.abc import Callable
 from pathlib import Path
 from unittest import mock
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -33,30 +33,29 @@
 from juniperward.control.server import ControlServer, open_socket
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
 from tests.player import ROOT, WAIT, Line, Player, Program
+from tests.resources import Resources
 
 
-class FramesTest(unittest.TestCase):
+class TestFrames:
     def test_requests_and_answers_come_back_as_they_went(self) -> None:
         for verb in Verb:
-            self.assertEqual(decode_request(encode_request(Request(7, verb))[4:]), Request(7, verb))
+            assert decode_request(encode_request(Request(7, verb))[4:]) == Request(7, verb)
         rows = Rows((DestinationRow(3, "well", 1, 2, None, 5.0, 0.0, 1.5, None, 2),))
         for verb, body in ((Verb.DESTINATIONS, rows), (Verb.COUNTERS, Counters({"delivered": 3}))):
             answer = Answer(7, body)
-            self.assertEqual(decode_answer(encode_answer(answer)[4:], verb), answer)
-        self.assertEqual(
-            decode_answer(encode_answer(Answer(7, None, "no"))[4:], Verb.STATUS), Answer(7, None, "no")
-        )
+            assert decode_answer(encode_answer(answer)[4:], verb) == answer
+        assert decode_answer(encode_answer(Answer(7, None, "no"))[4:], Verb.STATUS) == Answer(7, None, "no")
 
     def test_an_answer_names_the_place_of_what_is_wrong(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{"a":"x"}}}'
-        with self.assertRaisesRegex(ProtocolError, r"body\.counters\.a: int is needed"):
+        with pytest.raises(ProtocolError, match=r"body\.counters\.a: int is needed"):
             decode_answer(text, Verb.COUNTERS)
-        with self.assertRaisesRegex(ProtocolError, "version 2"):
+        with pytest.raises(ProtocolError, match="version 2"):
             decode_request(b'{"v":2,"id":1,"verb":"status"}')
 
     def test_unknown_fields_of_a_newer_forwarder_are_passed_over(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{},"mood":1}}'
-        self.assertEqual(decode_answer(text, Verb.COUNTERS), Answer(1, Counters({})))
+        assert decode_answer(text, Verb.COUNTERS) == Answer(1, Counters({}))
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.binary(max_size=300) | st.text(alphabet='{}[]":,v1idverbstatus ', max_size=200).map(str.encode))
@@ -66,15 +65,15 @@
 
     def test_nesting_is_bounded(self) -> None:
         # Guards the thread's stack: the JSON decoder goes down in C with each bracket.
-        with self.assertRaises(ProtocolError):
+        with pytest.raises(ProtocolError):
             decode_request(b"[" * 4000)
 
 
-class SocketTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestSocket:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
         self.path = self.folder / "run" / "n0.sock"
 
     def serve(self, ask: Callable[[ControlServer, int, Request], None]) -> ControlServer:
@@ -82,38 +81,38 @@
         mine = ControlServer(self.path, lambda c, r: ask(found[0], c, r), mock.Mock(), mock.Mock())
         found.append(mine)
         mine.start()
-        self.addCleanup(mine.close)
+        self.resources.callback(mine.close)
         return mine
 
     def test_folder_and_socket_are_for_this_user_only(self) -> None:
         with open_socket(self.path):
-            self.assertEqual(stat.S_IMODE(self.path.stat().st_mode), 0o600)
-            self.assertEqual(stat.S_IMODE(self.path.parent.stat().st_mode), 0o700)
-            with self.assertRaisesRegex(ControlSocketError, "another process listens"):
+            assert stat.S_IMODE(self.path.stat().st_mode) == 0o600
+            assert stat.S_IMODE(self.path.parent.stat().st_mode) == 0o700
+            with pytest.raises(ControlSocketError, match="another process listens"):
                 open_socket(self.path)
         open_socket(self.path).close()  # what a killed process left is taken away
         self.path.parent.chmod(0o755)
-        with self.assertRaisesRegex(ControlSocketError, "mode 0700"):
+        with pytest.raises(ControlSocketError, match="mode 0700"):
             open_socket(self.path)
-        with self.assertRaisesRegex(ControlSocketError, "107 bytes"):
+        with pytest.raises(ControlSocketError, match="107 bytes"):
             open_socket(self.folder / ("x" * 120))
         (self.folder / "plain").write_text("")
         self.folder.chmod(0o700)
-        with self.assertRaisesRegex(ControlSocketError, "something else"):
+        with pytest.raises(ControlSocketError, match="something else"):
             open_socket(self.folder / "plain")
 
     def test_a_client_that_hears_nothing_gives_up_in_its_time(self) -> None:
         self.serve(lambda _mine, _client, _request: None)
         began = time.monotonic()
-        with self.assertRaisesRegex(ControlUnreachableError, "no answer within 0.2 s"):
+        with pytest.raises(ControlUnreachableError, match="no answer within 0.2 s"):
             ControlClient(self.path, 0.2).status()
-        self.assertLess(time.monotonic() - began, 1.5)
-        with self.assertRaisesRegex(ControlUnreachableError, "nobody listens"):
+        assert time.monotonic() - began < 1.5
+        with pytest.raises(ControlUnreachableError, match="nobody listens"):
             ControlClient(self.folder / "none", 0.2).status()
 
     def test_an_answer_to_an_earlier_request_is_not_taken_for_this_ones(self) -> None:
         self.serve(lambda mine, client, request: mine.tell(client, Answer(request.id - 1, Counters({}))))
-        with self.assertRaises(ControlUnreachableError):
+        with pytest.raises(ControlUnreachableError):
             ControlClient(self.path, 0.2).counters()
 
     def test_a_full_table_lets_the_one_idle_longest_go(self) -> None:
@@ -122,14 +121,14 @@
         for _ in range(server.MAX_CLIENTS):
             silent.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
             silent[-1].connect(str(self.path))
-        with self.assertRaises(
+        with pytest.raises(
             ControlUnreachableError
         ):  # it hears nothing before its turn to be admitted, then is served
             ControlClient(self.folder / "none", 0.1).counters()
-        self.assertEqual(ControlClient(self.path, WAIT).counters(), {})
+        assert ControlClient(self.path, WAIT).counters() == {}
         silent[0].settimeout(WAIT)
-        self.assertEqual(silent[0].recv(1), b"")
-        self.assertLessEqual(len(mine.clients), server.MAX_CLIENTS)
+        assert silent[0].recv(1) == b""
+        assert len(mine.clients) <= server.MAX_CLIENTS
         for sock in silent:
             sock.close()
 
@@ -150,80 +149,77 @@
             for _ in range(8):
                 client.counters()
         client.close()
-        self.assertEqual(len(asked), 8)
+        assert len(asked) == 8
         one = server.Client(1, mock.Mock())
         one._tokens, one._tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
-        self.assertGreater(one.pause_s(), 0.0)
+        assert one.pause_s() > 0.0
 
-    def test_rubbish_is_answered_and_ended(self) -> None:
+    def test_rubbish_is_answered_and_ended(self, subtests: pytest.Subtests) -> None:
         self.serve(lambda _mine, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
-            with self.subTest(text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
+            with subtests.test(text=text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
                 sock.settimeout(WAIT)
                 sock.connect(str(self.path))
                 sock.sendall(text)
                 answer = decode_answer(codec.read_frame(Line(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS)
-                self.assertIsNone(answer.body)
+                assert answer.body is None
 
 
-class FolderTest(unittest.TestCase):
+class TestFolder:
     def test_two_never_share_a_state_folder(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             file = lock_folder(Path(name))
-            with self.assertRaises(FolderInUseError):
+            with pytest.raises(FolderInUseError):
                 lock_folder(Path(name), 0.05)
             os.close(file)
             os.close(lock_folder(Path(name)))
 
 
-class ForwarderTest(unittest.TestCase):
+class TestForwarder:
     """A real forwarder with its channel open."""
 
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.program = Program(Path(folder.name))
-        self.addCleanup(self.program.close)
-        path = Path(folder.name) / "run" / "n0"
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.program = self.resources.closing(Program(tmp_path))
+        path = tmp_path / "run" / "n0"
         self.program.config["control"] = str(path)
         self.program.start()
-        self.client = ControlClient(path, WAIT)
-        self.addCleanup(self.client.close)
-        self.player = Player(self.program)
-        self.addCleanup(self.player.close)
+        self.client = self.resources.closing(ControlClient(path, WAIT))
+        self.player = self.resources.closing(Player(self.program))
 
     def test_it_drains_tells_so_and_resumes(self) -> None:
         status = self.client.status()
         assert self.program.process is not None
-        self.assertEqual((status.name, status.pid), ("n0", self.program.process.pid))
-        self.assertEqual((status.phase, status.ready, status.slots), ("serving", True, 4))
-        self.assertEqual(status.endpoint_list_age_s, -1.0)
+        assert (status.name, status.pid) == ("n0", self.program.process.pid)
+        assert (status.phase, status.ready, status.slots) == ("serving", True, 4)
+        assert status.endpoint_list_age_s == -1.0
         self.player.play("@ c client\n+ taken m1 7\n@ w worker\n+ received m1")
-        self.assertEqual((self.client.status().pending, self.client.status().attempts_in_flight), (1, 1))
+        assert (self.client.status().pending, self.client.status().attempts_in_flight) == (1, 1)
         (row,) = [r for r in self.client.rows(Verb.DESTINATIONS).destinations if r.destination == 7]
-        self.assertEqual((row.in_flight, row.queued, row.health), (1, 0, "unknown"))
-        self.assertEqual([w.in_flight for w in self.client.rows(Verb.ENDPOINTS).endpoints], [1, 0])
-        self.assertEqual(self.client.order(Verb.DRAIN).phase, "draining")
+        assert (row.in_flight, row.queued, row.health) == (1, 0, "unknown")
+        assert [w.in_flight for w in self.client.rows(Verb.ENDPOINTS).endpoints] == [1, 0]
+        assert self.client.order(Verb.DRAIN).phase == "draining"
         # What is held goes on to its end; a new message and the ready page hear 503 at once.
         self.player.play(
             "@ c\n+ call m2 7 15\n+ overload\n< Connection: close\n<\n= end\n"
             "@ p client\n> GET /health/ready HTTP/1.1\n>\n< HTTP/1.1 503 Service Unavailable\n"
         )
-        self.assertEqual(self.client.order(Verb.DRAIN).phase, "draining")
+        assert self.client.order(Verb.DRAIN).phase == "draining"
         self.player.play("@ w\n+ ok")
         while (status := self.client.status()).phase == "draining":
             pass
-        self.assertEqual((status.phase, status.delivered, status.unfinished), ("drained", 1, 0))
-        self.assertEqual(self.client.order(Verb.RESUME).phase, "serving")
+        assert (status.phase, status.delivered, status.unfinished) == ("drained", 1, 0)
+        assert self.client.order(Verb.RESUME).phase == "serving"
         self.player.play("@ d client\n+ taken m3 7\n@ w\n+ received m3\n+ ok")
-        self.assertEqual(self.client.counters()["drains"], 1)
+        assert self.client.counters()["drains"] == 1
 
     def test_stop_is_a_planned_end(self) -> None:
         self.client.order(Verb.STOP)
         assert self.program.process is not None
-        self.assertEqual(self.program.process.wait(WAIT), 0)
-        self.assertFalse(self.client.path.exists())
-        with self.assertRaises(ControlUnreachableError):
+        assert self.program.process.wait(WAIT) == 0
+        assert not self.client.path.exists()
+        with pytest.raises(ControlUnreachableError):
             self.client.status()
 
     def test_a_second_one_on_the_same_folder_does_not_start(self) -> None:
@@ -233,8 +229,8 @@
             [sys.executable, "-m", "juniperward"],
             cwd=ROOT, env=environment, capture_output=True, timeout=WAIT,
         )  # fmt: skip
-        self.assertEqual(second.returncode, 1)
-        self.assertIn(b"another forwarder works in this folder", second.stderr)
+        assert second.returncode == 1
+        assert b"another forwarder works in this folder" in second.stderr
 
     def test_a_stopped_process_is_silent_and_comes_back(self) -> None:
         process = self.program.process
@@ -242,11 +238,11 @@
         self.client.status()
         process.send_signal(signal.SIGSTOP)
         try:
-            with self.assertRaises(ControlUnreachableError):
+            with pytest.raises(ControlUnreachableError):
                 ControlClient(self.client.path, 0.2).status()
         finally:
             process.send_signal(signal.SIGCONT)
-        self.assertEqual(self.client.status().phase, "serving")
+        assert self.client.status().phase == "serving"
 
     def test_stalled_and_flooding_clients_leave_the_loop_alone(self) -> None:
         # Guards the loop's own time: 7 clients flood and one never reads; an honest message still passes.
@@ -275,13 +271,13 @@
                 thread.join()
 
 
-class RefusedTest(unittest.TestCase):
+class TestRefused:
     def test_a_refusal_is_told_with_its_text(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / "run" / "s"
             say = mock.Mock()
             mine = ControlServer(path, lambda c, r: mine.tell(c, Answer(r.id, None, "no")), say, say)
             mine.start()
-            with self.assertRaisesRegex(ControlRejectedError, "no"):
+            with pytest.raises(ControlRejectedError, match="no"):
                 ControlClient(path, WAIT).status()
             mine.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,12 +12,13 @@
 import tempfile
 import threading
 import time
-import unittest
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
@@ -38,32 +39,31 @@
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import open_descriptors
 from tests.player import ROOT, Program
+from tests.resources import Resources, UsesResources
 
 WAIT = 20.0
 NO_DESCRIPTOR = OSError(24, "Too many open files")
 
 
-class ShareTest(unittest.TestCase):
+class TestShare:
     def test_all_uses_together_fit_into_any_limit(self) -> None:
         # Guards settings other than the site's: of 64 sockets, clients, calls and idle connections were given 56.
         for limit in range(MIN_SOCKETS, 4096):
             for slots in (1, 4, 1000):
                 b = divide_descriptors(limit, slots)
                 shared = b.clients + b.closing_clients + b.calls + b.idle_to_endpoints
-                self.assertLessEqual(shared + RESERVED_DESCRIPTORS, limit, f"{limit}: {b}")
-                self.assertGreaterEqual(min(b.clients, b.closing_clients, b.calls, b.idle_to_endpoints), 1)
+                assert shared + RESERVED_DESCRIPTORS <= limit, f"{limit}: {b}"
+                assert min(b.clients, b.closing_clients, b.calls, b.idle_to_endpoints) >= 1
 
     def test_the_usual_limits_are_shared_out_in_eighths(self) -> None:
         for limit in (256, 1024):
             b = divide_descriptors(limit, 1000)
-            self.assertEqual((b.clients, b.closing_clients), (limit // 2 - 16, 16))
-            self.assertEqual((b.calls, b.idle_to_endpoints), (limit // 4, limit // 8))
-        self.assertEqual(divide_descriptors(256, 4).calls, 16)  # twice the slots and 8
-
+            assert (b.clients, b.closing_clients) == (limit // 2 - 16, 16)
+            assert (b.calls, b.idle_to_endpoints) == (limit // 4, limit // 8)
+        assert divide_descriptors(256, 4).calls == 16  # twice the slots and 8
 
-class DialTest(EndpointClientRig):
-    __test__ = True
 
+class TestDial(EndpointClientRig):
     def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
         # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
         message = Message("m0", 0, 0, 7, 9.0, None, b"")
@@ -75,16 +75,15 @@
             )
             event = self.events.get(timeout=5.0)
         assert isinstance(event, AttemptAnswered)
-        self.assertEqual(event.outcomes, (ItemOutcome(0, Outcome.CONNECT_FAILED, written=False),))
+        assert event.outcomes == (ItemOutcome(0, Outcome.CONNECT_FAILED, written=False),)
 
 
-class RewriteTest(unittest.TestCase):
+class TestRewrite(UsesResources):
     def test_a_record_is_written_where_a_rewrite_fails(self) -> None:
         # Guards a moment without descriptors: the record that asked for a rewrite was lost with it, though it fitted.
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            journal = Journal(folder, 1_000_000, 0.0)
-            self.addCleanup(journal.close)
+            journal = self.resources.closing(Journal(folder, 1_000_000, 0.0))
             before = counters().get("journal_compactions_failed", 0)
             with mock.patch.object(Journal, "_compact", side_effect=NO_DESCRIPTOR):
                 (folder / COMPACTED_NAME).write_bytes(b"a part of it")
@@ -92,11 +91,10 @@
                     journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b"x" * 3000), 1e6))
                     if n:
                         journal.append(CompletedRecord(f"m{n}"))
-            self.assertGreater(counters().get("journal_compactions_failed", 0), before)
-            self.assertFalse((folder / COMPACTED_NAME).exists())
-            again = Journal(folder, 1_000_000, 0.0)
-            self.addCleanup(again.close)
-            self.assertEqual([r.message.id for r in again.restored()], ["m0"])
+            assert counters().get("journal_compactions_failed", 0) > before
+            assert not (folder / COMPACTED_NAME).exists()
+            again = self.resources.closing(Journal(folder, 1_000_000, 0.0))
+            assert [r.message.id for r in again.restored()] == ["m0"]
 
 
 class LimitedProgram(Program):
@@ -168,25 +166,24 @@
             sock.close()
 
 
-class IdleClientsTest(unittest.TestCase):
+class TestIdleClients:
     """A real process, its descriptors limited, with clients that fill them while discovery is down."""
 
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
         self.recorder = Recorder()
-        self.discovery = FakeDiscovery(self.recorder)
-        self.addCleanup(self.discovery.close)
-        self.destination = FakeDestination(DestinationSpec(7, latency_s=0.01), self.recorder, 1)
-        self.addCleanup(self.destination.close)
+        self.discovery = self.resources.closing(FakeDiscovery(self.recorder))
+        self.destination = self.resources.closing(
+            FakeDestination(DestinationSpec(7, latency_s=0.01), self.recorder, 1)
+        )
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         self.output: list[str] = []
         self.serial = 0
 
     def start(self, descriptors: int, sockets_setting: int = 256) -> LimitedProgram:
-        program = LimitedProgram(self.folder, descriptors, sockets_setting)
-        self.addCleanup(program.close)
+        program = self.resources.closing(LimitedProgram(self.folder, descriptors, sockets_setting))
         program.config["discovery"] = self.discovery.address_for("n0")
         self.discovery.publish(*self.destination.start())
         program.start()
@@ -206,7 +203,7 @@
     def until(self, holds: Callable[[], bool], what: str) -> None:
         end = time.monotonic() + WAIT
         while not holds():
-            self.assertLess(time.monotonic(), end, f"{what}: not within {WAIT} s; {self.output[-5:]}")
+            assert time.monotonic() < end, f"{what}: not within {WAIT} s; {self.output[-5:]}"
             time.sleep(0.01)
 
     def counters(self, program: Program) -> dict[str, int]:
@@ -234,16 +231,15 @@
                 continue  # shut unread: it comes again
             if status == 202:
                 return name
-            self.assertEqual(status, 503)
+            assert status == 503
         raise AssertionError(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
 
     def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
         before = self.counters(program)
         self.discovery.set_outage(True)
-        clients = RestingClients(program.address, 300)
-        self.addCleanup(clients.close)
-        self.assertTrue(clients.full.wait(WAIT))
+        clients = self.resources.closing(RestingClients(program.address, 300))
+        assert clients.full.wait(WAIT)
         self.until(lambda: clients.shut > 0, "the table is full")
         delivered = [self.hand_in(program, size=6000) for _ in range(16)]
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
@@ -254,30 +250,29 @@
         self.until(lambda: undelivered in self.noticed(), "the notice is handed over")
         watches = before["watches_begun"]
         self.until(lambda: self.counters(program)["watches_begun"] > watches, "the watch is opened again")
-        self.assertLess(time.monotonic() - back_at, WAIT)
+        assert time.monotonic() - back_at < WAIT
         after = self.counters(program)
-        self.assertGreater(after["journal_compactions"], before["journal_compactions"])
+        assert after["journal_compactions"] > before["journal_compactions"]
         for fault in (
             "accepts_failed",
             "journal_failures",
             "journal_compactions_failed",
             "unexpected_errors",
         ):
-            self.assertNotIn(fault, after)
-        self.assertNotIn("Too many open files", "".join(self.output))
+            assert fault not in after
+        assert "Too many open files" not in "".join(self.output)
         assert program.process is not None
-        self.assertLessEqual(open_descriptors(program.process.pid), 256)
+        assert open_descriptors(program.process.pid) <= 256
 
     def test_a_listener_without_descriptors_goes_on(self) -> None:
         # The process is given fewer than its settings say: accepting fails, costs little, and comes back.
         program = self.start(48)
-        clients = RestingClients(program.address, 100)
-        self.addCleanup(clients.close)
+        clients = self.resources.closing(RestingClients(program.address, 100))
         self.until(lambda: self.counters(program).get("accepts_failed", 0) >= 3, "accepting fails")
         began, failed = time.monotonic(), self.counters(program)["accepts_failed"]
         self.until(lambda: self.counters(program)["accepts_failed"] >= failed + 10, "accepting goes on")
         more = self.counters(program)["accepts_failed"] - failed
-        self.assertLessEqual(more, (time.monotonic() - began) / 0.05 + 1, "it spins")
+        assert more <= (time.monotonic() - began) / 0.05 + 1, "it spins"
         clients.close()
         name = self.hand_in(program)
         self.until(lambda: name in self.called(), "the endpoint is called")
@@ -289,12 +284,12 @@
         return {r.id for r in self.recorder.records if isinstance(r, NotificationReceived)}
 
 
-class LimitTest(unittest.TestCase):
+class TestLimit:
     def test_the_rig_limits_the_process(self) -> None:
         code = "import resource; print(resource.getrlimit(resource.RLIMIT_NOFILE)[0])"
-        self.assertNotEqual(resource.getrlimit(resource.RLIMIT_NOFILE)[0], 77)
+        assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] != 77
         done = subprocess.run(
             [sys.executable, "-c", LIMIT_AND_RUN, "77", sys.executable, "-c", code],
             cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=WAIT, check=True,
         )  # fmt: skip
-        self.assertEqual(done.stdout.strip(), "77")
+        assert done.stdout.strip() == "77"
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -9,6 +9,8 @@
 from dataclasses import replace
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder import endpoint_connection
 from juniperward.forwarder.answer_headers import read_retry_after
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
@@ -37,7 +39,7 @@
     def accept(self) -> socket.socket:
         """The next connection that the forwarder opens."""
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
         return sock
 
@@ -48,39 +50,35 @@
         return {end.outcome for end in event.outcomes}
 
 
-class ToldWaitTest(EndpointRig):
-    __test__ = True
-
-    def test_a_wait_binds_with_as_many_decimals_as_a_double_has(self) -> None:
+class TestToldWait(EndpointRig):
+    def test_a_wait_binds_with_as_many_decimals_as_a_double_has(self, subtests: pytest.Subtests) -> None:
         # Guards the rule on waits: one with more than nine decimals was taken for none, and the next call broke it.
         cases = (("0.30000000000000004", 0.3), ("1.1102230246251565", 1.11), (".5", 0.5), ("2.", 2.0))
         for text, seconds in cases:
-            with self.subTest(text):
-                self.assertAlmostEqual(read_retry_after({"retry-after": text}), seconds, 2)
+            with subtests.test(text=text):
+                assert read_retry_after({"retry-after": text}) == pytest.approx(seconds, abs=5e-3)
         self.client.start(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 30.000000000000004\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual(self.outcomes(), {Outcome.OVERLOADED})
+        assert self.outcomes() == {Outcome.OVERLOADED}
         self.client.start(delegate(2, self.port))
-        self.assertEqual(self.outcomes(), {Outcome.NOT_SENT})
-
+        assert self.outcomes() == {Outcome.NOT_SENT}
 
-class ProbeTest(EndpointRig):
-    __test__ = True
 
+class TestProbe(EndpointRig):
     def probe(self, number: int, seconds: float) -> StartHealthCheck:
         deadline = time.monotonic() + seconds
         return StartHealthCheck(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
 
-    def test_a_probe_ends_at_its_deadline_whatever_has_come(self) -> None:
+    def test_a_probe_ends_at_its_deadline_whatever_has_come(self, subtests: pytest.Subtests) -> None:
         # Guards a probe that was answered by half a line or by an interim answer: behind the latter it waited for
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
-            with self.subTest(text), mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 60.0):
+            with subtests.test(text=text), mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 60.0):
                 ours, theirs = socket.socketpair()
-                self.addCleanup(theirs.close)
+                self.resources.callback(theirs.close)
                 kept = EndpointConnection(ours, ("127.0.0.1", self.port))
                 kept.idle_since -= 1.0
                 kept.stream = Stream(lambda _, kept=kept: kept._receive(1))  # type: ignore[misc]
@@ -90,7 +88,7 @@
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, HealthCheckAnswered)
-                self.assertIs(event.outcome, Outcome.TIMEOUT)
+                assert event.outcome is Outcome.TIMEOUT
 
     def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
         # Guards calls: the probe's deadline must not go on to the next call on its connection.
@@ -100,18 +98,16 @@
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
         assert isinstance(event, HealthCheckAnswered)
-        self.assertIs(event.outcome, Outcome.OK)
+        assert event.outcome is Outcome.OK
         self.client.start(delegate(2, self.port))
-        self.assertIn(b"m0", sock.recv(1000))
-        with self.assertRaises(queue.Empty):
+        assert b"m0" in sock.recv(1000)
+        with pytest.raises(queue.Empty):
             self.events.get(timeout=0.4)  # past the probe's deadline
         sock.sendall(OK)
-        self.assertEqual(self.outcomes(), {Outcome.OK})
+        assert self.outcomes() == {Outcome.OK}
 
 
-class SlowDialTest(EndpointRig):
-    __test__ = True
-
+class TestSlowDial(EndpointRig):
     def test_a_connection_dialled_with_little_time_left_keeps_no_limit_of_that(self) -> None:
         # Guards large calls: the time that its first message had left for the dial went on to bound each later
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
@@ -121,36 +117,35 @@
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
-        self.assertEqual(self.outcomes(), {Outcome.OK})
+        assert self.outcomes() == {Outcome.OK}
         ((kept,),) = self.client.pool.idle.values()
         kept.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.client.start(delegate(2, self.port, 4, b"x" * 65_536))
-        with self.assertRaises(queue.Empty):
+        with pytest.raises(queue.Empty):
             self.events.get(timeout=1.5)  # it is not read, and not over either
         stream, length = Stream(sock.recv), 0
         while line := stream.read_line(1000, 400):
             if line.startswith(b"Content-Length: "):
                 length = int(line.split()[1])
-        self.assertGreater(len(stream.read_exactly(length)), 4 * 65_536)
+        assert len(stream.read_exactly(length)) > 4 * 65_536
         states = ",".join(f'{{"id":"m{n}","state":"ok"}}' for n in range(4))
         sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(states) + 2}\r\n\r\n[{states}]".encode())
-        self.assertEqual(self.outcomes(), {Outcome.OK})
+        assert self.outcomes() == {Outcome.OK}
 
     def test_hundreds_of_dials_that_never_come_up_leave_nothing_behind(self) -> None:
         # Guards soak: one in fifty connections never comes up; no thread, descriptor or place for a call may leak.
-        silent = socket.socket()
-        self.addCleanup(silent.close)
+        silent = self.resources.closing(socket.socket())
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
         line = [socket.socket() for _ in range(4)]  # they fill its line, so that no other comes up
         for sock in line:
-            self.addCleanup(sock.close)
+            self.resources.callback(sock.close)
             sock.setblocking(False)
             sock.connect_ex(silent.getsockname())
         self.client.connections.dial_timeout_s = 0.01
         port = silent.getsockname()[1]
         self.client.start(delegate(0, port))
-        self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
+        assert self.outcomes() == {Outcome.CONNECT_FAILED}
         before = open_descriptors()
         for number in range(1, 301):
             self.client.start(delegate(number, port))
@@ -158,26 +153,24 @@
                 # Those that come up late come up in vain, and one is given up while it is dialled.
                 self.client.cancel(number)
             else:
-                self.assertEqual(self.outcomes(), {Outcome.CONNECT_FAILED})
+                assert self.outcomes() == {Outcome.CONNECT_FAILED}
         self.client.start(delegate(301, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
-        self.assertEqual(self.outcomes(), {Outcome.OK})
+        assert self.outcomes() == {Outcome.OK}
         until = time.monotonic() + 5.0
         while self.client.free_threads != self.client.threads and time.monotonic() < until:
             time.sleep(0)
-        self.assertEqual(self.client.free_threads, self.client.threads)
-        self.assertLessEqual(self.client.threads, 4)
-        self.assertEqual((self.client.active, self.client.submitted.qsize()), ({}, 0))
+        assert self.client.free_threads == self.client.threads
+        assert self.client.threads <= 4
+        assert (self.client.active, self.client.submitted.qsize()) == ({}, 0)
         # The one connection that is kept, its other end and nothing else.
-        self.assertLessEqual(open_descriptors(), before + 2)
-
+        assert open_descriptors() <= before + 2
 
-class EndlessAnswerTest(EndpointRig):
-    __test__ = True
 
-    def test_no_answer_goes_on_for_ever(self) -> None:
+class TestEndlessAnswer(EndpointRig):
+    def test_no_answer_goes_on_for_ever(self, subtests: pytest.Subtests) -> None:
         # Guards slots and memory: heads, bodies, chunks and interim answers that never end.
         one, many = 1, 2
         head = b"HTTP/1.1 500 X\r\n"
@@ -199,31 +192,29 @@
              b"1\r\n \r\n", Outcome.RESET),
         ]  # fmt: skip
         for number, (name, count, first, rest, outcome) in enumerate(cases):
-            with self.subTest(name):
+            with subtests.test(name=name):
                 self.client.start(delegate(number, self.port, count))
                 sock = self.accept()
                 sock.recv(65536)
                 sock.sendall(first)
                 writer = threading.Thread(target=write_on, args=(sock, rest), daemon=True)
                 writer.start()
-                self.assertEqual(self.outcomes(), {outcome})
+                assert self.outcomes() == {outcome}
                 writer.join(5.0)
-                self.assertFalse(writer.is_alive(), "its connection goes on")
-                self.assertEqual(self.client.pool.idle.get(WORKER, []), [])
-
+                assert not writer.is_alive(), "its connection goes on"
+                assert self.client.pool.idle.get(WORKER, []) == []
 
-class NoDelayTest(EndpointRig):
-    __test__ = True
 
+class TestNoDelay(EndpointRig):
     def test_nothing_is_held_back_on_a_connection_to_an_endpoint(self) -> None:
         # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
         self.client.start(delegate(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
-        self.assertEqual(self.outcomes(), {Outcome.OK})
+        assert self.outcomes() == {Outcome.OK}
         ((kept,),) = self.client.pool.idle.values()
-        self.assertTrue(kept.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+        assert kept.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
 def write_on(sock: socket.socket, text: bytes) -> None:
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -5,7 +5,8 @@
 import socket
 import threading
 import time
-import unittest
+
+import pytest
 
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
@@ -26,9 +27,10 @@
 from juniperward.net.http_requests import encode_request
 from juniperward.net.http_responses import encode_response, read_response
 from juniperward.net.stream import Stream
+from tests.resources import UsesResources
 
 
-class ClientsTest(unittest.TestCase):
+class TestClients(UsesResources):
     def run_clients(self, *statuses: int, count: float = 40.0) -> tuple[Recorder, Clients]:
         answers = list(statuses)
         lock = threading.Lock()
@@ -45,24 +47,24 @@
 
         server = HttpServer(handle)
         server.start()
-        self.addCleanup(server.stop)
+        self.resources.callback(server.stop)
         load_balancer = LoadBalancer({"n0": ("127.0.0.1", server.port)})
         recorder = Recorder()
         clients = Clients(
             Traffic(count, backoff_s=0.01), load_balancer, recorder, 1, ClientOptions(threads=2)
         )
         clients.start(1.0)
-        self.assertTrue(clients.done.wait(20.0))
+        assert clients.done.wait(20.0)
         return recorder, clients
 
     def test_a_pooled_connection_is_reused_without_a_wait(self) -> None:
         # Guards the clients' own speed: a look at a socket with one of Python's time-outs waited for all of it, so
         # two threads submitted five messages a second, and every latency was their own.
         recorder, clients = self.run_clients()
-        self.assertLess(sorted(clients.lateness_s)[len(clients.lateness_s) // 2], 0.1)
-        self.assertGreater(len(clients.lateness_s), 20)
+        assert sorted(clients.lateness_s)[len(clients.lateness_s) // 2] < 0.1
+        assert len(clients.lateness_s) > 20
         answers = [r for r in recorder.records if isinstance(r, SubmissionAnswered)]
-        self.assertEqual({r.status for r in answers}, {202})
+        assert {r.status for r in answers} == {202}
 
     def test_a_rejected_message_is_submitted_once_more_with_its_key_and_a_fresh_id(self) -> None:
         recorder, _ = self.run_clients(503, 0, 503, 503, count=4.0)
@@ -70,21 +72,21 @@
         by_first: dict[str, list[Submitted]] = {}
         for submission in submissions:
             by_first.setdefault(submission.first_id, []).append(submission)
-        self.assertTrue(any(len(submitted) == 2 for submitted in by_first.values()))
+        assert any(len(submitted) == 2 for submitted in by_first.values())
         for submitted in by_first.values():
-            self.assertLessEqual(len(submitted), 2)
-            self.assertEqual(len({h.key for h in submitted}), 1)
-            self.assertEqual(len({h.id for h in submitted}), len(submitted))
-            self.assertEqual(len({h.expires_at for h in submitted}), 1)
+            assert len(submitted) <= 2
+            assert len({h.key for h in submitted}) == 1
+            assert len({h.id for h in submitted}) == len(submitted)
+            assert len({h.expires_at for h in submitted}) == 1
 
 
-class DestinationTest(unittest.TestCase):
+class TestDestination(UsesResources):
     def destination(self, **more: object) -> FakeDestination:
         self.recorder = Recorder()
         spec = DestinationSpec(1, latency_s=0.001, retry_after_fraction=1.0, **more)  # type: ignore[arg-type]
         destination = FakeDestination(spec, self.recorder, 1)
         destination.start()
-        self.addCleanup(destination.close)
+        self.resources.callback(destination.close)
         return destination
 
     def call(
@@ -107,46 +109,46 @@
             ):
                 return
             time.sleep(0.001)
-        self.fail("a call that was answered was not recorded")
+        pytest.fail("a call that was answered was not recorded")
 
     def test_a_duplicate_takes_no_second_effect_inside_the_window(self) -> None:
         destination = self.destination(deduplication_window_s=0.2)
-        self.assertEqual([self.call(destination, f"m{n}", "k")[0] for n in range(3)], [200, 200, 200])
-        self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 1)
+        assert [self.call(destination, f"m{n}", "k")[0] for n in range(3)] == [200, 200, 200]
+        assert sum(isinstance(r, Effect) for r in self.recorder.records) == 1
         destination.effect_times["k"] -= 1.0  # its window is over
         self.call(destination, "m4", "k")
-        self.assertEqual(sum(isinstance(r, Effect) for r in self.recorder.records), 2)
+        assert sum(isinstance(r, Effect) for r in self.recorder.records) == 2
 
     def test_its_rate_limit_is_for_all_its_endpoints_and_sends_retry_after(self) -> None:
         destination = self.destination(rate_limit=3.0)
         found = [self.call(destination, f"m{n}", endpoint=n % 2) for n in range(4)]
-        self.assertEqual([s for s, _ in found], [200, 200, 200, 429])
-        self.assertTrue(0 < found[3][1] <= 1.0)
+        assert [s for s, _ in found] == [200, 200, 200, 429]
+        assert 0 < found[3][1] <= 1.0
 
     def test_faults_and_slow_start(self) -> None:
         destination = self.destination(concurrency=10)
         destination.inject_fault(FaultMode.REJECTING, 5.0)
         status, wait = self.call(destination, "a")
-        self.assertEqual(status, 429)
-        self.assertTrue(4.0 < wait <= 5.0)
+        assert status == 429
+        assert 4.0 < wait <= 5.0
         destination.inject_fault(FaultMode.FAILING)
-        self.assertEqual(self.call(destination, "b")[0], 500)
+        assert self.call(destination, "b")[0] == 500
         destination.inject_fault(FaultMode.DOWN)
-        with self.assertRaises(OSError):
+        with pytest.raises(OSError):
             self.call(destination, "c")
         destination.inject_fault(FaultMode.HEALTHY)
-        self.assertLess(destination.capacity.present(), 0.3 * destination.spec.capacity)
-        self.assertEqual(self.call(destination, "d")[0], 200)
+        assert destination.capacity.present() < 0.3 * destination.spec.capacity
+        assert self.call(destination, "d")[0] == 200
         destination.capacity.recovered_at = time.monotonic() - 11.0
-        self.assertEqual(destination.capacity.present(), destination.spec.capacity)
+        assert destination.capacity.present() == destination.spec.capacity
 
     def test_overloaded_in_slow_start_it_crashes(self) -> None:
         destination = self.destination(rate_limit=4.0)
         destination.capacity.recovered_at = time.monotonic()
         for n in range(40):
             self.call(destination, f"m{n}")
-        self.assertTrue(destination.capacity.crashed)
-        self.assertEqual(self.call(destination, "z")[0], 503)
+        assert destination.capacity.crashed
+        assert self.call(destination, "z")[0] == 503
 
     def test_an_attempt_is_recorded_completely(self) -> None:
         destination = self.destination()
@@ -157,16 +159,15 @@
             and isinstance(effect, Effect)
             and isinstance(replied, AttemptAnswered)
         )
-        self.assertEqual((called.endpoint, called.ids, called.keys), ("s-1-0", ("m",), ("k",)))
-        self.assertLessEqual(called.began_at, called.at)
-        self.assertEqual((effect.key, replied.states), ("k", ("ok",)))
+        assert (called.endpoint, called.ids, called.keys) == ("s-1-0", ("m",), ("k",))
+        assert called.began_at <= called.at
+        assert (effect.key, replied.states) == ("k", ("ok",))
 
 
-class DiscoveryTest(unittest.TestCase):
+class TestDiscovery(UsesResources):
     def test_a_watch_receives_the_list_then_changes_and_each_is_recorded(self) -> None:
         recorder = Recorder()
-        discovery = FakeDiscovery(recorder)
-        self.addCleanup(discovery.close)
+        discovery = self.resources.closing(FakeDiscovery(recorder))
         destination = FakeDestination(DestinationSpec(1), recorder, 1)
         discovery.publish(*destination.listed())
         host, port = discovery.address_for("n0").split(":")
@@ -181,5 +182,5 @@
                 text = lines.readline()
         while len(sent := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
             time.sleep(0.01)
-        self.assertEqual(sent[-1].state, "Terminating")
-        self.assertEqual({t.forwarder for t in sent}, {"n0"})
+        assert sent[-1].state == "Terminating"
+        assert {t.forwarder for t in sent} == {"n0"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-import unittest
 from collections.abc import Sequence
 from dataclasses import replace
 
 import msgspec
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -166,8 +166,8 @@
         return roll
 
 
-class StatesTest(unittest.TestCase):
-    def test_each_state_is_told_from_its_facts(self) -> None:
+class TestStates:
+    def test_each_state_is_told_from_its_facts(self, subtests: pytest.Subtests) -> None:
         now, alive = 100.0, Process(1, 1)
         base = Instance("a", DesiredState.RUNNING, alive, started_at=90.0, reading=BLANK, was_ready=True)
         cases = [
@@ -186,11 +186,11 @@
             (replace(base, unanswered_since=81.0, started_at=80.0, was_ready=False), Phase.UNRESPONSIVE),
         ]
         for i, expected in cases:
-            with self.subTest(expected=expected, i=i):
-                self.assertEqual(phase(i, now, TIMEOUTS), expected)
+            with subtests.test(expected=expected, i=i):
+                assert phase(i, now, TIMEOUTS) == expected
 
 
-class RestartsTest(unittest.TestCase):
+class TestRestarts:
     def test_waits_double_and_a_crash_loop_fails(self) -> None:
         rules = RestartPolicy(first_delay_s=0.5, crash_limit=5, crash_window_s=60.0)
         i, now, waits = Instance("a", DesiredState.RUNNING, Process(1, 1)), 0.0, []
@@ -198,26 +198,24 @@
             i = after_exit(i, now, "exit 1", rules, 0.5)
             assert i.crashes.restart_at is not None
             waits.append(i.crashes.restart_at - now)
-            self.assertFalse(should_start(i, now))
+            assert not should_start(i, now)
             now = i.crashes.restart_at
-            self.assertTrue(should_start(i, now))
+            assert should_start(i, now)
             i = replace(i, process=Process(1, 1), started_at=now)
-        self.assertEqual(waits, [0.5, 1.0, 2.0, 4.0])
+        assert waits == [0.5, 1.0, 2.0, 4.0]
         i = after_exit(i, now, "exit 1", rules, 0.5)
-        self.assertEqual(phase(i, now, TIMEOUTS), Phase.FAILED)
-        self.assertIn("5 crashes within 60 s, the last: exit 1", i.crashes.crash_loop)
-        self.assertFalse(should_start(i, now + 1e6))
+        assert phase(i, now, TIMEOUTS) == Phase.FAILED
+        assert "5 crashes within 60 s, the last: exit 1" in i.crashes.crash_loop
+        assert not should_start(i, now + 1e6)
 
     def test_one_that_ran_steadily_begins_anew(self) -> None:
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), was_ready=True, crashes=Crashes((), 6))
         i = after_exit(i, 100.0, "exit 1", RestartPolicy(), 0.5)
-        self.assertEqual((i.crashes.consecutive, i.crashes.restart_at), (1, 100.5))
+        assert (i.crashes.consecutive, i.crashes.restart_at) == (1, 100.5)
 
     def test_an_end_that_was_asked_for_is_no_crash(self) -> None:
         i = Instance("a", DesiredState.STOPPED, Process(1, 1), stopping_since=1.0, drain_requested=True)
-        self.assertEqual(
-            after_exit(i, 2.0, "exit 0", RestartPolicy(), 0.5), Instance("a", last_exit="exit 0")
-        )
+        assert after_exit(i, 2.0, "exit 0", RestartPolicy(), 0.5) == Instance("a", last_exit="exit 0")
 
     @settings(derandomize=True, max_examples=200)
     @given(st.integers(0, 60), st.floats(0, 1))
@@ -226,40 +224,36 @@
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), crashes=Crashes((), consecutive))
         at = after_exit(i, 50.0, "x", rules, chance).crashes.restart_at
         assert at is not None
-        self.assertTrue(
-            rules.first_delay_s * (1 - rules.jitter) <= at - 50.0 <= rules.max_delay_s * (1 + rules.jitter)
-        )
+        assert rules.first_delay_s * (1 - rules.jitter) <= at - 50.0 <= rules.max_delay_s * (1 + rules.jitter)
 
 
-class RollTest(unittest.TestCase):
+class TestRoll:
     def test_all_are_restarted_and_the_floor_is_held(self) -> None:
         model = Model(5)
         roll = model.run(model.plan())
-        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 4))
-        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
-        self.assertEqual([s.stage for s in roll.steps], [RollStage.DONE] * 5)
+        assert (roll.mode, model.least) == (RollMode.DONE, 4)
+        assert {i.configuration_version for i in model.fleet.values()} == {"b"}
+        assert [s.stage for s in roll.steps] == [RollStage.DONE] * 5
         for name in model.fleet:  # drained, then stopped, then started
             done = [o.command for o in model.orders if o.name == name]
-            self.assertEqual(
-                list(dict.fromkeys(done)), [RollCommand.DRAIN, RollCommand.STOP, RollCommand.START]
-            )
+            assert list(dict.fromkeys(done)) == [RollCommand.DRAIN, RollCommand.STOP, RollCommand.START]
 
     def test_batches_go_together(self) -> None:
         model = Model(6)
         began = model.now
         roll = model.run(model.plan(batch_size=3, min_ready=3))
-        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 3))
+        assert (roll.mode, model.least) == (RollMode.DONE, 3)
         one = Model(6)
         start = one.now
         one.run(one.plan())
-        self.assertLess(model.now - began, 0.5 * (one.now - start))
+        assert model.now - began < 0.5 * (one.now - start)
 
-    def test_a_floor_that_cannot_be_held_is_no_plan(self) -> None:
+    def test_a_floor_that_cannot_be_held_is_no_plan(self, subtests: pytest.Subtests) -> None:
         model = Model(3)
         for rule, value in (("min_ready", 3), ("batch_size", 0)):
-            with self.subTest(rule), self.assertRaises(RollRejectedError):
+            with subtests.test(rule=rule), pytest.raises(RollRejectedError):
                 model.plan("b", **{rule: value})
-        with self.assertRaisesRegex(RollRejectedError, "no such instance: n9"):
+        with pytest.raises(RollRejectedError, match="no such instance: n9"):
             plan("r", "b", ["n9"], RollRules(), model.view())
 
     def test_a_silent_one_goes_first_and_ends_by_sigkill(self) -> None:
@@ -268,53 +262,53 @@
         for _ in range(12):
             model.tick()
         roll = model.plan()
-        self.assertEqual(roll.steps[0].name, "n2")
+        assert roll.steps[0].name == "n2"
         roll = model.run(roll)
-        self.assertEqual((roll.mode, model.least), (RollMode.DONE, 3))
-        self.assertEqual(model.fleet["n2"].configuration_version, "b")
+        assert (roll.mode, model.least) == (RollMode.DONE, 3)
+        assert model.fleet["n2"].configuration_version == "b"
 
     def test_one_that_falls_silent_while_draining_is_stopped_after_its_time(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(), 0.2)
         model.mute.add("n0")
         roll = model.run(roll)
-        self.assertEqual(roll.mode, RollMode.DONE)
-        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
+        assert roll.mode == RollMode.DONE
+        assert {i.configuration_version for i in model.fleet.values()} == {"b"}
 
     def test_one_that_never_drains_is_stopped_after_its_time(self) -> None:
         model = Model(2)
         model.leaky.add("n0")
         began = model.now
         roll = model.run(model.plan(drain_timeout_s=4.0))
-        self.assertEqual(roll.mode, RollMode.DONE)
-        self.assertGreater(model.now - began, 4.0)
+        assert roll.mode == RollMode.DONE
+        assert model.now - began > 4.0
 
     def test_one_that_ignores_sigterm_is_killed(self) -> None:
         model = Model(2)
         model.stubborn.add("n1")
-        self.assertEqual(model.run(model.plan()).mode, RollMode.DONE)
+        assert model.run(model.plan()).mode == RollMode.DONE
 
     def test_one_that_dies_at_its_start_pauses_the_roll_and_undo_mends_it(self) -> None:
         model = Model(4)
         model.dead_at_start.add("n1")
         roll = model.run(model.plan(), until=RollMode.PAUSED)
-        self.assertIn("n1 does not come up: it ended at its start: exit 1", roll.reason)
-        self.assertEqual([model.fleet[n].configuration_version for n in ("n0", "n2", "n3")], ["b", "a", "a"])
+        assert "n1 does not come up: it ended at its start: exit 1" in roll.reason
+        assert [model.fleet[n].configuration_version for n in ("n0", "n2", "n3")] == ["b", "a", "a"]
         paused = model.run(roll, 20.0)
-        self.assertEqual((paused.mode, model.fleet["n2"].configuration_version), (RollMode.PAUSED, "a"))
+        assert (paused.mode, model.fleet["n2"].configuration_version) == (RollMode.PAUSED, "a")
         roll, orders = undo(paused)
         model.obey(orders)
         roll = model.run(roll)
-        self.assertEqual(roll.mode, RollMode.UNDONE)
-        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"a"})
-        self.assertEqual(model.up(), 4)
+        assert roll.mode == RollMode.UNDONE
+        assert {i.configuration_version for i in model.fleet.values()} == {"a"}
+        assert model.up() == 4
 
     def test_one_that_is_ready_but_delivers_nothing_pauses_the_roll(self) -> None:
         model = Model(4)
         model.barren.add("n0")
         roll = model.run(model.plan(), until=RollMode.PAUSED)
-        self.assertIn("n0 is ready but 0 of ", roll.reason)
-        self.assertEqual({model.fleet[n].configuration_version for n in ("n1", "n2", "n3")}, {"a"})
+        assert "n0 is ready but 0 of " in roll.reason
+        assert {model.fleet[n].configuration_version for n in ("n1", "n2", "n3")} == {"a"}
 
     def test_falling_service_pauses_the_roll(self) -> None:
         # All others are well by their own counts; what falls is the whole.
@@ -324,7 +318,7 @@
             model.fleet[name] = replace(model.fleet[name], configuration_version="b")
             model.barren.add(name)
         roll = model.run(roll, until=RollMode.PAUSED)
-        self.assertIn("service fell", roll.reason)
+        assert "service fell" in roll.reason
 
     def test_a_loss_elsewhere_that_breaks_the_floor_pauses_and_a_resume_goes_on(self) -> None:
         model = Model(4)
@@ -333,13 +327,13 @@
             model.fleet["n3"], desired_state=DesiredState.STOPPED, stopping_since=model.now
         )
         roll = model.run(roll, until=RollMode.PAUSED)
-        self.assertIn("the floor is 3", roll.reason)
+        assert "the floor is 3" in roll.reason
         model.fleet["n3"] = replace(model.fleet["n3"], desired_state=DesiredState.RUNNING)
         model.start("n3", "b")
         for _ in range(4):
             model.tick()
-        self.assertEqual(model.run(resume(roll)).mode, RollMode.DONE)
-        with self.assertRaises(RollRejectedError):
+        assert model.run(resume(roll)).mode == RollMode.DONE
+        with pytest.raises(RollRejectedError):
             resume(roll if roll.over else replace(roll, mode=RollMode.DONE))
 
     def test_what_falls_away_amid_a_roll_is_taken_next(self) -> None:
@@ -348,8 +342,8 @@
         roll = model.run(model.plan(min_ready=3, blocked_timeout_s=60.0), 0.2)
         model.mute.add("n3")
         roll = model.run(roll)
-        self.assertEqual(roll.mode, RollMode.DONE)
-        self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"})
+        assert roll.mode == RollMode.DONE
+        assert {i.configuration_version for i in model.fleet.values()} == {"b"}
 
     def test_one_stopped_by_order_is_left_out(self) -> None:
         model = Model(3)
@@ -361,22 +355,22 @@
         roll = skip_instance(roll, "n2", "stopped by order")
         roll = model.run(roll)
         stages = {s.name: s.stage for s in roll.steps}
-        self.assertEqual(stages, {"n0": RollStage.SKIPPED, "n1": RollStage.DONE, "n2": RollStage.SKIPPED})
-        self.assertIsNone(model.fleet["n0"].process)
-        self.assertEqual(roll.mode, RollMode.DONE)
+        assert stages == {"n0": RollStage.SKIPPED, "n1": RollStage.DONE, "n2": RollStage.SKIPPED}
+        assert model.fleet["n0"].process is None
+        assert roll.mode == RollMode.DONE
 
     def test_an_end_by_order_leaves_nothing_drained(self) -> None:
         model = Model(3)
         model.leaky.add("n0")
         roll = model.run(model.plan(), 0.2)
         roll, orders = end(roll)
-        self.assertEqual((orders, roll.mode), ((RollOrder(RollCommand.RESUME, "n0"),), RollMode.ENDED))
+        assert (orders, roll.mode) == ((RollOrder(RollCommand.RESUME, "n0"),), RollMode.ENDED)
 
     def test_a_roll_by_sigkill_goes_without_drain(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(kill=True))
-        self.assertEqual(roll.mode, RollMode.DONE)
-        self.assertNotIn(RollCommand.DRAIN, {o.command for o in model.orders})
+        assert roll.mode == RollMode.DONE
+        assert RollCommand.DRAIN not in {o.command for o in model.orders}
 
     def test_orders_may_be_lost_or_doubled_at_every_step(self) -> None:
         # An agent that is killed has written its roll down and has carried out any part of its orders. Each
@@ -397,12 +391,12 @@
                 model.obey(orders)
                 model.least = min(model.least, model.up())
                 model.tick()
-            self.assertEqual((roll.mode, model.least), (RollMode.DONE, 2), cut)
-            self.assertEqual({i.configuration_version for i in model.fleet.values()}, {"b"}, cut)
+            assert (roll.mode, model.least) == (RollMode.DONE, 2), cut
+            assert {i.configuration_version for i in model.fleet.values()} == {"b"}, cut
             if not fired:
                 break
             places, cut = places + 1, cut + 1
-        self.assertGreaterEqual(places, 3 * 9)  # three instances, three orders each
+        assert places >= 3 * 9  # three instances, three orders each
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(st.integers(2, 7), st.integers(1, 3), st.data())
@@ -414,15 +408,15 @@
         roll = model.run(
             model.plan(batch_size=at_once, min_ready=floor, drain_timeout_s=2.0), 200.0, RollMode.PAUSED
         )
-        self.assertGreaterEqual(model.least, min(floor, count - at_once))
-        self.assertIn(roll.mode, (RollMode.DONE, RollMode.PAUSED))
+        assert model.least >= min(floor, count - at_once)
+        assert roll.mode in (RollMode.DONE, RollMode.PAUSED)
 
 
-class MeterTest(unittest.TestCase):
+class TestMeter:
     def test_counts_survive_restarts(self) -> None:
         meter = Meter()
         for now, pid, delivered in ((0.0, 1, 100), (1.0, 1, 110), (2.0, 2, 4), (3.0, 2, 8)):
             meter = meter.with_readings(now, {"a": replace(BLANK, pid=pid, delivered=delivered)}, 30.0)
-        self.assertEqual(meter.total, Tally(118, 0))
-        self.assertEqual(meter.recent(3.0, 1.0), Tally(4, 0))
-        self.assertIsNone(Tally().success_rate)
+        assert meter.total == Tally(118, 0)
+        assert meter.recent(3.0, 1.0) == Tally(4, 0)
+        assert Tally().success_rate is None
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import os
-import tempfile
-import unittest
 from pathlib import Path
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder.journal import BLOCK_BYTES, COMPACTED_NAME, JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message, OutcomeNotification
 from juniperward.forwarder.records import (
@@ -18,6 +18,7 @@
     OutcomeDecidedRecord,
     RecordedAttempt,
 )
+from tests.resources import Resources
 
 DISK = 200_000
 
@@ -26,16 +27,14 @@
     return Message(name, 0, 1, 7, 0.0, f"k-{name}", bytes(range(256)) * (size // 256 + 1))
 
 
-class JournalTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestJournal:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
 
     def open(self, to_unix: float = 1000.0, disk: int = DISK) -> Journal:
-        journal = Journal(self.folder, disk, to_unix)
-        self.addCleanup(journal.close)
-        return journal
+        return self.resources.closing(Journal(self.folder, disk, to_unix))
 
     def used(self) -> int:
         return sum(-(-p.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for p in self.folder.iterdir())
@@ -57,12 +56,12 @@
         ):
             j.append(record)
         a, b = self.open().restored()
-        self.assertEqual((a.message, a.expires_at), (call("a"), 20.0))
-        self.assertEqual(a.history, (RecordedAttempt("s-1", 1.5, False), RecordedAttempt("s-2", 2.5, True)))
-        self.assertIsNone(a.notification)
-        self.assertEqual((b.message.id, b.notification), ("b", OutcomeNotification("b", 0.25)))
+        assert (a.message, a.expires_at) == (call("a"), 20.0)
+        assert a.history == (RecordedAttempt("s-1", 1.5, False), RecordedAttempt("s-2", 2.5, True))
+        assert a.notification is None
+        assert (b.message.id, b.notification) == ("b", OutcomeNotification("b", 0.25))
         again = {r.message.id: r for r in self.open().restored()}  # what a rewrite kept says the same
-        self.assertEqual((again["a"], again["b"]), (a, b))
+        assert (again["a"], again["b"]) == (a, b)
 
     def test_times_move_with_the_clock_of_the_new_process(self) -> None:
         # Guards the 12 s window over a reboot: monotonic clocks start anew, Unix time goes on.
@@ -70,7 +69,7 @@
         j.append(AcceptedRecord(call("a"), 20.0))
         j.append(AttemptStartedRecord("a", 1.0, "s-1"))
         (a,) = self.open(to_unix=1015.0).restored()
-        self.assertEqual((a.expires_at, a.history[0].started_at), (5.0, -14.0))
+        assert (a.expires_at, a.history[0].started_at) == (5.0, -14.0)
 
     def test_a_torn_tail_costs_only_itself(self) -> None:
         # Guards against a process killed within a write, at every byte of it.
@@ -82,9 +81,9 @@
         for cut in range(len(whole), len(both) - 1, 7):
             (self.folder / JOURNAL_NAME).write_bytes(both[:cut])
             again = self.open()
-            self.assertEqual([r.message.id for r in again.restored()], ["a"])
+            assert [r.message.id for r in again.restored()] == ["a"]
             again.append(AcceptedRecord(call("c"), 20.0))
-            self.assertEqual([r.message.id for r in self.open().restored()], ["a", "c"])
+            assert [r.message.id for r in self.open().restored()] == ["a", "c"]
 
     def test_a_damaged_line_costs_only_itself(self) -> None:
         j = self.open()
@@ -93,7 +92,7 @@
         lines = (self.folder / JOURNAL_NAME).read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b'"b"', b'"x"')  # still a record, but not the one that was written
         (self.folder / JOURNAL_NAME).write_bytes(b"\n".join(lines))
-        self.assertEqual([r.message.id for r in self.open().restored()], ["a", "c"])
+        assert [r.message.id for r in self.open().restored()] == ["a", "c"]
 
     def test_a_write_cut_short_does_not_spoil_the_next_record(self) -> None:
         # Guards against a record that joins the rest of one that failed: neither line would match its sum.
@@ -104,16 +103,16 @@
             real(file, bytes(data)[:10])
             raise OSError(28, "No space left on device")
 
-        with mock.patch("juniperward.forwarder.journal.os.write", short), self.assertRaises(OSError):
+        with mock.patch("juniperward.forwarder.journal.os.write", short), pytest.raises(OSError):
             j.append(AcceptedRecord(call("a"), 20.0))
         j.append(AcceptedRecord(call("b"), 20.0))
-        self.assertEqual([r.message.id for r in self.open().restored()], ["b"])
+        assert [r.message.id for r in self.open().restored()] == ["b"]
 
     def test_a_rewrite_that_was_cut_off_leaves_the_old_file_in_force(self) -> None:
         self.open().append(AcceptedRecord(call("a"), 20.0))
         (self.folder / COMPACTED_NAME).write_bytes(b"half a")
-        self.assertEqual([r.message.id for r in self.open().restored()], ["a"])
-        self.assertFalse((self.folder / COMPACTED_NAME).exists())
+        assert [r.message.id for r in self.open().restored()] == ["a"]
+        assert not (self.folder / COMPACTED_NAME).exists()
 
     def test_it_stays_under_its_disk_and_turns_away_what_does_not_fit(self) -> None:
         # Guards the limit on the folder, old and new file together in whole blocks: over it is a crash.
@@ -140,14 +139,14 @@
                         j.append(AttemptFinishedRecord(name, False))
                     j.append(CompletedRecord(name))
                 most = max(most, self.used())
-        self.assertGreater(turned_away, 500)
-        self.assertGreater(most, disk // 4)
-        self.assertLessEqual(most, disk)
+        assert turned_away > 500
+        assert most > disk // 4
+        assert most <= disk
 
     def test_records_of_what_is_over_are_not_written(self) -> None:
         j = self.open()
         j.append(CompletedRecord("nobody"))
-        self.assertEqual((self.folder / JOURNAL_NAME).read_bytes(), b"")
+        assert (self.folder / JOURNAL_NAME).read_bytes() == b""
 
     def test_messages_of_the_usual_size_fill_all_places(self) -> None:
         # Guards the places of a day: reserving for nine attempts each, 3 MB took 355 messages of 1,000.
@@ -157,8 +156,8 @@
             for _ in range(2):
                 j.append(AttemptStartedRecord(f"{n:016x}", 1796123738.73, "s-04f5390c"))
                 j.append(AttemptFinishedRecord(f"{n:016x}", False))
-        self.assertEqual(len(self.open(disk=3_000_000).restored()), 1000)
-        self.assertLessEqual(self.used(), 3_000_000)
+        assert len(self.open(disk=3_000_000).restored()) == 1000
+        assert self.used() <= 3_000_000
 
     def test_a_file_too_full_to_be_rewritten_still_stays_under_its_disk(self) -> None:
         # Guards against a crash by the folder's limit when every message has all its attempts.
@@ -176,6 +175,6 @@
                     j.append(AttemptStartedRecord(f"m{n}", 1.0, "s-1"))
                 except OSError:
                     failed += 1
-                self.assertLessEqual(self.used(), 300_000)
-        self.assertGreater(failed, 0)
-        self.assertEqual(len(self.open(disk=300_000).restored()), taken)
+                assert self.used() <= 300_000
+        assert failed > 0
+        assert len(self.open(disk=300_000).restored()) == taken
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,10 +6,10 @@
 import shutil
 import subprocess
 import sys
-import tempfile
-import unittest
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent
 PROGRAM = ROOT / ".ci" / "known_red.py"
 WAIT = 60.0
@@ -50,11 +50,10 @@
     return {name: text for name, text in os.environ.items() if not name.startswith(("PYTEST", "KNOWN_RED"))}
 
 
-class KnownRedTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestKnownRed:
+    @pytest.fixture(autouse=True)
+    def set_up(self, tmp_path: Path) -> None:
+        self.folder = tmp_path
         (self.folder / "tests").mkdir()
         (self.folder / "tests" / "test_tree.py").write_text(TREE)
         (self.folder / "pytest.ini").write_text("[pytest]\n")
@@ -79,27 +78,27 @@
             "tests/test_tree.py::TreeTest::test_red_too, another cause, #9",
         ]
         code, output = self.run_tree("\n".join(listed) + "\n\n")
-        self.assertEqual(code, 0, output)
-        self.assertIn(f"known red: {RED}: the clock, read twice (#7)", output)
-        self.assertIn(
-            "known red: tests/test_tree.py::test_of_case[a, b [c]]: a cause (docs/questions.md)", output
-        )
-        self.assertIn("1 skipped", output)
-        self.assertNotIn(" failed", output)
+        assert code == 0, output
+        assert f"known red: {RED}: the clock, read twice (#7)" in output
+        assert "known red: tests/test_tree.py::test_of_case[a, b [c]]: a cause (docs/questions.md)" in output
+        assert "1 skipped" in output
+        assert " failed" not in output
 
     def test_another_red_fails_the_run(self) -> None:
         code, output = self.run_tree(f"{RED}, a cause, #7\n", "-k 'not test_of_case'")
-        self.assertNotEqual(code, 0, output)
-        self.assertIn("2 failed", output)
+        assert code != 0, output
+        assert "2 failed" in output
 
-    def test_a_listed_test_that_passes_fails_the_run(self) -> None:
+    def test_a_listed_test_that_passes_fails_the_run(self, subtests: pytest.Subtests) -> None:
         for test in ("test_green", "test_marked_by_itself"):  # a lenient mark of its own does not count
-            with self.subTest(test):
+            with subtests.test(test=test):
                 code, output = self.run_tree(f"tests/test_tree.py::{test}, a cause, #7\n", f"-k {test}")
-                self.assertNotEqual(code, 0, output)
-                self.assertIn(f"tests/test_tree.py::{test} was not seen to fail", output)
+                assert code != 0, output
+                assert f"tests/test_tree.py::{test} was not seen to fail" in output
 
-    def test_a_listed_test_that_is_not_there_or_not_run_fails_the_run(self) -> None:
+    def test_a_listed_test_that_is_not_there_or_not_run_fails_the_run(
+        self, subtests: pytest.Subtests
+    ) -> None:
         cases = {
             "tests/test_tree.py::test_of_no_name": OTHERS_DESELECTED + " --deselect " + RED,
             RED: "-k test_green",
@@ -107,17 +106,19 @@
             "tests/test_tree.py::TreeTest": "-k test_green",
         }
         for test, options in cases.items():
-            with self.subTest(test):
+            with subtests.test(test=test):
                 code, output = self.run_tree(f"{test}, a cause, #7\n", options)
-                self.assertEqual(code, 1, output)
-                self.assertIn(f"{test} was not seen to fail", output)
+                assert code == 1, output
+                assert f"{test} was not seen to fail" in output
 
     def test_a_command_that_runs_no_pytest_leaves_the_listed_test_unrun(self) -> None:
         code, output = self.run_tree(f"{RED}, a cause, #7\n", command="true")
-        self.assertEqual(code, 1, output)
-        self.assertIn(f"{RED} was not seen to fail", output)
+        assert code == 1, output
+        assert f"{RED} was not seen to fail" in output
 
-    def test_a_list_that_cannot_be_read_is_an_error_that_names_the_line(self) -> None:
+    def test_a_list_that_cannot_be_read_is_an_error_that_names_the_line(
+        self, subtests: pytest.Subtests
+    ) -> None:
         four = "".join(f"tests/test_tree.py::test_{n}, a cause, #7\n" for n in range(4))
         cases = {
             f"{RED}, a cause, #7\n{RED}, a cause\n": "line 2: not of the form",
@@ -127,29 +128,29 @@
             four: "line 4: more than 3",
         }
         for listed, message in cases.items():
-            with self.subTest(message):
+            with subtests.test(message=message):
                 code, output = self.run_tree(listed, command="true")
-                self.assertEqual(code, 2, output)
-                self.assertIn(f"KNOWN-RED.txt: {message}", output)
+                assert code == 2, output
+                assert f"KNOWN-RED.txt: {message}" in output
 
-    def test_without_a_list_the_command_runs_as_it_is(self) -> None:
+    def test_without_a_list_the_command_runs_as_it_is(self, subtests: pytest.Subtests) -> None:
         for listed in (None, "", "\n"):
-            with self.subTest(listed):
+            with subtests.test(listed=listed):
                 code, output = self.run_tree(listed, command="echo plugins=${PYTEST_PLUGINS:-none}; exit 3")
-                self.assertEqual((code, output), (3, "plugins=none\n"))
+                assert (code, output) == (3, "plugins=none\n")
 
-    def test_ci_runs_the_command_of_the_readme_through_it(self) -> None:
+    def test_ci_runs_the_command_of_the_readme_through_it(self, subtests: pytest.Subtests) -> None:
         # The script itself, in a tree of its own whose `make check` does nothing.
         shutil.copytree(ROOT / ".ci", self.folder / ".ci", ignore=shutil.ignore_patterns("__pycache__"))
         (self.folder / "Makefile").write_text("check:\n\t@true\n")
         command = f"{sys.executable} -m pytest -q -p no:cacheprovider -k 'test_red and not test_red_too'"
         (self.folder / "README.md").write_text(f"<!-- test command -->\n```sh\n{command}\n```\n")
         for listed, good in (("", False), (f"{RED}, a cause, #7\n", True)):
-            with self.subTest(listed):
+            with subtests.test(listed=listed):
                 (self.folder / "KNOWN-RED.txt").write_text(listed)
                 done = subprocess.run(
                     ["bash", str(self.folder / ".ci" / "run")], env=clean_environment(),
                     stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=WAIT, check=False,
                 )  # fmt: skip
-                self.assertEqual(done.returncode == 0, good, done.stdout)
-                self.assertEqual(f"known red: {RED}" in done.stdout, good, done.stdout)
+                assert (done.returncode == 0) == good, done.stdout
+                assert (f"known red: {RED}" in done.stdout) == good, done.stdout
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,12 +7,13 @@
 import struct
 import threading
 import time
-import unittest
 from collections.abc import Callable
 from dataclasses import replace
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder import client_connection, endpoint_connection
 from juniperward.forwarder.active_call import ActiveCall
 from juniperward.forwarder.answer_headers import read_retry_after
@@ -34,6 +35,7 @@
 from juniperward.net.stream import Stream
 from juniperward.scheduler.events import Outcome
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
+from tests.resources import UsesResources
 
 NAMES = SettingsNames(("c",), (12.0,), (), (), ())
 
@@ -43,8 +45,8 @@
     return StartAttempt(number, 3, "127.0.0.1", port, 7, items, deadline)
 
 
-class AnswersTest(unittest.TestCase):
-    def test_each_answer_has_its_meaning(self) -> None:
+class TestAnswers:
+    def test_each_answer_has_its_meaning(self, subtests: pytest.Subtests) -> None:
         # Guards the table of PROTOCOL, and that what we cannot read counts as what may have run.
         one, two = start_attempt(1, 1), start_attempt(1, 1, 2)
         told = {"retry-after": "0.25"}
@@ -79,26 +81,24 @@
             ),
         ]
         for what, status, headers, body, ends in cases:
-            with self.subTest((status, body)):
-                self.assertEqual(read_outcomes(what, HttpResponse(status, headers, body, False)), tuple(ends))
+            with subtests.test(status=status, body=body):
+                assert read_outcomes(what, HttpResponse(status, headers, body, False)) == tuple(ends)
 
     def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
         full, ends = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
-        self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=True), (end,))
-        self.assertEqual(read_outcomes(start_attempt(1, 1), ends, fresh=False), (full,))
-        self.assertEqual(
-            read_outcomes(start_attempt(1, 1), HttpResponse(503, {}, b"", False), fresh=True), (full,)
-        )
+        assert read_outcomes(start_attempt(1, 1), ends, fresh=True) == (end,)
+        assert read_outcomes(start_attempt(1, 1), ends, fresh=False) == (full,)
+        assert read_outcomes(start_attempt(1, 1), HttpResponse(503, {}, b"", False), fresh=True) == (full,)
         told = HttpResponse(503, {"retry-after": "0.5"}, b"", True)
-        self.assertEqual(
-            read_outcomes(start_attempt(1, 1), told, fresh=True), (ItemOutcome(0, Outcome.OVERLOADED, 0.5),)
+        assert read_outcomes(start_attempt(1, 1), told, fresh=True) == (
+            ItemOutcome(0, Outcome.OVERLOADED, 0.5),
         )
 
 
-class SpoiltTest(unittest.TestCase):
-    def test_what_is_no_answer_is_told_as_such(self) -> None:
+class TestSpoilt:
+    def test_what_is_no_answer_is_told_as_such(self, subtests: pytest.Subtests) -> None:
         # Guards against what Python's own int() and json take, or die of: each of these came from a worker.
         head = b"HTTP/1.1 500 X\r\n"
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -115,7 +115,10 @@
             ),
             chunked + b"8000\r\n" + b"x" * 32768 + b"\r\n" * 3,
         ):
-            with self.subTest(text[:60]), self.assertRaises((IncompleteMessageError, MalformedMessageError)):
+            with (
+                subtests.test(case=text[:60]),
+                pytest.raises((IncompleteMessageError, MalformedMessageError)),
+            ):
                 read_response(Stream(lambda _, left=[text, b""]: left.pop(0) if left else b""))  # type: ignore[misc]
 
     def test_a_report_or_a_list_of_ends_cannot_break_us(self) -> None:
@@ -133,27 +136,23 @@
         thread.start()
         threading.stack_size(0)
         thread.join()
-        self.assertEqual(ends[:-1], [(ItemOutcome(0, Outcome.OK),)] * 6)
-        self.assertEqual(ends[-1], (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)))
+        assert ends[:-1] == [(ItemOutcome(0, Outcome.OK),)] * 6
+        assert ends[-1] == (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR))
 
     def test_a_wait_that_is_no_number_is_none(self) -> None:
         for text in ("inf", "1e300", "1_0", "-1", "9" * 9, ""):
-            self.assertEqual(read_retry_after({"retry-after": text}), 0.0)
-        self.assertEqual(read_retry_after({"retry-after": "0.250"}), 0.25)
+            assert read_retry_after({"retry-after": text}) == 0.0
+        assert read_retry_after({"retry-after": "0.250"}) == 0.25
 
 
-class CodecTest(unittest.TestCase):
-    def test_what_no_client_may_hand_in_is_turned_away(self) -> None:
+class TestCodec:
+    def test_what_no_client_may_hand_in_is_turned_away(self, subtests: pytest.Subtests) -> None:
         # Guards against a 202 for a message that nobody could end: a deadline that never comes, or no id.
         good = {"x-correlation-id": "a1", "x-service-class": "c", "x-time-left": "0.5"}
         good["x-addressing"] = "dest=7"
-        self.assertEqual(
-            decode_message(HttpRequest("POST", "/api", good, b"", False), NAMES).time_left_s, 0.5
-        )
+        assert decode_message(HttpRequest("POST", "/api", good, b"", False), NAMES).time_left_s == 0.5
         long = {**good, "x-time-left": "99999"}
-        self.assertEqual(
-            decode_message(HttpRequest("POST", "/api", long, b"", False), NAMES).time_left_s, 12.0
-        )
+        assert decode_message(HttpRequest("POST", "/api", long, b"", False), NAMES).time_left_s == 12.0
         for name, texts in (
             ("x-time-left", ("nan", "inf", "-1", "1_0", "1e3", "", "+1", "\u0661")),
             ("x-correlation-id", ("", "a b", "a, b", "x" * 201, "\xe9")),
@@ -161,46 +160,45 @@
             ("x-addressing", ("", "dest=", "dest=-1", "dest=x", "dest=" + "1" * 16)),
         ):
             for text in texts:
-                with self.subTest((name, text)), self.assertRaises(UnreadableMessageError):
+                with subtests.test(name=name, text=text), pytest.raises(UnreadableMessageError):
                     decode_message(HttpRequest("POST", "/api", {**good, name: text}, b"", False), NAMES)
 
 
-class StreamTest(unittest.TestCase):
+class TestStream:
     def test_bytes_may_be_cut_anywhere(self) -> None:
         text = b"POST /api HTTP/1.1\r\nA: b\r\nContent-Length: 3\r\n\r\nabc"
         answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         for size in (1, 2, 7):
             pieces = iter([text[n : n + size] for n in range(0, len(text), size)])
-            self.assertEqual(read_request(Stream(lambda _, p=pieces: next(p))).body, b"abc")  # type: ignore[misc]
+            assert read_request(Stream(lambda _, p=pieces: next(p))).body == b"abc"  # type: ignore[misc]
             pieces = iter([answer[n : n + size] for n in range(0, len(answer), size)])
-            self.assertEqual(read_response(Stream(lambda _, p=pieces: next(p))).body, b"abcde")  # type: ignore[misc]
+            assert read_response(Stream(lambda _, p=pieces: next(p))).body == b"abcde"  # type: ignore[misc]
 
 
-class ServerTest(unittest.TestCase):
+class TestServer(UsesResources):
     def test_a_client_that_left_is_not_told_that_its_message_is_taken_on(self) -> None:
         # Guards order: the 202 must have reached somebody, or the message is withdrawn; a client that only
         # ended its sending still gets an answer.
-        server = Server(("127.0.0.1", 0), NAMES, 10, lambda _: None)
-        self.addCleanup(server.close)
+        server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 10, lambda _: None))
         ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(theirs.close)
+        self.resources.callback(ours.close)
+        self.resources.callback(theirs.close)
         client = server.table.clients[1] = ClientConnection(1, ours)
-        self.assertFalse(server.answer(1, 202))  # nothing is asked
+        assert not server.answer(1, 202)  # nothing is asked
         client.pending = True
-        self.assertTrue(server.answer(1, 202))
-        self.assertFalse(server.answer(1, 202))  # answered already
+        assert server.answer(1, 202)
+        assert not server.answer(1, 202)  # answered already
         client.pending = client.evicted = (
             True  # its call was read after we had shut its connection for others' sake
         )
-        self.assertFalse(server.answer(1, 202))
-        self.assertTrue(client.close)
+        assert not server.answer(1, 202)
+        assert client.close
         client.pending, client.evicted = True, False
         theirs.shutdown(socket.SHUT_WR)
-        self.assertFalse(server.answer(1, 202))
+        assert not server.answer(1, 202)
         told = theirs.recv(1000)
-        self.assertEqual((told.count(b" 202 "), told.count(b" 503 ")), (1, 2))
-        self.assertFalse(server.answer(2, 202))
+        assert (told.count(b" 202 "), told.count(b" 503 ")) == (1, 2)
+        assert not server.answer(2, 202)
 
     def test_who_is_being_let_in_at_the_close_is_somebody(self) -> None:
         # Guards the end of the process between accept and the table of clients: nobody seemed to be here, and the
@@ -221,9 +219,8 @@
 
         with mock.patch.object(server, "_admit", late):
             server.start()
-            client = socket.create_connection(server.listener.getsockname())
-            self.addCleanup(client.close)
-            self.assertTrue(accepted.wait(5.0))
+            self.resources.closing(socket.create_connection(server.listener.getsockname()))
+            assert accepted.wait(5.0)
             closing = threading.Thread(target=close)
             closing.start()
             while server.listener.fileno() >= 0:
@@ -231,7 +228,7 @@
             closing.join(0.1)
             go_on.set()
             closing.join(5.0)
-        self.assertEqual((here, server.has_finished()), ([1], False))
+        assert (here, server.has_finished()) == ([1], False)
 
     def test_who_stands_in_the_kernels_line_at_the_close_is_answered(self) -> None:
         # Guards the end of a stop: a connection that nobody had accepted yet was reset with its call unread.
@@ -246,27 +243,26 @@
                 b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Service-Class: c\r\nX-Time-Left: 1\r\n"
             )
             late.sendall(b"X-Addressing: dest=7\r\n\r\n")
-            self.assertFalse(server.has_finished())
+            assert not server.has_finished()
             server.close()
-            self.assertFalse(server.has_finished())  # the process stays for it
-            self.assertTrue(late.recv(100).startswith(b"HTTP/1.1 503 "))
+            assert not server.has_finished()  # the process stays for it
+            assert late.recv(100).startswith(b"HTTP/1.1 503 ")
         for thread in threading.enumerate():
             if thread.name == "client":
                 thread.join(5.0)
-        self.assertTrue(server.has_finished())
+        assert server.has_finished()
 
     def test_an_answer_is_written_whole_or_its_connection_is_ended(self) -> None:
         # Guards a client that waits for the rest of an answer: its message counted as withdrawn, and it sat there.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
-        self.addCleanup(server.close)
+        server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(theirs.close)
+        self.resources.callback(ours.close)
+        self.resources.callback(theirs.close)
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client = server.table.clients[1] = ClientConnection(1, ours)
-        self.assertFalse(client.write(b"x" * 1_000_000))
+        assert not client.write(b"x" * 1_000_000)
         client.pending = True
-        self.assertFalse(server.answer(1, 202))
+        assert not server.answer(1, 202)
         theirs.settimeout(5.0)
         while theirs.recv(65536):
             pass
@@ -274,40 +270,36 @@
     def test_a_full_table_lets_the_longest_idle_of_those_answered_go(self) -> None:
         # Guards usual clients: those that asked once and stayed, or never asked, kept all places. A crowd
         # with a connection for each message was turned away when each had to stay idle for seconds.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
-        self.addCleanup(server.close)
+        server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         now = time.monotonic()
         theirs = []
         for number, (served, age) in enumerate(((True, 0.05), (False, 0.3), (True, 0.2)), 1):
             ours, there = socket.socketpair()
-            self.addCleanup(ours.close)
-            self.addCleanup(there.close)
+            self.resources.callback(ours.close)
+            self.resources.callback(there.close)
             theirs.append(there)
             client = server.table.clients[number] = ClientConnection(number, ours)
             client.served, client.idle_since = served, now - age
-        self.assertTrue(server.table.evict_one())  # not the one before its first call, which would fail
-        self.assertEqual([server.table.clients[n].evicted for n in (1, 2, 3)], [False, False, True])
-        self.assertEqual([server.table.evict_one(), server.table.evict_one()], [True, False])
-        self.assertEqual([server.table.clients[n].evicted for n in (1, 2, 3)], [False, True, True])
+        assert server.table.evict_one()  # not the one before its first call, which would fail
+        assert [server.table.clients[n].evicted for n in (1, 2, 3)] == [False, False, True]
+        assert [server.table.evict_one(), server.table.evict_one()] == [True, False]
+        assert [server.table.clients[n].evicted for n in (1, 2, 3)] == [False, True, True]
 
     def test_a_call_must_be_whole_in_its_time(self) -> None:
         # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
-        server = Server(("127.0.0.1", 0), NAMES, 3, lambda _: None)
-        self.addCleanup(server.close)
+        server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         for sent, told in ((b"", b""), (b"POST /api HTTP/1.1\r\nA: b", b"HTTP/1.1 408 ")):
             ours, theirs = socket.socketpair()
-            self.addCleanup(theirs.close)
+            self.resources.callback(theirs.close)
             theirs.sendall(sent)
             client = ClientConnection(1, ours)
             client.read_by = client.idle_since + 0.05
             server._serve(client)
-            self.assertEqual(theirs.recv(13), told)
-        self.assertLessEqual(client_connection.FIRST_REQUEST_S, 2.5)
-
+            assert theirs.recv(13) == told
+        assert client_connection.FIRST_REQUEST_S <= 2.5
 
-class WorkersTest(EndpointClientRig):
-    __test__ = True
 
+class TestWorkers(EndpointClientRig):
     def outcome(self) -> Outcome:
         event = self.events.get(timeout=5.0)
         assert isinstance(event, AttemptAnswered)
@@ -321,34 +313,34 @@
 
         self.client.start(ask(1, 3, "s-3"))
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.OVERLOADED)
+        assert self.outcome() is Outcome.OVERLOADED
         self.client.start(ask(2, 4, "s-4"))
         other, _ = self.door.accept()
         other.settimeout(5.0)
-        self.addCleanup(other.close)
-        self.assertIn(b"m0", other.recv(1000))
+        self.resources.callback(other.close)
+        assert b"m0" in other.recv(1000)
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.OK)
+        assert self.outcome() is Outcome.OK
         self.client.start(ask(3, 3, "s-3"))
-        self.assertIs(self.outcome(), Outcome.NOT_SENT)
+        assert self.outcome() is Outcome.NOT_SENT
 
     def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
         self.client.set_draining(3, True)
         self.client.start(start_attempt(1, self.port))
-        self.assertIs(self.outcome(), Outcome.NOT_SENT)
+        assert self.outcome() is Outcome.NOT_SENT
         self.client.set_draining(3, False)
         self.client.pause_route(7, 1e12)
         self.client.start(start_attempt(2, self.port))
-        self.assertIs(self.outcome(), Outcome.NOT_SENT)
+        assert self.outcome() is Outcome.NOT_SENT
         for _ in range(2):
             sock, _ = self.door.accept()
-            self.addCleanup(sock.close)
-            self.assertFalse(sock.recv(1, socket.MSG_DONTWAIT) if self._ended(sock) else b"")
+            self.resources.callback(sock.close)
+            assert not (sock.recv(1, socket.MSG_DONTWAIT) if self._ended(sock) else b"")
 
     @staticmethod
     def _ended(sock: socket.socket) -> bool:
@@ -365,18 +357,18 @@
             sock.recv(1000)
             sock.sendall(text)
             sock.close()
-            self.assertIs(self.outcome(), outcome)
+            assert self.outcome() is outcome
 
     def test_a_told_wait_binds_before_the_loop_has_its_answer(self) -> None:
         # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
         self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.OVERLOADED)  # nothing of this reaches a reducer, nor a Hold
+        assert self.outcome() is Outcome.OVERLOADED  # nothing of this reaches a reducer, nor a Hold
         self.client.start(start_attempt(2, self.port))
-        self.assertIs(self.outcome(), Outcome.NOT_SENT)
+        assert self.outcome() is Outcome.NOT_SENT
 
     def test_a_repeat_is_not_written_after_its_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
@@ -385,13 +377,13 @@
         self.client.start(late)
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
-        self.assertEqual(read_request(Stream(sock.recv)).headers["x-correlation-id"], "m1")
+        assert read_request(Stream(sock.recv)).headers["x-correlation-id"] == "m1"
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
         ends = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
-        self.assertEqual(self.events.get(timeout=5.0), AttemptAnswered(1, ends))
+        assert self.events.get(timeout=5.0) == AttemptAnswered(1, ends)
 
-    def test_what_ended_behind_a_late_dial_is_left_out_of_its_call(self) -> None:
+    def test_what_ended_behind_a_late_dial_is_left_out_of_its_call(self, subtests: pytest.Subtests) -> None:
         # Guards join+mass: a message of a batch was told its end, then its connection came up and carried it.
         for struck in ((0,), (0, 2), (0, 1, 2)):
             up, dial = threading.Event(), sockets.connect
@@ -400,31 +392,31 @@
                 up.wait(5.0)
                 dial(*args)
 
-            with self.subTest(struck), mock.patch("juniperward.net.sockets.connect", late):
+            with subtests.test(struck=struck), mock.patch("juniperward.net.sockets.connect", late):
                 self.client.start(start_attempt(1, self.port, 3))
-                self.assertEqual({self.client.withdraw(1, n) for n in struck}, {AttemptProgress.WAITING})
+                assert {self.client.withdraw(1, n) for n in struck} == {AttemptProgress.WAITING}
                 up.set()
                 sock, _ = self.door.accept()
-                self.addCleanup(sock.close)
+                self.resources.callback(sock.close)
                 sock.settimeout(5.0)
                 if len(struck) == 3:
-                    self.assertIs(self.outcome(), Outcome.NOT_SENT)
+                    assert self.outcome() is Outcome.NOT_SENT
                     self.client.close_idle(3)
-                    self.assertEqual(sock.recv(1000), b"")
+                    assert sock.recv(1000) == b""
                     continue
                 call = read_request(Stream(sock.recv))
                 if call.path == "/receive-many":
                     written = [row["id"] for row in json.loads(call.body)]
                 else:
                     written = [call.headers["x-correlation-id"]]
-                self.assertEqual(written, [f"m{n}" for n in range(3) if n not in struck])
-                self.assertIsNot(self.client.withdraw(1, 1), AttemptProgress.WAITING)
+                assert written == [f"m{n}" for n in range(3) if n not in struck]
+                assert self.client.withdraw(1, 1) is not AttemptProgress.WAITING
                 sock.close()
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, AttemptAnswered)
                 left = {e.message for e in event.outcomes if e.outcome is Outcome.NOT_SENT}
-                self.assertEqual(left, set(struck))  # the reducer has settled them
-                self.assertIs(self.client.withdraw(1, 1), AttemptProgress.FINISHED)
+                assert left == set(struck)  # the reducer has settled them
+                assert self.client.withdraw(1, 1) is AttemptProgress.FINISHED
 
     def test_a_call_that_is_called_off_says_how_far_it_had_come(self) -> None:
         # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
@@ -437,37 +429,33 @@
 
         with mock.patch("juniperward.net.sockets.connect", late):
             self.client.start(start_attempt(1, self.port))
-            self.assertTrue(begun.wait(5.0))
-            self.assertIs(self.client.cancel(1), AttemptProgress.WAITING)
+            assert begun.wait(5.0)
+            assert self.client.cancel(1) is AttemptProgress.WAITING
             up.set()
             sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
         while not self.client.pool.idle:  # it came up after all
             time.sleep(0)
         self.client.start(start_attempt(2, self.port))
-        self.assertEqual(
-            sock.recv(1000), b""
-        )  # nothing was written on it, and it was not fit for the next one
+        assert sock.recv(1000) == b""  # nothing was written on it, and it was not fit for the next one
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
-        self.assertIn(b"m0", sock.recv(1000))
+        assert b"m0" in sock.recv(1000)
         while self.client.active[2].progress is not AttemptProgress.WRITTEN:
             time.sleep(0)
-        self.assertIs(self.client.cancel(2), AttemptProgress.WRITTEN)
-        self.assertEqual(sock.recv(1), b"")
+        assert self.client.cancel(2) is AttemptProgress.WRITTEN
+        assert sock.recv(1) == b""
         self.client.start(start_attempt(3, self.port))
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        self.assertEqual(
-            event, AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))
-        )  # and nothing of the two before it
-        self.assertIs(self.client.cancel(3), AttemptProgress.FINISHED)
+        assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # and nothing of the two before it
+        assert self.client.cancel(3) is AttemptProgress.FINISHED
 
     def test_an_answer_cut_at_any_byte_leaves_no_message_without_its_end(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
@@ -483,10 +471,10 @@
                     ActiveCall(what), what, EndpointConnection(ours, ("w", 1))
                 )
                 theirs.close()
-                self.assertEqual([e.message for e in ends], list(range(count)))
+                assert [e.message for e in ends] == list(range(count))
                 # Of one message a first line with 200 is its delivery; of several, what is not whole may have run.
                 told = Outcome.OK if count == 1 and cut >= first else Outcome.RESET
-                self.assertEqual({e.outcome for e in ends}, {told}, text[:cut])
+                assert {e.outcome for e in ends} == {told}, text[:cut]
 
     def test_an_answer_is_waited_for_as_long_as_the_longest_class_may_wait(self) -> None:
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
@@ -495,32 +483,32 @@
             self.client = EndpointClient(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
-            self.addCleanup(sock.close)
+            self.resources.callback(sock.close)
             sock.recv(1000)
             ours = self.client.active[1].sock
             assert ours is not None
             limit = struct.unpack("@ll", ours.getsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, 16))
-            self.assertEqual(limit[0], most)
+            assert limit[0] == most
 
     def test_a_refused_dial_never_ran(self) -> None:
         self.door.close()
         self.client.start(start_attempt(1, self.port))
-        self.assertIs(self.outcome(), Outcome.CONNECT_FAILED)
+        assert self.outcome() is Outcome.CONNECT_FAILED
 
     def test_an_abandoned_call_reports_nothing_and_ends_its_connection(self) -> None:
         self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
-        self.assertTrue(sock.recv(1000).startswith(b"POST /receive"))
+        assert sock.recv(1000).startswith(b"POST /receive")
         self.client.cancel(1)
-        self.assertEqual(sock.recv(1000), b"")
+        assert sock.recv(1000) == b""
         sock.close()
         self.client.start(start_attempt(2, self.port))
         sock, _ = self.door.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        self.assertEqual(event, AttemptAnswered(2, (ItemOutcome(0, Outcome.OK),)))
+        assert event == AttemptAnswered(2, (ItemOutcome(0, Outcome.OK),))
         sock.close()
 
     def test_a_connection_that_has_rested_is_used_before_one_that_must_still_rest(self) -> None:
@@ -528,16 +516,16 @@
         kept = {}
         for name, ago in (("eldest", 1.0), ("rested", 0.5), ("resting", -0.5)):
             ours, theirs = socket.socketpair()
-            self.addCleanup(theirs.close)
-            self.addCleanup(ours.close)
+            self.resources.callback(theirs.close)
+            self.resources.callback(ours.close)
             k = kept[name] = EndpointConnection(ours, ("w", 1))
             k.idle_since -= ago
         self.client.pool.idle[3] = list(kept.values())
         slept: list[float] = []
         with mock.patch("juniperward.forwarder.connection_pool.time.sleep", slept.append):
             taken = [self.client.pool.take(3, ("w", 1)) for _ in range(3)]
-        self.assertEqual(taken, [kept["rested"], kept["eldest"], kept["resting"]])
-        self.assertEqual(len(slept), 1)  # only where nothing else was left
+        assert taken == [kept["rested"], kept["eldest"], kept["resting"]]
+        assert len(slept) == 1  # only where nothing else was left
 
     def test_an_idle_connection_that_its_worker_ended_is_not_used(self) -> None:
         # Guards against a reset that costs an attempt: the close is seen before the call is written.
@@ -546,22 +534,22 @@
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            self.assertIs(self.outcome(), Outcome.OK)
+            assert self.outcome() is Outcome.OK
             sock.close()
 
     def test_idle_connections_are_dropped_before_their_worker_does(self) -> None:
         self.client.start(start_attempt(1, self.port))
         sock, _ = self.door.accept()
         sock.settimeout(5.0)
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertIs(self.outcome(), Outcome.OK)
+        assert self.outcome() is Outcome.OK
         (kept,) = self.client.pool.idle[3]
         self.client.sweep(kept.idle_since + 8.9)
-        self.assertIn(3, self.client.pool.idle)
+        assert 3 in self.client.pool.idle
         self.client.sweep(kept.idle_since + 9.1)
-        self.assertEqual(sock.recv(1), b"")
+        assert sock.recv(1) == b""
 
     def test_an_answer_that_does_not_end_does_not_hold_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
@@ -573,12 +561,12 @@
             ):
                 self.client.start(start_attempt(1, self.port))
                 sock, _ = self.door.accept()
-                self.addCleanup(sock.close)
+                self.resources.callback(sock.close)
                 sock.settimeout(5.0)
                 sock.recv(1000)
                 sock.sendall(text)
-                self.assertIs(self.outcome(), outcome)
-                self.assertEqual(sock.recv(1), b"")
+                assert self.outcome() is outcome
+                assert sock.recv(1) == b""
 
     def test_what_stands_behind_an_answer_is_never_the_next_one(self) -> None:
         # Guards against a delivery that was none: a copy of one answer, taken for the next.
@@ -586,17 +574,17 @@
         for late in (False, True):
             self.client.start(start_attempt(1, self.port))
             sock, _ = self.door.accept()
-            self.addCleanup(sock.close)
+            self.resources.callback(sock.close)
             sock.recv(1000)
             sock.sendall(good if late else 2 * good)
-            self.assertIs(self.outcome(), Outcome.OK)
+            assert self.outcome() is Outcome.OK
             if late:
                 sock.sendall(good)
             self.client.start(start_attempt(2, self.port))
             sock, _ = self.door.accept()
             sock.recv(1000)
             sock.close()
-            self.assertIs(self.outcome(), Outcome.RESET)
+            assert self.outcome() is Outcome.RESET
 
     def test_nothing_is_kept_of_a_worker_that_is_gone(self) -> None:
         # Guards memory over months, and who comes at its address: it must not inherit a bar.
@@ -604,7 +592,8 @@
         self.client.pause_route(7, time.monotonic() + 1.0)
         self.client.forget(3)
         self.client.sweep(time.monotonic() + 2.0)
-        self.assertEqual(
-            (self.client.gate.draining, self.client.gate.paused_until, self.client.pool.idle),
-            (set(), {}, {}),
+        assert (self.client.gate.draining, self.client.gate.paused_until, self.client.pool.idle) == (
+            set(),
+            {},
+            {},
         )
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -8,7 +8,6 @@
 import socket
 import threading
 import time
-import unittest
 
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.events import Event, NotificationAcknowledged
@@ -18,6 +17,7 @@
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError
 from juniperward.net.http_requests import read_request
 from juniperward.net.stream import Stream
+from tests.resources import UsesResources
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
 COUNT = 450  # messages that end in the same moment: more than go at once
@@ -62,14 +62,14 @@
             sock.close()
 
 
-class NoticesTest(unittest.TestCase):
+class TestNotices(UsesResources):
     def test_an_answer_that_comes_byte_by_byte_does_not_hold_an_end_up(self) -> None:
         # Guards rule 1: each byte of an answer that never ends had its 0.3 s anew, and no notice went out meanwhile.
         platform = Platform()
         platform.answers = [b"HTTP/1.1 2"]
-        self.addCleanup(platform.close)
+        self.resources.callback(platform.close)
         over = threading.Event()
-        self.addCleanup(over.set)
+        self.resources.callback(over.set)
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
         registry.start()
@@ -82,12 +82,13 @@
                         sock.sendall(b"0")
 
         threading.Thread(target=drip, daemon=True).start()
-        self.assertEqual(events.get(timeout=5.0), NotificationAcknowledged(("m0",)))
+        assert events.get(timeout=5.0) == NotificationAcknowledged(("m0",))
 
     def test_every_end_arrives_over_connections_that_fail(self) -> None:
         # Guards rule 1: reset after writing, never answered, half answered, refused; many ends at once.
-        platform = Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        self.addCleanup(platform.close)
+        platform = self.resources.closing(
+            Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
+        )
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
         registry.start()
@@ -98,7 +99,7 @@
             event = events.get(timeout=10.0)
             assert isinstance(event, NotificationAcknowledged)
             told |= set(event.ids)
-        self.assertEqual(platform.taken, {f"m{n}" for n in range(COUNT)})
+        assert platform.taken == {f"m{n}" for n in range(COUNT)}
         # Two of the four cost a wait for an answer, each of them a pause of 0.4 s at most.
-        self.assertLess(time.monotonic() - began, 2 * ANSWER_TIMEOUT_S + 4 * 0.4 + 1.0)
-        self.assertLessEqual(ANSWER_TIMEOUT_S, 0.3)
+        assert time.monotonic() - began < 2 * ANSWER_TIMEOUT_S + 4 * 0.4 + 1.0
+        assert ANSWER_TIMEOUT_S <= 0.3
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-import unittest
 from typing import Any
 
+import pytest
+
 from juniperward.forwarder.effects import (
     AcceptMessage,
     AppendRecord,
@@ -62,7 +63,7 @@
     return Message(name, cls, 0, destination, left, "k", body)
 
 
-class ReducerRig(unittest.TestCase):
+class ReducerRig:
     """A reducer without sockets, driven by events; its subclasses hold the tests."""
 
     def start(self, *workers: Endpoint, **changes: Any) -> Reducer:
@@ -96,54 +97,60 @@
     def up(self, d: StartAttempt, progress: AttemptProgress = AttemptProgress.WRITTEN) -> list[Effect]:
         """The time of an attempt's first message is up, its call having come so far."""
         message = d.items[0].message
-        self.assertEqual(self.do(DeadlineReached(d.number, message)), [WithdrawFromBatch(d.number, message)])
+        assert self.do(DeadlineReached(d.number, message)) == [WithdrawFromBatch(d.number, message)]
         return self.do(BatchItemWithdrawn(d.number, message, progress))
 
 
-class ReducerTest(ReducerRig):
-    def test_an_end_comes_before_the_time_is_up_also_by_a_clock_that_stood_still(self) -> None:
+class TestReducer(ReducerRig):
+    def test_an_end_comes_before_the_time_is_up_also_by_a_clock_that_stood_still(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # A process that has just begun saw its clock stand still for 0.3 s: ends it owed came that much late.
         self.start()
         for name, left in (("a", 12.0), ("b", 0.5)):
-            with self.subTest(left=left):
+            with subtests.test(left=left):
                 (asked,) = self.do(MessageReceived(5, call(name, left=left), self.now))
                 assert isinstance(asked, AcceptMessage)
-                self.assertAlmostEqual(asked.record.expires_at - self.now, left - min(0.3, 0.2 * left))
+                assert asked.record.expires_at - self.now == pytest.approx(
+                    left - min(0.3, 0.2 * left), abs=5e-8
+                )
 
     def test_a_delegation_names_its_worker_for_the_journal_which_hears_of_it_at_its_first_byte(self) -> None:
         # Guards against a try used up by a call that was never written; tests/test_restarts.py has the first byte.
         self.start()
         effects = self.take("a")
-        self.assertEqual(self.only(effects, AppendRecord), [])
-        self.assertEqual([d.endpoint_id for d in self.only(effects, StartAttempt)], ["s-1"])
+        assert self.only(effects, AppendRecord) == []
+        assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-1"]
 
     def test_a_message_whose_client_was_not_told_is_withdrawn(self) -> None:
         self.start()
         effects = self.take("a", told=False)
-        self.assertEqual(effects, [AppendRecord(CompletedRecord("a"))])
-        self.assertEqual(self.sent(self.take("a")), [["a"]])
+        assert effects == [AppendRecord(CompletedRecord("a"))]
+        assert self.sent(self.take("a")) == [["a"]]
 
     def test_the_same_message_on_a_second_connection_is_ours_already(self) -> None:
         # Guards the case that our close crosses a request: the client sends it once more.
         self.start()
         self.take("a")
-        self.assertEqual(self.do(MessageReceived(6, call("a"), self.now)), [ReplyToClient(6, 202)])
+        assert self.do(MessageReceived(6, call("a"), self.now)) == [ReplyToClient(6, 202)]
 
     def test_a_message_that_is_over_is_not_taken_on_again_for_its_time(self) -> None:
         # Guards join+mass: a client's copy of a delivered message went out to eight attempts, each a 400.
         self.start()
         self.end(self.take("a"), (Outcome.OK, 0.0))
         self.now += 19.9
-        self.assertEqual(self.do(MessageReceived(6, call("a"), self.now)), [ReplyToClient(6, 202)])
+        assert self.do(MessageReceived(6, call("a"), self.now)) == [ReplyToClient(6, 202)]
         self.now += 0.2
-        self.assertIsInstance(self.do(MessageReceived(6, call("a"), self.now))[0], AcceptMessage)
+        assert isinstance(self.do(MessageReceived(6, call("a"), self.now))[0], AcceptMessage)
         self.reducer.state.messages.completed = {f"x{n}": self.now for n in range(MAX_COMPLETED_IDS + 2)}
         self.do(MessageReceived(7, call("b"), self.now))
-        self.assertEqual(len(self.reducer.state.messages.completed), MAX_COMPLETED_IDS)
+        assert len(self.reducer.state.messages.completed) == MAX_COMPLETED_IDS
 
-    def test_what_has_not_run_is_not_given_up_before_seven_tenths_of_its_clients_time(self) -> None:
+    def test_what_has_not_run_is_not_given_up_before_seven_tenths_of_its_clients_time(
+        self, subtests: pytest.Subtests
+    ) -> None:
         for left in (20.0, 0.96):
-            with self.subTest(left):
+            with subtests.test(left=left):
                 self.start(worker("s-1", 2))
                 began, effects = self.now, self.take("a", left=left, destination=2)
                 timers = self.only(effects, SetTimer)
@@ -156,65 +163,68 @@
                     self.now = max(self.now, wake.at)
                     effects = self.do(wake.event)
                     timers += self.only(effects, SetTimer)
-                self.assertGreaterEqual(self.now - began, 0.7 * left - 1e-6)
-                self.assertLessEqual(self.now - began, left)
+                assert self.now - began >= 0.7 * left - 1e-6
+                assert self.now - began <= left
 
     def test_the_door_counts_what_is_held_and_what_is_offered(self) -> None:
         self.start(max_open=2, slots=8)
         effects = self.do(*(MessageReceived(n, call(f"m{n}"), self.now) for n in range(3)))
-        self.assertEqual([type(e) for e in effects], [AcceptMessage, AcceptMessage, ReplyToClient])
-        self.assertEqual(self.only(effects, ReplyToClient)[0].status, 503)
-        self.assertGreater(self.only(effects, ReplyToClient)[0].retry_after_s, 0)
+        assert [type(e) for e in effects] == [AcceptMessage, AcceptMessage, ReplyToClient]
+        assert self.only(effects, ReplyToClient)[0].status == 503
+        assert self.only(effects, ReplyToClient)[0].retry_after_s > 0
 
     def test_a_message_whose_time_is_up_already_is_turned_away(self) -> None:
         self.start()
-        self.assertIsInstance(self.do(MessageReceived(1, call("a", left=0.0), self.now))[0], ReplyToClient)
+        assert isinstance(self.do(MessageReceived(1, call("a", left=0.0), self.now))[0], ReplyToClient)
 
     def test_a_delivery_ends_all(self) -> None:
         self.start()
         effects = self.end(self.take("a"), (Outcome.OK, 0.0))
-        self.assertEqual(self.only(effects, AppendRecord), [AppendRecord(CompletedRecord("a"))])
-        self.assertFalse(self.only(effects, SendNotifications))
+        assert self.only(effects, AppendRecord) == [AppendRecord(CompletedRecord("a"))]
+        assert not self.only(effects, SendNotifications)
 
     def test_sends_of_a_round_to_one_worker_are_one_call(self) -> None:
         self.start(worker(kind=1))
         first = self.take("a")
         self.do(*self.only(self.end(first, (Outcome.OVERLOADED, 0.5)), DeadlineReached))
         for name in "bc":
-            self.assertFalse(self.sent(self.take(name)))
+            assert not self.sent(self.take(name))
         self.now += 2.0
         effects = self.do(EndpointsUpdated(42, False, ()))
-        self.assertEqual(self.sent(effects), [["a", "b", "c"]])
+        assert self.sent(effects) == [["a", "b", "c"]]
         # What never ran is told first: the module learns from the first end of a call that it hears.
         effects = self.end(effects, (Outcome.ERROR, 3.0), (Outcome.OVERLOADED, 3.0), (Outcome.OK, 3.0))
         records = [e.record for e in self.only(effects, AppendRecord)]
-        self.assertEqual(
-            records,
-            [AttemptFinishedRecord("b", False), AttemptFinishedRecord("a", True), CompletedRecord("c")],
-        )
-        self.assertEqual(self.only(effects, PauseRoute)[0], PauseRoute(1, 105.0))
+        assert records == [
+            AttemptFinishedRecord("b", False),
+            AttemptFinishedRecord("a", True),
+            CompletedRecord("c"),
+        ]
+        assert self.only(effects, PauseRoute)[0] == PauseRoute(1, 105.0)
 
     def test_a_wait_told_with_a_delivery_binds(self) -> None:
         # Guards the wait that a 200 carries: the module must hear of it though nothing was refused.
         self.start()
         self.end(self.take("a"), (Outcome.OK, 5.0))
         self.now += 1.0
-        self.assertEqual(self.sent(self.take("b")), [])
+        assert self.sent(self.take("b")) == []
 
-    def test_where_routes_are_apart_a_wait_binds_the_worker_that_told_it(self) -> None:
+    def test_where_routes_are_apart_a_wait_binds_the_worker_that_told_it(
+        self, subtests: pytest.Subtests
+    ) -> None:
         for apart, told, more in ((False, 1, []), (True, "s-1", [["b"]])):
-            with self.subTest(apart):
+            with subtests.test(apart=apart):
                 self.start(kinds=(DestinationKind(separate_routes=apart),))
                 effects = self.take("a")
-                self.assertEqual([d.route for d in self.only(effects, StartAttempt)], [told])
+                assert [d.route for d in self.only(effects, StartAttempt)] == [told]
                 effects = self.end(effects, (Outcome.OVERLOADED, 5.0))
-                self.assertEqual(self.only(effects, PauseRoute), [PauseRoute(told, 105.0)])
+                assert self.only(effects, PauseRoute) == [PauseRoute(told, 105.0)]
                 self.do(EndpointsUpdated(42, False, (worker("s-2"),)))
                 self.now += 0.5
                 # The other worker is called by the module, and the sockets let it.
                 later = self.do(EndpointsUpdated(43, False, ()))
                 sent = self.sent(later) + self.sent(self.take("b"))
-                self.assertEqual(sent[-1:], more)
+                assert sent[-1:] == more
 
     def test_a_message_out_to_its_end_is_failed_at_once(self) -> None:
         self.start()
@@ -225,59 +235,55 @@
             for w in self.only(effects, SetTimer)
             if w.event == DeadlineReached(d.number, d.items[0].message)
         )
-        self.assertEqual((wake.at, d.deadline), (101.7, 101.7))  # 0.3 s are spared for the notice
+        assert (wake.at, d.deadline) == (101.7, 101.7)  # 0.3 s are spared for the notice
         self.now = wake.at
         effects = self.up(d)
-        self.assertEqual(self.only(effects, CancelAttempt), [CancelAttempt(d.number)])
-        self.assertEqual(
-            self.only(effects, SendNotifications), [SendNotifications((OutcomeNotification("a"),))]
-        )
-        self.assertIn(AppendRecord(OutcomeDecidedRecord(OutcomeNotification("a"))), effects)
+        assert self.only(effects, CancelAttempt) == [CancelAttempt(d.number)]
+        assert self.only(effects, SendNotifications) == [SendNotifications((OutcomeNotification("a"),))]
+        assert AppendRecord(OutcomeDecidedRecord(OutcomeNotification("a"))) in effects
         # An answer that crossed it changes nothing.
-        self.assertEqual(
-            self.do(AttemptAnswered(d.number, (ItemOutcome(d.items[0].message, Outcome.OK),))), []
-        )
+        assert self.do(AttemptAnswered(d.number, (ItemOutcome(d.items[0].message, Outcome.OK),))) == []
 
-    def test_a_message_whose_call_is_not_written_yet_surely_has_not_run(self) -> None:
+    def test_a_message_whose_call_is_not_written_yet_surely_has_not_run(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards a late connection: a message that must not run twice may be handed back, and was failed.
         for progress, again in ((AttemptProgress.WAITING, True), (AttemptProgress.WRITTEN, False)):
-            with self.subTest(progress):
+            with subtests.test(progress=progress):
                 self.start()
                 (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
                 self.now += 1.7
                 effects = self.up(d, progress)
                 (told,) = self.only(effects, SendNotifications)
-                self.assertEqual(told.notifications[0].retry_after_s is not None, again)
+                assert (told.notifications[0].retry_after_s is not None) == again
                 # The journal has not heard of a call that is not begun, so neither of its end.
                 ends = [
                     e.record
                     for e in self.only(effects, AppendRecord)
                     if isinstance(e.record, AttemptFinishedRecord)
                 ]
-                self.assertEqual(ends, [] if again else [AttemptFinishedRecord("a", True)])
+                assert ends == ([] if again else [AttemptFinishedRecord("a", True)])
 
-    def test_a_time_up_in_a_call_of_several_leaves_the_others_in_it(self) -> None:
+    def test_a_time_up_in_a_call_of_several_leaves_the_others_in_it(self, subtests: pytest.Subtests) -> None:
         for progress, gone in (
             (AttemptProgress.WAITING, False),
             (AttemptProgress.WRITTEN, False),
             (AttemptProgress.WRITING, True),
         ):
-            with self.subTest(progress):
+            with subtests.test(progress=progress):
                 self.start(worker(kind=1))
                 self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
                 self.now += 2.0
                 (d,) = self.only(self.do(EndpointsUpdated(43, False, ())), StartAttempt)
-                self.assertEqual([p.content.id for p in d.items], ["a", "b"])
+                assert [p.content.id for p in d.items] == ["a", "b"]
                 self.now = 103.7
                 effects = self.up(d, progress)
-                self.assertEqual(
-                    [n.id for t in self.only(effects, SendNotifications) for n in t.notifications], ["a"]
-                )
+                assert [n.id for t in self.only(effects, SendNotifications) for n in t.notifications] == ["a"]
                 # A call that is being written cannot lose one: it is called off, the other may go again.
-                self.assertEqual(self.only(effects, CancelAttempt), [CancelAttempt(d.number)] if gone else [])
+                assert self.only(effects, CancelAttempt) == ([CancelAttempt(d.number)] if gone else [])
                 effects = self.do(AttemptCancelled(d.number, progress)) if gone else effects
-                self.assertEqual(AppendRecord(AttemptFinishedRecord("b", True)) in effects, gone)
+                assert (AppendRecord(AttemptFinishedRecord("b", True)) in effects) == gone
 
     def test_large_messages_share_a_call_only_as_far_as_a_body_may_go(self) -> None:
         # Guards the protocol's 64 KiB: twenty bodies of 2.4 KB made a call that is refused whole.
@@ -287,7 +293,7 @@
             self.take(name, body=b"x" * 24_000)
         self.now += 2.0
         effects = self.do(EndpointsUpdated(43, False, ()))
-        self.assertEqual(self.sent(effects), [["a", "b", "c"], ["d"]])
+        assert self.sent(effects) == [["a", "b", "c"], ["d"]]
 
     def test_a_message_that_the_module_sends_alone_travels_alone(self) -> None:
         # Guards the others: two calls of one round to one endpoint were made one, which ended with its first.
@@ -297,13 +303,15 @@
         self.take("c")
         self.now += 2.0
         effects = self.do(EndpointsUpdated(43, False, ()))
-        self.assertEqual(sorted(self.sent(effects)), [["a", "c"], ["b"]])
+        assert sorted(self.sent(effects)) == [["a", "c"], ["b"]]
 
-    def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(self) -> None:
+    def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards roll+brink (settings of a short deadline): an answer within 0.3 s after the time of one message was
         # whole, but counted for none: the others, delivered as we had it, got no final answer.
         for answered in (True, False):
-            with self.subTest(answered):
+            with subtests.test(answered=answered):
                 self.start(worker(kind=1))
                 self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
@@ -313,7 +321,9 @@
                 (wake,) = [
                     w for w in self.only(self.up(d), SetTimer) if isinstance(w.event, CancellationTimerFired)
                 ]
-                self.assertAlmostEqual(wake.at, 104.0)  # the client's own time: until then an answer counts
+                assert wake.at == pytest.approx(
+                    104.0, abs=5e-8
+                )  # the client's own time: until then an answer counts
                 if answered:
                     self.do(
                         AttemptAnswered(d.number, tuple(ItemOutcome(p.message, Outcome.OK) for p in d.items))
@@ -321,18 +331,18 @@
                 self.now = wake.at
                 effects = self.do(wake.event)
                 gone = [] if answered else [CancelAttempt(d.number)]
-                self.assertEqual([e for e in effects if isinstance(e, CancelAttempt)], gone)
+                assert [e for e in effects if isinstance(e, CancelAttempt)] == gone
                 effects = self.do(AttemptCancelled(d.number, AttemptProgress.WRITTEN))
-                self.assertEqual(AppendRecord(AttemptFinishedRecord("b", True)) in effects, not answered)
+                assert (AppendRecord(AttemptFinishedRecord("b", True)) in effects) == (not answered)
 
     def test_a_notice_is_owed_until_it_is_accepted(self) -> None:
         self.start()
         (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
         self.now += 2.0
         self.up(d)
-        self.assertIn("a", self.reducer.state.unacknowledged)
-        self.assertEqual(self.do(NotificationAcknowledged(("a",))), [AppendRecord(CompletedRecord("a"))])
-        self.assertEqual(self.do(NotificationAcknowledged(("a",))), [])
+        assert "a" in self.reducer.state.unacknowledged
+        assert self.do(NotificationAcknowledged(("a",))) == [AppendRecord(CompletedRecord("a"))]
+        assert self.do(NotificationAcknowledged(("a",))) == []
 
     def call_off(self, cls: int = 0) -> tuple[list[Effect], list[Effect]]:
         """Two calls that fill the slots, and a message behind them; what is asked for when one is called off."""
@@ -342,7 +352,7 @@
         self.take("b", destination=2, cls=cls)
         effects = self.take("c", destination=3)
         while not self.only(effects, CancelAttempt):
-            self.assertLess(self.now, 115.0, "nothing was called off")
+            assert self.now < 115.0, "nothing was called off"
             self.now += 0.25
             effects = self.do(EndpointsUpdated(43, False, ()))
         return first, effects
@@ -351,151 +361,141 @@
         # Guards against a second copy: the connection must have ended before the message may go again.
         _, effects = self.call_off()
         (gone,) = self.only(effects, CancelAttempt)
-        self.assertEqual(self.sent(effects), [])
+        assert self.sent(effects) == []
         effects = self.do(AttemptCancelled(gone.attempt_number, AttemptProgress.WRITTEN))
-        self.assertEqual(self.only(effects, AppendRecord)[0].record, AttemptFinishedRecord("a", True))
-        self.assertEqual(self.sent(effects), [["c"]])
+        assert self.only(effects, AppendRecord)[0].record == AttemptFinishedRecord("a", True)
+        assert self.sent(effects) == [["c"]]
 
-    def test_a_call_that_is_called_off_before_its_first_byte_has_not_run(self) -> None:
+    def test_a_call_that_is_called_off_before_its_first_byte_has_not_run(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards a class that may not be repeated: its message, behind a dial, was failed as one that may have run.
         for progress, told in (
             (AttemptProgress.WAITING, []),
             (AttemptProgress.WRITTEN, [OutcomeNotification("a")]),
         ):
-            with self.subTest(progress):
+            with subtests.test(progress=progress):
                 _, effects = self.call_off(cls=1)
                 (gone,) = self.only(effects, CancelAttempt)
                 effects = self.do(AttemptCancelled(gone.attempt_number, progress))
-                self.assertEqual(
-                    [n for t in self.only(effects, SendNotifications) for n in t.notifications], told
-                )
+                assert [n for t in self.only(effects, SendNotifications) for n in t.notifications] == told
                 ends = [
                     e.record
                     for e in self.only(effects, AppendRecord)
                     if isinstance(e.record, AttemptFinishedRecord)
                 ]
-                self.assertEqual(
-                    ends, [AttemptFinishedRecord("a", True)] if told else []
+                assert ends == (
+                    [AttemptFinishedRecord("a", True)] if told else []
                 )  # the journal never heard that it began
 
     def test_an_answer_that_was_read_before_its_call_was_called_off_counts(self) -> None:
         # Guards a delivery that was read and not yet told: it counted as called off, and its message went again.
         first, effects = self.call_off()
         (gone,) = self.only(effects, CancelAttempt)
-        self.assertEqual(self.do(AttemptCancelled(gone.attempt_number, AttemptProgress.FINISHED)), [])
+        assert self.do(AttemptCancelled(gone.attempt_number, AttemptProgress.FINISHED)) == []
         effects = self.end(first, (Outcome.OK, 0.0))
-        self.assertIn(AppendRecord(CompletedRecord("a")), effects)
-        self.assertEqual(self.sent(effects), [["c"]])
+        assert AppendRecord(CompletedRecord("a")) in effects
+        assert self.sent(effects) == [["c"]]
         # The same where the message's time is up just then.
         self.start()
         effects = self.take("a", left=2.0)
         (d,) = self.only(effects, StartAttempt)
         self.now += 1.7
-        self.assertEqual(self.up(d, AttemptProgress.FINISHED), [])
-        self.assertIn(AppendRecord(CompletedRecord("a")), self.end(effects, (Outcome.OK, 0.0)))
+        assert self.up(d, AttemptProgress.FINISHED) == []
+        assert AppendRecord(CompletedRecord("a")) in self.end(effects, (Outcome.OK, 0.0))
 
     def test_restored_attempts_count(self) -> None:
         # Guards `MaxAttempts` over all lives: the sixth of six attempts is the last.
         self.start()
         history = tuple(RecordedAttempt("s-1", 90.0 + n, False) for n in range(6))
         effects = self.do(JournalReplayed((RestoredMessage(call("a"), 115.0, history),)))
-        self.assertEqual(self.sent(effects), [])
-        self.assertEqual(len(self.only(effects, SendNotifications)), 1)
+        assert self.sent(effects) == []
+        assert len(self.only(effects, SendNotifications)) == 1
         effects = self.do(JournalReplayed((RestoredMessage(call("b"), 115.0, history[:5]),)))
-        self.assertEqual(self.sent(effects), [["b"]])
+        assert self.sent(effects) == [["b"]]
         effects = self.end(effects, (Outcome.ERROR, 0.0))
-        self.assertEqual(len(self.only(effects, SendNotifications)), 1)
+        assert len(self.only(effects, SendNotifications)) == 1
 
     def test_the_window_of_repeats_holds_over_a_restart(self) -> None:
         # Guards rule 2: KEYED has a window of 5 s from the first attempt that may have run.
         self.start()
         history = (RecordedAttempt("s-1", 94.0, True),)
         effects = self.do(JournalReplayed((RestoredMessage(call("late"), 115.0, history),)))
-        self.assertEqual(
-            self.only(effects, SendNotifications), [SendNotifications((OutcomeNotification("late"),))]
-        )
+        assert self.only(effects, SendNotifications) == [SendNotifications((OutcomeNotification("late"),))]
         history = (RecordedAttempt("s-1", 97.0, True),)
         effects = self.do(JournalReplayed((RestoredMessage(call("soon"), 115.0, history),)))
-        self.assertEqual(self.sent(effects), [["soon"]])
+        assert self.sent(effects) == [["soon"]]
         effects = self.end(effects, (Outcome.OVERLOADED, 3.0))
         self.now = 102.1
-        self.assertEqual(
-            self.only(self.do(EndpointsUpdated(42, False, ())), SendNotifications),
-            [SendNotifications((OutcomeNotification("soon"),))],
-        )
+        assert self.only(self.do(EndpointsUpdated(42, False, ())), SendNotifications) == [
+            SendNotifications((OutcomeNotification("soon"),))
+        ]
 
     def test_a_message_that_bears_no_repeat_is_not_sent_by_the_next_life(self) -> None:
         self.start()
         ran = RestoredMessage(call("ran", cls=1), 115.0, (RecordedAttempt("s-1", 99.0, True),))
         fresh = RestoredMessage(call("fresh", cls=1), 115.0, (RecordedAttempt("s-1", 99.0, False),))
         effects = self.do(JournalReplayed((ran, fresh)))
-        self.assertEqual(
-            self.only(effects, SendNotifications), [SendNotifications((OutcomeNotification("ran"),))]
-        )
-        self.assertEqual(self.sent(effects), [["fresh"]])
+        assert self.only(effects, SendNotifications) == [SendNotifications((OutcomeNotification("ran"),))]
+        assert self.sent(effects) == [["fresh"]]
 
     def test_what_expired_while_nothing_ran_gets_its_notice(self) -> None:
         self.start()
         owed = RestoredMessage(call("b"), 200.0, (), OutcomeNotification("b", 0.5))
         effects = self.do(JournalReplayed((RestoredMessage(call("a"), 99.0), owed)))
-        self.assertEqual(
-            self.only(effects, SendNotifications),
-            [
-                SendNotifications((OutcomeNotification("a"),)),
-                SendNotifications((OutcomeNotification("b", 0.5),)),
-            ],
-        )
-        self.assertEqual(self.sent(effects), [])
+        assert self.only(effects, SendNotifications) == [
+            SendNotifications((OutcomeNotification("a"),)),
+            SendNotifications((OutcomeNotification("b", 0.5),)),
+        ]
+        assert self.sent(effects) == []
 
     def test_nothing_is_started_that_cannot_end_before_the_process(self) -> None:
         # Guards against calls cut off by our own exit: each could then not be told from one that ran.
         self.start()
         self.do(ShutdownRequested(100.8, 103.3))
-        self.assertEqual(
-            [type(e) for e in self.do(MessageReceived(1, call("new"), self.now))], [ReplyToClient]
-        )
+        assert [type(e) for e in self.do(MessageReceived(1, call("new"), self.now))] == [ReplyToClient]
         held = (RestoredMessage(call("a"), 115.0),)
         effects = self.do(JournalReplayed(held))
-        self.assertEqual(self.sent(effects), [["a"]])
+        assert self.sent(effects) == [["a"]]
         self.now = 103.0
-        self.assertFalse(self.reducer.may_exit(self.now))
-        self.assertEqual(self.sent(self.do(JournalReplayed((RestoredMessage(call("b"), 115.0),)))), [])
+        assert not self.reducer.may_exit(self.now)
+        assert self.sent(self.do(JournalReplayed((RestoredMessage(call("b"), 115.0),)))) == []
         self.end(effects, (Outcome.OK, 0.0))
-        self.assertTrue(self.reducer.may_exit(self.now))
+        assert self.reducer.may_exit(self.now)
 
     def test_what_the_list_no_longer_has_gets_nothing(self) -> None:
         self.start(worker("s-1"), worker("s-2", 2))
         effects = self.do(EndpointsUpdated(42, True, (worker("s-2", 2),)))
-        self.assertIn(SetEndpointDraining(1, True), effects)
-        self.assertEqual(self.sent(self.take("a", destination=1)), [])
-        self.assertEqual(self.sent(self.take("b", destination=2)), [["b"]])
+        assert SetEndpointDraining(1, True) in effects
+        assert self.sent(self.take("a", destination=1)) == []
+        assert self.sent(self.take("b", destination=2)) == [["b"]]
 
     def test_a_moved_registry_is_watched_from_the_version_held(self) -> None:
         # Guards reloading: what the old watch still tells must not come after what the new one has told.
         self.start(endpoints_polled=True)
         self.do(EndpointsUpdated(43, False, ()))
-        self.assertEqual(
-            self.do(DiscoveryAddressChanged(("127.0.0.1", 9))),
-            [SwitchDiscovery(("127.0.0.1", 9), 1), StartWatch(43, 1)],
-        )
-        self.assertEqual(self.do(EndpointsUpdated(44, False, (worker(phase=EndpointPhase.DRAINING),))), [])
-        self.assertEqual(self.do(WatchLost()), [])
+        assert self.do(DiscoveryAddressChanged(("127.0.0.1", 9))) == [
+            SwitchDiscovery(("127.0.0.1", 9), 1),
+            StartWatch(43, 1),
+        ]
+        assert self.do(EndpointsUpdated(44, False, (worker(phase=EndpointPhase.DRAINING),))) == []
+        assert self.do(WatchLost()) == []
         self.do(EndpointsUpdated(45, False, (), epoch=1))
-        self.assertEqual(self.reducer.state.directory.version, 45)
+        assert self.reducer.state.directory.version == 45
 
     def test_a_move_while_the_watch_is_down_leaves_one_watch(self) -> None:
         # Guards against a second watch that stands in line behind the first for good.
         self.start(endpoints_polled=True)
         self.do(WatchLost())
-        self.assertEqual(len(self.only(self.do(DiscoveryAddressChanged(("127.0.0.1", 9))), StartWatch)), 1)
+        assert len(self.only(self.do(DiscoveryAddressChanged(("127.0.0.1", 9))), StartWatch)) == 1
         self.now += 10.0
-        self.assertEqual(self.only(self.do(EndpointsUpdated(44, False, (), epoch=1)), StartWatch), [])
+        assert self.only(self.do(EndpointsUpdated(44, False, (), epoch=1)), StartWatch) == []
 
     def test_a_destination_that_nobody_serves_is_turned_away(self) -> None:
         # Guards against a 202 for a message that cannot be sent anywhere.
         self.start()
         (told,) = self.do(MessageReceived(5, call("a", destination=9), self.now))
-        self.assertEqual(told, ReplyToClient(5, 503, 1.0))
+        assert told == ReplyToClient(5, 503, 1.0)
 
     def test_workers_that_are_gone_are_forgotten_once_nothing_of_theirs_is_out(self) -> None:
         # Guards memory over a long day: new ids replace the workers all day, also at the same address.
@@ -504,30 +504,29 @@
         for n in range(2, 50):
             old, new = worker(f"s-{n - 1}", phase=EndpointPhase.GONE), worker(f"s-{n}")
             told = self.do(EndpointsUpdated(41 + n, False, (old, new)))
-            self.assertEqual(self.only(told, ForgetEndpoint), [] if n == 2 else [ForgetEndpoint(n - 1)])
+            assert self.only(told, ForgetEndpoint) == ([] if n == 2 else [ForgetEndpoint(n - 1)])
         state, sender = self.reducer.state, self.reducer.scheduler
-        self.assertEqual(
-            (len(state.directory.endpoints), len(state.directory.numbers), state.directory.removed),
-            (2, 2, {1}),
+        assert (len(state.directory.endpoints), len(state.directory.numbers), state.directory.removed) == (
+            2,
+            2,
+            {1},
         )
-        self.assertEqual(len(sender.state.table.endpoints), 2)
+        assert len(sender.state.table.endpoints) == 2
         self.end(effects, (Outcome.OK, 0.0))
         self.do(EndpointsUpdated(99, True, (worker("s-49"),)))
-        self.assertEqual(
-            (len(state.directory.endpoints), list(state.directory.numbers), state.directory.removed),
-            (1, ["s-49"], set()),
+        assert (len(state.directory.endpoints), list(state.directory.numbers), state.directory.removed) == (
+            1,
+            ["s-49"],
+            set(),
         )
         destination = sender.state.table.destinations[1]
-        self.assertEqual(
-            [
-                len(sender.state.table.endpoints),
-                len(destination.endpoints),
-                len(destination.endpoint_order),
-                len(destination.endpoints_on(destination.shared_route)),
-            ],
-            [1, 1, 1, 1],
-        )
+        assert [
+            len(sender.state.table.endpoints),
+            len(destination.endpoints),
+            len(destination.endpoint_order),
+            len(destination.endpoints_on(destination.shared_route)),
+        ] == [1, 1, 1, 1]
         self.do(EndpointsUpdated(100, True, ()))
         self.now += 61.0
         self.do(EndpointsUpdated(101, True, ()))
-        self.assertEqual((state.directory.destinations, sender.state.table.destinations), ({}, {}))
+        assert (state.directory.destinations, sender.state.table.destinations) == ({}, {})
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -4,18 +4,20 @@
 
 import copy
 import json
+import re
 import signal
 import socket
 import subprocess
 import sys
 import tempfile
 import time
-import unittest
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
@@ -39,6 +41,7 @@
 from juniperward.scheduler.settings import Idempotency, MessageClass
 from tests.helpers import settings
 from tests.player import SETTINGS, Program
+from tests.resources import Resources, UsesResources
 from tests.test_reducer import ReducerRig, worker
 
 WAIT = 20.0
@@ -53,37 +56,37 @@
 )
 
 
-class FolderTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class FolderTest:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
 
     def carry(self, to_unix: float, boot: str = BOOT) -> float:
         return carry_over(self.folder, to_unix, boot, JOURNAL_NAME)
 
     def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
         """The journal as the process opens it at its start."""
-        journal = Journal(self.folder, 100_000, self.carry(to_unix, boot))
-        self.addCleanup(journal.close)
-        return journal
+        return self.resources.closing(Journal(self.folder, 100_000, self.carry(to_unix, boot)))
 
 
-class ReferenceTest(FolderTest):
+class TestReference(FolderTest):
     def test_an_empty_folder_counts_by_the_clock_as_it_is(self) -> None:
-        self.assertEqual(self.carry(OFFSET), OFFSET)
+        assert self.carry(OFFSET) == OFFSET
 
     def test_a_clock_that_stepped_back_goes_on_as_before(self) -> None:
         self.journal(OFFSET)
-        self.assertEqual(self.carry(OFFSET - 1.0), OFFSET)
-        self.assertEqual(self.carry(OFFSET - 1.0), OFFSET)  # also for what the third process finds
+        assert self.carry(OFFSET - 1.0) == OFFSET
+        assert self.carry(OFFSET - 1.0) == OFFSET  # also for what the third process finds
 
     def test_a_clock_that_stepped_ahead_counts(self) -> None:
         self.journal(OFFSET)
-        self.assertEqual(self.carry(OFFSET + 1.0), OFFSET + 1.0)
-        self.assertEqual(self.carry(OFFSET), OFFSET + 1.0)
+        assert self.carry(OFFSET + 1.0) == OFFSET + 1.0
+        assert self.carry(OFFSET) == OFFSET + 1.0
 
-    def test_a_journal_without_a_reference_of_this_boot_counts_as_older(self) -> None:
+    def test_a_journal_without_a_reference_of_this_boot_counts_as_older(
+        self, subtests: pytest.Subtests
+    ) -> None:
         self.journal(OFFSET)
         whole = (self.folder / REFERENCE_NAME).read_text()
         cases = {
@@ -95,34 +98,34 @@
             "of another clock": json.dumps([BOOT, OFFSET + LARGEST_STEP_S + 1.0]),
         }
         for name, text in cases.items():
-            with self.subTest(name):
+            with subtests.test(name=name):
                 (self.folder / REFERENCE_NAME).write_text(text)
-                self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)
+                assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S
         (self.folder / REFERENCE_NAME).unlink()  # an older version wrote none
-        self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)
-        self.assertEqual(self.carry(OFFSET), OFFSET + CLOCK_ERROR_S)  # what is still there keeps its age
+        assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S
+        assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S  # what is still there keeps its age
 
     def test_a_boot_without_an_id_tells_nothing(self) -> None:
         self.journal(OFFSET, boot="")
-        self.assertEqual(self.carry(OFFSET, boot=""), OFFSET + CLOCK_ERROR_S)
+        assert self.carry(OFFSET, boot="") == OFFSET + CLOCK_ERROR_S
 
     def test_a_reference_that_cannot_be_written_is_no_reason_not_to_start(self) -> None:
         with mock.patch("juniperward.forwarder.clock.Path.replace", side_effect=OSError(28, "No space left")):
-            self.assertEqual(self.carry(OFFSET), OFFSET)
+            assert self.carry(OFFSET) == OFFSET
 
     def test_the_machine_has_a_boot_id(self) -> None:
-        self.assertRegex(read_boot_id(), r"[0-9a-f-]{36}")
+        assert re.search(r"[0-9a-f-]{36}", read_boot_id())
         with mock.patch("juniperward.forwarder.clock.BOOT_ID", self.folder / "none"):
-            self.assertEqual(read_boot_id(), "")
+            assert read_boot_id() == ""
 
 
-class KillTest(FolderTest, ReducerRig):
+class TestKill(FolderTest, ReducerRig):
     """What the next process decides on the journal of a killed one; times are of the monotonic clock."""
 
     def restart(self, now: float, to_unix: float, boot: str = BOOT) -> list[Any]:
         """The effects of a start at `now` over the folder."""
         restored = self.journal(to_unix, boot).restored()
-        self.assertEqual(len(restored), 1)
+        assert len(restored) == 1
         return self.replay(now, restored)
 
     def replay(self, now: float, restored: tuple[RestoredMessage, ...]) -> list[Any]:
@@ -138,48 +141,44 @@
         if began_at is not None:
             journal.append(AttemptStartedRecord("a", began_at, "s-1"))
 
-    def test_no_repeat_once_the_window_is_over(self) -> None:
+    def test_no_repeat_once_the_window_is_over(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
-            with self.subTest(step):
+            with subtests.test(step=step):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
-                self.assertEqual(self.only(effects, StartAttempt), [])
-                self.assertEqual(
-                    [n.id for e in self.only(effects, SendNotifications) for n in e.notifications], ["a"]
-                )
+                assert self.only(effects, StartAttempt) == []
+                assert [n.id for e in self.only(effects, SendNotifications) for n in e.notifications] == ["a"]
 
-    def test_a_repeat_within_the_window_still_goes(self) -> None:
+    def test_a_repeat_within_the_window_still_goes(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, 0.0):
-            with self.subTest(step):
+            with subtests.test(step=step):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
                 (parcel,) = sent.items
-                self.assertLess(parcel.start_before, 100.0 + WINDOW)
+                assert parcel.start_before < 100.0 + WINDOW
 
     def test_no_repeat_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
         # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
         self.leave(began_at=1500.0, expires=1600.0)
         effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
-        self.assertEqual(self.only(effects, StartAttempt), [])
+        assert self.only(effects, StartAttempt) == []
 
     def test_no_repeat_two_kills_later(self) -> None:
         # The second process saw the clock a second behind, and left the first one's records as they were.
         self.leave(began_at=100.0)
         self.journal(OFFSET - 1.0)
         effects = self.restart(100.0 + WINDOW + 0.001, OFFSET - 1.0)
-        self.assertEqual(self.only(effects, StartAttempt), [])
+        assert self.only(effects, StartAttempt) == []
 
     def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
         self.leave(began_at=None, expires=105.0)
         (sent,) = self.only(self.restart(101.0, OFFSET - 1.0), StartAttempt)
-        self.assertAlmostEqual(sent.deadline, 105.0)
+        assert sent.deadline == pytest.approx(105.0, abs=5e-8)
         effects = self.restart(105.5, OFFSET - 1.0)
-        self.assertEqual(self.only(effects, StartAttempt), [])
-        self.assertEqual(
-            [n.id for e in self.only(effects, SendNotifications) for n in e.notifications], ["a"]
-        )
+        assert self.only(effects, StartAttempt) == []
+        assert [n.id for e in self.only(effects, SendNotifications) for n in e.notifications] == ["a"]
 
 
 class SteppedProgram(Program):
@@ -205,27 +204,24 @@
 """
 
 
-class ProcessTest(unittest.TestCase):
-    def test_no_repeat_after_its_window_across_a_kill(self) -> None:
+class TestProcess(UsesResources):
+    def test_no_repeat_after_its_window_across_a_kill(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, 1.0):
-            with self.subTest(step):
+            with subtests.test(step=step):
                 self.play(step)
 
     def play(self, step: float) -> None:
         folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        self.resources.callback(folder.cleanup)
         recorder = Recorder()
-        discovery = FakeDiscovery(recorder)
-        self.addCleanup(discovery.close)
-        destination = FakeDestination(DestinationSpec(7, endpoints=1), recorder, 1)
-        self.addCleanup(destination.close)
+        discovery = self.resources.closing(FakeDiscovery(recorder))
+        destination = self.resources.closing(FakeDestination(DestinationSpec(7, endpoints=1), recorder, 1))
         entries = destination.start()
         discovery.publish(*entries)
         destination.inject_fault(FaultMode.UNRESPONSIVE)
         short = copy.deepcopy(SETTINGS)
         short["Services"][0]["WindowMs"] = WINDOW * 1000
-        program = SteppedProgram(Path(folder.name), short)
-        self.addCleanup(program.close)
+        program = self.resources.closing(SteppedProgram(Path(folder.name), short))
         program.config["discovery"] = discovery.address_for("n0")
         known = program.config["known"]["servers"]
         known[:] = [{**known[0], "id": entries[0].id, "addr": entries[0].address}]
@@ -243,7 +239,7 @@
         program.step = step
         program.start()
         self.wait_for(recorder, NotificationReceived)
-        self.assertEqual(sum(isinstance(r, AttemptReceived) for r in recorder.records), 1)
+        assert sum(isinstance(r, AttemptReceived) for r in recorder.records) == 1
 
     def hand_in(self, program: Program) -> None:
         headers = {
@@ -252,7 +248,7 @@
         }  # fmt: skip
         with socket.create_connection(program.address, WAIT) as sock:
             sock.sendall(encode_request("POST", "/api", "n0", headers, b"body"))
-            self.assertEqual(read_response(Stream(sock.recv)).status, 202)
+            assert read_response(Stream(sock.recv)).status == 202
 
     def wait_for(self, recorder: Recorder, kind: type[Any]) -> list[Any]:
         return self._until(lambda: [r for r in recorder.records if isinstance(r, kind)])
@@ -260,6 +256,6 @@
     def _until(self, found: Callable[[], list[Any]]) -> list[Any]:
         end = time.monotonic() + WAIT
         while not (records := found()):
-            self.assertLess(time.monotonic(), end, "nothing comes")
+            assert time.monotonic() < end, "nothing comes"
             time.sleep(0.01)
         return records
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -6,12 +6,13 @@
 import shutil
 import tempfile
 import threading
-import unittest
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder.assembly import build
 from juniperward.forwarder.config import load
 from juniperward.forwarder.effects import Effect, ReplyToClient, SendNotifications, SetTimer, StartAttempt
@@ -42,26 +43,22 @@
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
 from tests.helpers import SAFE, settings
 from tests.player import Program
+from tests.resources import Resources, UsesResources
 from tests.test_reducer import ReducerRig, call, worker
 
 
-class FirstByteTest(EndpointClientRig):
-    __test__ = True
-
-    def setUp(self) -> None:
-        super().setUp()
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestFirstByte(EndpointClientRig):
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.listen(resources)
+        self.folder = tmp_path
         self.journal = self.open()
         for n in range(2):
             self.journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
         self.client = EndpointClient(LIMITS, self.events.put, self.journal.append)
 
     def open(self) -> Journal:
-        journal = Journal(self.folder, 100_000, 0.0)
-        self.addCleanup(journal.close)
-        return journal
+        return self.resources.closing(Journal(self.folder, 100_000, 0.0))
 
     def tried(self) -> list[str]:
         """What a process that is killed now leaves as tried, by what its next life reads."""
@@ -85,13 +82,13 @@
 
         with mock.patch("juniperward.net.sockets.connect", late):
             self.client.start(self.start_attempt())
-            self.assertEqual(self.tried(), [])
+            assert self.tried() == []
             self.client.withdraw(1, 1)
             up.set()
             sock, _ = self.door.accept()
-            self.addCleanup(sock.close)
-            self.assertTrue(sock.recv(1))  # never the other way: what a byte was written of is known as tried
-            self.assertEqual(self.tried(), ["m0"])  # the one struck off it is not
+            self.resources.callback(sock.close)
+            assert sock.recv(1)  # never the other way: what a byte was written of is known as tried
+            assert self.tried() == ["m0"]  # the one struck off it is not
 
     def test_a_call_that_is_not_begun_leaves_an_earlier_try_as_it_was(self) -> None:
         # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
@@ -100,20 +97,20 @@
         sock.recv(1)
         self.door.close()
         sock.close()
-        self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.RESET)])
+        assert self.answered() == [ItemOutcome(0, Outcome.RESET)]
         self.client.start(self.start_attempt(1))
-        self.assertEqual(self.answered(), [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)])
-        self.assertEqual(self.tried(), ["m0"])
+        assert self.answered() == [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)]
+        assert self.tried() == ["m0"]
 
     def test_nothing_is_begun_once_the_process_ends(self) -> None:
         # Guards the last moment: the next life may have read the journal already.
         self.client.stop_sending()
         self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
-        self.assertEqual({e.outcome for e in self.answered()}, {Outcome.NOT_SENT})
+        self.resources.callback(sock.close)
+        assert {e.outcome for e in self.answered()} == {Outcome.NOT_SENT}
         self.client.close_idle(3)
-        self.assertEqual((sock.recv(1), self.tried()), (b"", []))
+        assert (sock.recv(1), self.tried()) == (b"", [])
 
     def test_what_the_journal_has_no_room_for_is_not_written(self) -> None:
         # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
@@ -121,19 +118,17 @@
         self.client.attempts.append = failing
         self.client.start(self.start_attempt())
         sock, _ = self.door.accept()
-        self.addCleanup(sock.close)
+        self.resources.callback(sock.close)
         sock.settimeout(5.0)
         asked = read_request(Stream(sock.recv))
-        self.assertEqual((asked.path, asked.headers["x-correlation-id"]), ("/receive", "m0"))
+        assert (asked.path, asked.headers["x-correlation-id"]) == ("/receive", "m0")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual(
-            {e.message: e.outcome for e in self.answered()}, {0: Outcome.OK, 1: Outcome.NOT_SENT}
-        )
+        assert {e.message: e.outcome for e in self.answered()} == {0: Outcome.OK, 1: Outcome.NOT_SENT}
         failing.side_effect = OSError(28, "No space left on device")
         self.client.start(self.start_attempt())
-        self.assertEqual({(e.outcome, e.written) for e in self.answered()}, {(Outcome.NOT_SENT, False)})
+        assert {(e.outcome, e.written) for e in self.answered()} == {(Outcome.NOT_SENT, False)}
         self.client.close_idle(3)
-        self.assertEqual(sock.recv(1), b"")
+        assert sock.recv(1) == b""
 
     def answered(self) -> list[ItemOutcome]:
         event = self.events.get(timeout=5.0)
@@ -155,35 +150,33 @@
             t.start()
         for t in threads:
             t.join()
-        self.assertEqual(failed, [])
+        assert failed == []
         before = counters().get("journal_damaged", 0)
-        self.assertEqual({r.message.id for r in self.open().restored()}, {"m0", "m1", "m9"})
-        self.assertEqual(counters().get("journal_damaged", 0), before)
+        assert {r.message.id for r in self.open().restored()} == {"m0", "m1", "m9"}
+        assert counters().get("journal_damaged", 0) == before
 
 
-class WiringTest(unittest.TestCase):
+class TestWiring(UsesResources):
     def test_the_process_tells_its_calls_of_a_record_that_was_not_written(self) -> None:
         # Guards start.build: with a note that only logs the fault, a call would be begun without its record.
         with tempfile.TemporaryDirectory() as folder:
-            program = Program(Path(folder))
-            self.addCleanup(program.close)
+            program = self.resources.closing(Program(Path(folder)))
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(program.config))
             loop = build(load({"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(program.state)}))
-            self.addCleanup(loop.executor.server.listener.close)
-            self.addCleanup(loop.executor.journal.close)
+            self.resources.callback(loop.executor.server.listener.close)
+            self.resources.callback(loop.executor.journal.close)
             loop.executor.journal.append(AcceptedRecord(Message("m0", 0, 0, 7, 9.0, None, b""), 1e6))
-            with mock.patch(
-                "juniperward.forwarder.journal._write", side_effect=OSError(28, "No space left on device")
+            with (
+                mock.patch(
+                    "juniperward.forwarder.journal._write", side_effect=OSError(28, "No space left on device")
+                ),
+                pytest.raises(OSError),
             ):
-                self.assertRaises(
-                    OSError,
-                    loop.executor.endpoint_client.attempts.append,
-                    AttemptStartedRecord("m0", 1.0, "s-7"),
-                )
+                loop.executor.endpoint_client.attempts.append(AttemptStartedRecord("m0", 1.0, "s-7"))
 
 
-class UntriedTest(ReducerRig):
+class TestUntried(ReducerRig):
     """The reducer and the module after a restart."""
 
     def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
@@ -221,60 +214,57 @@
             self.now += 0.5
             effects = self.end(effects, (Outcome.ERROR if order == ["r0"] else Outcome.OK, 0.0))
         # What was tried in either life stands in its place by worth, and by when it came.
-        self.assertEqual(order, ["r0", "r1", "r2", "f0", "f1", "f2", "t", "r0"])
+        assert order == ["r0", "r1", "r2", "f0", "f1", "f2", "t", "r0"]
         gained = {k: v - before.get(k, 0) for k, v in counters().items() if k.startswith("restored_")}
-        self.assertEqual((gained["restored_attempted"], gained.get("restored_never_attempted", 0)), (3, 0))
+        assert (gained["restored_attempted"], gained.get("restored_never_attempted", 0)) == (3, 0)
 
     def test_all_of_its_clients_time_is_there_to_try_it(self) -> None:
         # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
         soon = RestoredMessage(call("soon", left=2.0), 99.9)  # its client's time is up at 100.2
         over = RestoredMessage(call("over", left=2.0), 99.6)
         effects = self.begin(over, soon)
-        self.assertEqual(self.sent(effects), [["soon"]])
-        self.assertEqual(
-            [n.id for t in self.only(effects, SendNotifications) for n in t.notifications], ["over"]
-        )
+        assert self.sent(effects) == [["soon"]]
+        assert [n.id for t in self.only(effects, SendNotifications) for n in t.notifications] == ["over"]
         (d,) = self.only(effects, StartAttempt)
-        self.assertAlmostEqual(d.deadline, 100.2)
-        self.assertAlmostEqual(NOTIFICATION_GRACE_AFTER_RESTART_S, 1.2)  # no notice is overdue for 1.5 s
+        assert d.deadline == pytest.approx(100.2, abs=5e-8)
+        assert (
+            pytest.approx(1.2, abs=5e-8) == NOTIFICATION_GRACE_AFTER_RESTART_S
+        )  # no notice is overdue for 1.5 s
         effects = self.begin(
             RestoredMessage(call("later", left=8.0), 105.0)
         )  # after that the spare is needed again
-        self.assertAlmostEqual(self.only(effects, StartAttempt)[0].deadline, 105.0)
+        assert self.only(effects, StartAttempt)[0].deadline == pytest.approx(105.0, abs=5e-8)
 
     def test_what_is_untried_keeps_its_place_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
         found = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(4)]
         before = counters().get("restored_never_attempted", 0)
         effects = self.begin(*found, slots=1, max_open=4)
-        self.assertEqual(
-            self.do(MessageReceived(5, call("new"), self.now)),
-            [ReplyToClient(5, 503, ADMISSION_RETRY_AFTER_S)],
-        )
+        assert self.do(MessageReceived(5, call("new"), self.now)) == [
+            ReplyToClient(5, 503, ADMISSION_RETRY_AFTER_S)
+        ]
         order = []
         while sent := self.sent(effects):
             order += sent[0]
             effects = self.end(effects, (Outcome.OK, 0.0))
-        self.assertEqual(
-            (order, counters().get("restored_never_attempted", 0)), (["r0", "r1", "r2", "r3"], before)
-        )
-        self.assertEqual(self.sent(self.take("new")), [["new"]])
+        assert (order, counters().get("restored_never_attempted", 0)) == (["r0", "r1", "r2", "r3"], before)
+        assert self.sent(self.take("new")) == [["new"]]
 
     def test_what_is_untried_goes_as_soon_as_the_list_names_its_destination(self) -> None:
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
-        self.assertEqual(self.sent(effects), [])
+        assert self.sent(effects) == []
         effects = self.do(
             EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.GONE), worker("s-5", 5)))
         )
-        self.assertEqual([d.endpoint_id for d in self.only(effects, StartAttempt)], ["s-5"])
+        assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-5"]
 
     def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         before = counters().get("restored_never_attempted", 0)
         seen = self.run_to(104.9, effects, self.do)
-        self.assertEqual(self.only(seen, SendNotifications), [])
+        assert self.only(seen, SendNotifications) == []
         seen = self.run_to(105.2, self.only(seen, SetTimer), self.do)
-        self.assertEqual(len(self.only(seen, SendNotifications)), 1)
-        self.assertEqual(counters()["restored_never_attempted"], before + 1)
+        assert len(self.only(seen, SendNotifications)) == 1
+        assert counters()["restored_never_attempted"] == before + 1
