--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -8,10 +8,11 @@
 import socket
 import threading
 import time
-import unittest
 from pathlib import Path
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder import discovery_watch
 from juniperward.forwarder.answer_headers import LoadReport, read_load_report
 from juniperward.forwarder.discovery_client import DiscoveryClient
@@ -24,6 +25,7 @@
 from juniperward.scheduler.settings_codec import read_settings
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import ONCE, settings
+from tests.resources import UsesResources
 from tests.test_reducer import worker
 
 
@@ -31,20 +33,24 @@
     return StartHealthCheck(1, 3, "127.0.0.1", port, 7, deadline)
 
 
-class PushedListTest(unittest.TestCase):
-    def test_a_watch_begins_at_the_start_though_the_module_does_not_ask(self) -> None:
+class TestPushedList(UsesResources):
+    def test_a_watch_begins_at_the_start_though_the_module_does_not_ask(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards the second deployment: its lists are pushed, the module never asks, and sockets heard nothing.
         for on_request in (False, True):
-            with self.subTest(on_request=on_request):
+            with subtests.test(on_request=on_request):
                 reducer = Reducer(settings(ONCE, endpoints_polled=on_request), 1)
                 effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
-                self.assertEqual([e for e in effects if isinstance(e, StartWatch)], [StartWatch(41, 0)])
+                assert [e for e in effects if isinstance(e, StartWatch)] == [StartWatch(41, 0)]
 
-    def test_watches_that_fall_silent_one_after_another_are_each_opened_anew_in_time(self) -> None:
+    def test_watches_that_fall_silent_one_after_another_are_each_opened_anew_in_time(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards the 6 s after silence: with no news between, each waited twice as long as the one before, up to 4 s.
         # Calls that fail at once are still spaced ever wider; that of one that fails late counts in its wait.
         for lived, took, widest in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
-            with self.subTest(lived=lived, took=took):
+            with subtests.test(lived=lived, took=took):
                 reducer, now, waits = Reducer(settings(ONCE, endpoints_polled=True), 1), 100.0, []
                 effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
                 for _ in range(6):
@@ -56,29 +62,28 @@
                             now, [e.event for e in effects if isinstance(e, SetTimer) and e.at <= now]
                         )
                     waits.append(now - began)
-                self.assertLess(max(waits), widest)
-                self.assertGreater(min(waits), 0.3)
-                self.assertEqual(max(waits) > 1.0, took == 0.0)
-                self.assertEqual(max(waits[2:]) > 1.5 * waits[0], took == 0.0)
+                assert max(waits) < widest
+                assert min(waits) > 0.3
+                assert (max(waits) > 1.0) == (took == 0.0)
+                assert (max(waits[2:]) > 1.5 * waits[0]) == (took == 0.0)
 
-    def test_a_silent_watch_has_lived_and_a_refused_call_has_not(self) -> None:
+    def test_a_silent_watch_has_lived_and_a_refused_call_has_not(self, subtests: pytest.Subtests) -> None:
         for answer, lived in (
             (b"200 OK\r\nTransfer-Encoding: chunked", True), (b"503 X\r\nContent-Length: 0", False)
         ):  # fmt: skip
-            door = socket.create_server(("127.0.0.1", 0))
-            self.addCleanup(door.close)
+            door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
             events: queue.Queue[Event] = queue.Queue()
-            with self.subTest(lived), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
+            with subtests.test(lived=lived), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
                 registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
-                self.addCleanup(sock.close)
+                self.resources.callback(sock.close)
                 sock.recv(1000)
                 sock.sendall(b"HTTP/1.1 " + answer + b"\r\n\r\n")
-                self.assertEqual(events.get(timeout=5.0), WatchLost(0, lived))
+                assert events.get(timeout=5.0) == WatchLost(0, lived)
 
-    def test_bytes_that_never_end_what_they_began_are_silence_too(self) -> None:
+    def test_bytes_that_never_end_what_they_began_are_silence_too(self, subtests: pytest.Subtests) -> None:
         # Guards the 6 s after silence: each byte was a sign of life, so a drain could go unheard for hours.
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for begin, more in (
@@ -87,17 +92,16 @@
             (head + b"200000\r\n", b" "),
             (head, b"1\r\n{\r\n"),
         ):
-            door = socket.create_server(("127.0.0.1", 0))
-            self.addCleanup(door.close)
+            door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
             events: queue.Queue[Event] = queue.Queue()
             over = threading.Event()
-            self.addCleanup(over.set)
-            with self.subTest(begin), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.2):
+            self.resources.callback(over.set)
+            with subtests.test(begin=begin), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.2):
                 registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
                 registry.start()
                 registry.watch(41, 0)
                 sock, _ = door.accept()
-                self.addCleanup(sock.close)
+                self.resources.callback(sock.close)
                 sock.sendall(begin)
 
                 def drip(
@@ -108,12 +112,11 @@
                             sock.sendall(more)
 
                 threading.Thread(target=drip, daemon=True).start()
-                self.assertIsInstance(events.get(timeout=5.0), WatchLost)
+                assert isinstance(events.get(timeout=5.0), WatchLost)
 
     def test_signs_of_life_and_lists_in_pieces_keep_a_watch(self) -> None:
         # Guards the other side: an object that comes in pieces, and empty lines, each have the whole time anew.
-        door = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(door.close)
+        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         events: queue.Queue[Event] = queue.Queue()
         pause = threading.Event()
         with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
@@ -121,19 +124,19 @@
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
-            self.addCleanup(sock.close)
+            self.resources.callback(sock.close)
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for piece in (b"\n", b"\n", b'{"version":42,', b'\n"full":false,"servers":[]}\n', b"\n", b"\n"):
                 pause.wait(0.3)
                 sock.sendall(b"%x\r\n%s\r\n" % (len(piece), piece))
-            self.assertEqual(events.get(timeout=5.0), EndpointsUpdated(42, False, ()))
-            self.assertTrue(events.empty())
+            assert events.get(timeout=5.0) == EndpointsUpdated(42, False, ())
+            assert events.empty()
 
     def test_news_of_a_watch_does_not_ask_for_a_second_one(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
         effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker("s-2"),))])
-        self.assertEqual([e for e in effects if isinstance(e, StartWatch)], [])
+        assert [e for e in effects if isinstance(e, StartWatch)] == []
 
 
 def entry(name: str, state: str, cell: int = 3) -> bytes:
@@ -143,12 +146,11 @@
     ).encode()
 
 
-class PushedWatchTest(unittest.TestCase):
+class TestPushedWatch(UsesResources):
     """A local agent that pushes changes over a watch; what the forwarder's registry thread makes of its lines."""
 
     def test_changes_gone_a_whole_list_after_a_gap_and_a_broken_line(self) -> None:
-        door = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(door.close)
+        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         lines = [
             b'{"version":43,"full":false,"servers":[' + entry("s-1", "Terminating") + b"]}",
             b"",  # what comes every 2 s while nothing changes
@@ -179,18 +181,17 @@
         registry.watch(41, 0)
         got = [events.get(timeout=5.0) for _ in range(4)]
         heard = [h for h in got if isinstance(h, EndpointsUpdated)]
-        self.assertEqual(asked, [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"])
-        self.assertEqual([(h.version, h.full) for h in heard], [(43, False), (44, False), (50, True)])
+        assert asked == [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"]
+        assert [(h.version, h.full) for h in heard] == [(43, False), (44, False), (50, True)]
         phases = [w.phase for h in heard for w in h.endpoints]
-        self.assertEqual(phases, [EndpointPhase.DRAINING, EndpointPhase.GONE, EndpointPhase.READY])
+        assert phases == [EndpointPhase.DRAINING, EndpointPhase.GONE, EndpointPhase.READY]
         # A broken line ends the watch, counted; the next one goes on from 50.
-        self.assertIsInstance(got[3], WatchLost)
+        assert isinstance(got[3], WatchLost)
 
     def test_a_watch_that_falls_silent_is_broken_and_opened_anew(self) -> None:
         # Guards the 6 s after which what a silent watch misses counts as told: a drain among it.
-        self.assertLess(discovery_watch.STREAM_TIMEOUT_S, 4.0)
-        door = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(door.close)
+        assert discovery_watch.STREAM_TIMEOUT_S < 4.0
+        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(
             door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
@@ -200,10 +201,10 @@
             registry.start()
             registry.watch(41, 0)
             sock, _ = door.accept()
-            self.addCleanup(sock.close)
+            self.resources.callback(sock.close)
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
             lost = events.get(timeout=5.0)
-            self.assertEqual(lost, WatchLost(0, established=True))
+            assert lost == WatchLost(0, established=True)
         now = 100.0
         effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
         effects = reducer.reduce(now, [lost])
@@ -211,21 +212,22 @@
             wake = next(e for e in effects if isinstance(e, SetTimer))
             now = wake.at
             effects = reducer.reduce(now, [wake.event])
-        self.assertEqual(again, [StartWatch(41, 0)])
-        self.assertLess(now, 101.0)
+        assert again == [StartWatch(41, 0)]
+        assert now < 101.0
 
     def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), cached=True)])
         reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.GONE),))])
-        self.assertEqual(sorted(w.id for w in reducer.state.directory.endpoints.values()), ["s-2"])
+        assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-2"]
         reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
-        self.assertEqual(sorted(w.id for w in reducer.state.directory.endpoints.values()), ["s-3"])
-        self.assertEqual(reducer.state.directory.version, 50)
+        assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-3"]
+        assert reducer.state.directory.version == 50
 
 
-class ProbeInReducerTest(unittest.TestCase):
-    def setUp(self) -> None:
+class TestProbeInReducer:
+    @pytest.fixture(autouse=True)
+    def set_up(self) -> None:
         self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
         self.reducer.reduce(
             100.0,
@@ -238,25 +240,23 @@
         self.reducer._health_checks.start(1)
         (asked,) = round_.effects
         assert isinstance(asked, StartHealthCheck)
-        self.assertEqual((asked.endpoint, asked.destination, asked.port), (1, 1, 81))
-        self.assertAlmostEqual(asked.deadline, 101.5)
+        assert (asked.endpoint, asked.destination, asked.port) == (1, 1, 81)
+        assert asked.deadline == pytest.approx(101.5, abs=5e-8)
         told = HealthCheckAnswered(asked.number, 1, Outcome.OVERLOADED, 0.01, retry_after_s=0.8)
         effects = self.reducer.reduce(100.5, [told])
-        self.assertIn(PauseRoute(1, 101.3), effects)
+        assert PauseRoute(1, 101.3) in effects
         # A second word of the same probe is nothing.
-        self.assertEqual(self.reducer.reduce(100.6, [told]), [])
+        assert self.reducer.reduce(100.6, [told]) == []
 
     def test_a_worker_that_is_not_listed_is_not_probed(self) -> None:
         round_ = self.reducer._round
         round_.begin(100.0)
         self.reducer._health_checks.start(99)
-        self.assertEqual(round_.effects, [])
-        self.assertEqual([e.outcome for e in round_.scheduler_events], [Outcome.NOT_SENT])  # type: ignore[union-attr]
-
+        assert round_.effects == []
+        assert [e.outcome for e in round_.scheduler_events] == [Outcome.NOT_SENT]  # type: ignore[union-attr]
 
-class ProbeOnSocketsTest(EndpointClientRig):
-    __test__ = True
 
+class TestProbeOnSockets(EndpointClientRig):
     def answer(self, reply: bytes) -> threading.Thread:
         def serve() -> None:
             sock, _ = self.door.accept()
@@ -277,7 +277,7 @@
         assert isinstance(event, HealthCheckAnswered)
         return event
 
-    def test_a_probe_of_503_is_a_refusal_and_200_brings_the_report(self) -> None:
+    def test_a_probe_of_503_is_a_refusal_and_200_brings_the_report(self, subtests: pytest.Subtests) -> None:
         cases = (
             (
                 b'HTTP/1.1 200 OK\r\nX-Backend-Load: {"x0":0.25,"x1":12}\r\nContent-Length: 0\r\n\r\n',
@@ -289,43 +289,39 @@
             ),
         )
         for reply, outcome in cases:
-            with self.subTest(outcome=outcome.name):
+            with subtests.test(outcome=outcome.name):
                 self.answer(reply)
                 self.client.start(start_probe(self.port))
                 told = self.looked()
-                self.assertEqual(self.asked, b"GET /health/live HTTP/1.1")
-                self.assertIs(told.outcome, outcome)
+                assert self.asked == b"GET /health/live HTTP/1.1"
+                assert told.outcome is outcome
                 self.client.close_idle(3)
                 if outcome is Outcome.OK:
-                    self.assertEqual((told.capacity_left, told.reported_limit_per_s), (0.25, 12.0))
+                    assert (told.capacity_left, told.reported_limit_per_s) == (0.25, 12.0)
         # The wait of a probe binds the next probe as it does a call.
         self.client.start(start_probe(self.port))
-        self.assertIs(self.looked().outcome, Outcome.NOT_SENT)
+        assert self.looked().outcome is Outcome.NOT_SENT
 
     def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
         self.answer(b"")
         self.client.start(start_probe(self.port, time.monotonic() + 0.2))
-        self.assertIs(self.looked().outcome, Outcome.TIMEOUT)
+        assert self.looked().outcome is Outcome.TIMEOUT
 
 
-class ReportTest(unittest.TestCase):
-    def test_a_report_that_makes_no_sense_is_counted_and_left_out(self) -> None:
+class TestReport:
+    def test_a_report_that_makes_no_sense_is_counted_and_left_out(self, subtests: pytest.Subtests) -> None:
         for text in ('{"x1":20}', '{"x0":-0.1,"x1":20}', '{"x0":1.5,"x1":20}', '{"x0":"a","x1":20}',
                      '{"x0":NaN,"x1":20}', '{"x0":0.5,"x1":-3}', "[1]", "{"):  # fmt: skip
-            with self.subTest(text=text):
+            with subtests.test(text=text):
                 found = read_load_report({"x-backend-load": text})
                 told = [x for x in (found.capacity_left, found.limit_per_s) if x is not None]
-                self.assertLessEqual(found.capacity_left or 0.0, 1.0)
-                self.assertGreaterEqual(min(told, default=0.0), 0.0)
-        self.assertEqual(read_load_report({"x-backend-load": '{"x1":20}'}), LoadReport(limit_per_s=20.0))
-        self.assertEqual(read_load_report({"x-backend-load": '{"x0":1.5,"x1":20}'}), LoadReport())
-
+                assert (found.capacity_left or 0.0) <= 1.0
+                assert min(told, default=0.0) >= 0.0
+        assert read_load_report({"x-backend-load": '{"x1":20}'}) == LoadReport(limit_per_s=20.0)
+        assert read_load_report({"x-backend-load": '{"x0":1.5,"x1":20}'}) == LoadReport()
 
-if __name__ == "__main__":
-    unittest.main()
 
-
-class DeploymentSettingsTest(unittest.TestCase):
+class TestDeploymentSettings:
     """Each deployment's settings, as a forwarder is given them: what differs is read from them alone."""
 
     def read(self, name: str) -> SchedulerSettings:
@@ -334,15 +330,13 @@
 
     def test_each_deployment_reads_its_own_differences(self) -> None:
         asked, pushed = self.read("forwarder.json"), self.read("forwarder-pushed.json")
-        self.assertEqual((asked.endpoints_polled, asked.health_checks, asked.max_attempts), (True, False, 8))
-        self.assertEqual(
-            (pushed.endpoints_polled, pushed.health_checks, pushed.max_attempts), (False, True, 6)
-        )
-        self.assertEqual((pushed.over_quota_weight, pushed.rates_listed, pushed.instances), (0.1, True, 3))
-        self.assertEqual([t.quota_per_s for t in pushed.tenants], [67.0, 47.0, 32.0, 24.0, 17.0])
+        assert (asked.endpoints_polled, asked.health_checks, asked.max_attempts) == (True, False, 8)
+        assert (pushed.endpoints_polled, pushed.health_checks, pushed.max_attempts) == (False, True, 6)
+        assert (pushed.over_quota_weight, pushed.rates_listed, pushed.instances) == (0.1, True, 3)
+        assert [t.quota_per_s for t in pushed.tenants] == [67.0, 47.0, 32.0, 24.0, 17.0]
 
     def test_a_value_that_cannot_be_used_is_an_error_that_names_it(self) -> None:
         given = json.loads((Path(__file__).parent.parent / "deploy" / "forwarder-pushed.json").read_text())
         given["settings"]["Services"][0]["Effect"] = "twice"
-        with self.assertRaisesRegex(ValueError, "Effect: unknown value 'twice'"):
+        with pytest.raises(ValueError, match="Effect: unknown value 'twice'"):
             read_settings(given["settings"])
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -4,7 +4,6 @@
 
 import contextlib
 import io
-import unittest
 
 from juniperward.benchmarks.traces import read, text
 from juniperward.forwarder.effects import (
@@ -72,29 +71,29 @@
     return [SETTINGS, *out.getvalue().splitlines()]
 
 
-class TracesTest(unittest.TestCase):
+class TestTraces:
     def test_what_forwarders_write_is_counted_over_all_of_them(self) -> None:
         fleet = read({"n0": life(1000.0), "n1": life(1001.0)})
-        self.assertEqual((fleet.unread_count, fleet.forwarders, fleet.latency_objective_s), (0, 2, 2.0))
+        assert (fleet.unread_count, fleet.forwarders, fleet.latency_objective_s) == (0, 2, 2.0)
         ((partner, row),) = fleet.partners()
-        self.assertEqual(partner, 7)
+        assert partner == 7
         expected = {"asked": 6, "door": 2, "calls": 4, "again": 2, "ok": 2, "full": 2, "told": 2, "late": 2,
                     "given_up": 2}  # fmt: skip
-        self.assertEqual({k: row.get(k, 0) for k in expected}, expected)
-        self.assertEqual([second for second, _ in fleet.rows()], [0, 1, 2, 3])
-        self.assertEqual([r.get("sick", 0) for _, r in fleet.rows(7)], [1, 1, -1, -1])
+        assert {k: row.get(k, 0) for k in expected} == expected
+        assert [second for second, _ in fleet.rows()] == [0, 1, 2, 3]
+        assert [r.get("sick", 0) for _, r in fleet.rows(7)] == [1, 1, -1, -1]
 
     def test_a_killed_forwarders_calls_are_not_those_of_its_next_life(self) -> None:
         begun = [x for x in life(1000.0) if " ended " not in x and " answer " not in x]
         fleet = read({"n0": [*begun, *life(1010.0)]})
-        self.assertEqual(fleet.unread_count, 0)
-        self.assertEqual(fleet.partners()[0][1]["ok"], 1)
+        assert fleet.unread_count == 0
+        assert fleet.partners()[0][1]["ok"] == 1
 
     def test_what_cannot_be_read_is_counted_and_named(self) -> None:
         bad = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
                "juniperward: trace: soon call", "juniperward: trace: 1000.0 handed x"]  # fmt: skip
         fleet = read({"n0": [*life(1000.0), *bad, "juniperward: start: not a line of the trace"]})
-        self.assertEqual(fleet.unread_count, 4)
-        self.assertTrue(any(x.startswith("n0:") and "danced" in x for x in fleet.unread))
-        self.assertIn("4 of them not read", text(fleet))
-        self.assertEqual(fleet.partners()[0][1]["late"], 1)
+        assert fleet.unread_count == 4
+        assert any(x.startswith("n0:") and "danced" in x for x in fleet.unread)
+        assert "4 of them not read" in text(fleet)
+        assert fleet.partners()[0][1]["late"] == 1
