--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -14,14 +14,14 @@
 from collections.abc import Callable
 from http import HTTPStatus
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from juniperward.agent.dead_letter_service import DeadLetterService
-from juniperward.agent.log import report_unexpected
+from juniperward.agent.log import log_unexpected_error
 from juniperward.agent.loop import Loop
-from juniperward.agent.queries import Answer, Queries, Question
+from juniperward.agent.queries import ApiRequest, Queries, ReloadReply
+from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.control.server import open_socket
 from juniperward.net import sockets
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
@@ -53,7 +53,7 @@
         self,
         path: Path,
         loop: Loop,
-        reload: Callable[[], dict[str, Any]],
+        reload: Callable[[], ReloadReply],
         shutdown: Callable[[bool], None],
     ) -> None:
         """Listen at `path`; raises ControlSocketError."""
@@ -65,7 +65,7 @@
         self._closed = False
 
     def serve_dead_letters(self, service: DeadLetterService) -> None:
-        """Answer questions about dead letters too, from now on."""
+        """Answer requests about dead letters too, from now on."""
         self.queries.dead_letters = service
 
     def start(self) -> None:
@@ -107,7 +107,7 @@
         except (ConnectionClosedError, IncompleteMessageError, OSError):
             pass
         except Exception as error:
-            report_unexpected("api", error)
+            log_unexpected_error("api", error)
         finally:
             with self._lock:
                 self._clients -= 1
@@ -118,7 +118,7 @@
         _, user = peer(sock)
         if user not in (os.geteuid(), ROOT_USER):
             why = f"user {user} has no right to this agent"
-            _write(sock, (HTTPStatus.FORBIDDEN, {"error": why}), close=True)
+            _write(sock, ApiResponse(HTTPStatus.FORBIDDEN, ErrorReply(why)), close=True)
             return
         stream = Stream(sock.recv)
         close = False
@@ -126,23 +126,23 @@
             try:
                 request = read_request(stream)
             except MalformedMessageError as error:
-                _write(sock, (error.status, {"error": str(error)}), close=True)
+                _write(sock, ApiResponse(error.status, ErrorReply(str(error))), close=True)
                 return
             close = request.close
             _write(sock, self._answer(request, user), close)
 
-    def _answer(self, request: HttpRequest, user: int) -> Answer:
+    def _answer(self, request: HttpRequest, user: int) -> ApiResponse:
         verb = request.path.removeprefix(PATH_PREFIX)
         if request.method != "POST" or verb == request.path:
-            return HTTPStatus.NOT_FOUND, {"error": "use POST /v1/VERB"}
+            return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply("use POST /v1/VERB"))
         try:
-            question = msgspec.json.decode(request.body or b"{}", type=Question)
+            decoded = msgspec.json.decode(request.body or b"{}", type=ApiRequest)
         except (msgspec.DecodeError, RecursionError) as error:
-            return HTTPStatus.BAD_REQUEST, {"error": f"the body: {error}"}
-        return self.queries.answer(verb, question, user)
+            return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"the body: {error}"))
+        return self.queries.answer(verb, decoded, user)
 
 
-def _write(sock: socket.socket, answer: Answer, close: bool) -> None:
-    status, body = answer
+def _write(sock: socket.socket, response: ApiResponse, close: bool) -> None:
     headers = {"Content-Type": "application/json"}
-    sock.sendall(encode_response(int(status), headers, msgspec.json.encode(body), close))
+    body = msgspec.json.encode(response.body)
+    sock.sendall(encode_response(int(response.status), headers, body, close))
--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -6,11 +6,12 @@
 from __future__ import annotations
 
 import base64
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
+from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.running_fleet import RunningFleet
 from juniperward.dead_letters.clock import certain_now
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
@@ -39,7 +40,6 @@
 }
 JUDGEMENT = ("kind", "may_go", "why", "wanted_by")
 
-Answer = tuple[int, dict[str, Any]]  # HTTP status, JSON object
 Options = dict[str, Any]
 
 
@@ -93,25 +93,25 @@
             "backup": self._backup,
         }
 
-    def answer(self, options: Options, who: str) -> Answer:
+    def answer(self, options: Options, who: str) -> ApiResponse:
         """Answer one question or order; `who` is the user at the other end."""
         try:
             return self._answer(str(options.get("action", "")), _ids(options), options, who)
         except QuestionError as error:
-            return HTTPStatus.BAD_REQUEST, {"error": f"ValueError: {error}"}
+            return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"ValueError: {error}"))
         except (TypeError, ValueError, KeyError) as error:
-            return HTTPStatus.BAD_REQUEST, {"error": f"{type(error).__name__}: {error}"}
+            return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"{type(error).__name__}: {error}"))
         except LeaseLostError as error:
-            return HTTPStatus.CONFLICT, {"error": str(error)}
+            return ApiResponse(HTTPStatus.CONFLICT, ErrorReply(str(error)))
 
-    def _answer(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> Answer:
+    def _answer(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> ApiResponse:
         if action == "show":
             return self._show(options, who)
         if action in CHANGES:
-            return HTTPStatus.OK, self._change(action, ids, options, who)
+            return _ok(self._change(action, ids, options, who))
         if (question := self._questions.get(action)) is not None:
-            return HTTPStatus.OK, question(options)
-        return HTTPStatus.NOT_FOUND, {"error": f"no such action: {action}"}
+            return _ok(question(options))
+        return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such action: {action}"))
 
     # --- orders --------------------------------------------------------------------------------------------
 
@@ -141,16 +141,16 @@
     def _now(self) -> float:
         return certain_now(self._fleet.clock(), self._store.recorded_clock())
 
-    def _show(self, options: Options, who: str) -> Answer:
+    def _show(self, options: Options, who: str) -> ApiResponse:
         message = str(options["id"])
         found = self._store.complete_record(message)
         if found is None:
-            return HTTPStatus.NOT_FOUND, {"error": f"no such message: {message}"}
+            return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such message: {message}"))
         (row,) = self._list({"ids": [message]})["messages"]
         found |= {name: row[name] for name in JUDGEMENT}
         if options.get("body"):
             found["body"] = base64.b64encode(self._store.show_body(message, who) or b"").decode()
-        return HTTPStatus.OK, found
+        return _ok(found)
 
     def _stats(self, _: Options) -> dict[str, Any]:
         rates = {str(destination): rate.reason for destination, rate in self._redriver.rates.items()}
@@ -237,6 +237,10 @@
         return "", judgement.why
 
 
+def _ok(body: Mapping[str, Any]) -> ApiResponse:
+    return ApiResponse(HTTPStatus.OK, body)
+
+
 def _ids(options: Options) -> tuple[str, ...]:
     ids = tuple(str(message) for message in options.get("ids", ()))
     if len(ids) > MAX_PAGE:
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.agent.dead_letter_queries import Answer, DeadLetterQueries
+from juniperward.agent.dead_letter_queries import DeadLetterQueries
+from juniperward.agent.replies import ApiResponse
 from juniperward.agent.running_fleet import ReadyInstances, RunningFleet
 from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.dead_letters.redriver import Redriver, Round
@@ -55,7 +56,7 @@
         """Use new settings, from the next round on."""
         self.redriver.settings = settings
 
-    def answer(self, options: dict[str, Any], who: str) -> Answer:
+    def answer(self, options: dict[str, Any], who: str) -> ApiResponse:
         """Answer one question or order; `who` is the user at the other end."""
         return self._queries.answer(options, who)
 
--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -18,11 +18,13 @@
 )
 from juniperward.agent.events import Event, ProcessSpawned, StateSaved
 from juniperward.agent.processes import Launcher
+from juniperward.agent.replies import ApiResponse
 from juniperward.agent.store import StateStore
 from juniperward.agent.watch import Watcher
 from juniperward.settings.configuration_versions import ConfigurationVersions
 
 LogFunction = Callable[[str, str, dict[str, Any]], None]  # event, level, fields
+ReplyFunction = Callable[[int, ApiResponse], None]  # client, by its number
 
 
 class EffectExecutor:
@@ -37,7 +39,7 @@
         log: LogFunction,
     ) -> None:
         """Make a watcher by `new_watcher` for each instance, when the first effect concerns it."""
-        self.reply: Callable[[int, int, dict[str, Any]], None] | None = None
+        self.reply: ReplyFunction | None = None
         self._store, self._launcher, self._versions = store, launcher, versions
         self._new_watcher, self._log = new_watcher, log
         self._watchers: dict[str, Watcher] = {}
@@ -55,9 +57,9 @@
                 self._watcher(name).send_order(verb)
             case WatchInstance(name=name, process=process):
                 self._watcher(name).watch(process)
-            case ReplyToClient(client=client, status=status, body=body):
+            case ReplyToClient(client=client, response=response):
                 if self.reply is not None:
-                    self.reply(client, status, body)
+                    self.reply(client, response)
             case LogEvent(event=event, fields=fields, level=level):
                 self._log(event, level, fields)
         return None
--- a/juniperward/agent/effects.py
+++ b/juniperward/agent/effects.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from juniperward.agent.replies import ApiResponse
 from juniperward.agent.state import PersistentState
 from juniperward.fleet.model import Process
 
@@ -54,8 +55,7 @@
     """Answer a client."""
 
     client: int
-    status: int
-    body: dict[str, Any]
+    response: ApiResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/agent/log.py
+++ b/juniperward/agent/log.py
@@ -33,7 +33,7 @@
     )
 
 
-def report_unexpected(where: str, error: Exception, **fields: Any) -> None:
+def log_unexpected_error(where: str, error: Exception, **fields: Any) -> None:
     """Log an error that nothing was prepared for, in one line."""
     structlog.get_logger().error("unexpected error", where=where, error=repr(error), **fields)
 
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -4,13 +4,13 @@
 
 import queue
 import time
-from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import structlog
 
 from juniperward.agent import processes
-from juniperward.agent.effect_executor import EffectExecutor
+from juniperward.agent.effect_executor import EffectExecutor, ReplyFunction
 from juniperward.agent.effects import Effect
 from juniperward.agent.events import (
     ControlRequest,
@@ -23,6 +23,7 @@
 from juniperward.agent.log import EventLog
 from juniperward.agent.processes import Launcher
 from juniperward.agent.reducer import Reducer
+from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.state import Rules
 from juniperward.agent.store import StateStore
 from juniperward.agent.watch import Watcher
@@ -34,7 +35,6 @@
 MAX_EVENTS_A_ROUND = 1000
 LEAST_WATCH_INTERVAL_S = 0.2
 WATCH_INTERVAL_S_AN_INSTANCE = 0.005  # many instances are asked less often: the agent's CPU stays bounded
-HTTP_INTERNAL_ERROR = 500
 
 
 class Loop:
@@ -45,11 +45,13 @@
         self.settings, self._store = settings, store
         self.reducer = Reducer(seed)
         self.launcher = Launcher(settings.folder)
-        self.notes = EventLog()
+        self.event_log = EventLog()
         self.events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self.ended = False
         self._versions = ConfigurationVersions(settings.folder / "editions")
-        self._executor = EffectExecutor(store, self.launcher, self._versions, self._new_watcher, self.note)
+        self._executor = EffectExecutor(
+            store, self.launcher, self._versions, self._new_watcher, self.log_event
+        )
         self._log = structlog.get_logger()
         self._rotate_at = 0.0
 
@@ -57,15 +59,15 @@
         """Hand an event to the loop; any thread may."""
         self.events.put(event)
 
-    def reply_through(self, reply: Callable[[int, int, dict[str, Any]], None]) -> None:
-        """Have replies to clients go to `reply`: client, HTTP status, body."""
+    def reply_through(self, reply: ReplyFunction) -> None:
+        """Have replies to clients go to `reply`."""
         self._executor.reply = reply
 
     def begin(self) -> None:
         """Take up what an earlier agent left: its state, its processes, its roll."""
         stored, damage = self._store.load()
         for text in damage:
-            self.note("state file damaged", "error", {"why": text})
+            self.log_event("state file damaged", "error", {"why": text})
         running = processes.find(self.launcher.mark)
         for instance in stored.instances:
             if instance.process is not None and processes.alive(instance.process):
@@ -126,23 +128,25 @@
         try:
             return self.reducer.reduce(time.monotonic(), events)
         except Exception as error:
-            self.note("unexpected error", "error", {"where": "reducer", "error": repr(error)})
+            self.log_event("unexpected error", "error", {"where": "reducer", "error": repr(error)})
             for event in events:
                 if isinstance(event, ControlRequest) and self._executor.reply is not None:
-                    body = {"error": f"unexpected: {error!r}"}
-                    self._executor.reply(event.client, HTTP_INTERNAL_ERROR, body)
+                    body = ErrorReply(f"unexpected: {error!r}")
+                    self._executor.reply(event.client, ApiResponse(HTTPStatus.INTERNAL_SERVER_ERROR, body))
             return self.reducer.effects
 
     def _execute(self, effect: Effect) -> Event | None:
         try:
             return self._executor.execute(effect)
         except Exception as error:
-            self.note("unexpected error", "error", {"where": type(effect).__name__, "error": repr(error)})
+            self.log_event(
+                "unexpected error", "error", {"where": type(effect).__name__, "error": repr(error)}
+            )
             return None
 
-    def note(self, event: str, level: str, fields: dict[str, Any]) -> None:
+    def log_event(self, event: str, level: str, fields: dict[str, Any]) -> None:
         """Log an event, and keep it for those who ask later."""
-        self.notes.add(event, level, fields)
+        self.event_log.add(event, level, fields)
         getattr(self._log, level)(event, **fields)
 
     def _new_watcher(self, name: str) -> Watcher:
@@ -158,6 +162,6 @@
         for name in self.reducer.state.instances:
             try:
                 if self.launcher.rotate(name, self.settings.log_bytes, self.settings.log_files_retained):
-                    self.note("log rotated", "info", {"instance": name})
+                    self.log_event("log rotated", "info", {"instance": name})
             except OSError as error:
-                self.note("log rotation failed", "warning", {"instance": name, "why": str(error)})
+                self.log_event("log rotation failed", "warning", {"instance": name, "why": str(error)})
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -17,7 +17,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from juniperward.fleet.model import Process
 
@@ -191,7 +191,15 @@
         return found[-lines:]
 
 
-def usage(pid: int) -> tuple[float, int]:
-    """Return the CPU seconds and the resident bytes of a process."""
+class Usage(NamedTuple):
+    """What a process has used of its machine."""
+
+    cpu_s: float
+    resident_bytes: int
+
+
+def usage(pid: int) -> Usage:
+    """Return the CPU time and the memory of a process; raises OSError where there is none."""
     parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(parts[11]) + int(parts[12])) / TICKS_A_SECOND, int(parts[21]) * PAGE_BYTES
+    cpu_ticks = int(parts[11]) + int(parts[12])
+    return Usage(cpu_ticks / TICKS_A_SECOND, int(parts[21]) * PAGE_BYTES)
--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -9,6 +9,7 @@
 from juniperward.agent.events import RunningProcess, SettingsLoaded, StateRestored
 from juniperward.agent.reducer.instance_orders import InstanceOrders
 from juniperward.agent.reducer.round import Round
+from juniperward.agent.replies import SettingsReply
 from juniperward.fleet.model import DesiredState, Instance
 from juniperward.fleet.roll_model import Roll, RollStage
 
@@ -55,7 +56,7 @@
                 fields |= {"roll": roll.id, "goes_on_to": roll.target_version}
             self._round.log("settings changed", fields)
         if event.requested_by is not None:
-            self._round.reply(event.requested_by, {"edition": version, "changed": changed})
+            self._round.reply(event.requested_by, SettingsReply(version, changed))
 
     def restored(self, event: StateRestored) -> None:
         """Continue with what an earlier agent left. Orders that it had sent are sent again if need be."""
--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from http import HTTPStatus
 
 from juniperward.agent import views
 from juniperward.agent.events import ControlRequest
@@ -10,6 +11,7 @@
 from juniperward.agent.reducer.roll_options import DRY_RUN, roll_rules
 from juniperward.agent.reducer.rolls import Rolls
 from juniperward.agent.reducer.round import Round
+from juniperward.agent.replies import DoneReply
 from juniperward.fleet.roll_commands import check_not_over, end, pause, plan, resume, undo
 from juniperward.fleet.roll_errors import (
     NoRollError,
@@ -21,9 +23,6 @@
 )
 from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder, RollProgress
 
-HTTP_NOT_FOUND = 404
-HTTP_CONFLICT = 409
-
 
 class Requests:
     """Follows the requests of clients, or replies why not."""
@@ -42,7 +41,7 @@
         unknown = [name for name in event.names if name not in known]
         if unknown:
             why = str(UnknownInstanceError(unknown))
-            round_.reply(event.client, {"error": why}, HTTP_NOT_FOUND)
+            round_.reject(event.client, HTTPStatus.NOT_FOUND, why)
             return
         names = list(event.names or sorted(known))
         try:
@@ -52,9 +51,9 @@
             for name in names:
                 self._order(event.verb, name)
         except RollRejectedError as error:
-            round_.reply(event.client, {"error": str(error)}, HTTP_CONFLICT)
+            round_.reject(event.client, HTTPStatus.CONFLICT, str(error))
             return
-        round_.reply(event.client, {"done": event.verb, "instances": names})
+        round_.reply(event.client, DoneReply(event.verb, tuple(names)))
 
     def _order(self, verb: str, name: str) -> None:
         match verb:
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Sequence
 from dataclasses import replace
+from http import HTTPStatus
 from typing import Any
 
 from juniperward.agent import views
@@ -21,7 +22,6 @@
 from juniperward.fleet.roll_progress import advance
 
 SAVE_RETRY_S = 1.0  # after which a state that could not be saved is saved again
-HTTP_UNAVAILABLE = 503
 
 
 class Rolls:
@@ -67,12 +67,13 @@
             return
         self._round.state = replace(self._round.state, last_saved=event.state)
         roll = before.roll
-        if roll is not None and before.saving_roll:
-            self._log_changes(before.roll_before_save, roll)
+        if roll is None or not before.saving_roll:
+            return
+        self._log_changes(before.roll_before_save, roll)
         for order in before.pending_orders:
             self._orders.carry_out(order)
         for client in before.waiting_clients:
-            self._round.reply(client, views.roll_view(roll) if roll is not None else {})
+            self._round.reply(client, views.roll_view(roll))
 
     def _save_failed(self, before: State, error: str) -> None:
         round_ = self._round
@@ -85,7 +86,7 @@
                 previous = pause(previous, why)
             round_.state = replace(round_.state, roll=previous)
         for client in before.waiting_clients:
-            round_.reply(client, {"error": why}, HTTP_UNAVAILABLE)
+            round_.reject(client, HTTPStatus.SERVICE_UNAVAILABLE, why)
 
     def _log_changes(self, before: Roll | None, roll: Roll) -> None:
         """Log each instance's new stage, and the roll's new mode."""
--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from http import HTTPStatus
 from typing import Any
 
 from juniperward.agent.effects import Effect, LogEvent, ReplyToClient
+from juniperward.agent.replies import ApiResponse, ErrorReply, ReplyBody
 from juniperward.agent.state import State
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Instance, Phase
@@ -51,6 +53,10 @@
                 found |= {"roll": roll.id, "step": step.stage.value}
         self.emit(LogEvent(event, found, level))
 
-    def reply(self, client: int, body: dict[str, Any], status: int = 200) -> None:
-        """Answer a client."""
-        self.emit(ReplyToClient(client, status, body))
+    def reply(self, client: int, body: ReplyBody) -> None:
+        """Answer a client whose request was followed."""
+        self.emit(ReplyToClient(client, ApiResponse(HTTPStatus.OK, body)))
+
+    def reject(self, client: int, status: HTTPStatus, why: str) -> None:
+        """Answer a client whose request was not followed."""
+        self.emit(ReplyToClient(client, ApiResponse(status, ErrorReply(why))))
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -10,7 +10,6 @@
 import threading
 import time
 from pathlib import Path
-from typing import Any
 
 import structlog
 
@@ -19,6 +18,8 @@
 from juniperward.agent.events import ControlRequest
 from juniperward.agent.log import configure
 from juniperward.agent.loop import Loop
+from juniperward.agent.queries import ReloadReply
+from juniperward.agent.replies import ErrorReply, SettingsRejectedReply, SettingsReply
 from juniperward.agent.running_fleet import ReadyInstance
 from juniperward.agent.store import StateStore
 from juniperward.control.errors import ControlSocketError
@@ -84,7 +85,7 @@
     def _open_dead_letters(self, settings: RedriveSettings) -> DeadLetterService:
         """Begin to look after dead letters; raises StoreError."""
         folder = self._loop.settings.folder
-        service = DeadLetterService(folder, settings, self._names, self._ready, self._loop.note)
+        service = DeadLetterService(folder, settings, self._names, self._ready, self._loop.log_event)
         self._dead_letters = service
         self._api.serve_dead_letters(service)
         return service
@@ -105,19 +106,19 @@
                 found[name] = ReadyInstance((host, int(port)), instance.reading)
         return found
 
-    def reload(self) -> dict[str, Any]:
+    def reload(self) -> ReloadReply:
         """Read the settings again; what cannot be used changes nothing and is told."""
         try:
             event = self._loop.configured(self._load_again())
         except SettingsError as error:
-            self._loop.note("settings rejected", "warning", {"why": str(error)})
-            return {"error": str(error), "faults": [str(fault) for fault in error.faults]}
+            self._loop.log_event("settings rejected", "warning", {"why": str(error)})
+            return SettingsRejectedReply(str(error), tuple(str(fault) for fault in error.faults))
         except (OSError, ValueError) as error:
-            self._loop.note("settings rejected", "warning", {"why": str(error)})
-            return {"error": str(error)}
+            self._loop.log_event("settings rejected", "warning", {"why": str(error)})
+            return ErrorReply(str(error))
         self._loop.post(event)
         self._configure_dead_letters(self._loop.settings.redrive)
-        return {"edition": event.configuration_version}
+        return SettingsReply(event.configuration_version)
 
     def _load_again(self) -> FleetSettings:
         settings = load(self._loop.settings.file)
@@ -136,7 +137,7 @@
             try:
                 self._open_dead_letters(settings).start()
             except StoreError as error:
-                self._loop.note("dead letters unavailable", "error", {"why": str(error)})
+                self._loop.log_event("dead letters unavailable", "error", {"why": str(error)})
 
     def shutdown(self, instances: bool) -> None:
         """End the agent; the instances go on, unless they are to be stopped first."""
@@ -164,14 +165,16 @@
         if self._dead_letters is not None:
             self._dead_letters.start()
         settings = self._loop.settings
-        self._loop.note("agent started", "info", {"fleet": settings.name, "socket": str(settings.socket)})
+        self._loop.log_event(
+            "agent started", "info", {"fleet": settings.name, "socket": str(settings.socket)}
+        )
         try:
             self._loop.run()
         finally:
             self._api.close()
             if self._dead_letters is not None:
                 self._dead_letters.ended.set()
-            self._loop.note("agent stopped", "info", {"fleet": settings.name})
+            self._loop.log_event("agent stopped", "info", {"fleet": settings.name})
             os.close(self._lock)
 
 
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -1,96 +1,104 @@
-"""What the agent tells its clients, made from its state: plain JSON, documented in docs/operators.md. Pure."""
+"""What the agent replies to its clients, made from its state: typed rows, documented in docs/operators.md. Pure."""
 
 from __future__ import annotations
 
-from typing import Any
+from msgspec import structs
 
+from juniperward.agent.replies import InstanceRow, RollReply, RollStepRow, ServiceRow, StatusReply
 from juniperward.agent.state import State
 from juniperward.fleet.decisions import phase
-from juniperward.fleet.model import DesiredState, Instance, Phase, Timeouts
-from juniperward.fleet.roll_model import Roll
+from juniperward.fleet.model import DesiredState, Instance, Phase, Reading, Timeouts
+from juniperward.fleet.roll_model import FAILURE_MARK, Roll
 
+SERVICE_WINDOW_S = 10.0  # over which the status has the fleet's attempts
 
-def status(s: State, now: float) -> dict[str, Any]:
-    """The complete fleet of this agent."""
-    rows = [
-        instance(s.instances[n], now, s.rules.timeouts, s.configuration_version) for n in sorted(s.instances)
-    ]
-    recent = s.meter.recent(now, 10.0)
-    return {
-        "edition": s.configuration_version,
-        "instances": rows,
-        "ready": sum(r["state"] == Phase.READY for r in rows),
-        "wanted": sum(i.desired_state is DesiredState.RUNNING for i in s.instances.values()),
-        "service": {
-            "good": recent.succeeded,
-            "bad": recent.failed,
-            "share": recent.success_rate,
-            "seconds": 10.0,
-        },
-        "roll": roll_view(s.roll) if s.roll is not None else None,
-    }
 
+def status(state: State, now: float) -> StatusReply:
+    """Return the complete fleet of this agent."""
+    rows = tuple(
+        instance_row(state.instances[name], now, state.rules.timeouts, state.configuration_version)
+        for name in sorted(state.instances)
+    )
+    recent = state.meter.recent(now, SERVICE_WINDOW_S)
+    running = [i for i in state.instances.values() if i.desired_state is DesiredState.RUNNING]
+    return StatusReply(
+        configuration_version=state.configuration_version,
+        instances=rows,
+        ready=sum(row.phase == Phase.READY for row in rows),
+        meant_to_run=len(running),
+        service=ServiceRow(recent.succeeded, recent.failed, recent.success_rate, SERVICE_WINDOW_S),
+        roll=roll_view(state.roll) if state.roll is not None else None,
+    )
 
-def instance(i: Instance, now: float, timeouts: Timeouts, configuration_version: str) -> dict[str, Any]:
-    """One row; what is not known is null."""
-    r = i.reading
-    state = phase(i, now, timeouts)
-    why = i.crashes.crash_loop or ""
-    if state is Phase.UNRESPONSIVE and i.unanswered_since is not None:
-        why = f"no answer for {now - i.unanswered_since:.1f} s"
-    elif state is Phase.STOPPED and i.crashes.restart_at is not None:
-        why = f"{i.last_exit}; starts again in {max(i.crashes.restart_at - now, 0.0):.1f} s"
-    elif state is Phase.STOPPED:
-        why = i.last_exit
-    return {
-        "name": i.name,
-        "state": state.value,
-        "wanted": i.desired_state.value,
-        "why": why,
-        "pid": i.process.pid if i.process is not None else None,
-        "up": round(now - i.started_at, 3) if i.process is not None else None,
-        "edition": i.configuration_version or None,
-        "stale": bool(i.configuration_version and i.configuration_version != configuration_version),
-        "crashes": len(i.crashes.times),
-        "age": round(now - r.at, 3) if r is not None else None,
-        "held": r.pending if r is not None else None,
-        "owing": r.unfinished if r is not None else None,
-        "calls_out": r.attempts_in_flight if r is not None else None,
-        "slots": r.slots if r is not None else None,
-        "taken_on": r.accepted if r is not None else None,
-        "delivered": r.delivered if r is not None else None,
-        "calls_failed": r.attempts_failed if r is not None else None,
-        "given_up": r.given_up if r is not None else None,
-        "turned_away": r.rejected if r is not None else None,
-        "sick": r.ejected_destinations if r is not None else None,
-        "broken": r.invariants_broken if r is not None else None,
-        "oldest_held": round(r.oldest_pending_age_s, 3) if r is not None else None,
-        "journal_bytes": r.journal_bytes if r is not None else None,
-        "registry_age": round(r.endpoint_list_age_s, 3)
-        if r is not None and r.endpoint_list_age_s >= 0
-        else None,
-    }
 
+def instance_row(instance: Instance, now: float, timeouts: Timeouts, newest_version: str) -> InstanceRow:
+    """Return one row; what is not known is None."""
+    observed = phase(instance, now, timeouts)
+    version = instance.configuration_version
+    process = instance.process
+    row = InstanceRow(
+        name=instance.name,
+        phase=observed.value,
+        desired_state=instance.desired_state.value,
+        why=_why(instance, observed, now),
+        pid=process.pid if process is not None else None,
+        uptime_s=round(now - instance.started_at, 3) if process is not None else None,
+        configuration_version=version or None,
+        outdated=bool(version and version != newest_version),
+        crashes=len(instance.crashes.times),
+    )
+    return row if instance.reading is None else _with_reading(row, instance.reading, now)
 
-def roll_view(roll: Roll) -> dict[str, Any]:
-    """A roll and each of its steps."""
-    steps = [
-        {
-            "instance": s.name,
-            "stage": s.stage.value,
-            "note": s.detail.lstrip("!"),
-            "before": s.previous_version,
-        }
-        for s in roll.steps
-    ]
-    return {
-        "id": roll.id,
-        "mode": roll.mode.value,
-        "why": roll.reason,
-        "target": roll.target_version,
-        "at_once": roll.rules.batch_size,
-        "floor": roll.rules.min_ready,
-        "baseline": roll.baseline_success_rate,
-        "over": roll.over,
-        "steps": steps,
-    }
+
+def _with_reading(row: InstanceRow, reading: Reading, now: float) -> InstanceRow:
+    """Return the row with what the instance last reported."""
+    list_age_s = round(reading.endpoint_list_age_s, 3) if reading.endpoint_list_age_s >= 0 else None
+    return structs.replace(
+        row,
+        reading_age_s=round(now - reading.at, 3),
+        pending=reading.pending,
+        unfinished=reading.unfinished,
+        attempts_in_flight=reading.attempts_in_flight,
+        slots=reading.slots,
+        accepted=reading.accepted,
+        delivered=reading.delivered,
+        attempts_failed=reading.attempts_failed,
+        given_up=reading.given_up,
+        rejected=reading.rejected,
+        ejected_destinations=reading.ejected_destinations,
+        invariants_broken=reading.invariants_broken,
+        oldest_pending_age_s=round(reading.oldest_pending_age_s, 3),
+        journal_bytes=reading.journal_bytes,
+        endpoint_list_age_s=list_age_s,
+    )
+
+
+def _why(instance: Instance, observed: Phase, now: float) -> str:
+    """Return what a person wants to know about an instance that does not serve; else an empty text."""
+    restart_at = instance.crashes.restart_at
+    if observed is Phase.UNRESPONSIVE and instance.unanswered_since is not None:
+        return f"no answer for {now - instance.unanswered_since:.1f} s"
+    if observed is Phase.STOPPED and restart_at is not None:
+        return f"{instance.last_exit}; starts again in {max(restart_at - now, 0.0):.1f} s"
+    if observed is Phase.STOPPED:
+        return instance.last_exit
+    return instance.crashes.crash_loop
+
+
+def roll_view(roll: Roll) -> RollReply:
+    """Return a roll and each of its steps."""
+    steps = tuple(
+        RollStepRow(step.name, step.stage.value, step.detail.lstrip(FAILURE_MARK), step.previous_version)
+        for step in roll.steps
+    )
+    return RollReply(
+        id=roll.id,
+        mode=roll.mode.value,
+        reason=roll.reason,
+        target_version=roll.target_version,
+        batch_size=roll.rules.batch_size,
+        min_ready=roll.rules.min_ready,
+        baseline_success_rate=roll.baseline_success_rate,
+        over=roll.over,
+        steps=steps,
+    )
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -10,7 +10,7 @@
 
 from juniperward.agent import processes
 from juniperward.agent.events import Event, InstanceAnswered, InstanceUnanswered, ProcessExited
-from juniperward.agent.log import report_unexpected
+from juniperward.agent.log import log_unexpected_error
 from juniperward.control.client import ControlClient
 from juniperward.control.errors import (
     ControlError,
@@ -54,7 +54,7 @@
             try:
                 self._round()
             except Exception as error:
-                report_unexpected("watcher", error, instance=self.name)
+                log_unexpected_error("watcher", error, instance=self.name)
                 time.sleep(self.interval_s)
 
     def _round(self) -> None:
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -10,7 +10,7 @@
 import signal
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -53,6 +53,13 @@
     """The agent's process is gone."""
 
 
+class Reply(NamedTuple):
+    """A reply to a client: its HTTP status, and the object that its JSON body holds."""
+
+    status: int
+    body: dict[str, Any]
+
+
 @dataclass
 class Machine:
     """A forwarder's process as the machine has it."""
@@ -74,7 +81,7 @@
         self.now, self.pid, self.effects_done, self.saves = 1000.0, 100, 0, 0
         self.machines: dict[str, Machine] = {}
         self.disk, self.old = b"", b""  # the state file and the one before
-        self.replies: list[ReplyToClient] = []
+        self.replies: list[Reply] = []
         self.notes: list[LogEvent] = []
         self.configuration_version = "a"
         self.broken_versions: dict[str, str] = {}  # edition to how its processes end at once
@@ -160,8 +167,8 @@
             case WatchInstance(name=name, process=watched):
                 self.watched[name] = watched
                 self.unanswered.pop(name, None)
-            case ReplyToClient():
-                self.replies.append(effect)
+            case ReplyToClient(response=response):
+                self.replies.append(Reply(response.status, msgspec.to_builtins(response.body)))
             case LogEvent():
                 self.notes.append(effect)
         return []
@@ -228,7 +235,7 @@
 
     # --- orders -----------------------------------------------------------------------------------------------
 
-    def ask(self, verb: str, *names: str, **options: Any) -> ReplyToClient:
+    def ask(self, verb: str, *names: str, **options: Any) -> Reply:
         """The reply to an order; an agent that dies of it is started again and asked once more."""
         before = len(self.replies)
         for _ in range(2):
@@ -239,10 +246,10 @@
                 self.begin()
                 roll = self.reducer.state.roll
                 if verb == "roll" and roll is not None and not roll.over:
-                    return ReplyToClient(1, 200, {})
+                    return Reply(200, {})
                 continue
             break
-        return self.replies[-1] if len(self.replies) > before else ReplyToClient(1, 504, {})
+        return self.replies[-1] if len(self.replies) > before else Reply(504, {})
 
     @property
     def mode(self) -> str:
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -18,6 +18,7 @@
 from juniperward.agent.events import ControlRequest
 from juniperward.agent.loop import Loop
 from juniperward.agent.processes import MARK, Launcher
+from juniperward.agent.replies import ErrorReply
 from juniperward.agent.start import AgentRunningError, take
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
@@ -151,7 +152,7 @@
         self.settings = load(self.folder / "f.textproto")
         self.settings.folder.mkdir(mode=0o700)
         self.loop = Loop(self.settings, StateStore(self.settings.folder), 1)
-        self.api = api.Api(self.settings.socket, self.loop, lambda: {"error": "no"}, lambda _: None)
+        self.api = api.Api(self.settings.socket, self.loop, lambda: ErrorReply("no"), lambda _: None)
         self.api.start()
         self.addCleanup(self.api.close)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,6 +12,7 @@
 from typing import Any
 from unittest import mock
 
+import msgspec
 from typer.testing import CliRunner, Result
 
 from juniperward.agent.views import status as status_view
@@ -67,7 +68,7 @@
         path.parent.mkdir()
 
         def status(_: dict[str, Any]) -> tuple[int, Any]:
-            return 200, status_view(self.world.reducer.state, self.world.now)
+            return 200, msgspec.to_builtins(status_view(self.world.reducer.state, self.world.now))
 
         self.scripted = ScriptedAgent(path, {"status": status, **more})
         self.addCleanup(self.scripted.listener.close)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -13,6 +13,7 @@
 from juniperward.agent import api
 from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.loop import Loop
+from juniperward.agent.replies import ErrorReply
 from juniperward.agent.running_fleet import NotifiedDestinations
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
@@ -35,7 +36,12 @@
         self.file.write_text(GOOD)
         fleet = load(self.file)
         fleet.folder.mkdir(mode=0o700)
-        self.api = api.Api(fleet.socket, Loop(fleet, StateStore(fleet.folder), 1), lambda: {}, lambda _: None)
+        self.api = api.Api(
+            fleet.socket,
+            Loop(fleet, StateStore(fleet.folder), 1),
+            lambda: ErrorReply("no reload here"),
+            lambda _: None,
+        )
         redrive = RedriveSettings((Rule("seven", frozenset({7})),))
         self.service = DeadLetterService(fleet.folder, redrive, list, dict)
         self.addCleanup(self.service.store.close)
