--- a/juniperward/cli/config.py
+++ b/juniperward/cli/config.py
@@ -1,4 +1,4 @@
-"""`juniperward config`: settings files looked at without an agent."""
+"""`juniperward config`: checks and shows settings files without an agent."""
 
 from __future__ import annotations
 
--- a/juniperward/cli/dead_letter_rules.py
+++ b/juniperward/cli/dead_letter_rules.py
@@ -1,4 +1,4 @@
-"""`juniperward dead-letters rules`: what rules would have go again, before they hold."""
+"""`juniperward dead-letters rules`: which messages rules would redrive, before an agent has them."""
 
 from __future__ import annotations
 
--- a/juniperward/cli/dead_letters.py
+++ b/juniperward/cli/dead_letters.py
@@ -1,4 +1,4 @@
-"""`juniperward dead-letters`: messages that were given up, looked at; the orders are in `dead_letter_orders.py`."""
+"""`juniperward dead-letters`: queries of messages that were given up; the orders are in `dead_letter_orders.py`."""
 
 from __future__ import annotations
 
--- a/juniperward/cli/fleet_tables.py
+++ b/juniperward/cli/fleet_tables.py
@@ -15,8 +15,8 @@
 def status_table(replies: list[InstanceReply]) -> Table:
     """Return one row an instance; an agent without an answer is one row that says so."""
     made = table(
-        "agent", "instance", "state", ">up", ">held", ">out", ">taken", ">delivered", ">failed", ">turned away",
-        ">given up", "why",
+        "agent", "instance", "state", ">up s", ">pending", ">in flight", ">accepted", ">delivered", ">failed",
+        ">rejected", ">given up", "why",
     )  # fmt: skip
     for reply in replies:
         if reply.error:
@@ -52,7 +52,7 @@
     """Return the steps of a roll."""
     why = f": {found['why']}" if found["why"] else ""
     made = table(
-        "instance", "stage", "ran before", "note", title=f"roll {found['id']} is {found['mode']}{why}"
+        "instance", "stage", "ran before", "detail", title=f"roll {found['id']} is {found['mode']}{why}"
     )
     for step in found["steps"]:
         made.add_row(step["instance"], step["stage"], step["before"], step["note"])
--- a/juniperward/cli/roll.py
+++ b/juniperward/cli/roll.py
@@ -165,6 +165,6 @@
                 found = request(followed.agent, "roll_show", None, followed.timeout_s)
                 misses = 0
             except AgentUnreachableError:
-                misses += 1  # an agent that is started anew takes the roll up again
+                misses += 1  # an agent that is restarted resumes the roll
                 if misses * (followed.timeout_s + POLL_INTERVAL_S) > MAX_UNRESPONSIVE_S:
                     raise
--- a/juniperward/dead_letters/__init__.py
+++ b/juniperward/dead_letters/__init__.py
@@ -1,1 +1,1 @@
-"""Dead letters: messages that were given up, stored, looked at, and redriven by rule."""
+"""Dead letters: messages that were given up: their spool, their store, and their redrives."""
--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -41,7 +41,7 @@
     def select(self, destination: int, max_count: int, conditions: Conditions) -> list[DeadLetter]:
         """Return messages to redrive: those whose window is closing first, then the oldest.
 
-        A few pages are looked at in a round, and the next round goes on behind them: what may not be redriven
+        A few pages are read in a round, and the next round goes on behind them: what may not be redriven
         must not hide what may.
         """
         chosen = self._closing(destination, conditions)
--- a/juniperward/dead_letters/redrive_rate.py
+++ b/juniperward/dead_letters/redrive_rate.py
@@ -53,7 +53,7 @@
     tokens: float = 0.0
     decreased_at: float = -math.inf
     trial_at: float = -math.inf
-    reason: str = "not looked at yet"
+    reason: str = "not adjusted yet"
 
 
 def adjust_rate(
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -140,7 +140,7 @@
         try:
             lease = self.store.acquire_lease(message.id, None, forwarder, now, by)
         except LeaseLostError:
-            return SendResult.BEGUN  # somebody else was first; the next one is looked at
+            return SendResult.BEGUN  # another change came first; go on with the next candidate
         return self._send_leased(message, lease)
 
     def _send_leased(self, message: DeadLetter, lease: Lease) -> SendResult:
--- a/juniperward/settings/configuration_versions.py
+++ b/juniperward/settings/configuration_versions.py
@@ -14,7 +14,7 @@
 
 from juniperward.settings.load import FleetSettings
 
-MAX_UNUSED = 8  # versions kept beside those in use
+MAX_UNUSED = 8  # versions retained beside those in use
 DIGEST_DIGITS = 10  # of a version's name
 PRIVATE_FOLDER = 0o700
 
--- a/juniperward/settings/fault_collector.py
+++ b/juniperward/settings/fault_collector.py
@@ -8,7 +8,7 @@
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.line_index import lines
 
-# Parts that stand once in a file are named without a number in a fault, and with one in the index of lines.
+# Parts that a file has once are named without a number in a fault, and with one in the index of lines.
 _SINGLE_PARTS = re.compile(r"^(restart|patience|roll|logs|kept)\.(?:(pace)\.)?")
 
 
--- a/juniperward/settings/instance_checker.py
+++ b/juniperward/settings/instance_checker.py
@@ -34,7 +34,7 @@
         if not given:
             self._faults.add("instance", "a fleet needs one instance at least")
         if len(given) > MAX_INSTANCES:
-            why = f"{len(given)} instances; an agent keeps {MAX_INSTANCES} at most"
+            why = f"{len(given)} instances; an agent runs {MAX_INSTANCES} at most"
             self._faults.add("instance", why)
         instances = tuple(self._instance(number, one) for number, one in enumerate(given))
         for field in UNIQUE_FIELDS:
--- a/juniperward/settings/value_checks.py
+++ b/juniperward/settings/value_checks.py
@@ -37,7 +37,7 @@
     if math.isnan(value) or math.isinf(value) or value < 0:
         return f"must not be negative or endless, not {value:g}"
     if key in FRACTIONS and value > 1:
-        return f"a share is needed, from 0 to 1, not {value:g}"
+        return f"a fraction is needed, from 0 to 1, not {value:g}"
     if key in ABOVE_ZERO and value == 0:
         return "must be above 0"
     return ""
