--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -17,7 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
+from juniperward.benchmarks.cluster_files import ACCOUNTS
+from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 from juniperward.agent import processes
-from juniperward.benchmarks.local_cluster import BASE, ROOT, reserve
+from juniperward.benchmarks.cluster_files import BASE_CONFIGURATION, ROOT
+from juniperward.benchmarks.ports import reserve_ports
 from juniperward.benchmarks.report import Report
 from juniperward.fakes.discovery import FakeDiscovery, ListedEndpoint
 from juniperward.fakes.histograms import LatencyHistogram
@@ -75,7 +76,7 @@
         self.own, self.others = frozenset(cores[:1]), frozenset(cores[1:])
         self.discovery = FakeDiscovery(Recorder())
         self.sinks = InstantEndpoints(DESTINATIONS, self.others)
-        (self.port,) = reserve(1)
+        (self.port,) = reserve_ports(1)
         self.address: tuple[str, int] = self.port.getsockname()
 
     def __enter__(self) -> Bench:
@@ -85,7 +86,7 @@
         state = self.folder / "state"
         state.mkdir()
         config = {
-            **BASE, "name": "n0", "listen": f"127.0.0.1:{self.address[1]}",
+            **BASE_CONFIGURATION, "name": "n0", "listen": f"127.0.0.1:{self.address[1]}",
             "discovery": self.discovery.address_for("n0"), "seed": "1", "state": str(state),
             "known": {"version": 0, "full": True, "servers": []},
         }  # fmt: skip
--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -81,7 +81,7 @@
     def round(self) -> bool:
         """Keep a roll going, perhaps stop an instance, and kill the agent; False where it did not answer."""
         try:
-            status = self._cluster.ask("status")
+            status = self._cluster.request("status")
         except AgentUnreachableError:
             return False
         self._keep_rolling(status["roll"])
@@ -99,10 +99,10 @@
         if roll is None or roll["over"]:
             self.tally.rolls_done += roll is not None and roll["mode"] == "done"
             floor = self._instances - 3
-            self._cluster.ask("roll", soak=0.0, drain=2.0, at_once=2, floor=floor, soak_most=1.0)
+            self._cluster.request("roll", soak=0.0, drain=2.0, at_once=2, floor=floor, soak_most=1.0)
         elif roll["mode"] == "paused":
             self.tally.pauses += 1
-            self._cluster.ask("roll_resume")
+            self._cluster.request("roll_resume")
 
     def _stop_one(self, ready: list[dict[str, Any]]) -> None:
         """Stop a ready instance by SIGSTOP, unless one is stopped."""
@@ -146,10 +146,10 @@
 def _settle(cluster: LocalCluster, instances: int) -> None:
     """Let the last roll end, and bring all instances back."""
     cluster.roll_end(90.0)
-    for row in cluster.ask("status")["instances"]:
+    for row in cluster.request("status")["instances"]:
         if row["state"] == "silent":
-            cluster.ask("kill", [row["name"]])
-    cluster.until(lambda status: status["ready"] == instances, 90.0)
+            cluster.request("kill", [row["name"]])
+    cluster.wait_until(lambda status: status["ready"] == instances, 90.0)
     cluster.settle(60.0)
 
 
--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -43,8 +43,8 @@
     cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
     if keep:
         pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
-        cluster.keep = fleet_pb2.Kept(on=True, pace=pace)
-        cluster.keep.rule.add(name="all", most_resends=20)
+        cluster.files.dead_letters = fleet_pb2.Kept(on=True, pace=pace)
+        cluster.files.dead_letters.rule.add(name="all", most_resends=20)
     return cluster
 
 
@@ -53,7 +53,7 @@
     rows: list[dict[str, Any]] = []
     after: Any = None
     while True:
-        found = cluster.ask("kept", action="list", limit=500, after=after)
+        found = cluster.request("kept", action="list", limit=500, after=after)
         rows += found["messages"]
         after = found["next"]
         if after is None:
@@ -66,7 +66,7 @@
     until = calm + patience
     while time.monotonic() < until:
         try:
-            busy = cluster.ask("kept", action="stats")["open"]
+            busy = cluster.request("kept", action="stats")["open"]
             if busy or any(
                 r["stand"] == Status.STORED and r["kind"] != "uncertain" for r in all_dead_letters(cluster)
             ):
@@ -96,7 +96,7 @@
             counts["uncertain"] += 1
         else:
             counts["missing"] += 1
-        for n, redrive in enumerate(cluster.ask("kept", action="show", id=row["id"])["resent"]):
+        for n, redrive in enumerate(cluster.request("kept", action="show", id=row["id"])["resent"]):
             at = redrive["claimed_at"] - time.time() + time.monotonic()
             first = f"{row['id']}r{n}"
             cluster.recorder.add(
--- a/juniperward/benchmarks/fleet_status.py
+++ b/juniperward/benchmarks/fleet_status.py
@@ -9,20 +9,24 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 
+from juniperward.benchmarks.cluster_files import ROOT
 from juniperward.benchmarks.loaded_cluster import DESTINATIONS
-from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster
+from juniperward.benchmarks.local_cluster import ClusterOptions, FleetStatus, LocalCluster
 from juniperward.benchmarks.report import Report, Row
 
-SILENT_COUNTS = (0, 1, 10)  # instances stopped while `fleet status` is timed
+UNRESPONSIVE_COUNTS = (0, 1, 10)  # instances stopped while `fleet status` is timed
 LIMIT_S = 1.0  # the longest `fleet status` may take with all instances well
-SILENT_LIMIT_S = 1.5  # and with some silent, whose agent waits for them
+UNRESPONSIVE_LIMIT_S = 1.5  # and with some unresponsive, for which the agent waits
+START_TIMEOUT_S = 120.0  # of all instances
+SEEN_TIMEOUT_S = 30.0  # until the agent has seen which do not answer
 CPU_SPAN_S = 10.0  # over which the agent's CPU is measured
 
 
 def status(seed: int, out: Path, sizes: tuple[int, ...] = (10, 100), times: int = 20) -> bool:
-    """How long `fleet status` takes, with all instances well and with one and ten silent; what the agent costs."""
+    """Measure `fleet status` with all instances well, with one and ten unresponsive; and what the agent costs."""
     report = Report(
         "fleet status, and what an agent costs", f"juniperward measure status --seed {seed}", seed
     )
@@ -35,17 +39,17 @@
             with LocalCluster(Path(folder), size, DESTINATIONS[:2], seed, patience) as cluster:
                 began = time.monotonic()
                 cluster.start(ready=False)
-                cluster.until(lambda s, n=size: s["ready"] == n, 120.0)
+                cluster.wait_until(_ready_instances(size), START_TIMEOUT_S)
                 up = time.monotonic() - began
-                for silent in SILENT_COUNTS:
-                    row, worst = _with_silent(cluster, silent, times)
+                for unresponsive in UNRESPONSIVE_COUNTS:
+                    row, worst = _with_unresponsive(cluster, unresponsive, times)
                     rows.append([f"{size}", *row, f"{up:.1f}"])
-                    good &= worst < (SILENT_LIMIT_S if silent else LIMIT_S)
+                    good &= worst < (UNRESPONSIVE_LIMIT_S if unresponsive else LIMIT_S)
                 _resume(cluster)
     report.table(
         [
             "instances",
-            "silent",
+            "unresponsive",
             "status median s",
             "worst s",
             "agent MiB",
@@ -58,27 +62,37 @@
     return good
 
 
-def _with_silent(cluster: LocalCluster, silent: int, times: int) -> tuple[Row, float]:
-    """Stop the first `silent` instances, time `fleet status` so often; return the row's cells and the worst time."""
-    for name in cluster.names[:silent]:
-        os.kill(cluster.row(name)["pid"], signal.SIGSTOP)
-    cluster.until(lambda s, n=silent: sum(r["state"] == "silent" for r in s["instances"]) == n, 30.0)
-    taken = [_timed_status(cluster) for _ in range(times)]
-    before = cluster.ask("agent")
+def _with_unresponsive(cluster: LocalCluster, unresponsive: int, times: int) -> tuple[Row, float]:
+    """Stop the first `unresponsive` instances and time `fleet status`; return the row's cells and the worst time."""
+    for name in cluster.names[:unresponsive]:
+        os.kill(cluster.instance(name)["pid"], signal.SIGSTOP)
+    cluster.wait_until(_unresponsive_instances(unresponsive), SEEN_TIMEOUT_S)
+    durations_s = [_timed_status(cluster) for _ in range(times)]
+    before = cluster.request("agent")
     time.sleep(CPU_SPAN_S)
-    after = cluster.ask("agent")
+    after = cluster.request("agent")
     cpu = (after["cpu_seconds"] - before["cpu_seconds"]) / CPU_SPAN_S
     row = [
-        f"{silent}", f"{statistics.median(taken):.2f}", f"{max(taken):.2f}",
+        f"{unresponsive}", f"{statistics.median(durations_s):.2f}", f"{max(durations_s):.2f}",
         f"{after['resident_bytes'] / 2**20:.0f}", f"{100 * cpu:.1f}",
     ]  # fmt: skip
-    return row, max(taken)
+    return row, max(durations_s)
+
+
+def _ready_instances(count: int) -> Callable[[FleetStatus], bool]:
+    """Return whether so many instances are ready."""
+    return lambda status: status["ready"] == count
+
+
+def _unresponsive_instances(count: int) -> Callable[[FleetStatus], bool]:
+    """Return whether so many instances do not answer; `silent` is the status's word."""
+    return lambda status: sum(row["state"] == "silent" for row in status["instances"]) == count
 
 
 def _resume(cluster: LocalCluster) -> None:
     """Let the instances that were stopped run again."""
-    for name in cluster.names[: max(SILENT_COUNTS)]:
-        pid = cluster.row(name)["pid"]
+    for name in cluster.names[: max(UNRESPONSIVE_COUNTS)]:
+        pid = cluster.instance(name)["pid"]
         if pid is not None:
             os.kill(pid, signal.SIGCONT)
 
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -52,13 +52,15 @@
 
     Returns the verdict, how long that took, and the clients' lateness, in seconds.
     """
-    with tempfile.TemporaryDirectory(prefix="jw-") as folder:  # noqa: SIM117
-        with LocalCluster(Path(folder), instances, DESTINATIONS, seed) as cluster:
-            cluster.start()
-            clients = cluster.clients(rate, seconds, threads=96)
-            time.sleep(2.0)
-            took = during(cluster)
-            clients.done.wait(seconds + 60.0)
-            cluster.until(lambda s: s["ready"] == instances, 60.0)
-            cluster.settle(40.0)
-            return cluster.verdict(), took, clients.lateness_s
+    with (
+        tempfile.TemporaryDirectory(prefix="jw-") as folder,
+        LocalCluster(Path(folder), instances, DESTINATIONS, seed) as cluster,
+    ):
+        cluster.start()
+        clients = cluster.clients(rate, seconds, threads=96)
+        time.sleep(2.0)
+        took = during(cluster)
+        clients.done.wait(seconds + 60.0)
+        cluster.wait_until(lambda status: status["ready"] == instances, 60.0)
+        cluster.settle(40.0)
+        return cluster.verdict(), took, clients.lateness_s
--- a/juniperward/benchmarks/measure_dead_letters.py
+++ b/juniperward/benchmarks/measure_dead_letters.py
@@ -65,7 +65,7 @@
                     os.kill(cluster.pids[name], signal.SIGKILL)
             killed += 1
         clients.done.wait(60.0)
-        cluster.until(lambda s: s["ready"] == 3, 30.0)
+        cluster.wait_until(lambda s: s["ready"] == 3, 30.0)
         cluster.settle()
         wait_until_settled(cluster, 50.0 + away)
         judgement = judge_dead_letters(cluster)
@@ -174,7 +174,7 @@
             cluster.start()
             clients = cluster.clients(100.0, 12.0, threads=48)
             clients.done.wait(60.0)
-            stats = cluster.ask("kept", action="stats")
+            stats = cluster.request("kept", action="stats")
             live = [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             v = check(live)
             sent = stats["stands"].get("delivered", 0)
@@ -196,7 +196,7 @@
         ):
             cluster.start()
             cluster.destinations[1].inject_fault(FaultMode.DOWN)
-            before = cluster.ask("inspect", ["n0"])["status"]["pid"]
+            before = cluster.request("inspect", ["n0"])["status"]["pid"]
             cpu = processes.usage(before)[0]
             clients = cluster.clients(150.0, 12.0, threads=64)
             clients.done.wait(60.0)
@@ -205,7 +205,7 @@
             v = check(
                 [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             )
-            stored = cluster.ask("inspect", ["n0"])["status"]["kept"]
+            stored = cluster.request("inspect", ["n0"])["status"]["kept"]
             rows.append([
                 "on" if keep else "off", f"{stored}", f"{quantile(v.latencies_s, 0.5) * 1000:.1f}",
                 f"{quantile(v.latencies_s, 0.99) * 1000:.1f}", f"{1000 * spent / v.offered:.2f}",
--- a/juniperward/benchmarks/report.py
+++ b/juniperward/benchmarks/report.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+import os
+import sys
 from datetime import UTC, datetime
 from pathlib import Path
 
-from juniperward.benchmarks.local_cluster import machine
-
 Row = list[str]
 
 
@@ -40,7 +40,13 @@
         file.write_text("\n".join(self.lines).rstrip() + "\n")
 
 
-def quantile(values: list[float], share: float) -> float:
-    """Return the value below which that share lies; 0 of none."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which that fraction lies; 0 of none."""
     ordered = sorted(values)
-    return ordered[min(int(share * len(ordered)), len(ordered) - 1)] if ordered else 0.0
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)] if ordered else 0.0
+
+
+def machine() -> str:
+    """Return what a measurement was made on."""
+    memory_gib = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**30
+    return f"{os.cpu_count()} cores, {memory_gib:.0f} GiB, Python {sys.version.split()[0]}"
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -33,7 +33,7 @@
     def rolled(**options: Any) -> Callable[[LocalCluster], float]:
         def during(cluster: LocalCluster) -> float:
             began = time.monotonic()
-            cluster.ask("roll", soak=0.5, **options)
+            cluster.request("roll", soak=0.5, **options)
             time.sleep(1.0)
             cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
             found = cluster.roll_end(180.0)
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -18,8 +18,9 @@
 from typing import Any
 
 from juniperward.agent import processes
+from juniperward.benchmarks.cluster_files import BASE_CONFIGURATION, ROOT
 from juniperward.benchmarks.loaded_cluster import DESTINATIONS
-from juniperward.benchmarks.local_cluster import BASE, ROOT, LocalCluster
+from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report, quantile
 from juniperward.fakes.load_balancer import is_ready
 from juniperward.forwarder.clock import carry_over, read_boot_id
@@ -194,7 +195,7 @@
         for full in (False, True):
             with tempfile.TemporaryDirectory(prefix="jw-") as folder:
                 command = ("-m", "juniperward.benchmarks.start_parts")
-                fleet = Fleet(Path(folder), BASE, dead_address(), command=command)
+                fleet = Fleet(Path(folder), BASE_CONFIGURATION, dead_address(), command=command)
                 names = [f"n{n}" for n in range(size)]
                 pending = [len(fleet.fill(name)) for name in names] if full else [0]
                 try:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -9,7 +9,8 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from juniperward.benchmarks.local_cluster import ACCOUNTS, LocalCluster
+from juniperward.benchmarks.cluster_files import ACCOUNTS
+from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.slow_start import play_all, slow_start
 from juniperward.fakes.clients import ClientOptions, Clients, Traffic
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -216,11 +216,11 @@
         self.addCleanup(cluster.close)
         cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 2500.0, "AimMs": 1000.0}
         cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": 3000.0}
-        cluster.keep = fleet_pb2.Kept(
+        cluster.files.dead_letters = fleet_pb2.Kept(
             on=True, pace=fleet_pb2.ResendPace(first=10, step=10, share_of_slots=0.5)
         )
         if rules:
-            cluster.keep.rule.add(name="all", most_resends=20)
+            cluster.files.dead_letters.rule.add(name="all", most_resends=20)
         cluster.start()
         return cluster
 
@@ -230,7 +230,7 @@
         found = {"next": None}
         rows: list[Any] = []
         while True:
-            found = cluster.ask("kept", action="list", limit=500, after=found["next"])
+            found = cluster.request("kept", action="list", limit=500, after=found["next"])
             rows += found["messages"]
             if found["next"] is None:
                 break
@@ -239,7 +239,7 @@
             if type(r).__name__ == "Effect":
                 effects[r.key] = effects.get(r.key, 0) + 1  # type: ignore[union-attr]
         for row in rows:
-            whole = cluster.ask("kept", action="show", id=row["id"])
+            whole = cluster.request("kept", action="show", id=row["id"])
             for n, resend in enumerate(whole["resent"]):
                 at = resend["claimed_at"] - time.time() + time.monotonic()
                 cluster.recorder.add(
@@ -262,8 +262,8 @@
         until = calm + patience
         while time.monotonic() < until:
             try:
-                stats = cluster.ask("kept", action="stats")
-                rows = cluster.ask("kept", action="list", limit=500, stand="kept")["messages"]
+                stats = cluster.request("kept", action="stats")
+                rows = cluster.request("kept", action="list", limit=500, stand="kept")["messages"]
             except AgentUnreachableError:
                 continue
             left = [r for r in rows if r["may_go"] or (r["wanted_by"] and r["kind"] == "safe")]
@@ -295,12 +295,12 @@
         cluster.destinations[1].inject_fault(FaultMode.DOWN)
         self.assertTrue(clients.done.wait(30.0))
         cluster.settle()
-        cluster.until(lambda _: True)
+        cluster.wait_until(lambda _: True)
         # The spools are taken in some time after the last message was given up.
-        kept = sum(cluster.ask("inspect", [n])["status"]["kept"] for n in cluster.names)
+        kept = sum(cluster.request("inspect", [n])["status"]["kept"] for n in cluster.names)
         self.assertGreater(kept, 10)
-        cluster.until(lambda _: cluster.ask("kept", action="stats")["messages"] == kept)
-        found = cluster.ask("kept", action="list", limit=500)["messages"]
+        cluster.wait_until(lambda _: cluster.request("kept", action="stats")["messages"] == kept)
+        found = cluster.request("kept", action="list", limit=500)["messages"]
         cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
         ids = [r["id"] for r in found]
 
@@ -313,12 +313,14 @@
             person.start()
         for person in people:
             person.join()
-        cluster.until(lambda _: cluster.ask("kept", action="stats")["stands"].get("delivered", 0) > 0, 30.0)
+        cluster.wait_until(
+            lambda _: cluster.request("kept", action="stats")["stands"].get("delivered", 0) > 0, 30.0
+        )
         cluster.kill_agent()
         os.kill(cluster.pids["n0"], signal.SIGKILL)
         cluster.start_agent()
-        cluster.until(lambda s: s["ready"] == 2)
+        cluster.wait_until(lambda s: s["ready"] == 2)
         self.settled(cluster)
         self.check_once(cluster)
-        said = [a["what"] for a in cluster.ask("kept", action="audit")["audit"]]
+        said = [a["what"] for a in cluster.request("kept", action="audit")["audit"]]
         self.assertEqual(said.count("asked for a resend"), len(ids))
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -16,7 +16,9 @@
 from typing import Any
 
 from juniperward.agent.client import AgentRejectedError, request
-from juniperward.benchmarks.local_cluster import ROOT, ClusterOptions, LocalCluster, reserve
+from juniperward.benchmarks.cluster_files import ROOT
+from juniperward.benchmarks.local_cluster import ClusterOptions, LocalCluster
+from juniperward.benchmarks.ports import reserve_ports
 from juniperward.fakes.destination_spec import DestinationSpec
 
 QUICK = [DestinationSpec(1, latency_s=0.02), DestinationSpec(2, latency_s=0.02, endpoints=3)]
@@ -25,7 +27,7 @@
 class PortTest(unittest.TestCase):
     def test_a_reserved_port_is_given_to_nobody_but_the_listener_it_is_for(self) -> None:
         """Two of 200 runs of the acceptance had no verdict: a port was taken before its forwarder started."""
-        (held,) = reserve(1)
+        (held,) = reserve_ports(1)
         self.addCleanup(held.close)
         with socket.socket() as stranger, self.assertRaises(OSError):
             stranger.bind(held.getsockname())
@@ -60,34 +62,38 @@
         cluster = self.cluster()
         cluster.start()
         clients = cluster.clients(40.0, 6.0, threads=24)
-        cluster.ask("roll", soak=0.2)
-        cluster.until(lambda s: s["roll"]["steps"][0]["stage"] == "starting")
+        cluster.request("roll", soak=0.2)
+        cluster.wait_until(lambda s: s["roll"]["steps"][0]["stage"] == "starting")
         cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
         self.assertEqual(cluster.roll_end()["mode"], "done")
         self.assertTrue(clients.done.wait(30.0))
         self.judge(cluster)
         # It came back with a list that it had heard since: the drained worker is barred there, too.
-        found = cluster.ask("inspect", ["n0"])
+        found = cluster.request("inspect", ["n0"])
         phases = {w["id"]: w["phase"] for w in found["workers"]}
         self.assertEqual((phases["s-2-0"], phases["s-2-1"]), ("draining", "ready"))
 
     def test_a_stopped_instance_is_told_and_rolled_and_the_agent_may_die_meanwhile(self) -> None:
         cluster = self.cluster(settings={"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}})
         cluster.start()
-        pid = cluster.row("n1")["pid"]
+        pid = cluster.instance("n1")["pid"]
         os.kill(pid, signal.SIGSTOP)
         clients = cluster.clients(30.0, 6.0, threads=24)
-        cluster.until(lambda s: s["instances"][1]["state"] == "silent")
-        self.assertIn("status: no answer", cluster.ask("inspect", ["n1"])["unanswered"][0])
-        cluster.ask("drain", ["n1"])
-        cluster.ask("resume", ["n1"])
-        cluster.ask("roll", soak=0.2)
+        cluster.wait_until(lambda s: s["instances"][1]["state"] == "silent")
+        self.assertIn("status: no answer", cluster.request("inspect", ["n1"])["unanswered"][0])
+        cluster.request("drain", ["n1"])
+        cluster.request("resume", ["n1"])
+        cluster.request("roll", soak=0.2)
         for stage in ("stopping", "soaking"):
-            cluster.until(lambda s, stage=stage: any(x["stage"] == stage for x in s["roll"]["steps"]))
+
+            def in_stage(status: dict[str, Any], stage: str = stage) -> bool:
+                return any(step["stage"] == stage for step in status["roll"]["steps"])
+
+            cluster.wait_until(in_stage)
             cluster.kill_agent()
             cluster.start_agent()
         self.assertEqual(cluster.roll_end()["mode"], "done")
-        self.assertNotEqual(cluster.row("n1")["pid"], pid)
+        self.assertNotEqual(cluster.instance("n1")["pid"], pid)
         self.assertTrue(clients.done.wait(30.0))
         self.judge(cluster)
 
@@ -117,31 +123,31 @@
         good = dict(cluster.base["settings"]["Limits"])
         cluster.base["settings"]["Limits"]["MaxOpen"] = -1
         cluster.write_settings()
-        cluster.ask("reload")
+        cluster.request("reload")
         roll = cluster.roll()
         self.assertEqual(roll["mode"], "paused")
         self.assertIn("n0 does not come up: it ended at its start: exit 2", roll["why"])
-        self.assertEqual(cluster.ask("status")["ready"], 2)
+        self.assertEqual(cluster.request("status")["ready"], 2)
         cluster.base["settings"]["Limits"] = good
         cluster.write_settings()
-        cluster.ask("reload")
-        cluster.ask("roll_undo")
+        cluster.request("reload")
+        cluster.request("roll_undo")
         self.assertEqual(cluster.roll_end()["mode"], "undone")
-        cluster.until(lambda s: s["ready"] == 3)
+        cluster.wait_until(lambda s: s["ready"] == 3)
 
     def test_one_that_is_ready_and_delivers_nothing_pauses_the_roll(self) -> None:
         # The new edition gives every message less time than a call takes: its ready page says yes all the same.
         cluster = self.cluster(3, settings={"roll": {"soak": 0.3, "soak_most": 20.0, "least_calls": 5}})
         cluster.start()
         clients = cluster.clients(60.0, 10.0, threads=24)
-        cluster.until(lambda s: s["service"]["good"] > 50)
+        cluster.wait_until(lambda s: s["service"]["good"] > 50)
         cluster.base["settings"]["Services"][0]["DeadlineMs"] = 10.0
         cluster.write_settings()
-        cluster.ask("reload")
+        cluster.request("reload")
         roll = cluster.roll()
         self.assertEqual(roll["mode"], "paused", roll)
         self.assertRegex(roll["why"], "n0 is ready but|service fell")
-        cluster.ask("roll_undo")
+        cluster.request("roll_undo")
         self.assertEqual(cluster.roll_end()["mode"], "undone")
         self.assertTrue(clients.done.wait(30.0))
         self.judge(cluster)
@@ -156,19 +162,19 @@
         (cluster.folder / "run").chmod(0o700)
         (cluster.folder / "run" / "state" / "n1").write_text("a file where the folder should be")
         cluster.start(ready=False)
-        cluster.until(lambda s: s["instances"][0]["crashes"] and s["instances"][1]["crashes"])
-        why = {r["name"]: r["why"] for r in cluster.ask("status")["instances"]}
+        cluster.wait_until(lambda s: s["instances"][0]["crashes"] and s["instances"][1]["crashes"])
+        why = {r["name"]: r["why"] for r in cluster.request("status")["instances"]}
         self.assertIn("cannot be started", why["n1"])
-        self.assertIn("cannot start", "\n".join(cluster.ask("logs", ["n0"])["lines"]))
+        self.assertIn("cannot start", "\n".join(cluster.request("logs", ["n0"])["lines"]))
         taken.close()
         (cluster.folder / "run" / "state" / "n1").unlink()
-        cluster.until(lambda s: s["ready"] == 3)
+        cluster.wait_until(lambda s: s["ready"] == 3)
 
     def test_a_forwarder_started_by_hand_on_the_same_folder_keeps_its_journal_alone(self) -> None:
         cluster = self.cluster(2)
         cluster.start()
         config = json.loads((cluster.folder / "run" / "run" / "n0.json").read_text())
-        pid = cluster.row("n0")["pid"]
+        pid = cluster.instance("n0")["pid"]
         by_hand = cluster.folder / "hand.json"
         by_hand.write_text(
             json.dumps({**config, "listen": "127.0.0.1:1", "control": str(cluster.folder / "c" / "x")})
@@ -179,23 +185,23 @@
         )  # fmt: skip
         self.assertEqual(second.returncode, 1)
         self.assertIn(b"another forwarder works in this folder", second.stderr)
-        self.assertEqual(cluster.row("n0")["pid"], pid)
+        self.assertEqual(cluster.instance("n0")["pid"], pid)
 
     def test_an_agent_that_ends_leaves_its_forwarders_and_a_new_one_adopts_them(self) -> None:
         cluster = self.cluster(2)
         cluster.start()
-        pids = [cluster.row(n)["pid"] for n in cluster.names]
-        cluster.ask("shutdown")
+        pids = [cluster.instance(n)["pid"] for n in cluster.names]
+        cluster.request("shutdown")
         assert cluster.agent is not None
         cluster.agent.wait(10.0)
         # What was started and not written down is found by its mark; a torn state file costs nothing then.
         (cluster.folder / "run" / "state.json").write_bytes(b"{")
         (cluster.folder / "run" / "state.json.old").unlink(missing_ok=True)
         cluster.start_agent()
-        cluster.until(lambda s: s["ready"] == 2)
-        self.assertEqual([cluster.row(n)["pid"] for n in cluster.names], pids)
+        cluster.wait_until(lambda s: s["ready"] == 2)
+        self.assertEqual([cluster.instance(n)["pid"] for n in cluster.names], pids)
         second = subprocess.run(
-            [sys.executable, "-m", "juniperward", "agent", "run", str(cluster.file), "--json"],
+            [sys.executable, "-m", "juniperward", "agent", "run", str(cluster.files.fleet_file), "--json"],
             cwd=ROOT, capture_output=True, timeout=20.0,
         )  # fmt: skip
         self.assertEqual(second.returncode, 1)
@@ -206,10 +212,10 @@
         cluster.start()
         clients = cluster.clients(30.0, 3.0, threads=16)
         time.sleep(0.5)
-        cluster.ask("kill", ["n0"])
-        cluster.until(
+        cluster.request("kill", ["n0"])
+        cluster.wait_until(
             lambda s: s["instances"][0]["crashes"] or s["instances"][0]["up"] is not None and s["ready"] == 2
         )
         self.assertTrue(clients.done.wait(30.0))
-        cluster.until(lambda s: s["ready"] == 2)
+        cluster.wait_until(lambda s: s["ready"] == 2)
         self.judge(cluster)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -8,9 +8,9 @@
 import unittest
 from pathlib import Path
 
-from juniperward.benchmarks import start_parts
-from juniperward.benchmarks.local_cluster import BASE
-from juniperward.benchmarks.start_parts import Parts
+from juniperward.benchmarks.cluster_files import BASE_CONFIGURATION
+from juniperward.benchmarks.start_marks import StartMarks
+from juniperward.benchmarks.start_parts import BEGAN_AT, BEGAN_CPU_S
 from juniperward.benchmarks.starts import Fleet, dead_address, start_all
 from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.destinations import FakeDestination
@@ -45,7 +45,10 @@
             for e in destination.start()
         ]  # fmt: skip
         discovery.publish(*destination.listed())
-        base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB, "sockets": 128}}
+        base = {
+            **BASE_CONFIGURATION,
+            "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB, "sockets": 128},
+        }
         fleet = Fleet(self.folder, base, address, servers)
         self.addCleanup(fleet.close)
         names = [f"n{n}" for n in range(FORWARDERS)]
@@ -67,7 +70,7 @@
 
     def test_the_parts_of_a_start_are_told_and_sum_up_to_it(self) -> None:
         # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
-        base = {**BASE, "limits": {**BASE["limits"], "disk_mb": DISK_MB}}
+        base = {**BASE_CONFIGURATION, "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB}}
         fleet = Fleet(self.folder, base, dead_address(), command=("-m", "juniperward.benchmarks.start_parts"))
         self.addCleanup(fleet.close)
         fleet.fill("n0")
@@ -86,8 +89,8 @@
         self.assertGreater(sum(cpu for _, cpu in parts.values()), 0.0)
 
     def test_a_mark_takes_all_since_the_one_before(self) -> None:
-        parts = Parts(start_parts.BEGUN - 1.0)
-        parts.mark("first")
-        parts.marked(json.loads, "second", "third")("1")
-        self.assertEqual(list(parts.parts), ["interpreter", "first", "second", "third"])
-        self.assertGreaterEqual(min(wall for wall, _ in parts.parts.values()), 0.0)
+        marks = StartMarks(BEGAN_AT - 1.0, BEGAN_AT, BEGAN_CPU_S)
+        marks.mark("first")
+        marks.marked(json.loads, "second", "third")("1")
+        self.assertEqual(list(marks.parts), ["interpreter", "first", "second", "third"])
+        self.assertGreaterEqual(min(part.wall_s for part in marks.parts.values()), 0.0)
