--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -36,7 +36,7 @@
         console.print("starting discovery, 4 destinations, an agent and 3 forwarders")
         cluster.start()
         console.print(
-            f"{rate:g} messages a second for {LOAD:g} s; a worker drains amid it; all forwarders roll"
+            f"{rate:g} messages a second for {LOAD:g} s; an endpoint drains amid it; all forwarders roll"
         )
         clients = cluster.clients(rate, LOAD)
         time.sleep(2.0)
@@ -52,14 +52,14 @@
     made = Table("what", "count", box=None)
     rows = [
         ("messages of clients", verdict.offered),
-        ("handed in, with second tries", verdict.submissions),
-        ("taken on", verdict.accepted),
+        ("submissions, with further ones", verdict.submissions),
+        ("accepted", verdict.accepted),
         ("delivered", verdict.delivered),
-        ("ended by a notice", verdict.notified),
-        ("turned away", verdict.rejected),
+        ("notified as undelivered", verdict.notified),
+        ("rejected", verdict.rejected),
         ("without an answer", verdict.unanswered),
-        ("calls to destinations", verdict.attempts),
-        ("share of worth kept", f"{verdict.priority_weight_delivered:.3f}"),
+        ("attempts", verdict.attempts),
+        ("fraction of priority weight", f"{verdict.priority_weight_delivered:.3f}"),
         ("forwarders ready at the end", status["ready"]),
         ("seconds", f"{time.monotonic() - began:.1f}"),
     ]
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -19,8 +19,8 @@
 
 
 VERDICT_HEAD = [
-    "run", "messages", "taken", "delivered", "ended by notice", "turned away", "no answer", "repeats",
-    "share of worth", "median ms", "p99 ms", "roll s", "rules", "rig's own lateness p99 ms",
+    "run", "messages", "accepted", "delivered", "notified", "rejected", "no answer", "retries",
+    "fraction of priority weight", "median ms", "p99 ms", "roll s", "rules", "clients' own lateness p99 ms",
 ]  # fmt: skip
 
 
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -27,7 +27,7 @@
     report = Report("Rolling restarts under load", f"juniperward measure rolls --seed {seed}", seed)
     report.say(
         f"{instances} forwarders on one machine under one agent, 8 destinations, {rate:g} messages a second by the "
-        "stand-ins. A worker drains amid each roll. Latency counts from when a message was due."
+        "fakes. An endpoint drains amid each roll. Latency counts from when a message was due."
     )
 
     def rolled(**options: Any) -> Callable[[LocalCluster], float]:
--- a/juniperward/benchmarks/slow_start.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -20,8 +20,8 @@
 TERMS = (
     "N = FallMultiple x FallMs x capacity x (ColdShare + (1 - ColdShare) x min(1, time since the return / "
     "WarmWithinMs)), at the end of the span; a span is over the bound with more than N + 2 x root of N + 2 calls "
-    "since the return in FallMs. It is put down to forwarders that had been told if over two thirds of its calls "
-    "are theirs. Told: an attempt that was sent in the outage has failed, been refused, reset or given up."
+    "since the return in FallMs. It is put down to forwarders that had been notified if over two thirds of its calls "
+    "are theirs. Notified: an attempt that was sent in the outage has failed, been rejected, reset or given up."
 )
 
 
@@ -42,10 +42,10 @@
 def slow_start(seed: int, out: Path, rounds: int = 100) -> bool:
     """Measure the calls of all forwarders to a destination that returns, over `rounds` seeds; write the page.
 
-    Returns True if no fall is put down to notified forwarders. Called by `juniperward measure slow-start`.
+    Returns True if no overload is put down to notified forwarders. Called by `juniperward measure slow-start`.
     """
     report = Report(
-        "Calls to a destination that comes back cold",
+        "Calls to a destination that comes back and warms up",
         f"juniperward measure slow-start --rounds {rounds}",
         seed,
     )
@@ -53,7 +53,7 @@
     results = play_all(CASES, FLEET_SIZES, range(seed, seed + rounds))
     _sums(report, results)
     _by_case(report, results)
-    _every_fall(report, results)
+    _every_overload(report, results)
     report.write(out / "cold-return.md")
     return not any(result.violates_invariant for result in results)
 
@@ -71,16 +71,17 @@
             f"{sum(r.utility for r in played) / len(played):.4f}", f"{delivered_in_slow_start:.1f}",
         ])  # fmt: skip
     report.table(
-        ["forwarders", "runs", "over the bound", "put down to the told", "told calls alone over it",
+        ["forwarders", "runs", "over the bound", "put down to the notified", "notified calls alone over it",
          "over it by the span's mean capacity", "over it with the outage's last calls",
-         "share of worth since the outage began", "delivered in the ramp, mean"], rows,
+         "fraction of priority weight since the outage began", "delivered in slow start, mean"], rows,
     )  # fmt: skip
 
 
 def _by_case(report: Report, results: list[RecoveryResult]) -> None:
-    """Runs over the bound, those put down to the told, and the fullest span as a share of the bound."""
+    """Runs over the bound, those put down to the notified, and the fullest span as a fraction of the bound."""
     report.say(
-        "By case: runs over the bound / put down to the told; the fullest span as a share of the bound; worth kept."
+        "By case: runs over the bound / put down to the notified; the fullest span as a fraction of the bound; "
+        "fraction of priority weight."
     )
     rows = []
     for case in CASES:
@@ -100,20 +101,21 @@
     return f"{span.calls} of {span.max_calls:.1f}, {span.from_notified}"
 
 
-def _every_fall(report: Report, results: list[RecoveryResult]) -> None:
+def _every_overload(report: Report, results: list[RecoveryResult]) -> None:
     """Each seed over the bound, and who sent it."""
     report.say(
-        "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them told."
+        "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them by the "
+        "notified."
     )
     rows = []
     for case in CASES:
         for size in FLEET_SIZES:
-            falls = [
+            overloads = [
                 f"{r.seed}: {_first_overload(r.first_overload)}"
                 + (" **broken**" if r.violates_invariant else "")
                 for r in results
                 if r.case == case and r.forwarders == size and r.first_overload is not None
             ]
-            if falls:
-                rows.append([case.name, f"{size}", "; ".join(falls)])
+            if overloads:
+                rows.append([case.name, f"{size}", "; ".join(overloads)])
     report.table(["case", "forwarders", "seeds"], rows)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from juniperward.benchmarks.sizes import NAMES, Drive, listed
+from juniperward.benchmarks.reducer_rig import NAMES, ReducerRig, endpoint_list
 from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import EndpointsUpdated
 from juniperward.forwarder.telemetry import counters
@@ -26,20 +26,20 @@
             self.assertEqual(len(load(file).instances), 1024)
 
     def test_a_forwarder_knows_1024_servers_beside_1024_forwarders(self) -> None:
-        drive = Drive(1024, 1024, 1)
-        drive.list()
-        state = drive.reducer.state
+        rig = ReducerRig(1024, 1024, 1)
+        rig.receive_list()
+        state = rig.reducer.state
         self.assertEqual(
-            (len(state.directory.endpoints), len(drive.reducer.scheduler.state.table.endpoints)), (1024, 1024)
+            (len(state.directory.endpoints), len(rig.reducer.scheduler.state.table.endpoints)), (1024, 1024)
         )
         for destination in range(20):
             with self.subTest(destination):
                 self.assertIn(destination, state.directory.destinations)
-        drive.message()
+        rig.deliver_message()
         self.assertEqual((state.messages.pending, state.attempts_in_flight), ({}, {}))
 
     def test_an_entry_that_cannot_be_used_costs_no_other(self) -> None:
-        value = listed(1024)
+        value = endpoint_list(1024)
         bad = [
             {"id": "x"}, {**value["servers"][5], "addr": "nowhere"}, {**value["servers"][6], "cell": None},
             {**value["servers"][7], "state": "Gone?"}, 7,
@@ -48,6 +48,6 @@
         update = read_endpoint_list_update({**value, "servers": [*bad, *value["servers"]]}, NAMES)
         self.assertEqual(len(update.endpoints), 1024)
         self.assertEqual(counters()["endpoint_entries_unread"], before + len(bad))
-        drive = Drive(1, 40, 1)
-        drive.do(EndpointsUpdated(9, True, update.endpoints))
-        self.assertEqual(len(drive.reducer.scheduler.state.table.endpoints), 1024)
+        rig = ReducerRig(1, 40, 1)
+        rig.reduce(EndpointsUpdated(9, True, update.endpoints))
+        self.assertEqual(len(rig.reducer.scheduler.state.table.endpoints), 1024)
