--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -31,3 +31,10 @@
         self.door.settimeout(5.0)
         self.resources.callback(self.door.close)
         self.port = self.door.getsockname()[1]
+
+    def accept(self) -> socket.socket:
+        """Accept the next connection that the client opens."""
+        sock, _ = self.door.accept()
+        self.resources.callback(sock.close)
+        sock.settimeout(5.0)
+        return sock
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -36,13 +36,6 @@
 class EndpointRig(EndpointClientRig):
     """The shared rig, and what every test here does with it."""
 
-    def accept(self) -> socket.socket:
-        """The next connection that the forwarder opens."""
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
-        return sock
-
     def outcomes(self) -> set[Outcome]:
         """How the messages of the next call to end have ended."""
         event = self.events.get(timeout=5.0)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -312,16 +312,12 @@
             return replace(start_attempt(number, self.port), endpoint=worker, endpoint_id=name, route=name)
 
         self.client.start(ask(1, 3, "s-3"))
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
+        sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OVERLOADED
         self.client.start(ask(2, 4, "s-4"))
-        other, _ = self.door.accept()
-        other.settimeout(5.0)
-        self.resources.callback(other.close)
+        other = self.accept()
         assert b"m0" in other.recv(1000)
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OK
@@ -353,7 +349,7 @@
         # Guards against a second delivery: the worker counts the message as done from that line on.
         for text, outcome in ((b"HTTP/1.1 200 OK\r\n", Outcome.OK), (b"HTTP/1.1 2", Outcome.RESET)):
             self.client.start(start_attempt(1, self.port))
-            sock, _ = self.door.accept()
+            sock = self.accept()
             sock.recv(1000)
             sock.sendall(text)
             sock.close()
@@ -362,8 +358,7 @@
     def test_a_told_wait_binds_before_the_loop_has_its_answer(self) -> None:
         # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
         self.client.start(start_attempt(1, self.port))
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
+        sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OVERLOADED  # nothing of this reaches a reducer, nor a Hold
@@ -375,8 +370,7 @@
         what = start_attempt(1, self.port, 2)
         late = replace(what, items=(replace(what.items[0], start_before=time.monotonic()), what.items[1]))
         self.client.start(late)
-        sock, _ = self.door.accept()
-        sock.settimeout(5.0)
+        sock = self.accept()
         assert read_request(Stream(sock.recv)).headers["x-correlation-id"] == "m1"
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
@@ -396,9 +390,7 @@
                 self.client.start(start_attempt(1, self.port, 3))
                 assert {self.client.withdraw(1, n) for n in struck} == {AttemptProgress.WAITING}
                 up.set()
-                sock, _ = self.door.accept()
-                self.resources.callback(sock.close)
-                sock.settimeout(5.0)
+                sock = self.accept()
                 if len(struck) == 3:
                     assert self.outcome() is Outcome.NOT_SENT
                     self.client.close_idle(3)
@@ -432,25 +424,19 @@
             assert begun.wait(5.0)
             assert self.client.cancel(1) is AttemptProgress.WAITING
             up.set()
-            sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
+            sock = self.accept()
         while not self.client.pool.idle:  # it came up after all
             time.sleep(0)
         self.client.start(start_attempt(2, self.port))
         assert sock.recv(1000) == b""  # nothing was written on it, and it was not fit for the next one
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
+        sock = self.accept()
         assert b"m0" in sock.recv(1000)
         while self.client.active[2].progress is not AttemptProgress.WRITTEN:
             time.sleep(0)
         assert self.client.cancel(2) is AttemptProgress.WRITTEN
         assert sock.recv(1) == b""
         self.client.start(start_attempt(3, self.port))
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
+        sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
@@ -482,8 +468,7 @@
             limits = replace(LIMITS, max_read_s=deadline)
             self.client = EndpointClient(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
-            sock, _ = self.door.accept()
-            self.resources.callback(sock.close)
+            sock = self.accept()
             sock.recv(1000)
             ours = self.client.active[1].sock
             assert ours is not None
@@ -497,14 +482,13 @@
 
     def test_an_abandoned_call_reports_nothing_and_ends_its_connection(self) -> None:
         self.client.start(start_attempt(1, self.port))
-        sock, _ = self.door.accept()
-        sock.settimeout(5.0)
+        sock = self.accept()
         assert sock.recv(1000).startswith(b"POST /receive")
         self.client.cancel(1)
         assert sock.recv(1000) == b""
         sock.close()
         self.client.start(start_attempt(2, self.port))
-        sock, _ = self.door.accept()
+        sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
@@ -531,7 +515,7 @@
         # Guards against a reset that costs an attempt: the close is seen before the call is written.
         for number in (1, 2):
             self.client.start(start_attempt(number, self.port))
-            sock, _ = self.door.accept()
+            sock = self.accept()
             sock.recv(1000)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             assert self.outcome() is Outcome.OK
@@ -539,9 +523,7 @@
 
     def test_idle_connections_are_dropped_before_their_worker_does(self) -> None:
         self.client.start(start_attempt(1, self.port))
-        sock, _ = self.door.accept()
-        sock.settimeout(5.0)
-        self.resources.callback(sock.close)
+        sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OK
@@ -560,9 +542,7 @@
                 (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Outcome.OK),
             ):
                 self.client.start(start_attempt(1, self.port))
-                sock, _ = self.door.accept()
-                self.resources.callback(sock.close)
-                sock.settimeout(5.0)
+                sock = self.accept()
                 sock.recv(1000)
                 sock.sendall(text)
                 assert self.outcome() is outcome
@@ -573,15 +553,14 @@
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         for late in (False, True):
             self.client.start(start_attempt(1, self.port))
-            sock, _ = self.door.accept()
-            self.resources.callback(sock.close)
+            sock = self.accept()
             sock.recv(1000)
             sock.sendall(good if late else 2 * good)
             assert self.outcome() is Outcome.OK
             if late:
                 sock.sendall(good)
             self.client.start(start_attempt(2, self.port))
-            sock, _ = self.door.accept()
+            sock = self.accept()
             sock.recv(1000)
             sock.close()
             assert self.outcome() is Outcome.RESET
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -85,15 +85,14 @@
             assert self.tried() == []
             self.client.withdraw(1, 1)
             up.set()
-            sock, _ = self.door.accept()
-            self.resources.callback(sock.close)
+            sock = self.accept()
             assert sock.recv(1)  # never the other way: what a byte was written of is known as tried
             assert self.tried() == ["m0"]  # the one struck off it is not
 
     def test_a_call_that_is_not_begun_leaves_an_earlier_try_as_it_was(self) -> None:
         # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
         self.client.start(self.start_attempt(1))
-        sock, _ = self.door.accept()
+        sock = self.accept()
         sock.recv(1)
         self.door.close()
         sock.close()
@@ -106,8 +105,7 @@
         # Guards the last moment: the next life may have read the journal already.
         self.client.stop_sending()
         self.client.start(self.start_attempt())
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
+        sock = self.accept()
         assert {e.outcome for e in self.answered()} == {Outcome.NOT_SENT}
         self.client.close_idle(3)
         assert (sock.recv(1), self.tried()) == (b"", [])
@@ -117,9 +115,7 @@
         failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
         self.client.attempts.append = failing
         self.client.start(self.start_attempt())
-        sock, _ = self.door.accept()
-        self.resources.callback(sock.close)
-        sock.settimeout(5.0)
+        sock = self.accept()
         asked = read_request(Stream(sock.recv))
         assert (asked.path, asked.headers["x-correlation-id"]) == ("/receive", "m0")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
