--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -1,7 +1,8 @@
 """A scripted discovery service on loopback, and a forwarder's discovery client run against it.
 
 The client is the real one: `DiscoveryClient` with its sockets, the `Reducer` with the module that spaces its
-asks, and the `Loop` with its timers. Only the module's random spread is fixed at its longest, so that each wait is a worst case.
+polls, and the `Loop` with its timers. Only the module's random spread is fixed at its longest, so that each wait
+is a worst case.
 """
 
 from __future__ import annotations
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -232,7 +232,7 @@
             if status == 202:
                 return name
             assert status == 503
-        raise AssertionError(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
+        pytest.fail(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
 
     def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -9,6 +9,8 @@
 import time
 from pathlib import Path
 
+import pytest
+
 from juniperward.forwarder.state_folder import lock_folder
 from tests.player import WAIT, Program, play
 from tests.resources import UsesResources
@@ -40,12 +42,6 @@
             assert b"stop: ended" in process.stderr.read()
 
 
-def _add(path: Path) -> None:
-    def test(self: TestExchanges) -> None:
-        play(path)
-
-    setattr(TestExchanges, "test_" + path.stem, test)
-
-
-for _path in FILES:
-    _add(_path)
+@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
+def test_the_program_answers_as_recorded(path: Path) -> None:
+    play(path)
