--- a/tests/test_repeat_window.py
+++ b/tests/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""Repeat windows and deadlines across a kill, with wall clocks a second apart: no repeat after its window."""
+"""Deduplication windows and deadlines across a kill, with wall clocks a second apart: no retry after its window."""
 
 from __future__ import annotations
 
--- a/tests/test_turns.py
+++ b/tests/test_deficit_round_robin.py
@@ -1,4 +1,4 @@
-"""The ordinary path: turns and charges, slot cap, pace, idle state."""
+"""The ordinary path: deficit round robin and its charges, the slot cap, the rate limit, idle state."""
 
 from __future__ import annotations
 
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -26,7 +26,7 @@
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.net import sockets
 from juniperward.scheduler.tuning import POLL_FIRST_S, POLL_MAX_S
-from tests.discovery_rig import (
+from tests.discovery_fixture import (
     HEAD,
     NAMES,
     SERVES,
