--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -1,4 +1,4 @@
-"""Asking agents: one call each, all at the same time, and a time limit on every one."""
+"""Requests to agents: one to each, all at the same time, with a time limit on every one; the tool calls it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AgentRejectedError(Exception):
-    """The agent will not, and says why; `status` is the answer's."""
+    """The agent rejected the request and says why; `status` is the HTTP status of its response."""
 
     def __init__(self, status: int, text: str) -> None:
         """Take the answer's HTTP status, and its text."""
@@ -43,7 +43,7 @@
 
     Raises:
         AgentUnreachableError: for no complete answer in time, or nobody there.
-        AgentRejectedError: where the agent will not.
+        AgentRejectedError: where the agent rejects the request.
 
     """
     body = msgspec.json.encode({"names": names or [], "options": options})
@@ -52,7 +52,7 @@
         answer = _exchange(path, encoded, patience)
         found = msgspec.json.decode(answer.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
-        why = f"no whole answer within {patience:g} s"
+        why = f"no complete answer within {patience:g} s"
         raise AgentUnreachableError(why) from error
     except OSError as error:
         why = f"{path}: {error.strerror or error}"
@@ -77,13 +77,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceReply:
-    """What one agent said: a body, or an error with whether it was silence."""
+class AgentReply:
+    """What became of a request to one agent: a body, or an error and whether the agent was unreachable."""
 
     agent: Path
     body: dict[str, Any] = field(default_factory=dict)
     error: str = ""
-    silent: bool = False
+    unreachable: bool = False
 
 
 def request_all(
@@ -92,16 +92,16 @@
     names: list[str] | None = None,
     patience: float = DEFAULT_TIMEOUT_S,
     **options: Any,
-) -> list[InstanceReply]:
+) -> list[AgentReply]:
     """Send one request to several agents at once; one row for each, in their order, whatever became of it."""
 
-    def request_one(path: Path) -> InstanceReply:
+    def request_one(path: Path) -> AgentReply:
         try:
-            return InstanceReply(path, request(path, verb, names, patience, **options))
+            return AgentReply(path, request(path, verb, names, patience, **options))
         except AgentUnreachableError as error:
-            return InstanceReply(path, error=str(error), silent=True)
+            return AgentReply(path, error=str(error), unreachable=True)
         except AgentRejectedError as error:
-            return InstanceReply(path, error=str(error))
+            return AgentReply(path, error=str(error))
 
     with concurrent.futures.ThreadPoolExecutor(max(len(paths), 1)) as pool:
         return list(pool.map(request_one, paths))
--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -1,4 +1,4 @@
-"""What clients ask about dead letters, by action.
+"""What clients may request about dead letters, by action; called by `dead_letter_service`.
 
 Actions: list, show, resend, settle, discard, undo, stats, audit, simulate, check, backup.
 """
@@ -11,19 +11,19 @@
 from pathlib import Path
 from typing import Any
 
+from juniperward.agent.dead_letter_errors import InvalidRequestError, PageSizeError, ReasonMissingError
+from juniperward.agent.redrive_preview import preview_redrives, redrive_settings
 from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.running_fleet import RunningFleet
 from juniperward.dead_letters.clock import certain_now
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.operator_actions import Statement
 from juniperward.dead_letters.redrive_rules import requested_by
-from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
-from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.redrive_safety import judge_redrive
 from juniperward.dead_letters.redriver import Redriver
 from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.dead_letters.store_errors import LeaseLostError
-from juniperward.settings.load import SettingsError, load
 
 MAX_PAGE = 500
 DEFAULT_PAGE = 100
@@ -43,34 +43,6 @@
 Options = dict[str, Any]
 
 
-class QuestionError(ValueError):
-    """A question that cannot be answered as it is put; the text goes to the client."""
-
-
-class PageSizeError(QuestionError):
-    """More ids than are taken in one request."""
-
-    def __init__(self, count: int) -> None:
-        """Tell how many."""
-        super().__init__(f"{count} ids; {MAX_PAGE} at most in one call")
-
-
-class ReasonMissingError(QuestionError):
-    """A message is settled without a reason."""
-
-    def __init__(self) -> None:
-        """Say what is needed."""
-        super().__init__("why: whoever settles a message says how he knows")
-
-
-class NothingStoredError(QuestionError):
-    """A settings file does not have dead letters stored."""
-
-    def __init__(self, file: Path) -> None:
-        """Name the file."""
-        super().__init__(f"{file}: nothing is kept: it has no kept {{ on: true }}")
-
-
 class DeadLetterQueries:
     """Answers by the store and the redriver's rules; used by any thread."""
 
@@ -81,23 +53,23 @@
         redriver: Redriver,
         progress: Callable[[], dict[str, Any]],
     ) -> None:
-        """Take what `stats` tells of the redriver's thread from `progress`."""
+        """Take what `stats` reports of the redriver's thread from `progress`."""
         self._store, self._fleet, self._redriver = store, fleet, redriver
         self._progress = progress
-        self._questions: dict[str, Callable[[Options], dict[str, Any]]] = {
+        self._handlers: dict[str, Callable[[Options], dict[str, Any]]] = {
             "list": self._list,
             "stats": self._stats,
             "audit": self._audit,
-            "simulate": self._simulate,
+            "simulate": self._preview,
             "check": self._check,
             "backup": self._backup,
         }
 
     def answer(self, options: Options, who: str) -> ApiResponse:
-        """Answer one question or order; `who` is the user at the other end."""
+        """Answer one request; `who` is the user at the other end."""
         try:
             return self._answer(str(options.get("action", "")), _ids(options), options, who)
-        except QuestionError as error:
+        except InvalidRequestError as error:
             return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"ValueError: {error}"))
         except (TypeError, ValueError, KeyError) as error:
             return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"{type(error).__name__}: {error}"))
@@ -109,8 +81,9 @@
             return self._show(options, who)
         if action in CHANGES:
             return _ok(self._change(action, ids, options, who))
-        if (question := self._questions.get(action)) is not None:
-            return _ok(question(options))
+        handler = self._handlers.get(action)
+        if handler is not None:
+            return _ok(handler(options))
         return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such action: {action}"))
 
     # --- orders --------------------------------------------------------------------------------------------
@@ -136,7 +109,7 @@
         self._store.settle(message, statement, self._now())
         return {"settled": message}
 
-    # --- questions -----------------------------------------------------------------------------------------
+    # --- reads --------------------------------------------------------------------------------------------
 
     def _now(self) -> float:
         return certain_now(self._fleet.clock(), self._store.recorded_clock())
@@ -200,42 +173,17 @@
     def _check(self, _: Options) -> dict[str, Any]:
         return {"faults": self._store.check()}
 
+    def _preview(self, options: Options) -> dict[str, Any]:
+        """Return what the rules of another file would redrive now; nothing is sent."""
+        settings = redrive_settings(Path(str(options["file"])))
+        preview = preview_redrives(self._store, self._fleet, settings, self._now())
+        return {"go": preview.redriven, "stay": preview.retained, "most_rate": settings.rate_limits.max_per_s}
+
     def _backup(self, options: Options) -> dict[str, Any]:
         file = str(options["file"])
         self._store.backup(Path(file))
         return {"file": file}
 
-    # --- what other rules would do -------------------------------------------------------------------------
-
-    def _simulate(self, options: Options) -> dict[str, Any]:
-        """Return what a file's rules would have go now, and what keeps the rest; nothing is sent."""
-        settings = _redrive_settings(Path(str(options["file"])))
-        now = self._now()
-        go: dict[str, dict[str, int]] = {}
-        stay: dict[str, int] = {}
-        after = BEFORE_ALL
-        while page := self._store.select(Filter(status=Status.STORED), MAX_PAGE, after):
-            after = Position(page[-1].given_up_at, page[-1].id)
-            for message in page:
-                rule, why = self._verdict(message, now, settings)
-                if rule:
-                    destination = str(message.destination)
-                    count = go.setdefault(rule, {})
-                    count[destination] = count.get(destination, 0) + 1
-                else:
-                    stay[why] = stay.get(why, 0) + 1
-        return {"go": go, "stay": stay, "most_rate": settings.rate_limits.max_per_s}
-
-    def _verdict(self, message: DeadLetter, now: float, settings: RedriveSettings) -> tuple[str, str]:
-        """Return the rule that would have a message go, or an empty text and why it stays."""
-        listed = self._fleet.known_endpoints(message.destination)
-        judgement = judge_redrive(message, now, listed, settings.clock_allowance_s)
-        if judgement.may_go:
-            return requested_by(message, settings.rules, now), "no rule takes it"
-        if judgement.kind is RedriveSafety.UNCERTAIN:
-            return "", judgement.kind.value
-        return "", judgement.why
-
 
 def _ok(body: Mapping[str, Any]) -> ApiResponse:
     return ApiResponse(HTTPStatus.OK, body)
@@ -244,15 +192,5 @@
 def _ids(options: Options) -> tuple[str, ...]:
     ids = tuple(str(message) for message in options.get("ids", ()))
     if len(ids) > MAX_PAGE:
-        raise PageSizeError(len(ids))
+        raise PageSizeError(len(ids), MAX_PAGE)
     return ids
-
-
-def _redrive_settings(file: Path) -> RedriveSettings:
-    try:
-        settings = load(file).redrive
-    except SettingsError as error:
-        raise QuestionError(str(error)) from error
-    if settings is None:
-        raise NothingStoredError(file)
-    return settings
--- /dev/null
+++ b/juniperward/agent/redrive_preview.py
@@ -0,0 +1,86 @@
+"""What the redrive rules of another settings file would do now: which messages they redrive, and why others stay."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from juniperward.agent.dead_letter_errors import InvalidRequestError, NothingStoredError
+from juniperward.agent.running_fleet import RunningFleet
+from juniperward.dead_letters.dead_letter import DeadLetter, Status
+from juniperward.dead_letters.redrive_rules import requested_by
+from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
+from juniperward.dead_letters.redrive_settings import RedriveSettings
+from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.store import DeadLetterStore
+from juniperward.settings.load import SettingsError, load
+
+PAGE_SIZE = 500  # messages read from the store at a time
+NO_RULE = "no rule takes it"
+
+
+@dataclass(slots=True)
+class RedrivePreview:
+    """Counts of messages: by rule and destination those redriven, by reason those that stay."""
+
+    redriven: dict[str, dict[str, int]] = field(default_factory=dict)
+    retained: dict[str, int] = field(default_factory=dict)
+
+    def count_redriven(self, rule: str, destination: int) -> None:
+        """Count a message that a rule would have redriven."""
+        by_destination = self.redriven.setdefault(rule, {})
+        key = str(destination)
+        by_destination[key] = by_destination.get(key, 0) + 1
+
+    def count_retained(self, why: str) -> None:
+        """Count a message that would stay."""
+        self.retained[why] = self.retained.get(why, 0) + 1
+
+
+def redrive_settings(file: Path) -> RedriveSettings:
+    """Return the redrive settings of a fleet's file.
+
+    Raises:
+        InvalidRequestError: for a file that cannot be used.
+        NothingStoredError: for one that has no dead letters stored.
+
+    """
+    try:
+        settings = load(file).redrive
+    except SettingsError as error:
+        raise InvalidRequestError(str(error)) from error
+    if settings is None:
+        raise NothingStoredError(file)
+    return settings
+
+
+def preview_redrives(
+    store: DeadLetterStore, fleet: RunningFleet, settings: RedriveSettings, now: float
+) -> RedrivePreview:
+    """Return what these settings would do with the stored messages at `now`; nothing is sent."""
+    preview = RedrivePreview()
+    after = BEFORE_ALL
+    while page := store.select(Filter(status=Status.STORED), PAGE_SIZE, after):
+        after = Position(page[-1].given_up_at, page[-1].id)
+        for message in page:
+            _count(preview, message, fleet.known_endpoints(message.destination), settings, now)
+    return preview
+
+
+def _count(
+    preview: RedrivePreview,
+    message: DeadLetter,
+    endpoints: frozenset[str] | None,
+    settings: RedriveSettings,
+    now: float,
+) -> None:
+    judgement = judge_redrive(message, now, endpoints, settings.clock_allowance_s)
+    if not judgement.may_go:
+        uncertain = judgement.kind is RedriveSafety.UNCERTAIN
+        preview.count_retained(judgement.kind.value if uncertain else judgement.why)
+        return
+    rule = requested_by(message, settings.rules, now)
+    if rule:
+        preview.count_redriven(rule, message.destination)
+    else:
+        preview.count_retained(NO_RULE)
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -11,8 +11,8 @@
 
 from juniperward.agent.client import (
     AgentRejectedError,
+    AgentReply,
     AgentUnreachableError,
-    InstanceReply,
     request,
     request_all,
 )
@@ -69,11 +69,11 @@
     replies = []
     for path, owned in owners(paths, names or [], timeout):
         try:
-            replies.append(InstanceReply(path, request(path, verb, owned, timeout)))
+            replies.append(AgentReply(path, request(path, verb, owned, timeout)))
         except AgentUnreachableError as error:
-            replies.append(InstanceReply(path, error=str(error), silent=True))
+            replies.append(AgentReply(path, error=str(error), unreachable=True))
         except AgentRejectedError as error:
-            replies.append(InstanceReply(path, error=str(error)))
+            replies.append(AgentReply(path, error=str(error)))
     if output is Output.JSON:
         print_json(replies_json(replies))
     else:
--- a/juniperward/cli/fleet_tables.py
+++ b/juniperward/cli/fleet_tables.py
@@ -6,13 +6,13 @@
 
 from rich.table import Table
 
-from juniperward.agent.client import InstanceReply
+from juniperward.agent.client import AgentReply
 from juniperward.cli.output import cell, console, short_name, table
 
 COLOURS = {"ready": "green", "silent": "red", "failed": "red", "stopped": "yellow", "drained": "cyan"}
 
 
-def status_table(replies: list[InstanceReply]) -> Table:
+def status_table(replies: list[AgentReply]) -> Table:
     """Return one row an instance; an agent without an answer is one row that says so."""
     made = table(
         "agent", "instance", "state", ">up s", ">pending", ">in flight", ">accepted", ">delivered", ">failed",
@@ -43,7 +43,7 @@
     ]
 
 
-def replies_json(replies: list[InstanceReply]) -> list[dict[str, Any]]:
+def replies_json(replies: list[AgentReply]) -> list[dict[str, Any]]:
     """Return the stable form of several agents' answers."""
     return [{"agent": str(reply.agent), "error": reply.error or None, **reply.body} for reply in replies]
 
--- a/juniperward/cli/output.py
+++ b/juniperward/cli/output.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from juniperward.agent.client import InstanceReply
+from juniperward.agent.client import AgentReply
 
 console = Console()
 errors = Console(stderr=True)
@@ -39,9 +39,9 @@
     typer.echo(json.dumps(value, indent=2, sort_keys=True))
 
 
-def exit_code(replies: list[InstanceReply]) -> ExitCode:
+def exit_code(replies: list[AgentReply]) -> ExitCode:
     """Return the exit code that several answers make together: an unresponsive agent counts most."""
-    if any(reply.silent for reply in replies):
+    if any(reply.unreachable for reply in replies):
         return ExitCode.UNRESPONSIVE
     if any(reply.error for reply in replies):
         return ExitCode.REJECTED
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -16,10 +16,10 @@
 from juniperward.agent import api, processes, store
 from juniperward.agent.client import AgentRejectedError, AgentUnreachableError, request, request_all
 from juniperward.agent.events import ControlRequest
+from juniperward.agent.folder_lock import AgentRunningError, lock_folder
 from juniperward.agent.loop import Loop
 from juniperward.agent.processes import MARK, Launcher
 from juniperward.agent.replies import ErrorReply
-from juniperward.agent.start import AgentRunningError, take
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
 from juniperward.fleet.model import DesiredState, Instance, Process
@@ -200,13 +200,13 @@
             told = request_all([self.settings.socket, mute, self.folder / "none"], "agent", patience=0.5)
             self.assertLess(time.monotonic() - began, 3.0)
         self.assertEqual(
-            [(bool(t.error), t.silent) for t in told], [(False, False), (True, True), (True, True)]
+            [(bool(t.error), t.unreachable) for t in told], [(False, False), (True, True), (True, True)]
         )
         with self.assertRaises(AgentUnreachableError):
             request(self.folder / "none", "agent", patience=0.2)
 
     def test_one_agent_a_fleet(self) -> None:
-        lock = take(self.settings.folder)
+        lock = lock_folder(self.settings.folder)
         with self.assertRaises(AgentRunningError):
-            take(self.settings.folder)
+            lock_folder(self.settings.folder)
         os.close(lock)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -112,7 +112,7 @@
             listener.listen(8)
             result = self.run_tool("fleet", "status", "-a", mute, "-a", one, "-t", 0.4)
             self.assertEqual(result.exit_code, 3, result.output)
-            self.assertIn("no whole answer within 0.4 s", result.output)
+            self.assertIn("no complete answer within 0.4 s", result.output)
             for text in ("n0", "n1", "n2", "ready", "silent"):
                 self.assertIn(text, result.output)
             result = self.run_tool("fleet", "status", "-a", mute, "-a", one, "-t", 0.4, "-o", "json")
