--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -22,7 +22,7 @@
 from juniperward.agent.loop import Loop
 from juniperward.agent.queries import ApiRequest, Queries, ReloadReply
 from juniperward.agent.replies import ApiResponse, ErrorReply
-from juniperward.control.server import open_socket
+from juniperward.control.listening_socket import open_socket
 from juniperward.net import sockets
 from juniperward.net.http_errors import ConnectionClosedError, IncompleteMessageError, MalformedMessageError
 from juniperward.net.http_requests import read_request
--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -186,7 +186,7 @@
         verb = Verb.STATUS
         try:
             for verb in INSPECTED:
-                found = body_to_json(client.ask(verb))
+                found = body_to_json(client.request(verb))
                 body[verb.value] = found if verb is Verb.STATUS else found[verb.value]
         except ControlError as error:
             body["unanswered"] = [f"{verb.value}: {error}"]
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -1,4 +1,7 @@
-"""Asking a forwarder: one connection, one request at a time, and a time limit on each."""
+"""The client of a forwarder's control channel: one connection, one request at a time, a time limit on each.
+
+Used by the agent and by benchmarks.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 T = TypeVar("T")
 
 DEFAULT_TIMEOUT_S = 1.0
-LEAST_TIMEOUT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 READ_BYTES = 64 * 1024
 
 
@@ -28,7 +31,7 @@
     """Used by one thread; connects at the first request and again after a failure."""
 
     def __init__(self, path: Path, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-        """Ask the forwarder that listens at `path`; each request has `timeout_s` seconds in all."""
+        """Send requests to the forwarder that listens at `path`; each has `timeout_s` seconds in all."""
         self.path, self.timeout_s = path, timeout_s
         self.sock: socket.socket | None = None
         self._last_id = 0
@@ -43,8 +46,8 @@
         """Return the forwarder's state.
 
         Raises:
-            ControlUnreachableError: for no answer in time, or nobody there; so do all requests.
-            ControlRejectedError: where the forwarder will not.
+            ControlUnreachableError: for no answer in time, or where no process listens; so do all requests.
+            ControlRejectedError: where the forwarder rejects the request.
             ProtocolError: for an answer that cannot be read.
 
         """
@@ -67,26 +70,26 @@
         return self._typed(Verb.REDRIVE_OUTCOMES, RedriveOutcomes, ids)
 
     def _typed(self, verb: Verb, kind: type[T], ids: tuple[str, ...] = ()) -> T:
-        body = self.ask(verb, ids)
+        body = self.request(verb, ids)
         if not isinstance(body, kind):
             raise AnswerTypeError(verb.value)
         return body
 
-    def ask(self, verb: Verb, ids: tuple[str, ...] = ()) -> Any:
+    def request(self, verb: Verb, ids: tuple[str, ...] = ()) -> Any:
         """Return the body of the answer to any request; raises as `status` does."""
-        until = time.monotonic() + self.timeout_s
+        deadline = time.monotonic() + self.timeout_s
         fresh = self.sock is None
         try:
-            return self._ask(verb, ids, until)
+            return self._attempt(verb, ids, deadline)
         except ControlUnreachableError:
-            # A connection kept from before may belong to a process that is gone: try once on a new one.
-            if fresh or time.monotonic() >= until:
+            # A connection of an earlier request may belong to a process that has ended: retry once on a new one.
+            if fresh or time.monotonic() >= deadline:
                 raise
-            return self._ask(verb, ids, until)
+            return self._attempt(verb, ids, deadline)
 
-    def _ask(self, verb: Verb, ids: tuple[str, ...], until: float) -> Any:
+    def _attempt(self, verb: Verb, ids: tuple[str, ...], deadline: float) -> Any:
         self._last_id += 1
-        answer = self._exchange(Request(self._last_id, verb, ids), until)
+        answer = self._exchange(Request(self._last_id, verb, ids), deadline)
         if answer.id != self._last_id:
             self.close()
             raise ControlRejectedError(answer.error or "an answer to another request")
@@ -94,12 +97,12 @@
             raise ControlRejectedError(answer.error)
         return answer.body
 
-    def _exchange(self, request: Request, until: float) -> Answer:
+    def _exchange(self, request: Request, deadline: float) -> Answer:
         """Send a request and read the next answer; after an error the connection is closed."""
         try:
-            sock = self._connected(until)
+            sock = self._connect(deadline)
             sock.sendall(encode_request(request))
-            text = read_frame(lambda length: _exactly(sock, length, until), MAX_ANSWER_BYTES)
+            text = read_frame(lambda length: _read_exactly(sock, length, deadline), MAX_ANSWER_BYTES)
             return decode_answer(text, request.verb)
         except (BlockingIOError, TimeoutError) as error:
             self.close()
@@ -113,20 +116,20 @@
             self.close()
             raise
 
-    def _connected(self, until: float) -> socket.socket:
+    def _connect(self, deadline: float) -> socket.socket:
         if self.sock is None:
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            left_s = max(until - time.monotonic(), LEAST_TIMEOUT_S)
+            left_s = max(deadline - time.monotonic(), MIN_TIMEOUT_S)
             sockets.set_timeout(self.sock, socket.SO_SNDTIMEO, left_s)
             self.sock.connect(str(self.path))
         return self.sock
 
 
-def _exactly(sock: socket.socket, length: int, until: float) -> bytes:
+def _read_exactly(sock: socket.socket, length: int, deadline: float) -> bytes:
     """Return so many bytes; raises TimeoutError, EOFError or OSError."""
     data = bytearray()
     while len(data) < length:
-        left_s = until - time.monotonic()
+        left_s = deadline - time.monotonic()
         if left_s <= 0:
             raise TimeoutError
         sockets.set_timeout(sock, socket.SO_RCVTIMEO, left_s)
--- a/juniperward/forwarder/control_output.py
+++ b/juniperward/forwarder/control_output.py
@@ -1,4 +1,7 @@
-"""What goes out to the control channel: answers, with what only the process knows, and the end of the process."""
+"""The forwarder's output to its control channel: answers to requests, and the end of the process by an order.
+
+Called by `effect_executor.py`; an answer gets the fields that only the process knows, not the reducer.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +17,29 @@
 class ControlChannelOutput(ControlOutput):
     """Answers on the control channel, and ends the process as SIGTERM does."""
 
-    def __init__(self, control: ControlServer, executor: EffectExecutor, name: str, started: float) -> None:
-        """Answer by a channel; `name` and `started` (Unix time) are those of the process."""
+    def __init__(
+        self, control: ControlServer, executor: EffectExecutor, name: str, started_at: float
+    ) -> None:
+        """Answer by a channel; `name` and `started_at` (Unix time) are those of the process."""
         self._control, self._executor = control, executor
-        self._name, self._started = name, started
+        self._name, self._started_at = name, started_at
 
     def reply(self, client: int, answer: Answer) -> None:
         """Answer a client of the channel."""
-        self._control.tell(client, replace(answer, body=self._complete(answer)))
+        self._control.answer(client, replace(answer, body=self._complete(answer)))
 
     def _complete(self, answer: Answer) -> Body | None:
-        """Put in what the reducer does not know: names, how large the journal is, what the spool remembers."""
-        body, dead_letters, journal = answer.body, self._executor.dead_letters, self._executor.journal
+        """Return the body with what the reducer does not know: the name, the journal's size, the spool's outcomes."""
+        body = answer.body
+        dead_letters = self._executor.dead_letters
+        journal = self._executor.journal
         if isinstance(body, RedriveOutcomes) and dead_letters is not None:
             return dead_letters.redrive_outcomes(body)
         if isinstance(body, Status):
             return replace(
                 body,
                 name=self._name,
-                started_at=self._started,
+                started_at=self._started_at,
                 journal_bytes=journal.size,
                 journal_live_bytes=journal.live_bytes,
             )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.control import codec, server
+from juniperward.control import codec, server, server_connection
 from juniperward.control.client import ControlClient
 from juniperward.control.codec import decode_answer, decode_request, encode_answer, encode_request
 from juniperward.control.errors import (
@@ -29,8 +29,9 @@
     ControlUnreachableError,
     ProtocolError,
 )
+from juniperward.control.listening_socket import open_socket
 from juniperward.control.protocol import Answer, Counters, DestinationRow, Request, Rows, Verb
-from juniperward.control.server import ControlServer, open_socket
+from juniperward.control.server import ControlServer
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
 from tests.player import ROOT, WAIT, Line, Player, Program
 from tests.resources import Resources
@@ -111,12 +112,12 @@
             ControlClient(self.folder / "none", 0.2).status()
 
     def test_an_answer_to_an_earlier_request_is_not_taken_for_this_ones(self) -> None:
-        self.serve(lambda mine, client, request: mine.tell(client, Answer(request.id - 1, Counters({}))))
+        self.serve(lambda mine, client, request: mine.answer(client, Answer(request.id - 1, Counters({}))))
         with pytest.raises(ControlUnreachableError):
             ControlClient(self.path, 0.2).counters()
 
     def test_a_full_table_lets_the_one_idle_longest_go(self) -> None:
-        mine = self.serve(lambda me, client, request: me.tell(client, Answer(request.id, Counters({}))))
+        mine = self.serve(lambda me, client, request: me.answer(client, Answer(request.id, Counters({}))))
         silent = []
         for _ in range(server.MAX_CLIENTS):
             silent.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
@@ -138,21 +139,21 @@
 
         def ask(mine: ControlServer, client: int, request: Request) -> None:
             asked.append(time.monotonic())
-            mine.tell(client, Answer(request.id, Counters({})))
+            mine.answer(client, Answer(request.id, Counters({})))
 
         self.serve(ask)
         client = ControlClient(self.path, WAIT)
         with (
-            mock.patch.object(server, "REQUEST_BURST", 3.0),
-            mock.patch.object(server, "REQUESTS_PER_S", 50.0),
+            mock.patch.object(server_connection, "REQUEST_BURST", 3.0),
+            mock.patch.object(server_connection, "REQUESTS_PER_S", 50.0),
         ):
             for _ in range(8):
                 client.counters()
         client.close()
         assert len(asked) == 8
-        one = server.Client(1, mock.Mock())
+        one = server_connection.ServerConnection(1, mock.Mock())
         one._tokens, one._tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
-        assert one.pause_s() > 0.0
+        assert one.take_token_s() > 0.0
 
     def test_rubbish_is_answered_and_ended(self, subtests: pytest.Subtests) -> None:
         self.serve(lambda _mine, _client, _request: None)
@@ -276,7 +277,7 @@
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / "run" / "s"
             say = mock.Mock()
-            mine = ControlServer(path, lambda c, r: mine.tell(c, Answer(r.id, None, "no")), say, say)
+            mine = ControlServer(path, lambda c, r: mine.answer(c, Answer(r.id, None, "no")), say, say)
             mine.start()
             with pytest.raises(ControlRejectedError, match="no"):
                 ControlClient(path, WAIT).status()
