--- a/juniperward/control/server.py
+++ b/juniperward/control/server.py
@@ -122,13 +122,13 @@
         try:
             request = decode_request(read_frame(client.read_exactly, MAX_REQUEST_BYTES))
         except ProtocolError as error:
-            self._increment("control_requests_unread")
+            self._increment("control_requests_unreadable")
             client.write(Answer(0, None, str(error)))
             return False
         self._increment("control_requests")
         wait_s = client.take_token_s()
         if wait_s > 0:
-            self._increment("control_requests_paced")
+            self._increment("control_requests_throttled")
             time.sleep(wait_s)
         answer = self._request_answer(client, request)
         if answer is None:
--- a/juniperward/forwarder/answer_headers.py
+++ b/juniperward/forwarder/answer_headers.py
@@ -50,7 +50,7 @@
                 return load_report
     except (ValueError, TypeError, OverflowError):
         pass
-    increment("reports_unread")
+    increment("load_reports_invalid")
     return EMPTY_LOAD_REPORT
 
 
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -160,7 +160,7 @@
             return {row["id"]: STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
     except (ValueError, TypeError, KeyError):
         pass
-    increment("answers_unread")
+    increment("answers_unreadable")
     log("endpoint", "answer unreadable", endpoint=_name(attempt), messages=len(attempt.items))
     return {}
 
--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -63,7 +63,7 @@
                 return True
         except OSError:
             pass
-        increment("answers_cut")
+        increment("client_answers_incomplete")
         sockets.shutdown(self.sock)
         return False
 
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -141,7 +141,7 @@
     try:
         data = client.receive(READ_BYTES)
     except (BlockingIOError, TimeoutError):
-        increment("clients_idle" if client.served else "clients_silent")
+        increment("clients_idle" if client.served else "clients_without_request")
         # A request may cross this: a close over it would reset the connection.
         client.linger()
         raise ConnectionClosedError from None
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -1,4 +1,7 @@
-"""Writes messages that are given up to the spool, and what became of redrives."""
+"""Writes dead letters and the outcomes of redrives to the spool, from which the agent fetches them.
+
+Called by `effect_executor.py`; `control_output.py` reads the outcomes of redrives here.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.settings import SchedulerSettings
 
-LARGEST_UNIX_TIME = 1e18  # JSON has no infinity
+MAX_UNIX_TIME_S = 1e18  # JSON has no infinity
 
 
 class DeadLetterWriter:
-    """Used by the loop only. What cannot be written is counted and logged; the service goes on."""
+    """Used by the loop only. An error of the spool is counted and logged, and the service continues."""
 
     def __init__(
         self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, to_unix: float
     ) -> None:
-        """Write to a spool; `to_unix` is what makes monotonic time Unix time."""
+        """Write to a spool; `to_unix` added to monotonic time is Unix time."""
         self.spool = spool
         self._settings, self._names, self._to_unix = settings, names, to_unix
 
@@ -36,7 +39,8 @@
             log("dead_letters", "store failed", message=effect.message.id, error=error)
 
     def _dead_letter(self, effect: StoreDeadLetter) -> SpooledMessage:
-        message, message_class = effect.message, self._settings.classes[effect.message.class_index]
+        message = effect.message
+        message_class = self._settings.classes[message.class_index]
         attempts = tuple(
             SpooledAttempt(
                 past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed
@@ -59,7 +63,7 @@
         )
 
     def record_redrive_outcome(self, effect: RecordRedriveOutcome) -> None:
-        """Write down what became of a redrive."""
+        """Write the outcome of a redrive."""
         executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
         try:
             self.spool.outcomes.record(effect.id, RedriveOutcome(effect.outcome, executed_at))
@@ -69,12 +73,12 @@
             self.spool.outcomes.mark_incomplete()
 
     def redrive_outcomes(self, known: RedriveOutcomes) -> RedriveOutcomes:
-        """Return the reducer's answer with what the spool remembers: what is over the reducer does not know."""
+        """Return the reducer's answer completed by the spool, which has the outcomes of finished redrives."""
         rows = []
         for row in known.outcomes:
             outcome = self.spool.outcomes.get(row.id)
             if outcome is not None:
                 row = RedriveOutcomeRow(row.id, outcome.result, outcome.executed_at)
             rows.append(row)
-        since = min(self.spool.outcomes.complete_since, LARGEST_UNIX_TIME)
+        since = min(self.spool.outcomes.complete_since, MAX_UNIX_TIME_S)
         return replace(known, complete_since=since, outcomes=tuple(rows))
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -102,7 +102,7 @@
         ) as error:
             log("discovery", "watch ended", error=error)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            increment("endpoint_lists_unread")
+            increment("endpoint_lists_unreadable")
             log("discovery", "list unreadable", type=type(error).__name__, error=error)
         except Exception as error:
             report_fault("discovery", error)
--- a/juniperward/forwarder/endpoint_list_codec.py
+++ b/juniperward/forwarder/endpoint_list_codec.py
@@ -46,7 +46,7 @@
             endpoints.append(_read_endpoint(entry, names))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             # The same entry comes again with every watch: an error here would reject each later update, too.
-            increment("endpoint_entries_unread")
+            increment("endpoint_entries_unreadable")
             log("discovery", "entry unreadable", type=type(error).__name__, error=error)
     return EndpointListUpdate(int(value["version"]), bool(value["full"]), tuple(endpoints))
 
@@ -80,5 +80,5 @@
         rate = math.nan
     if 0 <= rate < math.inf:
         return rate
-    increment("listed_rates_unread")
+    increment("listed_rates_invalid")
     return NO_RATE
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -108,7 +108,7 @@
             disconnected = client.evicted or sockets.is_closed_by_peer(client.sock)
             if disconnected:
                 status, retry_after_s = HTTP_UNAVAILABLE, RETRY_AFTER_S
-                increment("clients_left")
+                increment("clients_disconnected")
             if client.evicted or self.state.closing or self.state.stopping:
                 client.close = True
             written = client.write(encode_reply(status, retry_after_s, client.close))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -130,11 +130,11 @@
         entry = {"addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         rates: tuple[Any, ...] = (None, 0, 42.5, "40", -1, "many", [], float("nan"), float("inf"), 10**400)
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
-        before = counters().get("listed_rates_unread", 0)
+        before = counters().get("listed_rates_invalid", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
         found = [e.listed_rate for e in config.known_endpoints.endpoints]
         assert found == [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]
-        assert counters()["listed_rates_unread"] - before == 6
+        assert counters()["listed_rates_invalid"] - before == 6
 
     def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(
         self, subtests: pytest.Subtests
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -44,10 +44,10 @@
             {"id": "x"}, {**value["servers"][5], "addr": "nowhere"}, {**value["servers"][6], "cell": None},
             {**value["servers"][7], "state": "Gone?"}, 7,
         ]  # fmt: skip
-        before = counters().get("endpoint_entries_unread", 0)
+        before = counters().get("endpoint_entries_unreadable", 0)
         update = read_endpoint_list_update({**value, "servers": [*bad, *value["servers"]]}, NAMES)
         self.assertEqual(len(update.endpoints), 1024)
-        self.assertEqual(counters()["endpoint_entries_unread"], before + len(bad))
+        self.assertEqual(counters()["endpoint_entries_unreadable"], before + len(bad))
         rig = ReducerRig(1, 40, 1)
         rig.reduce(EndpointsUpdated(9, True, update.endpoints))
         self.assertEqual(len(rig.reducer.scheduler.state.table.endpoints), 1024)
