--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -12,8 +12,7 @@
 
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.ownership import REDRIVE_PREFIX
-from juniperward.dead_letters.spool_format import SpooledMessage
-from juniperward.scheduler.settings import Idempotency
+from juniperward.dead_letters.spool_format import SpooledMessage, read_idempotency
 
 COLUMNS = (
     "id, stand, effect, window, ran_at, destination, cls, account, given_up_at, resends, wished, partner_sure, "
@@ -34,7 +33,7 @@
     return DeadLetter(
         id=row["id"],
         status=Status(row["stand"]),
-        idempotency=Idempotency(row["effect"]),
+        idempotency=read_idempotency(row["effect"]),
         deduplication_window_s=row["window"],
         executed_at=row["ran_at"],
         destination=row["destination"],
--- a/juniperward/dead_letters/spool_format.py
+++ b/juniperward/dead_letters/spool_format.py
@@ -86,6 +86,14 @@
         return None
 
 
+def read_idempotency(word: str) -> Idempotency:
+    """Return the idempotency that a word on disk stands for; an unknown word is read as the most cautious one."""
+    try:
+        return Idempotency(word)
+    except ValueError:
+        return Idempotency.NON_IDEMPOTENT
+
+
 def encode_message(message: SpooledMessage) -> bytes:
     """Return a message as a line of a segment."""
     row = {key: getattr(message, field) for key, field in MESSAGE_KEYS.items()}
@@ -102,7 +110,7 @@
     row = decode_line(data)
     try:
         row["body"] = base64.b64decode(row["body"])
-        row["effect"] = Idempotency(row["effect"])
+        row["effect"] = read_idempotency(row["effect"])
         row["attempts"] = tuple(
             SpooledAttempt(**{ATTEMPT_KEYS[key]: value for key, value in attempt.items()})
             for attempt in row["attempts"]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,10 +20,11 @@
 from juniperward.agent import state_codec
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
+from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
 from juniperward.dead_letters.selection import Filter
 from juniperward.dead_letters.spool import Spool
 from juniperward.dead_letters.spool_files import segments
-from juniperward.dead_letters.spool_format import decode_message, encode_message
+from juniperward.dead_letters.spool_format import decode_line, decode_message, encode_line, encode_message
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import DesiredState
 from juniperward.fleet.roll_model import RollMode, RollStage
@@ -275,6 +276,20 @@
     store.close()
 
 
+def test_an_unknown_word_for_the_idempotency_is_read_with_caution(folder: Path) -> None:
+    lines = [line for _, file in segments(folder / "spool") for line in file.read_bytes().splitlines()]
+    row = decode_line(next(line for line in lines if b'"m-by-key"' in line))
+    message = decode_message(encode_line(row | {"effect": "later-word"})[:-1])
+    assert message is not None and message.idempotency is MessageEffect.NON_IDEMPOTENT
+    with contextlib.closing(sqlite3.connect(folder / "store" / "store.db")) as database, database:
+        database.execute("UPDATE message SET effect = 'later-word' WHERE id = 'm-wished'")
+    store = DeadLetterStore(folder / "store" / "store.db", "OFF")
+    (letter,) = [each for each in store.select(Filter()) if each.id == "m-wished"]
+    store.close()
+    judgement = judge_redrive(letter, WRITTEN_AT, frozenset(letter.endpoints), 0.0)
+    assert judgement.kind is RedriveSafety.UNCERTAIN and not judgement.may_go
+
+
 def test_the_agent_goes_on_from_an_old_state(folder: Path) -> None:
     with mock.patch("juniperward.agent.store.boot_id", return_value=BOOT_ID):
         durable, told = StateStore(folder / "agent").load()
