--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""One forwarder's capacity on one core: what it adds to a message, by rate, with keeping off and on.
+"""One forwarder's capacity on one core: what it adds to a message, by rate, with dead letters off and on.
 
 The forwarder runs as on the platform, a process of its own, pinned to a core; load, endpoints and discovery have the
 other cores. Workers answer at once, so that all there is to see is the forwarder's own.
@@ -27,15 +27,15 @@
 from juniperward.fakes.records import Recorder, now
 
 DESTINATIONS = 8
-SKIP = 1.0  # seconds left out, in which connections open
-SECONDS = 5.0  # of each rate, beside that
+SKIP_S = 1.0  # seconds left out, in which connections open
+COUNTED_S = 5.0  # of each rate, beside that
 SENDERS = 3  # processes
-ADDED = 0.05  # seconds of p99 up to which a rate counts as carried
+MOST_ADDED_S = 0.05  # seconds of p99 up to which a rate counts as carried
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One rate: what was seen, the ages at workers, CPU seconds a message, resident bytes."""
+    """One rate: what was seen, the ages at endpoints, CPU seconds a message, resident bytes."""
 
     rate: float
     seen: LoadResult
@@ -45,9 +45,9 @@
 
     @property
     def carried(self) -> bool:
-        """Whether the forwarder took and delivered it all, with p99 within ADDED."""
+        """Whether the forwarder accepted and delivered it all, with p99 within MOST_ADDED_S."""
         whole = self.seen.rejected + self.seen.failed == 0 and self.ages.count >= 0.999 * self.seen.sent
-        return whole and self.ages.quantile(0.99) <= ADDED
+        return whole and self.ages.quantile(0.99) <= MOST_ADDED_S
 
     def cells(self) -> list[str]:
         """A row of a table: milliseconds."""
@@ -61,17 +61,18 @@
 
 
 HEAD = [
-    "messages a second", "sent", "not taken", "202 median ms", "202 p99 ms", "at the worker median ms", "p99 ms",
-    "CPU ms a message", "MiB", "rig late p99 ms", "carried",
+    "messages a second", "sent", "not accepted", "202 median ms", "202 p99 ms", "at the endpoint median ms", "p99 ms",
+    "CPU ms a message", "MiB", "load late p99 ms", "carried",
 ]  # fmt: skip
 
 
 class Bench:
     """A forwarder on a core of its own, with its world; a context."""
 
-    def __init__(self, folder: Path, keep: bool = False, root: Path = ROOT) -> None:
+    def __init__(self, folder: Path, dead_letters: bool = False, root: Path = ROOT) -> None:
         """Take the first core for the forwarder and the others for its world; `root` has its code."""
-        self.folder, self.keep, self.root = folder, keep, root
+        self.folder, self.root = folder, root
+        self.dead_letters = dead_letters
         cores = sorted(os.sched_getaffinity(0))
         self.own, self.others = frozenset(cores[:1]), frozenset(cores[1:])
         self.discovery = FakeDiscovery(Recorder())
@@ -90,7 +91,7 @@
             "discovery": self.discovery.address_for("n0"), "seed": "1", "state": str(state),
             "known": {"version": 0, "full": True, "servers": []},
         }  # fmt: skip
-        if self.keep:
+        if self.dead_letters:
             config["kept"] = {"spool": str(self.folder / "spool")}
         file = self.folder / "one.json"
         file.write_text(json.dumps(config))
@@ -116,7 +117,7 @@
         self.port.close()
         self.discovery.close()
 
-    def step(self, rate: float, seed: int, seconds: float = SECONDS, skip: float = SKIP) -> Step:
+    def step(self, rate: float, seed: int, seconds: float = COUNTED_S, skip: float = SKIP_S) -> Step:
         """Send at a rate for so long."""
         start = now() + 1.5  # until the processes of the load are there
         self.sinks.reset(start + skip)
@@ -134,25 +135,29 @@
 
 
 def capacity(seed: int, out: Path, rate: float = 0.0, rounds: int = 1) -> bool:
-    """By rate, keeping off and on in turn; the most that is carried with p99 within 50 ms."""
+    """By rate, dead letters off and on in turn; the most that is carried with p99 within 50 ms."""
     command = f"juniperward measure capacity --seed {seed}"
     report = Report("One forwarder's capacity on one core", command, seed)
     report.say(
-        f"{DESTINATIONS} destinations with one endpoint each that answers at once; {SENDERS} processes of load in "
-        f"an open loop, latencies from when a message was due; the first {SKIP:g} s left out, {SECONDS:g} s counted. "
-        f"Carried: all taken and delivered, p99 at the worker within {1000 * ADDED:.0f} ms; void: the rig was late."
+        f"{DESTINATIONS} destinations with one endpoint each that answers at once; {SENDERS} processes of load in an "
+        f"open loop, latencies from when a message was scheduled; the first {SKIP_S:g} s left out, {COUNTED_S:g} s "
+        f"counted. Carried: all accepted and delivered, p99 at the endpoint within {1000 * MOST_ADDED_S:.0f} ms; "
+        f"void: the load was late itself."
     )
     rates = [rate] if rate else [300.0, 600.0, 900.0, 1200.0, 1600.0, 2000.0, 2500.0, 3000.0, 3500.0]
-    for keep in (False, True):
+    for dead_letters in (False, True):
         rows, most = [], 0.0
         for number in range(rounds):
-            with tempfile.TemporaryDirectory(prefix="jw-") as folder, Bench(Path(folder), keep) as bench:
+            with (
+                tempfile.TemporaryDirectory(prefix="jw-") as folder,
+                Bench(Path(folder), dead_letters) as bench,
+            ):
                 for r in rates:
                     step = bench.step(r, seed + number)
                     rows.append(step.cells())
                     print(rows[-1], flush=True)
                     most = max(most, r if step.carried and not step.seen.void else 0.0)
-        report.say(f"Keeping {'on' if keep else 'off'}: {most:.0f} messages a second carried.")
+        report.say(f"Dead letters {'on' if dead_letters else 'off'}: {most:.0f} messages a second carried.")
         report.table(HEAD, rows)
     report.write(out / "capacity.md")
     return True
--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -19,7 +19,7 @@
 from juniperward.fakes.verdict import Verdict
 from juniperward.settings import fleet_pb2
 
-WARM = 5.0
+WARM_UP_S = 5.0
 COUNTED = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
 
 
@@ -31,17 +31,17 @@
     counts: dict[str, int]
 
 
-def dead_letter_cluster(folder: Path, seed: int, instances: int = 3, keep: bool = True) -> LocalCluster:
+def dead_letter_cluster(folder: Path, seed: int, instances: int = 3, stores: bool = True) -> LocalCluster:
     """Return a cluster, not yet started, whose messages live for four seconds.
 
-    With `keep`, what its forwarders give up is stored as dead letters and redriven by one rule (at most 20
+    With `stores`, what its forwarders give up is stored as dead letters and redriven by one rule (at most 20
     redrives a message). `folder` holds its files; `seed` drives its load and faults.
     """
-    destinations = [DestinationSpec(d, latency_s=0.03, warm_up_s=WARM, concurrency=8) for d in (1, 2, 3)]
+    destinations = [DestinationSpec(d, latency_s=0.03, warm_up_s=WARM_UP_S, concurrency=8) for d in (1, 2, 3)]
     cluster = LocalCluster(folder, instances, destinations, seed)
     cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
-    cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM * 1000}
-    if keep:
+    cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM_UP_S * 1000}
+    if stores:
         pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
         cluster.files.dead_letters = fleet_pb2.Kept(on=True, pace=pace)
         cluster.files.dead_letters.rule.add(name="all", most_resends=20)
--- a/juniperward/benchmarks/measure_dead_letters.py
+++ b/juniperward/benchmarks/measure_dead_letters.py
@@ -1,7 +1,7 @@
 """Measurements of dead letters: the acceptance run over seeds, live traffic beside redrives, the store's rates.
 
-`juniperward measure dead-letters`, `keeping` and `store` call these (see `benchmarks/all.py`); each writes a page
-under the folder it is given and returns True where no rule broke.
+`juniperward measure dead-letters`, `dead-letter-cost` and `dead-letter-store` call these (see
+`measurements.py`); each writes a page under the folder it is given and returns True where no rule broke.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from juniperward.scheduler.settings import Idempotency
 
 AT_ONCE = 10  # runs of the acceptance
-AWAY = 10.0  # seconds, unless told otherwise, for which the destination is down
-SUMMED = ("runs", *COUNTED, "fell over", "rules broken")
+AWAY = 10.0  # seconds, unless given otherwise, for which the destination is down
+SUMMED = ("runs", *COUNTED, "crashed", "rules broken")
 
 
 def _one(seed: int, kills: bool, away: float) -> list[Any]:
@@ -103,7 +103,7 @@
             s, kills = runs[run]
             try:
                 _, mode, killed, counts, invariants_hold, fallen, lines = run.result()
-            except Exception as error:  # a run that the rig could not end is told, and counts as a failure
+            except Exception as error:  # a run that could not be ended is reported, and counts as a failure
                 good = False
                 report.say(f"seed {s}, kills {kills}: no verdict: {error!r}"[:300])
                 continue
@@ -113,7 +113,7 @@
             for name, value in (
                 *counts.items(),
                 ("runs", 1),
-                ("fell over", fallen),
+                ("crashed", fallen),
                 ("rules broken", not invariants_hold),
             ):
                 total[name] += int(value)
@@ -132,9 +132,11 @@
     return good
 
 
-def keeping(seed: int, out: Path) -> bool:
+def storage_cost(seed: int, out: Path) -> bool:
     """Live traffic beside redrives, and what storing dead letters costs a forwarder; True if no rule broke."""
-    report = Report("Keeping beside live traffic", f"juniperward measure keeping --seed {seed}", seed)
+    report = Report(
+        "Dead letters beside live traffic", f"juniperward measure dead-letter-cost --seed {seed}", seed
+    )
     _beside(report, seed)
     _cost(report, seed)
     report.write(out / "keeping.md")
@@ -143,7 +145,7 @@
 
 def store(seed: int, out: Path, rounds: int = 1_000_000) -> bool:
     """The store's rates with a million messages."""
-    report = Report("The dead-letter store", f"juniperward measure store --rounds {rounds}", seed)
+    report = Report("The dead-letter store", f"juniperward measure dead-letter-store --rounds {rounds}", seed)
     _rates(report, rounds)
     report.write(out / "store.md")
     return True
@@ -176,23 +178,26 @@
             clients.done.wait(60.0)
             stats = cluster.request("kept", action="stats")
             live = [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
-            v = check(live)
+            verdict = check(live)
             sent = stats["stands"].get("delivered", 0)
             rows.append([
-                f"{waiting}", f"{sent}", f"{v.priority_weight_delivered:.4f}",
-                f"{quantile(v.latencies_s, 0.5) * 1000:.0f}", f"{quantile(v.latencies_s, 0.99) * 1000:.0f}",
+                f"{waiting}", f"{sent}", f"{verdict.priority_weight_delivered:.4f}",
+                f"{quantile(verdict.latencies_s, 0.5) * 1000:.0f}",
+                f"{quantile(verdict.latencies_s, 0.99) * 1000:.0f}",
             ])  # fmt: skip
     report.say("Live traffic at 100 messages a second for 12 s while others wait to be sent again:")
-    report.table(["waiting", "of them sent meanwhile", "share of live worth", "median ms", "p99 ms"], rows)
+    report.table(
+        ["waiting", "of them sent meanwhile", "fraction of live priority weight", "median ms", "p99 ms"], rows
+    )
 
 
 def _cost(report: Report, seed: int) -> None:
-    """What keeping costs the others while a third of all messages are given up."""
+    """What storing dead letters costs the others while a third of all messages are given up."""
     rows = []
-    for keep in (False, True, False, True):
+    for stores in (False, True, False, True):
         with (
             tempfile.TemporaryDirectory(prefix="jw-") as folder,
-            dead_letter_cluster(Path(folder), seed, 1, keep) as cluster,
+            dead_letter_cluster(Path(folder), seed, 1, stores) as cluster,
         ):
             cluster.start()
             cluster.destinations[1].inject_fault(FaultMode.DOWN)
@@ -202,16 +207,16 @@
             clients.done.wait(60.0)
             time.sleep(5.0)
             spent = processes.usage(before)[0] - cpu
-            v = check(
+            verdict = check(
                 [r for r in list(cluster.recorder.records) if not getattr(r, "id", "").startswith("kept-")]
             )
             stored = cluster.request("inspect", ["n0"])["status"]["kept"]
             rows.append([
-                "on" if keep else "off", f"{stored}", f"{quantile(v.latencies_s, 0.5) * 1000:.1f}",
-                f"{quantile(v.latencies_s, 0.99) * 1000:.1f}", f"{1000 * spent / v.offered:.2f}",
+                "on" if stores else "off", f"{stored}", f"{quantile(verdict.latencies_s, 0.5) * 1000:.1f}",
+                f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{1000 * spent / verdict.offered:.2f}",
             ])  # fmt: skip
     report.say("One forwarder at 150 messages a second, one of three destinations down all the time:")
-    report.table(["keeping", "kept", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
+    report.table(["dead letters", "stored", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
 
 
 def _rates(report: Report, count: int) -> None:
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -58,7 +58,8 @@
     seed: Annotated[int, typer.Option(help="Of the load and of the faults.")] = 1
     out: Annotated[Path, typer.Option(help="Folder of the results.")] = Path("docs/measurements")
     rounds: Annotated[
-        int | None, typer.Option(help="chaos: kills; dead-letters, slow-start: seeds; store: messages.")
+        int | None,
+        typer.Option(help="chaos: kills; dead-letters, slow-start: seeds; dead-letter-store: messages."),
     ] = None
     rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None
     outage_s: Annotated[
@@ -70,15 +71,15 @@
 @from_options
 def measure(options: MeasureOptions) -> None:
     """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
-    from juniperward.benchmarks.all import ALL, FORMER_NAMES
+    from juniperward.benchmarks.measurements import FORMER_NAMES, MEASUREMENTS
 
     name = FORMER_NAMES.get(options.name, options.name)
-    if name not in ALL:
-        why = f"{name!r} is none of {', '.join(ALL)}"
+    if name not in MEASUREMENTS:
+        why = f"{name!r} is none of {', '.join(MEASUREMENTS)}"
         raise typer.BadParameter(why, param_hint="NAME")
     sizes = (("rounds", options.rounds), ("rate", options.rate), ("away", options.outage_s))
     more = {key: value for key, value in sizes if value is not None}
-    raise typer.Exit(0 if ALL[name](options.seed, options.out, **more) else 1)
+    raise typer.Exit(0 if MEASUREMENTS[name](options.seed, options.out, **more) else 1)
 
 
 def main() -> int:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -79,7 +79,7 @@
         return CliRunner().invoke(app, [str(w) for w in words])
 
     def test_a_measurement_is_run_by_its_name_or_for_one_release_its_former_name(self) -> None:
-        from juniperward.benchmarks import all as measurements
+        from juniperward.benchmarks import measurements
 
         ran: list[str] = []
         given: list[tuple[object, ...]] = []
@@ -92,13 +92,27 @@
 
             return run
 
-        with mock.patch.dict(measurements.ALL, {name: measured(name) for name in measurements.ALL}):
-            for name in ("kept", "cold", "dead-letters", "slow-start"):
+        with mock.patch.dict(
+            measurements.MEASUREMENTS, {name: measured(name) for name in measurements.MEASUREMENTS}
+        ):
+            former = ("kept", "cold", "keeping", "store")
+            for name in (*former, "dead-letters", "slow-start"):
                 self.assertEqual(CliRunner().invoke(app, ["measure", name]).exit_code, 0, name)
             wrong = CliRunner().invoke(app, ["measure", "none"])
             sized = ["measure", "chaos", "--seed", "7", "--out", "x", "--rounds", "3", "--rate", "9.5"]
             self.assertEqual(CliRunner().invoke(app, sized).exit_code, 0)
-        self.assertEqual(ran, ["dead-letters", "slow-start", "dead-letters", "slow-start", "chaos"])
+        self.assertEqual(
+            ran,
+            [
+                "dead-letters",
+                "slow-start",
+                "dead-letter-cost",
+                "dead-letter-store",
+                "dead-letters",
+                "slow-start",
+                "chaos",
+            ],
+        )
         self.assertEqual(given[0], (1, Path("docs/measurements"), {}))
         self.assertEqual(given[-1], (7, Path("x"), {"rounds": 3, "rate": 9.5}))
         self.assertEqual(wrong.exit_code, 2)
