--- a/juniperward/forwarder/endpoint_list_codec.py
+++ b/juniperward/forwarder/endpoint_list_codec.py
@@ -19,7 +19,7 @@
 PHASES = {
     "Ready": EndpointPhase.READY,
     "Terminating": EndpointPhase.DRAINING,
-    "Gone": EndpointPhase.GONE,
+    "Gone": EndpointPhase.REMOVED,
 }
 NO_RATE = 0.0  # of an endpoint that is listed without a rate
 
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -81,7 +81,7 @@
         directory = self._round.state.directory
         number = directory.number(endpoint.id)
         directory.endpoints[number] = endpoint
-        if endpoint.phase is EndpointPhase.GONE:
+        if endpoint.phase is EndpointPhase.REMOVED:
             directory.removed.add(number)
         else:
             directory.removed.discard(number)
--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -26,7 +26,7 @@
 LISTED_PHASES = {
     EndpointPhase.READY: ListedPhase.READY,
     EndpointPhase.DRAINING: ListedPhase.DRAINING,
-    EndpointPhase.GONE: ListedPhase.REMOVED,
+    EndpointPhase.REMOVED: ListedPhase.REMOVED,
 }
 FAILED_OUTCOMES = ("error", "timeout", "reset", "connect_failed")
 
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -35,8 +35,14 @@
 from juniperward.forwarder.model import Endpoint, OutcomeNotification
 from juniperward.forwarder.stored_outcomes import STORED_OUTCOMES
 from juniperward.forwarder.telemetry import format_event
+from juniperward.scheduler.events import EndpointPhase
 
 PREFIX = "juniperward: trace:"
+PHASE_WORDS = {
+    EndpointPhase.DRAINING: "draining",
+    EndpointPhase.READY: "ready",
+    EndpointPhase.REMOVED: "gone",
+}
 
 
 class Trace:
@@ -121,7 +127,7 @@
 
 
 def _endpoint_line(endpoint: Endpoint) -> str:
-    phase = endpoint.phase.name.lower()
+    phase = PHASE_WORDS[endpoint.phase]
     return f"listed {endpoint.id} {endpoint.destination} {endpoint.kind} {phase} {endpoint.listed_rate}"
 
 
--- a/juniperward/scheduler/endpoint_table.py
+++ b/juniperward/scheduler/endpoint_table.py
@@ -30,7 +30,7 @@
             named = {entry.endpoint for entry in update.entries}
             for endpoint in self.endpoints.values():
                 if endpoint.id not in named:
-                    endpoint.set_phase(EndpointPhase.GONE)
+                    endpoint.set_phase(EndpointPhase.REMOVED)
         return [self._apply_entry(entry) for entry in update.entries]
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -33,7 +33,7 @@
 
     DRAINING = 0
     READY = 1
-    GONE = 2
+    REMOVED = 2
 
 
 class ListScope(IntEnum):
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -29,7 +29,7 @@
     def prune(self) -> None:
         """Remove endpoints that the list names no more, and destinations without endpoints and messages."""
         for endpoint in list(self._table.endpoints.values()):
-            if endpoint.phase is EndpointPhase.GONE and not endpoint.in_flight:
+            if endpoint.phase is EndpointPhase.REMOVED and not endpoint.in_flight:
                 self._table.remove_endpoint(endpoint)
         referenced = {message.destination.id for message in self._backlog.messages.values()}
         for destination in list(self._table.destinations.values()):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -154,7 +154,7 @@
                 self.start(worker("s-1", 2))
                 began, effects = self.now, self.take("a", left=left, destination=2)
                 timers = self.only(effects, SetTimer)
-                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, EndpointPhase.GONE),)))
+                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, EndpointPhase.REMOVED),)))
                 effects = self.end(effects, (Outcome.OVERLOADED, 0.0))
                 timers += self.only(effects, SetTimer)
                 while not self.only(effects, SendNotifications):
@@ -502,7 +502,7 @@
         self.start()
         effects = self.take("a")
         for n in range(2, 50):
-            old, new = worker(f"s-{n - 1}", phase=EndpointPhase.GONE), worker(f"s-{n}")
+            old, new = worker(f"s-{n - 1}", phase=EndpointPhase.REMOVED), worker(f"s-{n}")
             told = self.do(EndpointsUpdated(41 + n, False, (old, new)))
             assert self.only(told, ForgetEndpoint) == ([] if n == 2 else [ForgetEndpoint(n - 1)])
         state, sender = self.reducer.state, self.reducer.scheduler
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -251,7 +251,7 @@
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         assert self.sent(effects) == []
         effects = self.do(
-            EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.GONE), worker("s-5", 5)))
+            EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.REMOVED), worker("s-5", 5)))
         )
         assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-5"]
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -184,7 +184,7 @@
         assert asked == [b"GET /registry/instances?follow=1&since=41 HTTP/1.1"]
         assert [(h.version, h.full) for h in heard] == [(43, False), (44, False), (50, True)]
         phases = [w.phase for h in heard for w in h.endpoints]
-        assert phases == [EndpointPhase.DRAINING, EndpointPhase.GONE, EndpointPhase.READY]
+        assert phases == [EndpointPhase.DRAINING, EndpointPhase.REMOVED, EndpointPhase.READY]
         # A broken line ends the watch, counted; the next one goes on from 50.
         assert isinstance(got[3], WatchLost)
 
@@ -218,7 +218,7 @@
     def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), cached=True)])
-        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.GONE),))])
+        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.REMOVED),))])
         assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-2"]
         reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
         assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-3"]
@@ -231,7 +231,7 @@
         self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
         self.reducer.reduce(
             100.0,
-            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.GONE)), cached=True)],
+            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.REMOVED)), cached=True)],
         )
 
     def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
