--- a/juniperward/scheduler/backlog.py
+++ b/juniperward/scheduler/backlog.py
@@ -93,25 +93,25 @@
         """Record that a call is in flight, and fills a slot."""
         attempt.endpoint.in_flight[attempt.serial] = attempt
         self.in_flight[attempt.serial] = attempt
-        attempt.endpoint.destination.slots += 1
+        attempt.endpoint.destination.slots_in_use += 1
 
     def cancel(self, attempt: BatchAttempt) -> None:
         """Have a call cancelled, for each of its messages; its outcome is still to come."""
         attempt.cancelled = True
-        for message_id in sorted(attempt.members):
+        for message_id in sorted(attempt.message_ids):
             for number, other in self.messages[message_id].in_flight.items():
                 if other is attempt:
                     self._round.actions.append(CancelAttempt(message_id, number))
 
     def release_slot(self, message: Message, attempt: BatchAttempt) -> bool:
         """Record a message's outcome of a call; with the last one the slot is free, which is returned."""
-        attempt.members.discard(message.id)
-        if attempt.members:
+        attempt.message_ids.discard(message.id)
+        if attempt.message_ids:
             return False
         del attempt.endpoint.in_flight[attempt.serial]
         del self.in_flight[attempt.serial]
         destination = attempt.endpoint.destination
-        destination.slots -= 1
+        destination.slots_in_use -= 1
         destination.last_used_at = self._round.now
         self.make_ready(destination)
         return True
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -13,13 +13,13 @@
 
     def call_ended(self, destination: Destination) -> None:
         """Schedule one look at a destination that may stay idle, not one for each call."""
-        if not destination.slots and not destination.idle_check_scheduled:
+        if not destination.slots_in_use and not destination.idle_check_scheduled:
             self._check_later(destination)
 
     def check_idle(self, destination: Destination) -> None:
         """Forget what was learned of a destination that has been idle for long enough."""
         destination.idle_check_scheduled = False
-        if destination.queue or destination.slots:
+        if destination.queue or destination.slots_in_use:
             return
         if destination.last_used_at + tuning.IDLE_EXPIRY_S > self._now + TIME_EPSILON_S:
             self._check_later(destination)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -109,7 +109,7 @@
     def _record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
         endpoint.record_result(answered=False, remembered=tuning.RECENT_CALLS)
         in_row = tuning.WARM_UP_FAILURES_IN_ROW if endpoint.route.warming_up else tuning.FAILURES_IN_ROW
-        failures = endpoint.recent.count(False)
+        failures = endpoint.recent_results.count(False)
         if endpoint.consecutive_failures() >= in_row or failures >= tuning.RECENT_FAILURES:
             self.mark_unhealthy(endpoint, EjectionReason.FAILING)
         self._record_fault(endpoint, EjectionReason.FAILING, outcome is Outcome.CONNECT_FAILED)
--- a/juniperward/scheduler/overdue_calls.py
+++ b/juniperward/scheduler/overdue_calls.py
@@ -12,10 +12,10 @@
 class OverdueCalls(SchedulerPart):
     """Looks at calls that take longer than they should."""
 
-    def __init__(self, state: SchedulerState, outliers: OutlierDetection) -> None:
+    def __init__(self, state: SchedulerState, outlier_detection: OutlierDetection) -> None:
         """Have unresponsive endpoints marked unhealthy."""
         super().__init__(state)
-        self._outliers = outliers
+        self._outlier_detection = outlier_detection
 
     def check(self, attempt: BatchAttempt) -> None:
         """Mark a call overdue that is still in flight, and look at it again later.
@@ -33,10 +33,10 @@
             # Its connection is lost; or its endpoint, where none of its calls was answered.
             self._backlog.cancel(attempt)
             if endpoint.last_success_at <= attempt.sent_at:
-                self._outliers.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
+                self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         unanswered = endpoint.last_success_at <= self._now - limit_s + TIME_EPSILON_S
         if overdue >= tuning.UNRESPONSIVE_CALLS and unanswered and not endpoint.unhealthy:
-            self._outliers.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
+            self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         if endpoint.route.ejected:
             self._backlog.make_ready_at(destination, self._now)
         self._schedule(self._now + limit_s / 2, self.check, attempt)
@@ -50,7 +50,7 @@
             attempt = min(candidates, key=lambda candidate: (candidate.sent_at, candidate.serial))
             self._backlog.cancel(attempt)
             # A cancelled call is overdue no more, and would leave no evidence.
-            self._outliers.mark_unhealthy(attempt.endpoint, EjectionReason.UNRESPONSIVE)
+            self._outlier_detection.mark_unhealthy(attempt.endpoint, EjectionReason.UNRESPONSIVE)
 
     def _is_lost(self, attempt: BatchAttempt, limit_s: float) -> bool:
         """Return whether a call may be cancelled as later ones of its route were answered."""
@@ -71,4 +71,4 @@
 
     def _may_retry_all(self, attempt: BatchAttempt) -> bool:
         messages = self._backlog.messages
-        return all(may_retry(messages[message_id], self._now) for message_id in attempt.members)
+        return all(may_retry(messages[message_id], self._now) for message_id in attempt.message_ids)
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -58,7 +58,7 @@
         self.possibly_executed[self.attempts] = attempt.sent_at
         self.attempts += 1
         self.last_endpoint = attempt.endpoint.id
-        attempt.members.add(self.id)
+        attempt.message_ids.add(self.id)
 
 
 @dataclass(slots=True, eq=False)
@@ -68,10 +68,10 @@
     serial: int
     endpoint: Endpoint
     sent_at: float
-    members: set[int]  # ids of messages whose outcome is to come
+    message_ids: set[int]  # of those whose outcome is to come
     overdue: bool = False
     cancelled: bool = False  # its outcome is still to come
-    outcome_recorded: bool = False  # for the endpoint; all members share it
+    outcome_recorded: bool = False  # for the endpoint; all its messages share it
 
 
 @dataclass(slots=True, eq=False)
@@ -94,7 +94,9 @@
     zone: int
     tie_breaker: float  # random for each scheduler, or all would fill the same endpoint first
     in_flight: dict[int, BatchAttempt] = field(default_factory=dict)  # by serial
-    recent: tuple[bool, ...] = ()  # whether the latest calls were answered; an empty deque takes 600 bytes
+    recent_results: tuple[
+        bool, ...
+    ] = ()  # whether the latest calls were answered; an empty deque takes 600 bytes
     unhealthy: bool = False
     unhealthy_since: float = 0.0
     unresponsive: bool = False
@@ -114,14 +116,14 @@
 
     def record_result(self, answered: bool, remembered: int) -> None:
         """Add a call to the latest ones, of which so many are remembered."""
-        self.recent = (*self.recent, answered)[-remembered:]
+        self.recent_results = (*self.recent_results, answered)[-remembered:]
 
     def consecutive_failures(self) -> int:
         """Return how many of the latest calls failed since one was answered."""
-        for count, answered in enumerate(reversed(self.recent)):
+        for count, answered in enumerate(reversed(self.recent_results)):
             if answered:
                 return count
-        return len(self.recent)
+        return len(self.recent_results)
 
     def mark_unhealthy(self, now: float, unresponsive: bool) -> None:
         """Record the beginning of an outage of the endpoint."""
@@ -132,7 +134,7 @@
     def mark_healthy(self) -> None:
         """Record that it answers again; earlier calls count no more."""
         self.unhealthy = False
-        self.recent = ()
+        self.recent_results = ()
 
 
 @dataclass(slots=True, eq=False)
@@ -145,7 +147,7 @@
     queue: MessageQueue[Message] = field(default_factory=MessageQueue)
     on_ring: bool = False
     deficit_s: float = 0.0  # slot time that it may still use
-    slots: int = 0  # in use
+    slots_in_use: int = 0
     latency_by_class_s: dict[int, float] = field(default_factory=dict)  # running means
     mean_latency_s: float | None = None
     baseline_latency_s: float = 0.0  # a slower mean; 0 before the first delivery
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -100,7 +100,7 @@
         fraction = tuning.HEALTHY_SLOT_FRACTION
         if ejected or self._latency.is_slow(destination):
             fraction = tuning.EJECTED_SLOT_FRACTION
-        if destination.slots >= max(1, int(fraction * slots)):
+        if destination.slots_in_use >= max(1, int(fraction * slots)):
             return False
         if not ejected:
             return True
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -48,14 +48,14 @@
         self.admission = Admission(state)
         self.retries = Retries(state, self.admission.give_up)
         self.connections = Connections(state)
-        self.outliers = OutlierDetection(state, self.rate_limits, self.slow_start, self.connections)
-        self.overdue_calls = OverdueCalls(state, self.outliers)
+        self.outlier_detection = OutlierDetection(state, self.rate_limits, self.slow_start, self.connections)
+        self.overdue_calls = OverdueCalls(state, self.outlier_detection)
         self.batching = Batching(state, self.slow_start, self.overdue_calls, self.connections)
         self.routing = Routing(
             state, self.slow_start, self.batching, self.connections, self.admission.give_up
         )
         self.round_robin = DeficitRoundRobin(state, self.overdue_calls, self.routing, self.batching)
-        self.polling = EndpointPolling(state)
+        self.endpoint_polling = EndpointPolling(state)
         self.idle_expiry = IdleExpiry(state)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
@@ -125,7 +125,7 @@
         if event.outcome is Outcome.OK:
             self.state.latency.record(message, event.latency_s)
         if not attempt.outcome_recorded:
-            self.outliers.record_attempt(attempt, event)
+            self.outlier_detection.record_attempt(attempt, event)
         if event.message_ended or message.ended:
             backlog.end(message)
         else:
@@ -135,11 +135,11 @@
         endpoint = self.state.table.endpoints.get(event.endpoint)
         if endpoint is not None:
             sent_at = self.state.round.now - event.latency_s
-            self.outliers.record_outcome(endpoint, event, sent_at)
+            self.outlier_detection.record_outcome(endpoint, event, sent_at)
             self.state.backlog.make_ready(endpoint.destination)
 
     def _endpoint_list_updated(self, event: EndpointListUpdated) -> None:
-        self.polling.record_update(event.scope)
+        self.endpoint_polling.record_update(event.scope)
         if event.scope is ListScope.FAILED:
             return
         for destination in self.state.table.apply(event):
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -60,7 +60,7 @@
         destination=number,
         health=health,
         queued=len(destination.queue),
-        in_flight=destination.slots,
+        in_flight=destination.slots_in_use,
         rate_limit=sum(limits) if limits else None,
         listed_rate=destination.listed_rate,
         retry_after_s=max(max(route.retry_after_until for route in routes) - now, 0.0),
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -90,7 +90,7 @@
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.outliers.__class__ = HeedlessDetection
+        self.outlier_detection.__class__ = HeedlessDetection
 
 
 class FleetTest(unittest.TestCase):
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -78,7 +78,7 @@
             scheduled = timers.pending(backlog.make_ready)
             woken = any(timer.arguments == (d,) and timer.at <= at + 1e-6 for timer in scheduled)
             assert at == math.inf or woken, f"{d.id} opens at {at}, nothing wakes it"
-            assert at < math.inf or d.slots or not opens, f"{d.id} waits for news that cannot come"
+            assert at < math.inf or d.slots_in_use or not opens, f"{d.id} waits for news that cannot come"
         return actions
 
 
@@ -101,7 +101,7 @@
     """A planted fault: the end of a call opens nothing."""
 
     def make_ready(self, destination: Destination) -> None:
-        if not destination.slots or len(destination.queue) > 1:
+        if not destination.slots_in_use or len(destination.queue) > 1:
             super().make_ready(destination)
 
 
