--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -108,7 +108,8 @@
 
     def _retry_after(self, destination: Destination) -> float:
         """Return a wait past the next trials of an ejected destination, or until the queue is empty."""
-        max_s, route = self._settings.max_retry_after_s, destination.shared_route
+        max_s = self._settings.max_retry_after_s
+        route = destination.shared_route
         if route.ejected:
             return max_s
         rate = max(recent_rate(route, self._now), tuning.RATE_FLOOR)
--- a/juniperward/scheduler/deficit_round_robin.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -41,7 +41,8 @@
 
     def _serve(self, destination: Destination, head: Message) -> bool:
         """Release a message or go on to the next destination; returns whether this one may be called."""
-        ring, latency = self._backlog.ring, self._latency
+        ring = self._backlog.ring
+        latency = self._latency
         choice = self._routing.choose(destination, head)
         if choice is None and destination.closed:  # back on the ring by a timer or an event
             ring.drop_current(deficit_s=latency.max_objective_s + latency.quantum_s)
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -83,7 +83,7 @@
     time_left_s: float
     tenant: int = 0
     ordering_key: str | None = None
-    size_hint_s: float = 0.0
+    size_hint_s: float = 0.0  # no decision reads it
     history: tuple[PastAttempt, ...] = ()
     # While it surely has not executed it is not given up before; None: a fraction of `time_left_s`.
     attempt_for_s: float | None = None
@@ -102,7 +102,7 @@
     latency_s: float
     message_ended: bool = False  # the message is over as well
     retry_after_s: float = 0.0
-    no_slot_free: bool = False
+    no_slot_free: bool = False  # of an attempt that was not sent; no decision reads it
     capacity_left: float | None = None  # fraction of the reported limit
     reported_limit_per_s: float | None = None
     connection_table_full: bool = False  # of a failed connection: the endpoint runs, but accepts no more
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The answer to an attempt has begun; its time-out no longer runs."""
+    """The answer to an attempt has begun, and its time-out no longer runs; no decision reads it."""
 
     message: int
     attempt: int
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -53,7 +53,7 @@
             self._forget_route(endpoint.route)
 
     def _forget_route(self, route: RouteState) -> None:
-        """Forget what was learned, but for what rules 4 and 6 ask for: an ejection, and a Retry-After."""
+        """Forget what was learned, but for what rules 4 and 6 require: an ejection, and a Retry-After."""
         remembered = RouteState(
             next_call_at=route.next_call_at,
             retry_after_until=route.retry_after_until,
--- a/juniperward/scheduler/latency.py
+++ b/juniperward/scheduler/latency.py
@@ -21,7 +21,8 @@
     def record(self, message: Message, latency_s: float) -> None:
         """Add a delivery, by class: a class that fails or lingers must not change the cost of another."""
         latency_s = min(latency_s, message.message_class.latency_objective_s)
-        destination, weight = message.destination, tuning.LATENCY_MEAN_WEIGHT
+        destination = message.destination
+        weight = tuning.LATENCY_MEAN_WEIGHT
         by_class = destination.latency_by_class_s
         by_class[message.class_index] = running_mean(by_class.get(message.class_index), latency_s, weight)
         destination.mean_latency_s = running_mean(destination.mean_latency_s, latency_s, weight)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -45,7 +45,8 @@
 
     def record_outcome(self, endpoint: Endpoint, result: Result, sent_at: float) -> None:
         """Record the outcome of a call or a health check."""
-        limit_per_s, capacity_left = result.reported_limit_per_s, result.capacity_left
+        limit_per_s = result.reported_limit_per_s
+        capacity_left = result.capacity_left
         if limit_per_s is not None and capacity_left is not None and 0 < limit_per_s < math.inf:
             record_load_report(endpoint.route, limit_per_s, capacity_left)
         table_full = isinstance(result, AttemptFinished) and result.connection_table_full
@@ -119,7 +120,8 @@
 
         docs/design/at-size.md says why.
         """
-        route, settings = endpoint.route, self._settings
+        route = endpoint.route
+        settings = self._settings
         route.consecutive_faults += 1
         idle_s = math.inf
         if route.first_delivery_at is not None:
@@ -136,7 +138,7 @@
             self._stagger(route)
 
     def _is_outage(self, route: RouteState, idle_s: float) -> bool:
-        """Return whether a fault is taken for an outage; a first one is, at random, in part of the fleet."""
+        """Return whether a fault counts as an outage; a first one does, at random, in part of the fleet."""
         retry_after_runs = route.retry_after_until > self._now
         if route.consecutive_faults > 1 or route.warming_up or retry_after_runs:
             return True
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -188,7 +188,8 @@
         One trial at a time: its outcome, or that it is overdue, opens the next. Elsewhere one overdue call is
         no proof of an unresponsive endpoint, but with it only one further call is risked.
         """
-        calls, route = endpoint.in_flight.values(), endpoint.route
+        calls = endpoint.in_flight.values()
+        route = endpoint.route
         if route.ejected and any(call.sent_at >= route.ejected_at and not call.overdue for call in calls):
             return True
         if endpoint.unhealthy and not route.ejected:
--- a/juniperward/scheduler/settings.py
+++ b/juniperward/scheduler/settings.py
@@ -56,7 +56,7 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_s: float = 0.0
     in_order: bool = False
-    objective_stretch: float = 0.0
+    objective_stretch: float = 0.0  # checked; no decision reads it
 
     def __post_init__(self) -> None:
         """Check the ranges; raises SettingsError."""
@@ -103,7 +103,7 @@
     instances: int = 1  # forwarders that share the destinations
     max_attempts: int = 3
     over_quota_weight: float = 1.0  # x the class's weight, for a message beyond its tenant's quota
-    weight_decay: WeightDecay = WeightDecay.LINEAR
+    weight_decay: WeightDecay = WeightDecay.LINEAR  # checked; no decision reads it
     answer_slack_s: float = 0.0  # after a message's time, in which its final answer is still in time
     slow_start_capacity_fraction: float = 0.2  # of its capacity, that a destination has after an outage
     warm_up_s: float = 10.0  # after which it has all of it
@@ -121,9 +121,9 @@
     listed_rate_error: float = 0.0  # fraction by which a listed rate may be wrong
     health_checks: bool = False  # health checks are allowed
     cancellation: bool = False  # attempts may be cancelled
-    hedging: bool = False  # two attempts of a message may be in flight
-    rejection_price: float = 0.0
-    zone_tolls: tuple[float, ...] = ()
+    hedging: bool = False  # two attempts of a message may be in flight; no decision reads it
+    rejection_price: float = 0.0  # checked; no decision reads it
+    zone_tolls: tuple[float, ...] = ()  # no decision reads it
     max_batch_bytes: int = 65_535  # of all messages of one call (protocol: no body over 64 KiB)
 
     def kind(self, number: int) -> DestinationKind:
--- a/juniperward/scheduler/settings_codec.py
+++ b/juniperward/scheduler/settings_codec.py
@@ -93,7 +93,8 @@
 
 
 def _read(config: dict[str, Any]) -> SchedulerSettings:
-    limits, rules = config.get("Limits", {}), config.get("Invariants", {})
+    limits = config.get("Limits", {})
+    rules = config.get("Invariants", {})
     specifics = config.get("Specifics", {})
     weights = config.get("Weights")
     return SchedulerSettings(
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -57,7 +57,8 @@
         """Return the seconds until the next call of a route that warms up; 0 where it does not."""
         if route.slow_start_since is None:
             return 0.0
-        warm_up_s, fraction = self._settings.warm_up_s, self._settings.slow_start_capacity_fraction
+        warm_up_s = self._settings.warm_up_s
+        fraction = self._settings.slow_start_capacity_fraction
         elapsed_s = self._now - route.slow_start_since
         rate = self._usual_rate(destination, route) * ((1 + self._settings.overload_multiple) / 2)
         if elapsed_s >= warm_up_s:
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -68,12 +68,14 @@
 
     def own_fraction(self) -> float:
         """Return this forwarder's fraction of the traffic, by what came here of the listed rates."""
-        instances, listed = self._round.settings.instances, self._table.listed_rate_total
+        instances = self._round.settings.instances
+        listed = self._table.listed_rate_total
         if not self._large_fleet:
             return 1.0
         if listed <= 0:
             return 1.0 / instances
-        memory_s, seen_s = tuning.RATE_MEMORY_S, self._round.now - self._round.started_at
+        memory_s = tuning.RATE_MEMORY_S
+        seen_s = self._round.now - self._round.started_at
         return min(1.0, (self.admitted / listed + memory_s / instances) / (seen_s + memory_s))
 
     def rate_quota(self, destination: Destination, route: RouteState) -> float:
@@ -83,7 +85,8 @@
 
     def expected_rate(self, destination: Destination, route: RouteState) -> float:
         """Return a route's usual rate; recent rates of all forwarders would add up to more after bursts."""
-        instances, memory_s = self._round.settings.instances, tuning.RATE_MEMORY_S
+        instances = self._round.settings.instances
+        memory_s = tuning.RATE_MEMORY_S
         quota = self.rate_quota(destination, route)
         if quota > 0:
             return max(quota * instances, tuning.RATE_FLOOR) * self.own_fraction()
