--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -1,4 +1,4 @@
-"""Dead letters in the agent: the store, the redriver's thread, and what clients ask of them."""
+"""Dead letters in the agent: the store, the redriver's thread, and the answers to clients' requests."""
 
 from __future__ import annotations
 
--- a/juniperward/agent/log.py
+++ b/juniperward/agent/log.py
@@ -1,4 +1,4 @@
-"""Structured logs of tool and agent, and the agent's events, kept for those who ask later."""
+"""Structured logs of tool and agent, and the agent's latest events, which clients may read later."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def log_unexpected_error(where: str, error: Exception, **fields: Any) -> None:
-    """Log an error that nothing was prepared for, in one line."""
+    """Log an error that no handler expects, in one line."""
     structlog.get_logger().error("unexpected error", where=where, error=repr(error), **fields)
 
 
 class EventLog:
-    """The latest events, numbered from 1; for any thread."""
+    """The latest events, numbered from 1; used by any thread."""
 
     def __init__(self) -> None:
         """Begin with none."""
@@ -48,7 +48,7 @@
         self._last_number = 0
 
     def add(self, event: str, level: str, fields: dict[str, Any]) -> None:
-        """Number an event and keep it; the oldest goes where there are too many."""
+        """Number an event and store it; the oldest is dropped where there are too many."""
         with self._lock:
             self._last_number += 1
             at = round(time.time(), 3)
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -30,18 +30,18 @@
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import FleetSettings
 
-TICK_S = 0.1  # between looks at what is due
+TICK_S = 0.1  # between rounds of the reducer where no event comes
 ROTATE_S = 5.0  # between looks at the logs' sizes
 MAX_EVENTS_A_ROUND = 1000
 LEAST_WATCH_INTERVAL_S = 0.2
-WATCH_INTERVAL_S_AN_INSTANCE = 0.005  # many instances are asked less often: the agent's CPU stays bounded
+WATCH_INTERVAL_S_AN_INSTANCE = 0.005  # many instances are polled less often: the agent's CPU stays bounded
 
 
 class Loop:
     """Owns the reducer; everything else only posts events to it."""
 
     def __init__(self, settings: FleetSettings, store: StateStore, seed: int) -> None:
-        """Begin with an empty state; `begin` takes up what is in `store`."""
+        """Begin with an empty state; `begin` loads what is in `store`."""
         self.settings, self._store = settings, store
         self.reducer = Reducer(seed)
         self.launcher = Launcher(settings.folder)
@@ -56,7 +56,7 @@
         self._rotate_at = 0.0
 
     def post(self, event: Event) -> None:
-        """Hand an event to the loop; any thread may."""
+        """Queue an event for the loop; any thread may."""
         self.events.put(event)
 
     def reply_through(self, reply: ReplyFunction) -> None:
@@ -64,7 +64,7 @@
         self._executor.reply = reply
 
     def begin(self) -> None:
-        """Take up what an earlier agent left: its state, its processes, its roll."""
+        """Continue with what an earlier agent left: its state, its processes, its roll."""
         stored, damage = self._store.load()
         for text in damage:
             self.log_event("state file damaged", "error", {"why": text})
@@ -96,14 +96,14 @@
         )
 
     def run(self) -> None:
-        """Go on until told to end; the instances go on after it."""
+        """Run until `ended` is set; the instances outlast it."""
         tick_at = time.monotonic()
         while not self.ended:
             now = time.monotonic()
             if now >= tick_at:
                 tick_at = now + TICK_S
                 self.round([Tick()])
-                self._rotate_if_due(now)
+                self._rotate_logs_periodically(now)
             self.round(self._next_events(tick_at))
 
     def _next_events(self, until: float) -> list[Event]:
@@ -124,7 +124,7 @@
             events = [event for event in following if event is not None]
 
     def _reduce(self, events: list[Event]) -> list[Effect]:
-        """Return the effects; after a fault of the reducer those that it had asked for by then."""
+        """Return the effects; after a fault of the reducer those that it had emitted by then."""
         try:
             return self.reducer.reduce(time.monotonic(), events)
         except Exception as error:
@@ -145,7 +145,7 @@
             return None
 
     def log_event(self, event: str, level: str, fields: dict[str, Any]) -> None:
-        """Log an event, and keep it for those who ask later."""
+        """Log an event, and store it for clients that read events later."""
         self.event_log.add(event, level, fields)
         getattr(self._log, level)(event, **fields)
 
@@ -154,7 +154,7 @@
         interval_s = max(LEAST_WATCH_INTERVAL_S, WATCH_INTERVAL_S_AN_INSTANCE * len(self.settings.instances))
         return Watcher(name, path, interval_s, self.post)
 
-    def _rotate_if_due(self, now: float) -> None:
+    def _rotate_logs_periodically(self, now: float) -> None:
         """Move logs aside that have grown too large."""
         if now < self._rotate_at:
             return
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -61,7 +61,7 @@
 
 
 def reap(process: Process) -> str | None:
-    """Return how it ended, or None while it runs; `gone` where it is no child of ours."""
+    """Return how it ended, or None while it runs; `gone` where it is not this agent's child."""
     running = alive(process)  # looked at first: what has ended before the wait below is reported by it
     try:
         pid, status = os.waitpid(process.pid, os.WNOHANG)
@@ -74,11 +74,11 @@
 
 
 class NotStartedError(OSError):
-    """A process was gone as soon as it was started."""
+    """A process ended as soon as it was started."""
 
     def __init__(self, name: str) -> None:
         """Name its instance."""
-        super().__init__(f"{name}: its process is gone at once")
+        super().__init__(f"{name}: its process ended at once")
 
 
 def send(process: Process, number: int) -> bool:
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -20,14 +20,14 @@
 from juniperward.fleet.model import Process, Reading
 
 ANSWER_TIMEOUT_S = 1.0
-POLL_STARTING_S = 0.05  # between questions to a process that does not answer yet
+POLL_STARTING_S = 0.05  # between polls of a process that does not answer yet
 
 
 class Watcher:
     """One instance's thread; `process` may be changed by the loop at any time."""
 
     def __init__(self, name: str, path: Path, interval_s: float, post: Callable[[Event], None]) -> None:
-        """Ask at `path` every `interval_s` seconds; what is found goes to `post`."""
+        """Poll at `path` every `interval_s` seconds; what is found goes to `post`."""
         self.name, self.interval_s, self.post = name, interval_s, post
         self.client = ControlClient(path, ANSWER_TIMEOUT_S)
         self.orders: queue.SimpleQueue[str | None] = queue.SimpleQueue()
@@ -41,12 +41,12 @@
         threading.Thread(target=self._run, name=f"watch-{self.name}", daemon=True).start()
 
     def watch(self, process: Process | None) -> None:
-        """Ask this process from now on."""
+        """Poll this process from now on."""
         self.process, self.since = process, None
         self.orders.put(None)
 
     def send_order(self, verb: str) -> None:
-        """Have an order given, before the next question."""
+        """Have an order sent before the next poll."""
         self.orders.put(verb)
 
     def _run(self) -> None:
@@ -72,7 +72,7 @@
         self._poll(process, Verb(order) if order else Verb.STATUS)
 
     def _next_order(self) -> str | None:
-        """Wait for an order, or until the next question is due."""
+        """Wait for an order, or until the next poll."""
         unanswered = self.process is not None and self.since is not None
         try:
             return self.orders.get(timeout=POLL_STARTING_S if unanswered else self.interval_s)
