--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -236,6 +236,8 @@
 
     def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
+        # Discovery has recorded the watch when it writes its answer, the program counts it once that is read.
+        self.until(lambda: "watches_begun" in self.counters(program), "the watch is open")
         before = self.counters(program)
         self.discovery.set_outage(True)
         clients = self.resources.closing(RestingClients(program.address, 300))
