--- a/juniperward/benchmarks/traces.py
+++ b/juniperward/benchmarks/traces.py
@@ -1,7 +1,7 @@
-"""What a whole fleet did, by second and by partner, counted from the traces of all its forwarders.
+"""What a complete fleet did, by second and by destination, counted from the traces of all its forwarders.
 
 A forwarder traces where ROUTER_TRACE is set (juniperward/forwarder/trace.py). A limit, a table of connections and a
-returning partner belong to all forwarders together; what one of them did shows nothing of that.
+recovering destination belong to all forwarders together; what one of them did shows nothing of that.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """All that was counted; a place is a second of the day and a partner."""
+    """All that was counted; a place is a second of the day and a destination."""
 
     counts: dict[tuple[int, int], dict[str, int]] = field(default_factory=dict)
     rates: dict[int, float] = field(default_factory=dict)  # as listed, calls a second
-    delays: dict[int, list[float]] = field(default_factory=dict)  # by second: from taken on to delivered
+    delays: dict[int, list[float]] = field(default_factory=dict)  # by second: from accepted to delivered
     unread: list[str] = field(default_factory=list)  # the first lines that could not be read
     unread_count: int = 0
     forwarders: int = 0
@@ -60,15 +60,15 @@
         place[name] = place.get(name, 0) + by
 
     def rows(self, destination: int | None = None) -> list[tuple[int, dict[str, int]]]:
-        """By second, of one partner or of all together."""
-        return self._summed(lambda second, partner: second if destination in (None, partner) else None)
+        """By second, of one destination or of all together."""
+        return self._summed(lambda second, counted: second if destination in (None, counted) else None)
 
-    def partners(self) -> list[tuple[int, dict[str, int]]]:
-        """By partner, over the whole day."""
-        return self._summed(lambda _, partner: partner)
+    def by_destination(self) -> list[tuple[int, dict[str, int]]]:
+        """By destination, over the whole day."""
+        return self._summed(lambda _, counted: counted)
 
     def peak(self, destination: int) -> int:
-        """Most calls that all forwarders made to a partner within a second."""
+        """Most calls that all forwarders made to a destination within a second."""
         return max((c.get("calls", 0) for (_, d), c in self.counts.items() if d == destination), default=0)
 
     def _summed(self, key: Callable[[int, int], int | None]) -> list[tuple[int, dict[str, int]]]:
@@ -81,12 +81,12 @@
         return sorted(sums.items())
 
 
-class UnknownWordError(ValueError):
-    """A line of a trace begins with a word that has no meaning here."""
+class UnknownKeywordError(ValueError):
+    """A line of a trace begins with a keyword that has no meaning here."""
 
-    def __init__(self, word: str) -> None:
-        """Tell the word."""
-        super().__init__(f"no such word: {word}")
+    def __init__(self, keyword: str) -> None:
+        """Tell the keyword."""
+        super().__init__(f"no such keyword: {keyword}")
 
 
 class TooManyEndsError(ValueError):
@@ -106,66 +106,66 @@
 
 
 class _Reader:
-    """Follows one forwarder's trace over all its lives."""
+    """Follows one forwarder's trace over all its incarnations."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.messages: dict[str, Story] = {}
-        self.calls: dict[str, tuple[int, list[str], set[str]]] = {}  # partner, messages, those answered
+        self.calls: dict[str, tuple[int, list[str], set[str]]] = {}  # destination, messages, those answered
 
     def new_incarnation(self) -> None:
         """A process began (a new incarnation): its attempts are numbered anew."""
         self.calls.clear()
 
-    def take(self, at: float, word: str, rest: list[str], text: str) -> None:
+    def take(self, at: float, keyword: str, fields: list[str], text: str) -> None:
         """Take in one line; raises ValueError, IndexError or KeyError where it makes no sense."""
         fleet = self.fleet
-        match word:
+        match keyword:
             case "handed":
-                fleet.add(at, int(rest[0]), "asked")
+                fleet.add(at, int(fields[0]), "asked")
             case "taken":
-                self.messages[rest[1]] = Story(int(rest[0]), at)
+                self.messages[fields[1]] = Story(int(fields[0]), at)
             case "refused":
-                if rest[0] != "?":
-                    fleet.add(at, int(rest[0]), "door")
+                if fields[0] != "?":
+                    fleet.add(at, int(fields[0]), "door")
             case "listed":
-                fleet.rates[int(rest[1])] = float(rest[4])
+                fleet.rates[int(fields[1])] = float(fields[4])
             case "say":
                 if found := SAID.match(text):
                     fleet.add(at, int(found[2]), "sick", CHANGES[found[1]])
             case "up" | "struck" | "off" | "close" | "noticed" | "untold":
                 pass
             case _:
-                self._take_of_calls(at, word, rest)
+                self._take_of_calls(at, keyword, fields)
 
-    def _take_of_calls(self, at: float, word: str, rest: list[str]) -> None:
-        match word:
+    def _take_of_calls(self, at: float, keyword: str, fields: list[str]) -> None:
+        match keyword:
             case "call":
-                self._called(at, rest)
+                self._called(at, fields)
             case "answer":
-                self._answered(at, rest)
+                self._answered(at, fields)
             case "ended":
-                self._ended(at, rest)
+                self._ended(at, fields)
             case "given_up":
-                self._given_up(at, rest[0])
+                self._given_up(at, fields[0])
             case _:
-                raise UnknownWordError(word)
+                raise UnknownKeywordError(keyword)
 
-    def _called(self, at: float, rest: list[str]) -> None:
-        destination, ids = int(rest[1]), rest[4].split(",")
-        self.calls[rest[0]] = (destination, ids, set())
+    def _called(self, at: float, fields: list[str]) -> None:
+        destination, ids = int(fields[1]), fields[4].split(",")
+        self.calls[fields[0]] = (destination, ids, set())
         self.fleet.add(at, destination, "calls")
         for name in ids:
             story = self.messages.setdefault(name, Story(destination, at))
             story.calls += 1
             self.fleet.add(at, destination, "again", int(story.calls > 1))
 
-    def _answered(self, at: float, rest: list[str]) -> None:
-        destination = self.calls[rest[0]][0]
-        if rest[1] != "fresh":
+    def _answered(self, at: float, fields: list[str]) -> None:
+        destination = self.calls[fields[0]][0]
+        if fields[1] != "fresh":
             return
         self.fleet.add(at, destination, "opened")
-        if rest[2] == "503" and rest[3] == "closes":
+        if fields[2] == "503" and fields[3] == "closes":
             self.fleet.add(at, destination, "tables")
 
     def _given_up(self, at: float, name: str) -> None:
@@ -174,16 +174,16 @@
             given_up.over = True
             self.fleet.add(at, given_up.destination, "given_up")
 
-    def _ended(self, at: float, rest: list[str]) -> None:
+    def _ended(self, at: float, fields: list[str]) -> None:
         """One message's end in a call; the ends stand in the order of the call's messages or all fare alike."""
         f = self.fleet
-        d, ids, done = self.calls[rest[0]]
+        d, ids, done = self.calls[fields[0]]
         left = [name for name in ids if name not in done]
         if not left:
             raise TooManyEndsError
         name = left[0]
         done.add(name)
-        outcome, wait = rest[1], float(rest[2])
+        outcome, wait = fields[1], float(fields[2])
         if wait > 0:
             f.add(at, d, "told", int(len(done) == 1))
         if outcome == "ok":
@@ -223,8 +223,8 @@
         reader.new_incarnation()
         return
     try:
-        at, word, text = _split(line.rstrip())
-        reader.take(at, word, text.split(" "), text)
+        at, keyword, text = _split(line.rstrip())
+        reader.take(at, keyword, text.split(" "), text)
     except (ValueError, IndexError, KeyError) as error:
         fleet.unread_count += 1
         if len(fleet.unread) < MAX_UNREAD_SHOWN:
@@ -232,7 +232,7 @@
 
 
 def _split(line: str) -> tuple[float, str, str]:
-    """Return a line's time, its word, and the rest."""
+    """Return a line's time, its keyword, and the rest."""
     found = TRACED.search(line)
     if not found:
         raise NotTracedError
@@ -245,7 +245,7 @@
 
 
 def text(fleet: Fleet, destination: int | None = None) -> str:
-    """The tables, by second and by partner."""
+    """The tables, by second and by destination."""
     out = [
         f"{fleet.forwarders} forwarders, {fleet.lines} lines, {fleet.unread_count} of them not read, "
         f"in time within {fleet.latency_objective_s:g} s"
@@ -261,9 +261,9 @@
         median = f"{delays[len(delays) // 2]:.3f}" if delays else "-"
         out.append(f"{second:>8} " + " ".join(f"{cells.get(c, 0):>8}" for c in COLUMNS) + f" {median:>8}")
     if destination is None:
-        out.append(f"{'partner':>8} {head} {'listed':>8} {'peak':>8}")
-        for d, row in fleet.partners():
-            listed = f"{fleet.rates.get(d, 0.0):g}"
-            numbers = " ".join(f"{row.get(c, 0):>8}" for c in COLUMNS)
-            out.append(f"{d:>8} {numbers} {listed:>8} {fleet.peak(d):>8}")
+        out.append(f"{'dest.':>8} {head} {'listed':>8} {'peak':>8}")
+        for number, row in fleet.by_destination():
+            listed = f"{fleet.rates.get(number, 0.0):g}"
+            counts = " ".join(f"{row.get(c, 0):>8}" for c in COLUMNS)
+            out.append(f"{number:>8} {counts} {listed:>8} {fleet.peak(number):>8}")
     return "\n".join(out)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -75,8 +75,8 @@
     def test_what_forwarders_write_is_counted_over_all_of_them(self) -> None:
         fleet = read({"n0": life(1000.0), "n1": life(1001.0)})
         assert (fleet.unread_count, fleet.forwarders, fleet.latency_objective_s) == (0, 2, 2.0)
-        ((partner, row),) = fleet.partners()
-        assert partner == 7
+        ((destination, row),) = fleet.by_destination()
+        assert destination == 7
         expected = {"asked": 6, "door": 2, "calls": 4, "again": 2, "ok": 2, "full": 2, "told": 2, "late": 2,
                     "given_up": 2}  # fmt: skip
         assert {k: row.get(k, 0) for k in expected} == expected
@@ -87,7 +87,7 @@
         begun = [x for x in life(1000.0) if " ended " not in x and " answer " not in x]
         fleet = read({"n0": [*begun, *life(1010.0)]})
         assert fleet.unread_count == 0
-        assert fleet.partners()[0][1]["ok"] == 1
+        assert fleet.by_destination()[0][1]["ok"] == 1
 
     def test_what_cannot_be_read_is_counted_and_named(self) -> None:
         bad = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
@@ -96,4 +96,4 @@
         assert fleet.unread_count == 4
         assert any(x.startswith("n0:") and "danced" in x for x in fleet.unread)
         assert "4 of them not read" in text(fleet)
-        assert fleet.partners()[0][1]["late"] == 1
+        assert fleet.by_destination()[0][1]["late"] == 1
