--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -3,11 +3,10 @@
 from __future__ import annotations
 
 import json
-import tempfile
-import unittest
 from pathlib import Path
 from unittest import mock
 
+import pytest
 from typer.testing import CliRunner, Result
 
 from juniperward.agent import api
@@ -22,15 +21,16 @@
 from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.dead_letters.selection import SpoolPosition
 from juniperward.settings.load import load
+from tests.resources import Resources
 from tests.test_dead_letter_store import kept
 from tests.test_settings import GOOD
 
 
-class KeptCliTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestKeptCli:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
         (self.folder / "base.json").write_text('{"settings": {}}')
         self.file = self.folder / "f.textproto"
         self.file.write_text(GOOD)
@@ -44,10 +44,10 @@
         )
         redrive = RedriveSettings((Rule("seven", frozenset({7})),))
         self.service = DeadLetterService(fleet.folder, redrive, list, dict)
-        self.addCleanup(self.service.store.close)
+        self.resources.callback(self.service.store.close)
         self.api.serve_dead_letters(self.service)
         self.api.start()
-        self.addCleanup(self.api.close)
+        self.resources.callback(self.api.close)
         messages = [
             kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
         ]
@@ -57,46 +57,48 @@
     def run_tool(self, *words: object, code: int = 0) -> Result:
         console.width = 240
         result = CliRunner().invoke(app, ["dead-letters", *(str(w) for w in words), "-a", str(self.file)])
-        self.assertEqual(result.exit_code, code, result.output)
+        assert result.exit_code == code, result.output
         return result
 
     def test_lists_with_filters_pages_and_reasons(self) -> None:
         rows = json.loads(self.run_tool("list", "-o", "json", "-n", 1000).output)
-        self.assertEqual([r["id"] for r in rows], [f"m{n}" for n in range(260)])
-        self.assertEqual((rows[0]["kind"], rows[0]["may_go"], rows[0]["wanted_by"]), ("safe", True, "seven"))
-        self.assertEqual((rows[1]["kind"], rows[1]["may_go"]), ("uncertain", False))
-        self.assertEqual(rows[254]["wanted_by"], "")
-        self.assertEqual(len(json.loads(self.run_tool("list", "--destination", 8, "-o", "json").output)), 10)
-        self.assertIn("uncertain", self.run_tool("list", "-n", 3).output)
+        assert [r["id"] for r in rows] == [f"m{n}" for n in range(260)]
+        assert (rows[0]["kind"], rows[0]["may_go"], rows[0]["wanted_by"]) == ("safe", True, "seven")
+        assert (rows[1]["kind"], rows[1]["may_go"]) == ("uncertain", False)
+        assert rows[254]["wanted_by"] == ""
+        assert len(json.loads(self.run_tool("list", "--destination", 8, "-o", "json").output)) == 10
+        assert "uncertain" in self.run_tool("list", "-n", 3).output
         self.run_tool("list", "--destination", 99)
 
     def test_shows_no_body_unless_asked_and_writes_that_down(self) -> None:
-        self.assertNotIn("showed the body", self.run_tool("show", "m1").output)
-        self.assertIn("timeout", self.run_tool("show", "m1").output)
+        assert "showed the body" not in self.run_tool("show", "m1").output
+        assert "timeout" in self.run_tool("show", "m1").output
         found = json.loads(self.run_tool("show", "m1", "--body", "-o", "json").output)
-        self.assertEqual(found["body"], "eA==")
-        self.assertIn("showed the body", self.run_tool("audit").output)
+        assert found["body"] == "eA=="
+        assert "showed the body" in self.run_tool("audit").output
         self.run_tool("show", "none", code=1)
 
     def test_bulk_orders_say_how_many_and_do_nothing_on_a_dry_run(self) -> None:
         self.run_tool("redrive", "--destination", 7, "--dry-run")
-        self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 0)
-        self.assertIn("asked: 250 of 250", self.run_tool("redrive", "--destination", 7).output)
-        self.assertIn("asked: 10 of 260", self.run_tool("redrive", "--all").output)
-        self.assertIn("discarded: 2 of 2", self.run_tool("discard", "m0", "m1").output)
-        self.assertIn("undone: 1 of 1", self.run_tool("undo", "m0").output)
-        self.assertIn("no such message: none", self.run_tool("redrive", "none", "m2", code=1).output)
+        assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 0
+        assert "asked: 250 of 250" in self.run_tool("redrive", "--destination", 7).output
+        assert "asked: 10 of 260" in self.run_tool("redrive", "--all").output
+        assert "discarded: 2 of 2" in self.run_tool("discard", "m0", "m1").output
+        assert "undone: 1 of 1" in self.run_tool("undo", "m0").output
+        assert "no such message: none" in self.run_tool("redrive", "none", "m2", code=1).output
         self.run_tool("redrive", code=2)
         self.run_tool("discard", code=2)
 
     def test_the_old_command_name_resend_still_redrives_and_is_hidden(self) -> None:
-        self.assertIn("asked: 250 of 250", self.run_tool("resend", "--destination", 7).output)
-        self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 250)
+        assert "asked: 250 of 250" in self.run_tool("resend", "--destination", 7).output
+        assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 250
         listed = CliRunner().invoke(app, ["dead-letters", "--help"]).output
-        self.assertIn("redrive", listed)
-        self.assertNotIn("resend", listed)
+        assert "redrive" in listed
+        assert "resend" not in listed
 
-    def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(self) -> None:
+    def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(
+        self, subtests: pytest.Subtests
+    ) -> None:
         """Two parts of up to 200: it dies before or after either of them has come to the agent."""
         from juniperward.cli import dead_letter_access as access
         from juniperward.cli import dead_letter_orders as tool
@@ -119,22 +121,22 @@
                         raise Dies
                     return found if found is not None else real(*args, **options)  # type: ignore[arg-type]
 
-                with self.subTest(late=late, dies_at=dies_at):
-                    with mock.patch.object(tool, "call", dying), self.assertRaises(Dies):
+                with subtests.test(late=late, dies_at=dies_at):
+                    with mock.patch.object(tool, "call", dying), pytest.raises(Dies):
                         CliRunner().invoke(
                             app,
                             ["dead-letters", "redrive", "--all", "-a", str(self.file)],
                             catch_exceptions=False,
                         )
                     done = self.service.store.stats()["wished"]
-                    self.assertEqual(done, min(200 * (dies_at - 1 + late), 260))
-                    self.assertIn(f"asked: {260 - done} of 260", self.run_tool("redrive", "--all").output)
+                    assert done == min(200 * (dies_at - 1 + late), 260)
+                    assert f"asked: {260 - done} of 260" in self.run_tool("redrive", "--all").output
                     ids = [f"m{n}" for n in range(260)]
-                    self.assertEqual(self.service.store.undo(ids, "test"), 260)  # each was wished once
+                    assert self.service.store.undo(ids, "test") == 260  # each was wished once
         asked = [
             r["message"] for r in self.service.store.audit(0, 10000) if r["what"] == "asked for a resend"
         ]
-        self.assertEqual(len(asked), 4 * 260)
+        assert len(asked) == 4 * 260
 
     def test_settles_exports_checks_and_copies(self) -> None:
         self.run_tool("settle", "m1", "--delivered", "--why", "Mr Nair has it")
@@ -142,29 +144,29 @@
         self.run_tool("settle", "m1", "--delivered", "--why", "again", code=1)
         self.run_tool("settle", "m5", "--delivered", "--why", " ", code=1)
         rows = {r["id"]: r for r in json.loads(self.run_tool("list", "-o", "json").output)}
-        self.assertEqual((rows["m1"]["stand"], rows["m3"]["kind"]), ("delivered", "safe"))
+        assert (rows["m1"]["stand"], rows["m3"]["kind"]) == ("delivered", "safe")
         out = self.folder / "out.jsonl"
         self.run_tool("export", out, "--destination", 8)
-        self.assertEqual(len([json.loads(x) for x in out.read_text().splitlines()]), 10)
-        self.assertIn("0 faults", self.run_tool("check").output)
+        assert len([json.loads(x) for x in out.read_text().splitlines()]) == 10
+        assert "0 faults" in self.run_tool("check").output
         self.run_tool("backup", self.folder / "copy.db")
-        self.assertTrue((self.folder / "copy.db").exists())
+        assert (self.folder / "copy.db").exists()
 
     def test_rules_are_checked_and_simulated(self) -> None:
         other = self.folder / "g.textproto"
         other.write_text(GOOD + 'kept { on: true\n rule { name: "x" destination: 8 }\n rule { name: "x" } }')
         result = CliRunner().invoke(app, ["dead-letters", "rules", "check", str(other)])
-        self.assertEqual(result.exit_code, 2)
-        self.assertIn("g.textproto:16: kept.rule[1].name: x stands twice", result.output)
+        assert result.exit_code == 2
+        assert "g.textproto:16: kept.rule[1].name: x stands twice" in result.output
         other.write_text(GOOD + 'kept { on: true rule { name: "x" destination: 8 } }')
-        self.assertEqual(CliRunner().invoke(app, ["dead-letters", "rules", "check", str(other)]).exit_code, 0)
+        assert CliRunner().invoke(app, ["dead-letters", "rules", "check", str(other)]).exit_code == 0
         words = ["dead-letters", "rules", "simulate", str(other), "-a", str(self.file), "-o", "json"]
         found = json.loads(CliRunner().invoke(app, words).output)
-        self.assertEqual(found["go"], {"x": {"8": 5}})
-        self.assertEqual(found["stay"]["uncertain"], 130)
-        self.assertEqual(found["stay"]["no rule takes it"], 125)
-        self.assertEqual(json.loads(self.run_tool("stats", "-o", "json").output)["wished"], 0)
+        assert found["go"] == {"x": {"8": 5}}
+        assert found["stay"]["uncertain"] == 130
+        assert found["stay"]["no rule takes it"] == 125
+        assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 0
 
     def test_an_agent_that_keeps_nothing_says_so(self) -> None:
         self.api.queries.dead_letters = None
-        self.assertIn("nothing is kept", self.run_tool("stats", code=1).output)
+        assert "nothing is kept" in self.run_tool("stats", code=1).output
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -5,12 +5,12 @@
 import multiprocessing
 import os
 import sqlite3
-import tempfile
 import threading
-import unittest
 from pathlib import Path
 from unittest import mock
 
+import pytest
+
 from juniperward.dead_letters import outcome_log
 from juniperward.dead_letters import spool as spools
 from juniperward.dead_letters.clock import Clock
@@ -26,6 +26,7 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.dead_letters.store_errors import LeaseLostError, StoreError
 from juniperward.scheduler.settings import Idempotency
+from tests.resources import Resources
 
 
 def kept(
@@ -63,16 +64,14 @@
     out.put(won)
 
 
-class SpoolTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name) / "spool"
+class TestSpool:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path / "spool"
 
     def spool(self, most: int = 1_000_000) -> Spool:
-        made = Spool(self.folder, most)
-        self.addCleanup(made.close)
-        return made
+        return self.resources.closing(Spool(self.folder, most))
 
     def messages(self) -> list[str]:
         return [k.id for _, p in segments(self.folder) for k, _ in read(p, 0) if k is not None]
@@ -81,7 +80,7 @@
         one = kept("a", ran=995.0, body=bytes(range(256)))
         self.spool().append(one)
         ((found, _),) = read(segments(self.folder)[0][1], 0)
-        self.assertEqual(found, one)
+        assert found == one
 
     def test_a_tail_torn_at_any_byte_loses_only_its_message(self) -> None:
         mine = self.spool()
@@ -92,10 +91,10 @@
         start = whole.rindex(b"\n", 0, -1) + 1
         for length in range(start, len(whole)):
             path.write_bytes(whole[:length])
-            self.assertEqual(self.messages(), ["a", "b"])
+            assert self.messages() == ["a", "b"]
             # The next life does not write behind the torn end.
             Spool(self.folder, 1_000_000).append(kept("d"))
-            self.assertEqual(self.messages(), ["a", "b", "d"])
+            assert self.messages() == ["a", "b", "d"]
             segments(self.folder)[-1][1].unlink()
 
     def test_a_damaged_line_is_left_out_and_said(self) -> None:
@@ -106,27 +105,27 @@
         lines = path.read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b"acme", b"acmf")
         path.write_bytes(b"\n".join(lines))
-        self.assertEqual([k.id if k is not None else None for k, _ in read(path, 0)], ["a", None, "c"])
+        assert [k.id if k is not None else None for k, _ in read(path, 0)] == ["a", None, "c"]
 
     def test_one_that_an_earlier_life_kept_is_not_kept_twice(self) -> None:
         self.spool().append(kept("a"))
         again = self.spool()
-        self.assertEqual(again.ids, {"a"})
+        assert again.ids == {"a"}
         again.append(kept("a"))
-        self.assertEqual(self.messages(), ["a"])
+        assert self.messages() == ["a"]
 
     def test_acknowledged_segments_go_only_after_their_ids_were_read(self) -> None:
         self.spool().append(kept("a"))
         self.spool().append(kept("b"))
         acknowledge_segment(self.folder, 1)
         third = self.spool()
-        self.assertEqual(third.ids, {"a", "b"})
-        self.assertEqual(self.messages(), ["b"])
+        assert third.ids == {"a", "b"}
+        assert self.messages() == ["b"]
 
     def test_a_full_spool_and_a_full_disk_keep_nothing_of_a_message(self) -> None:
         mine = self.spool(2000)
         mine.append(kept("a"))
-        with self.assertRaises(SpoolFullError):
+        with pytest.raises(SpoolFullError):
             mine.append(kept("b", body=b"x" * 3000))
         part = iter([5])
 
@@ -137,10 +136,10 @@
             return real(file, data[:n])
 
         real = os.write
-        with mock.patch("os.write", torn), self.assertRaises(OSError):
+        with mock.patch("os.write", torn), pytest.raises(OSError):
             mine.append(kept("c"))
         mine.append(kept("d"))
-        self.assertEqual(self.messages(), ["a", "d"])
+        assert self.messages() == ["a", "d"]
 
     def test_room_comes_back_when_the_agent_has_taken_in(self) -> None:
         with mock.patch.object(spools, "SEGMENT_BYTES", 100):
@@ -148,11 +147,11 @@
             mine.append(kept("a"))
             mine.append(kept("b"))
             mine.append(kept("c"))
-            with self.assertRaises(SpoolFullError):
+            with pytest.raises(SpoolFullError):
                 mine.append(kept("d"))
             acknowledge_segment(self.folder, 2)
             mine.append(kept("d"))
-        self.assertEqual(self.messages(), ["c", "d"])
+        assert self.messages() == ["c", "d"]
 
     def test_fates_outlast_the_process_and_the_first_one_stays(self) -> None:
         mine = self.spool()
@@ -160,34 +159,31 @@
         mine.outcomes.record("kept-a-1", RedriveOutcome("undeliverable"))
         since = mine.outcomes.complete_since
         again = self.spool()
-        self.assertEqual(again.outcomes, {"kept-a-1": RedriveOutcome("delivered", 5.0)})
-        self.assertEqual(again.outcomes.complete_since, since)
+        assert again.outcomes == {"kept-a-1": RedriveOutcome("delivered", 5.0)}
+        assert again.outcomes.complete_since == since
         with mock.patch.object(outcome_log, "MAX_OUTCOMES", 2):
             for n in range(3):
                 again.outcomes.record(f"kept-b-{n}", RedriveOutcome("delivered"))
-        self.assertGreater(again.outcomes.complete_since, since)
-        self.assertNotIn("kept-a-1", self.spool().outcomes)
+        assert again.outcomes.complete_since > since
+        assert "kept-a-1" not in self.spool().outcomes
 
 
-class StoreTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.file = Path(folder.name) / "kept.db"
-        self.store = DeadLetterStore(self.file, "OFF")
-        self.addCleanup(self.store.close)
+class TestStore:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.file = tmp_path / "kept.db"
+        self.store = self.resources.closing(DeadLetterStore(self.file, "OFF"))
 
     def fill(self, count: int) -> None:
         self.store.add("n0", [kept(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10))
 
     def test_a_spool_taken_in_twice_says_the_same(self) -> None:
         messages = [kept("a"), kept("b", ran=995.0)]
-        self.assertEqual(self.store.add("n0", messages, SpoolPosition(1, 50)), 2)
-        self.assertEqual(self.store.add("n0", messages, SpoolPosition(1, 50)), 0)
-        self.assertEqual(self.store.spool_position("n0"), (1, 50))
-        self.assertEqual(
-            [(f.id, f.executed_at) for f in self.store.select(Filter())], [("a", None), ("b", 995.0)]
-        )
+        assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 2
+        assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 0
+        assert self.store.spool_position("n0") == (1, 50)
+        assert [(f.id, f.executed_at) for f in self.store.select(Filter())] == [("a", None), ("b", 995.0)]
 
     def test_two_processes_and_a_rule_claim_each_message_once(self) -> None:
         self.fill(200)
@@ -205,49 +201,49 @@
                 pass
         for w in workers:
             w.join(60.0)
-        self.assertEqual(mine + sum(out.get(timeout=10.0) for _ in workers), 200)
-        self.assertEqual(len(self.store.open_redrives()), 200)
+        assert mine + sum(out.get(timeout=10.0) for _ in workers) == 200
+        assert len(self.store.open_redrives()) == 200
 
     def test_a_claim_is_fenced(self) -> None:
         self.fill(1)
         lease = self.store.acquire_lease("m0", 0, "n0", 1.0, "a")
-        with self.assertRaises(LeaseLostError):
+        with pytest.raises(LeaseLostError):
             self.store.acquire_lease("m0", 1, "n0", 1.0, "b")
         self.store.settle_redrive(lease, "refused", None, 2.0)
-        with self.assertRaises(LeaseLostError):
+        with pytest.raises(LeaseLostError):
             self.store.acquire_lease("m0", 0, "n0", 3.0, "c")  # by one who has looked before that
         again = self.store.acquire_lease("m0", 1, "n1", 3.0, "c")
-        self.assertNotEqual(again.redrive_id, lease.redrive_id)
-        with self.assertRaises(LeaseLostError):
+        assert again.redrive_id != lease.redrive_id
+        with pytest.raises(LeaseLostError):
             self.store.settle_redrive(lease, "delivered", None, 4.0)  # an old lease says nothing any more
         self.store.settle_redrive(again, "undeliverable", 3.5, 4.0)
         (facts,) = self.store.select(Filter())
-        self.assertEqual((facts.status, facts.executed_at, facts.redrives), (Status.STORED, 3.5, 1))
+        assert (facts.status, facts.executed_at, facts.redrives) == (Status.STORED, 3.5, 1)
 
     def test_people_settle_discard_and_undo_and_all_is_written_down(self) -> None:
         self.fill(3)
         lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
         self.store.settle("m0", Statement(True, "ann", "the partner has it"), 2.0)
-        with self.assertRaises(LeaseLostError):
+        with pytest.raises(LeaseLostError):
             self.store.settle_redrive(lease, "undeliverable", None, 3.0)
-        with self.assertRaises(LeaseLostError):
+        with pytest.raises(LeaseLostError):
             self.store.settle("m0", Statement(False, "bob", "no"), 3.0)
-        self.assertEqual(self.store.request_redrive(["m1", "m0", "none"], "ann"), 1)
-        self.assertEqual(self.store.request_redrive(["m1"], "bob"), 0)
-        self.assertEqual(self.store.discard(["m1", "m2"], "bob"), 2)
-        self.assertEqual(self.store.undo(["m1", "m0"], "bob"), 1)
-        self.assertEqual(self.store.show_body("m1", "cy"), b"x")
+        assert self.store.request_redrive(["m1", "m0", "none"], "ann") == 1
+        assert self.store.request_redrive(["m1"], "bob") == 0
+        assert self.store.discard(["m1", "m2"], "bob") == 2
+        assert self.store.undo(["m1", "m0"], "bob") == 1
+        assert self.store.show_body("m1", "cy") == b"x"
         said = [(a["who"], a["what"], a["message"]) for a in self.store.audit()]
-        self.assertIn(("ann", "settled: delivered", "m0"), said)
-        self.assertIn(("cy", "showed the body", "m1"), said)
-        self.assertIn(("bob", "undid the discard", "m1"), said)
+        assert ("ann", "settled: delivered", "m0") in said
+        assert ("cy", "showed the body", "m1") in said
+        assert ("bob", "undid the discard", "m1") in said
         for order in ("UPDATE audit SET who = 'x'", "DELETE FROM audit"):
-            with self.assertRaises(sqlite3.DatabaseError):
+            with pytest.raises(sqlite3.DatabaseError):
                 self.store.db.execute(order)
         record = self.store.complete_record("m0")
         assert record is not None
-        self.assertNotIn("body", record)
-        self.assertEqual([r["end"] for r in record["resent"]], ["settled"])
+        assert "body" not in record
+        assert [r["end"] for r in record["resent"]] == ["settled"]
 
     def test_pages_and_filters(self) -> None:
         self.fill(25)
@@ -256,23 +252,21 @@
         while page := self.store.select(Filter(destination=2), 2, after):
             seen += [f.id for f in page]
             after = Position(page[-1].given_up_at, page[-1].id)
-        self.assertEqual(seen, ["m2", "m7", "m12", "m17", "m22"])
-        self.assertEqual(len(self.store.select(Filter(since=1010.0, until=1012.0))), 2)
-        self.assertEqual(
-            len(self.store.select(Filter(idempotency_key="km3", account="acme", status="kept"))), 1
-        )
-        self.assertEqual(self.store.destinations(), {n: 5 for n in range(5)})
+        assert seen == ["m2", "m7", "m12", "m17", "m22"]
+        assert len(self.store.select(Filter(since=1010.0, until=1012.0))) == 2
+        assert len(self.store.select(Filter(idempotency_key="km3", account="acme", status="kept"))) == 1
+        assert self.store.destinations() == {n: 5 for n in range(5)}
 
     def test_retention_drops_the_oldest_and_tells(self) -> None:
         self.fill(10)
         self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        self.assertEqual(self.store.sweep(1010.0, Limits(5.5, 100, 10**9)), 4)  # m1 to m4; m0 is under way
-        self.assertEqual(self.store.sweep(1010.0, Limits(1e9, 4, 10**9)), 2)
-        self.assertEqual(self.store.sweep(1010.0, Limits(1e9, 100, 1100)), 2)
-        self.assertEqual({f.id for f in self.store.select(Filter())}, {"m0", "m9"})
+        assert self.store.sweep(1010.0, Limits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is under way
+        assert self.store.sweep(1010.0, Limits(1e9, 4, 10**9)) == 2
+        assert self.store.sweep(1010.0, Limits(1e9, 100, 1100)) == 2
+        assert {f.id for f in self.store.select(Filter())} == {"m0", "m9"}
         told = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
-        self.assertEqual(len(told), 8)
-        self.assertIn("kept; for its age", told)
+        assert len(told) == 8
+        assert "kept; for its age" in told
 
     def test_an_older_schema_is_taken_over_and_a_newer_one_refused(self) -> None:
         old = self.file.parent / "old.db"
@@ -286,39 +280,39 @@
         db.commit()
         db.close()
         (facts,) = DeadLetterStore(old).select(Filter())
-        self.assertEqual((facts.id, facts.redrive_requested), ("a", False))
+        assert (facts.id, facts.redrive_requested) == ("a", False)
         self.store.db.execute("PRAGMA user_version=99")
-        with self.assertRaisesRegex(StoreError, "schema 99"):
+        with pytest.raises(StoreError, match="schema 99"):
             DeadLetterStore(self.file)
 
     def test_damage_is_found_and_a_backup_is_whole(self) -> None:
         self.fill(500)
         copy = self.file.parent / "copy.db"
         self.store.backup(copy)
-        self.assertEqual(len(DeadLetterStore(copy).select(Filter())), 500)
-        self.assertEqual(self.store.check(), [])
+        assert len(DeadLetterStore(copy).select(Filter())) == 500
+        assert self.store.check() == []
         self.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         self.store.close()
         data = bytearray(self.file.read_bytes())
         data[8192:12288] = b"\xff" * 4096
         self.file.write_bytes(data)
-        with self.assertRaises((StoreError, sqlite3.DatabaseError)):
+        with pytest.raises((StoreError, sqlite3.DatabaseError)):
             found = DeadLetterStore(self.file).check()
             raise StoreError(str(found)) if found else AssertionError("no damage was seen")
 
     def test_a_disk_that_fills_amid_a_change_takes_none_of_it(self) -> None:
         self.fill(5)
-        with self.assertRaises(sqlite3.OperationalError), self.store.transaction() as db:
+        with pytest.raises(sqlite3.OperationalError), self.store.transaction() as db:
             db.execute("UPDATE message SET wished = 'x'")
             raise sqlite3.OperationalError("database or disk is full")
-        self.assertEqual(self.store.select(Filter(redrive_requested=True)), [])
+        assert self.store.select(Filter(redrive_requested=True)) == []
 
     def test_moments_are_remembered_and_threads_have_their_own_connections(self) -> None:
         self.store.record_clock(Clock(5.0, 6.0, "b"))
         self.store.record_clock(Clock(float("inf"), 7.0, "b"))
-        self.assertEqual(self.store.recorded_clock(), Clock(5.0, 6.0, "b"))
+        assert self.store.recorded_clock() == Clock(5.0, 6.0, "b")
         found: list[object] = []
         thread = threading.Thread(target=lambda: found.append(self.store.stats()["messages"]))
         thread.start()
         thread.join()
-        self.assertEqual(found, [0])
+        assert found == [0]
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -7,7 +7,6 @@
 import tempfile
 import threading
 import time
-import unittest
 from pathlib import Path
 from typing import Any
 
@@ -48,11 +47,12 @@
 from juniperward.settings import fleet_pb2
 from tests.helpers import KEYED, settings
 from tests.player import Player, Program
+from tests.resources import UsesResources
 
 WORKER = Endpoint("s-1", "127.0.0.1", 81, 7, EndpointPhase.READY, 0, 0, 0.0)
 
 
-class ReducerTest(unittest.TestCase):
+class TestReducer:
     def reducer(self, keeps: bool = True, kept: frozenset[str] = frozenset()) -> Reducer:
         made = Reducer(settings(KEYED), 1, keeps, kept)
         made.reduce(100.0, [EndpointsUpdated(1, True, (WORKER,), cached=True)])
@@ -79,21 +79,23 @@
             and isinstance(decided, AppendRecord)
             and isinstance(notify, SendNotifications)
         )
-        self.assertEqual(
-            (keep.message.id, keep.received_at, keep.given_up_at, keep.endpoints),
-            ("a", 100.0, 110.0, ("s-1",)),
+        assert (keep.message.id, keep.received_at, keep.given_up_at, keep.endpoints) == (
+            "a",
+            100.0,
+            110.0,
+            ("s-1",),
         )
-        self.assertIsInstance(decided.record, OutcomeDecidedRecord)
+        assert isinstance(decided.record, OutcomeDecidedRecord)
 
     def test_nothing_is_kept_where_it_is_off_or_the_client_may_come_again(self) -> None:
         reducer = self.reducer(keeps=False)
         self.take(reducer)
-        self.assertEqual([type(e) for e in self.give_up(reducer)], [AppendRecord, SendNotifications])
+        assert [type(e) for e in self.give_up(reducer)] == [AppendRecord, SendNotifications]
         reducer = self.reducer()
         self.take(reducer)
         reducer._round.begin(110.0)
         reducer._scheduling._give_up(1, 0.5)
-        self.assertEqual([type(e) for e in reducer.effects], [AppendRecord, SendNotifications])
+        assert [type(e) for e in reducer.effects] == [AppendRecord, SendNotifications]
 
     def test_one_whose_time_is_over_is_kept_and_its_client_told_not_to_come(self) -> None:
         # Guards against two senders of one message: the client's second try and the resend.
@@ -102,9 +104,9 @@
         reducer._round.begin(119.8)
         reducer._scheduling._give_up(1, 0.5)
         keep, decided, _ = reducer.effects
-        self.assertIsInstance(keep, StoreDeadLetter)
+        assert isinstance(keep, StoreDeadLetter)
         assert isinstance(decided, AppendRecord) and isinstance(decided.record, OutcomeDecidedRecord)
-        self.assertIsNone(decided.record.notification.retry_after_s)
+        assert decided.record.notification.retry_after_s is None
 
     def test_one_that_was_kept_before_a_kill_ends_without_being_kept_again(self) -> None:
         with tempfile.TemporaryDirectory() as name:
@@ -114,7 +116,7 @@
             again = Journal(Path(name), 100_000, 0.0)
             effects = self.reducer(kept=frozenset({"a"})).reduce(100.0, [JournalReplayed(again.restored())])
             again.close()
-        self.assertEqual([type(e) for e in effects], [AppendRecord, SendNotifications])
+        assert [type(e) for e in effects] == [AppendRecord, SendNotifications]
 
     def test_what_is_not_known_is_never_taken_later(self) -> None:
         reducer = self.reducer()
@@ -122,18 +124,18 @@
             100.0, [ControlRequested(1, Request(3, Verb.REDRIVE_OUTCOMES, ("kept-a-1",)))]
         )
         assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, RedriveOutcomes)
-        self.assertEqual([r.outcome for r in tell.answer.body.outcomes], ["unknown"])
+        assert [r.outcome for r in tell.answer.body.outcomes] == ["unknown"]
         (reply,) = reducer.reduce(
             100.0, [MessageReceived(5, Message("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 100.0)]
         )
         assert isinstance(reply, ReplyToClient)
-        self.assertEqual(reply.status, 503)
+        assert reply.status == 503
         self.take(reducer, "kept-b-1")
         (tell,) = reducer.reduce(
             100.0, [ControlRequested(1, Request(3, Verb.REDRIVE_OUTCOMES, ("kept-b-1",)))]
         )
         assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, RedriveOutcomes)
-        self.assertEqual([r.outcome for r in tell.answer.body.outcomes], ["held"])
+        assert [r.outcome for r in tell.answer.body.outcomes] == ["held"]
 
     def test_a_resend_carries_when_it_may_have_run_to_module_and_journal(self) -> None:
         reducer = self.reducer()
@@ -147,10 +149,10 @@
         reducer.scheduler.handle = handle  # type: ignore[method-assign]
         self.take(reducer, "kept-a-1", ran=3.0)
         (arrived,) = [e for e in heard if isinstance(e, MessageAdmitted)]
-        self.assertEqual(arrived.history, (ModuleTried(0, 97.0),))
+        assert arrived.history == (ModuleTried(0, 97.0),)
         remember, decided, _ = self.give_up(reducer)
-        self.assertEqual(remember, RecordRedriveOutcome("kept-a-1", "undeliverable", 97.0))
-        self.assertIsInstance(decided, AppendRecord)
+        assert remember == RecordRedriveOutcome("kept-a-1", "undeliverable", 97.0)
+        assert isinstance(decided, AppendRecord)
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
             journal.append(AcceptedRecord(Message("kept-a-1", 0, 0, 7, 20.0, "k", b"x"), 1e9, 97.0))
@@ -158,7 +160,7 @@
             again = Journal(Path(name), 100_000, 0.0)
             (restored,) = again.restored()
             again.close()
-        self.assertEqual([(d.started_at, d.possibly_executed) for d in restored.history], [(97.0, True)])
+        assert [(d.started_at, d.possibly_executed) for d in restored.history] == [(97.0, True)]
 
     def test_a_spool_that_cannot_be_written_stops_keeping_and_nothing_else(self) -> None:
         with tempfile.TemporaryDirectory() as name:
@@ -172,48 +174,44 @@
             writer.store(
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (tried,), ("s-1",))
             )
-            self.assertEqual(counters()["dead_letters_failed"], before + 1)
+            assert counters()["dead_letters_failed"] == before + 1
             spool.outcomes.record("kept-a-1", RedriveOutcome("delivered"))
-            self.assertEqual(
-                writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since,
-                spool.outcomes.complete_since,
+            assert (
+                writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since
+                == spool.outcomes.complete_since
             )
             spool.close()
             writer.record_redrive_outcome(RecordRedriveOutcome("kept-b-1", "delivered", None))
-            self.assertGreater(writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since, 1e17)
+            assert writer.redrive_outcomes(RedriveOutcomes(0.0, ())).complete_since > 1e17
 
 
-class ForwarderTest(unittest.TestCase):
+class TestForwarder(UsesResources):
     def test_a_real_one_keeps_what_fails_once_over_a_kill(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            program = Program(Path(name))
-            self.addCleanup(program.close)
+            program = self.resources.closing(Program(Path(name)))
             program.config["kept"] = {"spool": str(Path(name) / "spool"), "max_bytes": 100_000}
             program.start()
-            player = Player(program)
-            self.addCleanup(player.close)
+            player = self.resources.closing(Player(program))
             text = (Path(__file__).parent / "exchanges" / "reload.txt").read_text()
             player.play(text[text.index("@ c client") : text.index("! reload")])
             player._signal("restart")
             found = [k for _, p in segments(Path(name) / "spool") for k, _ in read(p, 0)]
-            self.assertEqual(
-                [(k.id, k.idempotency, k.account) for k in found if k is not None],
-                [("m1", Idempotency.NON_IDEMPOTENT, "acme")],
-            )
-            self.assertEqual([a.possibly_executed for a in found[0].attempts] if found[0] else [], [True])
+            assert [(k.id, k.idempotency, k.account) for k in found if k is not None] == [
+                ("m1", Idempotency.NON_IDEMPOTENT, "acme")
+            ]
+            assert ([a.possibly_executed for a in found[0].attempts] if found[0] else []) == [True]
             player.close()
             program.end()
 
 
-class YardTest(unittest.TestCase):
+class TestYard(UsesResources):
     """A destination that is away and comes back; what it missed arrives once."""
 
     def cluster(self, rules: bool = True) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
-        self.addCleanup(folder.cleanup)
+        self.resources.callback(folder.cleanup)
         destinations = [DestinationSpec(1, latency_s=0.02, warm_up_s=3.0), DestinationSpec(2, latency_s=0.02)]
-        cluster = LocalCluster(Path(folder.name), 2, destinations)
-        self.addCleanup(cluster.close)
+        cluster = self.resources.closing(LocalCluster(Path(folder.name), 2, destinations))
         cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 2500.0, "AimMs": 1000.0}
         cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": 3000.0}
         cluster.files.dead_letters = fleet_pb2.Kept(
@@ -249,12 +247,12 @@
                 taken = resend["end"] not in ("refused", "never taken")
                 cluster.recorder.add(SubmissionAnswered(at + 0.01, resend["id"], 202 if taken else 503))
             if row["stand"] == "delivered":
-                self.assertEqual(effects.get(row["key"]), 1, row)
+                assert effects.get(row["key"]) == 1, row
             else:
-                self.assertEqual((row["stand"], row["kind"]), ("kept", "uncertain"), row)
-            self.assertLessEqual(effects.get(row["key"], 0), 1, row)
+                assert (row["stand"], row["kind"]) == ("kept", "uncertain"), row
+            assert effects.get(row["key"], 0) <= 1, row
         verdict = cluster.verdict()
-        self.assertTrue(verdict.passed, "\n".join(verdict.lines()))
+        assert verdict.passed, "\n".join(verdict.lines())
         self.kept = len(rows)
 
     def settled(self, cluster: LocalCluster, patience: float = 40.0) -> None:
@@ -281,24 +279,24 @@
         cluster.destinations[1].inject_fault(FaultMode.DOWN)
         time.sleep(5.0)
         cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
-        self.assertTrue(clients.done.wait(30.0))
+        assert clients.done.wait(30.0)
         cluster.settle()
         self.settled(cluster)
-        self.assertFalse(cluster.destinations[1].capacity.crashed)
+        assert not cluster.destinations[1].capacity.crashed
         self.check_once(cluster)
-        self.assertGreater(self.kept, 10)
+        assert self.kept > 10
 
     def test_kills_between_claim_and_end_send_nothing_twice_and_two_people_ask_at_once(self) -> None:
         cluster = self.cluster(rules=False)
         clients = cluster.clients(30.0, 5.0, threads=24)
         time.sleep(0.5)
         cluster.destinations[1].inject_fault(FaultMode.DOWN)
-        self.assertTrue(clients.done.wait(30.0))
+        assert clients.done.wait(30.0)
         cluster.settle()
         cluster.wait_until(lambda _: True)
         # The spools are taken in some time after the last message was given up.
         kept = sum(cluster.request("inspect", [n])["status"]["kept"] for n in cluster.names)
-        self.assertGreater(kept, 10)
+        assert kept > 10
         cluster.wait_until(lambda _: cluster.request("kept", action="stats")["messages"] == kept)
         found = cluster.request("kept", action="list", limit=500)["messages"]
         cluster.destinations[1].inject_fault(FaultMode.HEALTHY)
@@ -323,4 +321,4 @@
         self.settled(cluster)
         self.check_once(cluster)
         said = [a["what"] for a in cluster.request("kept", action="audit")["audit"]]
-        self.assertEqual(said.count("asked for a resend"), len(ids))
+        assert said.count("asked for a resend") == len(ids)
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import re
 import signal
 import socket
 import subprocess
@@ -11,25 +12,27 @@
 import tempfile
 import threading
 import time
-import unittest
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from juniperward.agent.client import AgentRejectedError, request
 from juniperward.benchmarks.cluster_files import ROOT
 from juniperward.benchmarks.local_cluster import ClusterOptions, LocalCluster
 from juniperward.benchmarks.ports import reserve_ports
 from juniperward.fakes.destination_spec import DestinationSpec
+from tests.resources import UsesResources
 
 QUICK = [DestinationSpec(1, latency_s=0.02), DestinationSpec(2, latency_s=0.02, endpoints=3)]
 
 
-class PortTest(unittest.TestCase):
+class TestPort(UsesResources):
     def test_a_reserved_port_is_given_to_nobody_but_the_listener_it_is_for(self) -> None:
         """Two of 200 runs of the acceptance had no verdict: a port was taken before its forwarder started."""
         (held,) = reserve_ports(1)
-        self.addCleanup(held.close)
-        with socket.socket() as stranger, self.assertRaises(OSError):
+        self.resources.callback(held.close)
+        with socket.socket() as stranger, pytest.raises(OSError):
             stranger.bind(held.getsockname())
         for _ in range(2):  # also after a restart
             with socket.socket() as listener:
@@ -38,26 +41,26 @@
                 listener.listen()
                 with socket.create_connection(held.getsockname(), 1.0) as link:
                     listener.accept()[0].close()
-                    self.assertEqual(link.recv(1), b"")
+                    assert link.recv(1) == b""
 
 
-class YardTest(unittest.TestCase):
+class YardTest(UsesResources):
     def cluster(self, instances: int = 3, **more: Any) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
-        self.addCleanup(folder.cleanup)
-        cluster = LocalCluster(Path(folder.name), instances, QUICK, options=ClusterOptions(**more))
-        self.addCleanup(cluster.close)
-        return cluster
+        self.resources.callback(folder.cleanup)
+        return self.resources.closing(
+            LocalCluster(Path(folder.name), instances, QUICK, options=ClusterOptions(**more))
+        )
 
     def judge(self, cluster: LocalCluster) -> None:
         cluster.settle()
         verdict = cluster.verdict()
-        self.assertTrue(verdict.passed, "\n".join(verdict.lines()))
-        self.assertEqual(verdict.unfinished, 0)
-        self.assertGreater(verdict.accepted, 20)
+        assert verdict.passed, "\n".join(verdict.lines())
+        assert verdict.unfinished == 0
+        assert verdict.accepted > 20
 
 
-class RollsTest(YardTest):
+class TestRolls(YardTest):
     def test_a_roll_under_load_loses_nothing_while_a_worker_drains(self) -> None:
         cluster = self.cluster()
         cluster.start()
@@ -65,13 +68,13 @@
         cluster.request("roll", soak=0.2)
         cluster.wait_until(lambda s: s["roll"]["steps"][0]["stage"] == "starting")
         cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
-        self.assertEqual(cluster.roll_end()["mode"], "done")
-        self.assertTrue(clients.done.wait(30.0))
+        assert cluster.roll_end()["mode"] == "done"
+        assert clients.done.wait(30.0)
         self.judge(cluster)
         # It came back with a list that it had heard since: the drained worker is barred there, too.
         found = cluster.request("inspect", ["n0"])
         phases = {w["id"]: w["phase"] for w in found["workers"]}
-        self.assertEqual((phases["s-2-0"], phases["s-2-1"]), ("draining", "ready"))
+        assert (phases["s-2-0"], phases["s-2-1"]) == ("draining", "ready")
 
     def test_a_stopped_instance_is_told_and_rolled_and_the_agent_may_die_meanwhile(self) -> None:
         cluster = self.cluster(settings={"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}})
@@ -80,7 +83,7 @@
         os.kill(pid, signal.SIGSTOP)
         clients = cluster.clients(30.0, 6.0, threads=24)
         cluster.wait_until(lambda s: s["instances"][1]["state"] == "silent")
-        self.assertIn("status: no answer", cluster.request("inspect", ["n1"])["unanswered"][0])
+        assert "status: no answer" in cluster.request("inspect", ["n1"])["unanswered"][0]
         cluster.request("drain", ["n1"])
         cluster.request("resume", ["n1"])
         cluster.request("roll", soak=0.2)
@@ -92,9 +95,9 @@
             cluster.wait_until(in_stage)
             cluster.kill_agent()
             cluster.start_agent()
-        self.assertEqual(cluster.roll_end()["mode"], "done")
-        self.assertNotEqual(cluster.instance("n1")["pid"], pid)
-        self.assertTrue(clients.done.wait(30.0))
+        assert cluster.roll_end()["mode"] == "done"
+        assert cluster.instance("n1")["pid"] != pid
+        assert clients.done.wait(30.0)
         self.judge(cluster)
 
     def test_two_tools_ask_for_a_roll_at_once(self) -> None:
@@ -114,8 +117,8 @@
             thread.start()
         for thread in threads:
             thread.join()
-        self.assertEqual(sorted(codes), [200, 409, 409, 409])
-        self.assertEqual(cluster.roll_end()["mode"], "done")
+        assert sorted(codes) == [200, 409, 409, 409]
+        assert cluster.roll_end()["mode"] == "done"
 
     def test_settings_that_cannot_start_pause_the_roll_and_undo_brings_all_back(self) -> None:
         cluster = self.cluster()
@@ -125,14 +128,14 @@
         cluster.write_settings()
         cluster.request("reload")
         roll = cluster.roll()
-        self.assertEqual(roll["mode"], "paused")
-        self.assertIn("n0 does not come up: it ended at its start: exit 2", roll["why"])
-        self.assertEqual(cluster.request("status")["ready"], 2)
+        assert roll["mode"] == "paused"
+        assert "n0 does not come up: it ended at its start: exit 2" in roll["why"]
+        assert cluster.request("status")["ready"] == 2
         cluster.base["settings"]["Limits"] = good
         cluster.write_settings()
         cluster.request("reload")
         cluster.request("roll_undo")
-        self.assertEqual(cluster.roll_end()["mode"], "undone")
+        assert cluster.roll_end()["mode"] == "undone"
         cluster.wait_until(lambda s: s["ready"] == 3)
 
     def test_one_that_is_ready_and_delivers_nothing_pauses_the_roll(self) -> None:
@@ -145,27 +148,26 @@
         cluster.write_settings()
         cluster.request("reload")
         roll = cluster.roll()
-        self.assertEqual(roll["mode"], "paused", roll)
-        self.assertRegex(roll["why"], "n0 is ready but|service fell")
+        assert roll["mode"] == "paused", roll
+        assert re.search("n0 is ready but|service fell", roll["why"])
         cluster.request("roll_undo")
-        self.assertEqual(cluster.roll_end()["mode"], "undone")
-        self.assertTrue(clients.done.wait(30.0))
+        assert cluster.roll_end()["mode"] == "undone"
+        assert clients.done.wait(30.0)
         self.judge(cluster)
 
 
-class StartsTest(YardTest):
+class TestStarts(YardTest):
     def test_a_taken_port_and_an_unusable_folder_are_told_and_mended(self) -> None:
         cluster = self.cluster(3)
-        taken = socket.create_server(cluster.addresses["n0"])
-        self.addCleanup(taken.close)
+        taken = self.resources.closing(socket.create_server(cluster.addresses["n0"]))
         (cluster.folder / "run" / "state").mkdir(parents=True)
         (cluster.folder / "run").chmod(0o700)
         (cluster.folder / "run" / "state" / "n1").write_text("a file where the folder should be")
         cluster.start(ready=False)
         cluster.wait_until(lambda s: s["instances"][0]["crashes"] and s["instances"][1]["crashes"])
         why = {r["name"]: r["why"] for r in cluster.request("status")["instances"]}
-        self.assertIn("cannot be started", why["n1"])
-        self.assertIn("cannot start", "\n".join(cluster.request("logs", ["n0"])["lines"]))
+        assert "cannot be started" in why["n1"]
+        assert "cannot start" in "\n".join(cluster.request("logs", ["n0"])["lines"])
         taken.close()
         (cluster.folder / "run" / "state" / "n1").unlink()
         cluster.wait_until(lambda s: s["ready"] == 3)
@@ -183,9 +185,9 @@
             [sys.executable, "-m", "juniperward"], cwd=ROOT, env={**os.environ, "ROUTER_CONFIG": str(by_hand)},
             capture_output=True, timeout=20.0,
         )  # fmt: skip
-        self.assertEqual(second.returncode, 1)
-        self.assertIn(b"another forwarder works in this folder", second.stderr)
-        self.assertEqual(cluster.instance("n0")["pid"], pid)
+        assert second.returncode == 1
+        assert b"another forwarder works in this folder" in second.stderr
+        assert cluster.instance("n0")["pid"] == pid
 
     def test_an_agent_that_ends_leaves_its_forwarders_and_a_new_one_adopts_them(self) -> None:
         cluster = self.cluster(2)
@@ -199,13 +201,13 @@
         (cluster.folder / "run" / "state.json.old").unlink(missing_ok=True)
         cluster.start_agent()
         cluster.wait_until(lambda s: s["ready"] == 2)
-        self.assertEqual([cluster.instance(n)["pid"] for n in cluster.names], pids)
+        assert [cluster.instance(n)["pid"] for n in cluster.names] == pids
         second = subprocess.run(
             [sys.executable, "-m", "juniperward", "agent", "run", str(cluster.files.fleet_file), "--json"],
             cwd=ROOT, capture_output=True, timeout=20.0,
         )  # fmt: skip
-        self.assertEqual(second.returncode, 1)
-        self.assertIn(b"another agent looks after this fleet", second.stderr)
+        assert second.returncode == 1
+        assert b"another agent looks after this fleet" in second.stderr
 
     def test_a_crashed_forwarder_comes_back_and_ends_what_it_had_taken(self) -> None:
         cluster = self.cluster(2)
@@ -216,6 +218,6 @@
         cluster.wait_until(
             lambda s: s["instances"][0]["crashes"] or s["instances"][0]["up"] is not None and s["ready"] == 2
         )
-        self.assertTrue(clients.done.wait(30.0))
+        assert clients.done.wait(30.0)
         cluster.wait_until(lambda s: s["ready"] == 2)
         self.judge(cluster)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-import tempfile
-import unittest
 from pathlib import Path
 from typing import cast
 from unittest import mock
 
+import pytest
+
 from juniperward.forwarder.effect_executor import EffectExecutor
 from juniperward.forwarder.event_queue import EventQueue
 from juniperward.forwarder.events import AttemptAnswered, EndpointsUpdated, MessageReceived, ShutdownRequested
@@ -18,15 +18,15 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from tests.helpers import KEYED, settings
+from tests.resources import Resources
 
 
-class LoopTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / JOURNAL_NAME
-        self.journal = Journal(Path(folder.name), 100_000, 0.0)
-        self.addCleanup(self.journal.close)
+class TestLoop:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.path = tmp_path / JOURNAL_NAME
+        self.journal = self.resources.closing(Journal(tmp_path, 100_000, 0.0))
         self.parts = mock.Mock()
         queue = EventQueue()
         executor = EffectExecutor(
@@ -53,18 +53,18 @@
 
         self.parts.server.answer.side_effect = self.parts.endpoint_client.start.side_effect = note
         self.hand_in()
-        self.assertEqual(self.asked(), ["server.answer", "endpoint_client.start"])
-        self.assertEqual([text.count(b"taken") for text in written], [1, 1])
-        self.assertEqual([text.count(b"began") for text in written], [0, 0])  # only with its first byte
+        assert self.asked() == ["server.answer", "endpoint_client.start"]
+        assert [text.count(b"taken") for text in written] == [1, 1]
+        assert [text.count(b"began") for text in written] == [0, 0]  # only with its first byte
         self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
-        self.assertEqual(self.path.read_bytes().count(b"began"), 1)
+        assert self.path.read_bytes().count(b"began") == 1
 
     def test_nothing_is_sent_for_a_client_that_was_not_told(self) -> None:
         # Guards against a delivery under an id that its client has given up: it hands the message in again.
         self.parts.server.answer.return_value = False
         self.hand_in()
-        self.assertEqual(self.asked(), ["server.answer"])
-        self.assertEqual(self.journal.restored(), ())
+        assert self.asked() == ["server.answer"]
+        assert self.journal.restored() == ()
 
     def test_what_has_come_when_the_process_ends_is_taken_in_and_nothing_more_is_begun(self) -> None:
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
@@ -75,15 +75,15 @@
         self.loop.queue.post(ShutdownRequested(0.0, 0.0))
         self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
-        self.assertEqual(self.asked(), ["endpoint_client.stop_sending", "server.answer"])
+        assert self.asked() == ["endpoint_client.stop_sending", "server.answer"]
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
-        self.assertEqual(len(self.journal.live), 0)
+        assert len(self.journal.live) == 0
 
     def test_it_stays_for_the_clients_that_are_here_until_it_must_end(self) -> None:
         reducer = self.loop.reducer
         reducer.reduce(0.0, [ShutdownRequested(0.8, 3.3)])
         asked = [(1.0, False), (1.0, True), (3.3, False)]
-        self.assertEqual([reducer.may_exit(*x) for x in asked], [False, True, True])
+        assert [reducer.may_exit(*x) for x in asked] == [False, True, True]
 
     def test_what_cannot_be_journalled_is_not_taken_on(self) -> None:
         for error in (JournalFullError(2, 1), OSError(28, "No space left on device")):
@@ -91,4 +91,4 @@
             with mock.patch.object(self.journal, "append", side_effect=[error, None]):
                 self.hand_in()
             self.parts.server.answer.assert_called_once_with(5, 503, mock.ANY)
-            self.assertEqual(self.asked(), ["server.answer"])
+            assert self.asked() == ["server.answer"]
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import json
-import tempfile
 import time
-import unittest
 from pathlib import Path
 
+import pytest
+
 from juniperward.benchmarks.cluster_files import BASE_CONFIGURATION
 from juniperward.benchmarks.start_marks import StartMarks
 from juniperward.benchmarks.start_parts import BEGAN_AT, BEGAN_CPU_S
@@ -16,6 +16,7 @@
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.records import Effect, NotificationReceived, Recorder
+from tests.resources import Resources
 
 FORWARDERS = 40
 READY_WITHIN_S = 10.0
@@ -23,20 +24,22 @@
 DISK_MB = 0.06  # some thirty messages fill it
 
 
-class MassRestartTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestMassRestart:
+    @pytest.fixture(autouse=True)
+    def set_up(self, resources: Resources, tmp_path: Path) -> None:
+        self.resources = resources
+        self.folder = tmp_path
         self.recorder = Recorder()
 
     def test_forty_at_once_are_ready_in_time_and_lose_nothing(self) -> None:
-        destination = FakeDestination(
-            DestinationSpec(1, "booking-sites", endpoints=4, latency_s=0.005, batch_size=20), self.recorder, 1
+        destination = self.resources.closing(
+            FakeDestination(
+                DestinationSpec(1, "booking-sites", endpoints=4, latency_s=0.005, batch_size=20),
+                self.recorder,
+                1,
+            )
         )
-        self.addCleanup(destination.close)
-        discovery = FakeDiscovery(self.recorder)
-        self.addCleanup(discovery.close)
+        discovery = self.resources.closing(FakeDiscovery(self.recorder))
         address = discovery.address_for("fleet")
         discovery.set_outage(True)
         servers = [
@@ -49,21 +52,20 @@
             **BASE_CONFIGURATION,
             "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB, "sockets": 128},
         }
-        fleet = Fleet(self.folder, base, address, servers)
-        self.addCleanup(fleet.close)
+        fleet = self.resources.closing(Fleet(self.folder, base, address, servers))
         names = [f"n{n}" for n in range(FORWARDERS)]
         accepted = {message for name in names for message in fleet.fill(name)}
-        self.assertGreater(len(accepted), 20 * FORWARDERS)
+        assert len(accepted) > 20 * FORWARDERS
         taken = sorted(t for t, _ in start_all(fleet, names))
-        self.assertLess(taken[-1], READY_WITHIN_S, f"median {taken[len(taken) // 2]:.2f} s")
+        assert taken[-1] < READY_WITHIN_S, f"median {taken[len(taken) // 2]:.2f} s"
         discovery.set_outage(False)
         end = time.monotonic() + OVER_WITHIN_S
         while (left := accepted - self.over()) and time.monotonic() < end:
             time.sleep(0.05)
-        self.assertEqual(left, set())
+        assert left == set()
         effects = [r.id for r in self.recorder.records if isinstance(r, Effect)]
-        self.assertEqual(len(effects), len(set(effects)))
-        self.assertGreater(len(effects), len(accepted) // 2)
+        assert len(effects) == len(set(effects))
+        assert len(effects) > len(accepted) // 2
 
     def over(self) -> set[str]:
         return {r.id for r in self.recorder.records if isinstance(r, Effect | NotificationReceived)}
@@ -71,8 +73,9 @@
     def test_the_parts_of_a_start_are_told_and_sum_up_to_it(self) -> None:
         # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
         base = {**BASE_CONFIGURATION, "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB}}
-        fleet = Fleet(self.folder, base, dead_address(), command=("-m", "juniperward.benchmarks.start_parts"))
-        self.addCleanup(fleet.close)
+        fleet = self.resources.closing(
+            Fleet(self.folder, base, dead_address(), command=("-m", "juniperward.benchmarks.start_parts"))
+        )
         fleet.fill("n0")
         ((taken, parts),) = start_all(fleet, ["n0"])
         order = [
@@ -84,13 +87,13 @@
             "journal read",
             "messages restored",
         ]
-        self.assertEqual(list(parts), [*order, "listening"])
-        self.assertLess(sum(wall for wall, _ in parts.values()), taken)
-        self.assertGreater(sum(cpu for _, cpu in parts.values()), 0.0)
+        assert list(parts) == [*order, "listening"]
+        assert sum(wall for wall, _ in parts.values()) < taken
+        assert sum(cpu for _, cpu in parts.values()) > 0.0
 
     def test_a_mark_takes_all_since_the_one_before(self) -> None:
         marks = StartMarks(BEGAN_AT - 1.0, BEGAN_AT, BEGAN_CPU_S)
         marks.mark("first")
         marks.marked(json.loads, "second", "third")("1")
-        self.assertEqual(list(marks.parts), ["interpreter", "first", "second", "third"])
-        self.assertGreaterEqual(min(part.wall_s for part in marks.parts.values()), 0.0)
+        assert list(marks.parts) == ["interpreter", "first", "second", "third"]
+        assert min(part.wall_s for part in marks.parts.values()) >= 0.0
--- a/tests/test_redrive_decisions.py
+++ b/tests/test_redrive_decisions.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import math
-import unittest
 from dataclasses import replace
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -46,8 +46,8 @@
 WELL = DestinationView("well", 0.0, False, 100.0, 0, 32)
 
 
-class JudgeTest(unittest.TestCase):
-    def test_each_case(self) -> None:
+class TestJudge:
+    def test_each_case(self, subtests: pytest.Subtests) -> None:
         ran = replace(BASE, executed_at=NOW - 4.0)
         old = replace(BASE, executed_at=NOW - 20.0)
         cases = [
@@ -75,12 +75,12 @@
             (replace(BASE, endpoints=()), RedriveSafety.SAFE, True, "no attempt"),
         ]
         for facts, kind, may, why in cases:
-            with self.subTest(why=why):
+            with subtests.test(why=why):
                 j = judge_redrive(facts, NOW, HERE, 0.5)
-                self.assertEqual((j.kind, j.may_go), (kind, may), j)
-                self.assertIn(why, j.why)
-        self.assertIn("has no endpoints", judge_redrive(BASE, NOW, frozenset(), 0.5).why)
-        self.assertIn("no forwarder", judge_redrive(BASE, NOW, None, 0.5).why)
+                assert (j.kind, j.may_go) == (kind, may), j
+                assert why in j.why
+        assert "has no endpoints" in judge_redrive(BASE, NOW, frozenset(), 0.5).why
+        assert "no forwarder" in judge_redrive(BASE, NOW, None, 0.5).why
 
     @settings(derandomize=True, max_examples=500)
     @given(
@@ -95,38 +95,38 @@
         facts = replace(BASE, executed_at=NOW + ran, deduplication_window_s=window, idempotency=idempotency)
         j = judge_redrive(facts, NOW, HERE, allowance)
         if j.may_go and idempotency is not Idempotency.IDEMPOTENT:
-            self.assertEqual(idempotency, Idempotency.IDEMPOTENCY_KEY)
+            assert idempotency == Idempotency.IDEMPOTENCY_KEY
             # Even where the clocks differ by all of the allowance, it is over inside the window.
-            self.assertLessEqual(j.until + allowance + WINDOW_MARGIN_S, NOW + ran + window + 1e-6)
-            self.assertGreaterEqual(j.until - NOW, MIN_WINDOW_LEFT_S - 1e-6)
+            assert j.until + allowance + WINDOW_MARGIN_S <= NOW + ran + window + 1e-6
+            assert j.until - NOW >= MIN_WINDOW_LEFT_S - 1e-6
 
     def test_the_window_counts_from_the_first_that_may_have_run(self) -> None:
-        self.assertAlmostEqual(
-            judge_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until, NOW + 8.0 - 0.75
+        assert judge_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until == pytest.approx(
+            NOW + 8.0 - 0.75, abs=5e-8
         )
 
 
-class ClockTest(unittest.TestCase):
+class TestClock:
     def test_a_clock_that_is_set_back_opens_no_window(self) -> None:
         seen = Clock(NOW, 500.0, "b1")
-        self.assertEqual(certain_now(Clock(NOW + 9.0, 509.0, "b1"), seen), NOW + 9.0)
-        self.assertEqual(certain_now(Clock(NOW - 3600.0 + 30.0, 530.0, "b1"), seen), NOW + 30.0)
-        self.assertEqual(certain_now(Clock(NOW - 3600.0, 5.0, "b2"), seen), math.inf)
-        self.assertEqual(certain_now(Clock(NOW + 60.0, 5.0, "b2"), seen), NOW + 60.0)
-        self.assertEqual(certain_now(Clock(NOW, 5.0, "b2"), None), NOW)
+        assert certain_now(Clock(NOW + 9.0, 509.0, "b1"), seen) == NOW + 9.0
+        assert certain_now(Clock(NOW - 3600.0 + 30.0, 530.0, "b1"), seen) == NOW + 30.0
+        assert certain_now(Clock(NOW - 3600.0, 5.0, "b2"), seen) == math.inf
+        assert certain_now(Clock(NOW + 60.0, 5.0, "b2"), seen) == NOW + 60.0
+        assert certain_now(Clock(NOW, 5.0, "b2"), None) == NOW
         ran = replace(BASE, executed_at=NOW - 1.0)
-        self.assertEqual(judge_redrive(ran, math.inf, HERE, 0.5).kind, RedriveSafety.UNCERTAIN)
-        self.assertTrue(judge_redrive(BASE, math.inf, HERE, 0.5).may_go)
+        assert judge_redrive(ran, math.inf, HERE, 0.5).kind == RedriveSafety.UNCERTAIN
+        assert judge_redrive(BASE, math.inf, HERE, 0.5).may_go
 
     def test_two_machines_that_differ_by_two_seconds(self) -> None:
         # The partner saw the attempt at NOW - 11.6; the clock here is two seconds behind. With an allowance of
         # two seconds nothing is sent that would arrive outside; with none it would be.
         ran = replace(BASE, executed_at=NOW - 11.6)
-        self.assertFalse(judge_redrive(ran, NOW - 2.0, HERE, 2.0).may_go)
-        self.assertTrue(judge_redrive(ran, NOW - 2.0, HERE, 0.0).may_go)
+        assert not judge_redrive(ran, NOW - 2.0, HERE, 2.0).may_go
+        assert judge_redrive(ran, NOW - 2.0, HERE, 0.0).may_go
 
 
-class RulesTest(unittest.TestCase):
+class TestRules:
     def test_each_condition(self) -> None:
         noon = 12 * 3600.0
         facts = replace(BASE, given_up_at=noon - 100.0, redrives=1)
@@ -143,15 +143,15 @@
             Rule("r", from_hour=22.0, to_hour=6.0),
         ]  # fmt: skip
         for rule in good:
-            self.assertTrue(matches(rule, facts, noon), rule)
+            assert matches(rule, facts, noon), rule
         for rule in bad:
-            self.assertFalse(matches(rule, facts, noon), rule)
-        self.assertEqual(requested_by(facts, [*bad, Rule("last")], noon), "last")
-        self.assertEqual(requested_by(facts, bad, noon), "")
-        self.assertEqual(requested_by(replace(facts, redrive_requested=True), [], noon), "a person")
+            assert not matches(rule, facts, noon), rule
+        assert requested_by(facts, [*bad, Rule("last")], noon) == "last"
+        assert requested_by(facts, bad, noon) == ""
+        assert requested_by(replace(facts, redrive_requested=True), [], noon) == "a person"
 
 
-class RedriveRateTest(unittest.TestCase):
+class TestRedriveRate:
     def run_rate(
         self,
         views: list[DestinationView],
@@ -168,17 +168,17 @@
 
     def test_it_ramps_additively_to_its_share_of_the_rate(self) -> None:
         rate = self.run_rate([WELL, WELL], 5.0, RedriveRate(), 100.0)
-        self.assertAlmostEqual(rate.per_s, 1.0 + 5.0, delta=0.6)
+        assert rate.per_s == pytest.approx(1.0 + 5.0, abs=0.6)
         rate = self.run_rate([WELL, WELL], 100.0, rate, 105.0)
-        self.assertEqual(rate.per_s, 25.0)  # a quarter of 100, from all instances together
+        assert rate.per_s == 25.0  # a quarter of 100, from all instances together
 
     def test_nothing_goes_to_a_cold_partner_whoever_sees_it_so(self) -> None:
         for health in ("failing", "warming"):
             sick = replace(WELL, health=health, waiting=1)
             rate = self.run_rate([WELL, sick, WELL], 30.0, RedriveRate(), 100.0)
-            self.assertEqual((rate.per_s, rate.tokens), (0.0, 0.0))
-            self.assertIn(health, rate.reason)
-        self.assertEqual(adjust_rate(RedriveRate(), [], False, 100.0, RedriveRateLimits()).tokens, 0.0)
+            assert (rate.per_s, rate.tokens) == (0.0, 0.0)
+            assert health in rate.reason
+        assert adjust_rate(RedriveRate(), [], False, 100.0, RedriveRateLimits()).tokens == 0.0
 
     def test_an_outage_that_no_live_message_tries_is_tried_by_one_resend_at_a_time(self) -> None:
         # Guards against a wait without end: nobody probes, so without messages no outage is seen to end.
@@ -188,33 +188,32 @@
             rate = adjust_rate(rate, [WELL, sick], False, now, RedriveRateLimits())
             sent += int(rate.tokens)
             rate = spend(rate, int(rate.tokens))
-        self.assertEqual(sent, 4)
+        assert sent == 4
         warming = replace(WELL, health="warming")
-        self.assertEqual(
-            adjust_rate(RedriveRate(), [sick, warming], False, now, RedriveRateLimits()).tokens, 0.0
-        )
+        assert adjust_rate(RedriveRate(), [sick, warming], False, now, RedriveRateLimits()).tokens == 0.0
 
     def test_it_halves_at_a_refusal_once_a_second_and_yields_to_a_wait(self) -> None:
         rate = RedriveRate(16.0, 100.0, 0.0, 0.0)
         rate = adjust_rate(rate, [replace(WELL, rate_limited=True)], False, 100.25, RedriveRateLimits())
-        self.assertEqual(rate.per_s, 8.0)
+        assert rate.per_s == 8.0
         rate = adjust_rate(rate, [replace(WELL, rate_limited=True)], False, 100.5, RedriveRateLimits())
-        self.assertEqual(rate.per_s, 8.0)
+        assert rate.per_s == 8.0
         rate = adjust_rate(rate, [WELL], True, 101.5, RedriveRateLimits())
-        self.assertEqual(rate.per_s, 4.0)
+        assert rate.per_s == 4.0
         rate = adjust_rate(rate, [WELL, replace(WELL, retry_after_s=1.0)], False, 102.0, RedriveRateLimits())
-        self.assertEqual((rate.per_s, rate.tokens), (2.0, 0.0))
+        assert (rate.per_s, rate.tokens) == (2.0, 0.0)
 
     def test_live_messages_go_first_and_an_old_pace_is_forgotten(self) -> None:
         busy = replace(WELL, waiting=40)
-        self.assertEqual(
-            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [busy], False, 100.2, RedriveRateLimits()).tokens, 0.0
+        assert (
+            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [busy], False, 100.2, RedriveRateLimits()).tokens
+            == 0.0
         )
-        self.assertLess(
-            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [WELL], False, 200.0, RedriveRateLimits()).per_s, 2.0
+        assert (
+            adjust_rate(RedriveRate(16.0, 100.0, 5.0), [WELL], False, 200.0, RedriveRateLimits()).per_s < 2.0
         )
-        self.assertEqual(max_in_flight(100, RedriveRateLimits()), 25)
-        self.assertEqual(max_in_flight(0, RedriveRateLimits()), 1)
+        assert max_in_flight(100, RedriveRateLimits()) == 25
+        assert max_in_flight(0, RedriveRateLimits()) == 1
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.booleans(), st.sampled_from(["well", "failing", "unknown"]),
@@ -229,6 +228,6 @@
             rate = adjust_rate(rate, [view], rejected, now, rules)
             sent += [now] * int(rate.tokens)
             rate = spend(rate, int(rate.tokens))
-            self.assertLessEqual(rate.per_s, 25.0)
-            self.assertGreaterEqual(rate.per_s, 0.0)
-            self.assertLessEqual(sum(now - t <= 1.0 for t in sent), 2 * 25 + 1)
+            assert rate.per_s <= 25.0
+            assert rate.per_s >= 0.0
+            assert sum(now - t <= 1.0 for t in sent) <= 2 * 25 + 1
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -6,14 +6,13 @@
 
 from __future__ import annotations
 
-import tempfile
-import unittest
 from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -247,11 +246,10 @@
         self.store.close()
 
 
-class ExploreTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder, self.count = Path(folder.name), 0
+class TestExplore:
+    @pytest.fixture(autouse=True)
+    def set_up(self, tmp_path: Path) -> None:
+        self.folder, self.count = tmp_path, 0
 
     def sim(self) -> Sim:
         self.count += 1
@@ -280,17 +278,17 @@
                         sim.run(4)
                         sim.finish()
                         runs += 1
-        self.assertGreater(places, 26)
+        assert places > 26
         return runs
 
     def test_no_crash_and_no_lost_answer_sends_one_twice_or_forgets_one(self) -> None:
-        self.assertEqual(self.explore(), 4 * 4 * 25 * 2)
+        assert self.explore() == 4 * 4 * 25 * 2
 
     def test_it_finds_a_forwarder_that_takes_what_it_said_it_does_not_know(self) -> None:
         def unfenced(sim: Sim) -> None:
             sim.fencing = False
 
-        with self.assertRaisesRegex(AssertionError, "under way|second effect|delivered"):
+        with pytest.raises(AssertionError, match="under way|second effect|delivered"):
             self.explore(unfenced, pairs=False)
 
     def test_it_finds_a_hand_in_before_the_claim_is_durable(self) -> None:
@@ -306,7 +304,7 @@
 
             sim.store.acquire_lease = lease  # type: ignore[method-assign, assignment]
 
-        with self.assertRaises(AssertionError):
+        with pytest.raises(AssertionError):
             self.explore(forgetful, pairs=False)
 
     def test_it_finds_silence_taken_for_never_taken(self) -> None:
@@ -319,7 +317,7 @@
                 reported = ReportedOutcome("unknown", None, 0.0)
             real(self, settlement, lease, reported, now)
 
-        with mock.patch.object(RedriveSettler, "_settle_one", guess), self.assertRaises(AssertionError):
+        with mock.patch.object(RedriveSettler, "_settle_one", guess), pytest.raises(AssertionError):
             self.explore(pairs=False)
 
     def test_it_finds_a_window_that_is_not_looked_at(self) -> None:
@@ -335,14 +333,14 @@
             alone = self.sim()
             hasty(alone)
             alone.run(40)  # the module alone holds it: each effect asserts that it is the only one
-            self.assertTrue(all(len(e) == 1 for e in alone.effects.values()))
+            assert all(len(e) == 1 for e in alone.effects.values())
             alone.store.close()
         real = Sim.take
 
         def untold(sim: Sim, forwarder: str, h: Resubmission) -> None:
             real(sim, forwarder, replace(h, executed_ago_s=None))
 
-        seen = self.assertRaisesRegex(AssertionError, "a second effect")
+        seen = pytest.raises(AssertionError, match="a second effect")
         with judging, mock.patch.object(Sim, "take", untold), seen:
             self.explore(hasty, pairs=False)
 
@@ -405,9 +403,9 @@
 
         sim.outcomes = forgot  # type: ignore[method-assign]
         sim.run(20)
-        self.assertIn(lease.redrive_id, sim.redriver.round().forgotten)
+        assert lease.redrive_id in sim.redriver.round().forgotten
         (facts,) = sim.store.select(Filter(ids=(lease.message,)))
-        self.assertEqual(facts.status, "claimed")
+        assert facts.status == "claimed"
         statement = Statement(False, "ann", "the partner never saw it")
         sim.store.settle(lease.message, statement, sim.now)
         sim.outcomes = real  # type: ignore[method-assign]
@@ -424,9 +422,9 @@
 
         sim.store.acquire_lease = slow  # type: ignore[method-assign, assignment]
         sim.run(8)
-        self.assertEqual(sim.told, {"n0": {}, "n1": {}})
+        assert sim.told == {"n0": {}, "n1": {}}
         (facts,) = sim.store.select(Filter())
-        self.assertEqual(facts.status, "kept")
-        with self.assertRaises(LeaseLostError):
+        assert facts.status == "kept"
+        with pytest.raises(LeaseLostError):
             sim.store.acquire_lease("m9", None, "n0", 0.0, "x")
         sim.store.close()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+import re
 import subprocess
 import sys
-import tempfile
-import unittest
 from pathlib import Path
 
+import pytest
 from google.protobuf import text_format
 
 from juniperward.settings import fleet_pb2
@@ -31,11 +31,10 @@
 """
 
 
-class SettingsTest(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+class TestSettings:
+    @pytest.fixture(autouse=True)
+    def set_up(self, tmp_path: Path) -> None:
+        self.folder = tmp_path
         (self.folder / "base.json").write_text('{"settings": {}}')
 
     def load(self, text: str, name: str = "f.textproto") -> FleetSettings:
@@ -44,24 +43,24 @@
         return load(file)
 
     def fault(self, text: str, line: int, field: str, why: str) -> None:
-        with self.assertRaises(SettingsError) as caught:
+        with pytest.raises(SettingsError) as caught:
             self.load(text)
-        found = [(f.line, f.field) for f in caught.exception.faults]
-        self.assertIn((line, field), found, str(caught.exception))
-        self.assertRegex(str(caught.exception), why)
+        found = [(f.line, f.field) for f in caught.value.faults]
+        assert (line, field) in found, str(caught.value)
+        assert re.search(why, str(caught.value))
 
     def test_the_example_is_good(self) -> None:
         found = load(ROOT / "deploy" / "fleet.textproto")
-        self.assertEqual([i.name for i in found.instances], ["n1", "n2", "n3"])
-        self.assertEqual((found.roll.min_ready, found.roll.batch_size), (2, 1))
+        assert [i.name for i in found.instances] == ["n1", "n2", "n3"]
+        assert (found.roll.min_ready, found.roll.batch_size) == (2, 1)
 
     def test_a_good_file_has_its_defaults(self) -> None:
         found = self.load(GOOD.replace("  floor: 1\n", ""))
-        self.assertEqual(found.roll.min_ready, 1)  # all but one
-        self.assertEqual(found.folder, self.folder.resolve() / "f.run")
-        self.assertEqual(found.instances[0].config["control"], str(found.folder / "run" / "n1"))
+        assert found.roll.min_ready == 1  # all but one
+        assert found.folder == self.folder.resolve() / "f.run"
+        assert found.instances[0].config["control"] == str(found.folder / "run" / "n1")
         again = text_format.Parse(show(found), fleet_pb2.Fleet())
-        self.assertEqual((again.roll.drain, again.instance[1].name), (10.0, "n2"))
+        assert (again.roll.drain, again.instance[1].name) == (10.0, "n2")
 
     def test_faults_name_their_line_and_field(self) -> None:
         self.fault(GOOD.replace('"n2"', '"n1"'), 7, "instance[1].name", "n1 is n1's already")
@@ -85,30 +84,30 @@
         self.fault(GOOD.replace("base:", 'base: "a" base:'), 3, "", "base")
 
     def test_all_faults_are_told_at_once(self) -> None:
-        with self.assertRaises(SettingsError) as caught:
+        with pytest.raises(SettingsError) as caught:
             self.load(GOOD.replace("8082", "x").replace('"n2"', '"?"').replace("floor: 1", "floor: 9"))
-        self.assertEqual(len(caught.exception.faults), 3)
+        assert len(caught.value.faults) == 3
 
     def test_a_file_that_cannot_be_read_is_told(self) -> None:
-        with self.assertRaisesRegex(SettingsError, "No such file"):
+        with pytest.raises(SettingsError, match="No such file"):
             load(self.folder / "none")
         (self.folder / "bad").write_bytes(b"\xff\xfe")
-        with self.assertRaises(SettingsError):
+        with pytest.raises(SettingsError):
             load(self.folder / "bad")
 
     def test_editions_are_kept_and_dropped(self) -> None:
         editions = ConfigurationVersions(self.folder / "e")
         first = editions.save(self.load(GOOD), set())
-        self.assertEqual(first, version_of(self.load(GOOD)))
-        self.assertEqual(editions.read(first, "n2")["listen"], "127.0.0.1:8082")
+        assert first == version_of(self.load(GOOD))
+        assert editions.read(first, "n2")["listen"] == "127.0.0.1:8082"
         names = [first]
         for port in range(9000, 9012):
             names.append(editions.save(self.load(GOOD.replace("8082", str(port))), {first}))
         left = {p.name for p in (self.folder / "e").iterdir()}
-        self.assertIn(first, left)  # in use
-        self.assertIn(names[-1], left)
-        self.assertLess(len(left), 11)
-        with self.assertRaises(OSError):
+        assert first in left  # in use
+        assert names[-1] in left
+        assert len(left) < 11
+        with pytest.raises(OSError):
             editions.read(first, "n9")
 
     def test_generated_code_is_not_stale(self) -> None:
@@ -119,6 +118,4 @@
                  f"--pyi_out={self.folder}", f"{name}.proto"], check=True,
             )  # fmt: skip
             for file in (f"{name}_pb2.py", f"{name}_pb2.pyi"):
-                self.assertEqual(
-                    (self.folder / file).read_text(), (here / file).read_text(), f"{file} is stale"
-                )
+                assert (self.folder / file).read_text() == (here / file).read_text(), f"{file} is stale"
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -6,7 +6,6 @@
 import subprocess
 import sys
 import tempfile
-import unittest
 from pathlib import Path
 
 from tests.player import ROOT, Program
@@ -37,7 +36,7 @@
 )
 
 
-class ShapeTest(unittest.TestCase):
+class TestShape:
     def test_a_forwarder_starts_with_the_standard_library_alone(self) -> None:
         # -S: no installed package can be imported.
         code = f"import juniperward.forwarder.start, sys; print([m for m in {HEAVY!r} if m in sys.modules])"
@@ -45,7 +44,7 @@
             [sys.executable, "-S", "-c", code],
             cwd=ROOT, env={"PATH": os.environ["PATH"]}, capture_output=True, text=True,
         )  # fmt: skip
-        self.assertEqual((found.stdout.strip(), found.stderr), ("[]", ""))
+        assert (found.stdout.strip(), found.stderr) == ("[]", "")
 
     def test_on_the_platform_nothing_more_is_opened(self) -> None:
         # Without `control` and `kept` in the configuration: no Unix socket, and the state folder has the journal and
@@ -59,8 +58,8 @@
             state = sorted(p.name for p in program.state.iterdir())
             program.close()
         ours = [f for f in open_files if name in f]
-        self.assertEqual(sorted(Path(f).name for f in ours), ["journal", "state"])
-        self.assertEqual(state, ["clock", "journal"])
+        assert sorted(Path(f).name for f in ours) == ["journal", "state"]
+        assert state == ["clock", "journal"]
 
     def test_a_wrong_word_is_told_without_a_traceback(self) -> None:
         for words in (
@@ -71,13 +70,13 @@
             found = subprocess.run(
                 [sys.executable, "-m", "juniperward", *words], cwd=ROOT, capture_output=True, text=True
             )
-            self.assertEqual(found.returncode, 2, found.stderr)
-            self.assertNotIn("Traceback", found.stderr)
+            assert found.returncode == 2, found.stderr
+            assert "Traceback" not in found.stderr
         found = subprocess.run(
             [sys.executable, "-m", "juniperward", "fleet", "status", "-a", "/none.sock"],
             cwd=ROOT, capture_output=True, text=True,
         )  # fmt: skip
-        self.assertEqual(found.returncode, 3)
+        assert found.returncode == 3
 
     def test_no_file_of_ours_has_grown_out_of_sight(self) -> None:
         sizes = {
@@ -85,4 +84,4 @@
             for p in (ROOT / "juniperward").rglob("*.py")
             if not p.name.endswith("_pb2.py")
         }
-        self.assertEqual({n: s for n, s in sizes.items() if s > 600}, {})
+        assert {n: s for n, s in sizes.items() if s > 600} == {}
