--- a/juniperward/control/errors.py
+++ b/juniperward/control/errors.py
@@ -17,11 +17,11 @@
 
 
 class ControlUnreachableError(ControlError):
-    """There was no answer in time, or nobody listens; the next request connects anew."""
+    """There was no answer in time, or no process listens; the next request connects again."""
 
 
 class ControlRejectedError(ControlError):
-    """The forwarder answered that it will not."""
+    """The forwarder rejected the request."""
 
 
 class ProtocolError(ControlError):
@@ -32,7 +32,7 @@
     """A frame is empty, or longer than is taken."""
 
     def __init__(self, length: int, limit: int) -> None:
-        """Tell its length and the limit, in bytes."""
+        """Name its length and the limit, in bytes."""
         self.length, self.limit = length, limit
         super().__init__(f"a frame of {length} bytes; at most {limit} are taken")
 
@@ -41,7 +41,7 @@
     """The other end speaks another version of the protocol."""
 
     def __init__(self, version: object, why: str) -> None:
-        """Tell its version; `why` goes to people."""
+        """Name its version; `why` is the text for people."""
         self.version = version
         super().__init__(why)
 
@@ -58,7 +58,7 @@
     """An answer is none to the request that was made."""
 
     def __init__(self, verb: str) -> None:
-        """Tell the request's verb."""
+        """Name the request's verb."""
         self.verb = verb
         super().__init__(f"{verb} was answered with another type")
 
@@ -76,7 +76,7 @@
     """The text of a frame is no request."""
 
     def __init__(self, error: Exception) -> None:
-        """Tell the decoder's error."""
+        """Name the decoder's error."""
         super().__init__(f"not a request: {type(error).__name__}: {error}")
 
 
@@ -84,5 +84,5 @@
     """The text of a frame is no answer."""
 
     def __init__(self, error: Exception) -> None:
-        """Tell the decoder's error."""
+        """Name the decoder's error."""
         super().__init__(f"not an answer: {type(error).__name__}: {error}")
