--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -23,7 +23,7 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report, quantile
 from juniperward.fakes.load_balancer import is_ready
-from juniperward.forwarder.clock import carry_over, read_boot_id
+from juniperward.forwarder.clock import choose_unix_offset, read_boot_id
 from juniperward.forwarder.journal import JOURNAL_NAME, Journal, JournalFullError
 from juniperward.forwarder.model import Message
 from juniperward.forwarder.records import AcceptedRecord
@@ -59,7 +59,7 @@
         """Fill the folder of one with messages until its journal takes no more; their ids."""
         to_unix = time.time() - time.monotonic()
         state = self.state(name)
-        offset = carry_over(state, to_unix, read_boot_id(), JOURNAL_NAME)
+        offset = choose_unix_offset(state, to_unix, read_boot_id(), JOURNAL_NAME)
         journal = Journal(state, int(self.base["limits"]["disk_mb"] * 1_000_000), offset)
         expires = time.monotonic() + EXPIRES_WITHIN_S
         ids: list[str] = []
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -1,11 +1,11 @@
-"""Puts the parts of a forwarder together; the journal is replayed, and nothing runs yet."""
+"""Builds a forwarder from its configuration: the parts are connected and the journal read; no thread runs yet."""
 
 from __future__ import annotations
 
 import time
 from typing import TYPE_CHECKING
 
-from juniperward.forwarder.clock import carry_over, read_boot_id
+from juniperward.forwarder.clock import choose_unix_offset, read_boot_id
 from juniperward.forwarder.config import Config
 from juniperward.forwarder.descriptors import MIN_SOCKETS, divide_descriptors
 from juniperward.forwarder.discovery_client import DiscoveryClient
@@ -25,7 +25,9 @@
 def build(config: Config) -> Loop:
     """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
     to_unix = time.time() - time.monotonic()
-    journal_to_unix = carry_over(config.state_folder, to_unix, read_boot_id(), journal_name=JOURNAL_NAME)
+    journal_to_unix = choose_unix_offset(
+        config.state_folder, to_unix, read_boot_id(), journal_name=JOURNAL_NAME
+    )
     journal = Journal(config.state_folder, config.journal_max_bytes, journal_to_unix)
     dead_letters = _open_dead_letters(config, to_unix)
     stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
@@ -39,7 +41,7 @@
 def _open_dead_letters(config: Config, to_unix: float) -> DeadLetterWriter | None:
     if config.spool is None:
         return None
-    # Not loaded where they are not used.
+    # Loaded only where dead letters are stored.
     from juniperward.dead_letters.spool import Spool
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
--- a/juniperward/forwarder/batch.py
+++ b/juniperward/forwarder/batch.py
@@ -1,7 +1,7 @@
-"""The body of a call of several messages: its encoding, and what one message takes of it.
+"""The body of an attempt with several messages: its encoding, and the size of one message in it.
 
-Input: messages. Output: bytes of the JSON array that the protocol page gives ('Forwarders to endpoints'). It never
-decides which messages share a call; the scheduler does, by the sizes told here.
+In come messages, out the bytes of the JSON array that the protocol page gives ('Forwarders to endpoints'). The
+scheduler decides which messages share an attempt, by the sizes from here. Called by intake and the endpoint client.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from juniperward.forwarder.model import Message
 
 SEPARATORS = (",", ":")
-BYTES_IN, BYTES_OUT = 3, 4  # Base64: so many bytes become so many characters
+BASE64_INPUT_BYTES, BASE64_OUTPUT_BYTES = 3, 4  # so many bytes become so many characters
 
 
 def encode_batch(messages: Iterable[Message]) -> bytes:
-    """The body of a call with these messages."""
+    """Return the body of an attempt with these messages."""
     rows = [_row(message, base64.b64encode(message.body).decode()) for message in messages]
     return json.dumps(rows, separators=SEPARATORS).encode()
 
 
 def item_bytes(message: Message) -> int:
-    """Bytes that a message takes in such a body, the separator before it included; the body has one more in all."""
-    encoded_body = BYTES_OUT * -(-len(message.body) // BYTES_IN)
+    """Return the bytes of a message in such a body, with the separator before it; the body has one more in all."""
+    encoded_body = BASE64_OUTPUT_BYTES * -(-len(message.body) // BASE64_INPUT_BYTES)
     return len(json.dumps(_row(message, ""), separators=SEPARATORS)) + encoded_body + 1
 
 
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -1,6 +1,6 @@
-"""The client protocol over HTTP: a request to a `Message`, and an answer of the reducer to bytes.
+"""The client protocol over HTTP: a request to a `Message`, and a reply of the reducer to bytes.
 
-A second protocol gets a codec of its own; it decides nothing.
+Only here are the names of the protocol's headers; a second protocol would get a codec of its own.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class UnreadableMessageError(Exception):
-    """The request is HTTP but no message of this protocol; the text tells the client why."""
+    """The request is HTTP but no message of this protocol; the client receives the text."""
 
     def __init__(self, header: str, problem: str) -> None:
-        """Name the header and what is wrong with it."""
+        """Say which header it is, and what is wrong with it."""
         super().__init__(f"{header}: {problem}")
         self.header = header
 
--- a/juniperward/forwarder/control_output.py
+++ b/juniperward/forwarder/control_output.py
@@ -15,7 +15,7 @@
 
 
 class ControlChannelOutput(ControlOutput):
-    """Answers on the control channel, and ends the process as SIGTERM does."""
+    """Answers on the control channel, and shuts the process down as SIGTERM does."""
 
     def __init__(
         self, control: ControlServer, executor: EffectExecutor, name: str, started_at: float
@@ -45,6 +45,6 @@
             )
         return body
 
-    def end_process(self) -> None:
-        """Have the main thread see a SIGTERM."""
+    def begin_shutdown(self) -> None:
+        """Send SIGTERM to this process, for the main thread's handler."""
         os.kill(os.getpid(), signal.SIGTERM)
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -1,4 +1,7 @@
-"""Carries out the effects that the reducer asks for, by the parts that speak with the world."""
+"""Performs the reducer's effects, each by the part that does that I/O: journal, server, endpoint client, discovery.
+
+The loop calls `perform` and hands the event that it returns, if any, to the reducer in the same round of the loop.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +51,7 @@
     from juniperward.control.protocol import Answer
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
-JOURNAL_FULL_RETRY_AFTER_S = 1.0  # after it a client may come again that the journal had no room for
+JOURNAL_FULL_RETRY_AFTER_S = 1.0  # of a message that the journal had no capacity for
 
 
 class Timers(Protocol):
@@ -59,17 +62,17 @@
 
 
 class ControlOutput:
-    """The way out to the control channel; this one is for a forwarder without it."""
+    """The output to the control channel; this one, of a forwarder without a channel, does nothing."""
 
     def reply(self, client: int, answer: Answer) -> None:
         """Answer a client of the channel."""
 
-    def end_process(self) -> None:
-        """Begin the planned end of the process, as a client of the channel asks."""
+    def begin_shutdown(self) -> None:
+        """Begin a graceful shutdown, as a client of the channel requested."""
 
 
 class EffectExecutor:
-    """Used by the loop's thread only; `perform` returns the event that follows at once, if any."""
+    """Used by the loop's thread only."""
 
     def __init__(
         self,
@@ -79,15 +82,17 @@
         discovery: DiscoveryClient,
         timers: Timers,
     ) -> None:
-        """Speak with clients, endpoints and discovery by these parts."""
-        self.journal, self.server, self.discovery = journal, server, discovery
+        """Perform effects by these parts; the control channel and dead letters are set where they are on."""
+        self.journal = journal
+        self.server = server
         self.endpoint_client = endpoint_client
+        self.discovery = discovery
         self._timers = timers
         self.control = ControlOutput()
         self.dead_letters: DeadLetterWriter | None = None
 
     def perform(self, effect: Effect) -> Event | None:
-        """Carry out an effect."""
+        """Perform an effect; return the event that follows at once, if any."""
         match effect:
             case AcceptMessage(client=client, message=message, record=record):
                 return MessageAccepted(message, self._accept(client, record))
@@ -126,23 +131,23 @@
             case SendNotifications(notifications=notifications):
                 self.discovery.notify(notifications)
             case _:
-                self._perform_for_people(effect)
+                self._perform_for_operators(effect)
 
-    def _perform_for_people(self, effect: Effect) -> None:
+    def _perform_for_operators(self, effect: Effect) -> None:
         match effect:
             case WriteLog(event=event, fields=fields):
                 log("scheduler", event, **dict(fields))
             case SendControlReply(client=client, answer=answer):
                 self.control.reply(client, answer)
             case BeginShutdown():
-                self.control.end_process()
+                self.control.begin_shutdown()
             case StoreDeadLetter() if self.dead_letters is not None:
                 self.dead_letters.store(effect)
             case RecordRedriveOutcome() if self.dead_letters is not None:
                 self.dead_letters.record_redrive_outcome(effect)
 
     def _accept(self, client: int, record: JournalRecord) -> bool:
-        """The journal first, then the client: what a client was told outlasts this process."""
+        """Journal a message, then answer its client: what was answered 202 survives this process."""
         try:
             self.journal.append(record)
         except JournalFullError:
--- a/juniperward/forwarder/event_queue.py
+++ b/juniperward/forwarder/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that threads post, and the timers of the loop."""
+"""The loop's input: events that threads post, and timers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventQueue:
-    """Any thread may post, also a signal's handler; the loop alone sets timers and waits."""
+    """Any thread may post, and a signal handler too; the loop alone sets timers and waits."""
 
     def __init__(self) -> None:
         """Begin without events and timers."""
@@ -21,18 +21,18 @@
         self._last_timer = 0
 
     def post(self, event: Event) -> None:
-        """Have the loop take in an event."""
+        """Add an event to the loop's next round."""
         self._posted.put(event)
 
     def set_timer(self, at: float, event: TimerEvent) -> None:
-        """Have the loop take in an event at a moment of the monotonic clock."""
+        """Add an event to the loop's round at a moment of the monotonic clock."""
         self._last_timer += 1
         heapq.heappush(self._timers, (at, self._last_timer, event))
 
-    def wait(self, most_s: float) -> list[Event]:
-        """Return the events of a round: what is posted, waited for until a timer is due, or for so long."""
+    def wait(self, timeout_s: float) -> list[Event]:
+        """Return the posted events, at most MAX_EVENTS_PER_ROUND; wait for one up to a timer or `timeout_s`."""
         now = time.monotonic()
-        until = now + most_s
+        until = now + timeout_s
         if self._timers:
             until = min(self._timers[0][0], until)
         events: list[Event] = []
@@ -44,8 +44,8 @@
             pass
         return events
 
-    def due(self, now: float) -> list[Event]:
-        """Return the events of timers that are due."""
+    def expired_timers(self, now: float) -> list[Event]:
+        """Return the events of timers that have expired, the earliest first."""
         events: list[Event] = []
         while self._timers and self._timers[0][0] <= now:
             events.append(heapq.heappop(self._timers)[2])
--- a/juniperward/forwarder/journal_codec.py
+++ b/juniperward/forwarder/journal_codec.py
@@ -1,6 +1,6 @@
-"""The journal's file format: one record a line, and the words that stand for records there.
+"""The journal's file format: a record to a line of the file, and back.
 
-A line is the CRC-32 of its text in hex, a space, and a JSON array that begins with the record's word and the
+A line is the CRC-32 of its text in hex, a space, and a JSON array that begins with the record's kind and the
 message's id. Times are Unix time in the file and monotonic time everywhere else; `to_unix` is added to the latter.
 """
 
@@ -9,6 +9,7 @@
 import base64
 import json
 import zlib
+from enum import StrEnum
 from typing import Any
 
 from juniperward.forwarder.model import Message, OutcomeNotification
@@ -21,8 +22,18 @@
     OutcomeDecidedRecord,
 )
 
-ACCEPTED, ATTEMPT_STARTED, ATTEMPT_FINISHED = "taken", "began", "ended"
-OUTCOME_DECIDED, COMPLETED = "decided", "over"
+ACCEPTED_VALUES = 7  # of an accepted record of the oldest version; later ones added values at the end
+
+
+class RecordKind(StrEnum):
+    """The kind of a record; the values are those of the file."""
+
+    ACCEPTED = "taken"
+    ATTEMPT_STARTED = "began"
+    ATTEMPT_FINISHED = "ended"
+    OUTCOME_DECIDED = "decided"
+    COMPLETED = "over"
+
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -35,19 +46,32 @@
 
 def _encode_row(record: JournalRecord, to_unix: float) -> list[Any]:
     match record:
-        case AcceptedRecord(message=m, expires_at=expires_at, executed_at=executed_at):
-            body = base64.b64encode(m.body).decode()
-            executed = executed_at + to_unix if executed_at is not None else None
-            row: list[Any] = [ACCEPTED, m.id, m.class_index, m.tenant, m.destination, m.idempotency_key]
-            return [*row, expires_at + to_unix, body, executed, m.time_left_s]
-        case AttemptStartedRecord(id=name, started_at=started_at, endpoint=endpoint):
-            return [ATTEMPT_STARTED, name, started_at + to_unix, endpoint]
-        case AttemptFinishedRecord(id=name, possibly_executed=possibly_executed):
-            return [ATTEMPT_FINISHED, name, possibly_executed]
+        case AcceptedRecord():
+            return _encode_accepted(record, to_unix)
+        case AttemptStartedRecord(id=message, started_at=started_at, endpoint=endpoint):
+            return [RecordKind.ATTEMPT_STARTED, message, started_at + to_unix, endpoint]
+        case AttemptFinishedRecord(id=message, possibly_executed=possibly_executed):
+            return [RecordKind.ATTEMPT_FINISHED, message, possibly_executed]
         case OutcomeDecidedRecord(notification=notification):
-            return [OUTCOME_DECIDED, notification.id, notification.retry_after_s]
-        case CompletedRecord(id=name):
-            return [COMPLETED, name]
+            return [RecordKind.OUTCOME_DECIDED, notification.id, notification.retry_after_s]
+        case CompletedRecord(id=message):
+            return [RecordKind.COMPLETED, message]
+
+
+def _encode_accepted(record: AcceptedRecord, to_unix: float) -> list[Any]:
+    message = record.message
+    return [
+        RecordKind.ACCEPTED,
+        message.id,
+        message.class_index,
+        message.tenant,
+        message.destination,
+        message.idempotency_key,
+        record.expires_at + to_unix,
+        base64.b64encode(message.body).decode(),
+        record.executed_at + to_unix if record.executed_at is not None else None,
+        message.time_left_s,
+    ]
 
 
 def decode(line: bytes, to_unix: float) -> JournalRecord | None:
@@ -64,28 +88,39 @@
 def _decode_row(row: Any, to_unix: float) -> JournalRecord | None:
     record: JournalRecord | None = None
     match row:
-        case [str(word), name, class_index, tenant, destination, key, expires, body, *more] if (
-            word == ACCEPTED
-        ):
-            executed, left = (*more, None, None)[:2]  # an older version wrote neither, or the first alone
-            decoded = base64.b64decode(body)
-            message = Message(name, class_index, tenant, destination, left or 0.0, key, decoded)
-            record = AcceptedRecord(
-                message, expires - to_unix, executed - to_unix if executed is not None else None
-            )
-        case [str(word), name, started, endpoint] if word == ATTEMPT_STARTED:
-            record = AttemptStartedRecord(name, started - to_unix, endpoint)
-        case [str(word), name, possibly_executed] if word == ATTEMPT_FINISHED:
-            record = AttemptFinishedRecord(name, possibly_executed)
-        case [str(word), name, retry_after_s] if word == OUTCOME_DECIDED:
-            record = OutcomeDecidedRecord(OutcomeNotification(name, retry_after_s))
-        case [str(word), name] if word == COMPLETED:
-            record = CompletedRecord(name)
+        case [RecordKind.ACCEPTED, *values] if len(values) >= ACCEPTED_VALUES:
+            record = _decode_accepted(values, to_unix)
+        case [RecordKind.ATTEMPT_STARTED, message, started, endpoint]:
+            record = AttemptStartedRecord(message, started - to_unix, endpoint)
+        case [RecordKind.ATTEMPT_FINISHED, message, possibly_executed]:
+            record = AttemptFinishedRecord(message, possibly_executed)
+        case [RecordKind.OUTCOME_DECIDED, message, retry_after_s]:
+            record = OutcomeDecidedRecord(OutcomeNotification(message, retry_after_s))
+        case [RecordKind.COMPLETED, message]:
+            record = CompletedRecord(message)
     return record
 
 
+def _decode_accepted(values: list[Any], to_unix: float) -> AcceptedRecord:
+    message_id, class_index, tenant, destination, idempotency_key, expires, body, *added = values
+    # An older version wrote neither of the added values, or the first alone.
+    executed = added[0] if added else None
+    time_left_s = added[1] if len(added) > 1 else None
+    message = Message(
+        message_id,
+        class_index,
+        tenant,
+        destination,
+        time_left_s or 0.0,
+        idempotency_key,
+        base64.b64decode(body),
+    )
+    executed_at = executed - to_unix if executed is not None else None
+    return AcceptedRecord(message, expires - to_unix, executed_at)
+
+
 def message_id(record: JournalRecord) -> str:
-    """Return the id of the message that a record is of."""
+    """Return the id of a record's message."""
     match record:
         case AcceptedRecord(message=message):
             return message.id
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -1,4 +1,7 @@
-"""One thread that turns events into effects: queue to reducer to executor, and again for what follows at once."""
+"""The loop, one thread: events from the queue to the reducer, its effects to the executor, until the process exits.
+
+Events that follow from effects at once are reduced in the same round.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
 from juniperward.forwarder.telemetry import report_fault
 from juniperward.forwarder.trace import Trace
 
-IDLE_SWEEP_INTERVAL_S = 1.0  # between looks at idle connections
-STOP_CHECK_INTERVAL_S = 0.05  # between looks at whether the process may end
+IDLE_SWEEP_INTERVAL_S = 1.0  # between sweeps of idle connections
+STOP_CHECK_INTERVAL_S = 0.05  # between checks of whether the process may exit
 
 
 class Loop:
@@ -22,12 +25,14 @@
 
     def __init__(self, reducer: Reducer, executor: EffectExecutor, queue: EventQueue) -> None:
         """Reduce the events of a queue; an executor carries out the effects."""
-        self.reducer, self.executor, self.queue = reducer, executor, queue
+        self.reducer = reducer
+        self.executor = executor
+        self.queue = queue
         self.trace: Trace | None = None
         self._sweep_at = 0.0
 
     def round(self, events: list[Event]) -> None:
-        """Reduce events and carry out what follows, until nothing more follows at once."""
+        """Reduce events and perform the effects, until no event follows from them at once."""
         while events:
             now = time.monotonic()
             if self.trace is not None:
@@ -47,7 +52,7 @@
             return self.reducer.effects
 
     def _perform(self, effect: Effect) -> Event | None:
-        """Carry out an effect; one that fails must not take the others of its round along."""
+        """Perform an effect; after one that fails the others of its round are performed all the same."""
         try:
             return self.executor.perform(effect)
         except Exception as error:
@@ -57,16 +62,16 @@
             return None
 
     def run(self, stopped: Callable[[], bool]) -> None:
-        """Go on until the reducer has finished, or `stopped` says so."""
+        """Run until the reducer says that the process may exit, or `stopped` does."""
         executor, lifecycle = self.executor, self.reducer.state.lifecycle
         while not stopped() and not self.reducer.may_exit(time.monotonic(), executor.server.has_finished()):
             stopping = lifecycle.exit_by is not None
             events = self.queue.wait(STOP_CHECK_INTERVAL_S if stopping else IDLE_SWEEP_INTERVAL_S)
             now = time.monotonic()
-            self.round(events + self.queue.due(now))
+            self.round(events + self.queue.expired_timers(now))
             if now >= self._sweep_at:
                 self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
                 executor.endpoint_client.sweep(now)
-        # What has come by now is journalled and answered; what threads find out later, the next process finds out.
+        # What was posted by now is journalled and answered; what threads post later is left to the next process.
         executor.endpoint_client.stop_sending()
         self.round(self.queue.wait(0.0))
--- a/juniperward/forwarder/records.py
+++ b/juniperward/forwarder/records.py
@@ -1,4 +1,4 @@
-"""What the journal holds of messages: its records, and what they say of a message that is not over.
+"""The journal's records, and what they say together of a message that is not completed.
 
 Moments are seconds of the monotonic clock; the journal's codec turns them into Unix time and back.
 """
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStartedRecord:
-    """The first byte of a message's call is about to be written."""
+    """The first byte of a message's attempt is about to be written."""
 
     id: str
     started_at: float
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeDecidedRecord:
-    """A message is given up; only its notification is owed from now on."""
+    """A message is given up; only its notification is left to be acknowledged."""
 
     notification: OutcomeNotification
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedRecord:
-    """Nothing more is owed of a message."""
+    """A message is completed: delivered, or its notification acknowledged."""
 
     id: str
 
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedAttempt:
-    """An attempt before a restart; one without a recorded end possibly executed."""
+    """An attempt before a restart; one without a recorded outcome possibly executed."""
 
     endpoint: str
     started_at: float
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredMessage:
-    """What the journal knows of a message that is not over."""
+    """What the journal says of a message that is not completed."""
 
     message: Message
     expires_at: float
--- a/juniperward/forwarder/telemetry.py
+++ b/juniperward/forwarder/telemetry.py
@@ -1,4 +1,4 @@
-"""Counters, invariants and the log: what the people on call see of a running forwarder (docs/on-call.md).
+"""Counters, invariants and the log of a running forwarder; docs/on-call.md explains each of them.
 
 A line of the log is `juniperward: KIND: EVENT KEY=VALUE ...`; values with spaces are quoted.
 """
@@ -10,12 +10,44 @@
 import sys
 import threading
 import time
+from dataclasses import dataclass
 
-LINES_PER_SECOND = 5  # of one kind; what is over is counted and told with the kind's next line
+MAX_LINES_PER_S = 5  # of one kind; the next line of the kind has how many were left out
 
 _lock = threading.Lock()
 _counts: dict[str, int] = {}
-_budget: dict[str, tuple[float, float, int]] = {}
+
+
+class InvariantBrokenError(AssertionError):
+    """Something that must always hold does not; raised in debug builds only."""
+
+    def __init__(self, name: str) -> None:
+        """Name the invariant."""
+        self.name = name
+        super().__init__(f"invariant broken: {name}")
+
+
+@dataclass(slots=True)
+class _LineBudget:
+    """A token bucket for the lines of one kind."""
+
+    tokens: float
+    refilled_at: float
+    left_out: int = 0  # lines since the last one that was printed
+
+    def take(self, now: float) -> bool:
+        """Return whether a line may be printed now."""
+        refilled = self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S
+        self.tokens = min(float(MAX_LINES_PER_S), refilled)
+        self.refilled_at = now
+        if self.tokens < 1.0:
+            self.left_out += 1
+            return False
+        self.tokens -= 1.0
+        return True
+
+
+_budgets: dict[str, _LineBudget] = {}
 
 
 def increment(name: str, by: int = 1) -> None:
@@ -25,21 +57,20 @@
 
 
 def counters() -> dict[str, int]:
-    """Return all counters as they stand, by name."""
+    """Return the present values of all counters, by name."""
     with _lock:
         return dict(sorted(_counts.items()))
 
 
 def log(kind: str, event: str, **fields: object) -> None:
-    """Print one line to standard error, at most LINES_PER_SECOND of a kind."""
+    """Print one line to standard error, at most MAX_LINES_PER_S of a kind."""
     now = time.monotonic()
     with _lock:
-        level, at, left_out = _budget.get(kind, (float(LINES_PER_SECOND), now, 0))
-        level = min(float(LINES_PER_SECOND), level + (now - at) * LINES_PER_SECOND)
-        if level < 1.0:
-            _budget[kind] = (level, now, left_out + 1)
+        budget = _budgets.setdefault(kind, _LineBudget(float(MAX_LINES_PER_S), now))
+        if not budget.take(now):
             return
-        _budget[kind] = (level - 1.0, now, 0)
+        left_out = budget.left_out
+        budget.left_out = 0
     if left_out:
         fields["left_out"] = left_out
     try:
@@ -59,22 +90,37 @@
 
 
 def check_invariant(holds: bool, name: str) -> bool:
-    """Assert what must hold in debug builds; count and log it in release builds. Returns whether it holds."""
+    """Check what must always hold; return whether it does.
+
+    A release build (`python -O`) counts and logs it where it does not.
+
+    Raises:
+        InvariantBrokenError: in a debug build.
+
+    """
     if not holds:
-        assert False, f"invariant broken: {name}"  # noqa: B011
+        if __debug__:
+            raise InvariantBrokenError(name)
         increment(f"broken_{name}")
         log("invariant", "broken", name=name)
     return holds
 
 
 def report_fault(where: str, error: BaseException) -> None:
-    """Count and log an unexpected error in a thread, whose work still gets an outcome."""
+    """Count and log an unexpected error; the caller goes on, and its work still gets an outcome."""
     increment("unexpected_errors")
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    spot = f"{place.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{place.tb_lineno}" if place else "?"
-    log("unexpected", "error", where=where, type=type(error).__name__, error=error, at=spot)
+    log("unexpected", "error", where=where, type=type(error).__name__, error=error, at=_raised_at(error))
+
+
+def _raised_at(error: BaseException) -> str:
+    """Return file and line of the innermost frame of an error."""
+    innermost = error.__traceback__
+    if innermost is None:
+        return "?"
+    while innermost.tb_next is not None:
+        innermost = innermost.tb_next
+    file_name = innermost.tb_frame.f_code.co_filename.rsplit("/", 1)[-1]
+    return f"{file_name}:{innermost.tb_lineno}"
 
 
 def report_counters() -> None:
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -1,8 +1,8 @@
-"""What a forwarder takes in and does, a line each on standard error: off unless ROUTER_TRACE is set.
+"""The trace: the reducer's events and effects, a line each on standard error; off unless ROUTER_TRACE is set.
 
-The log is for people and leaves lines out; a trace is for `juniperward lab traces`, which counts over all
-forwarders of a fleet, and leaves out none. A line is `juniperward: trace: TIME WORD FIELD ...`, the time that
-of the system's clock in seconds, which every forwarder of a fleet shares.
+The log is for people and leaves lines out; a trace leaves out none: `juniperward simulate traces` counts its lines
+over all forwarders of a fleet. A line is `juniperward: trace: TIME KEYWORD FIELD ...`, TIME in Unix time, which all
+forwarders of a fleet share. The keywords are a format that benchmarks/traces.py reads, also of older versions.
 """
 
 from __future__ import annotations
@@ -46,15 +46,15 @@
 
 
 class Trace:
-    """Writes what passes between the loop and the reducer."""
+    """Writes the events and effects that pass between the loop and the reducer."""
 
     def __init__(self, to_unix: float) -> None:
         """Trace in Unix time; `to_unix` is added to monotonic time."""
         self._to_unix = to_unix
-        self._waiting: dict[int, str] = {}  # destination and id of the message that each client waits for
+        self._waiting: dict[int, str] = {}  # by client: destination and id of its message
 
     def events(self, now: float, events: Iterable[Event]) -> None:
-        """Write what came in with a round."""
+        """Write the events of a round."""
         self._write(now, [line for event in events for line in self._event_lines(event)])
 
     def _event_lines(self, event: Event) -> list[str]:
@@ -74,7 +74,7 @@
         return lines
 
     def effects(self, now: float, effects: Iterable[Effect]) -> None:
-        """Write what a round asks for."""
+        """Write the effects of a round."""
         self._write(now, [line for effect in effects for line in self._effect_lines(effect)])
 
     def _effect_lines(self, effect: Effect) -> list[str]:
@@ -97,7 +97,7 @@
         return lines
 
     def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
-        """Write an answer as it was read; `fresh` on a new connection."""
+        """Write an endpoint's answer as it was read; `fresh`: on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -23,10 +23,10 @@
 from juniperward.fakes.discovery import FakeDiscovery
 from juniperward.fakes.records import AttemptReceived, NotificationReceived, Recorder
 from juniperward.forwarder.clock import (
-    CLOCK_ERROR_S,
-    LARGEST_STEP_S,
+    MAX_CLOCK_ERROR_S,
+    MAX_STEP_BACK_S,
     REFERENCE_NAME,
-    carry_over,
+    choose_unix_offset,
     read_boot_id,
 )
 from juniperward.forwarder.effects import SendNotifications, StartAttempt
@@ -63,7 +63,7 @@
         self.folder = tmp_path
 
     def carry(self, to_unix: float, boot: str = BOOT) -> float:
-        return carry_over(self.folder, to_unix, boot, JOURNAL_NAME)
+        return choose_unix_offset(self.folder, to_unix, boot, JOURNAL_NAME)
 
     def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
         """The journal as the process opens it at its start."""
@@ -95,19 +95,19 @@
             "not a pair": "17",
             "no number": json.dumps([BOOT, "soon"]),
             "not finite": json.dumps([BOOT, float("nan")]),
-            "of another clock": json.dumps([BOOT, OFFSET + LARGEST_STEP_S + 1.0]),
+            "of another clock": json.dumps([BOOT, OFFSET + MAX_STEP_BACK_S + 1.0]),
         }
         for name, text in cases.items():
             with subtests.test(name=name):
                 (self.folder / REFERENCE_NAME).write_text(text)
-                assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S
+                assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S
         (self.folder / REFERENCE_NAME).unlink()  # an older version wrote none
-        assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S
-        assert self.carry(OFFSET) == OFFSET + CLOCK_ERROR_S  # what is still there keeps its age
+        assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S
+        assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S  # what is still there keeps its age
 
     def test_a_boot_without_an_id_tells_nothing(self) -> None:
         self.journal(OFFSET, boot="")
-        assert self.carry(OFFSET, boot="") == OFFSET + CLOCK_ERROR_S
+        assert self.carry(OFFSET, boot="") == OFFSET + MAX_CLOCK_ERROR_S
 
     def test_a_reference_that_cannot_be_written_is_no_reason_not_to_start(self) -> None:
         with mock.patch("juniperward.forwarder.clock.Path.replace", side_effect=OSError(28, "No space left")):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -210,9 +210,9 @@
 
 
 def test_the_clock_of_the_same_boot_is_carried_over(folder: Path) -> None:
-    assert clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, BOOT_ID, "journal") == WRITTEN_AT
+    assert clock.choose_unix_offset(folder / "forwarder", WRITTEN_AT - 0.5, BOOT_ID, "journal") == WRITTEN_AT
     assert (
-        clock.carry_over(folder / "forwarder", WRITTEN_AT - 0.5, "another boot", "journal")
+        clock.choose_unix_offset(folder / "forwarder", WRITTEN_AT - 0.5, "another boot", "journal")
         == WRITTEN_AT + 0.5
     )
 
