--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -1,4 +1,7 @@
-"""Status and tables for the control channel, made from the reducer's state; changes nothing."""
+"""Status and tables for the control channel, built from the state of the reducer and the scheduler; read only.
+
+Called by `control`; the control output completes a status with what only the process knows.
+"""
 
 from __future__ import annotations
 
@@ -57,10 +60,10 @@
 def status(
     state: ForwarderState, settings: SchedulerSettings, scheduler: DeliveryScheduler, now: float
 ) -> Status:
-    """Return the status; what only the process knows (its name, the journal) is put in by the loop."""
+    """Return the status; the control output completes it with name, start and journal sizes."""
     counted = counters()
     messages, directory = state.messages, state.directory
-    oldest = next(iter(messages.pending.values()), None)  # they are in the order taken
+    oldest = next(iter(messages.pending.values()), None)  # they are in the order accepted
     now_phase = phase(state)
     return Status(
         name="",
