--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -302,9 +302,10 @@
 
     def test_a_disk_that_fills_amid_a_change_takes_none_of_it(self) -> None:
         self.fill(5)
+        disk_full = sqlite3.OperationalError("database or disk is full")
         with pytest.raises(sqlite3.OperationalError), self.store.transaction() as db:
             db.execute("UPDATE message SET wished = 'x'")
-            raise sqlite3.OperationalError("database or disk is full")
+            raise disk_full
         assert self.store.select(Filter(redrive_requested=True)) == []
 
     def test_moments_are_remembered_and_threads_have_their_own_connections(self) -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -108,8 +108,10 @@
 
 
 def test_a_failure_in_the_rules_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    fault = IndexError("no such place")
+
     def broken(*_args: object) -> None:
-        raise IndexError("no such place")
+        raise fault
 
     monkeypatch.setattr("juniperward.scheduler.DeliveryScheduler.handle", broken)
     (reply,) = play((10.0, start("node/0")))
