--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -42,18 +42,16 @@
 @from_options
 def sweep(options: SweepOptions) -> None:
     """Run scenarios under policies over seeds; what is in the folder already is not run again."""
-    from juniperward.simulation.report import markdown
-    from juniperward.simulation.report import table as priority_weight_table
+    from juniperward.simulation.report_tables import markdown, policies_of, utility_table
 
     results = _run_all(options, options.policy)
     if options.output is Output.JSON:
         print_json([_result_row(result) for result in results])
         return
-    policies, rows = priority_weight_table(results)
-    made = table("scenario", *(f">{policy}" for policy in policies))
-    for row in rows:
+    made = table("scenario", *(f">{policy}" for policy in policies_of(results)))
+    for row in utility_table(results):
         cells = (f"[bold]{cell.text}[/bold]" if cell.best else cell.text for cell in row.cells)
-        made.add_row(row.name, *cells)
+        made.add_row(row.scenario, *cells)
     console.print(made)
     (options.out / TABLE_FILE).write_text(markdown(results))
 
@@ -110,11 +108,12 @@
 @from_options
 def report(options: ReportOptions) -> None:
     """Write one self-contained HTML page with tables and charts."""
-    from juniperward.simulation.report import write
+    from juniperward.simulation.report import write_report
 
     results = _run_all(options, options.policy)
-    shows = {scenario.name: scenario.description for scenario in load_scenarios(options.files)}
-    write(results, shows, options.file, f"juniperward lab report {options.file} --seeds {options.seeds}")
+    descriptions = {scenario.name: scenario.description for scenario in load_scenarios(options.files)}
+    command = f"juniperward simulate report {options.file} --seeds {options.seeds}"
+    write_report(results, descriptions, options.file, command)
     console.print(f"{options.file}: {len(results)} runs", markup=False)
 
 
--- a/juniperward/simulation/report.py
+++ b/juniperward/simulation/report.py
@@ -1,24 +1,37 @@
-"""One self-contained page of an experiment: tables, charts as SVG, and what is needed to repeat it."""
+"""One self-contained HTML page of an experiment: tables, charts as SVG, and the command that repeats it.
+
+Input: results and the scenarios' descriptions; output: a file. Called by `juniperward simulate report`.
+"""
 
 from __future__ import annotations
 
 import io
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
 import jinja2
-import matplotlib
 import numpy as np
 from markupsafe import Markup
-
-from juniperward.simulation.comparison import Comparison, compare
+from matplotlib.backends.backend_svg import FigureCanvasSVG
+from matplotlib.figure import Figure
+
+from juniperward.simulation.report_tables import (
+    OURS,
+    PolicyRow,
+    comparisons,
+    policies_of,
+    policy_table,
+    scenarios_of,
+    utility_table,
+    violation_table,
+)
 from juniperward.simulation.result import Result
 
-matplotlib.use("svg")
-import matplotlib.pyplot as plt  # noqa: E402
+CHART_INCHES = (9, 2.6)
+OUR_LINE_WIDTH, OTHER_LINE_WIDTH = 2.0, 0.9
+LEAST_REQUESTED = 1e-9  # in a second without messages
 
-OURS = "juniperward"
-RULES = ("destinations_crashed", "duplicate_effects", "retry_after_violations")
 PAGE = """<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
 <style>
@@ -28,157 +41,98 @@
  .best { font-weight: 600 } .note { color: #666 } svg { max-width: 100%; height: auto }
 </style>
 <h1>{{ title }}</h1>
-<p class="note">{{ runs }} runs, {{ seeds }} seeds; worth is what was delivered of what was asked for, 0 to 1.
+<p class="note">{{ runs }} runs, {{ seeds }} seeds; utility is the mean over all messages, from 0 to 1: 1 for a
+delivery within the latency objective, less for a later one, 0 for none.
 Repeat: <code>{{ command }}</code></p>
-<h2>Worth, mean over seeds</h2>
-<table><tr><th>scenario</th>{% for p in policies %}<th>{{ p }}</th>{% endfor %}</tr>
-{% for row in worth %}<tr><td>{{ row.name }}</td>
-{% for c in row.cells %}<td{% if c.best %} class="best"{% endif %}>{{ c.text }}</td>{% endfor %}
+<h2>Utility, mean over seeds</h2>
+<table><tr><th>scenario</th>{% for policy in policies %}<th>{{ policy }}</th>{% endfor %}</tr>
+{% for row in utility %}<tr><td>{{ row.scenario }}</td>
+{% for cell in row.cells %}<td{% if cell.best %} class="best"{% endif %}>{{ cell.text }}</td>{% endfor %}
 </tr>{% endfor %}</table>
 <h2>{{ ours }} against each</h2>
-<table><tr><th>scenario</th><th>other</th><th>difference</th><th>0.95 interval</th><th>says</th></tr>
+<table><tr><th>scenario</th><th>other</th><th>difference</th><th>0.95 interval</th><th>verdict</th></tr>
 {% for c in comparisons %}<tr><td>{{ c.scenario }}</td><td>{{ c.other }}</td><td>{{ '%+.4f' % c.mean }}</td>
 <td>{{ '%+.4f' % c.low }} to {{ '%+.4f' % c.high }}</td><td>{{ c.verdict }}</td></tr>{% endfor %}</table>
-<h2>Rules</h2>
-<p>Partners that fell over, second effects and calls within a told wait, over all seeds; where a policy breaks
-a rule, its worth is not to be had.</p>
-<table><tr><th>policy</th><th>fell over</th><th>second effects</th><th>waits broken</th></tr>
-{% for r in rules %}<tr><td>{{ r[0] }}</td><td>{{ r[1] }}</td><td>{{ r[2] }}</td><td>{{ r[3] }}</td></tr>{% endfor %}
+<h2>Invariants</h2>
+<p>Destinations crashed by overload, duplicate effects and calls within a Retry-After, over all seeds; the utility of
+a policy that violates an invariant is not to be had.</p>
+<table><tr><th>policy</th><th>destinations crashed</th><th>duplicate effects</th><th>Retry-After violations</th></tr>
+{% for row in violations %}<tr><td>{{ row.policy }}</td><td>{{ row.destinations_crashed }}</td>
+<td>{{ row.duplicate_effects }}</td><td>{{ row.retry_after_violations }}</td></tr>{% endfor %}
 </table>
-{% for s in sections %}<h2>{{ s.name }}</h2><p>{{ s.shows }}</p>{{ s.chart }}
-<table><tr><th>policy</th><th>median s</th><th>p99 s</th><th>calls a message</th><th>refused calls</th>
-<th>where worth was lost</th></tr>
-{% for r in s.rows %}<tr>{% for x in r %}<td>{{ x }}</td>{% endfor %}</tr>{% endfor %}</table>{% endfor %}
+{% for section in sections %}<h2>{{ section.scenario }}</h2><p>{{ section.description }}</p>{{ section.chart }}
+<table><tr><th>policy</th><th>median s</th><th>p99 s</th><th>calls a message</th><th>rejected calls</th>
+<th>where utility was lost</th></tr>
+{% for row in section.rows %}<tr><td>{{ row.policy }}</td><td>{{ row.median_s }}</td><td>{{ row.p99_s }}</td>
+<td>{{ row.calls_per_message }}</td><td>{{ row.calls_rejected }}</td><td>{{ row.utility_lost }}</td>
+</tr>{% endfor %}</table>{% endfor %}
 </html>"""
 
 
-@dataclass(frozen=True, slots=True)
-class Cell:
-    """A figure of the table; the best of its row is set in bold."""
-
-    text: str
-    best: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Row:
-    """A scenario's figures."""
-
-    name: str
-    cells: list[Cell]
-
-
 @dataclass(frozen=True, slots=True)
 class Section:
     """A scenario's part of the page."""
 
-    name: str
-    shows: str
-    chart: str
-    rows: list[list[str]]
-
-
-def table(results: list[Result]) -> tuple[list[str], list[Row]]:
-    """Policies, and the mean worth of each on each scenario."""
-    policies = list(dict.fromkeys(r.policy for r in results))
-    rows = []
-    for scenario in dict.fromkeys(r.scenario for r in results):
-        means = [_mean(results, scenario, p) for p in policies]
-        best = max(means)
-        rows.append(Row(scenario, [Cell(f"{m:.4f}", m >= best - 5e-5) for m in means]))
-    return policies, rows
-
-
-def _mean(results: list[Result], scenario: str, policy: str) -> float:
-    found = [r.utility for r in results if r.scenario == scenario and r.policy == policy]
-    return float(np.mean(found)) if found else 0.0
+    scenario: str
+    description: str
+    chart: Markup
+    rows: list[PolicyRow]
 
 
-def comparisons(results: list[Result]) -> list[Comparison]:
-    """Our module against every other policy, on every scenario."""
-    others = [p for p in dict.fromkeys(r.policy for r in results) if p != OURS]
-    return [c for other in others for c in compare(results, OURS, other)]
+def write_report(
+    results: Sequence[Result], descriptions: Mapping[str, str], file: Path, command: str
+) -> None:
+    """Write the page to `file`; `descriptions` are by scenario, `command` repeats it. Raises OSError."""
+    environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
+    text = environment.from_string(PAGE).render(
+        title="Policies on scenarios",
+        runs=len(results),
+        seeds=len({result.seed for result in results}),
+        command=command,
+        policies=policies_of(results),
+        utility=utility_table(results),
+        ours=OURS,
+        comparisons=comparisons(results),
+        violations=violation_table(results),
+        sections=_sections(results, descriptions),
+    )
+    file.parent.mkdir(parents=True, exist_ok=True)
+    file.write_text(text)
 
 
-def _chart(results: list[Result]) -> str:
-    """Service over the day: for each policy the mean share of worth by the second in which it was due."""
-    figure, axes = plt.subplots(figsize=(9, 2.6))
-    for policy in dict.fromkeys(r.policy for r in results):
-        runs = [np.array(r.by_second) for r in results if r.policy == policy]
-        length = min(len(x) for x in runs)
-        asked = sum(x[:length, 0] for x in runs)
-        got = sum(x[:length, 1] for x in runs)
-        axes.plot(np.asarray(got) / np.maximum(asked, 1e-9), label=policy, lw=2.0 if policy == OURS else 0.9)
+def _sections(results: Sequence[Result], descriptions: Mapping[str, str]) -> list[Section]:
+    policies = policies_of(results)
+    sections = []
+    for scenario in scenarios_of(results):
+        runs = [result for result in results if result.scenario == scenario]
+        rows = policy_table(runs, policies)
+        sections.append(Section(scenario, descriptions.get(scenario, ""), _chart(runs), rows))
+    return sections
+
+
+def _chart(results: Sequence[Result]) -> Markup:
+    """Return the chart of one scenario: each policy's mean utility by the second of the messages' arrival."""
+    figure = Figure(figsize=CHART_INCHES)
+    FigureCanvasSVG(figure)  # that the layout is measured by what draws it
+    axes = figure.subplots()
+    for policy in policies_of(results):
+        runs = [np.array(result.by_second) for result in results if result.policy == policy]
+        seconds = min(len(run) for run in runs)
+        requested = sum(run[:seconds, 0] for run in runs)
+        utility = sum(run[:seconds, 1] for run in runs)
+        means = np.asarray(utility) / np.maximum(requested, LEAST_REQUESTED)
+        axes.plot(means, label=policy, lw=OUR_LINE_WIDTH if policy == OURS else OTHER_LINE_WIDTH)
     axes.set_ylim(0, 1.03)
-    axes.set_xlabel("second in which the message was due")
-    axes.set_ylabel("worth kept")
+    axes.set_xlabel("second of the message's arrival")
+    axes.set_ylabel("utility")
     axes.legend(fontsize=7, ncol=4, loc="lower left")
     figure.tight_layout()
+    return Markup(_svg(figure))
+
+
+def _svg(figure: Figure) -> str:
+    """Return the SVG element alone, without the XML prologue."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
-    plt.close(figure)
     text = out.getvalue()
     return text[text.index("<svg") :]
-
-
-def write(results: list[Result], shows: dict[str, str], file: Path, command: str) -> None:
-    """Write the page."""
-    policies, worth = table(results)
-    sections = []
-    for scenario in dict.fromkeys(r.scenario for r in results):
-        mine = [r for r in results if r.scenario == scenario]
-        rows = []
-        for p in policies:
-            runs = [r for r in mine if r.policy == p]
-            lost: dict[str, float] = {}
-            for r in runs:
-                for why, part in r.utility_lost.items():
-                    lost[why] = lost.get(why, 0.0) + part / len(runs)
-            asked = sum(r.requested for r in runs)
-            rows.append([
-                p, f"{np.mean([r.median_s for r in runs]):.3f}", f"{np.mean([r.p99_s for r in runs]):.2f}",
-                f"{sum(r.calls for r in runs) / max(asked, 1):.2f}", f"{sum(r.calls_rejected for r in runs)}",
-                ", ".join(f"{why} {part:.4f}" for why, part in sorted(lost.items(), key=lambda x: -x[1])),
-            ])  # fmt: skip
-        sections.append(Section(scenario, shows.get(scenario, ""), _chart(mine), rows))
-    rules = []
-    for p in policies:
-        runs = [r for r in results if r.policy == p]
-        rules.append((p, *(sum(getattr(r, f) for r in runs) for f in RULES)))
-    environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    page = environment.from_string(PAGE)
-    text = page.render(
-        title="Policies on scenarios", runs=len(results), seeds=len({r.seed for r in results}), command=command,
-        policies=policies, worth=worth, ours=OURS, comparisons=comparisons(results), rules=rules,
-        sections=[
-            {"name": s.name, "shows": s.shows, "chart": Markup(s.chart), "rows": s.rows} for s in sections
-        ],
-    )  # fmt: skip
-    file.parent.mkdir(parents=True, exist_ok=True)
-    file.write_text(text)
-
-
-def markdown(results: list[Result]) -> str:
-    """The worth table and what the comparisons say, for docs/measurements/."""
-    policies, worth = table(results)
-    out = ["| scenario | " + " | ".join(policies) + " |", "|" + " --- |" * (len(policies) + 1)]
-    for row in worth:
-        cells = [f"**{c.text}**" if c.best else c.text for c in row.cells]
-        out.append(f"| {row.name} | " + " | ".join(cells) + " |")
-    out += ["", "| scenario | other policy | ours more by | 0.95 interval | says |"]
-    out.append("| --- | --- | --- | --- | --- |")
-    for c in comparisons(results):
-        if abs(c.mean) >= 0.002:
-            out.append(
-                f"| {c.scenario} | {c.other} | {c.mean:+.4f} | {c.low:+.4f} to {c.high:+.4f} | {c.verdict} |"
-            )
-    out += [
-        "",
-        "| policy | partners fell over | second effects | waits broken |",
-        "| --- | --- | --- | --- |",
-    ]
-    for p in policies:
-        runs = [r for r in results if r.policy == p]
-        figures = [sum(getattr(r, f) for r in runs) for f in RULES]
-        out.append(f"| {p} | " + " | ".join(map(str, figures)) + " |")
-    return "\n".join(out) + "\n"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,7 +20,7 @@
 from juniperward.simulation.comparison import compare
 from juniperward.simulation.experiment import ExperimentPlan, replay, run_scenario, sweep
 from juniperward.simulation.policies import POLICIES, Baseline, DestinationQueue, NoRetry
-from juniperward.simulation.report import write
+from juniperward.simulation.report import write_report
 from juniperward.simulation.result import Result, from_row, to_row
 from juniperward.simulation.result_store import (
     ExperimentRunningError,
@@ -298,7 +298,7 @@
         (other,) = compare(results, "juniperward", "other")
         self.assertEqual(other.verdict, "no difference seen")
         page = self.folder / "page.html"
-        write(results, {"s": "x < y"}, page, "again")
+        write_report(results, {"s": "x < y"}, page, "again")
         text = page.read_text()
         self.assertIn("<svg", text)
         self.assertIn("x &lt; y", text)
