--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -140,9 +140,8 @@
 @from_options
 def search(options: SearchOptions) -> None:
     """Look for days on which a policy keeps much less than the oracle; make the worst small, and keep them."""
-    from juniperward.simulation.search import keep as save
-    from juniperward.simulation.search import search as search_days
-    from juniperward.simulation.search import shrink
+    from juniperward.simulation.search import minimize, save
+    from juniperward.simulation.search import search as search_scenarios
 
     (policy,) = policy_names([options.policy])
     with Progress(console=errors, transient=True) as progress:
@@ -151,9 +150,9 @@
         def show_progress(done: int, found: Any) -> None:
             progress.update(task, completed=done, description=f"regret {found.regret:.3f}")
 
-        worst = search_days(policy, options.rounds, options.seed, options.processes, show_progress)
+        worst = search_scenarios(policy, options.rounds, options.seed, options.processes, show_progress)
     for found in worst[: options.saved_count]:
-        small = shrink(found, policy)
+        small = minimize(found, policy)
         file = save(small, policy, options.folder)
         regrets = f"regret {found.regret:.3f}, made small {small.regret:.3f}"
         console.print(f"{file}: {regrets}; seed {small.seed}", markup=False)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -28,8 +28,9 @@
     read_parquet,
     write_parquet,
 )
+from juniperward.simulation.scenario_generator import generate, mutate, valid_text
 from juniperward.simulation.scenario_loader import FOLDER, load, parse
-from juniperward.simulation.search import Found, invent, judge, keep, mutate, search, shrink, sound
+from juniperward.simulation.search import Finding, evaluate, minimize, save, search
 from juniperward.simulation.world import World
 
 SMALL = """
@@ -167,9 +168,9 @@
     def test_the_same_seed_finds_the_same_days_and_all_are_sound(self) -> None:
         def days(seed: int) -> list[str | None]:
             dice = random.Random(seed)
-            made = [invent(dice) for _ in range(30)]
-            return [sound(m) for m in made] + [
-                sound(mutate(text_format.MessageToString(m), dice)) for m in made
+            made = [generate(dice) for _ in range(30)]
+            return [valid_text(m) for m in made] + [
+                valid_text(mutate(text_format.MessageToString(m), dice)) for m in made
             ]
 
         self.assertEqual(days(1), days(1))
@@ -181,15 +182,15 @@
         self.assertEqual([f.regret for f in found], sorted((f.regret for f in found), reverse=True))
         text = SMALL + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
         text += "trouble { kind: HOT at: 2 seconds: 2 partner: 3 }"
-        bad = judge(text, "one-try", 1)
+        bad = evaluate(text, "one-try", 1)
         self.assertGreater(bad.regret, 0.01)
-        small = shrink(bad, "one-try", most=12)
+        small = minimize(bad, "one-try", max_runs=12)
         self.assertGreaterEqual(small.regret, 0.8 * bad.regret)
         self.assertLess(small.text.count("trouble"), 3)
         with tempfile.TemporaryDirectory() as folder:
-            file = keep(small, "one-try", Path(folder))
+            file = save(small, "one-try", Path(folder))
             self.assertIn("found by the search", load(file).description)
-            self.assertNotEqual(keep(small, "one-try", Path(folder)), file)
+            self.assertNotEqual(save(small, "one-try", Path(folder)), file)
 
     def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
         runner = CliRunner()
@@ -203,7 +204,7 @@
         self.assertNotIn("hunt", runner.invoke(app, ["simulate", "--help"]).output)
 
     def test_a_broken_rule_counts_for_more_than_any_worth(self) -> None:
-        self.assertGreater(Found("", 1, 1.0, 1.0, 1).regret, Found("", 1, 0.0, 1.0, 0).regret)
+        self.assertGreater(Finding("", 1, 1.0, 1.0, 1).regret, Finding("", 1, 0.0, 1.0, 0).regret)
 
 
 class ExperimentTest(unittest.TestCase):
