--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -21,6 +21,30 @@
 FAULTS_FIELD = "trouble"  # the format's name of the timetable of faults
 FAULT_MESSAGE = "Trouble"
 
+# The format's fields by those of DestinationGroup, Traffic and DeliveryObjective.
+GROUP_FIELDS = {
+    "count": "count",
+    "traffic_fraction": "share",
+    "endpoints": "workers",
+    "latency_s": "latency",
+    "latency_variation": "spread",
+    "concurrency": "at_once",
+    "queue_limit": "queue",
+    "rate_limit_per_s": "rate",
+    "retry_after_fraction": "tells_wait",
+    "batch_size": "batch",
+}
+TRAFFIC_FIELDS = {
+    "rate_per_s": "rate",
+    "swing_fraction": "swing",
+    "swing_period_s": "period",
+    "burst_fraction": "clumps",
+    "burst_size": "clump",
+    "resubmit_fraction": "again",
+    "deduplication_window_s": "window",
+}
+OBJECTIVE_FIELDS = {"latency_objective_s": "aim", "deadline_s": "deadline", "late_weight": "late_worth"}
+
 GROUP_DEFAULTS: dict[str, Any] = {
     "workers": 2, "latency": 0.05, "spread": 0.4, "at_once": 8, "queue": 16, "tells_wait": 0.8, "batch": 1,
 }  # fmt: skip
@@ -29,9 +53,8 @@
 }  # fmt: skip
 DEFAULT_MAGNITUDES = {FaultKind.SLOW: 4.0, FaultKind.KILL: 0.3, FaultKind.HOT: 0.2}  # others have 1.0
 
-FAULT_KIND_CODES = getattr(
-    scenario_pb2, FAULT_MESSAGE
-).Kind  # the format's enumeration: Name(code), Value(name)
+# The format's enumeration of fault kinds: Name(code) and Value(name).
+FAULT_KIND_CODES = getattr(scenario_pb2, FAULT_MESSAGE).Kind
 
 
 def load(file: Path) -> Scenario:
@@ -146,29 +169,12 @@
 
 
 def _group_of(message: Any) -> DestinationGroup:
-    return DestinationGroup(
-        count=message.count,
-        traffic_fraction=message.share,
-        endpoints=message.workers,
-        latency_s=message.latency,
-        latency_variation=message.spread,
-        concurrency=message.at_once,
-        queue_limit=message.queue,
-        rate_limit_per_s=message.rate,
-        retry_after_fraction=message.tells_wait,
-        batch_size=max(message.batch, 1),
-    )
+    values = {name: getattr(message, field) for name, field in GROUP_FIELDS.items()}
+    values["batch_size"] = max(values["batch_size"], 1)
+    return DestinationGroup(**values)
 
 
 def _traffic_of(message: Any) -> Traffic:
-    objective = DeliveryObjective(message.aim, message.deadline, message.late_worth)
-    return Traffic(
-        rate_per_s=message.rate,
-        swing_fraction=message.swing,
-        swing_period_s=message.period,
-        burst_fraction=message.clumps,
-        burst_size=message.clump,
-        resubmit_fraction=message.again,
-        objective=objective,
-        deduplication_window_s=message.window,
-    )
+    values = {name: getattr(message, field) for name, field in TRAFFIC_FIELDS.items()}
+    objective = {name: getattr(message, field) for name, field in OBJECTIVE_FIELDS.items()}
+    return Traffic(objective=DeliveryObjective(**objective), **values)
