--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -17,7 +17,7 @@
 from juniperward.simulation.scenario_loader import FOLDER, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
-POLICIES = ("juniperward", "round-robin", "one-try")
+POLICIES = ("juniperward", "round-robin", "no-retry")
 AGREES_WITHIN = 0.03  # of priority weight, that simulation and sockets may differ by
 ORDERED_FROM = 0.01  # policies closer than this in either are not ordered
 CLUSTERS_AT_ONCE = 6
--- a/juniperward/simulation/policies/__init__.py
+++ b/juniperward/simulation/policies/__init__.py
@@ -13,11 +13,11 @@
 
 __all__ = ["POLICIES", "Baseline", "DestinationQueue", "NoRetry", "policy_name"]
 
-FORMER_NAMES = {"nickelscale": "juniperward"}  # of policies: results on disk and habits have them
+FORMER_NAMES = {"nickelscale": "juniperward", "one-try": "no-retry"}  # in stored results and on command lines
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "juniperward": DeliveryScheduler,
-    "one-try": NoRetry,
+    "no-retry": NoRetry,
     "round-robin": RoundRobin,
     "least-outstanding": LeastOutstanding,
     "aimd": AdditiveIncrease,
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -87,7 +87,7 @@
     def test_our_module_keeps_the_rules_and_beats_one_try(self) -> None:
         ours, least = (
             run_scenario(SMALL, "small", "juniperward", 1),
-            run_scenario(SMALL, "small", "one-try", 1),
+            run_scenario(SMALL, "small", "no-retry", 1),
         )
         self.assertEqual(
             (ours.duplicate_effects, ours.retry_after_violations, ours.destinations_crashed), (0, 0, 0)
@@ -178,19 +178,19 @@
         self.assertGreater(len([d for d in days(1) if d]), 50)
 
     def test_a_policy_with_a_planted_fault_is_found_out_and_its_day_made_small(self) -> None:
-        found = search("one-try", 3, 7, 1)
+        found = search("no-retry", 3, 7, 1)
         self.assertEqual([f.regret for f in found], sorted((f.regret for f in found), reverse=True))
         text = SMALL + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
         text += "trouble { kind: HOT at: 2 seconds: 2 partner: 3 }"
-        bad = evaluate(text, "one-try", 1)
+        bad = evaluate(text, "no-retry", 1)
         self.assertGreater(bad.regret, 0.01)
-        small = minimize(bad, "one-try", max_runs=12)
+        small = minimize(bad, "no-retry", max_runs=12)
         self.assertGreaterEqual(small.regret, 0.8 * bad.regret)
         self.assertLess(small.text.count("trouble"), 3)
         with tempfile.TemporaryDirectory() as folder:
-            file = save(small, "one-try", Path(folder))
+            file = save(small, "no-retry", Path(folder))
             self.assertIn("found by the search", load(file).description)
-            self.assertNotEqual(save(small, "one-try", Path(folder)), file)
+            self.assertNotEqual(save(small, "no-retry", Path(folder)), file)
 
     def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
         runner = CliRunner()
@@ -215,21 +215,21 @@
 
     def test_a_sweep_that_was_cut_off_goes_on_where_it_stood(self) -> None:
         s = parse(SMALL, "small.textproto")
-        first = sweep(self.folder, ExperimentPlan([s], ["one-try"], [1, 2], 1))
+        first = sweep(self.folder, ExperimentPlan([s], ["no-retry"], [1, 2], 1))
         file = self.folder / "results.jsonl"
         whole = file.read_bytes()
         file.write_bytes(whole[:-20])  # the second was torn by a kill
         ran: list[int] = []
         again = sweep(
             self.folder,
-            ExperimentPlan([s], ["one-try"], [1, 2], 1),
+            ExperimentPlan([s], ["no-retry"], [1, 2], 1),
             lambda _done, _total, r: ran.append(r.seed),
         )
         self.assertEqual([(r.seed, r.utility) for r in again], [(r.seed, r.utility) for r in first])
         self.assertEqual(len(ran), 1)
         sweep(
             self.folder,
-            ExperimentPlan([s], ["one-try"], [1, 2], 1),
+            ExperimentPlan([s], ["no-retry"], [1, 2], 1),
             lambda _done, _total, r: ran.append(r.seed),
         )
         self.assertEqual(len(ran), 1)
@@ -310,12 +310,23 @@
         file.write_text(SMALL)
         tool = CliRunner()
         found = json.loads(
-            tool.invoke(app, ["simulate", "run", str(file), "-p", "one-try", "-o", "json"]).output
+            tool.invoke(app, ["simulate", "run", str(file), "-p", "no-retry", "-o", "json"]).output
         )
-        self.assertEqual(found["worth"], run_scenario(SMALL, "small", "one-try", 1).utility)
-        words = ["simulate", "sweep", str(file), "-p", "one-try", "--seeds", "1", "--processes", "1", "--out"]
+        self.assertEqual(found["worth"], run_scenario(SMALL, "small", "no-retry", 1).utility)
+        words = [
+            "simulate",
+            "sweep",
+            str(file),
+            "-p",
+            "no-retry",
+            "--seeds",
+            "1",
+            "--processes",
+            "1",
+            "--out",
+        ]
         self.assertEqual(tool.invoke(app, [*words, str(self.folder / "o")]).exit_code, 0)
-        self.assertIn("one-try", (self.folder / "o" / "table.md").read_text())
+        self.assertIn("no-retry", (self.folder / "o" / "table.md").read_text())
         self.assertEqual(tool.invoke(app, ["simulate", "run", str(file), "-p", "x"]).exit_code, 2)
         self.assertIn("policies", tool.invoke(app, ["simulate", "list"]).output)
         self.assertIsInstance(NoRetry.retries, bool)
@@ -326,11 +337,15 @@
         # Guards experiments on disk: their results would stand beside the new ones as another policy's.
         with tempfile.TemporaryDirectory() as name:
             file = Path(name) / "results.parquet"
-            result = run_scenario(SMALL, "small", "one-try", 1)
-            write_parquet(file, [dataclasses.replace(result, policy="nickelscale")])
-            self.assertEqual([r.policy for r in read_parquet(file)], ["juniperward"])
+            result = run_scenario(SMALL, "small", "no-retry", 1)
+            former = [dataclasses.replace(result, policy=name) for name in ("nickelscale", "one-try")]
+            write_parquet(file, former)
+            self.assertEqual([r.policy for r in read_parquet(file)], ["juniperward", "no-retry"])
         tool = CliRunner()
         found = tool.invoke(
             app, ["lab", "run", str(FOLDER / "calm.textproto"), "-p", "nickelscale", "-o", "json"]
         )
         self.assertEqual(found.exit_code, 0, found.output)
+        scenario = str(FOLDER / "calm.textproto")
+        found = tool.invoke(app, ["simulate", "run", scenario, "-p", "one-try", "-o", "json"])
+        self.assertEqual(json.loads(found.output)["policy"], "no-retry")
