--- a/juniperward/simulation/comparison.py
+++ b/juniperward/simulation/comparison.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Two policies on one scenario, paired by seed; `low` to `high` holds 0.95 of the bootstrap's means."""
+    """Two policies on one scenario, paired by seed; `low` to `high` contains 0.95 of the bootstrap's means."""
 
     scenario: str
     one: str
--- a/juniperward/simulation/model.py
+++ b/juniperward/simulation/model.py
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class SimulatedDestination:
-    """A destination's state; `group` says what it can do, `fault` what ails it now."""
+    """A destination's state; `group` is what it can do, `fault` the injected fault that lasts now."""
 
     number: int
     kind: int  # the index of its group
--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """How messages come, and what their deliveries are worth to the clients."""
+    """How messages come, and the utility of their deliveries."""
 
     rate_per_s: float
     swing_fraction: float  # the rate goes up and down by it
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -143,7 +143,7 @@
 
 def _description(finding: Finding, policy: str) -> str:
     description = (
-        f"found by the search: {policy} keeps {finding.utility:.3f} with seed {finding.seed}, "
+        f"found by the search: {policy} has utility {finding.utility:.3f} with seed {finding.seed}, "
         f"the oracle {finding.oracle_utility:.3f}"
     )
     if finding.violations:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -1,4 +1,4 @@
-"""A destination that comes back cold: the sum of all forwarders' calls, in the lab and with real processes."""
+"""A destination in slow start after an outage: all forwarders' calls, simulated and with real processes."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 BUDGET = RecoveryBudget(
     capacity_per_s=10.0, slow_start_fraction=0.18, warm_up_s=10.0, overload_multiple=2.0, overload_span_s=3.0
 )
-FALLING = """
-shows: "one destination that falls"
+OVERLOADED = """
+shows: "one destination that crashes"
 seconds: 5 forwarders: 1 slots: 8 max_open: 50
 partners { count: 1 share: 1 workers: 1 latency: 0.05 rate: 2 }
 traffic { rate: 1 }
@@ -45,7 +45,7 @@
         self.assertAlmostEqual(BUDGET.expected_calls(10.0), 60.0)
         self.assertAlmostEqual(BUDGET.expected_calls(99.0), 60.0)
 
-    def test_two_roots_and_two_calls_are_put_down_to_chance(self) -> None:
+    def test_two_roots_and_two_calls_are_the_margin_for_chance(self) -> None:
         self.assertAlmostEqual(with_chance_margin(16.0), 16.0 + 8.0 + 2.0)
         self.assertAlmostEqual(BUDGET.max_calls(10.0), with_chance_margin(60.0))
 
@@ -57,26 +57,26 @@
         mean = sum(steps) / len(steps)
         self.assertAlmostEqual(BUDGET.max_calls_by_mean(7.0), with_chance_margin(2.0 * mean * 3.0), places=3)
 
-    def test_a_fall_is_put_down_to_the_told_beyond_two_thirds(self) -> None:
+    def test_the_invariant_is_violated_beyond_two_thirds_of_notified_calls(self) -> None:
         self.assertFalse(LoadSpan(1.0, 30, 20, 29.0).violates_invariant)
         self.assertTrue(LoadSpan(1.0, 30, 21, 29.0).violates_invariant)
         self.assertFalse(LoadSpan(1.0, 29, 29, 29.0).violates_invariant)
 
-    def test_a_destination_of_the_lab_falls_with_the_first_call_beyond_it(self) -> None:
-        world = World(parse(FALLING, "falling.textproto"), DeliveryScheduler, 1)
+    def test_a_simulated_destination_crashes_with_the_first_call_beyond_it(self) -> None:
+        world = World(parse(OVERLOADED, "overloaded.textproto"), DeliveryScheduler, 1)
         destination = world.destinations[0]
         destination.returned_s, world.timeline.now = 0.0, 1.0
-        borne = int(destination.budget.max_calls(1.0))
-        for n in range(borne):
+        max_calls = int(destination.budget.max_calls(1.0))
+        for n in range(max_calls):
             world.service.rejection(destination, destination.endpoints[0])
             self.assertFalse(destination.crashed, n)
-        self.assertEqual(borne, 8)  # N = 2 x 3 x 2 x 0.262
+        self.assertEqual(max_calls, 8)  # N = 2 x 3 x 2 x 0.262
         world.service.rejection(destination, destination.endpoints[0])
         self.assertTrue(destination.crashed)
 
 
-class HeedlessDetection(OutlierDetection):
-    """Planted fault: what is told of an outage changes nothing."""
+class NoDetection(OutlierDetection):
+    """Planted fault: failures in an outage change nothing."""
 
     def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, unreached: bool = False) -> None:
         pass
@@ -85,12 +85,12 @@
         pass
 
 
-class Heedless(DeliveryScheduler):
-    """A scheduler that heeds no outage."""
+class UndetectingScheduler(DeliveryScheduler):
+    """A scheduler that detects no outage."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.outlier_detection.__class__ = HeedlessDetection
+        self.outlier_detection.__class__ = NoDetection
 
 
 class FleetTest(unittest.TestCase):
@@ -99,31 +99,31 @@
         self.assertEqual(RecoverySimulation(case, 30, 5).run(), RecoverySimulation(case, 30, 5).run())
         self.assertNotEqual(RecoverySimulation(case, 30, 5).run(), RecoverySimulation(case, 30, 6).run())
 
-    def test_no_fleet_that_was_told_pushes_a_cold_destination_over(self) -> None:
+    def test_no_notified_fleet_crashes_a_destination_in_slow_start(self) -> None:
         """A subset of `juniperward measure slow-start`, which has the sizes and seeds that are over the bound."""
         results = play_all(CASES, (1, 3, 30, 230), range(1, 3))
-        broken = [
+        violations = [
             (r.case.name, r.forwarders, r.seed, r.first_overload) for r in results if r.violates_invariant
         ]
-        self.assertEqual(broken, [])
+        self.assertEqual(violations, [])
         notified = [r for r in results if r.forwarders == 230 and r.case.outage is not Outage.UNRESPONSIVE]
         self.assertTrue(all(r.notified >= 5 for r in notified), min(r.notified for r in notified))
         self.assertTrue(all(r.delivered for r in results))
 
-    def test_refused_connections_are_told_of_at_200_forwarders_as_failures_are(self) -> None:
-        """Each forwarder has hardly a call on its way: four in a row at an endpoint never come together."""
+    def test_refused_connections_notify_200_forwarders_as_failures_do(self) -> None:
+        """Each forwarder has hardly a call in flight: four in a row at an endpoint never come together."""
         for listed in (False, True):
             for seed in range(1, 9):
                 result = RecoverySimulation(RecoveryCase(Outage.DOWN, listed), 200, seed).run()
                 self.assertFalse(result.violates_invariant, (listed, seed, result.first_overload))
 
-    def test_a_pace_that_messages_wait_for_outlasts_a_short_shut(self) -> None:
-        """Twenty forwarders, shut for under 6 s: none of them held to trials, and each flushed all that it held."""
+    def test_a_rate_limit_that_messages_wait_for_outlasts_short_rejections(self) -> None:
+        """Twenty forwarders, rejected for under 6 s: none had ejected it, and each flushed its queue."""
         for seed in (15, 19, 36):
             result = RecoverySimulation(RecoveryCase(Outage.REJECTING), 20, seed).run()
             self.assertIsNone(result.first_overload, seed)
 
-    def test_a_fleet_that_heeds_nothing_is_found_out(self) -> None:
+    def test_a_fleet_that_detects_no_outage_violates_the_invariant(self) -> None:
         for outage in (
             Outage.FAILING,
             Outage.UNRESPONSIVE,
@@ -132,35 +132,36 @@
             Outage.DOWN,
         ):
             results = [
-                RecoverySimulation(RecoveryCase(outage), 200, seed, Heedless).run() for seed in range(1, 7)
+                RecoverySimulation(RecoveryCase(outage), 200, seed, UndetectingScheduler).run()
+                for seed in range(1, 7)
             ]
             self.assertGreater(sum(result.violates_invariant for result in results), 2, outage)
 
-    def test_the_measurement_writes_its_page_and_says_whether_the_rule_held(self) -> None:
+    def test_the_measurement_writes_its_page_and_returns_whether_the_invariant_held(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            held = slow_start(1, Path(folder), 1)
+            invariant_held = slow_start(1, Path(folder), 1)
             page = (Path(folder) / "cold-return.md").read_text()
         self.assertIn("juniperward measure slow-start --rounds 1", page)
-        self.assertEqual(held, "**broken**" not in page)
+        self.assertEqual(invariant_held, "**broken**" not in page)
 
 
 def calls_since(records: Sequence[Record], returned: float) -> list[float]:
-    """When calls came after the return."""
+    """Return when calls came after the return."""
     return sorted(r.at for r in records if isinstance(r, AttemptReceived) and r.at >= returned)
 
 
 def overfull(
     calls: list[float], returned: float, budget: RecoveryBudget
 ) -> Iterator[tuple[float, int, float]]:
-    """Spans over the bound: when they end after the return, their calls, and the most that is borne."""
-    lately: deque[float] = deque()
+    """Spans over the bound: their end in seconds after the return, their calls, and the most that are borne."""
+    recent: deque[float] = deque()
     for at in calls:
-        lately.append(at)
-        while lately[0] <= at - budget.overload_span_s:
-            lately.popleft()
+        recent.append(at)
+        while recent[0] <= at - budget.overload_span_s:
+            recent.popleft()
         most = budget.max_calls(at - returned)
-        if len(lately) > most and at - returned < budget.warm_up_s:
-            yield at - returned, len(lately), most
+        if len(recent) > most and at - returned < budget.warm_up_s:
+            yield at - returned, len(recent), most
 
 
 class ProcessesTest(unittest.TestCase):
@@ -207,10 +208,10 @@
         self.assertEqual(list(overfull(calls, destination.capacity.recovered_at, budget)), [])
         self.assertFalse(destination.capacity.crashed)
 
-    def test_eight_processes_keep_the_bound_after_failures(self) -> None:
+    def test_eight_processes_stay_within_the_bound_after_failures(self) -> None:
         self.away(FaultMode.FAILING)
 
-    def test_eight_processes_keep_the_bound_after_refused_connections(self) -> None:
+    def test_eight_processes_stay_within_the_bound_after_refused_connections(self) -> None:
         self.away(FaultMode.DOWN)
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The lab: the same seed gives the same day, the rules are checked, and experiments outlast a kill."""
+"""The simulation: the same seed gives the same run, invariants are checked, and experiments resume after a kill."""
 
 from __future__ import annotations
 
@@ -51,13 +51,13 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    def test_all_of_the_library_are_good_and_say_what_they_show(self) -> None:
+    def test_all_scenario_files_are_valid_and_have_a_description(self) -> None:
         files = sorted(FOLDER.glob("*.textproto"))
         self.assertGreaterEqual(len(files), 12)
         for file in files:
             self.assertGreater(len(load(file).description), 20, file)
 
-    def test_faults_name_line_and_field(self) -> None:
+    def test_errors_name_line_and_field(self) -> None:
         for old, new, line, field in (
             ("seconds: 12", "seconds: 0", 3, "seconds"),
             ("count: 4", "count: 0", 5, "partners[1].count"),
@@ -71,7 +71,7 @@
 
 
 class WorldTest(unittest.TestCase):
-    def test_the_same_seed_gives_the_same_day(self) -> None:
+    def test_the_same_seed_gives_the_same_run(self) -> None:
         def run(policy: str, seed: int) -> dict[str, Any]:
             found = run_scenario(SMALL, "small", policy, seed)
             return {f: getattr(found, f) for f in Result.__slots__ if f != "wall_time_s"}
@@ -80,11 +80,14 @@
             self.assertEqual(run(policy, 3), run(policy, 3), policy)
         self.assertNotEqual(run("juniperward", 3)["by_second"], run("juniperward", 4)["by_second"])
 
-    def test_policies_of_one_seed_meet_the_same_arrivals(self) -> None:
-        asked = {p: [a for a, _ in run_scenario(SMALL, "small", p, 5).by_second] for p in POLICIES}
-        self.assertEqual(len({tuple(a) for a in asked.values()}), 1)
+    def test_policies_of_one_seed_get_the_same_arrivals(self) -> None:
+        arrivals = set()
+        for policy in POLICIES:
+            result = run_scenario(SMALL, "small", policy, 5)
+            arrivals.add(tuple(requested for requested, _ in result.by_second))
+        self.assertEqual(len(arrivals), 1)
 
-    def test_our_module_keeps_the_rules_and_beats_one_try(self) -> None:
+    def test_our_scheduler_violates_no_invariant_and_beats_no_retry(self) -> None:
         ours, least = (
             run_scenario(SMALL, "small", "juniperward", 1),
             run_scenario(SMALL, "small", "no-retry", 1),
@@ -95,25 +98,27 @@
         self.assertGreater(ours.utility, least.utility)
         self.assertAlmostEqual(ours.utility + sum(ours.utility_lost.values()), 1.0, places=6)
 
-    def test_a_policy_that_breaks_rules_is_seen(self) -> None:
-        class Rude(Baseline):
-            """Forgets told waits, and hammers."""
+    def test_violations_of_a_policy_are_counted(self) -> None:
+        class Aggressive(Baseline):
+            """Ignores Retry-After and backoff."""
 
             max_attempts = 1000
 
-            def _attempt_finished(self, e: AttemptFinished) -> None:
-                super()._attempt_finished(e)
-                destination = self.destinations[self._destination_of[e.endpoint]]
+            def _attempt_finished(self, event: AttemptFinished) -> None:
+                super()._attempt_finished(event)
+                destination = self.destinations[self._destination_of[event.endpoint]]
                 destination.retry_after_until = 0.0
-                if (m := self.pending.get(e.message)) is not None:
-                    m.not_before_s, m.first_executed_s = self.now, None
+                message = self.pending.get(event.message)
+                if message is not None:
+                    message.not_before_s = self.now
+                    message.first_executed_s = None
 
         text = SMALL.replace("kind: DOWN", "kind: SHUT").replace("rate: 30", "rate: 60")
-        found = World(parse(text, "s"), Rude, 1).run()
+        found = World(parse(text, "s"), Aggressive, 1).run()
         self.assertGreater(found.retry_after_violations, 10)
         self.assertGreater(found.destinations_crashed, 0)
 
-    def test_every_message_has_one_end_with_every_policy(self) -> None:
+    def test_every_message_has_one_outcome_with_every_policy(self) -> None:
         for name, policy in POLICIES.items():
             for kind in ("SILENT", "FAILING", "KILL", "SLOW", "HOT"):
                 text = SMALL.replace("kind: DOWN", f"kind: {kind}")
@@ -122,36 +127,36 @@
                 self.assertEqual(found.duplicate_effects, 0, (name, kind))
 
 
-class SilentTest(unittest.TestCase):
-    def test_what_hangs_at_a_silent_partner_ends_with_the_trouble_and_frees_its_slots(self) -> None:
-        """On sockets connections end with the trouble; a model that forgot it was wrong by up to 0.16 of worth."""
+class UnresponsiveTest(unittest.TestCase):
+    def test_calls_to_an_unresponsive_destination_end_with_the_fault_and_free_their_slots(self) -> None:
+        """On sockets connections end with the fault; a model without that was wrong by up to 0.16 of utility."""
         ended: list[tuple[Outcome, float]] = []
 
-        class Noting(NoRetry):
-            """Notes how calls end."""
+        class Recording(NoRetry):
+            """Records how calls end."""
 
-            def observe(self, _destination: DestinationQueue, e: AttemptFinished, /) -> None:
-                ended.append((e.outcome, self.now))
+            def observe(self, _destination: DestinationQueue, event: AttemptFinished, /) -> None:
+                ended.append((event.outcome, self.now))
 
-        world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Noting, 1)
+        world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Recording, 1)
         world.run()
         reset = [at for outcome, at in ended if outcome is Outcome.RESET]
         self.assertGreater(len(reset), 5)
         self.assertTrue(all(7.0 <= at <= 7.1 for at in reset))
         self.assertNotIn(Outcome.TIMEOUT, [outcome for outcome, _ in ended])
-        self.assertFalse([w for w in world.endpoints if w.unanswered])
+        self.assertFalse([endpoint for endpoint in world.endpoints if endpoint.unanswered])
 
 
-class ColdTest(unittest.TestCase):
-    def test_a_cold_partner_is_slow_and_its_limit_is_what_was_agreed_on(self) -> None:
-        """As the stand-ins have it: a limit that shrank told waits that kept hammering policies from harm."""
+class SlowStartTest(unittest.TestCase):
+    def test_a_destination_in_slow_start_is_slow_and_has_its_agreed_rate_limit(self) -> None:
+        """As in the fakes: a reduced limit sent Retry-After values that spared aggressive policies a crash."""
         text = SMALL.replace("rate: 30", "rate: 90")
         self.assertEqual(World(parse(text, "s"), POLICIES["round-robin"], 1).run().destinations_crashed, 1)
         self.assertEqual(World(parse(text, "s"), POLICIES["juniperward"], 1).run().destinations_crashed, 0)
 
 
 class OracleTest(unittest.TestCase):
-    def test_it_keeps_the_rules_and_none_does_much_better(self) -> None:
+    def test_it_violates_no_invariant_and_no_policy_is_much_better(self) -> None:
         for kind in ("DOWN", "SHUT"):
             text = SMALL.replace("kind: DOWN", f"kind: {kind}").replace("rate: 30", "rate: 60")
             top = run_scenario(text, "small", "oracle", 1)
@@ -165,7 +170,7 @@
 
 
 class SearchTest(unittest.TestCase):
-    def test_the_same_seed_finds_the_same_days_and_all_are_sound(self) -> None:
+    def test_the_same_seed_finds_the_same_scenarios_and_most_are_valid(self) -> None:
         def days(seed: int) -> list[str | None]:
             dice = random.Random(seed)
             made = [generate(dice) for _ in range(30)]
@@ -177,7 +182,7 @@
         self.assertNotEqual(days(1), days(2))
         self.assertGreater(len([d for d in days(1) if d]), 50)
 
-    def test_a_policy_with_a_planted_fault_is_found_out_and_its_day_made_small(self) -> None:
+    def test_a_policy_with_a_planted_fault_is_found_and_its_scenario_minimized(self) -> None:
         found = search("no-retry", 3, 7, 1)
         self.assertEqual([f.regret for f in found], sorted((f.regret for f in found), reverse=True))
         text = SMALL + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
@@ -192,7 +197,7 @@
             self.assertIn("found by the search", load(file).description)
             self.assertNotEqual(save(small, "no-retry", Path(folder)), file)
 
-    def test_the_verb_keeps_its_old_name_for_one_release(self) -> None:
+    def test_the_command_has_its_former_name_for_one_release(self) -> None:
         runner = CliRunner()
         new, old = (
             runner.invoke(app, ["simulate", verb, "--rounds", "0", "--keep", "0"])
@@ -203,7 +208,7 @@
         self.assertNotIn("deprecated", new.output)
         self.assertNotIn("hunt", runner.invoke(app, ["simulate", "--help"]).output)
 
-    def test_a_broken_rule_counts_for_more_than_any_worth(self) -> None:
+    def test_a_violated_invariant_counts_for_more_than_any_utility(self) -> None:
         self.assertGreater(Finding("", 1, 1.0, 1.0, 1).regret, Finding("", 1, 0.0, 1.0, 0).regret)
 
 
@@ -213,12 +218,12 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def test_a_sweep_that_was_cut_off_goes_on_where_it_stood(self) -> None:
+    def test_a_sweep_that_was_killed_resumes(self) -> None:
         s = parse(SMALL, "small.textproto")
         first = sweep(self.folder, ExperimentPlan([s], ["no-retry"], [1, 2], 1))
         file = self.folder / "results.jsonl"
-        whole = file.read_bytes()
-        file.write_bytes(whole[:-20])  # the second was torn by a kill
+        complete = file.read_bytes()
+        file.write_bytes(complete[:-20])  # the second was torn by a kill
         ran: list[int] = []
         again = sweep(
             self.folder,
@@ -234,7 +239,7 @@
         )
         self.assertEqual(len(ran), 1)
 
-    def test_two_in_one_folder_and_a_newer_or_older_result(self) -> None:
+    def test_one_writer_a_folder_and_results_are_read_back(self) -> None:
         mine = ResultStore(self.folder)
         mine.add(result("a", 1, 0.5))
         with self.assertRaises(ExperimentRunningError):
@@ -244,20 +249,20 @@
         self.assertEqual(list(again.results.values()), [result("a", 1, 0.5)])
         again.close()
 
-    def test_parquet_has_all_that_is_needed_to_repeat_a_run(self) -> None:
+    def test_parquet_has_all_that_a_replay_needs(self) -> None:
         s = parse(SMALL, "small.textproto")
         sweep(self.folder, ExperimentPlan([s], ["juniperward", "oracle"], [1], 1))
-        kept = read_parquet(self.folder / "results.parquet")
+        stored = read_parquet(self.folder / "results.parquet")
         self.assertEqual(
-            [(r.scenario_text, r.policy) for r in kept], [(SMALL, "juniperward"), (SMALL, "oracle")]
+            [(r.scenario_text, r.policy) for r in stored], [(SMALL, "juniperward"), (SMALL, "oracle")]
         )
-        self.assertIn("cores", kept[0].machine)
-        self.assertEqual(replay(kept[0]), {})
-        tampered = dataclasses.replace(kept[0], utility=0.5)
-        self.assertEqual(replay(tampered), {"utility": (0.5, kept[0].utility)})
+        self.assertIn("cores", stored[0].machine)
+        self.assertEqual(replay(stored[0]), {})
+        tampered = dataclasses.replace(stored[0], utility=0.5)
+        self.assertEqual(replay(tampered), {"utility": (0.5, stored[0].utility)})
         words = ["simulate", "replay", "small", "-p", "oracle", "--out", str(self.folder)]
-        told = CliRunner().invoke(app, words)
-        self.assertEqual((told.exit_code, "the same" in told.output), (0, True))
+        shown = CliRunner().invoke(app, words)
+        self.assertEqual((shown.exit_code, "the same" in shown.output), (0, True))
         self.assertEqual(
             CliRunner().invoke(app, ["simulate", "replay", "x", "--out", str(self.folder)]).exit_code, 1
         )
@@ -271,7 +276,7 @@
         self.assertEqual(list(row), names.split())
         self.assertEqual(from_row(row), result("a", 1, 0.5))
 
-    def test_results_of_the_first_version_are_still_read_and_newer_ones_are_refused(self) -> None:
+    def test_results_of_the_first_version_are_read_and_newer_ones_rejected(self) -> None:
         old = to_row(result("a", 1, 0.5)) | {"v": 1}
         for field in ("text", "revision", "machine"):
             del old[field]
@@ -287,7 +292,7 @@
         with self.assertRaisesRegex(ValueError, "written by version 99"):
             read_parquet(self.folder / "r.parquet")
 
-    def test_comparisons_are_paired_and_say_where_nothing_is_seen(self) -> None:
+    def test_comparisons_are_paired_and_tell_no_difference_from_one(self) -> None:
         noise = [0.0, 0.1, 0.2, 0.3, 0.1, 0.2]
         results = [result("juniperward", n, 0.6 + x) for n, x in enumerate(noise)]
         results += [result("worse", n, 0.55 + x) for n, x in enumerate(noise)]
@@ -305,7 +310,7 @@
         self.assertIn("x &lt; y", text)
         self.assertNotIn("<script", text)
 
-    def test_the_tool(self) -> None:
+    def test_the_commands(self) -> None:
         file = self.folder / "small.textproto"
         file.write_text(SMALL)
         tool = CliRunner()
