--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -75,8 +75,8 @@
     from juniperward.simulation.comparison import Comparison
     from juniperward.simulation.comparison import compare as compare_paired
 
-    results = _run_all(options, [options.one, options.other])
-    found = compare_paired(results, options.one, options.other)
+    one, other = policy_names([options.one, options.other])
+    found = compare_paired(_run_all(options, [one, other]), one, other)
     if options.output is Output.JSON:
         print_json(
             [
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -354,3 +354,13 @@
         scenario = str(FOLDER / "calm.textproto")
         found = tool.invoke(app, ["simulate", "run", scenario, "-p", "one-try", "-o", "json"])
         self.assertEqual(json.loads(found.output)["policy"], "no-retry")
+
+    def test_a_comparison_takes_a_former_name(self) -> None:
+        # Guards the command's output: the results have the present name, so a former one compared with nothing.
+        with tempfile.TemporaryDirectory() as name:
+            file = Path(name) / "small.textproto"
+            file.write_text(SMALL)
+            words = ["simulate", "compare", "juniperward", "one-try", "-s", str(file), "--seeds", "2"]
+            options = ["--processes", "1", "--out", str(Path(name) / "out"), "-o", "json"]
+            (row,) = json.loads(CliRunner().invoke(app, words + options).output)
+        self.assertEqual((row["one"], row["other"], row["seeds"]), ("juniperward", "no-retry", 2))
