--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -24,13 +24,13 @@
     MessageTimeoutError,
 )
 from juniperward.net.http_requests import read_request
+from juniperward.net.http_status import HttpStatus
 from juniperward.net.http_values import HttpRequest
 from juniperward.net.stream import Stream
 
 ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
 RETRY_AFTER_S = 1.0  # after which a client that was rejected here may come again
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-HTTP_BAD_REQUEST, HTTP_TIMEOUT, HTTP_INTERNAL_ERROR, HTTP_UNAVAILABLE = 400, 408, 500, 503
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
             increment("clients_broken")
         except Exception as error:
             report_fault("client", error)
-            client.write(encode_reply(HTTP_INTERNAL_ERROR, 0.0, True, "internal error"))
+            client.write(encode_reply(HttpStatus.INTERNAL_SERVER_ERROR, 0.0, True, "internal error"))
 
     def _serve_next(self, client: ClientConnection, stream: Stream) -> bool:
         """Read one request and have it answered; return whether the connection stays open."""
@@ -74,7 +74,7 @@
             return False
         except MessageTimeoutError:
             increment("requests_timed_out")
-            _reject(client, HTTP_TIMEOUT, "the call was not whole in time")
+            _reject(client, HttpStatus.REQUEST_TIMEOUT, "the call was not whole in time")
             return False
         received_at = time.monotonic()
         client.served = True
@@ -112,7 +112,7 @@
             message = decode_message(request, self._names)
         except UnreadableMessageError as error:
             increment("requests_unreadable")
-            client.write(encode_reply(HTTP_BAD_REQUEST, 0.0, close, str(error)))
+            client.write(encode_reply(HttpStatus.BAD_REQUEST, 0.0, close, str(error)))
             return
         with client.lock:
             client.answered.clear()
@@ -127,7 +127,7 @@
             client.pending = False
             increment("rejections_overdue")
             close = request.close or self._state.stopping
-            client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, close))
+            client.write(encode_reply(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER_S, close))
 
 
 def _reject(client: ClientConnection, status: int, text: str) -> None:
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -9,8 +9,6 @@
 
 from juniperward.forwarder.discovery_client import DiscoveryClient
 from juniperward.forwarder.effects import (
-    HTTP_ACCEPTED,
-    HTTP_UNAVAILABLE,
     AcceptMessage,
     AppendRecord,
     BeginShutdown,
@@ -46,6 +44,7 @@
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.server import Server
 from juniperward.forwarder.telemetry import increment, log
+from juniperward.net.http_status import HttpStatus
 
 if TYPE_CHECKING:  # loaded where a control channel is open, or dead letters are stored
     from juniperward.control.protocol import Answer
@@ -157,8 +156,8 @@
             increment("journal_failures")
             log("journal", "write failed", error=error)
         else:
-            return self.server.answer(client, HTTP_ACCEPTED)
-        self.server.answer(client, HTTP_UNAVAILABLE, JOURNAL_FULL_RETRY_AFTER_S)
+            return self.server.answer(client, HttpStatus.ACCEPTED)
+        self.server.answer(client, HttpStatus.SERVICE_UNAVAILABLE, JOURNAL_FULL_RETRY_AFTER_S)
         return False
 
     def _append(self, record: JournalRecord) -> None:
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -16,9 +16,6 @@
     from juniperward.control.protocol import Answer
 
 
-HTTP_ACCEPTED, HTTP_UNAVAILABLE = 202, 503
-
-
 @dataclass(frozen=True, slots=True)
 class AcceptMessage:
     """Journal the message, then answer its client 202; `MessageAccepted` follows in the same round."""
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -8,8 +8,6 @@
 
 from juniperward.forwarder.batch import item_bytes
 from juniperward.forwarder.effects import (
-    HTTP_ACCEPTED,
-    HTTP_UNAVAILABLE,
     AcceptMessage,
     AppendRecord,
     ReplyToClient,
@@ -23,6 +21,7 @@
 from juniperward.forwarder.reducer.round import Round
 from juniperward.forwarder.state import PendingMessage
 from juniperward.forwarder.telemetry import check_invariant, increment
+from juniperward.net.http_status import HttpStatus
 from juniperward.scheduler import events as scheduler_events
 from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_FRACTION
 
@@ -62,12 +61,14 @@
         if self._is_known(message.id):
             # A client sends it again whose request crossed our closing of its connection.
             increment("duplicates_received")
-            self._round.emit(ReplyToClient(event.client, HTTP_ACCEPTED))
+            self._round.emit(ReplyToClient(event.client, HttpStatus.ACCEPTED))
             return
         reason = self._rejection(event)
         if reason is not None:
             increment(f"rejections_{reason}")
-            self._round.emit(ReplyToClient(event.client, HTTP_UNAVAILABLE, ADMISSION_RETRY_AFTER_S))
+            self._round.emit(
+                ReplyToClient(event.client, HttpStatus.SERVICE_UNAVAILABLE, ADMISSION_RETRY_AFTER_S)
+            )
             return
         pending = self._new_message(event)
         messages.begin_accepting(pending)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -14,7 +14,6 @@
 
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.client_session import (
-    HTTP_UNAVAILABLE,
     RETRY_AFTER_S,
     ClientSessions,
     ServiceState,
@@ -26,6 +25,7 @@
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.forwarder.telemetry import increment, log, report_fault
 from juniperward.net import sockets
+from juniperward.net.http_status import HttpStatus
 
 BACKLOG = 512
 ADMISSION_TIMEOUT_S = 0.5  # for the listener's thread to admit the connections that it has accepted
@@ -107,7 +107,7 @@
             client.pending = False
             disconnected = client.evicted or sockets.is_closed_by_peer(client.sock)
             if disconnected:
-                status, retry_after_s = HTTP_UNAVAILABLE, RETRY_AFTER_S
+                status, retry_after_s = HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER_S
                 increment("clients_disconnected")
             if client.evicted or self.state.closing or self.state.stopping:
                 client.close = True
@@ -164,4 +164,4 @@
 
 
 def _reject_connection(client: ClientConnection) -> None:
-    client.write(encode_reply(HTTP_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
+    client.write(encode_reply(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER_S, True, "too many connections"))
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -80,6 +80,7 @@
     RestoredMessage,
 )
 from juniperward.forwarder.stored_outcomes import StoredOutcome
+from juniperward.net.http_status import HttpStatus
 from juniperward.scheduler.events import EndpointPhase, Outcome
 
 EVENTS: dict[str, type] = {
@@ -187,8 +188,8 @@
 
 
 def _encode_enum(value: Enum) -> Any:
-    """Return an enum's recorded form; outcomes that are stored were plain strings."""
-    if isinstance(value, RedriveState | StoredOutcome):
+    """Return an enum's recorded form; outcomes that are stored were plain strings, HTTP statuses plain numbers."""
+    if isinstance(value, RedriveState | StoredOutcome | HttpStatus):
         return value.value
     return {_ENUM_NAMES[type(value)]: value.value}
 
