--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -1,7 +1,8 @@
 """A local cluster that stores dead letters, and how its dead letters ended: the measurements' common part.
 
-`measure_dead_letters` calls these: `dead_letter_cluster` makes the cluster, `wait_until_settled` waits for
-redrives to end, `judge_dead_letters` counts how each dead letter ended and hands the redrives to the checker.
+`dead_letter_acceptance` and `dead_letter_cost` call these: `dead_letter_cluster` makes the cluster,
+`wait_until_settled` waits for redrives to end, `judge_dead_letters` counts how each dead letter ended and adds the
+redrives to what the checker judges.
 """
 
 from __future__ import annotations
--- a/juniperward/benchmarks/measurements.py
+++ b/juniperward/benchmarks/measurements.py
@@ -2,7 +2,7 @@
 
 They are too long for CI. Each compares within one run, the same load without and with what is measured; writes a
 page of tables in Markdown under the folder that it is given (docs/measurements/); and returns whether every rule
-held.
+passed.
 """
 
 from __future__ import annotations
@@ -14,9 +14,11 @@
     capacity,
     chaos,
     cost,
+    dead_letter_acceptance,
+    dead_letter_cost,
+    dead_letter_store_rates,
     fleet_status,
     flood,
-    measure_dead_letters,
     rolls,
     sizes,
     slow_start,
@@ -29,9 +31,9 @@
     "status": fleet_status.status,
     "flood": flood.flood,
     "starts": starts.starts,
-    "dead-letters": measure_dead_letters.acceptance,
-    "dead-letter-cost": measure_dead_letters.storage_cost,
-    "dead-letter-store": measure_dead_letters.store,
+    "dead-letters": dead_letter_acceptance.acceptance,
+    "dead-letter-cost": dead_letter_cost.storage_cost,
+    "dead-letter-store": dead_letter_store_rates.store,
     "capacity": capacity.capacity,
     "agreement": agreement.agreement,
     "cost": cost.cost,
