--- /dev/null
+++ b/juniperward/benchmarks/forwarder_group.py
@@ -0,0 +1,189 @@
+"""Forwarders started at once over folders of their own, without an agent: what the start measurements run.
+
+`starts` and the test of a mass restart make a `ForwarderGroup`, fill its folders, and call `start_all`, which returns
+a `StartResult` for each forwarder.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import select
+import socket
+import subprocess
+import sys
+import threading
+import time
+from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from juniperward.benchmarks.cluster_files import ROOT
+from juniperward.benchmarks.start_marks import PartTime
+from juniperward.fakes.load_balancer import is_ready
+from juniperward.forwarder.clock import choose_unix_offset, read_boot_id
+from juniperward.forwarder.journal import JOURNAL_NAME, Journal, JournalFullError
+from juniperward.forwarder.model import Message
+from juniperward.forwarder.records import AcceptedRecord
+
+READY_WITHIN_S = 60.0  # after that a start has failed
+READY_POLL_S = 0.005
+BODY = bytes(400)
+DEADLINE_S = 20.0
+EXPIRES_WITHIN_S = 60.0  # two hundred folders are filled before the first start
+PARTS_PROGRAM = ("-m", "juniperward.benchmarks.start_parts")
+
+
+class StartResult(NamedTuple):
+    """One forwarder's start: seconds until its ready page (infinity where that did not come), and its parts."""
+
+    ready_after_s: float
+    parts: dict[str, PartTime]  # in order; empty where the forwarder does not print them
+
+
+@dataclass
+class ForwarderGroup:
+    """Forwarders over folders of their own, by name; `close` kills those that run."""
+
+    folder: Path
+    base: dict[str, Any]  # the configuration that all have in common
+    discovery: str  # its address, HOST:PORT
+    servers: list[dict[str, Any]] = field(default_factory=list)  # the endpoint list that each is given
+    command: tuple[str, ...] = ("-m", "juniperward")
+    addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
+    children: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
+    # Bound and not listening: no other process gets the port.
+    reserved: list[socket.socket] = field(default_factory=list)
+
+    def state_folder(self, name: str) -> Path:
+        """Return the folder of a forwarder's journal, which outlives its process."""
+        folder = self.folder / f"state-{name}"
+        folder.mkdir(exist_ok=True)
+        return folder
+
+    def fill(self, name: str, *, destination: int = 1, body: bytes = BODY) -> list[str]:
+        """Append messages to a forwarder's journal until it is full; return their ids."""
+        to_unix = time.time() - time.monotonic()
+        folder = self.state_folder(name)
+        offset = choose_unix_offset(folder, to_unix, read_boot_id(), JOURNAL_NAME)
+        journal = Journal(folder, int(self.base["limits"]["disk_mb"] * 1_000_000), offset)
+        expires_at = time.monotonic() + EXPIRES_WITHIN_S
+        ids: list[str] = []
+        try:
+            while True:
+                message_id = f"{name}-{len(ids):05d}"
+                message = Message(message_id, 0, 0, destination, DEADLINE_S, f"k{message_id}", body)
+                journal.append(AcceptedRecord(message, expires_at))
+                ids.append(message_id)
+        except JournalFullError:
+            return ids
+        finally:
+            journal.close()
+
+    @property
+    def prints_parts(self) -> bool:
+        """Whether the processes are run by `start_parts`."""
+        return self.command[-1].endswith("start_parts")
+
+    def spawn(self, name: str) -> float:
+        """Start one forwarder; return when its process was started, by the monotonic clock."""
+        file = self._write_configuration(name, self._reserve_address(name))
+        began_at = time.monotonic()
+        arguments = [f"{began_at}"] if self.prints_parts else []
+        self.children[name] = subprocess.Popen(
+            [sys.executable, "-O", *self.command, *arguments],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "ROUTER_CONFIG": str(file)},
+        )
+        return began_at
+
+    def wait_ready(self, name: str, began_at: float) -> float:
+        """Return the seconds from a forwarder's start to its ready page; infinity where that does not come."""
+        while not is_ready(self.addresses[name]):
+            timed_out = time.monotonic() - began_at > READY_WITHIN_S
+            if timed_out or self.children[name].poll() is not None:
+                return float("inf")
+            time.sleep(READY_POLL_S)
+        return time.monotonic() - began_at
+
+    def read_parts(self, name: str) -> dict[str, PartTime]:
+        """Return the parts of a forwarder's start in order; none where it does not print them."""
+        if not self.prints_parts:
+            return {}
+        stdout = self.children[name].stdout
+        assert stdout is not None
+        readable, _, _ = select.select([stdout], [], [], READY_WITHIN_S)
+        if not readable:
+            return {}
+        printed: dict[str, list[float]] = json.loads(stdout.readline() or b"{}")
+        return {part: PartTime(*times) for part, times in printed.items()}
+
+    def kill(self, name: str) -> None:
+        """Kill one forwarder, if it runs, and wait for its end."""
+        child = self.children.pop(name, None)
+        if child is None:
+            return
+        child.kill()
+        child.wait()
+        if child.stdout is not None:
+            child.stdout.close()
+
+    def close(self) -> None:
+        """Kill all that run and release their ports."""
+        for name in list(self.children):
+            self.kill(name)
+        for sock in self.reserved:
+            sock.close()
+
+    def _write_configuration(self, name: str, address: tuple[str, int]) -> Path:
+        host, port = address
+        configuration = {
+            **self.base,
+            "name": name,
+            "listen": f"{host}:{port}",
+            "discovery": self.discovery,
+            "seed": "1",
+            "state": str(self.state_folder(name)),
+            "known": {"version": 1, "full": True, "servers": self.servers},
+        }
+        file = self.folder / f"{name}.json"
+        file.write_text(json.dumps(configuration))
+        return file
+
+    def _reserve_address(self, name: str) -> tuple[str, int]:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        # The forwarder binds to the same port, with the same option.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind(("127.0.0.1", 0))
+        self.reserved.append(sock)
+        self.addresses[name] = ("127.0.0.1", sock.getsockname()[1])
+        return self.addresses[name]
+
+
+def unused_address() -> str:
+    """Return an address (HOST:PORT) at which nothing listens: that of a discovery in an outage."""
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        host, port = sock.getsockname()
+        return f"{host}:{port}"
+
+
+def start_all(group: ForwarderGroup, names: list[str], most_running: int = 0) -> list[StartResult]:
+    """Start all of them, at most `most_running` at a time (0: no bound); return their starts in order of `names`.
+
+    With a bound, each is killed once it is ready, so that no more than these run at a time.
+    """
+    slots = threading.BoundedSemaphore(most_running or len(names))
+
+    def start_one(name: str) -> StartResult:
+        with slots:
+            ready_after_s = group.wait_ready(name, group.spawn(name))
+            parts = group.read_parts(name)
+            if most_running:
+                group.kill(name)
+            return StartResult(ready_after_s, parts)
+
+    with ThreadPoolExecutor(len(names)) as pool:
+        return list(pool.map(start_one, names))
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -9,9 +9,14 @@
 import pytest
 
 from juniperward.benchmarks.cluster_files import BASE_CONFIGURATION
+from juniperward.benchmarks.forwarder_group import (
+    PARTS_PROGRAM,
+    ForwarderGroup,
+    start_all,
+    unused_address,
+)
 from juniperward.benchmarks.start_marks import StartMarks
 from juniperward.benchmarks.start_parts import BEGAN_AT, BEGAN_CPU_S
-from juniperward.benchmarks.starts import Fleet, dead_address, start_all
 from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.destinations import FakeDestination
 from juniperward.fakes.discovery import FakeDiscovery
@@ -52,12 +57,13 @@
             **BASE_CONFIGURATION,
             "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB, "sockets": 128},
         }
-        fleet = self.resources.closing(Fleet(self.folder, base, address, servers))
+        group = self.resources.closing(ForwarderGroup(self.folder, base, address, servers))
         names = [f"n{n}" for n in range(FORWARDERS)]
-        accepted = {message for name in names for message in fleet.fill(name)}
+        accepted = {message for name in names for message in group.fill(name)}
         assert len(accepted) > 20 * FORWARDERS
-        taken = sorted(t for t, _ in start_all(fleet, names))
-        assert taken[-1] < READY_WITHIN_S, f"median {taken[len(taken) // 2]:.2f} s"
+        ready_after_s = sorted(result.ready_after_s for result in start_all(group, names))
+        median_s = ready_after_s[len(ready_after_s) // 2]
+        assert ready_after_s[-1] < READY_WITHIN_S, f"median {median_s:.2f} s"
         discovery.set_outage(False)
         end = time.monotonic() + OVER_WITHIN_S
         while (left := accepted - self.over()) and time.monotonic() < end:
@@ -73,11 +79,11 @@
     def test_the_parts_of_a_start_are_told_and_sum_up_to_it(self) -> None:
         # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
         base = {**BASE_CONFIGURATION, "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB}}
-        fleet = self.resources.closing(
-            Fleet(self.folder, base, dead_address(), command=("-m", "juniperward.benchmarks.start_parts"))
+        group = self.resources.closing(
+            ForwarderGroup(self.folder, base, unused_address(), command=PARTS_PROGRAM)
         )
-        fleet.fill("n0")
-        ((taken, parts),) = start_all(fleet, ["n0"])
+        group.fill("n0")
+        ((ready_after_s, parts),) = start_all(group, ["n0"])
         order = [
             "interpreter",
             "imports",
@@ -88,7 +94,7 @@
             "messages restored",
         ]
         assert list(parts) == [*order, "listening"]
-        assert sum(wall for wall, _ in parts.values()) < taken
+        assert sum(wall for wall, _ in parts.values()) < ready_after_s
         assert sum(cpu for _, cpu in parts.values()) > 0.0
 
     def test_a_mark_takes_all_since_the_one_before(self) -> None:
