--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -166,11 +166,12 @@
     destination: Annotated[int | None, typer.Option(help="Only this destination, by second.")] = None,
     former_destination: Annotated[int | None, typer.Option("--partner", hidden=True)] = None,
 ) -> None:
-    """Count what a whole fleet did, by second and by partner, from the traces of its forwarders."""
-    from juniperward.benchmarks.traces import read_folder, text
+    """Count what a whole fleet did, by second and by destination, from the traces of its forwarders."""
+    from juniperward.benchmarks.trace_counts import format_tables
+    from juniperward.benchmarks.traces import read_folder
 
     if not any(folder.glob("*.log")):
         errors.print(f"{folder}: no *.log in it", markup=False)
         raise typer.Exit(ExitCode.USAGE)
     chosen = destination if destination is not None else former_destination
-    typer.echo(text(read_folder(folder), chosen))
+    typer.echo(format_tables(read_folder(folder), chosen))
--- a/tests/test_cli_options.py
+++ b/tests/test_cli_options.py
@@ -135,7 +135,7 @@
     option: str, tmp_path: Path
 ) -> None:
     (tmp_path / "n0.log").touch()
-    with mock.patch("juniperward.benchmarks.traces.text", return_value="") as text:
+    with mock.patch("juniperward.benchmarks.trace_counts.format_tables", return_value="") as tables:
         result = CliRunner().invoke(app, ["simulate", "traces", str(tmp_path), option, "0"])
     assert result.exit_code == 0, result.output
-    assert text.call_args.args[1] == 0
+    assert tables.call_args.args[1] == 0
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -5,7 +5,8 @@
 import contextlib
 import io
 
-from juniperward.benchmarks.traces import read, text
+from juniperward.benchmarks.trace_counts import format_tables
+from juniperward.benchmarks.traces import read
 from juniperward.forwarder.effects import (
     AcceptMessage,
     ReplyToClient,
@@ -95,5 +96,5 @@
         fleet = read({"n0": [*life(1000.0), *bad, "juniperward: start: not a line of the trace"]})
         assert fleet.unread_count == 4
         assert any(x.startswith("n0:") and "danced" in x for x in fleet.unread)
-        assert "4 of them not read" in text(fleet)
+        assert "4 of them not read" in format_tables(fleet)
         assert fleet.by_destination()[0][1]["late"] == 1
