--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -37,9 +37,13 @@
 
 
 def request(
-    path: Path, verb: str, names: list[str] | None = None, patience: float = DEFAULT_TIMEOUT_S, **options: Any
+    path: Path,
+    verb: str,
+    names: list[str] | None = None,
+    timeout_s: float = DEFAULT_TIMEOUT_S,
+    **options: Any,
 ) -> Any:
-    """Return the answer to one request; `patience` is the time for all of it, in seconds.
+    """Return the answer to one request; `timeout_s` is the time for all of it, in seconds.
 
     Raises:
         AgentUnreachableError: for no complete answer in time, or nobody there.
@@ -49,10 +53,10 @@
     body = msgspec.json.encode({"names": names or [], "options": options})
     encoded = encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body)
     try:
-        answer = _exchange(path, encoded, patience)
+        answer = _exchange(path, encoded, timeout_s)
         found = msgspec.json.decode(answer.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
-        why = f"no complete answer within {patience:g} s"
+        why = f"no complete answer within {timeout_s:g} s"
         raise AgentUnreachableError(why) from error
     except OSError as error:
         why = f"{path}: {error.strerror or error}"
@@ -90,14 +94,14 @@
     paths: list[Path],
     verb: str,
     names: list[str] | None = None,
-    patience: float = DEFAULT_TIMEOUT_S,
+    timeout_s: float = DEFAULT_TIMEOUT_S,
     **options: Any,
 ) -> list[AgentReply]:
     """Send one request to several agents at once; one row for each, in their order, whatever became of it."""
 
     def request_one(path: Path) -> AgentReply:
         try:
-            return AgentReply(path, request(path, verb, names, patience, **options))
+            return AgentReply(path, request(path, verb, names, timeout_s, **options))
         except AgentUnreachableError as error:
             return AgentReply(path, error=str(error), unreachable=True)
         except AgentRejectedError as error:
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -145,7 +145,7 @@
 
     def _agent_answers(self) -> bool:
         try:
-            request(self.socket, "agent", patience=0.5)
+            request(self.socket, "agent", timeout_s=0.5)
         except (AgentUnreachableError, AgentRejectedError):
             return False
         return True
@@ -174,7 +174,7 @@
     def _shut_down(self, agent: subprocess.Popen[bytes]) -> None:
         """Have the agent and its forwarders shut down; kill the agent where it takes too long."""
         with contextlib.suppress(AgentUnreachableError, AgentRejectedError):
-            request(self.socket, "shutdown", patience=2.0, instances=True)
+            request(self.socket, "shutdown", timeout_s=2.0, instances=True)
         try:
             agent.wait(SHUTDOWN_TIMEOUT_S)
         except subprocess.TimeoutExpired:
--- a/juniperward/benchmarks/process_watcher.py
+++ b/juniperward/benchmarks/process_watcher.py
@@ -41,7 +41,7 @@
     def poll(self) -> None:
         """Record what has changed since the latest poll; nothing where the agent does not answer."""
         try:
-            status = request(self._agent_socket, "status", patience=ANSWER_TIMEOUT_S)
+            status = request(self._agent_socket, "status", timeout_s=ANSWER_TIMEOUT_S)
         except (AgentUnreachableError, AgentRejectedError):
             return
         for instance in status["instances"]:
--- a/juniperward/cli/agents.py
+++ b/juniperward/cli/agents.py
@@ -55,7 +55,7 @@
         return [(path, names) for path in paths]
     found: list[tuple[Path, list[str]]] = []
     missing = set(names)
-    replies = request_all(paths, "status", patience=timeout_s)
+    replies = request_all(paths, "status", timeout_s=timeout_s)
     for reply in replies:
         instances = {row["name"] for row in reply.body.get("instances", [])}
         owned = [name for name in names if name in instances]
--- a/juniperward/cli/dead_letter_orders.py
+++ b/juniperward/cli/dead_letter_orders.py
@@ -71,7 +71,7 @@
 
 @from_options
 def redrive(options: RedriveOptions) -> None:
-    """Have messages sent again as soon as their partner can take them. What is uncertain is never sent."""
+    """Request redrives of messages, sent once their destination accepts them. What is uncertain is never sent."""
     same_destination = options.same_destination or options.former_same_destination
     order = BulkOrder("resend", "asked", {"partner_sure": same_destination})
     _give(order, _selected_rows(options), options.dry_run, options)
@@ -79,13 +79,13 @@
 
 @from_options
 def discard(options: BulkOptions) -> None:
-    """Have messages never sent again; `undo` takes it back."""
+    """Discard messages: they are never redriven; `undo` reverses it."""
     _give(BulkOrder("discard", "discarded"), _selected_rows(options), options.dry_run, options)
 
 
 @from_options
 def undo(options: MessagesOptions) -> None:
-    """Take back a discard, or a redrive that has not begun."""
+    """Undo a discard, or a redrive that has not begun."""
     if not options.ids:
         _exit_without_messages()
     _give(BulkOrder("undo", "undone"), _named_rows(options.ids or [], options), False, options)
@@ -97,14 +97,19 @@
 
     id: Annotated[str, typer.Argument(help="A message.")]
     why: Annotated[str, typer.Option(help="How it is known: whom you asked, and what they said.")]
-    delivered: Annotated[bool, typer.Option("--delivered/--not-delivered", help="What the partner says.")]
+    delivered: Annotated[
+        bool, typer.Option("--delivered/--not-delivered", help="What the destination's operators say.")
+    ]
     agent: AgentOption = None
     timeout_s: TimeOption = 5.0
 
 
 @from_options
 def settle(options: SettleOptions) -> None:
-    """Say whether a message took effect, after asking its partner. Only --not-delivered lets it go again."""
+    """Record whether a message took effect, as its destination's operators say.
+
+    Only --not-delivered lets it be redriven.
+    """
     settlement = {"id": options.id, "delivered": options.delivered, "why": options.why}
     call(options.agent, options.timeout_s, "settle", **settlement)
     console.print(f"settled: {options.id}", markup=False)
--- a/juniperward/cli/dead_letters.py
+++ b/juniperward/cli/dead_letters.py
@@ -31,7 +31,7 @@
 STORE_TIMEOUT_S = 60.0  # of what goes through the complete store
 LISTS = ("attempts", "resent", "audit")  # of a message's record
 
-app = typer.Typer(help="Messages that were given up: look at them, send them again.", no_args_is_help=True)
+app = typer.Typer(help="Messages that were given up: list, show and redrive them.", no_args_is_help=True)
 app.add_typer(dead_letter_rules.app, name="rules")
 
 
@@ -52,7 +52,7 @@
 @app.command("list")
 @from_options
 def list_messages(options: ListOptions) -> None:
-    """List messages, the oldest first, each with whether it may go again and why."""
+    """List messages, the oldest first, each with whether it may be redriven and why."""
     selection = Selection(
         options.destination,
         options.class_name,
@@ -80,7 +80,7 @@
 @app.command()
 @from_options
 def show(options: ShowOptions) -> None:
-    """Show all about a message: its attempts, redrives and audit trail. Not its body, unless asked for."""
+    """Show a message: its attempts, redrives and audit trail, and on request its body."""
     found = call(options.agent, options.timeout_s, "show", id=options.id, body=options.body)
     if options.output is Output.JSON:
         print_json(found)
@@ -110,7 +110,7 @@
 
 @app.command()
 def stats(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
-    """Counts, the pace to each destination, and what keeps redrives from going on."""
+    """Counts, the redrive rate of each destination, and what blocks redrives."""
     found = call(agent, timeout, "stats")
     if output is Output.JSON:
         print_json(found)
@@ -137,7 +137,7 @@
 @app.command()
 @from_options
 def export(options: ExportOptions) -> None:
-    """Write messages with their bodies to a file; each showing is written down."""
+    """Write messages with their bodies to a file; each access is recorded in the audit trail."""
     selection = Selection(
         options.destination, status=options.status or options.former_status, since_s=options.since_s
     )
@@ -157,7 +157,7 @@
     timeout: TimeOption = 5.0,
     since: Annotated[int, typer.Option(help="Only after this number.")] = 0,
 ) -> None:
-    """Who did what, in order; nothing is ever taken out of it."""
+    """The audit trail: who did what, in order; nothing is ever removed from it."""
     rows = call(agent, timeout, "audit", since=since)["audit"]
     if output is Output.JSON:
         print_json(rows)
@@ -171,7 +171,7 @@
 
 @app.command()
 def check(agent: AgentOption = None, timeout: TimeOption = STORE_TIMEOUT_S) -> None:
-    """Have the store looked through for damage. Exit code 1 if there is any."""
+    """Check the store for damage. Exit code 1 if there is any."""
     faults = call(agent, timeout, "check")["faults"]
     for text in faults:
         console.print(text, markup=False)
--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -41,7 +41,7 @@
 
 @from_options
 def sweep(options: SweepOptions) -> None:
-    """Run scenarios under policies over seeds; what is in the folder already is not run again."""
+    """Run scenarios under policies over seeds; results that are in the folder already are not computed again."""
     from juniperward.simulation.report_tables import markdown, policies_of, utility_table
 
     results = _run_all(options, options.policy)
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -24,13 +24,13 @@
 
 EVENT_KEYS = ("seq", "at", "event", "level")  # of an event; the others are its fields
 
-app = typer.Typer(help="Look at instances and give them orders.", no_args_is_help=True)
+app = typer.Typer(help="Show instances and control them.", no_args_is_help=True)
 
 
 @app.command()
 def status(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 2.0) -> None:
     """Show every instance of every agent. Exit code 3 if an agent does not answer."""
-    replies = request_all(sockets_of(agent), "status", patience=timeout)
+    replies = request_all(sockets_of(agent), "status", timeout_s=timeout)
     if output is Output.JSON:
         print_json(replies_json(replies))
     else:
@@ -50,12 +50,12 @@
     seconds: Annotated[float, typer.Option(help="End after so long; 0: never.")] = 0.0,
     every: Annotated[float, typer.Option(help="Seconds between looks.")] = 1.0,
 ) -> None:
-    """Show the status again and again."""
+    """Show the status repeatedly."""
     paths = sockets_of(agent)
     until = time.monotonic() + seconds if seconds else float("inf")
     with Live(console=console, auto_refresh=False) as live:
         while True:
-            live.update(status_table(request_all(paths, "status", patience=timeout)), refresh=True)
+            live.update(status_table(request_all(paths, "status", timeout_s=timeout)), refresh=True)
             if time.monotonic() + every > until:
                 return
             time.sleep(every)
@@ -94,11 +94,11 @@
     app.command(verb)(command)
 
 
-_add("start", "Have instances run; one that had failed is tried anew.")
-_add("stop", "End instances as planned: SIGTERM, and SIGKILL where that does not help.")
-_add("kill", "End instances by SIGKILL at once; those that are meant to run start again.")
-_add("drain", "Have instances turn new messages away and bring what they hold to its end.")
-_add("resume", "Have drained instances take messages again.")
+_add("start", "Start instances; one in a crash loop is started again, too.")
+_add("stop", "Shut instances down gracefully: SIGTERM, and SIGKILL if they do not exit in time.")
+_add("kill", "Kill instances by SIGKILL; those whose desired state is running start again.")
+_add("drain", "Drain instances: they reject new messages and complete the pending ones.")
+_add("resume", "Have drained instances accept messages again.")
 
 
 app.command("roll")(roll)
@@ -112,7 +112,7 @@
     output: OutputOption = Output.TABLE,
     timeout: TimeOption = 6.0,
 ) -> None:
-    """Show all that one instance tells of itself: state, destinations, workers, counters."""
+    """Show the complete status of one instance: state, destinations, endpoints, counters."""
     path = owner(sockets_of(agent), name, timeout)
     with exit_on_failure():
         found = request(path, "inspect", [name], timeout)
@@ -145,7 +145,7 @@
     timeout: TimeOption = 5.0,
     since: Annotated[int, typer.Option(help="Only those after this number.")] = 0,
 ) -> None:
-    """Print what the agents did and saw, the oldest first."""
+    """Print the agents' event logs, the oldest first."""
     replies = request_all(sockets_of(agent), "events", None, timeout, since=since)
     if output is Output.JSON:
         print_json(replies_json(replies))
@@ -171,7 +171,7 @@
 
 @app.command()
 def reload(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
-    """Have the agents read their settings again; a roll brings the instances to them."""
+    """Have the agents reload their settings; a roll restarts the instances with them."""
     replies = request_all(sockets_of(agent), "reload", None, timeout)
     if output is Output.JSON:
         print_json(replies_json(replies))
@@ -190,7 +190,7 @@
     timeout: TimeOption = 5.0,
     instances: Annotated[bool, typer.Option("--instances", help="Stop the instances as well.")] = False,
 ) -> None:
-    """End the agents; their instances go on, unless --instances is given."""
+    """Shut the agents down; their instances go on, unless --instances is given."""
     replies = request_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
     for reply in replies:
         console.print(f"{short_name(reply.agent)}: {reply.error or 'ends'}", markup=False)
--- a/juniperward/cli/main.py
+++ b/juniperward/cli/main.py
@@ -13,7 +13,7 @@
 
 app = typer.Typer(
     name="juniperward",
-    help="Looks after many forwarders: an agent a machine, and commands that ask it.",
+    help="Manages many forwarders: an agent on each machine, and commands that query and control it.",
     no_args_is_help=True,
     pretty_exceptions_show_locals=False,
 )
@@ -33,7 +33,7 @@
     file: Annotated[Path, typer.Argument(help="The fleet's settings, protobuf text format.")],
     json: Annotated[bool | None, typer.Option("--json/--plain", help="The form of the log's lines.")] = None,
 ) -> None:
-    """Keep the instances of a settings file running, until told to end; they go on after it."""
+    """Keep the instances of a settings file running, until it is shut down; they go on after it."""
     from juniperward.agent.start import main as run
 
     raise typer.Exit(run(file, json))
@@ -44,7 +44,7 @@
     rate: Annotated[float, typer.Option(help="Messages a second.")] = 60.0,
     folder: Annotated[Path | None, typer.Option("--keep", help="Keep all files in this folder.")] = None,
 ) -> None:
-    """Start an agent, three forwarders, a registry and partners; roll all three under load; judge the run."""
+    """Start an agent, three forwarders, discovery and destinations; roll all three under load; judge the run."""
     from juniperward.benchmarks.demo import demo as play
 
     raise typer.Exit(play(rate, folder))
@@ -63,14 +63,14 @@
     ] = None
     rate: Annotated[float | None, typer.Option(help="rolls, chaos, capacity: messages a second.")] = None
     outage_s: Annotated[
-        float | None, typer.Option("--away", help="dead-letters: seconds for which the partner is away.")
+        float | None, typer.Option("--away", help="dead-letters: seconds for which the destination is away.")
     ] = None
 
 
 @app.command()
 @from_options
 def measure(options: MeasureOptions) -> None:
-    """Run a long measurement on this machine and write its table down. Exit code 1 if a rule broke."""
+    """Run a long measurement on this machine and write its table to a page. Exit code 1 if an invariant broke."""
     from juniperward.benchmarks.measurements import FORMER_NAMES, MEASUREMENTS
 
     name = FORMER_NAMES.get(options.name, options.name)
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -63,7 +63,7 @@
     seed: SeedOption = 1,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Run one scenario once and show all that came of it. The same seed gives the same run."""
+    """Run one scenario once and show its results. The same seed gives the same run."""
     from juniperward.simulation.experiment import run_scenario
     from juniperward.simulation.result import Result, to_row
 
@@ -100,7 +100,7 @@
     seed: SeedOption = 1,
     out: OutOption = DEFAULT_FOLDER,
 ) -> None:
-    """Run one kept result again from its own text. Exit code 1, and what differs, if it comes out otherwise."""
+    """Run one stored result again from its own text. Exit code 1, and what differs, if it comes out otherwise."""
     from juniperward.simulation.experiment import replay as run_again
     from juniperward.simulation.experiment import revision
     from juniperward.simulation.result_store import PARQUET_FILE, read_parquet
@@ -139,7 +139,7 @@
 @app.command()
 @from_options
 def search(options: SearchOptions) -> None:
-    """Look for days on which a policy keeps much less than the oracle; make the worst small, and keep them."""
+    """Search for days on which a policy delivers much less than the oracle; minimise the worst, and store them."""
     from juniperward.simulation.search import minimize, save
     from juniperward.simulation.search import search as search_scenarios
 
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -197,13 +197,13 @@
             listener.bind(str(mute))
             listener.listen(8)
             began = time.monotonic()
-            told = request_all([self.settings.socket, mute, self.folder / "none"], "agent", patience=0.5)
+            told = request_all([self.settings.socket, mute, self.folder / "none"], "agent", timeout_s=0.5)
             self.assertLess(time.monotonic() - began, 3.0)
         self.assertEqual(
             [(bool(t.error), t.unreachable) for t in told], [(False, False), (True, True), (True, True)]
         )
         with self.assertRaises(AgentUnreachableError):
-            request(self.folder / "none", "agent", patience=0.2)
+            request(self.folder / "none", "agent", timeout_s=0.2)
 
     def test_one_agent_a_fleet(self) -> None:
         lock = lock_folder(self.settings.folder)
