--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -37,7 +37,7 @@
         )
         self.two = PersistentState((), None, 4, "e2")
 
-    def test_it_comes_back_as_it_went(self) -> None:
+    def test_state_is_loaded_as_it_was_saved(self) -> None:
         self.assertEqual(self.store.load(), (PersistentState(), []))
         self.store.save(self.one)
         self.assertEqual(self.store.load(), (self.one, []))
@@ -51,7 +51,7 @@
             found, told = self.store.load()
             self.assertEqual((found, len(told)), (self.one, 1), length)
 
-    def test_a_flipped_bit_is_seen(self) -> None:
+    def test_a_flipped_bit_is_detected(self) -> None:
         self.store.save(self.one)
         self.store.save(self.two)
         whole = bytearray(self.store.file.read_bytes())
@@ -69,13 +69,13 @@
                 self.store.save(self.two)
             self.assertEqual(self.store.load()[0], self.one, name)
 
-    def test_another_version_is_told(self) -> None:
+    def test_another_version_is_reported(self) -> None:
         self.store.save(self.one)
         text = self.store.file.read_bytes()
         self.store.file.write_bytes(text.replace(b'"v":1', b'"v":9'))
         self.assertIn("version 9", self.store.load()[1][0])
 
-    def test_another_boot_knows_no_processes(self) -> None:
+    def test_after_another_boot_no_process_is_known(self) -> None:
         self.store.save(self.one)
         with mock.patch.object(store, "boot_id", return_value="other"):
             found, _ = self.store.load()
@@ -171,7 +171,7 @@
         thread.join()
         self.assertEqual((found["instances"], found["agent"]["name"]), ([], "cluster"))
 
-    def test_what_is_wrong_is_told(self) -> None:
+    def test_errors_are_reported(self) -> None:
         path = self.settings.socket
         for verb, names, status in (("dance", [], 404), ("logs", [], 400), ("inspect", ["n9"], 404),
                                     ("logs", ["n9"], 404), ("reload", [], 400)):  # fmt: skip
@@ -185,7 +185,7 @@
                 sock.sendall(b"POST /v1/status HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 self.assertIn(b" 400 ", sock.recv(100))
 
-    def test_another_user_is_turned_away(self) -> None:
+    def test_another_user_is_rejected(self) -> None:
         other = mock.patch.object(api, "peer", return_value=(1, os.geteuid() + 1))
         with other, self.assertRaises(AgentRejectedError) as caught:
             request(self.settings.socket, "agent")
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -36,8 +36,8 @@
     assert reply.status == 200, reply
 
 
-class TestDeaths:
-    def test_the_agent_may_die_before_any_effect_of_a_roll(self, subtests: pytest.Subtests) -> None:
+class TestCrashes:
+    def test_the_agent_may_crash_before_any_effect_of_a_roll(self, subtests: pytest.Subtests) -> None:
         # One run tells how many effects a roll has; then the agent dies before each of them in turn, and a
         # new one takes up what is on disk. No instance may be started twice or left out.
         calm = World()
@@ -115,7 +115,9 @@
     @settings(derandomize=True, max_examples=40, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 120), st.sampled_from(["die", "stop", "cont", "crash"]),
                               st.integers(0, 3)), max_size=8))  # fmt: skip
-    def test_whatever_happens_all_come_back(self, troubles: list[tuple[int, str, int]]) -> None:
+    def test_all_instances_recover_from_any_sequence_of_faults(
+        self, troubles: list[tuple[int, str, int]]
+    ) -> None:
         world = World(("n0", "n1", "n2", "n3"))
         roll(world)
         due = sorted(troubles)
@@ -141,7 +143,7 @@
 
 
 class TestOrders:
-    def test_a_second_roll_is_refused_while_one_is_under_way(self) -> None:
+    def test_a_second_roll_is_rejected_while_one_is_in_progress(self) -> None:
         world = World()
         roll(world)
         second = world.ask("roll")
@@ -188,7 +190,7 @@
         changed = [n for n in world.notes if n.event == "settings changed"][-1]
         assert changed.fields["goes_on_to"] == "b"
 
-    def test_an_instance_taken_out_of_the_settings_is_stopped_and_forgotten(self) -> None:
+    def test_an_instance_removed_from_the_settings_is_stopped_and_removed(self) -> None:
         world = World()
         world.configure(("n0", "n1"))
         assert world.run(5.0, lambda: set(world.machines) == {"n0", "n1"})
@@ -197,7 +199,7 @@
         world.configure(("n0", "n1", "n4"))
         assert world.run(5.0, lambda: world.ready() == 3)
 
-    def test_an_edition_whose_processes_die_is_undone_by_order(self) -> None:
+    def test_a_configuration_version_whose_processes_crash_is_rolled_back_by_order(self) -> None:
         world = World()
         world.broken_versions["b"] = "exit 2"
         roll(world)
@@ -211,8 +213,8 @@
         assert world.least >= 2
 
 
-class TestKeeping:
-    def test_a_crashed_one_starts_again_and_a_crash_loop_is_failed(self) -> None:
+class TestSupervision:
+    def test_a_crashed_instance_restarts_and_a_crash_loop_is_failed(self) -> None:
         world = World()
         world.end("n1", "signal 11")
         assert world.run(3.0, lambda: world.ready() == 3)
@@ -225,7 +227,7 @@
         world.ask("start")
         assert world.run(5.0, lambda: world.ready() == 3)
 
-    def test_one_that_cannot_be_spawned_is_told(self) -> None:
+    def test_an_instance_that_cannot_be_spawned_is_reported(self) -> None:
         world = World()
         world.hopeless.add("n1")
         world.end("n1", "exit 1")
@@ -243,7 +245,7 @@
         assert world.run(2.0, lambda: "n1" not in world.machines)
         assert "stop timed out" in [n.event for n in world.notes]
 
-    def test_a_silent_one_is_told_and_comes_back(self) -> None:
+    def test_an_unresponsive_instance_is_reported_and_recovers(self) -> None:
         world = World()
         world.machines["n2"].stopped = True
         world.run(2.0)
@@ -299,7 +301,7 @@
         fresh.round([StateRestored(replace(state, instances=instances), ())])
         assert fresh.reducer.state.instances["n1"].process is None
 
-    def test_a_reading_of_another_process_is_not_taken(self) -> None:
+    def test_a_status_of_another_process_is_ignored(self) -> None:
         world = World()
         from juniperward.agent.events import InstanceAnswered
 
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -24,15 +24,15 @@
 
 
 class TestBatch:
-    def test_what_each_message_takes_adds_up_to_the_body(self) -> None:
+    def test_message_sizes_add_up_to_the_body_size(self) -> None:
         for count in range(1, len(MESSAGES) + 1):
             chosen = MESSAGES[:count]
             assert len(encode_batch(chosen)) == 1 + sum(map(item_bytes, chosen))
 
-    def test_the_body_reads_back_as_what_went_in(self) -> None:
+    def test_a_batch_body_decodes_to_what_was_encoded(self) -> None:
         rows = json.loads(encode_batch(MESSAGES))
         assert [(row["id"], row.get("key")) for row in rows] == [(m.id, m.idempotency_key) for m in MESSAGES]
         assert [base64.b64decode(row["body"]) for row in rows] == [m.body for m in MESSAGES]
 
-    def test_what_the_module_fills_is_what_the_protocol_allows(self) -> None:
+    def test_batches_fill_up_to_the_protocol_limit(self) -> None:
         assert SchedulerSettings((MessageClass(1.0, 2.0),), 1, 1).max_batch_bytes + 1 == MAX_BODY_BYTES
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -62,7 +62,7 @@
 
 
 class TestChecker:
-    def test_a_good_run_is_good(self) -> None:
+    def test_a_valid_run_passes(self) -> None:
         v = check(run())
         assert v.lines() == ["every rule held"]
         assert (v.offered, v.submissions, v.accepted, v.delivered, v.notified, v.rejected) == (
@@ -87,12 +87,12 @@
         assert rule in v.lines()[1]
         return v
 
-    def test_a_lost_message_is_seen(self) -> None:
+    def test_a_lost_message_is_detected(self) -> None:
         self.plant(
             Rule.ONE_OUTCOME, "y", lambda rs: [r for r in rs if not isinstance(r, NotificationReceived)]
         )
 
-    def test_a_late_end_is_seen(self) -> None:
+    def test_an_outcome_past_its_deadline_is_detected(self) -> None:
         late = NotificationReceived(60.5, "y", "undeliverable", "n1")
         self.plant(
             Rule.ONE_OUTCOME,
@@ -100,7 +100,7 @@
             lambda rs: [*(r for r in rs if not isinstance(r, NotificationReceived)), late],
         )
 
-    def test_a_late_end_after_a_restart_has_its_slack(self) -> None:
+    def test_an_outcome_after_a_restart_has_slack(self) -> None:
         away: list[AnyRecord] = [
             ProcessEvent(59.0, "n1", ProcessChange.KILL),
             ProcessEvent(61.0, "n1", ProcessChange.START),
@@ -109,7 +109,7 @@
         assert check([*records, NotificationReceived(62.5, "y", "undeliverable", "n1")]).passed
         assert not check([*records, NotificationReceived(63.0, "y", "undeliverable", "n1")]).passed
 
-    def test_two_ends_are_seen(self) -> None:
+    def test_two_outcomes_are_detected(self) -> None:
         self.plant(
             Rule.ONE_OUTCOME, "m1", lambda rs: [*rs, NotificationReceived(12.0, "m1", "undeliverable", "n1")]
         )
@@ -118,32 +118,32 @@
         )
         self.plant(Rule.ONE_OUTCOME, "x", lambda rs: [*rs, NotificationReceived(30.5, "x", "deferred", "n0")])
 
-    def test_a_notice_that_comes_again_is_no_second_end(self) -> None:
+    def test_a_repeated_notification_is_no_second_outcome(self) -> None:
         assert check([*run(), NotificationReceived(59.95, "y", "undeliverable", "n1")]).passed
 
-    def test_a_notice_that_crossed_the_answer_is_allowed(self) -> None:
+    def test_a_notification_that_crossed_the_answer_is_allowed(self) -> None:
         # Guards against a verdict on a race that the protocol page calls harmless: 1 ms after the answer.
         assert check([*run(), NotificationReceived(11.06 + 0.04, "m1", "undeliverable", "n1")]).passed
         assert not check([*run(), NotificationReceived(11.06 + 0.06, "m1", "undeliverable", "n1")]).passed
 
-    def test_a_notice_that_crossed_a_restart_is_allowed(self) -> None:
+    def test_a_notification_that_crossed_a_restart_is_allowed(self) -> None:
         crossed: list[AnyRecord] = [
             ProcessEvent(12.0, "n1", ProcessChange.KILL), ProcessEvent(12.5, "n1", ProcessChange.START),
             NotificationReceived(25.0, "m1", "undeliverable", "n1"),
         ]  # fmt: skip
         assert check([*run(), *crossed]).passed
 
-    def test_a_second_copy_is_seen(self) -> None:
+    def test_a_concurrent_duplicate_attempt_is_detected(self) -> None:
         copy = AttemptReceived(10.03, 90, "s-1-0", 1, ("m0",), ("km0",), 10.03)
         self.plant(Rule.ONE_IN_FLIGHT, "m0", lambda rs: [*rs, copy, AttemptAnswered(10.2, 90, ("ok",))])
 
-    def test_a_call_after_one_that_hung_is_no_second_copy(self) -> None:
+    def test_an_attempt_after_one_that_hung_is_no_concurrent_duplicate(self) -> None:
         assert check(run()).retries == 2
 
-    def test_a_second_effect_is_seen(self) -> None:
+    def test_a_second_effect_is_detected(self) -> None:
         self.plant(Rule.ONE_EFFECT, "m0", lambda rs: [*rs, Effect(25.0, 1, "m0", "km0")])
 
-    def test_a_call_to_a_draining_worker_is_seen(self) -> None:
+    def test_an_attempt_to_a_draining_endpoint_is_detected(self) -> None:
         def late(after: float) -> list[AnyRecord]:
             return [*run(), *message("z", 20.0 + after - 0.02, 91)]
 
@@ -155,7 +155,7 @@
         )
         assert check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).passed
 
-    def test_a_call_within_a_wait_is_seen(self) -> None:
+    def test_an_attempt_within_retry_after_is_detected(self) -> None:
         early = AttemptReceived(32.5, 92, "s-2-1", 2, ("x-2",), ("kx",), 32.5)
         self.plant(Rule.RETRY_AFTER, "destination 2", lambda rs: [*rs, early])
         under_way = AttemptReceived(31.1, 92, "s-2-1", 2, ("x-2",), ("kx",), 31.1)
@@ -166,7 +166,7 @@
         ]
         assert Rule.RETRY_AFTER not in [v.rule for v in check([*run(), *restart, early]).violations]
 
-    def test_strangers_are_seen(self) -> None:
+    def test_unknown_messages_are_detected(self) -> None:
         one = AttemptReceived(15.0, 93, "s-1-0", 1, ("who",), ("k",), 15.0)
         self.plant(Rule.KNOWN_MESSAGE, "who", lambda rs: [*rs, one])
         self.plant(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -78,7 +78,7 @@
         console.width = 240
         return CliRunner().invoke(app, [str(w) for w in words])
 
-    def test_a_measurement_is_run_by_its_name_or_for_one_release_its_former_name(self) -> None:
+    def test_a_benchmark_runs_by_its_name_and_its_former_alias(self) -> None:
         from juniperward.benchmarks import measurements
 
         ran: list[str] = []
@@ -119,7 +119,7 @@
         self.assertIn("slow-start", wrong.output)
         self.assertNotIn("cold", wrong.output)
 
-    def test_status_shows_every_instance_and_the_silent_agent(self) -> None:
+    def test_status_shows_every_instance_and_the_unresponsive_agent(self) -> None:
         one, mute = self.agent("one"), self.folder / "mute.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
             listener.bind(str(mute))
@@ -151,7 +151,7 @@
         result = self.run_tool("fleet", "drain", "n7", "-a", one, "-a", self.folder / "none.sock")
         self.assertEqual(result.exit_code, 3)
 
-    def test_a_refusal_is_told(self) -> None:
+    def test_a_rejection_is_reported(self) -> None:
         one = self.agent("one", roll=lambda _: (409, {"error": "roll r1 is under way"}))
         result = self.run_tool("fleet", "roll", "-a", one)
         self.assertEqual(result.exit_code, 1)
@@ -207,7 +207,7 @@
         self.assertIn("soak_most: 15", self.run_tool("config", "show", file).output)
         self.assertIn("message Fleet", self.run_tool("config", "schema").output)
 
-    def test_events_of_several_agents_stand_in_their_order(self) -> None:
+    def test_events_of_several_agents_are_sorted_by_time(self) -> None:
         def events(at: float, text: str) -> Callable[[dict[str, Any]], tuple[int, Any]]:
             return lambda _: (
                 200,
@@ -221,7 +221,7 @@
         result = self.run_tool("fleet", "watch", "-a", one, "--seconds", 0.01)
         self.assertEqual(result.exit_code, 0)
 
-    def test_inspect_shows_what_was_not_answered(self) -> None:
+    def test_inspect_shows_which_requests_were_not_answered(self) -> None:
         body = {"name": "n2", "unanswered": ["status: no answer within 1 s"]}
         one = self.agent("one", inspect=lambda _: (200, body), logs=lambda _: (200, {"lines": ["a", "b"]}))
         result = self.run_tool("fleet", "inspect", "n2", "-a", one)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -26,7 +26,7 @@
 from tests.test_settings import GOOD
 
 
-class TestKeptCli:
+class TestDeadLettersCli:
     @pytest.fixture(autouse=True)
     def set_up(self, resources: Resources, tmp_path: Path) -> None:
         self.resources = resources
@@ -70,7 +70,7 @@
         assert "uncertain" in self.run_tool("list", "-n", 3).output
         self.run_tool("list", "--destination", 99)
 
-    def test_shows_no_body_unless_asked_and_writes_that_down(self) -> None:
+    def test_a_body_is_shown_only_on_request_and_audited(self) -> None:
         assert "showed the body" not in self.run_tool("show", "m1").output
         assert "timeout" in self.run_tool("show", "m1").output
         found = json.loads(self.run_tool("show", "m1", "--body", "-o", "json").output)
@@ -96,14 +96,14 @@
         assert "redrive" in listed
         assert "resend" not in listed
 
-    def test_a_tool_that_dies_anywhere_in_a_bulk_order_is_asked_again_and_nothing_is_done_twice(
+    def test_a_bulk_order_repeated_after_a_crash_of_the_tool_does_nothing_twice(
         self, subtests: pytest.Subtests
     ) -> None:
         """Two parts of up to 200: it dies before or after either of them has come to the agent."""
         from juniperward.cli import dead_letter_access as access
         from juniperward.cli import dead_letter_orders as tool
 
-        class Dies(BaseException):
+        class SimulatedKill(BaseException):
             """As SIGKILL: nothing of the tool's own runs after it."""
 
         real = access.call
@@ -118,11 +118,11 @@
                     calls += args[2] == "resend"
                     found = real(*args, **options) if late or calls < dies_at else None  # type: ignore[arg-type]
                     if args[2] == "resend" and calls == dies_at:
-                        raise Dies
+                        raise SimulatedKill
                     return found if found is not None else real(*args, **options)  # type: ignore[arg-type]
 
                 with subtests.test(late=late, dies_at=dies_at):
-                    with mock.patch.object(tool, "call", dying), pytest.raises(Dies):
+                    with mock.patch.object(tool, "call", dying), pytest.raises(SimulatedKill):
                         CliRunner().invoke(
                             app,
                             ["dead-letters", "redrive", "--all", "-a", str(self.file)],
@@ -167,6 +167,6 @@
         assert found["stay"]["no rule takes it"] == 125
         assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 0
 
-    def test_an_agent_that_keeps_nothing_says_so(self) -> None:
+    def test_an_agent_without_dead_letters_says_so(self) -> None:
         self.api.queries.dead_letters = None
         assert "nothing is kept" in self.run_tool("stats", code=1).output
--- a/tests/test_cli_options.py
+++ b/tests/test_cli_options.py
@@ -104,7 +104,7 @@
     assert set(options(path, hidden=True)) == FORMER.get(path, set())
 
 
-def test_every_command_of_these_groups_is_looked_at() -> None:
+def test_every_command_of_these_groups_is_checked() -> None:
     groups = ("dead-letters", "simulate")
     paths = {f"{group} {name}" for group in groups for name in command(group).commands}
     assert paths - set(SHOWN) == {"dead-letters rules", "simulate hunt"}
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -60,7 +60,7 @@
 
 
 class TestForms:
-    def test_a_time_left_may_have_as_many_decimals_as_a_double_has(self, subtests: pytest.Subtests) -> None:
+    def test_a_remaining_time_may_have_as_many_decimals_as_a_double(self, subtests: pytest.Subtests) -> None:
         # Guards clients that print a double as it is: what had more than nine decimals was answered 400, as failed.
         cases = (("0.47999999999999998", 0.48), ("0.1000000000000000055511151231257827", 0.1), (".5", 0.5))
         for text, seconds in cases:
@@ -153,9 +153,7 @@
 
 
 class TestFlood(Door):
-    def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_clients_that_send_bursts_and_disconnect_leak_nothing(self, subtests: pytest.Subtests) -> None:
         # Guards join: a megabyte of commands, of one head, of one body and of nonsense, ended in every way.
         before = open_descriptors()
         floods = (
@@ -183,7 +181,7 @@
         sock.sendall(request("last"))
         assert read_response(Stream(sock.recv)).status == 202
 
-    def test_clients_that_leave_in_a_burst_leave_nothing_behind(self) -> None:
+    def test_clients_that_disconnect_in_a_burst_leak_nothing(self) -> None:
         # Guards zone: clients that go at once at each point of a request, before its answer and after it.
         before = open_descriptors()
         text = request("n1")
@@ -198,12 +196,12 @@
 
 
 class TestClose(Door):
-    def test_nothing_is_held_back_on_a_clients_connection(self) -> None:
+    def test_client_connections_have_tcp_nodelay(self) -> None:
         # Guards small answers: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
         self.connect()
         assert self.client().sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    def test_a_request_that_crosses_the_close_of_a_resting_connection_is_not_met_by_a_reset(
+    def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_reset(
         self, subtests: pytest.Subtests
     ) -> None:
         # Guards clients that rest until we end them: a close over the unread request reset the connection; and what
@@ -232,7 +230,7 @@
                 assert theirs.recv(1000) == b""  # an end and no reset
                 assert self.handed.empty()
 
-    def test_a_request_is_never_sent_on_behind_a_shutdown(self) -> None:
+    def test_a_request_behind_a_shutdown_is_never_forwarded(self) -> None:
         # Guards what is read once we have shut a connection: a request that crosses is refused, or read by nobody.
         sock = self.connect()
         sock.sendall(request("n1"))
@@ -245,7 +243,7 @@
 
 
 class TestSlowWriter(Door):
-    def test_a_first_request_has_its_whole_time_from_its_first_byte(self) -> None:
+    def test_a_first_request_has_its_full_timeout_from_its_first_byte(self) -> None:
         # Guards slow writers that connected some time before: their first request had only what connecting had left
         # of its 2 s, and was answered 408, as failed.
         sock = self.connect()
--- a/tests/test_cold_return_budget.py
+++ b/tests/test_cold_return_budget.py
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 200, 230, 300, 600])
-def test_trials_add_up_to_what_the_destination_bears_whatever_the_number_of_nodes(count: int) -> None:
+def test_half_open_attempts_add_up_to_the_capacity_for_any_number_of_nodes(count: int) -> None:
     # The gap of a trial was capped at twice WarmWithin: 600 nodes made 60 calls in 2 s of it.
     nodes = fleet(count)
     times: list[float] = []
@@ -144,7 +144,7 @@
     assert len(times) <= LEAST_BUDGET * 40 / SPAN_S
 
 
-def test_trials_scheduled_while_nothing_was_pending_do_not_meet_a_burst_together() -> None:
+def test_half_open_attempts_scheduled_while_nothing_was_pending_do_not_burst() -> None:
     nodes = fleet()[:30]
     times: list[float] = []
     for node in nodes:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -39,13 +39,13 @@
         path.write_text(value if isinstance(value, str) else json.dumps(value))
         return {"ROUTER_CONFIG": str(path), "ROUTER_STATE": self.folder}
 
-    def test_a_good_one_is_read_and_the_environment_goes_first(self) -> None:
+    def test_a_valid_file_is_read_and_the_environment_overrides_it(self) -> None:
         config = load({**self.given(GOOD), "ROUTER_LISTEN": "127.0.0.2:99"})
         assert (config.listen, config.discovery) == (("127.0.0.2", 99), ("127.0.0.1", 10))
         assert (config.seed, config.journal_max_bytes) == (0x8C1F, 3_000_000)
         assert config.settings.slots == 4
 
-    def test_a_new_file_moves_the_registry_and_a_bad_one_changes_nothing(self) -> None:
+    def test_a_new_file_changes_the_discovery_address_and_an_invalid_one_nothing(self) -> None:
         # Guards a running forwarder against a file that is half written or wrong; the file's address counts
         # over the environment's from the first SIGHUP on.
         environment = {**self.given(GOOD), "ROUTER_DISCOVERY": "127.0.0.1:10"}
@@ -61,7 +61,7 @@
         self.given({**GOOD, "limits": {"sockets": 50}})
         assert reloader.reload() == DiscoveryAddressChanged(("127.0.0.1", 10))
 
-    def test_what_is_wrong_is_named(self, subtests: pytest.Subtests) -> None:
+    def test_errors_name_the_setting(self, subtests: pytest.Subtests) -> None:
         bad: tuple[tuple[Any, str], ...] = (
             ("{", "not JSON"),
             ([], "list"),
@@ -77,9 +77,7 @@
         with pytest.raises(ConfigError, match="ROUTER_CONFIG"):
             load({})
 
-    def test_a_class_or_a_limit_that_makes_no_sense_ends_the_start_with_its_place(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_an_invalid_class_or_limit_ends_the_start_and_is_located(self, subtests: pytest.Subtests) -> None:
         for key, value, word in (
             ("DeadlineMs", 0, r"Services\[1\]: DeadlineMs"), ("DeadlineMs", "x", r"Services\[1\]"),
             ("Effect", "maybe", r"Services\[1\]: Effect"), ("DeadlineMs", None, r"Services\[1\]"),
@@ -118,14 +116,14 @@
             assert len(config.settings.classes) == classes
             assert max(config.names.deadlines_s) == pytest.approx(longest, abs=5e-8)
 
-    def test_one_odd_entry_does_not_cost_the_list(self) -> None:
+    def test_one_invalid_entry_does_not_invalidate_the_list(self) -> None:
         # Guards against news that fail for good: the same entry comes again with every watch.
         entry = {"id": "s-1", "addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         odd = ({**entry, "state": "Odd"}, {**entry, "addr": "x"}, "text", {**entry, "id": "s-2"})
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": odd}}))
         assert [(e.id, e.kind) for e in config.known_endpoints.endpoints] == [("s-2", 1)]
 
-    def test_a_listed_rate_that_makes_no_sense_is_none_and_counted(self) -> None:
+    def test_an_invalid_listed_rate_is_none_and_counted(self) -> None:
         # Guards a worker against its own rate: one that was no number cost it the whole entry.
         entry = {"addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         rates: tuple[Any, ...] = (None, 0, 42.5, "40", -1, "many", [], float("nan"), float("inf"), 10**400)
@@ -136,7 +134,7 @@
         assert found == [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]
         assert counters()["listed_rates_invalid"] - before == 6
 
-    def test_the_count_of_forwarders_is_one_where_none_is_told_and_never_nonsense(
+    def test_the_count_of_forwarders_defaults_to_one_and_is_validated(
         self, subtests: pytest.Subtests
     ) -> None:
         assert load(self.given(GOOD)).settings.instances == 1
@@ -149,7 +147,7 @@
             with subtests.test(text=text), pytest.raises(ValueError):
                 parse_address(text)
 
-    def test_the_program_says_it_in_one_line(self) -> None:
+    def test_the_program_reports_an_error_in_one_line(self) -> None:
         done = subprocess.run(
             [sys.executable, "-O", "-m", "juniperward"],
             cwd=ROOT,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -38,7 +38,7 @@
 
 
 class TestFrames:
-    def test_requests_and_answers_come_back_as_they_went(self) -> None:
+    def test_requests_and_answers_round_trip(self) -> None:
         for verb in Verb:
             assert decode_request(encode_request(Request(7, verb))[4:]) == Request(7, verb)
         rows = Rows((DestinationRow(3, "well", 1, 2, None, 5.0, 0.0, 1.5, None, 2),))
@@ -47,20 +47,20 @@
             assert decode_answer(encode_answer(answer)[4:], verb) == answer
         assert decode_answer(encode_answer(Answer(7, None, "no"))[4:], Verb.STATUS) == Answer(7, None, "no")
 
-    def test_an_answer_names_the_place_of_what_is_wrong(self) -> None:
+    def test_an_answer_locates_the_error(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{"a":"x"}}}'
         with pytest.raises(ProtocolError, match=r"body\.counters\.a: int is needed"):
             decode_answer(text, Verb.COUNTERS)
         with pytest.raises(ProtocolError, match="version 2"):
             decode_request(b'{"v":2,"id":1,"verb":"status"}')
 
-    def test_unknown_fields_of_a_newer_forwarder_are_passed_over(self) -> None:
+    def test_unknown_fields_of_a_newer_forwarder_are_ignored(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{},"mood":1}}'
         assert decode_answer(text, Verb.COUNTERS) == Answer(1, Counters({}))
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.binary(max_size=300) | st.text(alphabet='{}[]":,v1idverbstatus ', max_size=200).map(str.encode))
-    def test_rubbish_is_told_as_such(self, text: bytes) -> None:
+    def test_malformed_frames_are_reported(self, text: bytes) -> None:
         with contextlib.suppress(ProtocolError):
             decode_request(text)
 
@@ -102,7 +102,7 @@
         with pytest.raises(ControlSocketError, match="something else"):
             open_socket(self.folder / "plain")
 
-    def test_a_client_that_hears_nothing_gives_up_in_its_time(self) -> None:
+    def test_a_client_without_an_answer_times_out(self) -> None:
         self.serve(lambda _mine, _client, _request: None)
         began = time.monotonic()
         with pytest.raises(ControlUnreachableError, match="no answer within 0.2 s"):
@@ -111,12 +111,12 @@
         with pytest.raises(ControlUnreachableError, match="nobody listens"):
             ControlClient(self.folder / "none", 0.2).status()
 
-    def test_an_answer_to_an_earlier_request_is_not_taken_for_this_ones(self) -> None:
+    def test_an_answer_to_an_earlier_request_is_ignored(self) -> None:
         self.serve(lambda mine, client, request: mine.answer(client, Answer(request.id - 1, Counters({}))))
         with pytest.raises(ControlUnreachableError):
             ControlClient(self.path, 0.2).counters()
 
-    def test_a_full_table_lets_the_one_idle_longest_go(self) -> None:
+    def test_a_full_connection_table_evicts_the_longest_idle(self) -> None:
         mine = self.serve(lambda me, client, request: me.answer(client, Answer(request.id, Counters({}))))
         silent = []
         for _ in range(server.MAX_CLIENTS):
@@ -133,7 +133,7 @@
         for sock in silent:
             sock.close()
 
-    def test_a_flood_is_paced(self) -> None:
+    def test_a_flood_is_rate_limited(self) -> None:
         # Guards the loop: one client gets its burst, then REQUESTS_PER_S requests a second, however fast it asks.
         asked: list[float] = []
 
@@ -155,7 +155,7 @@
         one._tokens, one._tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
         assert one.take_token_s() > 0.0
 
-    def test_rubbish_is_answered_and_ended(self, subtests: pytest.Subtests) -> None:
+    def test_malformed_input_is_answered_and_the_connection_closed(self, subtests: pytest.Subtests) -> None:
         self.serve(lambda _mine, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
             with subtests.test(text=text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
@@ -189,7 +189,7 @@
         self.client = self.resources.closing(ControlClient(path, WAIT))
         self.player = self.resources.closing(Player(self.program))
 
-    def test_it_drains_tells_so_and_resumes(self) -> None:
+    def test_it_drains_reports_draining_and_resumes(self) -> None:
         status = self.client.status()
         assert self.program.process is not None
         assert (status.name, status.pid) == ("n0", self.program.process.pid)
@@ -215,7 +215,7 @@
         self.player.play("@ d client\n+ taken m3 7\n@ w\n+ received m3\n+ ok")
         assert self.client.counters()["drains"] == 1
 
-    def test_stop_is_a_planned_end(self) -> None:
+    def test_stop_is_a_graceful_shutdown(self) -> None:
         self.client.order(Verb.STOP)
         assert self.program.process is not None
         assert self.program.process.wait(WAIT) == 0
@@ -233,7 +233,7 @@
         assert second.returncode == 1
         assert b"another forwarder works in this folder" in second.stderr
 
-    def test_a_stopped_process_is_silent_and_comes_back(self) -> None:
+    def test_a_stopped_process_is_unresponsive_and_recovers(self) -> None:
         process = self.program.process
         assert process is not None
         self.client.status()
@@ -272,8 +272,8 @@
                 thread.join()
 
 
-class TestRefused:
-    def test_a_refusal_is_told_with_its_text(self) -> None:
+class TestRejection:
+    def test_a_rejection_is_reported_with_its_text(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / "run" / "s"
             say = mock.Mock()
--- a/tests/test_control_codec.py
+++ b/tests/test_control_codec.py
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     "verb", ["status", "destinations", "workers", "counters", "drain", "resume", "stop", "fate"]
 )
-def test_each_verb_has_its_word_on_the_wire(verb: str) -> None:
+def test_each_verb_has_its_keyword_on_the_wire(verb: str) -> None:
     text = b'{"v":1,"id":1,"verb":"' + verb.encode() + b'"}'
     assert encode_request(Request(1, Verb(verb))) == FRAME_HEADER.pack(len(text)) + text
     assert len(Verb) == 8
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -82,19 +82,19 @@
         return actions
 
 
-class DeafBacklog(Backlog):
+class MissedEventsBacklog(Backlog):
     """A planted fault: nothing is scheduled for the moment at which a destination opens."""
 
     def make_ready_at(self, destination: Destination, at: float) -> None:
         pass
 
 
-class Deaf(Watching):
+class MissedEvents(Watching):
     """A scheduler whose backlog is deaf."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.state.backlog.__class__ = DeafBacklog
+        self.state.backlog.__class__ = MissedEventsBacklog
 
 
 class ForgetfulBacklog(Backlog):
@@ -166,7 +166,7 @@
             )  # calls that are out together go to different ones
         self.assertLessEqual(looked[2000], 2 * looked[20])
 
-    def test_what_is_kept_of_an_idle_destination_is_small(self) -> None:
+    def test_state_of_an_idle_destination_is_small(self) -> None:
         """10,000 destinations with two workers each must fit into a forwarder's 32 MB beside the rest of it."""
         entries = tuple(EndpointEntry(n, n // 2, EndpointPhase.READY, 0, 0, 0.0) for n in range(2000))
         tracemalloc.start()
@@ -193,13 +193,13 @@
             for forwarders in (2, 8):  # few nodes take the design's figures whole, many their parts
                 yield kind, DAY.format(kind=kind, forwarders=forwarders, workers=40 if kind == "SHUT" else 2)
 
-    def test_whatever_waits_is_on_the_ring_or_will_be_woken(self) -> None:
+    def test_pending_messages_are_on_the_ring_or_have_a_timer(self) -> None:
         for kind, text in self.days():
             with self.subTest(kind):
                 World(parse(text, "s"), Watching, 1).run()
 
-    def test_the_watch_sees_planted_faults(self) -> None:
-        for fault in (Deaf, Forgetful):
+    def test_the_invariant_check_detects_planted_faults(self) -> None:
+        for fault in (MissedEvents, Forgetful):
             caught = 0
             for _, text in self.days():
                 try:
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -76,7 +76,7 @@
     def messages(self) -> list[str]:
         return [k.id for _, p in segments(self.folder) for k, _ in read(p, 0) if k is not None]
 
-    def test_messages_come_back_whole(self) -> None:
+    def test_spooled_messages_are_read_back_complete(self) -> None:
         one = kept("a", ran=995.0, body=bytes(range(256)))
         self.spool().append(one)
         ((found, _),) = read(segments(self.folder)[0][1], 0)
@@ -97,7 +97,7 @@
             assert self.messages() == ["a", "b", "d"]
             segments(self.folder)[-1][1].unlink()
 
-    def test_a_damaged_line_is_left_out_and_said(self) -> None:
+    def test_a_damaged_line_is_skipped_and_reported(self) -> None:
         mine = self.spool()
         for name in "abc":
             mine.append(kept(name))
@@ -107,14 +107,14 @@
         path.write_bytes(b"\n".join(lines))
         assert [k.id if k is not None else None for k, _ in read(path, 0)] == ["a", None, "c"]
 
-    def test_one_that_an_earlier_life_kept_is_not_kept_twice(self) -> None:
+    def test_a_message_stored_by_an_earlier_incarnation_is_not_stored_twice(self) -> None:
         self.spool().append(kept("a"))
         again = self.spool()
         assert again.ids == {"a"}
         again.append(kept("a"))
         assert self.messages() == ["a"]
 
-    def test_acknowledged_segments_go_only_after_their_ids_were_read(self) -> None:
+    def test_acknowledged_segments_are_deleted_only_after_their_ids_were_read(self) -> None:
         self.spool().append(kept("a"))
         self.spool().append(kept("b"))
         acknowledge_segment(self.folder, 1)
@@ -122,7 +122,7 @@
         assert third.ids == {"a", "b"}
         assert self.messages() == ["b"]
 
-    def test_a_full_spool_and_a_full_disk_keep_nothing_of_a_message(self) -> None:
+    def test_a_full_spool_or_disk_stores_nothing_of_a_message(self) -> None:
         mine = self.spool(2000)
         mine.append(kept("a"))
         with pytest.raises(SpoolFullError):
@@ -141,7 +141,7 @@
         mine.append(kept("d"))
         assert self.messages() == ["a", "d"]
 
-    def test_room_comes_back_when_the_agent_has_taken_in(self) -> None:
+    def test_capacity_is_freed_once_the_agent_has_ingested(self) -> None:
         with mock.patch.object(spools, "SEGMENT_BYTES", 100):
             mine = self.spool(1000)
             mine.append(kept("a"))
@@ -153,7 +153,7 @@
             mine.append(kept("d"))
         assert self.messages() == ["c", "d"]
 
-    def test_fates_outlast_the_process_and_the_first_one_stays(self) -> None:
+    def test_outcomes_outlast_the_process_and_the_first_one_wins(self) -> None:
         mine = self.spool()
         mine.outcomes.record("kept-a-1", RedriveOutcome("delivered", 5.0))
         mine.outcomes.record("kept-a-1", RedriveOutcome("undeliverable"))
@@ -178,14 +178,14 @@
     def fill(self, count: int) -> None:
         self.store.add("n0", [kept(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10))
 
-    def test_a_spool_taken_in_twice_says_the_same(self) -> None:
+    def test_a_spool_ingested_twice_gives_the_same_store(self) -> None:
         messages = [kept("a"), kept("b", ran=995.0)]
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 2
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 0
         assert self.store.spool_position("n0") == (1, 50)
         assert [(f.id, f.executed_at) for f in self.store.select(Filter())] == [("a", None), ("b", 995.0)]
 
-    def test_two_processes_and_a_rule_claim_each_message_once(self) -> None:
+    def test_two_processes_and_a_rule_lease_each_message_once(self) -> None:
         self.fill(200)
         out: multiprocessing.Queue[int] = multiprocessing.get_context("spawn").Queue()
         start = multiprocessing.get_context("spawn").Process
@@ -204,7 +204,7 @@
         assert mine + sum(out.get(timeout=10.0) for _ in workers) == 200
         assert len(self.store.open_redrives()) == 200
 
-    def test_a_claim_is_fenced(self) -> None:
+    def test_a_lease_is_fenced(self) -> None:
         self.fill(1)
         lease = self.store.acquire_lease("m0", 0, "n0", 1.0, "a")
         with pytest.raises(LeaseLostError):
@@ -220,7 +220,7 @@
         (facts,) = self.store.select(Filter())
         assert (facts.status, facts.executed_at, facts.redrives) == (Status.STORED, 3.5, 1)
 
-    def test_people_settle_discard_and_undo_and_all_is_written_down(self) -> None:
+    def test_operators_settle_discard_and_undo_and_all_is_audited(self) -> None:
         self.fill(3)
         lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
         self.store.settle("m0", Statement(True, "ann", "the partner has it"), 2.0)
@@ -257,7 +257,7 @@
         assert len(self.store.select(Filter(idempotency_key="km3", account="acme", status="kept"))) == 1
         assert self.store.destinations() == {n: 5 for n in range(5)}
 
-    def test_retention_drops_the_oldest_and_tells(self) -> None:
+    def test_retention_deletes_the_oldest_and_reports_it(self) -> None:
         self.fill(10)
         self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
         assert self.store.sweep(1010.0, Limits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is under way
@@ -268,7 +268,7 @@
         assert len(told) == 8
         assert "kept; for its age" in told
 
-    def test_an_older_schema_is_taken_over_and_a_newer_one_refused(self) -> None:
+    def test_an_older_schema_is_migrated_and_a_newer_one_rejected(self) -> None:
         old = self.file.parent / "old.db"
         db = sqlite3.connect(old)
         for statement in statements(MIGRATIONS[0]):
@@ -285,7 +285,7 @@
         with pytest.raises(StoreError, match="schema 99"):
             DeadLetterStore(self.file)
 
-    def test_damage_is_found_and_a_backup_is_whole(self) -> None:
+    def test_damage_is_detected_and_a_backup_is_complete(self) -> None:
         self.fill(500)
         copy = self.file.parent / "copy.db"
         self.store.backup(copy)
@@ -300,7 +300,7 @@
             found = DeadLetterStore(self.file).check()
             raise StoreError(str(found)) if found else AssertionError("no damage was seen")
 
-    def test_a_disk_that_fills_amid_a_change_takes_none_of_it(self) -> None:
+    def test_a_disk_that_fills_amid_a_change_rolls_it_back(self) -> None:
         self.fill(5)
         disk_full = sqlite3.OperationalError("database or disk is full")
         with pytest.raises(sqlite3.OperationalError), self.store.transaction() as db:
@@ -308,7 +308,7 @@
             raise disk_full
         assert self.store.select(Filter(redrive_requested=True)) == []
 
-    def test_moments_are_remembered_and_threads_have_their_own_connections(self) -> None:
+    def test_timestamps_are_stored_and_threads_have_their_own_connections(self) -> None:
         self.store.record_clock(Clock(5.0, 6.0, "b"))
         self.store.record_clock(Clock(float("inf"), 7.0, "b"))
         assert self.store.recorded_clock() == Clock(5.0, 6.0, "b")
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -70,7 +70,7 @@
         reducer._scheduling._give_up(1, None)
         return reducer.effects
 
-    def test_it_is_kept_before_its_end_is_written_down(self) -> None:
+    def test_a_dead_letter_is_stored_before_its_outcome_is_journalled(self) -> None:
         reducer = self.reducer()
         self.take(reducer)
         keep, decided, notify = self.give_up(reducer)
@@ -87,7 +87,7 @@
         )
         assert isinstance(decided.record, OutcomeDecidedRecord)
 
-    def test_nothing_is_kept_where_it_is_off_or_the_client_may_come_again(self) -> None:
+    def test_nothing_is_stored_where_disabled_or_the_client_may_retry(self) -> None:
         reducer = self.reducer(keeps=False)
         self.take(reducer)
         assert [type(e) for e in self.give_up(reducer)] == [AppendRecord, SendNotifications]
@@ -97,7 +97,7 @@
         reducer._scheduling._give_up(1, 0.5)
         assert [type(e) for e in reducer.effects] == [AppendRecord, SendNotifications]
 
-    def test_one_whose_time_is_over_is_kept_and_its_client_told_not_to_come(self) -> None:
+    def test_an_expired_message_is_stored_and_its_client_notified_not_to_retry(self) -> None:
         # Guards against two senders of one message: the client's second try and the resend.
         reducer = self.reducer()
         self.take(reducer)
@@ -108,7 +108,7 @@
         assert isinstance(decided, AppendRecord) and isinstance(decided.record, OutcomeDecidedRecord)
         assert decided.record.notification.retry_after_s is None
 
-    def test_one_that_was_kept_before_a_kill_ends_without_being_kept_again(self) -> None:
+    def test_a_message_stored_before_a_kill_completes_without_a_second_record(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             journal = Journal(Path(name), 100_000, 0.0)
             journal.append(AcceptedRecord(Message("a", 0, 0, 7, 20.0, "k", b"x"), 1e9))
@@ -118,7 +118,7 @@
             again.close()
         assert [type(e) for e in effects] == [AppendRecord, SendNotifications]
 
-    def test_what_is_not_known_is_never_taken_later(self) -> None:
+    def test_an_unknown_redrive_is_never_accepted_later(self) -> None:
         reducer = self.reducer()
         (tell,) = reducer.reduce(
             100.0, [ControlRequested(1, Request(3, Verb.REDRIVE_OUTCOMES, ("kept-a-1",)))]
@@ -137,7 +137,7 @@
         assert isinstance(tell, SendControlReply) and isinstance(tell.answer.body, RedriveOutcomes)
         assert [r.outcome for r in tell.answer.body.outcomes] == ["held"]
 
-    def test_a_resend_carries_when_it_may_have_run_to_module_and_journal(self) -> None:
+    def test_a_redrive_carries_its_possible_execution_to_scheduler_and_journal(self) -> None:
         reducer = self.reducer()
         heard: list[Any] = []
         real = reducer.scheduler.handle
@@ -162,7 +162,7 @@
             again.close()
         assert [(d.started_at, d.possibly_executed) for d in restored.history] == [(97.0, True)]
 
-    def test_a_spool_that_cannot_be_written_stops_keeping_and_nothing_else(self) -> None:
+    def test_an_unwritable_spool_disables_dead_letters_and_nothing_else(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             spool = Spool(Path(name), 10)
             from juniperward.forwarder.settings_names import SettingsNames
@@ -186,7 +186,7 @@
 
 
 class TestForwarder(UsesResources):
-    def test_a_real_one_keeps_what_fails_once_over_a_kill(self) -> None:
+    def test_a_forwarder_stores_each_failed_message_once_across_a_kill(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             program = self.resources.closing(Program(Path(name)))
             program.config["kept"] = {"spool": str(Path(name) / "spool"), "max_bytes": 100_000}
@@ -204,7 +204,7 @@
             program.end()
 
 
-class TestYard(UsesResources):
+class TestLocalCluster(UsesResources):
     """A destination that is away and comes back; what it missed arrives once."""
 
     def cluster(self, rules: bool = True) -> LocalCluster:
@@ -272,7 +272,7 @@
             time.sleep(0.1)
         raise TimeoutError(str(stats))
 
-    def test_a_destination_comes_back_and_each_kept_message_arrives_once(self) -> None:
+    def test_after_recovery_each_dead_letter_is_delivered_once(self) -> None:
         cluster = self.cluster()
         clients = cluster.clients(30.0, 9.0, threads=24)
         time.sleep(1.0)
@@ -286,7 +286,7 @@
         self.check_once(cluster)
         assert self.kept > 10
 
-    def test_kills_between_claim_and_end_send_nothing_twice_and_two_people_ask_at_once(self) -> None:
+    def test_kills_between_lease_and_outcome_and_concurrent_requests_redrive_nothing_twice(self) -> None:
         cluster = self.cluster(rules=False)
         clients = cluster.clients(30.0, 5.0, threads=24)
         time.sleep(0.5)
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -105,7 +105,7 @@
         assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S
         assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S  # what is still there keeps its age
 
-    def test_a_boot_without_an_id_tells_nothing(self) -> None:
+    def test_a_reference_without_a_boot_id_counts_as_older(self) -> None:
         self.journal(OFFSET, boot="")
         assert self.carry(OFFSET, boot="") == OFFSET + MAX_CLOCK_ERROR_S
 
@@ -141,7 +141,7 @@
         if began_at is not None:
             journal.append(AttemptStartedRecord("a", began_at, "s-1"))
 
-    def test_no_repeat_once_the_window_is_over(self, subtests: pytest.Subtests) -> None:
+    def test_no_retry_after_the_deduplication_window(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
             with subtests.test(step=step):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
@@ -150,7 +150,7 @@
                 assert self.only(effects, StartAttempt) == []
                 assert [n.id for e in self.only(effects, SendNotifications) for n in e.notifications] == ["a"]
 
-    def test_a_repeat_within_the_window_still_goes(self, subtests: pytest.Subtests) -> None:
+    def test_a_retry_within_the_deduplication_window_is_sent(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, 0.0):
             with subtests.test(step=step):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
@@ -159,13 +159,13 @@
                 (parcel,) = sent.items
                 assert parcel.start_before < 100.0 + WINDOW
 
-    def test_no_repeat_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
+    def test_no_retry_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
         # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
         self.leave(began_at=1500.0, expires=1600.0)
         effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
         assert self.only(effects, StartAttempt) == []
 
-    def test_no_repeat_two_kills_later(self) -> None:
+    def test_no_retry_two_kills_later(self) -> None:
         # The second process saw the clock a second behind, and left the first one's records as they were.
         self.leave(began_at=100.0)
         self.journal(OFFSET - 1.0)
@@ -205,7 +205,7 @@
 
 
 class TestProcess(UsesResources):
-    def test_no_repeat_after_its_window_across_a_kill(self, subtests: pytest.Subtests) -> None:
+    def test_no_retry_after_the_deduplication_window_across_a_kill(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, 1.0):
             with subtests.test(step=step):
                 self.play(step)
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -10,7 +10,7 @@
 from tests.helpers import KEYED, ONCE, SAFE, Node, refused, sends, settings
 
 
-def test_destinations_take_turns_for_the_free_slots() -> None:
+def test_destinations_share_free_slots_round_robin() -> None:
     node = Node(settings(SAFE, slots=4))
     node.arrive(destination=3, count=4)  # fills three slots
     assert len(node.sent_at) == 3
@@ -30,7 +30,7 @@
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
 
 
-def test_a_dear_destination_gets_fewer_turns() -> None:
+def test_a_costly_destination_gets_fewer_turns() -> None:
     node = Node(settings(SAFE, slots=2))
     for d, latency in ((1, 0.2), (2, 2.0)):
         for _ in range(30):
@@ -51,7 +51,7 @@
     assert served[1] > 3 * served[2] > 0
 
 
-def test_emptied_queues_leave_the_ring_with_the_counter_zeroed() -> None:
+def test_emptied_queues_leave_the_ring_with_a_zero_deficit() -> None:
     node = Node()
     node.arrive(destination=1)
     assert not node.scheduler.state.backlog.ring
@@ -65,7 +65,7 @@
     assert len(sends(node.arrive(destination=2))) == 1
 
 
-def test_the_pace_over_its_whole_life() -> None:
+def test_the_rate_limit_over_its_lifetime() -> None:
     node = Node(settings(SAFE, slots=40))
     for _ in range(10):
         node.arrive()
@@ -96,7 +96,7 @@
     assert route.rate_limit is None
 
 
-def test_the_pace_has_a_floor_and_is_cut_once_per_mean_latency() -> None:
+def test_the_rate_limit_has_a_floor_and_is_cut_once_per_mean_latency() -> None:
     node = Node(settings(SAFE, slots=40, max_attempts=100))
     node.arrive(count=3)
     node.run(0.05)
@@ -111,7 +111,7 @@
     assert route.rate_limit == 1.0
 
 
-def test_the_pace_does_not_open_while_nothing_is_delivered() -> None:
+def test_the_rate_limit_does_not_grow_while_nothing_is_delivered() -> None:
     # Seen on a bench day: a shut destination told its wait, the pace opened meanwhile, and the whole
     # backlog met its return.
     node = Node(settings(SAFE, slots=40))
@@ -136,7 +136,7 @@
     assert sends(node.arrive()) == [2]
 
 
-def test_a_full_node_refuses_the_least_worth_with_advice() -> None:
+def test_a_full_node_rejects_the_lowest_priority_weight_with_retry_after() -> None:
     low = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=1.0)
     high = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=5.0)
     node = Node(settings(low, high, slots=2, max_open=20))
@@ -147,7 +147,7 @@
     assert refused(seen) and all(m <= 10 for m in refused(seen))
 
 
-def test_batches_share_a_call_and_a_slot() -> None:
+def test_a_batch_is_one_call_and_one_slot() -> None:
     node = Node(settings(SAFE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
     assert len(node.scheduler.state.backlog.in_flight) == 1
@@ -157,13 +157,13 @@
     assert sends(node.settle(5)) == [6, 7]
 
 
-def test_messages_that_must_not_repeat_share_a_call() -> None:
+def test_non_idempotent_messages_are_batched() -> None:
     # Guards a limit that counts calls: with one message in each, three of four were refused.
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
 
 
-def test_a_message_that_must_not_repeat_is_not_sent_again_in_a_shared_call() -> None:
+def test_a_non_idempotent_message_is_not_retried_in_a_batch() -> None:
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive(count=3)
     node.settle(1, Outcome.RESET)
@@ -172,7 +172,7 @@
     assert 1 not in node.messages
 
 
-def test_a_message_with_hardly_any_time_left_travels_alone() -> None:
+def test_a_message_close_to_its_deadline_is_not_batched() -> None:
     # Guards the others: a call ends at the time of any of its messages, and 33 of 39 lost their attempt so.
     node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive()
@@ -185,7 +185,7 @@
     assert [a.start_within_s for a in shared] == [pytest.approx(9.0)] * 2
 
 
-def test_messages_share_a_call_as_far_as_its_body_holds_them() -> None:
+def test_messages_are_batched_up_to_the_body_limit() -> None:
     # Guards large messages: a call is refused whole whose body is over what the protocol allows.
     node = Node(
         settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),), max_batch_bytes=100),
@@ -199,7 +199,7 @@
     assert [sends(node.settle(m)) for m in (3, 6)] == [[], [5]]  # one that is too large for any goes alone
 
 
-def test_a_message_that_goes_alone_does_not_hold_up_those_that_share() -> None:
+def test_an_unbatched_message_does_not_block_batches() -> None:
     node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive()
     node.arrive(time_left_s=3.0)
@@ -219,7 +219,7 @@
     assert len(sends(node.arrive(count=20))) == 4
 
 
-def test_a_told_wait_outlasts_idle_state() -> None:
+def test_retry_after_outlasts_idle_state() -> None:
     node = Node()
     node.arrive()
     node.run(0.1)
@@ -234,7 +234,7 @@
     return Node(config, (EndpointEntry(10, 1, listed_rate=4.0),))
 
 
-def test_a_listed_rate_spaces_calls_that_carry_many() -> None:
+def test_a_listed_rate_spaces_batches() -> None:
     # Guards the limit, which counts calls: one for each message was refused, and then all waited.
     node = gathering()
     node.arrive()
@@ -253,7 +253,7 @@
     )
 
 
-def test_many_space_single_calls_by_their_share_of_the_listed_rate() -> None:
+def test_many_nodes_space_single_calls_by_their_quota_of_the_listed_rate() -> None:
     # Guards the limit, which refused calls use up as well: bursts of all senders were refused 15 times in 100.
     node = spaced(10, 20.0)  # its share is two calls a second
     assert sends(node.arrive(count=3)) == [1]
@@ -261,13 +261,13 @@
     assert sends(node.run(0.1)) == [2]
 
 
-def test_a_share_of_less_than_a_call_in_half_an_aim_is_not_kept_to() -> None:
+def test_a_quota_below_one_call_in_half_a_latency_objective_does_not_bind() -> None:
     # Guards large fleets: chance, not a share, decides there who calls; a clump must not go call by call.
     node = spaced(200, 20.0)  # a call in 10 s; the aim is 4 s
     assert sends(node.arrive(count=3)) == [1, 2, 3]
 
 
-def test_a_sender_with_more_of_the_traffic_spaces_by_its_part_until_it_is_refused() -> None:
+def test_a_node_with_more_traffic_spaces_by_its_fraction_until_rejected() -> None:
     node = spaced(10, 20.0)
     for _ in range(200):  # half of what the destination takes came here
         node.arrive()
@@ -280,7 +280,7 @@
     assert node.scheduler.batching.spacing(endpoint) == pytest.approx(0.4)
 
 
-def test_messages_that_may_have_run_travel_together() -> None:
+def test_possibly_executed_messages_are_batched() -> None:
     # Guards the repeat window: after a spoilt answer to many, one call each lasted longer than that.
     node = gathering()
     node.arrive(count=5)
@@ -290,7 +290,7 @@
     assert len({c.serial for c in node.scheduler.state.backlog.in_flight.values()}) == 1
 
 
-def test_one_look_at_idle_state_is_due_for_each_destination() -> None:
+def test_one_idle_state_check_is_scheduled_for_each_destination() -> None:
     # Guards memory: a timer of a minute for each call stood by the thousand.
     node = Node()
     for _ in range(50):
@@ -306,7 +306,7 @@
     return Node(config, tuple(EndpointEntry(n, 1, listed_rate=rating) for n in (10, 11)))
 
 
-def test_a_refusal_paces_to_no_less_than_part_of_the_listed_share() -> None:
+def test_a_rejection_cuts_the_rate_limit_to_no_less_than_a_fraction_of_the_quota() -> None:
     # Guards large destinations: a 503 of another cause left 4 of 240 calls a second.
     for rating, pace in ((400.0, 180.0), (0.0, 1.0)):
         node = listed(rating)
@@ -315,7 +315,7 @@
         assert node.route(1).rate_limit == pytest.approx(pace)
 
 
-def test_a_call_that_later_ones_overtook_is_called_off_and_made_again() -> None:
+def test_an_overtaken_call_is_cancelled_and_retried() -> None:
     # Guards the slots: a connection that falls silent held one until its message's end, and then failed it.
     node = listed(0.0)
     lost = 2
@@ -330,7 +330,7 @@
     assert sends(node.run(1.0)) == [lost]
 
 
-def test_trials_and_warming_go_by_the_listed_share() -> None:
+def test_half_open_attempts_and_slow_start_follow_the_listed_quota() -> None:
     # Guards the return of large destinations: a trial each 3 s, then as many calls as were delivered lately.
     def calls(rating: float) -> tuple[int, int]:
         node = listed(
@@ -357,7 +357,7 @@
     assert slow < 20 < warming < 6 * 100.0 * 1.5 / 2  # rule 4 leaves twice of what both send
 
 
-def test_a_pace_counts_calls_and_not_what_they_carry() -> None:
+def test_a_rate_limit_counts_calls_and_not_messages() -> None:
     # Guards a paced destination of full calls: each was charged as nearly six, and the queue grew.
     node = gathering()
     node.arrive()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -45,8 +45,8 @@
 NO_DESCRIPTOR = OSError(24, "Too many open files")
 
 
-class TestShare:
-    def test_all_uses_together_fit_into_any_limit(self) -> None:
+class TestDescriptorQuota:
+    def test_all_descriptor_quotas_together_fit_into_any_limit(self) -> None:
         # Guards settings other than the site's: of 64 sockets, clients, calls and idle connections were given 56.
         for limit in range(MIN_SOCKETS, 4096):
             for slots in (1, 4, 1000):
@@ -55,7 +55,7 @@
                 assert shared + RESERVED_DESCRIPTORS <= limit, f"{limit}: {b}"
                 assert min(b.clients, b.closing_clients, b.calls, b.idle_to_endpoints) >= 1
 
-    def test_the_usual_limits_are_shared_out_in_eighths(self) -> None:
+    def test_usual_descriptor_limits_are_divided_into_eighths(self) -> None:
         for limit in (256, 1024):
             b = divide_descriptors(limit, 1000)
             assert (b.clients, b.closing_clients) == (limit // 2 - 16, 16)
@@ -64,7 +64,7 @@
 
 
 class TestDial(EndpointClientRig):
-    def test_a_call_that_gets_no_socket_has_not_run(self) -> None:
+    def test_a_call_without_a_socket_was_not_executed(self) -> None:
         # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
         message = Message("m0", 0, 0, 7, 9.0, None, b"")
         with mock.patch(
@@ -234,7 +234,7 @@
             assert status == 503
         pytest.fail(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
 
-    def test_the_watch_notices_journal_and_calls_get_their_descriptors(self) -> None:
+    def test_watch_notifications_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
         # Discovery has recorded the watch when it writes its answer, the program counts it once that is read.
         self.until(lambda: "watches_begun" in self.counters(program), "the watch is open")
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda c: c.name)
-def test_a_change_is_known_in_time_after_discovery_can_be_reached(
+def test_a_change_is_received_in_time_once_discovery_is_reachable(
     case: Case, measured: dict[str, float | None]
 ) -> None:
     # Guards the operators' newest term: 8.6 s passed behind one call that was given up, 17 s behind three.
@@ -159,7 +159,7 @@
 # --- the spacing of calls alone, on a clock that the test moves -----------------------------------------------
 
 
-class Asks:
+class DiscoveryRequests:
     """Drives the reducer by its own timers; calls take as long as the test says."""
 
     def __init__(self, seed: int, longest_waits: bool) -> None:
@@ -186,11 +186,11 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_calls_follow_one_another_within_their_bound_however_each_failed(seed: int) -> None:
+def test_requests_follow_within_their_bound_whatever_failed(seed: int) -> None:
     # Guards the bounds that the cases above add up: the time of a call that failed counts towards its back-off.
     durations = (0.0, 0.01, 0.5, DIAL_TIMEOUT_S, 1.4, 2.0, STREAM_TIMEOUT_S)
     for first, second in itertools.product(durations, repeat=2):
-        asks = Asks(seed, longest_waits=False)
+        asks = DiscoveryRequests(seed, longest_waits=False)
         for took in (0.0, 0.0, 0.0, first, second, first, second):
             spacing = asks.until_next(took)
             assert spacing <= took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD + 0.01
@@ -199,17 +199,20 @@
             )  # never at once: all forwarders lose their watch together
 
 
-def test_refused_calls_are_spaced_ever_wider_up_to_the_most() -> None:
-    asks = Asks(1, longest_waits=True)
+def test_rejected_requests_back_off_up_to_the_maximum() -> None:
+    asks = DiscoveryRequests(1, longest_waits=True)
     spacings = [asks.until_next(0.0) for _ in range(6)]
     assert spacings == sorted(spacings)
     assert spacings[0] == pytest.approx(POLL_FIRST_S * SPREAD, abs=0.01)
     assert spacings[-1] == pytest.approx(POLL_MAX_S * SPREAD, abs=0.01)
 
 
-def test_a_watch_of_minutes_that_ends_is_not_asked_for_again_at_once() -> None:
+def test_a_long_watch_that_ends_is_not_reopened_at_once() -> None:
     # Guards discovery: the watches of all forwarders end in one moment, and their time was not a wait.
-    spacings = {Asks(seed, longest_waits=False).until_next(300.0, lived=True) - 300.0 for seed in range(50)}
+    spacings = {
+        DiscoveryRequests(seed, longest_waits=False).until_next(300.0, lived=True) - 300.0
+        for seed in range(50)
+    }
     assert min(spacings) >= 0.75 * POLL_FIRST_S
     assert max(spacings) <= SPREAD * POLL_FIRST_S + 0.01
     assert max(spacings) - min(spacings) > 0.3 * POLL_FIRST_S
@@ -225,7 +228,7 @@
         yield listener
 
 
-def test_the_dial_counts_towards_the_time_of_a_call(door: socket.socket) -> None:
+def test_the_dial_counts_towards_the_request_timeout(door: socket.socket) -> None:
     # Guards the bound of a call: a connection that came up late had the whole time for its answer once more.
     def dial_late(host: str, port: int, seconds: float, sock: socket.socket) -> None:
         threading.Event().wait(0.8)
@@ -247,7 +250,7 @@
     assert time.monotonic() - began < 1.5
 
 
-def test_a_watch_that_falls_silent_right_behind_a_late_head_has_lived(door: socket.socket) -> None:
+def test_a_watch_unresponsive_after_a_late_head_resets_the_backoff(door: socket.socket) -> None:
     # Guards the 6 s after silence: its time counted from before the head, so that it never lived and waits doubled.
     events: queue.Queue[Event] = queue.Queue()
     with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
@@ -264,7 +267,7 @@
 # --- lists that go back ---------------------------------------------------------------------------------------
 
 
-def test_a_list_older_than_the_one_held_is_taken_as_it_comes() -> None:
+def test_a_list_older_than_the_cached_one_is_accepted() -> None:
     # A service that has lost versions tells what holds now: kept back, its changes would never count here again.
     newer = Reply(HEAD + endpoint_list(50, True, s_1="Ready", s_2="Ready", s_3="Ready"), closes=True)
     older = Reply(HEAD + endpoint_list(44, True, s_1="Ready", s_2="Terminating"), closes=True)
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 2, "\t"])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b""])
-def test_news_come_in_any_layout_cut_at_any_byte(indent: Any, end: bytes) -> None:
+def test_watch_events_are_read_in_any_layout_split_at_any_byte(indent: Any, end: bytes) -> None:
     # Terms at full size: lists may come indented; a list that was read by the line ended the watch.
     text = b"\n\n".join(json.dumps(row, indent=indent).encode() for row in ROWS) + end
     for cut in range(len(text)):
@@ -37,7 +37,7 @@
     assert feed(text, *range(1, len(text))) == ROWS
 
 
-def test_news_are_told_before_their_line_ends() -> None:
+def test_watch_events_are_emitted_before_their_line_ends() -> None:
     # Guards the 2 s until the next sign of life: a drain must not wait for it.
     assert feed(json.dumps(ROWS[0], indent=1).encode()) == ROWS[:1]
 
@@ -45,12 +45,12 @@
 @pytest.mark.parametrize(
     "text", [b"nonsense\n", b'{"version":1\n\n', b"{}}\n", b'{"a":\xff}\n', b'{"a":1} {"b"\n\n']
 )
-def test_what_is_no_object_is_told_as_such(text: bytes) -> None:
+def test_a_value_that_is_no_object_is_reported(text: bytes) -> None:
     with pytest.raises(ValueError):
         feed(text)
 
 
-def test_an_object_without_an_end_is_not_kept() -> None:
+def test_an_endless_object_is_not_buffered() -> None:
     objects = JsonObjects()
     with pytest.raises(ValueError):
         for _ in range(MAX_OBJECT_BYTES // 65536 + 2):
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -43,8 +43,8 @@
         return {end.outcome for end in event.outcomes}
 
 
-class TestToldWait(EndpointRig):
-    def test_a_wait_binds_with_as_many_decimals_as_a_double_has(self, subtests: pytest.Subtests) -> None:
+class TestRetryAfter(EndpointRig):
+    def test_retry_after_binds_with_as_many_decimals_as_a_double(self, subtests: pytest.Subtests) -> None:
         # Guards the rule on waits: one with more than nine decimals was taken for none, and the next call broke it.
         cases = (("0.30000000000000004", 0.3), ("1.1102230246251565", 1.11), (".5", 0.5), ("2.", 2.0))
         for text, seconds in cases:
@@ -59,12 +59,12 @@
         assert self.outcomes() == {Outcome.NOT_SENT}
 
 
-class TestProbe(EndpointRig):
+class TestHealthCheck(EndpointRig):
     def probe(self, number: int, seconds: float) -> StartHealthCheck:
         deadline = time.monotonic() + seconds
         return StartHealthCheck(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
 
-    def test_a_probe_ends_at_its_deadline_whatever_has_come(self, subtests: pytest.Subtests) -> None:
+    def test_a_health_check_ends_at_its_deadline(self, subtests: pytest.Subtests) -> None:
         # Guards a probe that was answered by half a line or by an interim answer: behind the latter it waited for
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -83,7 +83,7 @@
                 assert isinstance(event, HealthCheckAnswered)
                 assert event.outcome is Outcome.TIMEOUT
 
-    def test_a_call_on_the_connection_of_a_probe_has_its_own_time(self) -> None:
+    def test_a_call_on_the_connection_of_a_health_check_has_its_own_timeout(self) -> None:
         # Guards calls: the probe's deadline must not go on to the next call on its connection.
         self.client.start(self.probe(1, 0.2))
         sock = self.accept()
@@ -101,7 +101,7 @@
 
 
 class TestSlowDial(EndpointRig):
-    def test_a_connection_dialled_with_little_time_left_keeps_no_limit_of_that(self) -> None:
+    def test_a_connection_dialled_close_to_a_deadline_does_not_inherit_its_timeout(self) -> None:
         # Guards large calls: the time that its first message had left for the dial went on to bound each later
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
         self.client.connections.dial_timeout_s = 5.0
@@ -125,7 +125,7 @@
         sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(states) + 2}\r\n\r\n[{states}]".encode())
         assert self.outcomes() == {Outcome.OK}
 
-    def test_hundreds_of_dials_that_never_come_up_leave_nothing_behind(self) -> None:
+    def test_hundreds_of_failed_dials_leak_nothing(self) -> None:
         # Guards soak: one in fifty connections never comes up; no thread, descriptor or place for a call may leak.
         silent = self.resources.closing(socket.socket())
         silent.bind(("127.0.0.1", 0))
@@ -163,7 +163,7 @@
 
 
 class TestEndlessAnswer(EndpointRig):
-    def test_no_answer_goes_on_for_ever(self, subtests: pytest.Subtests) -> None:
+    def test_an_endless_answer_is_bounded(self, subtests: pytest.Subtests) -> None:
         # Guards slots and memory: heads, bodies, chunks and interim answers that never end.
         one, many = 1, 2
         head = b"HTTP/1.1 500 X\r\n"
@@ -199,7 +199,7 @@
 
 
 class TestNoDelay(EndpointRig):
-    def test_nothing_is_held_back_on_a_connection_to_an_endpoint(self) -> None:
+    def test_endpoint_connections_have_tcp_nodelay(self) -> None:
         # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
         self.client.start(delegate(1, self.port))
         sock = self.accept()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -167,7 +167,7 @@
 
 
 class TestStates:
-    def test_each_state_is_told_from_its_facts(self, subtests: pytest.Subtests) -> None:
+    def test_each_state_is_derived_from_its_facts(self, subtests: pytest.Subtests) -> None:
         now, alive = 100.0, Process(1, 1)
         base = Instance("a", DesiredState.RUNNING, alive, started_at=90.0, reading=BLANK, was_ready=True)
         cases = [
@@ -213,13 +213,13 @@
         i = after_exit(i, 100.0, "exit 1", RestartPolicy(), 0.5)
         assert (i.crashes.consecutive, i.crashes.restart_at) == (1, 100.5)
 
-    def test_an_end_that_was_asked_for_is_no_crash(self) -> None:
+    def test_a_requested_exit_is_no_crash(self) -> None:
         i = Instance("a", DesiredState.STOPPED, Process(1, 1), stopping_since=1.0, drain_requested=True)
         assert after_exit(i, 2.0, "exit 0", RestartPolicy(), 0.5) == Instance("a", last_exit="exit 0")
 
     @settings(derandomize=True, max_examples=200)
     @given(st.integers(0, 60), st.floats(0, 1))
-    def test_no_wait_leaves_its_bounds(self, consecutive: int, chance: float) -> None:
+    def test_the_backoff_stays_within_its_bounds(self, consecutive: int, chance: float) -> None:
         rules = RestartPolicy()
         i = Instance("a", DesiredState.RUNNING, Process(1, 1), crashes=Crashes((), consecutive))
         at = after_exit(i, 50.0, "x", rules, chance).crashes.restart_at
@@ -228,7 +228,7 @@
 
 
 class TestRoll:
-    def test_all_are_restarted_and_the_floor_is_held(self) -> None:
+    def test_all_are_restarted_and_minimum_availability_holds(self) -> None:
         model = Model(5)
         roll = model.run(model.plan())
         assert (roll.mode, model.least) == (RollMode.DONE, 4)
@@ -248,7 +248,7 @@
         one.run(one.plan())
         assert model.now - began < 0.5 * (one.now - start)
 
-    def test_a_floor_that_cannot_be_held_is_no_plan(self, subtests: pytest.Subtests) -> None:
+    def test_an_unreachable_minimum_availability_is_rejected(self, subtests: pytest.Subtests) -> None:
         model = Model(3)
         for rule, value in (("min_ready", 3), ("batch_size", 0)):
             with subtests.test(rule=rule), pytest.raises(RollRejectedError):
@@ -256,7 +256,7 @@
         with pytest.raises(RollRejectedError, match="no such instance: n9"):
             plan("r", "b", ["n9"], RollRules(), model.view())
 
-    def test_a_silent_one_goes_first_and_ends_by_sigkill(self) -> None:
+    def test_an_unresponsive_instance_is_first_and_ended_by_sigkill(self) -> None:
         model = Model(4)
         model.mute.add("n2")
         for _ in range(12):
@@ -267,7 +267,7 @@
         assert (roll.mode, model.least) == (RollMode.DONE, 3)
         assert model.fleet["n2"].configuration_version == "b"
 
-    def test_one_that_falls_silent_while_draining_is_stopped_after_its_time(self) -> None:
+    def test_an_instance_unresponsive_while_draining_is_stopped_after_its_timeout(self) -> None:
         model = Model(3)
         roll = model.run(model.plan(), 0.2)
         model.mute.add("n0")
@@ -275,7 +275,7 @@
         assert roll.mode == RollMode.DONE
         assert {i.configuration_version for i in model.fleet.values()} == {"b"}
 
-    def test_one_that_never_drains_is_stopped_after_its_time(self) -> None:
+    def test_an_instance_that_never_drains_is_stopped_after_its_timeout(self) -> None:
         model = Model(2)
         model.leaky.add("n0")
         began = model.now
@@ -288,7 +288,7 @@
         model.stubborn.add("n1")
         assert model.run(model.plan()).mode == RollMode.DONE
 
-    def test_one_that_dies_at_its_start_pauses_the_roll_and_undo_mends_it(self) -> None:
+    def test_a_crash_at_start_pauses_the_roll_and_undo_recovers(self) -> None:
         model = Model(4)
         model.dead_at_start.add("n1")
         roll = model.run(model.plan(), until=RollMode.PAUSED)
@@ -336,7 +336,7 @@
         with pytest.raises(RollRejectedError):
             resume(roll if roll.over else replace(roll, mode=RollMode.DONE))
 
-    def test_what_falls_away_amid_a_roll_is_taken_next(self) -> None:
+    def test_an_instance_lost_amid_a_roll_is_restarted_next(self) -> None:
         # Guards the floor: a silent instance late in the plan kept all before it waiting for ever.
         model = Model(4)
         roll = model.run(model.plan(min_ready=3, blocked_timeout_s=60.0), 0.2)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -24,7 +24,7 @@
     return Node(settings(zone_keyed), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
 
 
-def test_1_a_held_message_is_answered_before_its_time_is_up() -> None:
+def test_1_a_pending_message_is_answered_before_its_deadline() -> None:
     node = Node(endpoints=())
     node.arrive(destination=9)
     seen = node.run(20.02)
@@ -32,7 +32,7 @@
     assert node.run(60.0) == []
 
 
-def test_1_a_message_out_to_the_end_is_failed_within_the_slack() -> None:
+def test_1_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
     node = Node(settings(ONCE))
     assert sends(node.arrive()) == [1]
     seen = node.run(20.02)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_2_an_unsafe_message_that_may_have_run_is_failed_and_never_repeated(outcome: Outcome) -> None:
+def test_2_a_possibly_executed_non_idempotent_message_is_failed_and_never_retried(outcome: Outcome) -> None:
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
@@ -49,14 +49,14 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
-def test_2_an_unsafe_message_that_never_ran_gets_another_attempt(outcome: Outcome) -> None:
+def test_2_an_unexecuted_non_idempotent_message_is_retried(outcome: Outcome) -> None:
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
     assert sends(node.settle(1, outcome) + node.run(5.0)) == [1]
 
 
-def test_2_a_keyed_message_is_not_repeated_past_its_window() -> None:
+def test_2_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
     node = Node(settings(KEYED))
     node.arrive()
     node.run(4.9)
@@ -65,7 +65,7 @@
     assert failed(seen) == [1]
 
 
-def test_2_a_keyed_send_says_until_when_its_call_may_begin() -> None:
+def test_2_an_attempt_with_an_idempotency_key_has_a_start_deadline() -> None:
     # Seen on join+mass: a repeat waited behind a dial of up to 1 s and was written after its window.
     node = Node(settings(KEYED, ONCE))
     assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
@@ -90,7 +90,7 @@
     assert sends(node.run(14.0)) == []
 
 
-def test_2_a_zone_scoped_repeat_stays_in_its_zone() -> None:
+def test_2_a_zone_scoped_retry_stays_in_its_zone() -> None:
     node = zone_scoped_node()
     node.arrive()
     first = node.endpoint[1, 0]
@@ -124,7 +124,7 @@
     assert sends(node.arrive(count=3)) == []
 
 
-def test_4_a_destination_that_returns_is_met_by_a_bucket() -> None:
+def test_4_a_recovering_destination_is_limited_by_a_token_bucket() -> None:
     node = Node(settings(SAFE, slots=40))
     for _ in range(40):  # 4 delivered calls a second
         node.arrive()
@@ -156,7 +156,7 @@
     assert len(times) < 15
 
 
-def test_5_messages_of_a_key_go_one_at_a_time_and_the_key_rests() -> None:
+def test_5_messages_of_a_key_are_sent_one_at_a_time_with_a_cooldown() -> None:
     node = Node(settings(ORDERED, key_cooldown_s=0.3))
     node.arrive(ordering_key="a")
     assert sends(node.arrive(ordering_key="a")) == []
@@ -170,7 +170,7 @@
     assert sends(node.run(0.02)) == [4]
 
 
-def test_6_a_told_wait_holds_every_message_of_the_destination() -> None:
+def test_6_retry_after_delays_every_message_of_the_destination() -> None:
     node = Node()
     node.arrive()
     node.run(0.1)
@@ -180,7 +180,7 @@
     assert sends(node.run(1.0)) != []
 
 
-def test_6_where_routes_are_apart_a_wait_holds_its_route_only() -> None:
+def test_6_with_separate_routes_retry_after_delays_its_route_only() -> None:
     node = Node(
         settings(kinds=(DestinationKind(separate_routes=True),)), (EndpointEntry(10, 1), EndpointEntry(11, 1))
     )
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -39,7 +39,7 @@
     def used(self) -> int:
         return sum(-(-p.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for p in self.folder.iterdir())
 
-    def test_everything_of_a_message_comes_back(self) -> None:
+    def test_a_message_is_restored_completely(self) -> None:
         # Guards the fields that rule 2 needs after a restart: which attempt may have run, where and when.
         j = self.open()
         for record in (
@@ -63,7 +63,7 @@
         again = {r.message.id: r for r in self.open().restored()}  # what a rewrite kept says the same
         assert (again["a"], again["b"]) == (a, b)
 
-    def test_times_move_with_the_clock_of_the_new_process(self) -> None:
+    def test_times_are_rebased_to_the_clock_of_the_new_process(self) -> None:
         # Guards the 12 s window over a reboot: monotonic clocks start anew, Unix time goes on.
         j = self.open(to_unix=1000.0)
         j.append(AcceptedRecord(call("a"), 20.0))
@@ -71,7 +71,7 @@
         (a,) = self.open(to_unix=1015.0).restored()
         assert (a.expires_at, a.history[0].started_at) == (5.0, -14.0)
 
-    def test_a_torn_tail_costs_only_itself(self) -> None:
+    def test_a_torn_tail_loses_only_its_record(self) -> None:
         # Guards against a process killed within a write, at every byte of it.
         j = self.open()
         j.append(AcceptedRecord(call("a"), 20.0))
@@ -85,7 +85,7 @@
             again.append(AcceptedRecord(call("c"), 20.0))
             assert [r.message.id for r in self.open().restored()] == ["a", "c"]
 
-    def test_a_damaged_line_costs_only_itself(self) -> None:
+    def test_a_damaged_line_loses_only_its_record(self) -> None:
         j = self.open()
         for name in "abc":
             j.append(AcceptedRecord(call(name), 20.0))
@@ -108,13 +108,13 @@
         j.append(AcceptedRecord(call("b"), 20.0))
         assert [r.message.id for r in self.open().restored()] == ["b"]
 
-    def test_a_rewrite_that_was_cut_off_leaves_the_old_file_in_force(self) -> None:
+    def test_an_interrupted_compaction_leaves_the_old_file_in_use(self) -> None:
         self.open().append(AcceptedRecord(call("a"), 20.0))
         (self.folder / COMPACTED_NAME).write_bytes(b"half a")
         assert [r.message.id for r in self.open().restored()] == ["a"]
         assert not (self.folder / COMPACTED_NAME).exists()
 
-    def test_it_stays_under_its_disk_and_turns_away_what_does_not_fit(self) -> None:
+    def test_it_stays_within_its_disk_quota_and_rejects_what_does_not_fit(self) -> None:
         # Guards the limit on the folder, old and new file together in whole blocks: over it is a crash.
         disk, most = 1_000_000, 0
         j, open_now = self.open(disk=disk), []
@@ -143,7 +143,7 @@
         assert most > disk // 4
         assert most <= disk
 
-    def test_records_of_what_is_over_are_not_written(self) -> None:
+    def test_records_of_completed_messages_are_not_written(self) -> None:
         j = self.open()
         j.append(CompletedRecord("nobody"))
         assert (self.folder / JOURNAL_NAME).read_bytes() == b""
@@ -159,7 +159,7 @@
         assert len(self.open(disk=3_000_000).restored()) == 1000
         assert self.used() <= 3_000_000
 
-    def test_a_file_too_full_to_be_rewritten_still_stays_under_its_disk(self) -> None:
+    def test_a_file_too_full_to_compact_stays_within_its_disk_quota(self) -> None:
         # Guards against a crash by the folder's limit when every message has all its attempts.
         j = self.open(disk=300_000)
         for n in range(1000):
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -44,7 +44,7 @@
                     assert link.recv(1) == b""
 
 
-class YardTest(UsesResources):
+class LocalClusterTest(UsesResources):
     def cluster(self, instances: int = 3, **more: Any) -> LocalCluster:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.resources.callback(folder.cleanup)
@@ -60,8 +60,8 @@
         assert verdict.accepted > 20
 
 
-class TestRolls(YardTest):
-    def test_a_roll_under_load_loses_nothing_while_a_worker_drains(self) -> None:
+class TestRolls(LocalClusterTest):
+    def test_a_roll_under_load_loses_nothing_while_an_endpoint_drains(self) -> None:
         cluster = self.cluster()
         cluster.start()
         clients = cluster.clients(40.0, 6.0, threads=24)
@@ -76,7 +76,7 @@
         phases = {w["id"]: w["phase"] for w in found["workers"]}
         assert (phases["s-2-0"], phases["s-2-1"]) == ("draining", "ready")
 
-    def test_a_stopped_instance_is_told_and_rolled_and_the_agent_may_die_meanwhile(self) -> None:
+    def test_a_stopped_instance_is_reported_and_rolled_across_an_agent_crash(self) -> None:
         cluster = self.cluster(settings={"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}})
         cluster.start()
         pid = cluster.instance("n1")["pid"]
@@ -100,7 +100,7 @@
         assert clients.done.wait(30.0)
         self.judge(cluster)
 
-    def test_two_tools_ask_for_a_roll_at_once(self) -> None:
+    def test_two_tools_request_a_roll_at_once(self) -> None:
         cluster = self.cluster(2)
         cluster.start()
         codes: list[int] = []
@@ -156,8 +156,8 @@
         self.judge(cluster)
 
 
-class TestStarts(YardTest):
-    def test_a_taken_port_and_an_unusable_folder_are_told_and_mended(self) -> None:
+class TestStarts(LocalClusterTest):
+    def test_an_occupied_port_and_an_unusable_folder_are_reported_and_recovered(self) -> None:
         cluster = self.cluster(3)
         taken = self.resources.closing(socket.create_server(cluster.addresses["n0"]))
         (cluster.folder / "run" / "state").mkdir(parents=True)
@@ -172,7 +172,7 @@
         (cluster.folder / "run" / "state" / "n1").unlink()
         cluster.wait_until(lambda s: s["ready"] == 3)
 
-    def test_a_forwarder_started_by_hand_on_the_same_folder_keeps_its_journal_alone(self) -> None:
+    def test_a_forwarder_started_by_hand_on_the_same_folder_owns_its_journal(self) -> None:
         cluster = self.cluster(2)
         cluster.start()
         config = json.loads((cluster.folder / "run" / "run" / "n0.json").read_text())
@@ -209,7 +209,7 @@
         assert second.returncode == 1
         assert b"another agent looks after this fleet" in second.stderr
 
-    def test_a_crashed_forwarder_comes_back_and_ends_what_it_had_taken(self) -> None:
+    def test_a_crashed_forwarder_restarts_and_completes_accepted_messages(self) -> None:
         cluster = self.cluster(2)
         cluster.start()
         clients = cluster.clients(30.0, 3.0, threads=16)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -59,14 +59,14 @@
         self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
         assert self.path.read_bytes().count(b"began") == 1
 
-    def test_nothing_is_sent_for_a_client_that_was_not_told(self) -> None:
+    def test_nothing_is_sent_for_a_client_without_an_acknowledgement(self) -> None:
         # Guards against a delivery under an id that its client has given up: it hands the message in again.
         self.parts.server.answer.return_value = False
         self.hand_in()
         assert self.asked() == ["server.answer"]
         assert self.journal.restored() == ()
 
-    def test_what_has_come_when_the_process_ends_is_taken_in_and_nothing_more_is_begun(self) -> None:
+    def test_events_queued_at_shutdown_are_processed_and_no_attempt_starts(self) -> None:
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
         self.hand_in()
         self.parts.reset_mock()
@@ -79,13 +79,13 @@
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
         assert len(self.journal.live) == 0
 
-    def test_it_stays_for_the_clients_that_are_here_until_it_must_end(self) -> None:
+    def test_shutdown_waits_for_connected_clients_until_its_deadline(self) -> None:
         reducer = self.loop.reducer
         reducer.reduce(0.0, [ShutdownRequested(0.8, 3.3)])
         asked = [(1.0, False), (1.0, True), (3.3, False)]
         assert [reducer.may_exit(*x) for x in asked] == [False, True, True]
 
-    def test_what_cannot_be_journalled_is_not_taken_on(self) -> None:
+    def test_a_message_that_cannot_be_journalled_is_not_accepted(self) -> None:
         for error in (JournalFullError(2, 1), OSError(28, "No space left on device")):
             self.parts.reset_mock()
             with mock.patch.object(self.journal, "append", side_effect=[error, None]):
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -76,7 +76,7 @@
     def over(self) -> set[str]:
         return {r.id for r in self.recorder.records if isinstance(r, Effect | NotificationReceived)}
 
-    def test_the_parts_of_a_start_are_told_and_sum_up_to_it(self) -> None:
+    def test_the_phases_of_a_start_are_reported_and_sum_up(self) -> None:
         # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
         base = {**BASE_CONFIGURATION, "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB}}
         group = self.resources.closing(
@@ -97,7 +97,7 @@
         assert sum(wall for wall, _ in parts.values()) < ready_after_s
         assert sum(cpu for _, cpu in parts.values()) > 0.0
 
-    def test_a_mark_takes_all_since_the_one_before(self) -> None:
+    def test_a_mark_covers_all_since_the_previous_mark(self) -> None:
         marks = StartMarks(BEGAN_AT - 1.0, BEGAN_AT, BEGAN_CPU_S)
         marks.mark("first")
         marks.marked(json.loads, "second", "third")("1")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -84,7 +84,7 @@
             with subtests.test(status=status, body=body):
                 assert read_outcomes(what, HttpResponse(status, headers, body, False)) == tuple(ends)
 
-    def test_only_what_a_worker_ends_at_once_is_a_full_table(self) -> None:
+    def test_only_an_immediately_closed_connection_is_a_full_connection_table(self) -> None:
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
         full, ends = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
@@ -97,8 +97,8 @@
         )
 
 
-class TestSpoilt:
-    def test_what_is_no_answer_is_told_as_such(self, subtests: pytest.Subtests) -> None:
+class TestMalformedAnswers:
+    def test_a_malformed_answer_is_reported(self, subtests: pytest.Subtests) -> None:
         # Guards against what Python's own int() and json take, or die of: each of these came from a worker.
         head = b"HTTP/1.1 500 X\r\n"
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -121,7 +121,7 @@
             ):
                 read_response(Stream(lambda _, left=[text, b""]: left.pop(0) if left else b""))  # type: ignore[misc]
 
-    def test_a_report_or_a_list_of_ends_cannot_break_us(self) -> None:
+    def test_a_malformed_load_report_or_outcome_list_is_ignored(self) -> None:
         # Guards the process: decoding a deep one overran a thread's stack, and a delivery became a reset.
         def run() -> None:
             huge = '{"x0":' + "9" * 400 + "}"
@@ -139,14 +139,14 @@
         assert ends[:-1] == [(ItemOutcome(0, Outcome.OK),)] * 6
         assert ends[-1] == (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR))
 
-    def test_a_wait_that_is_no_number_is_none(self) -> None:
+    def test_a_retry_after_that_is_no_number_is_none(self) -> None:
         for text in ("inf", "1e300", "1_0", "-1", "9" * 9, ""):
             assert read_retry_after({"retry-after": text}) == 0.0
         assert read_retry_after({"retry-after": "0.250"}) == 0.25
 
 
 class TestCodec:
-    def test_what_no_client_may_hand_in_is_turned_away(self, subtests: pytest.Subtests) -> None:
+    def test_invalid_client_requests_are_rejected(self, subtests: pytest.Subtests) -> None:
         # Guards against a 202 for a message that nobody could end: a deadline that never comes, or no id.
         good = {"x-correlation-id": "a1", "x-service-class": "c", "x-time-left": "0.5"}
         good["x-addressing"] = "dest=7"
@@ -165,7 +165,7 @@
 
 
 class TestStream:
-    def test_bytes_may_be_cut_anywhere(self) -> None:
+    def test_bytes_may_be_split_anywhere(self) -> None:
         text = b"POST /api HTTP/1.1\r\nA: b\r\nContent-Length: 3\r\n\r\nabc"
         answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         for size in (1, 2, 7):
@@ -176,7 +176,7 @@
 
 
 class TestServer(UsesResources):
-    def test_a_client_that_left_is_not_told_that_its_message_is_taken_on(self) -> None:
+    def test_a_disconnected_client_is_not_acknowledged(self) -> None:
         # Guards order: the 202 must have reached somebody, or the message is withdrawn; a client that only
         # ended its sending still gets an answer.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 10, lambda _: None))
@@ -200,7 +200,7 @@
         assert (told.count(b" 202 "), told.count(b" 503 ")) == (1, 2)
         assert not server.answer(2, 202)
 
-    def test_who_is_being_let_in_at_the_close_is_somebody(self) -> None:
+    def test_a_connection_being_accepted_at_close_counts_as_a_client(self) -> None:
         # Guards the end of the process between accept and the table of clients: nobody seemed to be here, and the
         # connection was reset with its call in it.
         server = Server(("127.0.0.1", 0), NAMES, 10, lambda _: None)
@@ -230,7 +230,7 @@
             closing.join(5.0)
         assert (here, server.has_finished()) == ([1], False)
 
-    def test_who_stands_in_the_kernels_line_at_the_close_is_answered(self) -> None:
+    def test_a_connection_in_the_kernel_backlog_at_close_is_answered(self) -> None:
         # Guards the end of a stop: a connection that nobody had accepted yet was reset with its call unread.
         def refuse(event: Event) -> None:
             assert isinstance(event, MessageReceived)
@@ -252,7 +252,7 @@
                 thread.join(5.0)
         assert server.has_finished()
 
-    def test_an_answer_is_written_whole_or_its_connection_is_ended(self) -> None:
+    def test_an_answer_is_written_completely_or_its_connection_closed(self) -> None:
         # Guards a client that waits for the rest of an answer: its message counted as withdrawn, and it sat there.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         ours, theirs = socket.socketpair()
@@ -267,7 +267,7 @@
         while theirs.recv(65536):
             pass
 
-    def test_a_full_table_lets_the_longest_idle_of_those_answered_go(self) -> None:
+    def test_a_full_connection_table_evicts_the_longest_idle_answered_client(self) -> None:
         # Guards usual clients: those that asked once and stayed, or never asked, kept all places. A crowd
         # with a connection for each message was turned away when each had to stay idle for seconds.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
@@ -285,7 +285,7 @@
         assert [server.table.evict_one(), server.table.evict_one()] == [True, False]
         assert [server.table.clients[n].evicted for n in (1, 2, 3)] == [False, True, True]
 
-    def test_a_call_must_be_whole_in_its_time(self) -> None:
+    def test_a_request_must_be_complete_within_its_timeout(self) -> None:
         # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         for sent, told in ((b"", b""), (b"POST /api HTTP/1.1\r\nA: b", b"HTTP/1.1 408 ")):
@@ -299,13 +299,13 @@
         assert client_connection.FIRST_REQUEST_S <= 2.5
 
 
-class TestWorkers(EndpointClientRig):
+class TestEndpointClient(EndpointClientRig):
     def outcome(self) -> Outcome:
         event = self.events.get(timeout=5.0)
         assert isinstance(event, AttemptAnswered)
         return event.outcomes[0].outcome
 
-    def test_where_routes_are_apart_a_told_wait_holds_its_worker_alone(self) -> None:
+    def test_with_separate_routes_retry_after_delays_its_endpoint_only(self) -> None:
         # Guards a customer whose partners' endpoints have limits of their own: one that told a wait held the others
         # of its destination, and what the module sent to those came back as not sent, a try used up.
         def ask(number: int, worker: int, name: str) -> StartAttempt:
@@ -324,7 +324,7 @@
         self.client.start(ask(3, 3, "s-3"))
         assert self.outcome() is Outcome.NOT_SENT
 
-    def test_what_waited_behind_a_dial_is_not_written_late(self) -> None:
+    def test_a_call_delayed_by_a_dial_is_not_written_past_its_deadline(self) -> None:
         # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
         self.client.set_draining(3, True)
         self.client.start(start_attempt(1, self.port))
@@ -355,7 +355,7 @@
             sock.close()
             assert self.outcome() is outcome
 
-    def test_a_told_wait_binds_before_the_loop_has_its_answer(self) -> None:
+    def test_retry_after_binds_before_the_loop_has_the_answer(self) -> None:
         # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
         self.client.start(start_attempt(1, self.port))
         sock = self.accept()
@@ -365,7 +365,7 @@
         self.client.start(start_attempt(2, self.port))
         assert self.outcome() is Outcome.NOT_SENT
 
-    def test_a_repeat_is_not_written_after_its_window(self) -> None:
+    def test_a_retry_is_not_written_after_its_deduplication_window(self) -> None:
         # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
         what = start_attempt(1, self.port, 2)
         late = replace(what, items=(replace(what.items[0], start_before=time.monotonic()), what.items[1]))
@@ -377,7 +377,9 @@
         ends = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
         assert self.events.get(timeout=5.0) == AttemptAnswered(1, ends)
 
-    def test_what_ended_behind_a_late_dial_is_left_out_of_its_call(self, subtests: pytest.Subtests) -> None:
+    def test_a_message_ended_during_a_slow_dial_is_left_out_of_its_batch(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards join+mass: a message of a batch was told its end, then its connection came up and carried it.
         for struck in ((0,), (0, 2), (0, 1, 2)):
             up, dial = threading.Event(), sockets.connect
@@ -410,7 +412,7 @@
                 assert left == set(struck)  # the reducer has settled them
                 assert self.client.withdraw(1, 1) is AttemptProgress.FINISHED
 
-    def test_a_call_that_is_called_off_says_how_far_it_had_come(self) -> None:
+    def test_a_cancelled_call_reports_its_progress(self) -> None:
         # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
         begun, up, dial = threading.Event(), threading.Event(), sockets.connect
 
@@ -443,7 +445,7 @@
         assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # and nothing of the two before it
         assert self.client.cancel(3) is AttemptProgress.FINISHED
 
-    def test_an_answer_cut_at_any_byte_leaves_no_message_without_its_end(self) -> None:
+    def test_an_answer_cut_at_any_byte_gives_every_message_an_outcome(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
         head = b"HTTP/1.1 200 OK\r\nX-Backend-Load: {}\r\nContent-Length: %d\r\n\r\n" % len(body)
         text, first = head + body, head.index(b"\n") + 1
@@ -475,7 +477,7 @@
             limit = struct.unpack("@ll", ours.getsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, 16))
             assert limit[0] == most
 
-    def test_a_refused_dial_never_ran(self) -> None:
+    def test_connection_refused_is_not_executed(self) -> None:
         self.door.close()
         self.client.start(start_attempt(1, self.port))
         assert self.outcome() is Outcome.CONNECT_FAILED
@@ -495,7 +497,7 @@
         assert event == AttemptAnswered(2, (ItemOutcome(0, Outcome.OK),))
         sock.close()
 
-    def test_a_connection_that_has_rested_is_used_before_one_that_must_still_rest(self) -> None:
+    def test_a_connection_past_its_cooldown_is_used_before_one_in_cooldown(self) -> None:
         # Guards against 10 ms of sleep in each call of a worker that is called again at once.
         kept = {}
         for name, ago in (("eldest", 1.0), ("rested", 0.5), ("resting", -0.5)):
@@ -511,7 +513,7 @@
         assert taken == [kept["rested"], kept["eldest"], kept["resting"]]
         assert len(slept) == 1  # only where nothing else was left
 
-    def test_an_idle_connection_that_its_worker_ended_is_not_used(self) -> None:
+    def test_an_idle_connection_closed_by_its_endpoint_is_not_used(self) -> None:
         # Guards against a reset that costs an attempt: the close is seen before the call is written.
         for number in (1, 2):
             self.client.start(start_attempt(number, self.port))
@@ -521,7 +523,7 @@
             assert self.outcome() is Outcome.OK
             sock.close()
 
-    def test_idle_connections_are_dropped_before_their_worker_does(self) -> None:
+    def test_idle_connections_are_closed_before_their_endpoint_closes_them(self) -> None:
         self.client.start(start_attempt(1, self.port))
         sock = self.accept()
         sock.recv(1000)
@@ -533,7 +535,7 @@
         self.client.sweep(kept.idle_since + 9.1)
         assert sock.recv(1) == b""
 
-    def test_an_answer_that_does_not_end_does_not_hold_its_call(self) -> None:
+    def test_an_endless_answer_does_not_block_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
         with mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
@@ -548,7 +550,7 @@
                 assert self.outcome() is outcome
                 assert sock.recv(1) == b""
 
-    def test_what_stands_behind_an_answer_is_never_the_next_one(self) -> None:
+    def test_bytes_behind_an_answer_are_never_the_next_answer(self) -> None:
         # Guards against a delivery that was none: a copy of one answer, taken for the next.
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         for late in (False, True):
@@ -565,7 +567,7 @@
             sock.close()
             assert self.outcome() is Outcome.RESET
 
-    def test_nothing_is_kept_of_a_worker_that_is_gone(self) -> None:
+    def test_no_state_is_retained_of_a_removed_endpoint(self) -> None:
         # Guards memory over months, and who comes at its address: it must not inherit a bar.
         self.client.set_draining(3, True)
         self.client.pause_route(7, time.monotonic() + 1.0)
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -62,8 +62,8 @@
             sock.close()
 
 
-class TestNotices(UsesResources):
-    def test_an_answer_that_comes_byte_by_byte_does_not_hold_an_end_up(self) -> None:
+class TestNotifications(UsesResources):
+    def test_an_answer_byte_by_byte_does_not_delay_a_notification(self) -> None:
         # Guards rule 1: each byte of an answer that never ends had its 0.3 s anew, and no notice went out meanwhile.
         platform = Platform()
         platform.answers = [b"HTTP/1.1 2"]
@@ -84,7 +84,7 @@
         threading.Thread(target=drip, daemon=True).start()
         assert events.get(timeout=5.0) == NotificationAcknowledged(("m0",))
 
-    def test_every_end_arrives_over_connections_that_fail(self) -> None:
+    def test_every_notification_arrives_over_failing_connections(self) -> None:
         # Guards rule 1: reset after writing, never answered, half answered, refused; many ends at once.
         platform = self.resources.closing(
             Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -21,7 +21,7 @@
     return [a.message for _, a in node.log if isinstance(a, CancelAttempt)]
 
 
-def test_silent_destinations_do_not_keep_all_slots_between_them() -> None:
+def test_unresponsive_destinations_do_not_occupy_all_slots() -> None:
     # i570357: one or two calls at each of many silent destinations held every slot until their deadlines.
     node = Node(settings(SAFE, slots=4), tuple(EndpointEntry(10 * d, d) for d in range(1, 7)))
     for d in range(1, 7):
@@ -36,7 +36,7 @@
     assert 5 in {node.messages[m].destination.id for m in sends(node.settle(gone, Outcome.CANCELLED))}
 
 
-def test_a_heavy_message_is_left_alone_where_others_are_answered() -> None:
+def test_a_slow_message_is_not_cancelled_where_others_are_answered() -> None:
     node = Node(settings(SAFE, slots=3), (EndpointEntry(10, 1), EndpointEntry(20, 2)))
     warm(node, 1)
     warm(node, 2)
@@ -50,7 +50,7 @@
     assert len(node.scheduler.state.backlog.in_flight) == 3 and heavy not in cancelled(node)
 
 
-def test_one_overdue_call_lets_one_more_be_risked_at_a_time() -> None:
+def test_one_overdue_call_allows_one_more_attempt_at_a_time() -> None:
     node = Node(settings(SAFE, slots=20))
     warm(node, 1)
     node.run(0.05)
@@ -61,7 +61,7 @@
     assert len(sends(node.settle(node.serial - 4))) == 4  # an answer: the destination is alive
 
 
-def test_silence_of_several_calls_turns_to_spaced_trials() -> None:
+def test_several_unresponsive_calls_lead_to_spaced_half_open_attempts() -> None:
     node = Node(settings(SAFE, slots=20))
     warm(node, 1, count=20)
     node.arrive(count=3)
@@ -71,7 +71,7 @@
     assert len(sends(node.run(6.0))) <= 3
 
 
-def test_an_answer_from_before_the_outage_is_no_return() -> None:
+def test_an_answer_from_before_the_outage_is_no_recovery() -> None:
     # cuotas rules-2: a late answer opened the bucket while the destination was still shut.
     node = Node(settings(SAFE, slots=20))
     node.arrive(count=3)
@@ -91,7 +91,7 @@
     assert not node.route(1).ejected
 
 
-def test_the_earlier_rate_is_not_worn_down_before_the_outage_is_told() -> None:
+def test_the_rate_before_the_outage_does_not_decay_before_detection() -> None:
     node = Node(settings(SAFE, slots=40))
     for _ in range(60):  # 4 a second
         node.arrive()
@@ -103,7 +103,7 @@
     assert route.ejected and 3.0 < route.rate_before_outage < 4.5
 
 
-def test_the_pace_takes_over_where_the_bucket_ends() -> None:
+def test_the_rate_limit_takes_over_where_the_token_bucket_ends() -> None:
     node = Node(settings(SAFE, slots=100, warm_up_s=3.0))
     warm(node, 1, count=20)
     node.arrive(count=3)
@@ -146,7 +146,7 @@
     assert len(sends(node.settle(node.serial - 7) + node.run(0.3))) == 1
 
 
-def test_a_message_that_bears_no_repeat_is_not_risked_on_a_trial() -> None:
+def test_a_non_idempotent_message_is_not_used_for_a_half_open_attempt() -> None:
     node = Node(settings(ONCE, SAFE, slots=20))
     warm(node, 1)
     for _ in range(4):
@@ -161,14 +161,14 @@
     assert tried and unsafe not in tried
 
 
-def test_a_broken_watch_is_asked_for_again() -> None:
+def test_a_broken_watch_is_reopened() -> None:
     node = Node(settings(endpoints_polled=True))
     assert [a for _, a in node.log if isinstance(a, PollEndpointList)] == [PollEndpointList()]
     node.do(EndpointListUpdated(ListScope.FAILED))
     assert any(isinstance(a, PollEndpointList) for a in node.run(1.0))
 
 
-def test_a_key_that_waits_does_not_block_its_destination() -> None:
+def test_a_pending_ordered_key_does_not_block_its_destination() -> None:
     node = Node(settings(ORDERED))
     node.arrive(ordering_key="a", count=3)
     assert sends(node.arrive(ordering_key="b")) == [4]
@@ -187,7 +187,7 @@
     assert logs[0] == logs[1]
 
 
-def test_a_call_called_off_for_silence_is_evidence_of_it() -> None:
+def test_a_call_cancelled_as_unresponsive_is_evidence_of_an_outage() -> None:
     # i570357: calling off wiped out the overdue count, and the destination was never judged silent.
     node = Node(settings(SAFE, slots=2), (EndpointEntry(10, 1), EndpointEntry(20, 2), EndpointEntry(30, 3)))
     for d in (1, 2, 3):
@@ -200,7 +200,7 @@
     assert node.messages[gone].destination.shared_route.ejected
 
 
-def test_trials_of_many_sick_destinations_leave_slots_to_the_others() -> None:
+def test_half_open_attempts_of_ejected_destinations_leave_slots_to_others() -> None:
     node = Node(settings(SAFE, slots=8), tuple(EndpointEntry(10 * d, d) for d in range(1, 8)))
     for d in range(1, 7):
         for _ in range(4):
@@ -213,7 +213,7 @@
     assert len(sends(node.arrive(destination=7, count=6))) == 6
 
 
-def test_late_answers_after_a_silence_do_not_hide_the_next_one() -> None:
+def test_late_answers_do_not_hide_the_next_unresponsive_period() -> None:
     # port-louis rules-2: answers of 9 s raised the mean so far that a second silence was not seen, and the
     # backlog met the return.
     node = Node(settings(SAFE, slots=40))
@@ -233,7 +233,7 @@
     return [a.endpoint for _, a in node.log if isinstance(a, CloseIdleConnections)]
 
 
-def test_many_nodes_keep_an_idle_connection_together_as_long_as_one_would_alone() -> None:
+def test_many_nodes_together_retain_an_idle_connection_as_long_as_one_node() -> None:
     # Forty nodes with an idle connection each filled every table: 1,261 of 1,312 refusals of a day said so.
     node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=50))
     warm(node, 1, count=1)
@@ -246,7 +246,7 @@
     assert closed(node) == [10]
 
 
-def test_a_full_table_is_no_outage_and_halves_the_time_that_an_idle_connection_is_kept() -> None:
+def test_a_full_connection_table_is_no_outage_and_halves_the_idle_timeout() -> None:
     node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
@@ -287,7 +287,7 @@
     return taken, refused
 
 
-def test_many_nodes_fall_below_a_limit_that_was_lowered_to_a_third_and_use_it_again() -> None:
+def test_many_nodes_adapt_to_a_limit_lowered_to_a_third_and_use_it_fully() -> None:
     # join+vast: each kept 0.9 of its share of the listed rate, so all were over the lowered limit for nine seconds.
     nodes = crowd(40, 80.0)
     asked(nodes, 10.0, 80.0)
@@ -299,14 +299,14 @@
     assert taken > 0.75 * 6 * 80 and refused < 0.2 * taken
 
 
-def test_a_share_below_one_call_a_second_is_kept_and_spread_over_time() -> None:
+def test_a_quota_below_one_call_a_second_is_spread_over_time() -> None:
     nodes = crowd(40, 8.0)
     asked(nodes, 10.0, 8.0)
     taken, refused = asked(nodes, 20.0, 8.0)
     assert taken + refused < 1.5 * 20 * 8 and taken > 0.35 * 20 * 8  # with a floor of one each: 800 calls
 
 
-def test_a_refusal_of_many_nodes_is_no_outage_but_a_long_run_is() -> None:
+def test_a_rejection_of_many_nodes_is_no_outage_but_a_long_run_is() -> None:
     # Its first call of a day met a limit used up by others: it turned to trials, a call in three seconds.
     node = Node(
         settings(KEYED, instances=40, rates_listed=True, max_attempts=100),
@@ -322,7 +322,7 @@
     assert node.route(1).ejected
 
 
-def test_an_endpoint_that_takes_fewer_connections_than_there_are_nodes_serves_them_all() -> None:
+def test_an_endpoint_with_fewer_connections_than_nodes_serves_all_nodes() -> None:
     # A table of 13, forty nodes with a call in half a second each that takes 50 ms: idle ones must make room.
     places, dice = 13, random.Random(3)
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, keepalive_s=10.0, max_attempts=8)
@@ -369,7 +369,7 @@
     assert min(chosen) >= 10
 
 
-def test_a_refusal_is_a_doubt_once_there_was_a_delivery_or_where_no_rate_is_listed() -> None:
+def test_a_rejection_is_a_fault_after_a_delivery_or_without_a_listed_rate() -> None:
     # Without it nine partners of forty forwarders were pushed over in twenty runs of `many`, with it four.
     for rating, served, sick in ((80.0, False, False), (80.0, True, True), (0.0, False, True)):
         config = settings(
@@ -384,7 +384,7 @@
         assert node.route(1).ejected is sick
 
 
-def test_a_large_share_is_tried_again_sooner_than_a_fall_takes() -> None:
+def test_half_open_attempts_with_a_large_quota_are_spaced_below_the_overload_span() -> None:
     # zone+vast: a partner of 210 calls a second was tried by each every three seconds, 13 calls of the 38 it bore.
     node = crowd(40, 400.0)[0]
     d = node.destination(1)
@@ -393,7 +393,7 @@
     assert max(gaps) < 1.5 < node.scheduler.state.round.settings.overload_span_s and min(gaps) >= 1.0
 
 
-def test_a_few_nodes_keep_their_connections() -> None:
+def test_a_few_nodes_retain_their_connections() -> None:
     node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=3))
     node.arrive()
     node.settle(1, Outcome.CONNECT_FAILED, message_ended=True)
@@ -402,7 +402,7 @@
     assert closed(node) == []
 
 
-def test_trials_of_many_nodes_do_not_push_a_returning_destination_over() -> None:
+def test_half_open_attempts_of_many_nodes_do_not_overload_a_recovering_destination() -> None:
     # cuotas-later big-1: 204 nodes, each with a trial every 2 to 4 s, sent 2.8 times what it could do.
     nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
     for k, node in enumerate(nodes):
@@ -430,7 +430,7 @@
     assert max(tried) <= 4 and 1 <= sum(tried) <= 45  # a call in 2 s of 50 nodes at most, and not none
 
 
-def test_the_end_of_a_told_wait_is_not_met_by_all_nodes_at_once() -> None:
+def test_nodes_stagger_their_attempts_after_retry_after() -> None:
     nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
     at_once = 0
     for k, node in enumerate(nodes):
@@ -442,7 +442,7 @@
     assert at_once <= 25
 
 
-def test_the_pace_of_one_of_many_nodes_falls_below_one_a_second() -> None:
+def test_the_rate_limit_of_one_of_many_nodes_falls_below_one_a_second() -> None:
     node = Node(settings(SAFE, slots=3, instances=200, max_attempts=50))
     node.arrive(count=3)
     for _ in range(6):
@@ -453,7 +453,7 @@
     assert route.rate_limit is not None and route.rate_limit < 0.3 and not route.ejected
 
 
-def test_absent_or_absurd_ratings_neither_raise_nor_hold_traffic() -> None:
+def test_absent_or_invalid_listed_rates_neither_raise_nor_limit_traffic() -> None:
     for rating in (0.0, -3.0, 1e-9, 1e12):
         node = Node(
             settings(SAFE, rates_listed=True, instances=200), (EndpointEntry(10, 1, listed_rate=rating),)
@@ -468,7 +468,7 @@
         assert 0 < node.scheduler.state.traffic.expected_rate(node.destination(1), node.route(1)) < math.inf
 
 
-def test_a_told_limit_is_the_start_of_the_pace_of_one_of_many_nodes() -> None:
+def test_a_notified_limit_is_the_initial_rate_limit_of_one_of_many_nodes() -> None:
     # guadalajara-later big-1: refused calls used up limits that a fleet in step with them would have met.
     node = Node(settings(SAFE, slots=3, instances=50))
     node.arrive()
@@ -479,7 +479,7 @@
     assert sends(node.run(4.0)) == []  # two nodes' worth of calls would come every 5 s
 
 
-def test_a_refusal_with_room_left_does_not_bound_the_pace() -> None:
+def test_a_rejection_with_capacity_left_does_not_bound_the_rate_limit() -> None:
     # cuotas-later big-1: a shut destination was met with gaps of a minute, long after it had opened.
     node = Node(settings(SAFE, slots=3, instances=200))
     node.arrive()
@@ -488,7 +488,7 @@
     assert node.route(1).rate_limit == 0.5
 
 
-def test_a_busy_node_takes_a_larger_part_of_listed_rates() -> None:
+def test_a_busy_node_uses_a_larger_fraction_of_listed_rates() -> None:
     parts = []
     for gap in (0.05, 5.0):
         node = Node(
@@ -505,7 +505,7 @@
     assert parts[0] > 0.3 and parts[1] < 0.02
 
 
-def test_a_message_of_a_sick_destination_is_not_given_up_early() -> None:
+def test_a_message_of_an_ejected_destination_is_not_failed_early() -> None:
     # Terms at full size: one that surely has not run and is returned before seven tenths of its time is priced.
     node = Node(settings(warm_up_s=60.0, overload_span_s=30.0))
     node.arrive(count=4)
--- a/tests/test_redrive_decisions.py
+++ b/tests/test_redrive_decisions.py
@@ -89,7 +89,7 @@
         st.floats(0, 5),
         st.sampled_from(list(Idempotency)),
     )
-    def test_no_repeat_outside_its_window(
+    def test_no_retry_outside_the_deduplication_window(
         self, ran: float, window: float, allowance: float, idempotency: Idempotency
     ) -> None:
         facts = replace(BASE, executed_at=NOW + ran, deduplication_window_s=window, idempotency=idempotency)
@@ -100,7 +100,7 @@
             assert j.until + allowance + WINDOW_MARGIN_S <= NOW + ran + window + 1e-6
             assert j.until - NOW >= MIN_WINDOW_LEFT_S - 1e-6
 
-    def test_the_window_counts_from_the_first_that_may_have_run(self) -> None:
+    def test_the_window_counts_from_the_first_possible_execution(self) -> None:
         assert judge_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until == pytest.approx(
             NOW + 8.0 - 0.75, abs=5e-8
         )
@@ -166,13 +166,13 @@
             rate = spend(rate, int(rate.tokens))
         return rate
 
-    def test_it_ramps_additively_to_its_share_of_the_rate(self) -> None:
+    def test_it_increases_additively_to_its_fraction_of_the_rate(self) -> None:
         rate = self.run_rate([WELL, WELL], 5.0, RedriveRate(), 100.0)
         assert rate.per_s == pytest.approx(1.0 + 5.0, abs=0.6)
         rate = self.run_rate([WELL, WELL], 100.0, rate, 105.0)
         assert rate.per_s == 25.0  # a quarter of 100, from all instances together
 
-    def test_nothing_goes_to_a_cold_partner_whoever_sees_it_so(self) -> None:
+    def test_nothing_is_sent_to_a_failing_or_warming_up_destination(self) -> None:
         for health in ("failing", "warming"):
             sick = replace(WELL, health=health, waiting=1)
             rate = self.run_rate([WELL, sick, WELL], 30.0, RedriveRate(), 100.0)
@@ -180,7 +180,7 @@
             assert health in rate.reason
         assert adjust_rate(RedriveRate(), [], False, 100.0, RedriveRateLimits()).tokens == 0.0
 
-    def test_an_outage_that_no_live_message_tries_is_tried_by_one_resend_at_a_time(self) -> None:
+    def test_an_outage_without_live_traffic_is_tested_by_one_redrive_at_a_time(self) -> None:
         # Guards against a wait without end: nobody probes, so without messages no outage is seen to end.
         sick, rate, now, sent = replace(WELL, health="failing"), RedriveRate(), 100.0, 0
         for _ in range(40):
@@ -192,7 +192,7 @@
         warming = replace(WELL, health="warming")
         assert adjust_rate(RedriveRate(), [sick, warming], False, now, RedriveRateLimits()).tokens == 0.0
 
-    def test_it_halves_at_a_refusal_once_a_second_and_yields_to_a_wait(self) -> None:
+    def test_it_halves_at_a_rejection_once_a_second_and_obeys_retry_after(self) -> None:
         rate = RedriveRate(16.0, 100.0, 0.0, 0.0)
         rate = adjust_rate(rate, [replace(WELL, rate_limited=True)], False, 100.25, RedriveRateLimits())
         assert rate.per_s == 8.0
@@ -203,7 +203,7 @@
         rate = adjust_rate(rate, [WELL, replace(WELL, retry_after_s=1.0)], False, 102.0, RedriveRateLimits())
         assert (rate.per_s, rate.tokens) == (2.0, 0.0)
 
-    def test_live_messages_go_first_and_an_old_pace_is_forgotten(self) -> None:
+    def test_live_messages_have_priority_and_an_old_rate_expires(self) -> None:
         busy = replace(WELL, waiting=40)
         assert (
             adjust_rate(RedriveRate(16.0, 100.0, 5.0), [busy], False, 100.2, RedriveRateLimits()).tokens
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -281,17 +281,17 @@
         assert places > 26
         return runs
 
-    def test_no_crash_and_no_lost_answer_sends_one_twice_or_forgets_one(self) -> None:
+    def test_no_crash_or_lost_answer_duplicates_or_loses_a_message(self) -> None:
         assert self.explore() == 4 * 4 * 25 * 2
 
-    def test_it_finds_a_forwarder_that_takes_what_it_said_it_does_not_know(self) -> None:
+    def test_it_detects_a_forwarder_that_accepts_what_it_reported_unknown(self) -> None:
         def unfenced(sim: Sim) -> None:
             sim.fencing = False
 
         with pytest.raises(AssertionError, match="under way|second effect|delivered"):
             self.explore(unfenced, pairs=False)
 
-    def test_it_finds_a_hand_in_before_the_claim_is_durable(self) -> None:
+    def test_it_detects_a_resubmission_before_the_lease_is_durable(self) -> None:
         def forgetful(sim: Sim) -> None:
             real = sim.store.acquire_lease
 
@@ -307,7 +307,7 @@
         with pytest.raises(AssertionError):
             self.explore(forgetful, pairs=False)
 
-    def test_it_finds_silence_taken_for_never_taken(self) -> None:
+    def test_it_detects_a_timeout_treated_as_never_accepted(self) -> None:
         real = RedriveSettler._settle_one
 
         def guess(
@@ -320,7 +320,7 @@
         with mock.patch.object(RedriveSettler, "_settle_one", guess), pytest.raises(AssertionError):
             self.explore(pairs=False)
 
-    def test_it_finds_a_window_that_is_not_looked_at(self) -> None:
+    def test_it_detects_an_ignored_deduplication_window(self) -> None:
         # Two hold it: the redriver's judgement, and the forwarder's module, which is told when it may have run.
         def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> Judgement:
             return Judgement(RedriveSafety.SAFE, m.status == "kept")
@@ -353,7 +353,7 @@
                   st.integers(1, 3)),
         st.tuples(st.sampled_from(["wish", "discard", "undo"]), st.integers(0, 2)),
     ), max_size=14))  # fmt: skip
-    def test_any_history_ends_well(self, history: list[tuple[str, int]]) -> None:
+    def test_any_history_satisfies_the_invariants(self, history: list[tuple[str, int]]) -> None:
         sim = self.sim()
         discarded: set[str] = set()
         for what, n in history:
@@ -384,7 +384,7 @@
         sim.store.undo(sorted(discarded), "ann")
         sim.finish()
 
-    def test_a_forwarder_that_lost_its_memory_leaves_the_claim_to_a_person(self) -> None:
+    def test_a_forwarder_that_lost_its_state_leaves_the_lease_to_an_operator(self) -> None:
         sim = self.sim()
         sim.door = ["lost"]
         sim.round()
@@ -411,7 +411,7 @@
         sim.outcomes = real  # type: ignore[method-assign]
         sim.finish()
 
-    def test_a_window_that_closes_between_decision_and_hand_in(self) -> None:
+    def test_a_window_that_closes_between_decision_and_resubmission(self) -> None:
         sim = Sim(self.folder, (-4.0,))
         real = sim.store.acquire_lease
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -102,7 +102,7 @@
 
 
 class TestReducer(ReducerRig):
-    def test_an_end_comes_before_the_time_is_up_also_by_a_clock_that_stood_still(
+    def test_an_outcome_precedes_the_deadline_even_if_the_clock_stood_still(
         self, subtests: pytest.Subtests
     ) -> None:
         # A process that has just begun saw its clock stand still for 0.3 s: ends it owed came that much late.
@@ -115,26 +115,26 @@
                     left - min(0.3, 0.2 * left), abs=5e-8
                 )
 
-    def test_a_delegation_names_its_worker_for_the_journal_which_hears_of_it_at_its_first_byte(self) -> None:
+    def test_an_attempt_is_journalled_with_its_endpoint_at_its_first_byte(self) -> None:
         # Guards against a try used up by a call that was never written; tests/test_restarts.py has the first byte.
         self.start()
         effects = self.take("a")
         assert self.only(effects, AppendRecord) == []
         assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-1"]
 
-    def test_a_message_whose_client_was_not_told_is_withdrawn(self) -> None:
+    def test_a_message_whose_client_was_not_acknowledged_is_withdrawn(self) -> None:
         self.start()
         effects = self.take("a", told=False)
         assert effects == [AppendRecord(CompletedRecord("a"))]
         assert self.sent(self.take("a")) == [["a"]]
 
-    def test_the_same_message_on_a_second_connection_is_ours_already(self) -> None:
+    def test_the_same_message_on_a_second_connection_is_a_duplicate(self) -> None:
         # Guards the case that our close crosses a request: the client sends it once more.
         self.start()
         self.take("a")
         assert self.do(MessageReceived(6, call("a"), self.now)) == [ReplyToClient(6, 202)]
 
-    def test_a_message_that_is_over_is_not_taken_on_again_for_its_time(self) -> None:
+    def test_a_completed_message_is_not_accepted_again_within_its_deadline(self) -> None:
         # Guards join+mass: a client's copy of a delivered message went out to eight attempts, each a 400.
         self.start()
         self.end(self.take("a"), (Outcome.OK, 0.0))
@@ -146,7 +146,7 @@
         self.do(MessageReceived(7, call("b"), self.now))
         assert len(self.reducer.state.messages.completed) == MAX_COMPLETED_IDS
 
-    def test_what_has_not_run_is_not_given_up_before_seven_tenths_of_its_clients_time(
+    def test_an_unexecuted_message_is_not_failed_before_seven_tenths_of_its_deadline(
         self, subtests: pytest.Subtests
     ) -> None:
         for left in (20.0, 0.96):
@@ -166,24 +166,24 @@
                 assert self.now - began >= 0.7 * left - 1e-6
                 assert self.now - began <= left
 
-    def test_the_door_counts_what_is_held_and_what_is_offered(self) -> None:
+    def test_intake_counts_pending_and_offered_messages(self) -> None:
         self.start(max_open=2, slots=8)
         effects = self.do(*(MessageReceived(n, call(f"m{n}"), self.now) for n in range(3)))
         assert [type(e) for e in effects] == [AcceptMessage, AcceptMessage, ReplyToClient]
         assert self.only(effects, ReplyToClient)[0].status == 503
         assert self.only(effects, ReplyToClient)[0].retry_after_s > 0
 
-    def test_a_message_whose_time_is_up_already_is_turned_away(self) -> None:
+    def test_an_expired_message_is_rejected(self) -> None:
         self.start()
         assert isinstance(self.do(MessageReceived(1, call("a", left=0.0), self.now))[0], ReplyToClient)
 
-    def test_a_delivery_ends_all(self) -> None:
+    def test_a_delivery_completes_the_message(self) -> None:
         self.start()
         effects = self.end(self.take("a"), (Outcome.OK, 0.0))
         assert self.only(effects, AppendRecord) == [AppendRecord(CompletedRecord("a"))]
         assert not self.only(effects, SendNotifications)
 
-    def test_sends_of_a_round_to_one_worker_are_one_call(self) -> None:
+    def test_attempts_of_a_round_to_one_endpoint_are_one_batch(self) -> None:
         self.start(worker(kind=1))
         first = self.take("a")
         self.do(*self.only(self.end(first, (Outcome.OVERLOADED, 0.5)), DeadlineReached))
@@ -202,14 +202,14 @@
         ]
         assert self.only(effects, PauseRoute)[0] == PauseRoute(1, 105.0)
 
-    def test_a_wait_told_with_a_delivery_binds(self) -> None:
+    def test_a_retry_after_with_a_delivery_binds(self) -> None:
         # Guards the wait that a 200 carries: the module must hear of it though nothing was refused.
         self.start()
         self.end(self.take("a"), (Outcome.OK, 5.0))
         self.now += 1.0
         assert self.sent(self.take("b")) == []
 
-    def test_where_routes_are_apart_a_wait_binds_the_worker_that_told_it(
+    def test_with_separate_routes_retry_after_binds_the_endpoint_that_sent_it(
         self, subtests: pytest.Subtests
     ) -> None:
         for apart, told, more in ((False, 1, []), (True, "s-1", [["b"]])):
@@ -226,7 +226,7 @@
                 sent = self.sent(later) + self.sent(self.take("b"))
                 assert sent[-1:] == more
 
-    def test_a_message_out_to_its_end_is_failed_at_once(self) -> None:
+    def test_a_message_in_flight_at_its_deadline_is_failed_at_once(self) -> None:
         self.start()
         effects = self.take("a", cls=1, left=2.0)
         (d,) = self.only(effects, StartAttempt)
@@ -244,9 +244,7 @@
         # An answer that crossed it changes nothing.
         assert self.do(AttemptAnswered(d.number, (ItemOutcome(d.items[0].message, Outcome.OK),))) == []
 
-    def test_a_message_whose_call_is_not_written_yet_surely_has_not_run(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_a_message_whose_call_is_not_written_was_not_executed(self, subtests: pytest.Subtests) -> None:
         # Guards a late connection: a message that must not run twice may be handed back, and was failed.
         for progress, again in ((AttemptProgress.WAITING, True), (AttemptProgress.WRITTEN, False)):
             with subtests.test(progress=progress):
@@ -264,7 +262,7 @@
                 ]
                 assert ends == ([] if again else [AttemptFinishedRecord("a", True)])
 
-    def test_a_time_up_in_a_call_of_several_leaves_the_others_in_it(self, subtests: pytest.Subtests) -> None:
+    def test_a_timeout_in_a_batch_leaves_the_others_in_it(self, subtests: pytest.Subtests) -> None:
         for progress, gone in (
             (AttemptProgress.WAITING, False),
             (AttemptProgress.WRITTEN, False),
@@ -285,7 +283,7 @@
                 effects = self.do(AttemptCancelled(d.number, progress)) if gone else effects
                 assert (AppendRecord(AttemptFinishedRecord("b", True)) in effects) == gone
 
-    def test_large_messages_share_a_call_only_as_far_as_a_body_may_go(self) -> None:
+    def test_large_messages_are_batched_up_to_the_body_limit(self) -> None:
         # Guards the protocol's 64 KiB: twenty bodies of 2.4 KB made a call that is refused whole.
         self.start(worker(kind=1))
         self.end(self.take("a"), (Outcome.ERROR, 0.5))
@@ -295,7 +293,7 @@
         effects = self.do(EndpointsUpdated(43, False, ()))
         assert self.sent(effects) == [["a", "b", "c"], ["d"]]
 
-    def test_a_message_that_the_module_sends_alone_travels_alone(self) -> None:
+    def test_a_message_the_scheduler_sends_alone_is_not_batched(self) -> None:
         # Guards the others: two calls of one round to one endpoint were made one, which ended with its first.
         self.start(worker(kind=1))
         self.end(self.take("a"), (Outcome.ERROR, 0.5))
@@ -305,9 +303,7 @@
         effects = self.do(EndpointsUpdated(43, False, ()))
         assert sorted(self.sent(effects)) == [["a", "c"], ["b"]]
 
-    def test_a_call_of_several_ends_with_the_time_of_the_first_of_its_messages(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_a_batch_ends_with_the_earliest_deadline_of_its_messages(self, subtests: pytest.Subtests) -> None:
         # Guards roll+brink (settings of a short deadline): an answer within 0.3 s after the time of one message was
         # whole, but counted for none: the others, delivered as we had it, got no final answer.
         for answered in (True, False):
@@ -335,7 +331,7 @@
                 effects = self.do(AttemptCancelled(d.number, AttemptProgress.WRITTEN))
                 assert (AppendRecord(AttemptFinishedRecord("b", True)) in effects) == (not answered)
 
-    def test_a_notice_is_owed_until_it_is_accepted(self) -> None:
+    def test_a_notification_is_unacknowledged_until_accepted(self) -> None:
         self.start()
         (d,) = self.only(self.take("a", cls=1, left=2.0), StartAttempt)
         self.now += 2.0
@@ -357,7 +353,7 @@
             effects = self.do(EndpointsUpdated(43, False, ()))
         return first, effects
 
-    def test_calling_off_closes_first_and_reports_then(self) -> None:
+    def test_cancelling_closes_the_connection_before_it_reports(self) -> None:
         # Guards against a second copy: the connection must have ended before the message may go again.
         _, effects = self.call_off()
         (gone,) = self.only(effects, CancelAttempt)
@@ -366,9 +362,7 @@
         assert self.only(effects, AppendRecord)[0].record == AttemptFinishedRecord("a", True)
         assert self.sent(effects) == [["c"]]
 
-    def test_a_call_that_is_called_off_before_its_first_byte_has_not_run(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_a_call_cancelled_before_its_first_byte_was_not_executed(self, subtests: pytest.Subtests) -> None:
         # Guards a class that may not be repeated: its message, behind a dial, was failed as one that may have run.
         for progress, told in (
             (AttemptProgress.WAITING, []),
@@ -388,7 +382,7 @@
                     [AttemptFinishedRecord("a", True)] if told else []
                 )  # the journal never heard that it began
 
-    def test_an_answer_that_was_read_before_its_call_was_called_off_counts(self) -> None:
+    def test_an_answer_read_before_the_cancellation_counts(self) -> None:
         # Guards a delivery that was read and not yet told: it counted as called off, and its message went again.
         first, effects = self.call_off()
         (gone,) = self.only(effects, CancelAttempt)
@@ -416,7 +410,7 @@
         effects = self.end(effects, (Outcome.ERROR, 0.0))
         assert len(self.only(effects, SendNotifications)) == 1
 
-    def test_the_window_of_repeats_holds_over_a_restart(self) -> None:
+    def test_the_deduplication_window_holds_over_a_restart(self) -> None:
         # Guards rule 2: KEYED has a window of 5 s from the first attempt that may have run.
         self.start()
         history = (RecordedAttempt("s-1", 94.0, True),)
@@ -431,7 +425,7 @@
             SendNotifications((OutcomeNotification("soon"),))
         ]
 
-    def test_a_message_that_bears_no_repeat_is_not_sent_by_the_next_life(self) -> None:
+    def test_a_non_idempotent_message_is_not_sent_by_the_next_incarnation(self) -> None:
         self.start()
         ran = RestoredMessage(call("ran", cls=1), 115.0, (RecordedAttempt("s-1", 99.0, True),))
         fresh = RestoredMessage(call("fresh", cls=1), 115.0, (RecordedAttempt("s-1", 99.0, False),))
@@ -439,7 +433,7 @@
         assert self.only(effects, SendNotifications) == [SendNotifications((OutcomeNotification("ran"),))]
         assert self.sent(effects) == [["fresh"]]
 
-    def test_what_expired_while_nothing_ran_gets_its_notice(self) -> None:
+    def test_a_message_expired_during_downtime_gets_its_notification(self) -> None:
         self.start()
         owed = RestoredMessage(call("b"), 200.0, (), OutcomeNotification("b", 0.5))
         effects = self.do(JournalReplayed((RestoredMessage(call("a"), 99.0), owed)))
@@ -449,7 +443,7 @@
         ]
         assert self.sent(effects) == []
 
-    def test_nothing_is_started_that_cannot_end_before_the_process(self) -> None:
+    def test_no_attempt_starts_that_cannot_end_before_shutdown(self) -> None:
         # Guards against calls cut off by our own exit: each could then not be told from one that ran.
         self.start()
         self.do(ShutdownRequested(100.8, 103.3))
@@ -463,14 +457,14 @@
         self.end(effects, (Outcome.OK, 0.0))
         assert self.reducer.may_exit(self.now)
 
-    def test_what_the_list_no_longer_has_gets_nothing(self) -> None:
+    def test_a_removed_endpoint_gets_nothing(self) -> None:
         self.start(worker("s-1"), worker("s-2", 2))
         effects = self.do(EndpointsUpdated(42, True, (worker("s-2", 2),)))
         assert SetEndpointDraining(1, True) in effects
         assert self.sent(self.take("a", destination=1)) == []
         assert self.sent(self.take("b", destination=2)) == [["b"]]
 
-    def test_a_moved_registry_is_watched_from_the_version_held(self) -> None:
+    def test_a_new_discovery_address_is_watched_from_the_cached_version(self) -> None:
         # Guards reloading: what the old watch still tells must not come after what the new one has told.
         self.start(endpoints_polled=True)
         self.do(EndpointsUpdated(43, False, ()))
@@ -483,7 +477,7 @@
         self.do(EndpointsUpdated(45, False, (), epoch=1))
         assert self.reducer.state.directory.version == 45
 
-    def test_a_move_while_the_watch_is_down_leaves_one_watch(self) -> None:
+    def test_a_new_discovery_address_while_the_watch_is_down_leaves_one_watch(self) -> None:
         # Guards against a second watch that stands in line behind the first for good.
         self.start(endpoints_polled=True)
         self.do(WatchLost())
@@ -491,13 +485,13 @@
         self.now += 10.0
         assert self.only(self.do(EndpointsUpdated(44, False, (), epoch=1)), StartWatch) == []
 
-    def test_a_destination_that_nobody_serves_is_turned_away(self) -> None:
+    def test_a_destination_without_endpoints_is_rejected(self) -> None:
         # Guards against a 202 for a message that cannot be sent anywhere.
         self.start()
         (told,) = self.do(MessageReceived(5, call("a", destination=9), self.now))
         assert told == ReplyToClient(5, 503, 1.0)
 
-    def test_workers_that_are_gone_are_forgotten_once_nothing_of_theirs_is_out(self) -> None:
+    def test_removed_endpoints_are_forgotten_once_nothing_is_in_flight(self) -> None:
         # Guards memory over a long day: new ids replace the workers all day, also at the same address.
         self.start()
         effects = self.take("a")
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("instances", [3, 10])
 @pytest.mark.parametrize("destination", [1, 2])
-def test_calls_are_spaced_by_the_part_of_a_told_limit(instances: int, destination: int) -> None:
+def test_calls_are_spaced_by_the_fraction_of_a_notified_limit(instances: int, destination: int) -> None:
     # head-campus roll+brink: calls beyond a limit are refused and use it up, for all forwarders.
     node = node_of(instances)
     answered(node, destination, capacity_left=1.0, reported_limit_per_s=float(instances))
@@ -42,14 +42,14 @@
     assert len(sends(node.run(0.2))) == destination  # the second kind takes both in one call
 
 
-def test_no_limit_told_spaces_nothing() -> None:
+def test_without_a_notified_limit_nothing_is_spaced() -> None:
     node = node_of(10)
     answered(node, 1)
     assert len(sends(node.arrive(destination=1, count=3))) == 3
 
 
 @pytest.mark.parametrize("instances", [3, 10])
-def test_a_refusal_starts_the_pace_at_the_part_of_a_told_limit(instances: int) -> None:
+def test_a_rejection_starts_the_rate_limit_at_the_fraction_of_a_notified_limit(instances: int) -> None:
     node = node_of(instances)
     answered(node, 1, capacity_left=1.0, reported_limit_per_s=2.0 * instances)
     node.run(1.0)
@@ -57,14 +57,14 @@
     assert route.rate_limit == pytest.approx(2.0)
 
 
-def test_the_noise_of_told_limits_is_evened_out() -> None:
+def test_the_noise_of_notified_limits_is_smoothed() -> None:
     route = RouteState()
     for limit in (10.0, *([9.0, 11.0] * 20)):
         record_load_report(route, limit, 0.5)
     assert 9.5 < route.reported_limit_per_s < 10.5
 
 
-def test_room_told_before_the_refusals_is_no_reason_to_doubt_a_destination() -> None:
+def test_capacity_notified_before_the_rejections_is_no_fault() -> None:
     # head-campus roll+brink: x0 of 0.98 came with a refusal, a sample of up to 1.3 s ago.
     node = node_of(10)
     answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
@@ -73,7 +73,7 @@
     assert route.consecutive_faults == 0 and not route.ejected
 
 
-def test_room_that_is_told_all_the_while_is() -> None:
+def test_capacity_notified_throughout_the_rejections_is_a_fault() -> None:
     node = node_of(10)
     route = answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
     node.run(30.0)
@@ -85,7 +85,7 @@
     assert route.ejected
 
 
-def test_a_pace_long_after_a_cut_grows_without_overflow() -> None:
+def test_a_rate_limit_long_after_a_cut_grows_without_overflow() -> None:
     # 2 ** seconds since the cut raises OverflowError after 1024 s.
     node = node_of(10)
     route = answered(node, 1, capacity_left=1.0, reported_limit_per_s=10.0)
@@ -99,7 +99,9 @@
 
 
 @pytest.mark.parametrize(("instances", "quickly"), [(3, True), (10, False)])
-def test_a_pace_of_a_few_grows_by_the_second_and_that_of_many_slowly(instances: int, quickly: bool) -> None:
+def test_a_rate_limit_of_few_nodes_grows_by_the_second_and_that_of_many_slowly(
+    instances: int, quickly: bool
+) -> None:
     # Guards the second deployment (rough-1 of two forwarders, 0.59 to 0.50): a few are their own traffic's limit.
     node = node_of(instances)
     answered(node, 1, capacity_left=1.0, reported_limit_per_s=2.0 * instances)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -72,7 +72,7 @@
         items = tuple(BatchItem(n, Message(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
         return StartAttempt(1, 3, "127.0.0.1", self.port, 7, items, 1e12, "s-3")
 
-    def test_a_kill_while_a_call_waits_for_its_connection_leaves_its_messages_untried(self) -> None:
+    def test_a_kill_while_a_call_waits_for_its_connection_leaves_messages_never_attempted(self) -> None:
         # Guards a restart amid dials: what never went out counted as what may have run, and was failed untried.
         up, dial = threading.Event(), sockets.connect
 
@@ -89,7 +89,7 @@
             assert sock.recv(1)  # never the other way: what a byte was written of is known as tried
             assert self.tried() == ["m0"]  # the one struck off it is not
 
-    def test_a_call_that_is_not_begun_leaves_an_earlier_try_as_it_was(self) -> None:
+    def test_a_call_that_is_not_begun_leaves_an_earlier_attempt_unchanged(self) -> None:
         # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
         self.client.start(self.start_attempt(1))
         sock = self.accept()
@@ -101,7 +101,7 @@
         assert self.answered() == [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)]
         assert self.tried() == ["m0"]
 
-    def test_nothing_is_begun_once_the_process_ends(self) -> None:
+    def test_no_attempt_begins_once_the_process_ends(self) -> None:
         # Guards the last moment: the next life may have read the journal already.
         self.client.stop_sending()
         self.client.start(self.start_attempt())
@@ -110,7 +110,7 @@
         self.client.close_idle(3)
         assert (sock.recv(1), self.tried()) == (b"", [])
 
-    def test_what_the_journal_has_no_room_for_is_not_written(self) -> None:
+    def test_an_attempt_without_journal_capacity_is_not_written(self) -> None:
         # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
         failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
         self.client.attempts.append = failing
@@ -131,7 +131,7 @@
         assert isinstance(event, AttemptAnswered)
         return list(event.outcomes)
 
-    def test_the_threads_and_the_loop_write_whole_lines(self) -> None:
+    def test_the_threads_and_the_loop_write_complete_lines(self) -> None:
         failed: list[Exception] = []
 
         def write() -> None:
@@ -153,7 +153,7 @@
 
 
 class TestWiring(UsesResources):
-    def test_the_process_tells_its_calls_of_a_record_that_was_not_written(self) -> None:
+    def test_calls_are_notified_of_a_record_that_was_not_written(self) -> None:
         # Guards start.build: with a note that only logs the fault, a call would be begun without its record.
         with tempfile.TemporaryDirectory() as folder:
             program = self.resources.closing(Program(Path(folder)))
@@ -172,7 +172,7 @@
                 loop.executor.endpoint_client.attempts.append(AttemptStartedRecord("m0", 1.0, "s-7"))
 
 
-class TestUntried(ReducerRig):
+class TestNeverAttempted(ReducerRig):
     """The reducer and the module after a restart."""
 
     def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
@@ -195,7 +195,7 @@
         self.now = until
         return seen
 
-    def test_what_was_found_untried_goes_before_what_is_worth_more(self) -> None:
+    def test_a_never_attempted_message_precedes_a_higher_priority_weight(self) -> None:
         # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
         fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
         late = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
@@ -214,7 +214,7 @@
         gained = {k: v - before.get(k, 0) for k, v in counters().items() if k.startswith("restored_")}
         assert (gained["restored_attempted"], gained.get("restored_never_attempted", 0)) == (3, 0)
 
-    def test_all_of_its_clients_time_is_there_to_try_it(self) -> None:
+    def test_a_never_attempted_message_has_its_full_deadline(self) -> None:
         # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
         soon = RestoredMessage(call("soon", left=2.0), 99.9)  # its client's time is up at 100.2
         over = RestoredMessage(call("over", left=2.0), 99.6)
@@ -231,7 +231,7 @@
         )  # after that the spare is needed again
         assert self.only(effects, StartAttempt)[0].deadline == pytest.approx(105.0, abs=5e-8)
 
-    def test_what_is_untried_keeps_its_place_in_a_full_forwarder(self) -> None:
+    def test_a_never_attempted_message_retains_its_slot_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
         found = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(4)]
         before = counters().get("restored_never_attempted", 0)
@@ -246,7 +246,7 @@
         assert (order, counters().get("restored_never_attempted", 0)) == (["r0", "r1", "r2", "r3"], before)
         assert self.sent(self.take("new")) == [["new"]]
 
-    def test_what_is_untried_goes_as_soon_as_the_list_names_its_destination(self) -> None:
+    def test_a_never_attempted_message_is_sent_once_its_destination_is_listed(self) -> None:
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         assert self.sent(effects) == []
@@ -255,7 +255,7 @@
         )
         assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-5"]
 
-    def test_what_is_untried_is_held_to_its_last_moment(self) -> None:
+    def test_a_never_attempted_message_is_pending_until_its_deadline(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         before = counters().get("restored_never_attempted", 0)
--- a/tests/test_scheduler_settings.py
+++ b/tests/test_scheduler_settings.py
@@ -33,6 +33,6 @@
         MessageClass(**{"latency_objective_s": 1.0, "deadline_s": 2.0, field: value})
 
 
-def test_no_class_is_turned_down() -> None:
+def test_an_empty_list_of_classes_is_rejected() -> None:
     with pytest.raises(ValueError, match="classes"):
         settings(classes=())
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -34,9 +34,7 @@
 
 
 class TestPushedList(UsesResources):
-    def test_a_watch_begins_at_the_start_though_the_module_does_not_ask(
-        self, subtests: pytest.Subtests
-    ) -> None:
+    def test_a_watch_begins_at_the_start_without_a_scheduler_action(self, subtests: pytest.Subtests) -> None:
         # Guards the second deployment: its lists are pushed, the module never asks, and sockets heard nothing.
         for on_request in (False, True):
             with subtests.test(on_request=on_request):
@@ -44,7 +42,7 @@
                 effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
                 assert [e for e in effects if isinstance(e, StartWatch)] == [StartWatch(41, 0)]
 
-    def test_watches_that_fall_silent_one_after_another_are_each_opened_anew_in_time(
+    def test_successive_unresponsive_watches_are_each_reopened_in_time(
         self, subtests: pytest.Subtests
     ) -> None:
         # Guards the 6 s after silence: with no news between, each waited twice as long as the one before, up to 4 s.
@@ -67,7 +65,9 @@
                 assert (max(waits) > 1.0) == (took == 0.0)
                 assert (max(waits[2:]) > 1.5 * waits[0]) == (took == 0.0)
 
-    def test_a_silent_watch_has_lived_and_a_refused_call_has_not(self, subtests: pytest.Subtests) -> None:
+    def test_an_unresponsive_watch_resets_the_backoff_and_a_rejected_request_does_not(
+        self, subtests: pytest.Subtests
+    ) -> None:
         for answer, lived in (
             (b"200 OK\r\nTransfer-Encoding: chunked", True), (b"503 X\r\nContent-Length: 0", False)
         ):  # fmt: skip
@@ -83,7 +83,9 @@
                 sock.sendall(b"HTTP/1.1 " + answer + b"\r\n\r\n")
                 assert events.get(timeout=5.0) == WatchLost(0, lived)
 
-    def test_bytes_that_never_end_what_they_began_are_silence_too(self, subtests: pytest.Subtests) -> None:
+    def test_bytes_that_never_complete_an_event_count_as_unresponsive(
+        self, subtests: pytest.Subtests
+    ) -> None:
         # Guards the 6 s after silence: each byte was a sign of life, so a drain could go unheard for hours.
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for begin, more in (
@@ -114,7 +116,7 @@
                 threading.Thread(target=drip, daemon=True).start()
                 assert isinstance(events.get(timeout=5.0), WatchLost)
 
-    def test_signs_of_life_and_lists_in_pieces_keep_a_watch(self) -> None:
+    def test_heartbeats_and_partial_lists_keep_a_watch_alive(self) -> None:
         # Guards the other side: an object that comes in pieces, and empty lines, each have the whole time anew.
         door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         events: queue.Queue[Event] = queue.Queue()
@@ -132,7 +134,7 @@
             assert events.get(timeout=5.0) == EndpointsUpdated(42, False, ())
             assert events.empty()
 
-    def test_news_of_a_watch_does_not_ask_for_a_second_one(self) -> None:
+    def test_a_watch_event_does_not_open_a_second_watch(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
         effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker("s-2"),))])
@@ -149,7 +151,7 @@
 class TestPushedWatch(UsesResources):
     """A local agent that pushes changes over a watch; what the forwarder's registry thread makes of its lines."""
 
-    def test_changes_gone_a_whole_list_after_a_gap_and_a_broken_line(self) -> None:
+    def test_changes_removals_a_complete_list_after_a_gap_and_a_broken_line(self) -> None:
         door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         lines = [
             b'{"version":43,"full":false,"servers":[' + entry("s-1", "Terminating") + b"]}",
@@ -188,7 +190,7 @@
         # A broken line ends the watch, counted; the next one goes on from 50.
         assert isinstance(got[3], WatchLost)
 
-    def test_a_watch_that_falls_silent_is_broken_and_opened_anew(self) -> None:
+    def test_an_unresponsive_watch_is_closed_and_reopened(self) -> None:
         # Guards the 6 s after which what a silent watch misses counts as told: a drain among it.
         assert discovery_watch.STREAM_TIMEOUT_S < 4.0
         door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
@@ -215,7 +217,7 @@
         assert again == [StartWatch(41, 0)]
         assert now < 101.0
 
-    def test_changes_and_gone_take_a_worker_out_and_a_whole_list_leaves_out_the_unnamed(self) -> None:
+    def test_changes_and_removals_remove_an_endpoint_and_a_complete_list_the_unlisted(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), cached=True)])
         reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.REMOVED),))])
@@ -225,7 +227,7 @@
         assert reducer.state.directory.version == 50
 
 
-class TestProbeInReducer:
+class TestHealthCheckInReducer:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
@@ -234,7 +236,7 @@
             [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.REMOVED)), cached=True)],
         )
 
-    def test_a_probe_goes_to_a_listed_worker_and_its_wait_binds(self) -> None:
+    def test_a_health_check_goes_to_a_listed_endpoint_and_its_retry_after_binds(self) -> None:
         round_ = self.reducer._round
         round_.begin(100.0)
         self.reducer._health_checks.start(1)
@@ -248,7 +250,7 @@
         # A second word of the same probe is nothing.
         assert self.reducer.reduce(100.6, [told]) == []
 
-    def test_a_worker_that_is_not_listed_is_not_probed(self) -> None:
+    def test_an_unlisted_endpoint_is_not_health_checked(self) -> None:
         round_ = self.reducer._round
         round_.begin(100.0)
         self.reducer._health_checks.start(99)
@@ -256,7 +258,7 @@
         assert [e.outcome for e in round_.scheduler_events] == [Outcome.NOT_SENT]  # type: ignore[union-attr]
 
 
-class TestProbeOnSockets(EndpointClientRig):
+class TestHealthCheckOnSockets(EndpointClientRig):
     def answer(self, reply: bytes) -> threading.Thread:
         def serve() -> None:
             sock, _ = self.door.accept()
@@ -277,7 +279,9 @@
         assert isinstance(event, HealthCheckAnswered)
         return event
 
-    def test_a_probe_of_503_is_a_refusal_and_200_brings_the_report(self, subtests: pytest.Subtests) -> None:
+    def test_a_health_check_of_503_is_a_rejection_and_200_has_the_load_report(
+        self, subtests: pytest.Subtests
+    ) -> None:
         cases = (
             (
                 b'HTTP/1.1 200 OK\r\nX-Backend-Load: {"x0":0.25,"x1":12}\r\nContent-Length: 0\r\n\r\n',
@@ -302,14 +306,14 @@
         self.client.start(start_probe(self.port))
         assert self.looked().outcome is Outcome.NOT_SENT
 
-    def test_a_silent_worker_ends_the_probe_at_its_deadline(self) -> None:
+    def test_an_unresponsive_endpoint_ends_the_health_check_at_its_deadline(self) -> None:
         self.answer(b"")
         self.client.start(start_probe(self.port, time.monotonic() + 0.2))
         assert self.looked().outcome is Outcome.TIMEOUT
 
 
-class TestReport:
-    def test_a_report_that_makes_no_sense_is_counted_and_left_out(self, subtests: pytest.Subtests) -> None:
+class TestLoadReport:
+    def test_an_invalid_load_report_is_counted_and_ignored(self, subtests: pytest.Subtests) -> None:
         for text in ('{"x1":20}', '{"x0":-0.1,"x1":20}', '{"x0":1.5,"x1":20}', '{"x0":"a","x1":20}',
                      '{"x0":NaN,"x1":20}', '{"x0":0.5,"x1":-3}', "[1]", "{"):  # fmt: skip
             with subtests.test(text=text):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -49,12 +49,12 @@
         assert (line, field) in found, str(caught.value)
         assert re.search(why, str(caught.value))
 
-    def test_the_example_is_good(self) -> None:
+    def test_the_example_is_valid(self) -> None:
         found = load(ROOT / "deploy" / "fleet.textproto")
         assert [i.name for i in found.instances] == ["n1", "n2", "n3"]
         assert (found.roll.min_ready, found.roll.batch_size) == (2, 1)
 
-    def test_a_good_file_has_its_defaults(self) -> None:
+    def test_a_valid_file_gets_its_defaults(self) -> None:
         found = self.load(GOOD.replace("  floor: 1\n", ""))
         assert found.roll.min_ready == 1  # all but one
         assert found.folder == self.folder.resolve() / "f.run"
@@ -83,19 +83,19 @@
         self.fault(GOOD + "}", 14, "", "f.textproto:14")
         self.fault(GOOD.replace("base:", 'base: "a" base:'), 3, "", "base")
 
-    def test_all_faults_are_told_at_once(self) -> None:
+    def test_all_errors_are_reported_at_once(self) -> None:
         with pytest.raises(SettingsError) as caught:
             self.load(GOOD.replace("8082", "x").replace('"n2"', '"?"').replace("floor: 1", "floor: 9"))
         assert len(caught.value.faults) == 3
 
-    def test_a_file_that_cannot_be_read_is_told(self) -> None:
+    def test_an_unreadable_file_is_reported(self) -> None:
         with pytest.raises(SettingsError, match="No such file"):
             load(self.folder / "none")
         (self.folder / "bad").write_bytes(b"\xff\xfe")
         with pytest.raises(SettingsError):
             load(self.folder / "bad")
 
-    def test_editions_are_kept_and_dropped(self) -> None:
+    def test_configuration_versions_are_retained_and_pruned(self) -> None:
         editions = ConfigurationVersions(self.folder / "e")
         first = editions.save(self.load(GOOD), set())
         assert first == version_of(self.load(GOOD))
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -36,7 +36,7 @@
 )
 
 
-class TestShape:
+class TestProcessFootprint:
     def test_a_forwarder_starts_with_the_standard_library_alone(self) -> None:
         # -S: no installed package can be imported.
         code = f"import juniperward.forwarder.start, sys; print([m for m in {HEAVY!r} if m in sys.modules])"
@@ -61,7 +61,7 @@
         assert sorted(Path(f).name for f in ours) == ["journal", "state"]
         assert state == ["clock", "journal"]
 
-    def test_a_wrong_word_is_told_without_a_traceback(self) -> None:
+    def test_an_unknown_argument_is_reported_without_a_traceback(self) -> None:
         for words in (
             ["dance"],
             ["fleet", "status", "--colour"],
@@ -78,7 +78,7 @@
         )  # fmt: skip
         assert found.returncode == 3
 
-    def test_no_file_of_ours_has_grown_out_of_sight(self) -> None:
+    def test_no_file_exceeds_its_size_limit(self) -> None:
         sizes = {
             str(p.relative_to(ROOT)): len(p.read_text().splitlines())
             for p in (ROOT / "juniperward").rglob("*.py")
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -71,7 +71,7 @@
     assert replies[1][-1] == {"Eor": {"turn": 1}}
 
 
-def test_a_killed_instance_forgets_what_it_held() -> None:
+def test_a_killed_instance_loses_its_pending_messages() -> None:
     replies = play(
         (10.0, start("node/0")),
         (15.0, [query("node/0", 4), {"Exit": {"Who": "node/0"}}]),
@@ -80,7 +80,7 @@
     assert replies[1] == [{"Eor": {"turn": 1}}] and replies[2] == [{"Eor": {"turn": 2}}]
 
 
-def test_events_for_what_is_not_held_are_passed_over() -> None:
+def test_events_for_messages_not_pending_are_ignored() -> None:
     odd = [
         {"Withdrawn": {"Who": "node/0", "Corr": 9}},
         {"TickDue": {"Who": "node/0", "Nonce": 99}},
@@ -101,7 +101,7 @@
     assert [line for line in replies[1] if "After" not in line] == [{"Eor": {"turn": 1}}]
 
 
-def test_settings_that_make_no_sense_are_reported_with_their_name() -> None:
+def test_invalid_settings_are_reported_with_their_name() -> None:
     bad = {**CONFIG, "Specifics": {**CONFIG["Specifics"], "MaxCalls": -1}}
     (reply,) = play((10.0, start("node/0", bad)))
     assert "Specifics.MaxCalls" in names(reply, "Die")[0]["NoteText"]
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -14,7 +14,7 @@
 
 
 class SizesTest(unittest.TestCase):
-    def test_an_agent_keeps_1024_forwarders(self) -> None:
+    def test_an_agent_manages_1024_forwarders(self) -> None:
         # Guards a cap of 1,000 that refused the file.
         with tempfile.TemporaryDirectory() as name:
             (Path(name) / "base.json").write_text('{"settings": {}}')
@@ -38,7 +38,7 @@
         rig.deliver_message()
         self.assertEqual((state.messages.pending, state.attempts_in_flight), ({}, {}))
 
-    def test_an_entry_that_cannot_be_used_costs_no_other(self) -> None:
+    def test_an_unusable_entry_invalidates_no_other(self) -> None:
         value = endpoint_list(1024)
         bad = [
             {"id": "x"}, {**value["servers"][5], "addr": "nowhere"}, {**value["servers"][6], "cell": None},
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -121,7 +121,7 @@
     return {message.message.id: message for message in read.restored()}
 
 
-def test_the_journal_gives_back_each_message_that_is_not_over(folder: Path) -> None:
+def test_the_journal_restores_each_incomplete_message(folder: Path) -> None:
     before = counters().get("journal_damaged", 0)
     messages = restored(folder)
     assert set(messages) == NOT_OVER
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("reachable", [True, False])
-def test_every_message_of_an_old_journal_gets_one_end(folder: Path, reachable: bool) -> None:
+def test_every_message_of_an_old_journal_gets_one_outcome(folder: Path, reachable: bool) -> None:
     machine = Machine()
     workers = tuple(
         Endpoint(f"s-{n}", "127.0.0.1", 80 + n, 7, EndpointPhase.READY, 0, 0, 0.0) for n in (1, 2)
@@ -217,7 +217,7 @@
     )
 
 
-def test_the_spool_gives_back_undelivered_messages_and_the_ends_of_resends(folder: Path) -> None:
+def test_the_spool_restores_undelivered_messages_and_redrive_outcomes(folder: Path) -> None:
     path = folder / "spool"
     found = [(message, data) for _, file in segments(path) for message, data in read_lines(file)]
     messages = {message.id: message for message, _ in found if message is not None}
@@ -248,7 +248,7 @@
     ]
 
 
-def test_the_store_gives_back_each_message_with_its_story(folder: Path) -> None:
+def test_the_store_restores_each_message_with_its_history(folder: Path) -> None:
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
     assert store.check() == []
     stands = {str(f.id): str(f.status.value) for f in store.select(Filter())}
@@ -276,7 +276,7 @@
     store.close()
 
 
-def test_an_unknown_word_for_the_idempotency_is_read_with_caution(folder: Path) -> None:
+def test_an_unknown_idempotency_value_is_read_as_non_idempotent(folder: Path) -> None:
     lines = [line for _, file in segments(folder / "spool") for line in file.read_bytes().splitlines()]
     row = decode_line(next(line for line in lines if b'"m-by-key"' in line))
     message = decode_message(encode_line(row | {"effect": "later-word"})[:-1])
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -84,13 +84,13 @@
         assert [second for second, _ in fleet.rows()] == [0, 1, 2, 3]
         assert [r.get("sick", 0) for _, r in fleet.rows(7)] == [1, 1, -1, -1]
 
-    def test_a_killed_forwarders_calls_are_not_those_of_its_next_life(self) -> None:
+    def test_calls_of_a_killed_forwarder_are_not_those_of_its_next_incarnation(self) -> None:
         begun = [x for x in life(1000.0) if " ended " not in x and " answer " not in x]
         fleet = read({"n0": [*begun, *life(1010.0)]})
         assert fleet.unread_count == 0
         assert fleet.by_destination()[0][1]["ok"] == 1
 
-    def test_what_cannot_be_read_is_counted_and_named(self) -> None:
+    def test_unreadable_lines_are_counted_and_named(self) -> None:
         bad = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
                "juniperward: trace: soon call", "juniperward: trace: 1000.0 handed x"]  # fmt: skip
         fleet = read({"n0": [*life(1000.0), *bad, "juniperward: start: not a line of the trace"]})
