--- a/tests/test_shape.py
+++ b/tests/test_process_footprint.py
@@ -1,4 +1,4 @@
-"""The shape of the house: what a forwarder may import, and that nothing is opened which was not asked for."""
+"""The footprint of a forwarder process: what it may import, and that it opens nothing that is not configured."""
 
 from __future__ import annotations
 
