--- a/tests/decision_days.py
+++ b/tests/decision_days.py
@@ -217,7 +217,11 @@
             case "Withdraw":
                 self._withdraw(who, body)
             case "Touch":
-                probed = {"Who": who, "Endpoint": body["Endpoint"], "Status": self._fate(body["Endpoint"])}
+                probed = {
+                    "Who": who,
+                    "Endpoint": body["Endpoint"],
+                    "Status": self._planned_outcome(body["Endpoint"]),
+                }
                 self._push(self.now + 40.0, "Probed", {**probed, "DelaySeenMs": 40.0, **self._report()})
             case "StreamChanges" if self.random.random() < 0.3:
                 self._push(self.now + 300.0, "Fleet", {"Who": who, "Scope": 3, "Generation": 1, "Slot": 0})
@@ -227,7 +231,7 @@
         if query is not None and not query.in_flight:
             del self.queries[who][corr]
 
-    def _fate(self, endpoint: int) -> int:
+    def _planned_outcome(self, endpoint: int) -> int:
         since = self.now - 1000.0
         for start, end, outcome in self.situation.outages:
             if start <= since < end and endpoint // 100 == 1:
@@ -253,7 +257,7 @@
         query = self.queries[who].get(body["Corr"])
         if query is None:
             return
-        outcome = self._fate(body["Endpoint"])
+        outcome = self._planned_outcome(body["Endpoint"])
         if outcome == OK and self._over_limit(body["Endpoint"] // 100):
             outcome = FULL
         latency = self.situation.latency_ms * self.random.uniform(0.5, 2.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for tests: one sender, a clock, and shorthand for events."""
+"""A small driver for tests: one scheduler, a clock, and shorthand for events."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """Drives a sender; timers fire by themselves as the clock is moved."""
+    """Drives a scheduler; timers fire by themselves as the clock is moved."""
 
     def __init__(
         self, config: SchedulerSettings | None = None, endpoints: tuple[EndpointEntry, ...] | None = None
@@ -104,15 +104,15 @@
 
     def do(self, *events: Event) -> list[Action]:
         actions = self.scheduler.handle(self.now, events)
-        for a in actions:
-            self.log.append((self.now, a))
-            if isinstance(a, SetTimer):
-                self.timers.append((self.now + a.delay_s, a.token))
-            elif isinstance(a, StartAttempt):
-                n = self.attempts.get(a.message, 0)
-                self.attempts[a.message] = n + 1
-                self.sent_at[a.message, n] = self.now
-                self.endpoint[a.message, n] = a.endpoint
+        for action in actions:
+            self.log.append((self.now, action))
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_s, action.token))
+            elif isinstance(action, StartAttempt):
+                attempt = self.attempts.get(action.message, 0)
+                self.attempts[action.message] = attempt + 1
+                self.sent_at[action.message, attempt] = self.now
+                self.endpoint[action.message, attempt] = action.endpoint
         return actions
 
     def run(self, seconds: float) -> list[Action]:
@@ -139,28 +139,37 @@
 
     def settle(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
         """The outcome of a message's latest attempt."""
-        n = self.attempts[message] - 1
+        attempt = self.attempts[message] - 1
         values: dict[str, Any] = {"message_ended": outcome is Outcome.OK, **fields}
         return self.do(
             AttemptFinished(
-                message, n, self.endpoint[message, n], outcome, self.now - self.sent_at[message, n], **values
+                message,
+                attempt,
+                self.endpoint[message, attempt],
+                outcome,
+                self.now - self.sent_at[message, attempt],
+                **values,
             )
         )
 
 
-def sends(actions: list[Action]) -> list[int]:
-    return [a.message for a in actions if isinstance(a, StartAttempt)]
+def attempted(actions: list[Action]) -> list[int]:
+    """The messages with an attempt started by these actions."""
+    return [action.message for action in actions if isinstance(action, StartAttempt)]
 
 
-def refused(actions: list[Action]) -> list[int]:
-    return [a.message for a in actions if isinstance(a, Reject)]
+def rejected(actions: list[Action]) -> list[int]:
+    """The messages rejected by these actions."""
+    return [action.message for action in actions if isinstance(action, Reject)]
 
 
 def failed(actions: list[Action]) -> list[int]:
-    return [a.message for a in actions if isinstance(a, Fail)]
+    """The messages failed by these actions."""
+    return [action.message for action in actions if isinstance(action, Fail)]
 
 
-def gone(number: int, destination: int) -> EndpointEntry:
+def draining_endpoint(number: int, destination: int) -> EndpointEntry:
+    """The entry of an endpoint that is draining."""
     return EndpointEntry(number, destination, EndpointPhase.DRAINING)
 
 
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -22,7 +22,7 @@
 from juniperward.dead_letters.selection import SpoolPosition
 from juniperward.settings.load import load
 from tests.resources import Resources
-from tests.test_dead_letter_store import kept
+from tests.test_dead_letter_store import spooled_message
 from tests.test_settings import GOOD
 
 
@@ -49,7 +49,8 @@
         self.api.start()
         self.resources.callback(self.api.close)
         messages = [
-            kept(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None) for n in range(260)
+            spooled_message(f"m{n}", 1000.0 + n, 7 if n < 250 else 8, 500.0 if n % 2 else None)
+            for n in range(260)
         ]
         self.service.store.add("n0", messages, SpoolPosition(1, 1))
         self.service.fleet.notified["n0"] = NotifiedDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -91,21 +91,21 @@
             assert (decode_message(asked, NAMES), asked.path) == (whole, "/api"), (form, place)
 
 
-class Door:
-    """A server whose reducer takes on all that comes, on a port that the system gives; its subclasses hold tests."""
+class ServerRig:
+    """A server whose reducer accepts every message, on a port that the system assigns; its subclasses hold tests."""
 
     @pytest.fixture(autouse=True)
     def set_up(self, resources: Resources) -> None:
         self.resources = resources
-        self.handed: queue.Queue[str] = queue.Queue()
-        self.server = Server(("127.0.0.1", 0), NAMES, 20, self.take)
+        self.received: queue.Queue[str] = queue.Queue()
+        self.server = Server(("127.0.0.1", 0), NAMES, 20, self.accept_message)
         self.address = self.server.listener.getsockname()
         self.server.start()
         self.resources.callback(self.server.close)
 
-    def take(self, event: Event) -> None:
+    def accept_message(self, event: Event) -> None:
         assert isinstance(event, MessageReceived)
-        self.handed.put(event.message.id)
+        self.received.put(event.message.id)
         self.server.answer(event.client, 503 if self.server.state.stopping else 202)
 
     def connect(self) -> socket.socket:
@@ -122,7 +122,7 @@
         (client,) = self.server.table.clients.values()
         return client
 
-    def nobody(self) -> bool:
+    def all_connections_end(self) -> bool:
         """Whether every connection ends, each with its thread."""
         until = time.monotonic() + WAIT
         while time.monotonic() < until:
@@ -138,21 +138,21 @@
         """How many descriptors are open, once every connection has ended and there are so few."""
         until = time.monotonic() + WAIT
         while (found := open_descriptors()) > most and time.monotonic() < until:
-            self.nobody()
+            self.all_connections_end()
         return found
 
 
-class TestPipeline(Door):
+class TestPipeline(ServerRig):
     def test_many_commands_sent_at_once_are_answered_each_and_in_their_order(self) -> None:
         # Guards herd with `pipeline`: what came along with a command was dropped, or answered out of its turn.
         sock = self.connect()
         sock.sendall(b"".join(request(f"n{n}") for n in range(200)))
         stream = Stream(sock.recv)
         assert [read_response(stream).status for _ in range(200)] == [202] * 200
-        assert [self.handed.get_nowait() for _ in range(200)] == [f"n{n}" for n in range(200)]
+        assert [self.received.get_nowait() for _ in range(200)] == [f"n{n}" for n in range(200)]
 
 
-class TestFlood(Door):
+class TestFlood(ServerRig):
     def test_clients_that_send_bursts_and_disconnect_leak_nothing(self, subtests: pytest.Subtests) -> None:
         # Guards join: a megabyte of commands, of one head, of one body and of nonsense, ended in every way.
         before = open_descriptors()
@@ -195,7 +195,7 @@
         assert self.descriptors(before) <= before
 
 
-class TestClose(Door):
+class TestClose(ServerRig):
     def test_client_connections_have_tcp_nodelay(self) -> None:
         # Guards small answers: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
         self.connect()
@@ -228,7 +228,7 @@
             ):
                 self.server._serve(client)
                 assert theirs.recv(1000) == b""  # an end and no reset
-                assert self.handed.empty()
+                assert self.received.empty()
 
     def test_a_request_behind_a_shutdown_is_never_forwarded(self) -> None:
         # Guards what is read once we have shut a connection: a request that crosses is refused, or read by nobody.
@@ -239,10 +239,10 @@
         with contextlib.suppress(ConnectionError):  # it was closed before the request came
             sock.sendall(request("n2"))
             assert b" 202 " not in sock.recv(1000)
-        assert self.nobody()
+        assert self.all_connections_end()
 
 
-class TestSlowWriter(Door):
+class TestSlowWriter(ServerRig):
     def test_a_first_request_has_its_full_timeout_from_its_first_byte(self) -> None:
         # Guards slow writers that connected some time before: their first request had only what connecting had left
         # of its 2 s, and was answered 408, as failed.
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -29,7 +29,7 @@
 from tests.resources import Resources
 
 
-def kept(
+def spooled_message(
     name: str, at: float = 1000.0, destination: int = 7, ran: float | None = None, body: bytes = b"x"
 ) -> SpooledMessage:
     attempts = (
@@ -53,7 +53,7 @@
     )
 
 
-def _claim_all(file: str, by: str, out: multiprocessing.Queue[int]) -> None:
+def _lease_all(file: str, by: str, out: multiprocessing.Queue[int]) -> None:
     store, won = DeadLetterStore(Path(file), "OFF"), 0
     for n in range(200):
         try:
@@ -77,7 +77,7 @@
         return [k.id for _, p in segments(self.folder) for k, _ in read(p, 0) if k is not None]
 
     def test_spooled_messages_are_read_back_complete(self) -> None:
-        one = kept("a", ran=995.0, body=bytes(range(256)))
+        one = spooled_message("a", ran=995.0, body=bytes(range(256)))
         self.spool().append(one)
         ((found, _),) = read(segments(self.folder)[0][1], 0)
         assert found == one
@@ -85,7 +85,7 @@
     def test_a_tail_torn_at_any_byte_loses_only_its_message(self) -> None:
         mine = self.spool()
         for name in "abc":
-            mine.append(kept(name))
+            mine.append(spooled_message(name))
         path = segments(self.folder)[0][1]
         whole = path.read_bytes()
         start = whole.rindex(b"\n", 0, -1) + 1
@@ -93,14 +93,14 @@
             path.write_bytes(whole[:length])
             assert self.messages() == ["a", "b"]
             # The next life does not write behind the torn end.
-            Spool(self.folder, 1_000_000).append(kept("d"))
+            Spool(self.folder, 1_000_000).append(spooled_message("d"))
             assert self.messages() == ["a", "b", "d"]
             segments(self.folder)[-1][1].unlink()
 
     def test_a_damaged_line_is_skipped_and_reported(self) -> None:
         mine = self.spool()
         for name in "abc":
-            mine.append(kept(name))
+            mine.append(spooled_message(name))
         path = segments(self.folder)[0][1]
         lines = path.read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b"acme", b"acmf")
@@ -108,15 +108,15 @@
         assert [k.id if k is not None else None for k, _ in read(path, 0)] == ["a", None, "c"]
 
     def test_a_message_stored_by_an_earlier_incarnation_is_not_stored_twice(self) -> None:
-        self.spool().append(kept("a"))
+        self.spool().append(spooled_message("a"))
         again = self.spool()
         assert again.ids == {"a"}
-        again.append(kept("a"))
+        again.append(spooled_message("a"))
         assert self.messages() == ["a"]
 
     def test_acknowledged_segments_are_deleted_only_after_their_ids_were_read(self) -> None:
-        self.spool().append(kept("a"))
-        self.spool().append(kept("b"))
+        self.spool().append(spooled_message("a"))
+        self.spool().append(spooled_message("b"))
         acknowledge_segment(self.folder, 1)
         third = self.spool()
         assert third.ids == {"a", "b"}
@@ -124,9 +124,9 @@
 
     def test_a_full_spool_or_disk_stores_nothing_of_a_message(self) -> None:
         mine = self.spool(2000)
-        mine.append(kept("a"))
+        mine.append(spooled_message("a"))
         with pytest.raises(SpoolFullError):
-            mine.append(kept("b", body=b"x" * 3000))
+            mine.append(spooled_message("b", body=b"x" * 3000))
         part = iter([5])
 
         def torn(file: int, data: memoryview) -> int:
@@ -137,20 +137,20 @@
 
         real = os.write
         with mock.patch("os.write", torn), pytest.raises(OSError):
-            mine.append(kept("c"))
-        mine.append(kept("d"))
+            mine.append(spooled_message("c"))
+        mine.append(spooled_message("d"))
         assert self.messages() == ["a", "d"]
 
     def test_capacity_is_freed_once_the_agent_has_ingested(self) -> None:
         with mock.patch.object(spools, "SEGMENT_BYTES", 100):
             mine = self.spool(1000)
-            mine.append(kept("a"))
-            mine.append(kept("b"))
-            mine.append(kept("c"))
+            mine.append(spooled_message("a"))
+            mine.append(spooled_message("b"))
+            mine.append(spooled_message("c"))
             with pytest.raises(SpoolFullError):
-                mine.append(kept("d"))
+                mine.append(spooled_message("d"))
             acknowledge_segment(self.folder, 2)
-            mine.append(kept("d"))
+            mine.append(spooled_message("d"))
         assert self.messages() == ["c", "d"]
 
     def test_outcomes_outlast_the_process_and_the_first_one_wins(self) -> None:
@@ -176,10 +176,12 @@
         self.store = self.resources.closing(DeadLetterStore(self.file, "OFF"))
 
     def fill(self, count: int) -> None:
-        self.store.add("n0", [kept(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10))
+        self.store.add(
+            "n0", [spooled_message(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10)
+        )
 
     def test_a_spool_ingested_twice_gives_the_same_store(self) -> None:
-        messages = [kept("a"), kept("b", ran=995.0)]
+        messages = [spooled_message("a"), spooled_message("b", ran=995.0)]
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 2
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 0
         assert self.store.spool_position("n0") == (1, 50)
@@ -189,7 +191,7 @@
         self.fill(200)
         out: multiprocessing.Queue[int] = multiprocessing.get_context("spawn").Queue()
         start = multiprocessing.get_context("spawn").Process
-        workers = [start(target=_claim_all, args=(str(self.file), f"p{n}", out)) for n in range(2)]
+        workers = [start(target=_lease_all, args=(str(self.file), f"p{n}", out)) for n in range(2)]
         for w in workers:
             w.start()
         mine = 0
@@ -264,9 +266,9 @@
         assert self.store.sweep(1010.0, Limits(1e9, 4, 10**9)) == 2
         assert self.store.sweep(1010.0, Limits(1e9, 100, 1100)) == 2
         assert {f.id for f in self.store.select(Filter())} == {"m0", "m9"}
-        told = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
-        assert len(told) == 8
-        assert "kept; for its age" in told
+        details = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
+        assert len(details) == 8
+        assert "kept; for its age" in details
 
     def test_an_older_schema_is_migrated_and_a_newer_one_rejected(self) -> None:
         old = self.file.parent / "old.db"
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -226,7 +226,7 @@
         known = program.config["known"]["servers"]
         known[:] = [{**known[0], "id": entries[0].id, "addr": entries[0].address}]
         program.start()
-        self.hand_in(program)
+        self.submit(program)
         calls = [r for r in self.wait_for(recorder, AttemptReceived) if isinstance(r, AttemptReceived)]
         assert program.process is not None
         program.process.send_signal(signal.SIGKILL)
@@ -241,7 +241,7 @@
         self.wait_for(recorder, NotificationReceived)
         assert sum(isinstance(r, AttemptReceived) for r in recorder.records) == 1
 
-    def hand_in(self, program: Program) -> None:
+    def submit(self, program: Program) -> None:
         headers = {
             "X-Correlation-Id": "m0", "X-Service-Class": "booking-update", "X-Account": "acme",
             "X-Addressing": "dest=7", "X-Time-Left": "20", "Idempotency-Key": "k0",
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -7,7 +7,7 @@
 from juniperward.scheduler.actions import CancelAttempt, StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome
 from juniperward.scheduler.settings import DestinationKind, MessageClass
-from tests.helpers import KEYED, ONCE, SAFE, Node, refused, sends, settings
+from tests.helpers import KEYED, ONCE, SAFE, Node, attempted, rejected, settings
 
 
 def test_destinations_share_free_slots_round_robin() -> None:
@@ -24,7 +24,7 @@
             for (m, n), at in node.sent_at.items()
             if m in node.messages and node.messages[m].in_flight
         )[1]
-        for m in sends(node.settle(oldest)):
+        for m in attempted(node.settle(oldest)):
             if m > 4:
                 served[node.messages[m].destination.id] += 1
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
@@ -61,8 +61,8 @@
 @pytest.mark.parametrize(("slots", "healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
 def test_a_healthy_destination_fills_three_quarters_of_the_slots(slots: int, healthy: int) -> None:
     node = Node(settings(SAFE, slots=slots))
-    assert len(sends(node.arrive(count=40))) == healthy
-    assert len(sends(node.arrive(destination=2))) == 1
+    assert len(attempted(node.arrive(count=40))) == healthy
+    assert len(attempted(node.arrive(destination=2))) == 1
 
 
 def test_the_rate_limit_over_its_lifetime() -> None:
@@ -119,8 +119,8 @@
     node.run(0.05)
     node.settle(1, Outcome.OVERLOADED, retry_after_s=9.0)
     node.arrive(count=30)
-    assert sends(node.run(8.9)) == []
-    assert len(sends(node.run(0.3))) <= 1
+    assert attempted(node.run(8.9)) == []
+    assert len(attempted(node.run(0.3))) <= 1
 
 
 def test_idle_state_is_dropped_after_a_minute() -> None:
@@ -133,7 +133,7 @@
     assert node.destination(1).mean_latency_s is not None
     node.run(2.0)
     assert node.destination(1).mean_latency_s is None
-    assert sends(node.arrive()) == [2]
+    assert attempted(node.arrive()) == [2]
 
 
 def test_a_full_node_rejects_the_lowest_priority_weight_with_retry_after() -> None:
@@ -141,26 +141,26 @@
     high = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=5.0)
     node = Node(settings(low, high, slots=2, max_open=20))
     node.arrive(class_index=0, count=9, time_left_s=1.0)
-    assert refused(node.arrive(class_index=1, count=10)) == []  # none that has not run is given up so early
+    assert rejected(node.arrive(class_index=1, count=10)) == []  # none that has not run is given up so early
     node.run(0.71)
     seen = node.arrive(class_index=1, count=1)
-    assert refused(seen) and all(m <= 10 for m in refused(seen))
+    assert rejected(seen) and all(m <= 10 for m in rejected(seen))
 
 
 def test_a_batch_is_one_call_and_one_slot() -> None:
     node = Node(settings(SAFE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
-    assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
+    assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
     assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
     for m in range(1, 5):
-        assert sends(node.settle(m)) == []
-    assert sends(node.settle(5)) == [6, 7]
+        assert attempted(node.settle(m)) == []
+    assert attempted(node.settle(5)) == [6, 7]
 
 
 def test_non_idempotent_messages_are_batched() -> None:
     # Guards a limit that counts calls: with one message in each, three of four were refused.
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
-    assert sends(node.arrive(count=7)) == [1, 2, 3, 4, 5]
+    assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
 
 
 def test_a_non_idempotent_message_is_not_retried_in_a_batch() -> None:
@@ -168,7 +168,7 @@
     node.arrive(count=3)
     node.settle(1, Outcome.RESET)
     node.settle(2, Outcome.OVERLOADED)
-    assert sends(node.settle(3, Outcome.OVERLOADED)) == [2, 3]
+    assert attempted(node.settle(3, Outcome.OVERLOADED)) == [2, 3]
     assert 1 not in node.messages
 
 
@@ -178,7 +178,7 @@
     node.arrive()
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=10.0)
-    assert sends(node.settle(1)) == [2]
+    assert attempted(node.settle(1)) == [2]
     shared = [a for a in node.settle(2) if isinstance(a, StartAttempt)]
     assert [a.message for a in shared] == [3, 4]
     # Behind a connection that comes up late a message of a shared call has to have that time as well.
@@ -194,9 +194,12 @@
     node.arrive()
     for size in (60, 50, 40, 120, 10):
         node.arrive(batch_bytes=size)
-    assert sends(node.settle(1)) == [2, 4]  # the next that fits, also behind one that does not
-    assert [sends(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
-    assert [sends(node.settle(m)) for m in (3, 6)] == [[], [5]]  # one that is too large for any goes alone
+    assert attempted(node.settle(1)) == [2, 4]  # the next that fits, also behind one that does not
+    assert [attempted(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
+    assert [attempted(node.settle(m)) for m in (3, 6)] == [
+        [],
+        [5],
+    ]  # one that is too large for any goes alone
 
 
 def test_an_unbatched_message_does_not_block_batches() -> None:
@@ -205,8 +208,8 @@
     node.arrive(time_left_s=3.0)
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=3.0)
-    assert sends(node.settle(1)) == [2, 4, 5]
-    assert [sends(node.settle(m)) for m in (2, 4, 5)] == [[], [], [3]]
+    assert attempted(node.settle(1)) == [2, 4, 5]
+    assert [attempted(node.settle(m)) for m in (2, 4, 5)] == [[], [], [3]]
 
 
 def test_a_slow_destination_fills_half_of_the_slots() -> None:
@@ -216,7 +219,7 @@
         node.run(latency)
         node.settle(node.serial)
     assert not node.route(1).ejected
-    assert len(sends(node.arrive(count=20))) == 4
+    assert len(attempted(node.arrive(count=20))) == 4
 
 
 def test_retry_after_outlasts_idle_state() -> None:
@@ -225,7 +228,7 @@
     node.run(0.1)
     node.settle(1, Outcome.OVERLOADED, retry_after_s=90.0)
     node.run(70.0)
-    assert sends(node.arrive()) == []
+    assert attempted(node.arrive()) == []
 
 
 def gathering(batch: int = 20) -> Node:
@@ -238,12 +241,12 @@
     # Guards the limit, which counts calls: one for each message was refused, and then all waited.
     node = gathering()
     node.arrive()
-    assert [sends(node.arrive()) for _ in range(3)] == [[], [], []]
-    assert sends(node.run(0.3)) == []
-    assert sends(node.run(0.2)) == [2, 3, 4]
+    assert [attempted(node.arrive()) for _ in range(3)] == [[], [], []]
+    assert attempted(node.run(0.3)) == []
+    assert attempted(node.run(0.2)) == [2, 3, 4]
     single = gathering(batch=1)
     single.arrive()
-    assert sends(single.arrive()) == [2]
+    assert attempted(single.arrive()) == [2]
 
 
 def spaced(instances: int, rating: float) -> Node:
@@ -256,15 +259,15 @@
 def test_many_nodes_space_single_calls_by_their_quota_of_the_listed_rate() -> None:
     # Guards the limit, which refused calls use up as well: bursts of all senders were refused 15 times in 100.
     node = spaced(10, 20.0)  # its share is two calls a second
-    assert sends(node.arrive(count=3)) == [1]
-    assert sends(node.run(0.35)) == []
-    assert sends(node.run(0.1)) == [2]
+    assert attempted(node.arrive(count=3)) == [1]
+    assert attempted(node.run(0.35)) == []
+    assert attempted(node.run(0.1)) == [2]
 
 
 def test_a_quota_below_one_call_in_half_a_latency_objective_does_not_bind() -> None:
     # Guards large fleets: chance, not a share, decides there who calls; a clump must not go call by call.
     node = spaced(200, 20.0)  # a call in 10 s; the aim is 4 s
-    assert sends(node.arrive(count=3)) == [1, 2, 3]
+    assert attempted(node.arrive(count=3)) == [1, 2, 3]
 
 
 def test_a_node_with_more_traffic_spaces_by_its_fraction_until_rejected() -> None:
@@ -286,7 +289,7 @@
     node.arrive(count=5)
     for message in range(1, 6):
         node.settle(message, Outcome.RESET)
-    assert sorted(sends(node.run(1.0))) == [1, 2, 3, 4, 5]
+    assert sorted(attempted(node.run(1.0))) == [1, 2, 3, 4, 5]
     assert len({c.serial for c in node.scheduler.state.backlog.in_flight.values()}) == 1
 
 
@@ -327,7 +330,7 @@
     assert [a.message for _, a in node.log if isinstance(a, CancelAttempt)] == [lost]
     assert not node.route(1).ejected
     node.settle(lost, Outcome.CANCELLED)
-    assert sends(node.run(1.0)) == [lost]
+    assert attempted(node.run(1.0)) == [lost]
 
 
 def test_half_open_attempts_and_slow_start_follow_the_listed_quota() -> None:
@@ -340,14 +343,14 @@
         for message in range(1, 5):
             node.settle(message, Outcome.CONNECT_FAILED)
         for _ in range(4):
-            for message in sends(node.run(0.5)):
+            for message in attempted(node.run(0.5)):
                 node.settle(message, Outcome.CONNECT_FAILED)
         assert node.route(1).ejected
         counted = []
         for outcome in (Outcome.CONNECT_FAILED, Outcome.OK):
             before = sum(node.attempts.values())
             for _ in range(300):
-                for message in sends(node.arrive(time_left_s=60.0)) + sends(node.run(0.02)):
+                for message in attempted(node.arrive(time_left_s=60.0)) + attempted(node.run(0.02)):
                     node.settle(message, outcome)
             counted.append(sum(node.attempts.values()) - before)
         return counted[0], counted[1]
@@ -365,4 +368,4 @@
     node.arrive(count=200)
     sent = node.run(5.0)
     calls = len({at for at, a in node.log if isinstance(a, StartAttempt)})
-    assert 6 <= calls <= 10 and len(sends(sent)) >= 120
+    assert 6 <= calls <= 10 and len(attempted(sent)) >= 120
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -129,7 +129,7 @@
 """
 
 
-class RestingClients:
+class IdleClients:
     """Clients that connect, and rest until they are shut; then they come again, until `close`."""
 
     def __init__(self, address: tuple[str, int], count: int) -> None:
@@ -213,8 +213,8 @@
             pass
         return {name: int(value) for name, value in re.findall(r"(\w+)=(\d+)", line)}
 
-    def hand_in(self, program: Program, left: float = 10.0, size: int = 100) -> str:
-        """One message, handed in on new connections until it is accepted; its id."""
+    def submit(self, program: Program, left: float = 10.0, size: int = 100) -> str:
+        """One message, submitted on new connections until it is accepted; its id."""
         end = time.monotonic() + WAIT
         while time.monotonic() < end:
             self.serial += 1
@@ -240,16 +240,16 @@
         self.until(lambda: "watches_begun" in self.counters(program), "the watch is open")
         before = self.counters(program)
         self.discovery.set_outage(True)
-        clients = self.resources.closing(RestingClients(program.address, 300))
+        clients = self.resources.closing(IdleClients(program.address, 300))
         assert clients.full.wait(WAIT)
         self.until(lambda: clients.shut > 0, "the table is full")
-        delivered = [self.hand_in(program, size=6000) for _ in range(16)]
+        delivered = [self.submit(program, size=6000) for _ in range(16)]
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
         self.destination.inject_fault(FaultMode.DOWN)
-        undelivered = self.hand_in(program, left=1.5)
+        undelivered = self.submit(program, left=1.5)
         self.discovery.set_outage(False)
         back_at = time.monotonic()
-        self.until(lambda: undelivered in self.noticed(), "the notice is handed over")
+        self.until(lambda: undelivered in self.notified(), "the notification is delivered")
         watches = before["watches_begun"]
         self.until(lambda: self.counters(program)["watches_begun"] > watches, "the watch is opened again")
         assert time.monotonic() - back_at < WAIT
@@ -269,20 +269,20 @@
     def test_a_listener_without_descriptors_goes_on(self) -> None:
         # The process is given fewer than its settings say: accepting fails, costs little, and comes back.
         program = self.start(48)
-        clients = self.resources.closing(RestingClients(program.address, 100))
+        clients = self.resources.closing(IdleClients(program.address, 100))
         self.until(lambda: self.counters(program).get("accepts_failed", 0) >= 3, "accepting fails")
         began, failed = time.monotonic(), self.counters(program)["accepts_failed"]
         self.until(lambda: self.counters(program)["accepts_failed"] >= failed + 10, "accepting goes on")
         more = self.counters(program)["accepts_failed"] - failed
         assert more <= (time.monotonic() - began) / 0.05 + 1, "it spins"
         clients.close()
-        name = self.hand_in(program)
+        name = self.submit(program)
         self.until(lambda: name in self.called(), "the endpoint is called")
 
     def called(self) -> set[str]:
         return {name for r in self.recorder.records if isinstance(r, AttemptReceived) for name in r.ids}
 
-    def noticed(self) -> set[str]:
+    def notified(self) -> set[str]:
         return {r.id for r in self.recorder.records if isinstance(r, NotificationReceived)}
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,18 @@
 from juniperward.scheduler.actions import StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome, PastAttempt
 from juniperward.scheduler.settings import DeduplicationScope, DestinationKind, Idempotency, MessageClass
-from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, gone, refused, sends, settings
+from tests.helpers import (
+    KEYED,
+    ONCE,
+    ORDERED,
+    SAFE,
+    Node,
+    attempted,
+    draining_endpoint,
+    failed,
+    rejected,
+    settings,
+)
 
 
 def zone_scoped_node() -> Node:
@@ -28,15 +39,15 @@
     node = Node(endpoints=())
     node.arrive(destination=9)
     seen = node.run(20.02)
-    assert refused(seen) == [1]
+    assert rejected(seen) == [1]
     assert node.run(60.0) == []
 
 
 def test_1_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
     node = Node(settings(ONCE))
-    assert sends(node.arrive()) == [1]
+    assert attempted(node.arrive()) == [1]
     seen = node.run(20.02)
-    assert failed(seen) == [1] and refused(seen) == []
+    assert failed(seen) == [1] and rejected(seen) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
@@ -45,7 +56,7 @@
     node.arrive()
     node.run(0.1)
     seen = node.settle(1, outcome) + node.run(20.0)
-    assert failed(seen) == [1] and sends(seen) == [] and refused(seen) == []
+    assert failed(seen) == [1] and attempted(seen) == [] and rejected(seen) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
@@ -53,7 +64,7 @@
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    assert sends(node.settle(1, outcome) + node.run(5.0)) == [1]
+    assert attempted(node.settle(1, outcome) + node.run(5.0)) == [1]
 
 
 def test_2_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
@@ -83,11 +94,11 @@
     node.run(0.01)
     node.do(*[])
     node.settle(1, Outcome.ERROR)
-    node.listed(gone(10, 1))
+    node.listed(draining_endpoint(10, 1))
     node.run(6.0)
     node.listed(EndpointEntry(11, 1))
     assert node.attempts[1] == 1 or max(node.sent_at.values()) < 105.0
-    assert sends(node.run(14.0)) == []
+    assert attempted(node.run(14.0)) == []
 
 
 def test_2_a_zone_scoped_retry_stays_in_its_zone() -> None:
@@ -101,14 +112,14 @@
     node.settle(1, Outcome.ERROR)
     seen = node.run(8.0)
     assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first}
-    assert refused(seen) == []
+    assert rejected(seen) == []
 
 
 def test_2_after_a_restart_a_zone_that_is_not_known_any_more_is_no_zone() -> None:
     # Guards a restart whose list lacks the endpoint that had the call: the repeat went to the zone with number 0.
     node = zone_scoped_node()
     node.arrive(history=(PastAttempt(0, 99.0),))
-    assert (sends(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
+    assert (attempted(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
     node.arrive(
         history=(PastAttempt(0, node.now - 2.0), PastAttempt(11, node.now - 1.0))
     )  # one that is listed tells its zone
@@ -117,11 +128,11 @@
 
 def test_3_nothing_goes_to_a_draining_endpoint() -> None:
     node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
-    node.listed(gone(10, 1))
+    node.listed(draining_endpoint(10, 1))
     node.arrive(count=6)
     assert set(node.endpoint.values()) == {11}
-    node.listed(gone(11, 1))
-    assert sends(node.arrive(count=3)) == []
+    node.listed(draining_endpoint(11, 1))
+    assert attempted(node.arrive(count=3)) == []
 
 
 def test_4_a_recovering_destination_is_limited_by_a_token_bucket() -> None:
@@ -159,15 +170,15 @@
 def test_5_messages_of_a_key_are_sent_one_at_a_time_with_a_cooldown() -> None:
     node = Node(settings(ORDERED, key_cooldown_s=0.3))
     node.arrive(ordering_key="a")
-    assert sends(node.arrive(ordering_key="a")) == []
-    assert sends(node.arrive(ordering_key="b")) == [3]
+    assert attempted(node.arrive(ordering_key="a")) == []
+    assert attempted(node.arrive(ordering_key="b")) == [3]
     node.run(0.1)
-    assert sends(node.settle(1)) == [2]
+    assert attempted(node.settle(1)) == [2]
     node.arrive(ordering_key="a")
     node.run(0.1)
     node.settle(2, Outcome.TIMEOUT, message_ended=True)
-    assert sends(node.run(0.29)) == []
-    assert sends(node.run(0.02)) == [4]
+    assert attempted(node.run(0.29)) == []
+    assert attempted(node.run(0.02)) == [4]
 
 
 def test_6_retry_after_delays_every_message_of_the_destination() -> None:
@@ -175,9 +186,9 @@
     node.arrive()
     node.run(0.1)
     node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the pace alone would hold
-    assert sends(node.arrive(count=3) + node.run(1.89)) == []
-    assert sends(node.arrive(destination=2)) != []
-    assert sends(node.run(1.0)) != []
+    assert attempted(node.arrive(count=3) + node.run(1.89)) == []
+    assert attempted(node.arrive(destination=2)) != []
+    assert attempted(node.run(1.0)) != []
 
 
 def test_6_with_separate_routes_retry_after_delays_its_route_only() -> None:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop with parts that only note what they are asked for."""
+"""The loop with parts that only record how they are called."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
         self.loop.round([EndpointsUpdated(1, True, (worker,), cached=True)])
         self.parts.reset_mock()
 
-    def hand_in(self) -> None:
+    def submit(self) -> None:
         self.loop.round([MessageReceived(5, Message("a", 0, 0, 1, 20.0, "k", b"x"), 1e12)])
 
-    def asked(self) -> list[str]:
+    def recorded_calls(self) -> list[str]:
         calls = cast("list[tuple[str, object, object]]", self.parts.mock_calls)
         return [name for name, _, _ in calls]
 
@@ -52,8 +52,8 @@
             return True
 
         self.parts.server.answer.side_effect = self.parts.endpoint_client.start.side_effect = note
-        self.hand_in()
-        assert self.asked() == ["server.answer", "endpoint_client.start"]
+        self.submit()
+        assert self.recorded_calls() == ["server.answer", "endpoint_client.start"]
         assert [text.count(b"taken") for text in written] == [1, 1]
         assert [text.count(b"began") for text in written] == [0, 0]  # only with its first byte
         self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
@@ -62,20 +62,20 @@
     def test_nothing_is_sent_for_a_client_without_an_acknowledgement(self) -> None:
         # Guards against a delivery under an id that its client has given up: it hands the message in again.
         self.parts.server.answer.return_value = False
-        self.hand_in()
-        assert self.asked() == ["server.answer"]
+        self.submit()
+        assert self.recorded_calls() == ["server.answer"]
         assert self.journal.restored() == ()
 
     def test_events_queued_at_shutdown_are_processed_and_no_attempt_starts(self) -> None:
         # Guards the last round: an accepted notice or a delivery that was read and not journalled came a second time.
-        self.hand_in()
+        self.submit()
         self.parts.reset_mock()
         (number,) = self.loop.reducer.state.attempts_in_flight
         self.loop.queue.post(AttemptAnswered(number, (ItemOutcome(1, Outcome.OK),)))
         self.loop.queue.post(ShutdownRequested(0.0, 0.0))
         self.loop.queue.post(MessageReceived(6, Message("b", 0, 0, 1, 20.0, "k", b"x"), 1e12))
         self.loop.run(lambda: True)
-        assert self.asked() == ["endpoint_client.stop_sending", "server.answer"]
+        assert self.recorded_calls() == ["endpoint_client.stop_sending", "server.answer"]
         self.parts.server.answer.assert_called_once_with(6, 503, mock.ANY)
         assert len(self.journal.live) == 0
 
@@ -89,6 +89,6 @@
         for error in (JournalFullError(2, 1), OSError(28, "No space left on device")):
             self.parts.reset_mock()
             with mock.patch.object(self.journal, "append", side_effect=[error, None]):
-                self.hand_in()
+                self.submit()
             self.parts.server.answer.assert_called_once_with(5, 503, mock.ANY)
-            assert self.asked() == ["server.answer"]
+            assert self.recorded_calls() == ["server.answer"]
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -7,7 +7,7 @@
 
 from juniperward.scheduler.actions import CancelAttempt, CloseIdleConnections, PollEndpointList, StartAttempt
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, ListScope, Outcome
-from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, failed, refused, sends, settings
+from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, attempted, failed, rejected, settings
 
 
 def warm(node: Node, destination: int, latency: float = 0.2, count: int = 10) -> None:
@@ -33,7 +33,7 @@
     node.run(1.2)
     assert len(cancelled(node)) >= 1
     gone = cancelled(node)[0]
-    assert 5 in {node.messages[m].destination.id for m in sends(node.settle(gone, Outcome.CANCELLED))}
+    assert 5 in {node.messages[m].destination.id for m in attempted(node.settle(gone, Outcome.CANCELLED))}
 
 
 def test_a_slow_message_is_not_cancelled_where_others_are_answered() -> None:
@@ -56,9 +56,9 @@
     node.run(0.05)
     node.arrive()
     node.run(1.5)
-    assert len(sends(node.arrive(count=5))) == 1
+    assert len(attempted(node.arrive(count=5))) == 1
     node.run(0.2)
-    assert len(sends(node.settle(node.serial - 4))) == 4  # an answer: the destination is alive
+    assert len(attempted(node.settle(node.serial - 4))) == 4  # an answer: the destination is alive
 
 
 def test_several_unresponsive_calls_lead_to_spaced_half_open_attempts() -> None:
@@ -68,7 +68,7 @@
     node.run(1.2)
     assert node.route(1).ejected
     node.arrive(count=20)
-    assert len(sends(node.run(6.0))) <= 3
+    assert len(attempted(node.run(6.0))) <= 3
 
 
 def test_an_answer_from_before_the_outage_is_no_recovery() -> None:
@@ -142,8 +142,8 @@
     for m in range(node.serial - 3, node.serial + 1):
         node.settle(m, Outcome.CONNECT_FAILED)
     assert not node.route(1).ejected
-    assert len(sends(node.run(0.3))) == 0  # the open ones are all in use
-    assert len(sends(node.settle(node.serial - 7) + node.run(0.3))) == 1
+    assert len(attempted(node.run(0.3))) == 0  # the open ones are all in use
+    assert len(attempted(node.settle(node.serial - 7) + node.run(0.3))) == 1
 
 
 def test_a_non_idempotent_message_is_not_used_for_a_half_open_attempt() -> None:
@@ -157,7 +157,7 @@
     node.arrive(class_index=0)
     unsafe = node.serial
     node.arrive(class_index=1, count=3)
-    tried = sends(node.run(5.0))
+    tried = attempted(node.run(5.0))
     assert tried and unsafe not in tried
 
 
@@ -171,7 +171,7 @@
 def test_a_pending_ordered_key_does_not_block_its_destination() -> None:
     node = Node(settings(ORDERED))
     node.arrive(ordering_key="a", count=3)
-    assert sends(node.arrive(ordering_key="b")) == [4]
+    assert attempted(node.arrive(ordering_key="b")) == [4]
 
 
 def test_the_same_events_give_the_same_actions() -> None:
@@ -210,7 +210,7 @@
         assert node.route(d).ejected
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) <= 2
-    assert len(sends(node.arrive(destination=7, count=6))) == 6
+    assert len(attempted(node.arrive(destination=7, count=6))) == 6
 
 
 def test_late_answers_do_not_hide_the_next_unresponsive_period() -> None:
@@ -270,40 +270,45 @@
     return nodes
 
 
-def asked(nodes: list[Node], seconds: float, limit: float) -> tuple[int, int]:
-    """Calls that a destination takes and refuses, of so many a second; refused ones use its limit up too."""
-    taken = refused = 0
-    room = limit
+def offer_load(nodes: list[Node], seconds: float, limit: float) -> tuple[int, int]:
+    """Calls that a destination accepts and rejects, of so many a second; rejected ones use its limit up too."""
+    accepted = rejected_count = 0
+    capacity = limit
     for _ in range(round(seconds * 10)):
-        room = min(limit, room + limit / 10)
+        capacity = min(limit, capacity + limit / 10)
         for node in nodes:
             node.run(0.1)
-            for m in node.in_flight():
-                full = room < 1.0
-                room = max(room - 1.0, -limit / 2)
-                node.settle(m, Outcome.OVERLOADED if full else Outcome.OK)
-                taken, refused = taken + (not full), refused + full
+            for message in node.in_flight():
+                overloaded = capacity < 1.0
+                capacity = max(capacity - 1.0, -limit / 2)
+                node.settle(message, Outcome.OVERLOADED if overloaded else Outcome.OK)
+                accepted += not overloaded
+                rejected_count += overloaded
             node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open_count))
-    return taken, refused
+    return accepted, rejected_count
 
 
 def test_many_nodes_adapt_to_a_limit_lowered_to_a_third_and_use_it_fully() -> None:
     # join+vast: each kept 0.9 of its share of the listed rate, so all were over the lowered limit for nine seconds.
     nodes = crowd(40, 80.0)
-    asked(nodes, 10.0, 80.0)
-    asked(nodes, 2.0, 27.0)  # learned within two seconds
-    taken, refused = asked(nodes, 6.0, 27.0)
-    assert refused < 6 * 27 and taken > 0.3 * 6 * 27  # at 0.9 of their shares: 430 refused and none taken
-    asked(nodes, 6.0, 80.0)
-    taken, refused = asked(nodes, 6.0, 80.0)
-    assert taken > 0.75 * 6 * 80 and refused < 0.2 * taken
+    offer_load(nodes, 10.0, 80.0)
+    offer_load(nodes, 2.0, 27.0)  # learned within two seconds
+    accepted, rejected_count = offer_load(nodes, 6.0, 27.0)
+    assert (
+        rejected_count < 6 * 27 and accepted > 0.3 * 6 * 27
+    )  # at 0.9 of their shares: 430 rejected and none accepted
+    offer_load(nodes, 6.0, 80.0)
+    accepted, rejected_count = offer_load(nodes, 6.0, 80.0)
+    assert accepted > 0.75 * 6 * 80 and rejected_count < 0.2 * accepted
 
 
 def test_a_quota_below_one_call_a_second_is_spread_over_time() -> None:
     nodes = crowd(40, 8.0)
-    asked(nodes, 10.0, 8.0)
-    taken, refused = asked(nodes, 20.0, 8.0)
-    assert taken + refused < 1.5 * 20 * 8 and taken > 0.35 * 20 * 8  # with a floor of one each: 800 calls
+    offer_load(nodes, 10.0, 8.0)
+    accepted, rejected_count = offer_load(nodes, 20.0, 8.0)
+    assert (
+        accepted + rejected_count < 1.5 * 20 * 8 and accepted > 0.35 * 20 * 8
+    )  # with a floor of one each: 800 calls
 
 
 def test_a_rejection_of_many_nodes_is_no_outage_but_a_long_run_is() -> None:
@@ -438,7 +443,7 @@
         node.arrive(count=3)
         node.settle(1, Outcome.OVERLOADED, retry_after_s=1.0)
         node.run(0.99)
-        at_once += len(sends(node.run(0.1)))
+        at_once += len(attempted(node.run(0.1)))
     assert at_once <= 25
 
 
@@ -463,7 +468,7 @@
         node.settle(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
         assert node.route(1).rate_limit is not None
         node.run(70.0)
-        assert sends(node.arrive()) == [2]
+        assert attempted(node.arrive()) == [2]
         node.settle(2, Outcome.OVERLOADED)
         assert 0 < node.scheduler.state.traffic.expected_rate(node.destination(1), node.route(1)) < math.inf
 
@@ -476,7 +481,7 @@
     node.settle(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     route = node.route(1)
     assert route.rate_limit == 10.0 / 50
-    assert sends(node.run(4.0)) == []  # two nodes' worth of calls would come every 5 s
+    assert attempted(node.run(4.0)) == []  # two nodes' worth of calls would come every 5 s
 
 
 def test_a_rejection_with_capacity_left_does_not_bound_the_rate_limit() -> None:
@@ -514,5 +519,5 @@
         node.settle(message, Outcome.CONNECT_FAILED)
     node.arrive(count=5)
     seen = node.run(13.8)
-    assert refused(seen) == [] and failed(seen) == []
-    assert set(refused(node.run(6.2))) == set(range(1, 10))
+    assert rejected(seen) == [] and failed(seen) == []
+    assert set(rejected(node.run(6.2))) == set(range(1, 10))
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -10,7 +10,7 @@
 
 from juniperward.scheduler.actions import StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome
-from tests.helpers import KEYED, SAFE, Node, sends, settings
+from tests.helpers import KEYED, SAFE, Node, attempted, settings
 
 NODES = 300
 LISTED_RATE = 6.0
@@ -177,7 +177,7 @@
     route = node.route(1)
     route.next_call_at = node.now + 500.0
     node.run(70.0)
-    assert route.ejected and sends(node.arrive()) == []
+    assert route.ejected and attempted(node.arrive()) == []
 
 
 def test_the_answer_after_one_failure_opens_a_bucket_for_pending_messages() -> None:
@@ -209,7 +209,7 @@
         node.run(1.5 + WARM_UP_S)
         early += sum(isinstance(a, StartAttempt) and t > start for t, a in node.log)
         node.arrive()
-        late += len(sends(node.run(WARM_UP_S)))
+        late += len(attempted(node.run(WARM_UP_S)))
     assert early <= 4 and late >= 30
 
 
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -8,7 +8,7 @@
 from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.settings import DestinationKind
 from juniperward.scheduler.traffic import record_load_report
-from tests.helpers import SAFE, Node, sends, settings
+from tests.helpers import SAFE, Node, attempted, settings
 
 APART = (
     DestinationKind(batch_size=1, separate_routes=True),
@@ -24,7 +24,7 @@
 
 def answered(node: Node, destination: int, outcome: Outcome = Outcome.OK, **told: float) -> RouteState:
     """A message that is called at once and ends with this report; its destination's route."""
-    sent = sends(node.arrive(destination=destination))
+    sent = attempted(node.arrive(destination=destination))
     assert sent, "the destination may be called"
     node.run(0.05)
     node.settle(sent[0], outcome, **told)
@@ -38,14 +38,14 @@
     node = node_of(instances)
     answered(node, destination, capacity_left=1.0, reported_limit_per_s=float(instances))
     node.arrive(destination=destination, count=2)
-    assert sends(node.run(0.7)) == []  # 0.8 of a call a second each
-    assert len(sends(node.run(0.2))) == destination  # the second kind takes both in one call
+    assert attempted(node.run(0.7)) == []  # 0.8 of a call a second each
+    assert len(attempted(node.run(0.2))) == destination  # the second kind takes both in one call
 
 
 def test_without_a_notified_limit_nothing_is_spaced() -> None:
     node = node_of(10)
     answered(node, 1)
-    assert len(sends(node.arrive(destination=1, count=3))) == 3
+    assert len(attempted(node.arrive(destination=1, count=3))) == 3
 
 
 @pytest.mark.parametrize("instances", [3, 10])
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -266,7 +266,7 @@
                 head = b""
                 while b"\r\n\r\n" not in head:
                     head += sock.recv(1024)
-                self.asked = head.split(b"\r\n")[0]
+                self.requested = head.split(b"\r\n")[0]
                 sock.sendall(reply)
                 sock.recv(1)  # silent until the forwarder closes it, or keeps it
 
@@ -274,7 +274,7 @@
         thread.start()
         return thread
 
-    def looked(self) -> HealthCheckAnswered:
+    def health_check_answer(self) -> HealthCheckAnswered:
         event = self.events.get(timeout=5.0)
         assert isinstance(event, HealthCheckAnswered)
         return event
@@ -296,20 +296,20 @@
             with subtests.test(outcome=outcome.name):
                 self.answer(reply)
                 self.client.start(start_probe(self.port))
-                told = self.looked()
-                assert self.asked == b"GET /health/live HTTP/1.1"
+                told = self.health_check_answer()
+                assert self.requested == b"GET /health/live HTTP/1.1"
                 assert told.outcome is outcome
                 self.client.close_idle(3)
                 if outcome is Outcome.OK:
                     assert (told.capacity_left, told.reported_limit_per_s) == (0.25, 12.0)
         # The wait of a probe binds the next probe as it does a call.
         self.client.start(start_probe(self.port))
-        assert self.looked().outcome is Outcome.NOT_SENT
+        assert self.health_check_answer().outcome is Outcome.NOT_SENT
 
     def test_an_unresponsive_endpoint_ends_the_health_check_at_its_deadline(self) -> None:
         self.answer(b"")
         self.client.start(start_probe(self.port, time.monotonic() + 0.2))
-        assert self.looked().outcome is Outcome.TIMEOUT
+        assert self.health_check_answer().outcome is Outcome.TIMEOUT
 
 
 class TestLoadReport:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -36,8 +36,8 @@
     return Message(name, 0, 0, 7, 12.0, None, b"")
 
 
-def life(start: float) -> list[str]:
-    """What a forwarder writes of three messages: one late after a refusal, one turned away, one given up."""
+def trace_of_incarnation(start: float) -> list[str]:
+    """What a forwarder writes of three messages: one late after a rejection, one rejected, one failed."""
     out = io.StringIO()
     with contextlib.redirect_stderr(out):
         trace = Trace(start)
@@ -74,7 +74,7 @@
 
 class TestTraces:
     def test_what_forwarders_write_is_counted_over_all_of_them(self) -> None:
-        fleet = read({"n0": life(1000.0), "n1": life(1001.0)})
+        fleet = read({"n0": trace_of_incarnation(1000.0), "n1": trace_of_incarnation(1001.0)})
         assert (fleet.unread_count, fleet.forwarders, fleet.latency_objective_s) == (0, 2, 2.0)
         ((destination, row),) = fleet.by_destination()
         assert destination == 7
@@ -85,15 +85,17 @@
         assert [r.get("sick", 0) for _, r in fleet.rows(7)] == [1, 1, -1, -1]
 
     def test_calls_of_a_killed_forwarder_are_not_those_of_its_next_incarnation(self) -> None:
-        begun = [x for x in life(1000.0) if " ended " not in x and " answer " not in x]
-        fleet = read({"n0": [*begun, *life(1010.0)]})
+        begun = [x for x in trace_of_incarnation(1000.0) if " ended " not in x and " answer " not in x]
+        fleet = read({"n0": [*begun, *trace_of_incarnation(1010.0)]})
         assert fleet.unread_count == 0
         assert fleet.by_destination()[0][1]["ok"] == 1
 
     def test_unreadable_lines_are_counted_and_named(self) -> None:
         bad = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
                "juniperward: trace: soon call", "juniperward: trace: 1000.0 handed x"]  # fmt: skip
-        fleet = read({"n0": [*life(1000.0), *bad, "juniperward: start: not a line of the trace"]})
+        fleet = read(
+            {"n0": [*trace_of_incarnation(1000.0), *bad, "juniperward: start: not a line of the trace"]}
+        )
         assert fleet.unread_count == 4
         assert any(x.startswith("n0:") and "danced" in x for x in fleet.unread)
         assert "4 of them not read" in format_tables(fleet)
