--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -27,14 +27,14 @@
         self.resources = resources
         self.events: queue.Queue[Event] = queue.Queue()
         self.client = EndpointClient(LIMITS, self.events.put, mock.Mock())
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(5.0)
-        self.resources.callback(self.door.close)
-        self.port = self.door.getsockname()[1]
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.settimeout(5.0)
+        self.resources.callback(self.listener.close)
+        self.port = self.listener.getsockname()[1]
 
     def accept(self) -> socket.socket:
         """Accept the next connection that the client opens."""
-        sock, _ = self.door.accept()
+        sock, _ = self.listener.accept()
         self.resources.callback(sock.close)
         sock.settimeout(5.0)
         return sock
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -222,13 +222,13 @@
 
 
 @pytest.fixture
-def door() -> Iterator[socket.socket]:
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.settimeout(5.0)
-        yield listener
+def listener() -> Iterator[socket.socket]:
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        server.settimeout(5.0)
+        yield server
 
 
-def test_the_dial_counts_towards_the_request_timeout(door: socket.socket) -> None:
+def test_the_dial_counts_towards_the_request_timeout(listener: socket.socket) -> None:
     # Guards the bound of a call: a connection that came up late had the whole time for its answer once more.
     def dial_late(host: str, port: int, seconds: float, sock: socket.socket) -> None:
         threading.Event().wait(0.8)
@@ -240,24 +240,24 @@
         mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 1.0),
         mock.patch.object(sockets, "connect", dial_late),
     ):
-        registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
+        registry = DiscoveryClient(listener.getsockname(), NAMES, events.put)
         registry.start()
         began = time.monotonic()
         registry.watch(41, 0)
-        sock, _ = door.accept()
+        sock, _ = listener.accept()
         with sock:
             assert events.get(timeout=5.0) == WatchLost(0, established=False)
     assert time.monotonic() - began < 1.5
 
 
-def test_a_watch_unresponsive_after_a_late_head_resets_the_backoff(door: socket.socket) -> None:
+def test_a_watch_unresponsive_after_a_late_head_resets_the_backoff(listener: socket.socket) -> None:
     # Guards the 6 s after silence: its time counted from before the head, so that it never lived and waits doubled.
     events: queue.Queue[Event] = queue.Queue()
     with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
-        registry = DiscoveryClient(door.getsockname(), NAMES, events.put)
+        registry = DiscoveryClient(listener.getsockname(), NAMES, events.put)
         registry.start()
         registry.watch(41, 0)
-        sock, _ = door.accept()
+        sock, _ = listener.accept()
         with sock:
             threading.Event().wait(0.2)
             sock.sendall(HEAD)
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -105,7 +105,7 @@
         # Guards large calls: the time that its first message had left for the dial went on to bound each later
         # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
         self.client.connections.dial_timeout_s = 5.0
-        self.door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.client.start(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
         sock = self.accept()
         sock.recv(1000)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -191,7 +191,7 @@
 
 
 class TestRestarts:
-    def test_waits_double_and_a_crash_loop_fails(self) -> None:
+    def test_the_backoff_doubles_and_a_crash_loop_fails(self) -> None:
         rules = RestartPolicy(first_delay_s=0.5, crash_limit=5, crash_window_s=60.0)
         i, now, waits = Instance("a", DesiredState.RUNNING, Process(1, 1)), 0.0, []
         for _ in range(4):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -334,7 +334,7 @@
         self.client.start(start_attempt(2, self.port))
         assert self.outcome() is Outcome.NOT_SENT
         for _ in range(2):
-            sock, _ = self.door.accept()
+            sock, _ = self.listener.accept()
             self.resources.callback(sock.close)
             assert not (sock.recv(1, socket.MSG_DONTWAIT) if self._ended(sock) else b"")
 
@@ -478,7 +478,7 @@
             assert limit[0] == most
 
     def test_connection_refused_is_not_executed(self) -> None:
-        self.door.close()
+        self.listener.close()
         self.client.start(start_attempt(1, self.port))
         assert self.outcome() is Outcome.CONNECT_FAILED
 
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -27,14 +27,14 @@
     """Takes notices; each connection has an answer of its own, the last one's is whole."""
 
     def __init__(self, *answers: bytes | None) -> None:
-        self.door = socket.create_server(("127.0.0.1", 0))
+        self.listener = socket.create_server(("127.0.0.1", 0))
         self.answers, self.taken, self.socks = list(answers), set[str](), list[socket.socket]()
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
         while True:
             try:
-                sock, _ = self.door.accept()
+                sock, _ = self.listener.accept()
             except OSError:
                 return
             self.socks.append(sock)
@@ -58,7 +58,7 @@
 
     def close(self) -> None:
         """End everything."""
-        for sock in (self.door, *self.socks):
+        for sock in (self.listener, *self.socks):
             sock.close()
 
 
@@ -71,7 +71,9 @@
         over = threading.Event()
         self.resources.callback(over.set)
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(
+            platform.listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
+        )
         registry.start()
         registry.notify((OutcomeNotification("m0"),))
 
@@ -90,7 +92,9 @@
             Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         )
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(platform.door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
+        registry = DiscoveryClient(
+            platform.listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
+        )
         registry.start()
         began = time.monotonic()
         registry.notify(tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -94,7 +94,7 @@
         self.client.start(self.start_attempt(1))
         sock = self.accept()
         sock.recv(1)
-        self.door.close()
+        self.listener.close()
         sock.close()
         assert self.answered() == [ItemOutcome(0, Outcome.RESET)]
         self.client.start(self.start_attempt(1))
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -71,13 +71,15 @@
         for answer, lived in (
             (b"200 OK\r\nTransfer-Encoding: chunked", True), (b"503 X\r\nContent-Length: 0", False)
         ):  # fmt: skip
-            door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
+            listener = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
             events: queue.Queue[Event] = queue.Queue()
             with subtests.test(lived=lived), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
-                registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
+                registry = DiscoveryClient(
+                    listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
+                )
                 registry.start()
                 registry.watch(41, 0)
-                sock, _ = door.accept()
+                sock, _ = listener.accept()
                 self.resources.callback(sock.close)
                 sock.recv(1000)
                 sock.sendall(b"HTTP/1.1 " + answer + b"\r\n\r\n")
@@ -94,15 +96,17 @@
             (head + b"200000\r\n", b" "),
             (head, b"1\r\n{\r\n"),
         ):
-            door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
+            listener = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
             events: queue.Queue[Event] = queue.Queue()
             over = threading.Event()
             self.resources.callback(over.set)
             with subtests.test(begin=begin), mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.2):
-                registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
+                registry = DiscoveryClient(
+                    listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
+                )
                 registry.start()
                 registry.watch(41, 0)
-                sock, _ = door.accept()
+                sock, _ = listener.accept()
                 self.resources.callback(sock.close)
                 sock.sendall(begin)
 
@@ -118,14 +122,14 @@
 
     def test_heartbeats_and_partial_lists_keep_a_watch_alive(self) -> None:
         # Guards the other side: an object that comes in pieces, and empty lines, each have the whole time anew.
-        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
+        listener = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         events: queue.Queue[Event] = queue.Queue()
         pause = threading.Event()
         with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.5):
-            registry = DiscoveryClient(door.getsockname(), SettingsNames((), (), (), (), ()), events.put)
+            registry = DiscoveryClient(listener.getsockname(), SettingsNames((), (), (), (), ()), events.put)
             registry.start()
             registry.watch(41, 0)
-            sock, _ = door.accept()
+            sock, _ = listener.accept()
             self.resources.callback(sock.close)
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for piece in (b"\n", b"\n", b'{"version":42,', b'\n"full":false,"servers":[]}\n', b"\n", b"\n"):
@@ -152,7 +156,7 @@
     """A local agent that pushes changes over a watch; what the forwarder's registry thread makes of its lines."""
 
     def test_changes_removals_a_complete_list_after_a_gap_and_a_broken_line(self) -> None:
-        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
+        listener = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         lines = [
             b'{"version":43,"full":false,"servers":[' + entry("s-1", "Terminating") + b"]}",
             b"",  # what comes every 2 s while nothing changes
@@ -163,7 +167,7 @@
         asked: list[bytes] = []
 
         def agent() -> None:
-            sock, _ = door.accept()
+            sock, _ = listener.accept()
             with sock:
                 head = b""
                 while b"\r\n\r\n" not in head:
@@ -177,7 +181,7 @@
         threading.Thread(target=agent, daemon=True).start()
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(
-            door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+            listener.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
         registry.start()
         registry.watch(41, 0)
@@ -193,16 +197,16 @@
     def test_an_unresponsive_watch_is_closed_and_reopened(self) -> None:
         # Guards the 6 s after which what a silent watch misses counts as told: a drain among it.
         assert discovery_watch.STREAM_TIMEOUT_S < 4.0
-        door = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
+        listener = self.resources.closing(socket.create_server(("127.0.0.1", 0)))
         events: queue.Queue[Event] = queue.Queue()
         registry = DiscoveryClient(
-            door.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
+            listener.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
         reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
         with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
             registry.start()
             registry.watch(41, 0)
-            sock, _ = door.accept()
+            sock, _ = listener.accept()
             self.resources.callback(sock.close)
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
             lost = events.get(timeout=5.0)
@@ -261,7 +265,7 @@
 class TestHealthCheckOnSockets(EndpointClientRig):
     def answer(self, reply: bytes) -> threading.Thread:
         def serve() -> None:
-            sock, _ = self.door.accept()
+            sock, _ = self.listener.accept()
             with sock:
                 head = b""
                 while b"\r\n\r\n" not in head:
