--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -24,7 +24,7 @@
 
 SETTINGS = {"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}}
 LOAD_S = 10.0  # of one batch of clients; the next begins when it is done
-STOP_SHARE = 0.25  # of the rounds in which an instance is stopped
+STOP_PROBABILITY = 0.25  # of stopping an instance in a round
 
 
 class _Load:
@@ -85,7 +85,7 @@
         except AgentUnreachableError:
             return False
         self._keep_rolling(status["roll"])
-        if self._random.random() < STOP_SHARE:
+        if self._random.random() < STOP_PROBABILITY:
             self._stop_one([row for row in status["instances"] if row["state"] == "ready"])
         time.sleep(self._random.uniform(0.05, 1.5))
         self._cluster.kill_agent()
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -26,7 +26,7 @@
     )
     report.say(
         "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
-        "to its answer, asked by one honest client ten times a second; the messages' is from due to effect."
+        "to its answer, polled by one honest client ten times a second; the messages' is from due to effect."
     )
     rows: list[Row] = []
     with (
@@ -36,30 +36,34 @@
         cluster.start()
         path = cluster.folder / "run" / "run" / "n0"
         attacks: list[tuple[str, Callable[[threading.Event], None] | None]] = [
-            ("nothing", None), ("requests without a pause", lambda e: _flood(path, e)),
-            ("connections that say nothing", lambda e: _mute(path, e)), ("rubbish", lambda e: _rubbish(path, e)),
-            ("requests, answers not read", lambda e: _deaf(path, e)), ("nothing, again", None),
-        ]  # fmt: skip
+            ("nothing", None),
+            ("requests without a pause", lambda end: _send_requests(path, end)),
+            ("connections that say nothing", lambda end: _send_nothing(path, end)),
+            ("rubbish", lambda end: _send_rubbish(path, end)),
+            ("requests, answers not read", lambda end: _read_no_answers(path, end)),
+            ("nothing, again", None),
+        ]
         for name, attack in attacks:
-            end = threading.Event()
+            attack_end = threading.Event()
             threads = [
-                threading.Thread(target=attack, args=(end,), daemon=True) for _ in range(8 if attack else 0)
+                threading.Thread(target=attack, args=(attack_end,), daemon=True)
+                for _ in range(8 if attack else 0)
             ]
             cluster.recorder.records.clear()
             clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
             for thread in threads:
                 thread.start()
-            asked, missed = _honest(path, seconds)
-            end.set()
+            answered_s, missed = _poll_status(path, seconds)
+            attack_end.set()
             clients.done.wait(30.0)
             for thread in threads:
                 thread.join(10.0)
             cluster.settle()
-            v = cluster.verdict()
+            verdict = cluster.verdict()
             rows.append([
-                name, f"{v.delivered}/{v.offered}", f"{quantile(v.latencies_s, 0.5) * 1000:.1f}",
-                f"{quantile(v.latencies_s, 0.99) * 1000:.1f}", f"{quantile(asked, 0.5) * 1000:.1f}",
-                f"{quantile(asked, 0.99) * 1000:.1f}", f"{missed}",
+                name, f"{verdict.delivered}/{verdict.offered}", f"{quantile(verdict.latencies_s, 0.5) * 1000:.1f}",
+                f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{quantile(answered_s, 0.5) * 1000:.1f}",
+                f"{quantile(answered_s, 0.99) * 1000:.1f}", f"{missed}",
             ])  # fmt: skip
     report.table(
         ["eight clients send", "delivered", "message median ms", "p99 ms", "honest request median ms", "p99 ms",
@@ -69,19 +73,22 @@
     return True
 
 
-def _honest(path: Path, seconds: float) -> tuple[list[float], int]:
-    client, taken, missed = ControlClient(path, 1.0), [], 0
+def _poll_status(path: Path, seconds: float) -> tuple[list[float], int]:
+    """Poll the status ten times a second; return the seconds that answers took, and how many did not come."""
+    client = ControlClient(path, 1.0)
+    answered_s: list[float] = []
+    missed = 0
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         began = time.monotonic()
         try:
             client.status()
-            taken.append(time.monotonic() - began)
+            answered_s.append(time.monotonic() - began)
         except ControlError:
             missed += 1
         time.sleep(0.1)
     client.close()
-    return taken, missed
+    return answered_s, missed
 
 
 def _attack(path: Path, end: threading.Event, act: Callable[[Any], None]) -> None:
@@ -95,7 +102,7 @@
             time.sleep(0.001)
 
 
-def _flood(path: Path, end: threading.Event) -> None:
+def _send_requests(path: Path, end: threading.Event) -> None:
     def act(sock: Any) -> None:
         while not end.is_set():
             sock.sendall(encode_request(Request(1, Verb.DESTINATIONS)))
@@ -104,15 +111,15 @@
     _attack(path, end, act)
 
 
-def _mute(path: Path, end: threading.Event) -> None:
+def _send_nothing(path: Path, end: threading.Event) -> None:
     _attack(path, end, lambda sock: sock.recv(1))
 
 
-def _rubbish(path: Path, end: threading.Event) -> None:
+def _send_rubbish(path: Path, end: threading.Event) -> None:
     _attack(path, end, lambda sock: sock.sendall(b"\xff" * 65536))
 
 
-def _deaf(path: Path, end: threading.Event) -> None:
+def _read_no_answers(path: Path, end: threading.Event) -> None:
     def act(sock: Any) -> None:
         for _ in range(1000):
             sock.sendall(encode_request(Request(1, Verb.COUNTERS)))
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -11,14 +11,14 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.benchmarks.report import Report
 
-STORY_CHARACTERS = 3000  # of a violation in a report
+VIOLATION_CHARACTERS = 3000  # of one in a report
 
 
 class RollNotDoneError(RuntimeError):
     """A roll did not come to its end."""
 
     def __init__(self, mode: str, why: str) -> None:
-        """Tell what it is doing, and why."""
+        """Name the roll's mode, and why it is in it."""
         super().__init__(f"the roll is {mode}: {why}")
 
 
@@ -59,8 +59,8 @@
             [*verdict_row(name, verdict, took, lateness), f"{verdict.priority_weight_delivered / base:.4f}"]
         )
         print(rows[-1], flush=True)
-        for v in verdict.violations[:3]:
-            report.say("```\n" + str(v)[:STORY_CHARACTERS] + "\n```")
+        for violation in verdict.violations[:3]:
+            report.say("```\n" + str(violation)[:VIOLATION_CHARACTERS] + "\n```")
     report.table([*VERDICT_HEAD, "priority weight against no roll"], rows)
     report.write(out / "rolls.md")
     return good
