--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -21,6 +21,7 @@
 from juniperward.settings import fleet_pb2
 
 WARM_UP_S = 5.0
+DEADLINE_S = 4.0  # of a message
 COUNTED = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
 
 
@@ -40,7 +41,7 @@
     """
     destinations = [DestinationSpec(d, latency_s=0.03, warm_up_s=WARM_UP_S, concurrency=8) for d in (1, 2, 3)]
     cluster = LocalCluster(folder, instances, destinations, seed)
-    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": 4000.0, "AimMs": 1000.0}
+    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": DEADLINE_S * 1000, "AimMs": 1000.0}
     cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM_UP_S * 1000}
     if stores:
         pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
@@ -72,7 +73,7 @@
                 r["stand"] == Status.STORED and r["kind"] != "uncertain" for r in all_dead_letters(cluster)
             ):
                 calm = time.monotonic()
-            elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be taken in
+            elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be read into the store
                 return
         except (AgentUnreachableError, AgentRejectedError):
             pass
@@ -83,9 +84,9 @@
     """Return the checker's verdict, with the redrives among the clients, and how the dead letters ended."""
     rows = all_dead_letters(cluster)
     effects: dict[str, int] = {}
-    for r in cluster.recorder.records:
-        if isinstance(r, Effect):
-            effects[r.key] = effects.get(r.key, 0) + 1
+    for record in cluster.recorder.records:
+        if isinstance(record, Effect):
+            effects[record.key] = effects.get(record.key, 0) + 1
     counts = dict.fromkeys(COUNTED, 0) | {"kept": len(rows)}
     for row in rows:
         times = effects.get(row["key"], 0)
@@ -97,13 +98,29 @@
             counts["uncertain"] += 1
         else:
             counts["missing"] += 1
-        for n, redrive in enumerate(cluster.request("kept", action="show", id=row["id"])["resent"]):
-            at = redrive["claimed_at"] - time.time() + time.monotonic()
-            first = f"{row['id']}r{n}"
-            cluster.recorder.add(
-                Submitted(at, redrive["id"], first, row["key"], "booking-update", row["account"], row["destination"],
-                       redrive["forwarder"], at, at + 4.0)
-            )  # fmt: skip
-            taken = redrive["end"] not in ("refused", "never taken")
-            cluster.recorder.add(SubmissionAnswered(at + 0.01, redrive["id"], 202 if taken else 503))
+        _record_redrives(cluster, row)
     return DeadLetterJudgement(cluster.verdict(), counts)
+
+
+def _record_redrives(cluster: LocalCluster, row: dict[str, Any]) -> None:
+    """Record each redrive of a dead letter as a submission, so that the checker judges it with the clients'."""
+    redrives = cluster.request("kept", action="show", id=row["id"])["resent"]
+    for number, redrive in enumerate(redrives):
+        submitted_at = redrive["claimed_at"] - time.time() + time.monotonic()
+        cluster.recorder.add(
+            Submitted(
+                submitted_at,
+                redrive["id"],
+                f"{row['id']}r{number}",
+                row["key"],
+                "booking-update",
+                row["account"],
+                row["destination"],
+                redrive["forwarder"],
+                submitted_at,
+                submitted_at + DEADLINE_S,
+            )
+        )
+        accepted = redrive["end"] not in ("refused", "never taken")
+        status = 202 if accepted else 503
+        cluster.recorder.add(SubmissionAnswered(submitted_at + 0.01, redrive["id"], status))
