--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -99,7 +99,7 @@
     return f"{1000 * histogram.quantile(fraction):.1f}"
 
 
-class PinnedForwarder:
+class SingleCoreForwarder:
     """A forwarder on a core of its own, with fake endpoints and discovery on the others; a context manager."""
 
     def __init__(self, folder: Path, dead_letters: bool = False, root: Path = ROOT) -> None:
@@ -116,7 +116,7 @@
         self._address: tuple[str, int] = self._port.getsockname()
         self._log = folder / "forwarder.log"
 
-    def __enter__(self) -> PinnedForwarder:
+    def __enter__(self) -> SingleCoreForwarder:
         """Start the forwarder; raises ForwarderStartError with its log where it does not get ready."""
         for number, address in enumerate(self._endpoints.addresses, 1):
             self._discovery.publish(ListedEndpoint(f"s-{number}", address, number, "small-partners", 0.0))
@@ -232,7 +232,7 @@
     results: list[RateResult] = []
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
-        PinnedForwarder(Path(folder), dead_letters) as forwarder,
+        SingleCoreForwarder(Path(folder), dead_letters) as forwarder,
     ):
         for rate_per_s in rates_per_s:
             results.append(forwarder.measure(rate_per_s, seed))
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -18,6 +18,10 @@
 from juniperward.control.errors import ControlError
 from juniperward.control.protocol import Request, Verb
 
+Attack = Callable[[threading.Event], None]  # runs until the event is set
+
+ATTACKING_CLIENTS = 8
+
 
 def flood(seed: int, out: Path, seconds: float = 10.0) -> bool:
     """What clients of the control channel that flood it, stall or send rubbish do to the loop and to messages."""
@@ -28,43 +32,13 @@
         "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
         "to its answer, polled by one honest client ten times a second; the messages' is from due to effect."
     )
-    rows: list[Row] = []
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
         LocalCluster(Path(folder), 1, DESTINATIONS, seed) as cluster,
     ):
         cluster.start()
         path = cluster.folder / "run" / "run" / "n0"
-        attacks: list[tuple[str, Callable[[threading.Event], None] | None]] = [
-            ("nothing", None),
-            ("requests without a pause", lambda end: _send_requests(path, end)),
-            ("connections that say nothing", lambda end: _send_nothing(path, end)),
-            ("rubbish", lambda end: _send_rubbish(path, end)),
-            ("requests, answers not read", lambda end: _read_no_answers(path, end)),
-            ("nothing, again", None),
-        ]
-        for name, attack in attacks:
-            attack_end = threading.Event()
-            threads = [
-                threading.Thread(target=attack, args=(attack_end,), daemon=True)
-                for _ in range(8 if attack else 0)
-            ]
-            cluster.recorder.records.clear()
-            clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
-            for thread in threads:
-                thread.start()
-            answered_s, missed = _poll_status(path, seconds)
-            attack_end.set()
-            clients.done.wait(30.0)
-            for thread in threads:
-                thread.join(10.0)
-            cluster.settle()
-            verdict = cluster.verdict()
-            rows.append([
-                name, f"{verdict.delivered}/{verdict.offered}", f"{quantile(verdict.latencies_s, 0.5) * 1000:.1f}",
-                f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{quantile(answered_s, 0.5) * 1000:.1f}",
-                f"{quantile(answered_s, 0.99) * 1000:.1f}", f"{missed}",
-            ])  # fmt: skip
+        rows = [_measure(cluster, path, name, attack, seconds) for name, attack in _attacks(path)]
     report.table(
         ["eight clients send", "delivered", "message median ms", "p99 ms", "honest request median ms", "p99 ms",
          "honest requests unanswered"], rows,
@@ -73,6 +47,43 @@
     return True
 
 
+def _attacks(path: Path) -> list[tuple[str, Attack | None]]:
+    """Return each attack by its name in the table; None is a control run without one."""
+    return [
+        ("nothing", None),
+        ("requests without a pause", lambda end: _send_requests(path, end)),
+        ("connections that say nothing", lambda end: _send_nothing(path, end)),
+        ("rubbish", lambda end: _send_rubbish(path, end)),
+        ("requests, answers not read", lambda end: _read_no_answers(path, end)),
+        ("nothing, again", None),
+    ]
+
+
+def _measure(cluster: LocalCluster, path: Path, name: str, attack: Attack | None, seconds: float) -> Row:
+    """Return the table's row of one attack, with messages and an honest client beside it."""
+    attack_end = threading.Event()
+    threads = [
+        threading.Thread(target=attack, args=(attack_end,), daemon=True)
+        for _ in range(ATTACKING_CLIENTS if attack else 0)
+    ]
+    cluster.recorder.records.clear()
+    clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
+    for thread in threads:
+        thread.start()
+    answered_s, missed = _poll_status(path, seconds)
+    attack_end.set()
+    clients.done.wait(30.0)
+    for thread in threads:
+        thread.join(10.0)
+    cluster.settle()
+    verdict = cluster.verdict()
+    return [
+        name, f"{verdict.delivered}/{verdict.offered}", f"{quantile(verdict.latencies_s, 0.5) * 1000:.1f}",
+        f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{quantile(answered_s, 0.5) * 1000:.1f}",
+        f"{quantile(answered_s, 0.99) * 1000:.1f}", f"{missed}",
+    ]  # fmt: skip
+
+
 def _poll_status(path: Path, seconds: float) -> tuple[list[float], int]:
     """Poll the status ten times a second; return the seconds that answers took, and how many did not come."""
     client = ControlClient(path, 1.0)
