--- a/juniperward/benchmarks/forwarder_group.py
+++ b/juniperward/benchmarks/forwarder_group.py
@@ -64,9 +64,9 @@
 
     def fill(self, name: str, *, destination: int = 1, body: bytes = BODY) -> list[str]:
         """Append messages to a forwarder's journal until it is full; return their ids."""
-        to_unix = time.time() - time.monotonic()
+        unix_offset_s = time.time() - time.monotonic()
         folder = self.state_folder(name)
-        offset = choose_unix_offset(folder, to_unix, read_boot_id(), JOURNAL_NAME)
+        offset = choose_unix_offset(folder, unix_offset_s, read_boot_id(), JOURNAL_NAME)
         journal = Journal(folder, int(self.base["limits"]["disk_mb"] * 1_000_000), offset)
         expires_at = time.monotonic() + EXPIRES_WITHIN_S
         ids: list[str] = []
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -24,12 +24,12 @@
 
 def build(config: Config) -> Loop:
     """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
-    to_unix = time.time() - time.monotonic()
-    journal_to_unix = choose_unix_offset(
-        config.state_folder, to_unix, read_boot_id(), journal_name=JOURNAL_NAME
+    unix_offset_s = time.time() - time.monotonic()
+    journal_unix_offset_s = choose_unix_offset(
+        config.state_folder, unix_offset_s, read_boot_id(), journal_name=JOURNAL_NAME
     )
-    journal = Journal(config.state_folder, config.journal_max_bytes, journal_to_unix)
-    dead_letters = _open_dead_letters(config, to_unix)
+    journal = Journal(config.state_folder, config.journal_max_bytes, journal_unix_offset_s)
+    dead_letters = _open_dead_letters(config, unix_offset_s)
     stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
     reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored)
     queue = EventQueue()
@@ -38,7 +38,7 @@
     return Loop(reducer, executor, queue)
 
 
-def _open_dead_letters(config: Config, to_unix: float) -> DeadLetterWriter | None:
+def _open_dead_letters(config: Config, unix_offset_s: float) -> DeadLetterWriter | None:
     if config.spool is None:
         return None
     # Loaded only where dead letters are stored.
@@ -46,7 +46,7 @@
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
     return DeadLetterWriter(
-        Spool(config.spool.folder, config.spool.max_bytes), config.settings, config.names, to_unix
+        Spool(config.spool.folder, config.spool.max_bytes), config.settings, config.names, unix_offset_s
     )
 
 
--- a/juniperward/forwarder/clock.py
+++ b/juniperward/forwarder/clock.py
@@ -32,17 +32,17 @@
         return ""
 
 
-def choose_unix_offset(folder: Path, to_unix: float, boot_id: str, journal_name: str) -> float:
+def choose_unix_offset(folder: Path, unix_offset_s: float, boot_id: str, journal_name: str) -> float:
     """Return the offset to use in this process, and write it down for the next one."""
-    offset = to_unix
+    offset = unix_offset_s
     if (folder / journal_name).exists():
         before = _read_reference(folder, boot_id)
-        if before is None or before - to_unix > MAX_STEP_BACK_S:
+        if before is None or before - unix_offset_s > MAX_STEP_BACK_S:
             increment("clock_references_missing")
             log("start", "clock reference missing", times_moved_back_s=MAX_CLOCK_ERROR_S)
-            offset = to_unix + MAX_CLOCK_ERROR_S
+            offset = unix_offset_s + MAX_CLOCK_ERROR_S
         else:
-            offset = max(before, to_unix)
+            offset = max(before, unix_offset_s)
     _write_reference(folder, boot_id, offset)
     return offset
 
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -23,11 +23,11 @@
     """Used by the loop only. An error of the spool is counted and logged, and the service continues."""
 
     def __init__(
-        self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, to_unix: float
+        self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, unix_offset_s: float
     ) -> None:
-        """Write to a spool; `to_unix` added to monotonic time is Unix time."""
+        """Write to a spool; `unix_offset_s` added to monotonic time is Unix time."""
         self.spool = spool
-        self._settings, self._names, self._to_unix = settings, names, to_unix
+        self._settings, self._names, self._unix_offset_s = settings, names, unix_offset_s
 
     def store(self, effect: StoreDeadLetter) -> None:
         """Write a message that is given up to the spool."""
@@ -43,7 +43,7 @@
         message_class = self._settings.classes[message.class_index]
         attempts = tuple(
             SpooledAttempt(
-                past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed
+                past.endpoint, past.started_at + self._unix_offset_s, past.outcome, past.possibly_executed
             )
             for past in effect.attempts
         )
@@ -54,8 +54,8 @@
             message.destination,
             message.idempotency_key,
             message.body,
-            effect.received_at + self._to_unix,
-            effect.given_up_at + self._to_unix,
+            effect.received_at + self._unix_offset_s,
+            effect.given_up_at + self._unix_offset_s,
             attempts,
             message_class.idempotency,
             message_class.deduplication_window_s,
@@ -64,7 +64,7 @@
 
     def record_redrive_outcome(self, effect: RecordRedriveOutcome) -> None:
         """Write the outcome of a redrive."""
-        executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
+        executed_at = effect.executed_at + self._unix_offset_s if effect.executed_at is not None else None
         try:
             self.spool.outcomes.record(effect.id, RedriveOutcome(effect.outcome, executed_at))
         except OSError as error:
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -86,12 +86,12 @@
 class Journal:
     """The file and what it holds; `lock` lets the loop and the threads of attempts write to it."""
 
-    def __init__(self, folder: Path, disk_bytes: int, to_unix: float) -> None:
-        """Replay the folder's journal and compact it; `to_unix` added to monotonic time gives Unix time."""
+    def __init__(self, folder: Path, disk_bytes: int, unix_offset_s: float) -> None:
+        """Replay the folder's journal and compact it; `unix_offset_s` added to monotonic time gives Unix time."""
         self.path = folder / JOURNAL_NAME
         self.compacted_path = folder / COMPACTED_NAME
         self.disk_bytes = disk_bytes - 4 * BLOCK_BYTES
-        self.to_unix = to_unix
+        self.unix_offset_s = unix_offset_s
         self.live = LiveLines()
         self.size = 0  # bytes of the file
         self.lock = threading.Lock()
@@ -122,7 +122,7 @@
     def _append(self, record: JournalRecord) -> None:
         if self._is_redundant(record):
             return
-        line = encode(record, self.to_unix)
+        line = encode(record, self.unix_offset_s)
         if isinstance(record, AcceptedRecord):
             self._check_capacity(len(line))
         if self._should_compact(len(line)):
@@ -173,7 +173,7 @@
         for number, line in enumerate(lines, 1):
             if not line:
                 continue
-            record = decode(line, self.to_unix)
+            record = decode(line, self.unix_offset_s)
             if record is None:
                 increment("journal_damaged")
                 log("journal", "line damaged", line=number, lines=len(lines))
--- a/juniperward/forwarder/journal_codec.py
+++ b/juniperward/forwarder/journal_codec.py
@@ -1,7 +1,7 @@
 """The journal's file format: a record to a line of the file, and back.
 
 A line is the CRC-32 of its text in hex, a space, and a JSON array that begins with the record's kind and the
-message's id. Times are Unix time in the file and monotonic time everywhere else; `to_unix` is added to the latter.
+message's id. Times are Unix time in the file and monotonic time everywhere else; `unix_offset_s` is the offset.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
-def encode(record: JournalRecord, to_unix: float) -> bytes:
+def encode(record: JournalRecord, unix_offset_s: float) -> bytes:
     """Return the line of a record."""
-    text = _encode_json(_encode_row(record, to_unix)).encode()
+    text = _encode_json(_encode_row(record, unix_offset_s)).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
-def _encode_row(record: JournalRecord, to_unix: float) -> list[Any]:
+def _encode_row(record: JournalRecord, unix_offset_s: float) -> list[Any]:
     match record:
         case AcceptedRecord():
-            return _encode_accepted(record, to_unix)
+            return _encode_accepted(record, unix_offset_s)
         case AttemptStartedRecord(id=message, started_at=started_at, endpoint=endpoint):
-            return [RecordKind.ATTEMPT_STARTED, message, started_at + to_unix, endpoint]
+            return [RecordKind.ATTEMPT_STARTED, message, started_at + unix_offset_s, endpoint]
         case AttemptFinishedRecord(id=message, possibly_executed=possibly_executed):
             return [RecordKind.ATTEMPT_FINISHED, message, possibly_executed]
         case OutcomeDecidedRecord(notification=notification):
@@ -58,7 +58,7 @@
             return [RecordKind.COMPLETED, message]
 
 
-def _encode_accepted(record: AcceptedRecord, to_unix: float) -> list[Any]:
+def _encode_accepted(record: AcceptedRecord, unix_offset_s: float) -> list[Any]:
     message = record.message
     return [
         RecordKind.ACCEPTED,
@@ -67,31 +67,31 @@
         message.tenant,
         message.destination,
         message.idempotency_key,
-        record.expires_at + to_unix,
+        record.expires_at + unix_offset_s,
         base64.b64encode(message.body).decode(),
-        record.executed_at + to_unix if record.executed_at is not None else None,
+        record.executed_at + unix_offset_s if record.executed_at is not None else None,
         message.time_left_s,
     ]
 
 
-def decode(line: bytes, to_unix: float) -> JournalRecord | None:
+def decode(line: bytes, unix_offset_s: float) -> JournalRecord | None:
     """Return the record of one line, or None for one that is damaged."""
     try:
         checksum, text = line.split(b" ", 1)
         if int(checksum, 16) == zlib.crc32(text):
-            return _decode_row(json.loads(text), to_unix)
+            return _decode_row(json.loads(text), unix_offset_s)
     except (ValueError, TypeError):
         pass
     return None
 
 
-def _decode_row(row: Any, to_unix: float) -> JournalRecord | None:
+def _decode_row(row: Any, unix_offset_s: float) -> JournalRecord | None:
     record: JournalRecord | None = None
     match row:
         case [RecordKind.ACCEPTED, *values] if len(values) >= ACCEPTED_VALUES:
-            record = _decode_accepted(values, to_unix)
+            record = _decode_accepted(values, unix_offset_s)
         case [RecordKind.ATTEMPT_STARTED, message, started, endpoint]:
-            record = AttemptStartedRecord(message, started - to_unix, endpoint)
+            record = AttemptStartedRecord(message, started - unix_offset_s, endpoint)
         case [RecordKind.ATTEMPT_FINISHED, message, possibly_executed]:
             record = AttemptFinishedRecord(message, possibly_executed)
         case [RecordKind.OUTCOME_DECIDED, message, retry_after_s]:
@@ -101,7 +101,7 @@
     return record
 
 
-def _decode_accepted(values: list[Any], to_unix: float) -> AcceptedRecord:
+def _decode_accepted(values: list[Any], unix_offset_s: float) -> AcceptedRecord:
     message_id, class_index, tenant, destination, idempotency_key, expires, body, *added = values
     # An older version wrote neither of the added values, or the first alone.
     executed = added[0] if added else None
@@ -115,8 +115,8 @@
         idempotency_key,
         base64.b64decode(body),
     )
-    executed_at = executed - to_unix if executed is not None else None
-    return AcceptedRecord(message, expires - to_unix, executed_at)
+    executed_at = executed - unix_offset_s if executed is not None else None
+    return AcceptedRecord(message, expires - unix_offset_s, executed_at)
 
 
 def message_id(record: JournalRecord) -> str:
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -48,9 +48,9 @@
 class Trace:
     """Writes the events and effects that pass between the loop and the reducer."""
 
-    def __init__(self, to_unix: float) -> None:
-        """Trace in Unix time; `to_unix` is added to monotonic time."""
-        self._to_unix = to_unix
+    def __init__(self, unix_offset_s: float) -> None:
+        """Trace in Unix time; `unix_offset_s` is added to monotonic time."""
+        self._unix_offset_s = unix_offset_s
         self._waiting: dict[int, str] = {}  # by client: destination and id of its message
 
     def events(self, now: float, events: Iterable[Event]) -> None:
@@ -103,7 +103,7 @@
 
     def _write(self, now: float, lines: list[str]) -> None:
         if lines:
-            text = "".join(f"{PREFIX} {now + self._to_unix:.3f} {line}\n" for line in lines)
+            text = "".join(f"{PREFIX} {now + self._unix_offset_s:.3f} {line}\n" for line in lines)
             with contextlib.suppress(OSError, ValueError):
                 print(text, end="", file=sys.stderr, flush=True)
 
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -62,12 +62,12 @@
         self.resources = resources
         self.folder = tmp_path
 
-    def carry(self, to_unix: float, boot: str = BOOT) -> float:
-        return choose_unix_offset(self.folder, to_unix, boot, JOURNAL_NAME)
+    def carry(self, unix_offset_s: float, boot: str = BOOT) -> float:
+        return choose_unix_offset(self.folder, unix_offset_s, boot, JOURNAL_NAME)
 
-    def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
+    def journal(self, unix_offset_s: float, boot: str = BOOT) -> Journal:
         """The journal as the process opens it at its start."""
-        return self.resources.closing(Journal(self.folder, 100_000, self.carry(to_unix, boot)))
+        return self.resources.closing(Journal(self.folder, 100_000, self.carry(unix_offset_s, boot)))
 
 
 class TestReference(FolderTest):
@@ -122,9 +122,9 @@
 class TestKill(FolderTest, ReducerRig):
     """What the next process decides on the journal of a killed one; times are of the monotonic clock."""
 
-    def restart(self, now: float, to_unix: float, boot: str = BOOT) -> list[Any]:
+    def restart(self, now: float, unix_offset_s: float, boot: str = BOOT) -> list[Any]:
         """The effects of a start at `now` over the folder."""
-        restored = self.journal(to_unix, boot).restored()
+        restored = self.journal(unix_offset_s, boot).restored()
         assert len(restored) == 1
         return self.replay(now, restored)
 
@@ -134,9 +134,9 @@
         self.do(EndpointsUpdated(41, True, (worker(),), cached=True))
         return self.do(JournalReplayed(restored))
 
-    def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
+    def leave(self, *, began_at: float | None, expires: float = 120.0, unix_offset_s: float = OFFSET) -> None:
         """A process that accepted a message, maybe began a call, and was killed."""
-        journal = self.journal(to_unix)
+        journal = self.journal(unix_offset_s)
         journal.append(AcceptedRecord(Message("a", 0, 0, 1, 20.0, "k", b""), expires))
         if began_at is not None:
             journal.append(AttemptStartedRecord("a", began_at, "s-1"))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -33,8 +33,8 @@
         self.resources = resources
         self.folder = tmp_path
 
-    def open(self, to_unix: float = 1000.0, disk: int = DISK) -> Journal:
-        return self.resources.closing(Journal(self.folder, disk, to_unix))
+    def open(self, unix_offset_s: float = 1000.0, disk: int = DISK) -> Journal:
+        return self.resources.closing(Journal(self.folder, disk, unix_offset_s))
 
     def used(self) -> int:
         return sum(-(-p.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for p in self.folder.iterdir())
@@ -65,10 +65,10 @@
 
     def test_times_are_rebased_to_the_clock_of_the_new_process(self) -> None:
         # Guards the 12 s window over a reboot: monotonic clocks start anew, Unix time goes on.
-        j = self.open(to_unix=1000.0)
+        j = self.open(unix_offset_s=1000.0)
         j.append(AcceptedRecord(call("a"), 20.0))
         j.append(AttemptStartedRecord("a", 1.0, "s-1"))
-        (a,) = self.open(to_unix=1015.0).restored()
+        (a,) = self.open(unix_offset_s=1015.0).restored()
         assert (a.expires_at, a.history[0].started_at) == (5.0, -14.0)
 
     def test_a_torn_tail_loses_only_its_record(self) -> None:
