--- a/juniperward/forwarder/control_output.py
+++ b/juniperward/forwarder/control_output.py
@@ -40,7 +40,7 @@
                 body,
                 name=self._name,
                 started_at=self._started_at,
-                journal_bytes=journal.size,
+                journal_bytes=journal.file_bytes,
                 journal_live_bytes=journal.live_bytes,
             )
         return body
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -93,7 +93,7 @@
         self.disk_bytes = disk_bytes - 4 * BLOCK_BYTES
         self.unix_offset_s = unix_offset_s
         self.live = LiveLines()
-        self.size = 0  # bytes of the file
+        self.file_bytes = 0  # bytes of the file
         self.lock = threading.Lock()
         self._descriptor = -1
         self._is_torn = False  # the latest write was incomplete
@@ -127,12 +127,12 @@
             self._check_capacity(len(line))
         if self._should_compact(len(line)):
             self._compact_if_possible()
-        if self.size + len(line) > self.disk_bytes:
+        if self.file_bytes + len(line) > self.disk_bytes:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         # A record must not continue the line of one whose write failed, or both would be lost.
         written = b"\n" + line if self._is_torn else line
         self._is_torn = True
-        self.size += len(written)
+        self.file_bytes += len(written)
         _write(self._descriptor, written)
         self._is_torn = False
         self.live.add(record, line)
@@ -154,12 +154,12 @@
 
     def _should_compact(self, line_bytes: int) -> bool:
         live_bytes = self.live.bytes
-        if self.size + live_bytes > self.disk_bytes:
+        if self.file_bytes + live_bytes > self.disk_bytes:
             return False  # both files would not fit
-        if self.size - live_bytes < MIN_COMPACTION_GAIN_BYTES:
+        if self.file_bytes - live_bytes < MIN_COMPACTION_GAIN_BYTES:
             return False
         capacity = self.disk_bytes - live_bytes - line_bytes  # beyond it a later compaction would not fit
-        return self.size + line_bytes > min(max(MIN_COMPACTION_FILE_BYTES, 2 * live_bytes), capacity)
+        return self.file_bytes + line_bytes > min(max(MIN_COMPACTION_FILE_BYTES, 2 * live_bytes), capacity)
 
     def _replay(self) -> tuple[RestoredMessage, ...]:
         self.compacted_path.unlink(
@@ -206,7 +206,7 @@
         if self._descriptor >= 0:
             os.close(self._descriptor)
         self._descriptor = compacted
-        self.size = len(data)
+        self.file_bytes = len(data)
         self._is_torn = False
         increment("journal_compactions")
 
