--- a/juniperward/forwarder/__init__.py
+++ b/juniperward/forwarder/__init__.py
@@ -1,1 +1,1 @@
-"""The forwarder: one process that takes messages, journals them and delivers each or tells its end."""
+"""The forwarder: a process that accepts messages, journals them, and delivers each or reports that it could not."""
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -60,7 +60,7 @@
         settings.dial_timeout_s,
         settings.keepalive_s,
         bounds.calls,
-        bounds.idle_to_endpoints,
+        bounds.idle_endpoint_connections,
         max_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
     endpoint_client = EndpointClient(limits, queue.post, journal.append)
--- a/juniperward/forwarder/codec.py
+++ b/juniperward/forwarder/codec.py
@@ -1,6 +1,6 @@
-"""The client protocol over HTTP: a request to a `Message`, and a reply of the reducer to bytes.
+"""The codec of the client protocol over HTTP: decodes requests as messages and encodes replies.
 
-Only here are the names of the protocol's headers; a second protocol would get a codec of its own.
+The header names of the protocol appear in this module only.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from juniperward.net.http_values import DECIMAL, HttpRequest
 
 MESSAGE_PATH = "/api"
-# Printable, and no comma: that is how repeated headers are joined.
+# Printable ASCII without the comma, which joins the values of repeated headers.
 MESSAGE_ID = re.compile(r"[!-+\--~]{1,200}")
 DESTINATION = re.compile(r"(?:^|[;,\s])dest\s*=\s*([0-9]{1,15})(?=$|[;,\s])")
 
 
 class UnreadableMessageError(Exception):
-    """The request is HTTP but no message of this protocol; the client receives the text."""
+    """A valid HTTP request is not a valid message of this protocol; the error text is sent to the client."""
 
     def __init__(self, header: str, problem: str) -> None:
-        """Say which header it is, and what is wrong with it."""
+        """Name the invalid header and describe the problem."""
         super().__init__(f"{header}: {problem}")
         self.header = header
 
 
 def decode_message(request: HttpRequest, names: SettingsNames) -> Message:
-    """Return the message that a request brings; raises UnreadableMessageError."""
+    """Decode the message of a request; raises UnreadableMessageError."""
     headers = request.headers
     message_id = headers.get("x-correlation-id", "")
     if not MESSAGE_ID.fullmatch(message_id):
@@ -64,10 +64,10 @@
 
 
 def _destination(headers: dict[str, str]) -> int:
-    found = DESTINATION.search(headers.get("x-addressing", ""))
-    if found is None:
+    match = DESTINATION.search(headers.get("x-addressing", ""))
+    if match is None:
         raise UnreadableMessageError("X-Addressing", "dest=NUMBER is needed")
-    return int(found[1])
+    return int(match[1])
 
 
 def _executed_ago(headers: dict[str, str], message_id: str) -> float | None:
@@ -80,7 +80,7 @@
 
 
 def encode_reply(status: int, retry_after_s: float, close: bool, text: str = "") -> bytes:
-    """Return the answer to a request that brings a message."""
+    """Encode the reply to a message; a wait of 0 sends no Retry-After, an empty text no body."""
     headers = {"Retry-After": f"{retry_after_s:.3f}"} if retry_after_s > 0 else {}
     if text:
         headers["Content-Type"] = "text/plain; charset=utf-8"
--- a/juniperward/forwarder/descriptors.py
+++ b/juniperward/forwarder/descriptors.py
@@ -22,16 +22,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DescriptorBounds:
+class ConnectionLimits:
     """The most connections of each use."""
 
     clients: int
     closing_clients: int  # beside `clients`
     calls: int  # a thread and a connection each
-    idle_to_endpoints: int
+    idle_endpoint_connections: int
 
 
-def divide_descriptors(max_sockets: int, slots: int) -> DescriptorBounds:
+def divide_descriptors(max_sockets: int, slots: int) -> ConnectionLimits:
     """Return the bounds: four parts of seven to clients, two to calls, one to idle connections to endpoints.
 
     A part is at most an eighth of the limit. Each use gets at least one, however small the limit is.
@@ -39,9 +39,9 @@
     available = max_sockets - RESERVED_DESCRIPTORS
     part = max(min(max_sockets // MAX_PART_FRACTION, available // PARTS), 1)
     closing_clients = min(MAX_CLOSING_CLIENTS, part)
-    return DescriptorBounds(
+    return ConnectionLimits(
         clients=CLIENT_PARTS * part - closing_clients,
         closing_clients=closing_clients,
         calls=min(2 * slots + SPARE_CALLS, CALL_PARTS * part),
-        idle_to_endpoints=part,
+        idle_endpoint_connections=part,
     )
--- a/juniperward/forwarder/endpoint_list_codec.py
+++ b/juniperward/forwarder/endpoint_list_codec.py
@@ -1,7 +1,7 @@
-"""The codec of discovery's endpoint list: one JSON object of it to a typed update.
+"""The codec of discovery's endpoint list: decodes one JSON object as a typed update.
 
-The objects come over the watch (`discovery_watch.py`) and in the configuration (`config.py`). The platform's words
-for an entry's fields and states are here alone.
+The objects come from the watch (`discovery_watch.py`) and from the configuration (`config.py`). The wire names of an
+entry's fields and states appear in this module only.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.events import EndpointPhase
 
-PHASES = {
+PHASES_BY_STATE = {
     "Ready": EndpointPhase.READY,
     "Terminating": EndpointPhase.DRAINING,
     "Gone": EndpointPhase.REMOVED,
 }
-NO_RATE = 0.0  # of an endpoint that is listed without a rate
+UNLISTED_RATE = 0.0  # the rate of an endpoint that is listed without one
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A version of the endpoint list: all of its endpoints where `full`, else those that changed."""
+    """A version of the endpoint list: all endpoints if `full`, else only those that changed."""
 
     version: int
     full: bool
@@ -34,10 +34,10 @@
 
 
 def read_endpoint_list_update(value: Any, names: SettingsNames) -> EndpointListUpdate:
-    """Decode one object of the list; an entry that cannot be read is counted, logged and left out.
+    """Decode one update; an entry that cannot be read is counted, logged and skipped.
 
     Raises:
-        KeyError, ValueError, TypeError, AttributeError: where the object itself is not a list of endpoints.
+        KeyError, ValueError, TypeError, AttributeError: where the object itself is not an update of the list.
 
     """
     endpoints = []
@@ -45,9 +45,9 @@
         try:
             endpoints.append(_read_endpoint(entry, names))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
-            # The same entry comes again with every watch: an error here would reject each later update, too.
+            # Discovery sends the entry again with each watch, so raising here would reject every later update too.
             increment("endpoint_entries_unreadable")
-            log("discovery", "entry unreadable", type=type(error).__name__, error=error)
+            log("discovery", "entry unreadable; skipped", type=type(error).__name__, error=error)
     return EndpointListUpdate(int(value["version"]), bool(value["full"]), tuple(endpoints))
 
 
@@ -58,7 +58,7 @@
         host=host,
         port=port,
         destination=int(entry["cell"]),
-        phase=PHASES[entry["state"]],
+        phase=PHASES_BY_STATE[entry["state"]],
         kind=_position(entry.get("kind"), names.kinds),
         zone=_position(entry.get("zone"), names.zones),
         listed_rate=_read_rate(entry.get("weight")),
@@ -66,14 +66,14 @@
 
 
 def _position(name: Any, names: tuple[str, ...]) -> int:
-    """Return a name's position; 0 for a name that the settings do not have."""
+    """Return the position of a name; 0 for a name that is not in the settings."""
     return names.index(name) if name in names else 0
 
 
 def _read_rate(value: Any) -> float:
-    """Return a listed rate; one that is not a finite rate counts as not listed and does not cost the endpoint."""
+    """Return a listed rate; an invalid one is counted and treated as unlisted, and the endpoint is kept."""
     if value is None:
-        return NO_RATE
+        return UNLISTED_RATE
     try:
         rate = float(value)
     except (ValueError, TypeError, OverflowError):
@@ -81,4 +81,4 @@
     if 0 <= rate < math.inf:
         return rate
     increment("listed_rates_invalid")
-    return NO_RATE
+    return UNLISTED_RATE
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -1,8 +1,9 @@
 """The journal file: appends records, replays them at the start, and compacts the file.
 
-In come the records of `records`; out, once at the start, what the journal says of messages that are not completed.
-Writes survive the process, not the machine: nothing is synced. A line whose checksum does not match is skipped: a
-torn last line is what a killed process leaves. A compaction drops the records of completed messages.
+The records are those of `records.py`. At the start, replay returns the messages that are not completed. Writes
+survive a crash of the process but not of the machine, because the file is never synced. Replay skips a line whose
+checksum does not match, such as the torn last line of a killed process. Compaction drops the records of completed
+messages.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from pathlib import Path
 
 from juniperward.forwarder.journal_codec import decode, encode, message_id
-from juniperward.forwarder.ledger import Ledger
+from juniperward.forwarder.ledger import IncompleteMessages
 from juniperward.forwarder.records import (
     AcceptedRecord,
     AttemptFinishedRecord,
@@ -25,33 +26,38 @@
 from juniperward.forwarder.telemetry import increment, log
 
 JOURNAL_NAME, COMPACTED_NAME = "journal", "journal.new"
-BLOCK_BYTES = 512  # the disk is counted in full blocks
-MAX_LIVE_FRACTION = 0.45  # of the disk for messages not completed; a compaction doubles it for a moment
-MIN_COMPACTION_FILE_BYTES = 65536  # a smaller file is not compacted
-MIN_COMPACTION_GAIN_BYTES = 16384  # nor is one with less than this of completed messages
-RESERVED_BYTES = 400  # of each message not completed: three attempts with their outcomes, and its completion
+BLOCK_BYTES = 512  # the unit in which the platform counts disk usage
+# The fraction of the disk quota that incomplete messages may need. It is below one half because a compaction holds
+# two copies of their records for a moment.
+MAX_LIVE_FRACTION = 0.45
+MIN_COMPACTION_FILE_BYTES = 65536
+MIN_COMPACTION_GAIN_BYTES = 16384
+# Reserved for the later records of each message: three attempts with their outcomes, and the completion.
+RESERVED_BYTES_PER_MESSAGE = 400
 
 
 class JournalFullError(Exception):
-    """There is no safe capacity for another message."""
+    """The journal cannot accept another message without risking the records of those it has."""
 
     def __init__(self, needed_bytes: int, limit_bytes: int) -> None:
-        """Tell what messages that are not completed might come to need, and what they may."""
+        """Store how many bytes the incomplete messages may need, and how many are available to them."""
         self.needed_bytes, self.limit_bytes = needed_bytes, limit_bytes
-        super().__init__(f"{needed_bytes} bytes may be needed, {limit_bytes} are there")
+        super().__init__(
+            f"journal full: incomplete messages may need {needed_bytes} bytes, the limit is {limit_bytes}"
+        )
 
 
-class LiveLines:
-    """The lines of each message that is not completed: what a compaction copies."""
+class IncompleteMessageLines:
+    """The journal lines of each message that is not completed; a compaction copies these."""
 
     def __init__(self) -> None:
-        """Begin without lines."""
+        """Start without messages."""
         self.lines: dict[str, list[bytes]] = {}
         self.bytes = 0
-        self.reserved_bytes = 0  # that they may come to fill
+        self.reserved_bytes = 0  # including the records that are still to come
 
     def __contains__(self, message: str) -> bool:
-        """Return whether a message is not completed."""
+        """Return whether the message with this id is not completed."""
         return message in self.lines
 
     def __len__(self) -> int:
@@ -59,11 +65,11 @@
         return len(self.lines)
 
     def all(self) -> bytes:
-        """Return all lines, message by message."""
+        """Return all lines, grouped by message."""
         return b"".join([line for lines in self.lines.values() for line in lines])
 
     def add(self, record: JournalRecord, line: bytes) -> None:
-        """Add the line of a record, and drop the lines that it supersedes."""
+        """Add the line of a record, and drop the lines that the record supersedes."""
         message = message_id(record)
         is_first = isinstance(record, AcceptedRecord | OutcomeDecidedRecord)
         supersedes = is_first or isinstance(record, CompletedRecord)
@@ -80,43 +86,49 @@
         if lines:
             length = sum(map(len, lines))
             self.bytes += sign * length
-            self.reserved_bytes += sign * max(len(lines[0]) + RESERVED_BYTES, length)
+            self.reserved_bytes += sign * max(len(lines[0]) + RESERVED_BYTES_PER_MESSAGE, length)
 
 
 class Journal:
-    """The file and what it holds; `lock` lets the loop and the threads of attempts write to it."""
+    """The journal file and its incomplete messages; `append` may be called from any thread."""
 
     def __init__(self, folder: Path, disk_bytes: int, unix_offset_s: float) -> None:
-        """Replay the folder's journal and compact it; `unix_offset_s` added to monotonic time gives Unix time."""
+        """Replay and compact the journal in a folder; `unix_offset_s` is Unix time minus monotonic time."""
         self.path = folder / JOURNAL_NAME
         self.compacted_path = folder / COMPACTED_NAME
         self.disk_bytes = disk_bytes - 4 * BLOCK_BYTES
         self.unix_offset_s = unix_offset_s
-        self.live = LiveLines()
-        self.file_bytes = 0  # bytes of the file
+        self.live = IncompleteMessageLines()
+        self.file_bytes = 0
         self.lock = threading.Lock()
         self._descriptor = -1
-        self._is_torn = False  # the latest write was incomplete
+        self._is_torn = False  # whether the last write was incomplete
         self._restored = self._replay()
         self._compact()
 
     @property
     def live_bytes(self) -> int:
-        """The bytes of messages that are not completed."""
+        """The size of the lines of incomplete messages."""
         return self.live.bytes
 
     def restored(self) -> tuple[RestoredMessage, ...]:
-        """Return the messages that were not completed at the start, in the order accepted; once."""
+        """Return the incomplete messages that replay found, in the order accepted; a second call returns none."""
         restored, self._restored = self._restored, ()
         return restored
 
     def append(self, record: JournalRecord) -> None:
-        """Write a record; raises JournalFullError for a message without safe capacity, or OSError."""
+        """Write a record.
+
+        Raises:
+            JournalFullError: where there is no capacity for a new message.
+            OSError: where the write fails or exceeds the disk quota.
+
+        """
         with self.lock:
             self._append(record)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal file."""
         os.close(self._descriptor)
 
     def _append(self, record: JournalRecord) -> None:
@@ -129,7 +141,7 @@
             self._compact_if_possible()
         if self.file_bytes + len(line) > self.disk_bytes:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        # A record must not continue the line of one whose write failed, or both would be lost.
+        # After an incomplete write, begin a new line: a record appended to the torn line would be lost with it.
         written = b"\n" + line if self._is_torn else line
         self._is_torn = True
         self.file_bytes += len(written)
@@ -139,15 +151,19 @@
         increment("journal_records")
 
     def _is_redundant(self, record: JournalRecord) -> bool:
-        """Whether a record is of a completed message, or says what a started attempt without an outcome says."""
+        """Return whether replay does not need a record.
+
+        This holds for records of completed messages, and for "possibly executed", which replay assumes of each
+        attempt that has no recorded outcome.
+        """
         if isinstance(record, AcceptedRecord):
             return False
         possibly_executed = isinstance(record, AttemptFinishedRecord) and record.possibly_executed
         return possibly_executed or message_id(record) not in self.live
 
     def _check_capacity(self, line_bytes: int) -> None:
-        """Raise JournalFullError where a new message might leave too little for those that are there."""
-        needed_bytes = self.live.reserved_bytes + line_bytes + RESERVED_BYTES
+        """Raise JournalFullError where a new message could leave too little space for the present ones."""
+        needed_bytes = self.live.reserved_bytes + line_bytes + RESERVED_BYTES_PER_MESSAGE
         limit_bytes = int(MAX_LIVE_FRACTION * self.disk_bytes)
         if needed_bytes > limit_bytes:
             raise JournalFullError(needed_bytes, limit_bytes)
@@ -155,17 +171,19 @@
     def _should_compact(self, line_bytes: int) -> bool:
         live_bytes = self.live.bytes
         if self.file_bytes + live_bytes > self.disk_bytes:
-            return False  # both files would not fit
+            return False  # the old and the new file together would exceed the quota
         if self.file_bytes - live_bytes < MIN_COMPACTION_GAIN_BYTES:
             return False
-        capacity = self.disk_bytes - live_bytes - line_bytes  # beyond it a later compaction would not fit
-        return self.file_bytes + line_bytes > min(max(MIN_COMPACTION_FILE_BYTES, 2 * live_bytes), capacity)
+        # With a larger file, the next compaction would not fit on the disk.
+        max_file_bytes = self.disk_bytes - live_bytes - line_bytes
+        return self.file_bytes + line_bytes > min(
+            max(MIN_COMPACTION_FILE_BYTES, 2 * live_bytes), max_file_bytes
+        )
 
     def _replay(self) -> tuple[RestoredMessage, ...]:
-        self.compacted_path.unlink(
-            missing_ok=True
-        )  # of a compaction that was cut off: the journal is in force
-        ledger = Ledger()
+        # An interrupted compaction may leave its file; the journal is still the one in use.
+        self.compacted_path.unlink(missing_ok=True)
+        messages = IncompleteMessages()
         try:
             lines = self.path.read_bytes().split(b"\n")
         except FileNotFoundError:
@@ -176,24 +194,24 @@
             record = decode(line, self.unix_offset_s)
             if record is None:
                 increment("journal_damaged")
-                log("journal", "line damaged", line=number, lines=len(lines))
+                log("journal", "damaged line skipped", line=number, lines=len(lines))
                 continue
-            ledger.apply(record)
+            messages.apply(record)
             if message_id(record) in self.live or isinstance(record, AcceptedRecord | OutcomeDecidedRecord):
                 self.live.add(record, line + b"\n")
-        return tuple(ledger.open.values())
+        return tuple(messages.by_id.values())
 
     def _compact_if_possible(self) -> None:
-        """Compact; where that fails the file stays in use, and the next record may still fit there."""
+        """Compact the journal; where that fails, keep using the present file."""
         try:
             self._compact()
         except OSError as error:
             increment("journal_compactions_failed")
-            log("journal", "compaction failed", error=error)
-            self.compacted_path.unlink(missing_ok=True)  # the journal needs its bytes of the disk
+            log("journal", "compaction failed; present file stays in use", error=error)
+            self.compacted_path.unlink(missing_ok=True)  # frees its bytes for the journal
 
     def _compact(self) -> None:
-        """Write the lines of messages that are not completed to a new file, and replace the journal by it."""
+        """Write the lines of incomplete messages to a new file, and replace the journal with it."""
         data = self.live.all()
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         compacted = os.open(self.compacted_path, flags, 0o600)
--- a/juniperward/forwarder/journal_codec.py
+++ b/juniperward/forwarder/journal_codec.py
@@ -1,7 +1,7 @@
-"""The journal's file format: a record to a line of the file, and back.
+"""The codec of the journal's file format: encodes a record as a line of the file, and decodes it.
 
 A line is the CRC-32 of its text in hex, a space, and a JSON array that begins with the record's kind and the
-message's id. Times are Unix time in the file and monotonic time everywhere else; `unix_offset_s` is the offset.
+message's id. The file has Unix times and the records have monotonic times; `unix_offset_s` is the difference.
 """
 
 from __future__ import annotations
@@ -22,11 +22,12 @@
     OutcomeDecidedRecord,
 )
 
-ACCEPTED_VALUES = 7  # of an accepted record of the oldest version; later ones added values at the end
+# The number of values in an accepted record of the oldest version; later versions append values.
+MIN_ACCEPTED_VALUES = 7
 
 
 class RecordKind(StrEnum):
-    """The kind of a record; the values are those of the file."""
+    """The kind of a record, by its name in the file."""
 
     ACCEPTED = "taken"
     ATTEMPT_STARTED = "began"
@@ -39,7 +40,7 @@
 
 
 def encode(record: JournalRecord, unix_offset_s: float) -> bytes:
-    """Return the line of a record."""
+    """Return the line of a record, with its newline."""
     text = _encode_json(_encode_row(record, unix_offset_s)).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
@@ -75,7 +76,7 @@
 
 
 def decode(line: bytes, unix_offset_s: float) -> JournalRecord | None:
-    """Return the record of one line, or None for one that is damaged."""
+    """Return the record of a line without its newline, or None for a damaged line."""
     try:
         checksum, text = line.split(b" ", 1)
         if int(checksum, 16) == zlib.crc32(text):
@@ -88,7 +89,7 @@
 def _decode_row(row: Any, unix_offset_s: float) -> JournalRecord | None:
     record: JournalRecord | None = None
     match row:
-        case [RecordKind.ACCEPTED, *values] if len(values) >= ACCEPTED_VALUES:
+        case [RecordKind.ACCEPTED, *values] if len(values) >= MIN_ACCEPTED_VALUES:
             record = _decode_accepted(values, unix_offset_s)
         case [RecordKind.ATTEMPT_STARTED, message, started, endpoint]:
             record = AttemptStartedRecord(message, started - unix_offset_s, endpoint)
@@ -102,10 +103,10 @@
 
 
 def _decode_accepted(values: list[Any], unix_offset_s: float) -> AcceptedRecord:
-    message_id, class_index, tenant, destination, idempotency_key, expires, body, *added = values
-    # An older version wrote neither of the added values, or the first alone.
-    executed = added[0] if added else None
-    time_left_s = added[1] if len(added) > 1 else None
+    message_id, class_index, tenant, destination, idempotency_key, expires, body, *optional = values
+    # Older versions wrote neither of the optional values, or only the first.
+    executed = optional[0] if optional else None
+    time_left_s = optional[1] if len(optional) > 1 else None
     message = Message(
         message_id,
         class_index,
@@ -120,7 +121,7 @@
 
 
 def message_id(record: JournalRecord) -> str:
-    """Return the id of a record's message."""
+    """Return the id of the message that a record belongs to."""
     match record:
         case AcceptedRecord(message=message):
             return message.id
--- a/juniperward/forwarder/ledger.py
+++ b/juniperward/forwarder/ledger.py
@@ -1,6 +1,6 @@
-"""What the records of a journal say together: the messages that are not completed.
+"""Rebuilds the messages that are not completed from the journal's records.
 
-The journal applies the records in their order and reads `open` at the end.
+The journal applies its records in order and then reads `by_id`.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 )
 
 
-class Ledger:
-    """Messages that are not completed, by id, in the order accepted."""
+class IncompleteMessages:
+    """The messages that are not completed; `by_id` has them in the order accepted."""
 
     def __init__(self) -> None:
-        """Begin without messages."""
-        self.open: dict[str, RestoredMessage] = {}
+        """Start without messages."""
+        self.by_id: dict[str, RestoredMessage] = {}
 
     def apply(self, record: JournalRecord) -> None:
-        """Apply the next record; one of a completed message changes nothing."""
+        """Apply the next record; a record of a completed message has no effect."""
         match record:
             case AcceptedRecord(message=message, expires_at=expires_at, executed_at=executed_at):
-                # A redrive was attempted before it was stored: its deduplication window counts from then.
+                # The deduplication window of a redrive starts at its execution before it became a dead letter.
                 earlier = (RecordedAttempt("", executed_at),) if executed_at is not None else ()
-                self.open[message.id] = RestoredMessage(message, expires_at, earlier)
+                self.by_id[message.id] = RestoredMessage(message, expires_at, earlier)
             case CompletedRecord(id=message_id):
-                self.open.pop(message_id, None)
+                self.by_id.pop(message_id, None)
             case OutcomeDecidedRecord(notification=notification):
-                # Its content is not needed any more: only its notification is left to send.
+                # Only the notification remains to be sent, so the message needs no content.
                 message = Message(notification.id, 0, 0, 0, 0.0, None, b"")
-                self.open[notification.id] = RestoredMessage(message, 0.0, (), notification)
+                self.by_id[notification.id] = RestoredMessage(message, 0.0, (), notification)
             case AttemptStartedRecord(id=message_id, started_at=started_at, endpoint=endpoint):
-                restored = self.open.get(message_id)
+                restored = self.by_id.get(message_id)
                 if restored is not None:
                     history = (*restored.history, RecordedAttempt(endpoint, started_at))
-                    self.open[message_id] = replace(restored, history=history)
+                    self.by_id[message_id] = replace(restored, history=history)
             case AttemptFinishedRecord(id=message_id, possibly_executed=possibly_executed):
-                restored = self.open.get(message_id)
+                restored = self.by_id.get(message_id)
                 if restored is not None and restored.history:
                     last = replace(restored.history[-1], possibly_executed=possibly_executed)
-                    self.open[message_id] = replace(restored, history=(*restored.history[:-1], last))
+                    self.by_id[message_id] = replace(restored, history=(*restored.history[:-1], last))
--- a/juniperward/forwarder/limited_json.py
+++ b/juniperward/forwarder/limited_json.py
@@ -1,4 +1,4 @@
-"""JSON from outside, with a limit on its nesting: the threads of a forwarder have small stacks."""
+"""Decodes untrusted JSON with a limit on nesting, as the threads of a forwarder have small stacks."""
 
 from __future__ import annotations
 
@@ -6,20 +6,26 @@
 
 
 class NestingError(ValueError):
-    """JSON opens more arrays and objects than its reader allows; `max_open` is how many."""
+    """JSON has more than `max_containers` arrays and objects."""
 
-    def __init__(self, max_open: int) -> None:
-        """Name the limit."""
-        super().__init__(f"more than {max_open} arrays and objects")
-        self.max_open = max_open
+    def __init__(self, max_containers: int) -> None:
+        """Store the limit."""
+        super().__init__(f"JSON has more than {max_containers} arrays and objects")
+        self.max_containers = max_containers
 
 
-def read_json(text: bytes, max_open: int) -> object:
-    """Decode JSON of at most so many arrays and objects; raises ValueError, for more of them NestingError.
+def read_json(text: bytes, max_containers: int) -> object:
+    """Decode JSON with at most `max_containers` arrays and objects.
+
+    The standard decoder recurses in C for each nested container, and would overflow a stack of 128 KiB before it
+    reaches its own recursion limit.
+
+    Raises:
+        NestingError: where there are more arrays and objects.
+        ValueError: where the text is not JSON.
 
-    The decoder recurses in C for each that opens: 128 KiB of stack end before its own limit does.
     """
-    if text.count(b"{") + text.count(b"[") > max_open:
-        raise NestingError(max_open)
+    if text.count(b"{") + text.count(b"[") > max_containers:
+        raise NestingError(max_containers)
     decoded: object = json.loads(text)
     return decoded
--- a/juniperward/forwarder/notification_codec.py
+++ b/juniperward/forwarder/notification_codec.py
@@ -1,4 +1,4 @@
-"""The codec of notifications: an `OutcomeNotification` to a line of JSON, in the platform's words."""
+"""The codec of notifications: encodes each `OutcomeNotification` as a line of JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def encode_notifications(notifications: Iterable[OutcomeNotification]) -> bytes:
-    """Return the body of a request with these notifications, a line each."""
+    """Return the request body with these notifications, one per line."""
     return b"".join(_encode(notification) for notification in notifications)
 
 
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -35,9 +35,9 @@
 
 THREAD_STACK_BYTES = 128 * 1024  # docs/architecture.md has the measurement
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
-EXIT_WITHIN_S = 3.3  # from SIGTERM to the end; SIGKILL follows after 3.7
-ACCEPT_FOR_S = 0.8  # from SIGTERM for which new connections are answered
-LOOP_END_SLACK_S = 0.2
+SHUTDOWN_TIMEOUT_S = 3.3  # from SIGTERM to the end; SIGKILL follows after 3.7
+ACCEPT_GRACE_PERIOD_S = 0.8  # from SIGTERM for which new connections are answered
+LOOP_END_MARGIN_S = 0.2
 
 
 class ExitCode(IntEnum):
@@ -170,8 +170,8 @@
     """Have attempts and connections end in their time; returns once the loop has ended, or its time is over."""
     began = time.monotonic()
     server = loop.executor.server
-    loop.queue.post(ShutdownRequested(began + ACCEPT_FOR_S, began + EXIT_WITHIN_S))
+    loop.queue.post(ShutdownRequested(began + ACCEPT_GRACE_PERIOD_S, began + SHUTDOWN_TIMEOUT_S))
     server.stop()
-    loop_thread.join(ACCEPT_FOR_S)
+    loop_thread.join(ACCEPT_GRACE_PERIOD_S)
     server.close()
-    loop_thread.join(began + EXIT_WITHIN_S + LOOP_END_SLACK_S - time.monotonic())
+    loop_thread.join(began + SHUTDOWN_TIMEOUT_S + LOOP_END_MARGIN_S - time.monotonic())
--- a/juniperward/forwarder/stored_outcomes.py
+++ b/juniperward/forwarder/stored_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts as traces and stored dead letters have them."""
+"""The names of attempt outcomes in traces and in stored dead letters."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class StoredOutcome(StrEnum):
-    """The outcome of an attempt; the values are those of the spool and of traces."""
+    """The outcome of an attempt, by its name in the spool and in traces.
+
+    Replay of the journal knows only whether an earlier attempt possibly executed: its outcome is UNKNOWN if it did,
+    else NEVER_EXECUTED.
+    """
 
     ERROR = "error"
     OK = "ok"
@@ -18,8 +22,8 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    UNKNOWN = "unknown"  # of an attempt before a restart that possibly executed
-    NEVER_EXECUTED = "never_ran"  # of one that did not
+    UNKNOWN = "unknown"
+    NEVER_EXECUTED = "never_ran"
 
 
 STORED_OUTCOMES = {
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -51,15 +51,15 @@
         for limit in range(MIN_SOCKETS, 4096):
             for slots in (1, 4, 1000):
                 b = divide_descriptors(limit, slots)
-                shared = b.clients + b.closing_clients + b.calls + b.idle_to_endpoints
+                shared = b.clients + b.closing_clients + b.calls + b.idle_endpoint_connections
                 assert shared + RESERVED_DESCRIPTORS <= limit, f"{limit}: {b}"
-                assert min(b.clients, b.closing_clients, b.calls, b.idle_to_endpoints) >= 1
+                assert min(b.clients, b.closing_clients, b.calls, b.idle_endpoint_connections) >= 1
 
     def test_usual_descriptor_limits_are_divided_into_eighths(self) -> None:
         for limit in (256, 1024):
             b = divide_descriptors(limit, 1000)
             assert (b.clients, b.closing_clients) == (limit // 2 - 16, 16)
-            assert (b.calls, b.idle_to_endpoints) == (limit // 4, limit // 8)
+            assert (b.calls, b.idle_endpoint_connections) == (limit // 4, limit // 8)
         assert divide_descriptors(256, 4).calls == 16  # twice the slots and 8
 
 
