--- a/juniperward/forwarder/attempt_call.py
+++ b/juniperward/forwarder/attempt_call.py
@@ -113,7 +113,7 @@
             return _outcomes_without_answer(call, attempt, error)
         fresh = not connection.reused
         if self.trace is not None:
-            self.trace.answered(attempt.number, fresh, answer.status, answer.close, f"{answer.headers}")
+            self.trace.write_answer(attempt.number, fresh, answer.status, answer.close, f"{answer.headers}")
         if connection.stream.buffer:
             # More bytes than one answer has; they must not become the next call's answer.
             increment("answers_with_excess")
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -36,10 +36,10 @@
         while events:
             now = time.monotonic()
             if self.trace is not None:
-                self.trace.events(now, events)
+                self.trace.write_events(now, events)
             effects = self._reduce(now, events)
             if self.trace is not None:
-                self.trace.effects(now, effects)
+                self.trace.write_effects(now, effects)
             events = [event for effect in effects if (event := self._perform(effect)) is not None]
 
     def _reduce(self, now: float, events: list[Event]) -> list[Effect]:
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -53,7 +53,7 @@
         self._unix_offset_s = unix_offset_s
         self._waiting: dict[int, str] = {}  # by client: destination and id of its message
 
-    def events(self, now: float, events: Iterable[Event]) -> None:
+    def write_events(self, now: float, events: Iterable[Event]) -> None:
         """Write the events of a round."""
         self._write(now, [line for event in events for line in self._event_lines(event)])
 
@@ -73,7 +73,7 @@
                 lines = _attempt_lines(event)
         return lines
 
-    def effects(self, now: float, effects: Iterable[Effect]) -> None:
+    def write_effects(self, now: float, effects: Iterable[Effect]) -> None:
         """Write the effects of a round."""
         self._write(now, [line for effect in effects for line in self._effect_lines(effect)])
 
@@ -96,7 +96,7 @@
                 lines = [f"say {format_event(event, dict(fields))}"]
         return lines
 
-    def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
+    def write_answer(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
         """Write an endpoint's answer as it was read; `fresh`: on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -42,10 +42,10 @@
     with contextlib.redirect_stderr(out):
         trace = Trace(start)
         a, b, c = call("a"), call("b"), call("c")
-        trace.events(
+        trace.write_events(
             0.0, [MessageReceived(1, a, 0.0), MessageReceived(2, b, 0.0), MessageReceived(3, c, 0.0)]
         )
-        trace.effects(
+        trace.write_effects(
             0.0,
             [
                 AcceptMessage(1, 1, AcceptedRecord(a, 12.0)),
@@ -53,16 +53,18 @@
                 AcceptMessage(3, 2, AcceptedRecord(c, 12.0)),
             ],
         )
-        trace.effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
-        trace.events(
+        trace.write_effects(0.1, [StartAttempt(1, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
+        trace.write_events(
             0.15,
             [BatchItemWithdrawn(1, 9, AttemptProgress.WAITING), AttemptCancelled(9, AttemptProgress.WRITTEN)],
         )
-        trace.events(0.2, [AttemptAnswered(1, (ItemOutcome(1, Outcome.OVERLOADED, 0.5),))])
-        trace.effects(0.3, [WriteLog("destination ejected", (("destination", 7), ("reason", "rejects all")))])
-        trace.effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
-        trace.events(2.5, [AttemptAnswered(2, (ItemOutcome(1, Outcome.OK),))])
-        trace.effects(
+        trace.write_events(0.2, [AttemptAnswered(1, (ItemOutcome(1, Outcome.OVERLOADED, 0.5),))])
+        trace.write_effects(
+            0.3, [WriteLog("destination ejected", (("destination", 7), ("reason", "rejects all")))]
+        )
+        trace.write_effects(2.4, [StartAttempt(2, 4, "10.1.0.1", 81, 7, (BatchItem(1, a),), 12.0)])
+        trace.write_events(2.5, [AttemptAnswered(2, (ItemOutcome(1, Outcome.OK),))])
+        trace.write_effects(
             2.6,
             [
                 WriteLog("destination recovered", (("destination", 7),)),
