--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -133,7 +133,7 @@
     def sweep(self, now: float) -> None:
         """Close connections that have been idle for too long, and remove pauses of routes that are over."""
         self.pool.sweep(now)
-        self.gate.sweep(now)
+        self.gate.remove_expired_pauses(now)
 
     def stop_sending(self) -> None:
         """Write no call any more; calls that are written may still be answered."""
--- a/juniperward/forwarder/send_gate.py
+++ b/juniperward/forwarder/send_gate.py
@@ -46,7 +46,7 @@
         with self.lock:
             self.paused_until[route] = max(until, self.paused_until.get(route, until))
 
-    def sweep(self, now: float) -> None:
+    def remove_expired_pauses(self, now: float) -> None:
         """Remove pauses that are over."""
         with self.lock:
             expired = [route for route, until in self.paused_until.items() if until <= now]
