--- a/juniperward/__init__.py
+++ b/juniperward/__init__.py
@@ -1,1 +1,1 @@
-"""juniperward: a message forwarder on real sockets round a delivery scheduler that decides."""
+"""juniperward: a message forwarder, and the delivery scheduler that decides for it."""
--- a/juniperward/__main__.py
+++ b/juniperward/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m juniperward`: without arguments one forwarder, of the standard library alone; else the tool."""
+"""`python -m juniperward`: runs a forwarder if there are no arguments, else the command line tool.
+
+The forwarder imports the standard library only.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 def main() -> int:
-    """The exit code of what was asked for."""
+    """Run the forwarder or the command line tool, and return its exit code."""
     if len(sys.argv) == 1:
         from juniperward.forwarder.start import main as forward
 
--- a/juniperward/forwarder/address.py
+++ b/juniperward/forwarder/address.py
@@ -1,4 +1,4 @@
-"""An address of a listener or a server as `host:port`: text to a pair of host and port, and back."""
+"""Parses and formats network addresses of the form `host:port`."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class BadAddressError(ValueError):
-    """A text is not an address; `text` is what was given."""
+    """The text `text` is not an address."""
 
     def __init__(self, text: str) -> None:
-        """Name the text."""
+        """Store the invalid text."""
         super().__init__(f"not an address of the form host:port: {text!r}")
         self.text = text
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of `host:port`; raises BadAddressError."""
+    """Return the host, without brackets, and the port of `host:port`; raises BadAddressError."""
     host, colon, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not colon or not host or not is_number or not 0 < int(port) <= MAX_PORT:
--- a/juniperward/forwarder/answer_headers.py
+++ b/juniperward/forwarder/answer_headers.py
@@ -1,4 +1,4 @@
-"""What the headers of an endpoint's answer say beside its status: Retry-After and the load report."""
+"""Reads the headers of endpoints' answers: Retry-After and the load report."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.net.http_values import DECIMAL
 
-MAX_RETRY_AFTER_S = 3600.0  # a longer wait counts as none
+MAX_RETRY_AFTER_S = 3600.0  # a longer wait is ignored
 MAX_LOAD_REPORT_BYTES = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An endpoint's load report: the fraction of its rate limit that is left, and the limit in calls a second."""
+    """An endpoint's load report: the unused fraction of its rate limit, and the limit in calls per second."""
 
     capacity_left: float | None = None
     limit_per_s: float | None = None
 
     def is_valid(self) -> bool:
-        """Return whether the fraction is within 0 and 1, and the limit finite and not negative."""
+        """Return whether the fraction is between 0 and 1 and the limit is finite and not negative."""
         is_fraction = self.capacity_left is None or 0 <= self.capacity_left <= 1
         is_rate = self.limit_per_s is None or 0 <= self.limit_per_s < math.inf
         return is_fraction and is_rate
@@ -31,21 +31,21 @@
 
 
 def read_retry_after(headers: dict[str, str]) -> float:
-    """Return the seconds of a Retry-After; 0 where there is none, or none that can be used."""
+    """Return the seconds of Retry-After; 0 where it is absent, invalid or longer than an hour."""
     text = headers.get("retry-after", "0")
     wait_s = float(text) if DECIMAL.fullmatch(text) else 0.0
     return wait_s if wait_s <= MAX_RETRY_AFTER_S else 0.0
 
 
 def read_load_report(headers: dict[str, str]) -> LoadReport:
-    """Return the load report of an answer, an empty one where there is none or none that is valid."""
+    """Return the load report of an answer; an empty one where it is absent or invalid."""
     text = headers.get("x-backend-load", "").encode("latin-1")
     if not text:
         return EMPTY_LOAD_REPORT
     try:
-        given = read_json(text, 1)
-        if isinstance(given, dict) and len(text) <= MAX_LOAD_REPORT_BYTES:
-            load_report = LoadReport(_number(given, "x0"), _number(given, "x1"))
+        report = read_json(text, 1)
+        if isinstance(report, dict) and len(text) <= MAX_LOAD_REPORT_BYTES:
+            load_report = LoadReport(_number(report, "x0"), _number(report, "x1"))
             if load_report.is_valid():
                 return load_report
     except (ValueError, TypeError, OverflowError):
@@ -54,5 +54,5 @@
     return EMPTY_LOAD_REPORT
 
 
-def _number(given: dict[str, str | float], key: str) -> float | None:
-    return float(given[key]) if key in given else None
+def _number(report: dict[str, str | float], key: str) -> float | None:
+    return float(report[key]) if key in report else None
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -1,6 +1,6 @@
-"""The codec of endpoints' answers: a response to the outcome of each message of an attempt, or of a health check.
+"""The codec of endpoints' answers: decodes the outcome of each message of an attempt, or of a health check.
 
-Statuses and words are those of the protocol page, 'Forwarders to endpoints'; `answer_headers.py` reads the headers.
+This module reads the status and the body of a response, and `answer_headers.py` reads its headers.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemState:
-    """What the answer to a batch says of one message; `message_ended`: it is complete elsewhere."""
+    """The state of one message in the answer to a batch; `message_ended`: it was completed elsewhere."""
 
     outcome: Outcome
     message_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMeaning:
-    """What the status of an answer says of every message of its attempt."""
+class StatusMeaning:
+    """The meaning of an answer's status, which holds for every message of the attempt."""
 
     outcome: Outcome
     no_slot_free: bool = False
@@ -36,8 +36,9 @@
     connection_table_full: bool = False
 
 
-UNKNOWN_STATE = ItemState(Outcome.ERROR)  # it possibly executed
-STATES = {  # by the protocol's word
+# An error leaves open whether the message was executed.
+UNKNOWN_STATE = ItemState(Outcome.ERROR)
+ITEM_STATES = {  # by the name of the state on the wire
     "ok": ItemState(Outcome.OK),
     "error": ItemState(Outcome.ERROR),
     "later": ItemState(Outcome.OVERLOADED),
@@ -49,30 +50,30 @@
 def same_outcomes(
     attempt: StartAttempt, outcome: Outcome, *, written: bool = True
 ) -> tuple[ItemOutcome, ...]:
-    """Return one outcome for all messages of an attempt that got no answer."""
+    """Return the same outcome for each message of an attempt that got no answer."""
     return tuple(ItemOutcome(item.message, outcome, written=written) for item in attempt.items)
 
 
 def read_health(answer: HttpResponse, fresh: bool = False) -> Outcome:
-    """Return what a health check's answer says; `fresh`: it came on a new connection."""
+    """Return the outcome of a health check; `fresh`: the answer came on a new connection."""
     match answer.status:
         case HttpStatus.OK:
             return Outcome.OK
         case HttpStatus.SERVICE_UNAVAILABLE if fresh and _closed_at_once(answer):
             increment("connection_tables_full")
-            return Outcome.CONNECT_FAILED  # no place in its connection table, as for an attempt
+            return Outcome.CONNECT_FAILED  # the connection table is full, as in `_read_status`
         case HttpStatus.SERVICE_UNAVAILABLE | HttpStatus.TOO_MANY_REQUESTS:
             return Outcome.OVERLOADED
         case status:
             increment("health_checks_unknown")
-            log("health_check", "unknown status", status=status)
+            log("health_check", "unknown status; treated as an error", status=status)
             return Outcome.ERROR
 
 
 def read_outcomes(
     attempt: StartAttempt, answer: HttpResponse, fresh: bool = False
 ) -> tuple[ItemOutcome, ...]:
-    """Return what an answer says of each message of an attempt; `fresh`: it came on a new connection."""
+    """Return the outcome of each message of an attempt; `fresh`: the answer came on a new connection."""
     retry_after_s = read_retry_after(answer.headers)
     load_report = read_load_report(answer.headers)
     if answer.status == HttpStatus.OK and len(attempt.items) > 1:
@@ -94,47 +95,52 @@
 
 
 def _closed_at_once(answer: HttpResponse) -> bool:
-    """Return whether an endpoint ends the connection without a wait to keep.
+    """Return whether the endpoint closes the connection and sends no Retry-After.
 
-    Over its rate limit an endpoint leaves the connection open; one that ends a new connection at once had no place
-    in its connection table.
+    On a new connection this means that the endpoint's connection table is full: an endpoint that only exceeds its
+    rate limit keeps the connection open.
     """
     return answer.close and read_retry_after(answer.headers) <= 0
 
 
-def _read_status(attempt: StartAttempt, answer: HttpResponse, no_place: bool) -> AnswerMeaning:
-    """Return what a status says; `no_place`: the endpoint ended a new connection at once."""
-    meaning = AnswerMeaning(Outcome.ERROR)
+def _read_status(attempt: StartAttempt, answer: HttpResponse, connection_table_full: bool) -> StatusMeaning:
+    """Return the meaning of a status, counting and logging an unexpected one."""
+    meaning = StatusMeaning(Outcome.ERROR)
     match answer.status:
         case HttpStatus.OK:
-            meaning = AnswerMeaning(Outcome.OK)
+            meaning = StatusMeaning(Outcome.OK)
         case HttpStatus.SERVICE_UNAVAILABLE if answer.headers.get("x-over-slots") == "1":
-            meaning = AnswerMeaning(Outcome.NOT_SENT, no_slot_free=True)
-        case HttpStatus.SERVICE_UNAVAILABLE if no_place:
+            meaning = StatusMeaning(Outcome.NOT_SENT, no_slot_free=True)
+        case HttpStatus.SERVICE_UNAVAILABLE if connection_table_full:
             increment("connection_tables_full")
-            meaning = AnswerMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
+            meaning = StatusMeaning(Outcome.CONNECT_FAILED, connection_table_full=True)
         case HttpStatus.TOO_MANY_REQUESTS | HttpStatus.SERVICE_UNAVAILABLE:
-            meaning = AnswerMeaning(Outcome.OVERLOADED)
+            meaning = StatusMeaning(Outcome.OVERLOADED)
         case HttpStatus.GATEWAY_TIMEOUT:
-            meaning = AnswerMeaning(Outcome.NOT_SENT)
+            meaning = StatusMeaning(Outcome.NOT_SENT)
         case HttpStatus.GONE:
-            meaning = AnswerMeaning(Outcome.NOT_SENT, message_ended=True)
+            meaning = StatusMeaning(Outcome.NOT_SENT, message_ended=True)
         case HttpStatus.BAD_REQUEST | HttpStatus.CONTENT_TOO_LARGE if len(attempt.items) > 1:
             increment("batches_rejected")
-            log("endpoint", "batch rejected", endpoint=_name(attempt), messages=len(attempt.items))
-            meaning = AnswerMeaning(Outcome.NOT_SENT)
+            log(
+                "endpoint",
+                "batch rejected; messages not executed",
+                endpoint=_address(attempt),
+                messages=len(attempt.items),
+            )
+            meaning = StatusMeaning(Outcome.NOT_SENT)
         case HttpStatus.INTERNAL_SERVER_ERROR:
             pass
         case status:
             increment("answers_unknown")
-            log("endpoint", "unknown status", endpoint=_name(attempt), status=status)
+            log("endpoint", "unknown status; treated as an error", endpoint=_address(attempt), status=status)
     return meaning
 
 
 def _read_batch(
     attempt: StartAttempt, answer: HttpResponse, retry_after_s: float, load_report: LoadReport
 ) -> tuple[ItemOutcome, ...]:
-    """Return the outcomes of a batch; a message that is not named, or in unknown words, possibly executed."""
+    """Return the outcomes of a batch; a message without a known state gets an error, as it possibly executed."""
     states = _read_states(attempt, answer)
     outcomes = []
     for item in attempt.items:
@@ -153,17 +159,22 @@
 
 
 def _read_states(attempt: StartAttempt, answer: HttpResponse) -> dict[str, ItemState]:
-    """Return the states by message id; none where the body cannot be read."""
+    """Return the states by message id; an unreadable body is counted and logged, and gives none."""
     try:
         rows = read_json(answer.body, 1 + len(attempt.items))
         if isinstance(rows, list):
-            return {row["id"]: STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
+            return {row["id"]: ITEM_STATES.get(row["state"], UNKNOWN_STATE) for row in rows}
     except (ValueError, TypeError, KeyError):
         pass
     increment("answers_unreadable")
-    log("endpoint", "answer unreadable", endpoint=_name(attempt), messages=len(attempt.items))
+    log(
+        "endpoint",
+        "answer unreadable; treated as an error",
+        endpoint=_address(attempt),
+        messages=len(attempt.items),
+    )
     return {}
 
 
-def _name(attempt: StartAttempt) -> str:
+def _address(attempt: StartAttempt) -> str:
     return format_address((attempt.host, attempt.port))
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a forwarder from its configuration: the parts are connected and the journal read; no thread runs yet."""
+"""Builds a forwarder from its configuration: connects its components and replays the journal; starts no thread."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def build(config: Config) -> Loop:
-    """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
+    """Return the loop of a forwarder; raises OSError if its folder or its address cannot be used."""
     unix_offset_s = time.time() - time.monotonic()
     journal_unix_offset_s = choose_unix_offset(
         config.state_folder, unix_offset_s, read_boot_id(), journal_name=JOURNAL_NAME
@@ -41,7 +41,7 @@
 def _open_dead_letters(config: Config, unix_offset_s: float) -> DeadLetterWriter | None:
     if config.spool is None:
         return None
-    # Loaded only where dead letters are stored.
+    # Imported only if dead letters are stored, so that other forwarders start faster.
     from juniperward.dead_letters.spool import Spool
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
@@ -53,16 +53,18 @@
 def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
     settings = config.settings
     if config.max_sockets < MIN_SOCKETS:
-        log("start", "few descriptors", sockets=config.max_sockets, needed=MIN_SOCKETS)
-    bounds = divide_descriptors(config.max_sockets, settings.slots)
-    server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.closing_clients)
-    limits = EndpointClientLimits(
+        log("start", "descriptor limit too low", sockets=config.max_sockets, needed=MIN_SOCKETS)
+    connection_limits = divide_descriptors(config.max_sockets, settings.slots)
+    server = Server(
+        config.listen, config.names, connection_limits.clients, queue.post, connection_limits.closing_clients
+    )
+    client_limits = EndpointClientLimits(
         settings.dial_timeout_s,
         settings.keepalive_s,
-        bounds.calls,
-        bounds.idle_endpoint_connections,
+        connection_limits.calls,
+        connection_limits.idle_endpoint_connections,
         max_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
-    endpoint_client = EndpointClient(limits, queue.post, journal.append)
+    endpoint_client = EndpointClient(client_limits, queue.post, journal.append)
     discovery = DiscoveryClient(config.discovery, config.names, queue.post)
     return EffectExecutor(journal, server, endpoint_client, discovery, queue)
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -1,7 +1,7 @@
-"""The codec of a forwarder's configuration: the environment and the JSON file to one typed value.
+"""The codec of a forwarder's configuration: decodes the environment and a JSON file as one typed value.
 
-Read at the start by `start.py`, and by `reload.py` at each SIGHUP. The file's keys and the names of the environment
-are here alone; the scheduler's settings in the file have a codec of their own.
+`start.py` reads it at the start, and `reload.py` at each SIGHUP. The keys of the file and the names of the
+environment variables appear in this module only. The scheduler's settings in the file have their own codec.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 DEFAULT_JOURNAL_MB = 1
 DEFAULT_SPOOL_BYTES = 50_000_000
 BYTES_PER_MB = 1_000_000
-SEED_BASE = 16
+SEED_RADIX = 16
 
-# The key of the file for each field; keys that are equal in the file and in `Config` are not repeated here.
-KEYS = {
+# The key in the file of each field of `Config` whose name differs from it.
+FILE_KEYS = {
     "state_folder": "state",
     "max_sockets": "limits.sockets",
     "journal_max_bytes": "limits.disk_mb",
@@ -37,26 +37,26 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says where and why, in one line."""
+    """The configuration is invalid; the text gives the place and the problem in one line."""
 
     def __init__(self, place: str, problem: str) -> None:
-        """Name the place, and what is wrong there."""
+        """Name the file or environment variable, and describe the problem."""
         super().__init__(f"{place}: {problem}")
         self.place, self.problem = place, problem
 
 
 class BadValueError(ValueError):
-    """The value of one key or variable cannot be used."""
+    """The value of a key or an environment variable is invalid."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the key, and what is wrong with its value."""
+        """Name the key or variable, and describe the problem."""
         super().__init__(f"{key}: {problem}")
         self.key, self.problem = key, problem
 
 
 @dataclass(frozen=True, slots=True)
 class SpoolConfig:
-    """Where dead letters are stored until the agent fetches them, and how many bytes of them at most."""
+    """The folder where dead letters are stored until the agent fetches them, and its maximum size."""
 
     folder: Path
     max_bytes: int
@@ -64,7 +64,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of a forwarder."""
+    """The configuration of a forwarder.
+
+    Attributes:
+        name: The name of this forwarder.
+        listen: The address on which it accepts clients.
+        discovery: The address of discovery.
+        state_folder: The folder of the journal.
+        seed: The seed of this forwarder's random numbers.
+        max_sockets: The limit on file descriptors.
+        journal_max_bytes: The disk quota of the state folder.
+        settings: The settings of the scheduler.
+        names: The names in these settings.
+        known_endpoints: The endpoint list in use until discovery's first update.
+        spool: The spool of dead letters; without it they are not stored.
+        control_socket: The path of the control channel; without it none is opened.
+
+    """
 
     name: str
     listen: tuple[str, int]
@@ -75,24 +91,24 @@
     journal_max_bytes: int
     settings: SchedulerSettings
     names: SettingsNames
-    known_endpoints: EndpointListUpdate  # in use until discovery's first update
-    spool: SpoolConfig | None = None  # without it no dead letter is stored
-    control_socket: Path | None = None  # without it no control channel is opened
+    known_endpoints: EndpointListUpdate
+    spool: SpoolConfig | None = None
+    control_socket: Path | None = None
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read the file that the environment names; the environment goes over the file. Raises ConfigError."""
+    """Read the file that ROUTER_CONFIG names; environment variables override it. Raises ConfigError."""
     path = environment.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG", "it is not set")
+        raise ConfigError("ROUTER_CONFIG", "environment variable is not set")
     try:
-        given = json.loads(Path(path).read_text())
+        document = json.loads(Path(path).read_text())
     except OSError as error:
         raise ConfigError(path, error.strerror or str(error)) from error
     except ValueError as error:
         raise ConfigError(path, f"not JSON: {error}") from error
     try:
-        return _from_json(given, environment)
+        return _from_json(document, environment)
     except KeyError as error:
         raise ConfigError(path, f"{error.args[0]!r} is missing") from error
     except (ValueError, TypeError, AttributeError, ArithmeticError) as error:
@@ -100,31 +116,31 @@
 
 
 def changed_keys(before: Config, after: Config) -> tuple[str, ...]:
-    """Return the file's keys whose values differ, each once."""
+    """Return the keys of the file whose values differ, each once."""
     changed = (f.name for f in fields(Config) if getattr(before, f.name) != getattr(after, f.name))
-    return tuple(dict.fromkeys(KEYS.get(name, name) for name in changed))
+    return tuple(dict.fromkeys(FILE_KEYS.get(name, name) for name in changed))
 
 
-def _from_json(given: Any, environment: Mapping[str, str]) -> Config:
-    settings = read_settings(given["settings"])
-    names = read_settings_names(given["settings"])
-    limits = given.get("limits") or {}
-    state_folder = Path(environment.get("ROUTER_STATE") or given["state"])
+def _from_json(document: Any, environment: Mapping[str, str]) -> Config:
+    settings = read_settings(document["settings"])
+    names = read_settings_names(document["settings"])
+    limits = document.get("limits") or {}
+    state_folder = Path(environment.get("ROUTER_STATE") or document["state"])
     if not state_folder.is_dir():
         raise BadValueError("ROUTER_STATE", f"no such folder: {state_folder}")
     return Config(
-        name=environment.get("ROUTER_NAME") or given["name"],
-        listen=parse_address(environment.get("ROUTER_LISTEN") or given["listen"]),
-        discovery=parse_address(environment.get("ROUTER_DISCOVERY") or given["discovery"]),
+        name=environment.get("ROUTER_NAME") or document["name"],
+        listen=parse_address(environment.get("ROUTER_LISTEN") or document["listen"]),
+        discovery=parse_address(environment.get("ROUTER_DISCOVERY") or document["discovery"]),
         state_folder=state_folder,
-        seed=int(str(given["seed"]), SEED_BASE),
+        seed=int(str(document["seed"]), SEED_RADIX),
         max_sockets=int(limits.get("sockets", DEFAULT_MAX_SOCKETS)),
         journal_max_bytes=int(float(limits.get("disk_mb", DEFAULT_JOURNAL_MB)) * BYTES_PER_MB),
         settings=settings,
         names=names,
-        known_endpoints=read_endpoint_list_update(given["known"], names),
-        control_socket=_read_control_socket(given.get("control")),
-        spool=_read_spool(given.get("kept")),
+        known_endpoints=read_endpoint_list_update(document["known"], names),
+        control_socket=_read_control_socket(document.get("control")),
+        spool=_read_spool(document.get("kept")),
     )
 
 
@@ -132,10 +148,10 @@
     if value is None:
         return None
     if not isinstance(value, dict) or not str(value.get("spool", "")).startswith("/"):
-        raise BadValueError("kept", "an object with the absolute path `spool` is needed")
+        raise BadValueError("kept", "must be an object with the absolute path `spool`")
     max_bytes = value.get("max_bytes", DEFAULT_SPOOL_BYTES)
     if type(max_bytes) is not int or max_bytes <= 0:
-        raise BadValueError("kept", f"max_bytes: a number above 0 is needed, not {max_bytes!r}")
+        raise BadValueError("kept", f"max_bytes: must be a whole number above 0, not {max_bytes!r}")
     return SpoolConfig(Path(value["spool"]), max_bytes)
 
 
@@ -143,5 +159,5 @@
     if value is None:
         return None
     if not isinstance(value, str) or not value.startswith("/"):
-        raise BadValueError("control", f"the absolute path of a socket is needed, not {value!r}")
+        raise BadValueError("control", f"must be the absolute path of a socket, not {value!r}")
     return Path(value)
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -1,6 +1,6 @@
 """Writes dead letters and the outcomes of redrives to the spool, from which the agent fetches them.
 
-Called by `effect_executor.py`; `control_output.py` reads the outcomes of redrives here.
+`effect_executor.py` calls it; `control_output.py` reads the outcomes of redrives from it.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 
 class DeadLetterWriter:
-    """Used by the loop only. An error of the spool is counted and logged, and the service continues."""
+    """Writes to the spool, on the loop's thread only. An error of the spool is counted and logged, not raised."""
 
     def __init__(
         self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, unix_offset_s: float
     ) -> None:
-        """Write to a spool; `unix_offset_s` added to monotonic time is Unix time."""
+        """Write to a spool; `unix_offset_s` is Unix time minus monotonic time."""
         self.spool = spool
         self._settings, self._names, self._unix_offset_s = settings, names, unix_offset_s
 
     def store(self, effect: StoreDeadLetter) -> None:
-        """Write a message that is given up to the spool."""
+        """Write an undeliverable message to the spool."""
         try:
             self.spool.append(self._dead_letter(effect))
             increment("dead_letters_stored")
         except OSError as error:
             increment("dead_letters_failed")
-            log("dead_letters", "store failed", message=effect.message.id, error=error)
+            log("dead_letters", "dead letter not stored", message=effect.message.id, error=error)
 
     def _dead_letter(self, effect: StoreDeadLetter) -> SpooledMessage:
         message = effect.message
@@ -63,17 +63,22 @@
         )
 
     def record_redrive_outcome(self, effect: RecordRedriveOutcome) -> None:
-        """Write the outcome of a redrive."""
+        """Write the outcome of a redrive to the spool; where that fails, mark the outcomes as incomplete."""
         executed_at = effect.executed_at + self._unix_offset_s if effect.executed_at is not None else None
         try:
             self.spool.outcomes.record(effect.id, RedriveOutcome(effect.outcome, executed_at))
         except OSError as error:
             increment("dead_letters_failed")
-            log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
+            log(
+                "dead_letters",
+                "redrive outcome not stored; outcomes marked incomplete",
+                redrive=effect.id,
+                error=error,
+            )
             self.spool.outcomes.mark_incomplete()
 
     def redrive_outcomes(self, known: RedriveOutcomes) -> RedriveOutcomes:
-        """Return the reducer's answer completed by the spool, which has the outcomes of finished redrives."""
+        """Return the reducer's answer, completed with the outcomes of finished redrives from the spool."""
         rows = []
         for row in known.outcomes:
             outcome = self.spool.outcomes.get(row.id)
--- a/juniperward/forwarder/descriptors.py
+++ b/juniperward/forwarder/descriptors.py
@@ -1,47 +1,56 @@
 """Divides the process's file descriptors between its uses, so that idle clients cannot exhaust those of the others.
 
-Input: the limit of the settings (`sockets`) and the slots; output: the largest size of each table of connections.
-Called by `assembly.py` at the start.
+`assembly.py` calls it at the start, with the settings' limit on sockets and the number of slots.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Never given to a table: standard streams 3, state folder 1, journal and its second file 2, listener and the
-# connection that it has just accepted 2, watch and notifications 2, configuration read again 1, spool 3, control
-# channel 10 (listener, 8 clients, one more just accepted), and 8 for connections that are being closed.
+# Descriptors outside the tables of connections: standard streams 3, state folder 1, journal and its compacted file 2,
+# listener and the connection that it has just accepted 2, watch and notifications 2, reload of the configuration 1,
+# spool 3, control channel 10 (listener, 8 clients, one more just accepted), and 8 for connections that are closing.
 RESERVED_DESCRIPTORS = 32
-PARTS = 7  # that the others are divided into
-CLIENT_PARTS = 4
-CALL_PARTS = 2  # and one part is for idle connections
-MAX_PART_FRACTION = 8  # a part is at most an eighth of the limit
-MIN_SOCKETS = RESERVED_DESCRIPTORS + PARTS
-MAX_CLOSING_CLIENTS = 16  # clients' connections that may be closing beside a full table
-SPARE_CALLS = 8  # beside two for each slot
+# The other descriptors are divided into equal shares. One share is for idle connections to endpoints.
+SHARE_COUNT = 7
+CLIENT_SHARES = 4
+CALL_SHARES = 2
+MIN_SHARES_OF_LIMIT = 8  # a share is at most an eighth of the limit
+MIN_SOCKETS = RESERVED_DESCRIPTORS + SHARE_COUNT
+MAX_CLOSING_CLIENTS = 16
+CALLS_PER_SLOT = 2
+SPARE_CALLS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The most connections of each use."""
+    """The maximum number of connections of each use.
+
+    Attributes:
+        clients: Open connections of clients.
+        closing_clients: Connections of clients that are closing, in addition to `clients`.
+        calls: Calls to endpoints at the same time; each has a connection and a thread.
+        idle_endpoint_connections: Connections to endpoints without a call.
+
+    """
 
     clients: int
-    closing_clients: int  # beside `clients`
-    calls: int  # a thread and a connection each
+    closing_clients: int
+    calls: int
     idle_endpoint_connections: int
 
 
 def divide_descriptors(max_sockets: int, slots: int) -> ConnectionLimits:
-    """Return the bounds: four parts of seven to clients, two to calls, one to idle connections to endpoints.
+    """Return the limits: four of seven shares for clients, two for calls, one for idle connections to endpoints.
 
-    A part is at most an eighth of the limit. Each use gets at least one, however small the limit is.
+    A share is at most an eighth of `max_sockets`. Each use gets at least one connection, however small that is.
     """
     available = max_sockets - RESERVED_DESCRIPTORS
-    part = max(min(max_sockets // MAX_PART_FRACTION, available // PARTS), 1)
-    closing_clients = min(MAX_CLOSING_CLIENTS, part)
+    share = max(min(max_sockets // MIN_SHARES_OF_LIMIT, available // SHARE_COUNT), 1)
+    closing_clients = min(MAX_CLOSING_CLIENTS, share)
     return ConnectionLimits(
-        clients=CLIENT_PARTS * part - closing_clients,
+        clients=CLIENT_SHARES * share - closing_clients,
         closing_clients=closing_clients,
-        calls=min(2 * slots + SPARE_CALLS, CALL_PARTS * part),
-        idle_endpoint_connections=part,
+        calls=min(CALLS_PER_SLOT * slots + SPARE_CALLS, CALL_SHARES * share),
+        idle_endpoint_connections=share,
     )
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -1,4 +1,4 @@
-"""Performs the reducer's effects, each by the part that does that I/O: journal, server, endpoint client, discovery.
+"""Performs the reducer's effects by calling the journal, the server, the endpoint client or the discovery client.
 
 The loop calls `perform` and hands the event that it returns, if any, to the reducer in the same round of the loop.
 """
@@ -46,32 +46,32 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.net.http_status import HttpStatus
 
-if TYPE_CHECKING:  # loaded where a control channel is open, or dead letters are stored
+if TYPE_CHECKING:  # imported at run time only if a control channel or a spool is configured
     from juniperward.control.protocol import Answer
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
-JOURNAL_FULL_RETRY_AFTER_S = 1.0  # of a message that the journal had no capacity for
+JOURNAL_FULL_RETRY_AFTER_S = 1.0
 
 
 class Timers(Protocol):
-    """What sets timers."""
+    """Posts events at a given time."""
 
     def set_timer(self, at: float, event: TimerEvent) -> None:
-        """Report an event at a moment."""
+        """Post an event at a monotonic time."""
 
 
 class ControlOutput:
-    """The output to the control channel; this one, of a forwarder without a channel, does nothing."""
+    """The output to the control channel. This base class does nothing, for a forwarder without a channel."""
 
     def reply(self, client: int, answer: Answer) -> None:
-        """Answer a client of the channel."""
+        """Send an answer to a client of the channel."""
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown, as a client of the channel requested."""
+        """Start the graceful shutdown that a client of the channel requested."""
 
 
 class EffectExecutor:
-    """Used by the loop's thread only."""
+    """Performs the effects of the reducer; used by the loop's thread only."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         discovery: DiscoveryClient,
         timers: Timers,
     ) -> None:
-        """Perform effects by these parts; the control channel and dead letters are set where they are on."""
+        """Use these components; `control` and `dead_letters` are set later if they are configured."""
         self.journal = journal
         self.server = server
         self.endpoint_client = endpoint_client
@@ -91,7 +91,7 @@
         self.dead_letters: DeadLetterWriter | None = None
 
     def perform(self, effect: Effect) -> Event | None:
-        """Perform an effect; return the event that follows at once, if any."""
+        """Perform an effect; return the event that it causes at once, if any."""
         match effect:
             case AcceptMessage(client=client, message=message, record=record):
                 return MessageAccepted(message, self._accept(client, record))
@@ -146,15 +146,18 @@
                 self.dead_letters.record_redrive_outcome(effect)
 
     def _accept(self, client: int, record: JournalRecord) -> bool:
-        """Journal a message, then answer its client: what was answered 202 survives this process."""
+        """Journal a message and then answer 202, so that an accepted message survives a crash.
+
+        Return whether the message was journaled and its client received the answer.
+        """
         try:
             self.journal.append(record)
         except JournalFullError:
             increment("rejections_disk")
-            log("journal", "full")
+            log("journal", "full; message rejected")
         except OSError as error:
             increment("journal_failures")
-            log("journal", "write failed", error=error)
+            log("journal", "write failed; message rejected", error=error)
         else:
             return self.server.answer(client, HttpStatus.ACCEPTED)
         self.server.answer(client, HttpStatus.SERVICE_UNAVAILABLE, JOURNAL_FULL_RETRY_AFTER_S)
@@ -165,4 +168,4 @@
             self.journal.append(record)
         except OSError as error:
             increment("journal_failures")
-            log("journal", "write failed", error=error)
+            log("journal", "write failed; record lost", error=error)
--- a/juniperward/forwarder/settings_names.py
+++ b/juniperward/forwarder/settings_names.py
@@ -1,7 +1,7 @@
-"""The names that the settings give to classes, tenants, endpoint kinds and zones.
+"""The names of message classes, tenants, endpoint kinds and zones in the settings.
 
-The settings list them; clients and discovery use the names, everything inside a forwarder their positions. Read by
-`config.py`, used by the codecs of messages and of the endpoint list.
+Clients and discovery use the names; inside a forwarder, a position in these lists stands for each name. `config.py`
+reads them, and the codecs of messages and of the endpoint list translate them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsNames:
-    """Names by position; `deadlines_s` has the longest deadline of each class."""
+    """The names by position; `deadlines_s` has the maximum deadline of each class."""
 
     classes: tuple[str, ...]
     deadlines_s: tuple[float, ...]
@@ -24,7 +24,7 @@
 
 
 def read_settings_names(settings: Any) -> SettingsNames:
-    """Return the names of the settings' JSON object; raises KeyError, TypeError or ValueError."""
+    """Return the names in the settings' JSON object; raises KeyError, TypeError or ValueError."""
     services = settings["Services"]
     return SettingsNames(
         classes=tuple(service["Name"] for service in services),
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -1,7 +1,7 @@
-"""The life cycle of a forwarder's process: start, signals, and its planned end (`python -O -m juniperward`).
+"""The life cycle of a forwarder's process: start, signals and graceful shutdown (`python -O -m juniperward`).
 
-`main` reads the configuration, `run` starts the parts in their order, serves until SIGTERM or SIGINT, and ends the
-process. SIGUSR1 prints the counters, SIGHUP reads the configuration again.
+`main` reads the configuration. `run` starts the components, serves until SIGTERM or SIGINT, and ends the process.
+SIGUSR1 prints the counters, and SIGHUP reloads the configuration.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 if TYPE_CHECKING:
     from juniperward.control.server import ControlServer
 
-THREAD_STACK_BYTES = 128 * 1024  # docs/architecture.md has the measurement
+THREAD_STACK_BYTES = 128 * 1024  # limits the memory of hundreds of threads
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
-SHUTDOWN_TIMEOUT_S = 3.3  # from SIGTERM to the end; SIGKILL follows after 3.7
-ACCEPT_GRACE_PERIOD_S = 0.8  # from SIGTERM for which new connections are answered
-LOOP_END_MARGIN_S = 0.2
+SHUTDOWN_TIMEOUT_S = 3.3  # ends the process before the platform sends SIGKILL, 3.7 s after SIGTERM
+ACCEPT_GRACE_PERIOD_S = 0.8  # how long new connections are still answered after SIGTERM
+LOOP_STOP_MARGIN_S = 0.2
 
 
 class ExitCode(IntEnum):
-    """How the process ended."""
+    """The exit codes of the process."""
 
     STOPPED = 0
     CANNOT_START = 1
@@ -50,8 +50,8 @@
 
 
 def main() -> int:
-    """Return the exit code of a process that could not start; one that has started exits in `run`."""
-    # From the very start: a SIGHUP before its handling would kill the process.
+    """Run a forwarder; return an exit code only if it could not start, as `run` ends the process."""
+    # Blocked first of all, as a SIGHUP before the handling begins would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
         config = load(os.environ)
@@ -66,40 +66,40 @@
 
 
 def run(config: Config) -> int:
-    """Serve until a signal ends the process; raises OSError or ControlSocketError where it cannot start."""
+    """Serve until a signal ends the process; raises OSError or ControlSocketError if it cannot start."""
     threading.stack_size(THREAD_STACK_BYTES)
-    # Held until the process has ended: its threads write to the folder up to that moment.
+    # Held until the process has exited, as its threads write to the folder until then.
     lock_folder(config.state_folder)
     loop = build(config)
     if os.environ.get("ROUTER_TRACE"):
         _start_trace(config, loop)
-    end_loop = threading.Event()
+    stop_loop = threading.Event()
     restored = _restore(config, loop)
-    loop_thread = threading.Thread(target=_run_loop, args=(loop, end_loop), name="loop")
+    loop_thread = threading.Thread(target=_run_loop, args=(loop, stop_loop), name="loop")
     loop_thread.start()
     control = open_control(config, loop)
     loop.executor.server.start()
     address = format_address(config.listen)
     log("start", "serving", name=config.name, address=address, restored=restored)
     log("start", "discovery", address=format_address(config.discovery))
-    end_signal = _serve_signals(config, loop)
-    log("stop", "shutdown requested", signal=end_signal.name)
+    stop_signal = _serve_signals(config, loop)
+    log("stop", "shutdown requested", signal=stop_signal.name)
     increment("stops")
     _shut_down(loop, loop_thread)
-    end_loop.set()
+    stop_loop.set()
     if control is not None:
         control.close()
     log("stop", "ended")
     report_counters()
     sys.stderr.flush()
-    os._exit(ExitCode.STOPPED)  # a usual exit would wait for the threads that wait on sockets
+    os._exit(ExitCode.STOPPED)  # a normal exit would wait for threads that are blocked on sockets
 
 
 def open_control(config: Config, loop: Loop) -> ControlServer | None:
-    """Open the control channel where the configuration names its path; raises ControlSocketError."""
+    """Open the control channel if it is configured, else return None; raises ControlSocketError."""
     if config.control_socket is None:
         return None
-    # Loaded only where a control channel is open: a forwarder without it starts faster.
+    # Imported only if a control channel is configured, so that other forwarders start faster.
     from juniperward.control.server import ControlServer
     from juniperward.forwarder.control_output import ControlChannelOutput
 
@@ -124,7 +124,7 @@
 
 
 def _restore(config: Config, loop: Loop) -> int:
-    """Apply the configuration's endpoint list and the journal's messages; return how many messages there are."""
+    """Apply the configured endpoint list and the journal's messages; return the number of messages."""
     known = config.known_endpoints
     loop.executor.discovery.start()
     loop.round([EndpointsUpdated(known.version, known.full, known.endpoints, cached=True)])
@@ -133,18 +133,18 @@
     return len(restored)
 
 
-def _run_loop(loop: Loop, end: threading.Event) -> None:
+def _run_loop(loop: Loop, stop_loop: threading.Event) -> None:
     try:
-        loop.run(end.is_set)
+        loop.run(stop_loop.is_set)
     except BaseException as error:
         report_fault("loop", error)
         report_counters()
-        # Without the loop no message is accepted or completed. The next process goes on from the journal.
+        # Without the loop no message is accepted or completed, so exit; the next process replays the journal.
         os._exit(ExitCode.LOOP_FAILED)
 
 
 def _serve_signals(config: Config, loop: Loop) -> signal.Signals:
-    """Serve SIGUSR1 and SIGHUP; return the signal that ends the process."""
+    """Handle SIGUSR1 and SIGHUP until another signal ends the process; return that signal."""
     reloader = Reloader(config, os.environ)
     while True:
         received = signal.Signals(signal.sigwait(SIGNALS))
@@ -167,11 +167,11 @@
 
 
 def _shut_down(loop: Loop, loop_thread: threading.Thread) -> None:
-    """Have attempts and connections end in their time; returns once the loop has ended, or its time is over."""
-    began = time.monotonic()
+    """Shut down gracefully; return once the loop has ended or the timeout has passed."""
+    started_at = time.monotonic()
     server = loop.executor.server
-    loop.queue.post(ShutdownRequested(began + ACCEPT_GRACE_PERIOD_S, began + SHUTDOWN_TIMEOUT_S))
+    loop.queue.post(ShutdownRequested(started_at + ACCEPT_GRACE_PERIOD_S, started_at + SHUTDOWN_TIMEOUT_S))
     server.stop()
     loop_thread.join(ACCEPT_GRACE_PERIOD_S)
     server.close()
-    loop_thread.join(began + SHUTDOWN_TIMEOUT_S + LOOP_END_MARGIN_S - time.monotonic())
+    loop_thread.join(started_at + SHUTDOWN_TIMEOUT_S + LOOP_STOP_MARGIN_S - time.monotonic())
--- a/juniperward/forwarder/telemetry.py
+++ b/juniperward/forwarder/telemetry.py
@@ -1,4 +1,4 @@
-"""Counters, invariants and the log of a running forwarder; docs/on-call.md explains each of them.
+"""Counters, invariants and the log of a running forwarder; docs/on-call.md lists them.
 
 A line of the log is `juniperward: KIND: EVENT KEY=VALUE ...`; values with spaces are quoted.
 """
@@ -12,14 +12,14 @@
 import time
 from dataclasses import dataclass
 
-MAX_LINES_PER_S = 5  # of one kind; the next line of the kind has how many were left out
+MAX_LINES_PER_S = 5  # per kind; the next line of the kind has the number of suppressed ones
 
 _lock = threading.Lock()
 _counts: dict[str, int] = {}
 
 
 class InvariantBrokenError(AssertionError):
-    """Something that must always hold does not; raised in debug builds only."""
+    """An invariant does not hold; raised in debug builds only."""
 
     def __init__(self, name: str) -> None:
         """Name the invariant."""
@@ -28,26 +28,26 @@
 
 
 @dataclass(slots=True)
-class _LineBudget:
-    """A token bucket for the lines of one kind."""
+class _TokenBucket:
+    """A token bucket that limits the log lines of one kind."""
 
     tokens: float
     refilled_at: float
-    left_out: int = 0  # lines since the last one that was printed
+    suppressed: int = 0  # lines since the last printed one
 
-    def take(self, now: float) -> bool:
-        """Return whether a line may be printed now."""
+    def try_take(self, now: float) -> bool:
+        """Take a token and return True, or count a suppressed line and return False."""
         refilled = self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S
         self.tokens = min(float(MAX_LINES_PER_S), refilled)
         self.refilled_at = now
         if self.tokens < 1.0:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self.tokens -= 1.0
         return True
 
 
-_budgets: dict[str, _LineBudget] = {}
+_buckets: dict[str, _TokenBucket] = {}
 
 
 def increment(name: str, by: int = 1) -> None:
@@ -57,22 +57,22 @@
 
 
 def counters() -> dict[str, int]:
-    """Return the present values of all counters, by name."""
+    """Return the values of all counters, sorted by name."""
     with _lock:
         return dict(sorted(_counts.items()))
 
 
 def log(kind: str, event: str, **fields: object) -> None:
-    """Print one line to standard error, at most MAX_LINES_PER_S of a kind."""
+    """Print a line to standard error, at most MAX_LINES_PER_S of each kind."""
     now = time.monotonic()
     with _lock:
-        budget = _budgets.setdefault(kind, _LineBudget(float(MAX_LINES_PER_S), now))
-        if not budget.take(now):
+        bucket = _buckets.setdefault(kind, _TokenBucket(float(MAX_LINES_PER_S), now))
+        if not bucket.try_take(now):
             return
-        left_out = budget.left_out
-        budget.left_out = 0
-    if left_out:
-        fields["left_out"] = left_out
+        suppressed = bucket.suppressed
+        bucket.suppressed = 0
+    if suppressed:
+        fields["left_out"] = suppressed
     try:
         print(f"juniperward: {kind}: {format_event(event, fields)}", file=sys.stderr, flush=True)
     except (OSError, ValueError):
@@ -80,7 +80,7 @@
 
 
 def format_event(event: str, fields: dict[str, object]) -> str:
-    """Return an event with its fields, as the log has them."""
+    """Return an event and its fields in the format of the log."""
     return " ".join([event, *(f"{key}={_quoted(value)}" for key, value in fields.items())])
 
 
@@ -90,12 +90,12 @@
 
 
 def check_invariant(holds: bool, name: str) -> bool:
-    """Check what must always hold; return whether it does.
+    """Check an invariant and return whether it holds.
 
-    A release build (`python -O`) counts and logs it where it does not.
+    A release build (`python -O`) counts and logs a broken invariant and goes on.
 
     Raises:
-        InvariantBrokenError: in a debug build.
+        InvariantBrokenError: in a debug build, if the invariant is broken.
 
     """
     if not holds:
@@ -107,13 +107,13 @@
 
 
 def report_fault(where: str, error: BaseException) -> None:
-    """Count and log an unexpected error; the caller goes on, and its work still gets an outcome."""
+    """Count and log an unexpected error; the caller handles its consequences."""
     increment("unexpected_errors")
     log("unexpected", "error", where=where, type=type(error).__name__, error=error, at=_raised_at(error))
 
 
 def _raised_at(error: BaseException) -> str:
-    """Return file and line of the innermost frame of an error."""
+    """Return the file and line of the innermost frame of an error."""
     innermost = error.__traceback__
     if innermost is None:
         return "?"
@@ -124,7 +124,7 @@
 
 
 def report_counters() -> None:
-    """Print all counters in one line."""
+    """Print all counters to standard error in one line."""
     text = " ".join(f"{name}={value}" for name, value in counters().items())
     with contextlib.suppress(OSError, ValueError):
         print(f"juniperward: counters: {text}", file=sys.stderr, flush=True)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -1,8 +1,8 @@
-"""The trace: the reducer's events and effects, a line each on standard error; off unless ROUTER_TRACE is set.
+"""Writes the reducer's events and effects to standard error, one per line, if ROUTER_TRACE is set.
 
-The log is for people and leaves lines out; a trace leaves out none: `juniperward simulate traces` counts its lines
-over all forwarders of a fleet. A line is `juniperward: trace: TIME KEYWORD FIELD ...`, TIME in Unix time, which all
-forwarders of a fleet share. The keywords are a format that benchmarks/traces.py reads, also of older versions.
+The log limits its rate, but the trace is complete, as `juniperward simulate traces` counts its lines over all
+forwarders of a fleet. A line is `juniperward: trace: TIME KEYWORD FIELD ...`, with TIME in Unix time. The keywords
+are a stable format: benchmarks/traces.py also reads the traces of older versions.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 
 
 class Trace:
-    """Writes the events and effects that pass between the loop and the reducer."""
+    """Writes the events that the loop passes to the reducer, and the effects that it gets back."""
 
     def __init__(self, unix_offset_s: float) -> None:
-        """Trace in Unix time; `unix_offset_s` is added to monotonic time."""
+        """Start a trace; `unix_offset_s` is Unix time minus monotonic time."""
         self._unix_offset_s = unix_offset_s
-        self._waiting: dict[int, str] = {}  # by client: destination and id of its message
+        self._unanswered: dict[int, str] = {}  # by client: destination and id of the message it sent
 
     def write_events(self, now: float, events: Iterable[Event]) -> None:
         """Write the events of a round."""
@@ -61,8 +61,8 @@
         lines: list[str] = []
         match event:
             case MessageReceived(client=client, message=message):
-                self._waiting[client] = f"{message.destination} {message.id}"
-                lines = [f"handed {self._waiting[client]} {message.time_left_s:.3f}"]
+                self._unanswered[client] = f"{message.destination} {message.id}"
+                lines = [f"handed {self._unanswered[client]} {message.time_left_s:.3f}"]
             case MessageAccepted(client_answered=False, message=number):
                 lines = [f"untold {number}"]
             case NotificationAcknowledged(ids=ids):
@@ -81,9 +81,9 @@
         lines: list[str] = []
         match effect:
             case AcceptMessage(client=client):
-                lines = [f"taken {self._waiting.pop(client, '? ?')}"]
+                lines = [f"taken {self._unanswered.pop(client, '? ?')}"]
             case ReplyToClient(client=client, status=status, retry_after_s=retry_after_s):
-                lines = [f"refused {self._waiting.pop(client, '? ?')} {status} {retry_after_s:.3f}"]
+                lines = [f"refused {self._unanswered.pop(client, '? ?')} {status} {retry_after_s:.3f}"]
             case StartAttempt(items=items):
                 ids = ",".join(item.content.id for item in items)
                 address = f"{effect.host}:{effect.port}"
@@ -97,7 +97,7 @@
         return lines
 
     def write_answer(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
-        """Write an endpoint's answer as it was read; `fresh`: on a new connection."""
+        """Write the status and the headers of an endpoint's answer; `fresh`: it came on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
