--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -1,9 +1,7 @@
-"""Writes the state folders of `tests/stored_data/`: what a version leaves on disk, for later versions to read.
+"""Writes the state folders of `tests/stored_data/`; `python -m tests.stored_data_writer FOLDER` runs it.
 
-`python -m tests.stored_data_writer FOLDER` writes one folder a kind: `forwarder` (journal and clock), `spool`,
-`store`, `agent`. The committed ones were written by the version before its code was made readable; they are not
-written again, as what they hold is what the disks of operators hold. Times are fixed, so `test_stored_data.py`
-compares what the present version writes with them, byte for byte.
+The committed folders were written by an earlier version and must not be written again, as they stand for the data on
+operators' disks. All times are fixed, so that `test_stored_data.py` can compare the files byte for byte.
 """
 
 from __future__ import annotations
@@ -39,24 +37,26 @@
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import load
 
-WRITTEN_AT = 1_700_000_000.0  # Unix time at which the folders are said to be written
+WRITTEN_AT = 1_700_000_000.0  # the Unix time at which all folders are written
 BOOT_ID = "boot-of-the-writer"
-REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # classes of the journal's messages
+REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # the message classes in the journal
 
 
-def message(name: str, cls: int) -> Message:
-    """A message of a class; its body holds each byte once."""
-    return Message(name, cls, 1, 7, 20.0, f"key-{name}" if cls == BY_KEY else None, bytes(range(256)))
+def message(name: str, class_index: int) -> Message:
+    """Return a message of a class; its body has each byte value once."""
+    return Message(
+        name, class_index, 1, 7, 20.0, f"key-{name}" if class_index == BY_KEY else None, bytes(range(256))
+    )
 
 
 def write_forwarder(folder: Path) -> None:
-    """A journal with each kind of record, a message of each class at each stage, and damage; and its clock."""
+    """Write a journal with all kinds of records, classes and stages, and with damage; and the clock reference."""
     folder.mkdir()
     journal = Journal(folder, 1_000_000, WRITTEN_AT)  # monotonic time 0 is WRITTEN_AT
-    for cls, effect in ((REPEATABLE, "repeatable"), (BY_KEY, "by-key"), (ONCE, "once")):
+    for class_index, effect in ((REPEATABLE, "repeatable"), (BY_KEY, "by-key"), (ONCE, "once")):
         for stage in ("accepted", "started", "not-run", "second", "failed", "rejected", "completed"):
             name = f"{effect}-{stage}"
-            journal.append(AcceptedRecord(message(name, cls), 20.0))
+            journal.append(AcceptedRecord(message(name, class_index), 20.0))
             if stage == "accepted":
                 continue
             journal.append(AttemptStartedRecord(name, 1.0, "s-1"))
@@ -74,14 +74,18 @@
     journal.append(AcceptedRecord(message("overdue", REPEATABLE), 0.5))
     journal.close()
     with (folder / "journal").open("ab") as file:
-        file.write(b'00000000 ["over","by-key-started"]\n')  # damaged: its sum does not match
-        file.write(b"c0ffee")  # a torn tail
+        file.write(b'00000000 ["over","by-key-started"]\n')  # damaged: the checksum is wrong
+        file.write(b"c0ffee")  # a torn line
     (folder / "clock").write_text(json.dumps([BOOT_ID, WRITTEN_AT]), encoding="ascii")
 
 
-def undelivered(name: str, idempotency: Idempotency, may_have_run: bool) -> SpooledMessage:
-    """A message that was given up."""
-    attempts = (SpooledAttempt("s-1", WRITTEN_AT - 5.0, "timeout" if may_have_run else "full", may_have_run),)
+def spooled_message(name: str, idempotency: Idempotency, possibly_executed: bool) -> SpooledMessage:
+    """Return an undeliverable message."""
+    attempts = (
+        SpooledAttempt(
+            "s-1", WRITTEN_AT - 5.0, "timeout" if possibly_executed else "full", possibly_executed
+        ),
+    )
     return SpooledMessage(
         name, "booking", "acme", 7, f"key-{name}", bytes(range(256)), WRITTEN_AT - 20.0, WRITTEN_AT, attempts,
         idempotency, 12.0, ("s-1", "s-2"),
@@ -89,13 +93,13 @@
 
 
 def write_spool(folder: Path) -> None:
-    """Two segments, the first acknowledged; the ends of resends; a damaged line and a torn tail."""
+    """Write two segments, the first acknowledged, and outcomes of redrives; with a damaged and a torn line."""
     with mock.patch("juniperward.dead_letters.outcome_log.time.time", return_value=WRITTEN_AT):
         spool = Spool(folder, 1_000_000)
-        spool.append(undelivered("m-repeatable", Idempotency.IDEMPOTENT, True))
-        spool.append(undelivered("m-by-key", Idempotency.IDEMPOTENCY_KEY, True))
+        spool.append(spooled_message("m-repeatable", Idempotency.IDEMPOTENT, True))
+        spool.append(spooled_message("m-by-key", Idempotency.IDEMPOTENCY_KEY, True))
         spool.begin_segment()
-        spool.append(undelivered("m-once", Idempotency.NON_IDEMPOTENT, False))
+        spool.append(spooled_message("m-once", Idempotency.NON_IDEMPOTENT, False))
         spool.outcomes.record("kept-a-1", RedriveOutcome("delivered", WRITTEN_AT - 4.0))
         spool.outcomes.record("kept-b-1", RedriveOutcome("undeliverable", None))
         spool.outcomes.record("kept-c-2", RedriveOutcome("deferred", WRITTEN_AT - 3.0))
@@ -109,29 +113,29 @@
 
 
 def write_store(folder: Path) -> None:
-    """Undelivered messages at each stage, with resends, wishes and the audit trail."""
+    """Write dead letters at each stage, with redrives, requests for redrives and the audit trail."""
     folder.mkdir()
     with mock.patch("juniperward.dead_letters.rows.time.time", return_value=WRITTEN_AT):
         store = DeadLetterStore(folder / "store.db", "OFF")
         names = ("waiting", "wished", "claimed", "delivered", "deferred", "discarded", "settled")
         messages = [
-            undelivered(f"m-{name}", Idempotency.IDEMPOTENCY_KEY, name != "waiting") for name in names
+            spooled_message(f"m-{name}", Idempotency.IDEMPOTENCY_KEY, name != "waiting") for name in names
         ]
         store.add("n1", messages, SpoolPosition(2, 345))
         store.request_redrive(["m-wished"], "anna", destination_confirmed=True)
         store.acquire_lease("m-claimed", None, "n1", WRITTEN_AT + 1.0, "rule")
-        for name, end in (("delivered", "delivered"), ("deferred", "deferred")):
+        for name, outcome in (("delivered", "delivered"), ("deferred", "deferred")):
             lease = store.acquire_lease(f"m-{name}", None, "n1", WRITTEN_AT + 2.0, "anna")
-            store.settle_redrive(lease, end, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
+            store.settle_redrive(lease, outcome, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
         store.discard(["m-discarded"], "anna")
         store.acquire_lease("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
         store.settle("m-settled", Statement(True, "anna", "seen at the partner"), WRITTEN_AT + 9.0)
         store.record_clock(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
         store.close()
-    with sqlite3.connect(folder / "store.db") as db:  # one file, without the write-ahead log beside it
-        db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-        db.execute("PRAGMA journal_mode=DELETE")
-    db.close()
+    with sqlite3.connect(folder / "store.db") as database:  # leaves one file, without a write-ahead log
+        database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        database.execute("PRAGMA journal_mode=DELETE")
+    database.close()
 
 
 FLEET = """name: "fleet"
@@ -143,7 +147,7 @@
 
 
 def write_agent(folder: Path) -> None:
-    """The agent's state of two generations, and the saved versions of its settings."""
+    """Write two generations of the agent's state, and the saved versions of its settings."""
     folder.mkdir()
     (folder / "base.json").write_text(json.dumps({"settings": {}}))
     (folder / "fleet.textproto").write_text(FLEET)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""A bad configuration ends the start with one plain line and exit code 2."""
+"""Tests of the configuration: valid values, error messages and reload."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from juniperward.forwarder.telemetry import counters
 from tests.player import ROOT, SETTINGS
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n0",
     "listen": "127.0.0.1:9",
     "discovery": "127.0.0.1:10",
@@ -34,71 +34,77 @@
     def set_up(self, tmp_path: Path) -> None:
         self.folder = str(tmp_path)
 
-    def given(self, value: Any) -> dict[str, str]:
+    def write_config(self, value: Any) -> dict[str, str]:
         path = Path(self.folder) / "config.json"
         path.write_text(value if isinstance(value, str) else json.dumps(value))
         return {"ROUTER_CONFIG": str(path), "ROUTER_STATE": self.folder}
 
     def test_a_valid_file_is_read_and_the_environment_overrides_it(self) -> None:
-        config = load({**self.given(GOOD), "ROUTER_LISTEN": "127.0.0.2:99"})
+        config = load({**self.write_config(VALID), "ROUTER_LISTEN": "127.0.0.2:99"})
         assert (config.listen, config.discovery) == (("127.0.0.2", 99), ("127.0.0.1", 10))
         assert (config.seed, config.journal_max_bytes) == (0x8C1F, 3_000_000)
         assert config.settings.slots == 4
 
-    def test_a_new_file_changes_the_discovery_address_and_an_invalid_one_nothing(self) -> None:
-        # Guards a running forwarder against a file that is half written or wrong; the file's address counts
-        # over the environment's from the first SIGHUP on.
-        environment = {**self.given(GOOD), "ROUTER_DISCOVERY": "127.0.0.1:10"}
+    def test_reload_applies_a_new_discovery_address_and_ignores_an_invalid_file(self) -> None:
+        # An incomplete or invalid file must not affect a running forwarder. From the first reload on, the file's
+        # address overrides the environment variable.
+        environment = {**self.write_config(VALID), "ROUTER_DISCOVERY": "127.0.0.1:10"}
         reloader = Reloader(load(environment), environment)
         assert reloader.reload() is None
-        for bad in ("", json.dumps(GOOD)[:99], "[]", {**GOOD, "discovery": None}, {**GOOD, "seed": "x"}):
-            self.given(bad)
+        for invalid in (
+            "",
+            json.dumps(VALID)[:99],
+            "[]",
+            {**VALID, "discovery": None},
+            {**VALID, "seed": "x"},
+        ):
+            self.write_config(invalid)
             assert reloader.reload() is None
-        self.given({**GOOD, "discovery": "127.0.0.1:11"})
+        self.write_config({**VALID, "discovery": "127.0.0.1:11"})
         assert reloader.reload() == DiscoveryAddressChanged(("127.0.0.1", 11))
         Path(environment["ROUTER_CONFIG"]).unlink()
         assert reloader.reload() is None
-        self.given({**GOOD, "limits": {"sockets": 50}})
+        self.write_config({**VALID, "limits": {"sockets": 50}})
         assert reloader.reload() == DiscoveryAddressChanged(("127.0.0.1", 10))
 
     def test_errors_name_the_setting(self, subtests: pytest.Subtests) -> None:
-        bad: tuple[tuple[Any, str], ...] = (
+        invalid: tuple[tuple[Any, str], ...] = (
             ("{", "not JSON"),
             ([], "list"),
-            ({**GOOD, "listen": "nowhere"}, "nowhere"),
-            ({k: v for k, v in GOOD.items() if k != "settings"}, "settings"),
-            ({**GOOD, "settings": {**SETTINGS, "Specifics": {"MaxCalls": -1}}}, "Specifics.MaxCalls"),
+            ({**VALID, "listen": "nowhere"}, "nowhere"),
+            ({k: v for k, v in VALID.items() if k != "settings"}, "settings"),
+            ({**VALID, "settings": {**SETTINGS, "Specifics": {"MaxCalls": -1}}}, "Specifics.MaxCalls"),
         )
-        for value, word in bad:
-            with subtests.test(word=word), pytest.raises(ConfigError, match=word):
-                load(self.given(value))
+        for value, message in invalid:
+            with subtests.test(message=message), pytest.raises(ConfigError, match=message):
+                load(self.write_config(value))
         with pytest.raises(ConfigError, match="no such folder"):
-            load({**self.given(GOOD), "ROUTER_STATE": "/nonesuch"})
+            load({**self.write_config(VALID), "ROUTER_STATE": "/nonesuch"})
         with pytest.raises(ConfigError, match="ROUTER_CONFIG"):
             load({})
 
-    def test_an_invalid_class_or_limit_ends_the_start_and_is_located(self, subtests: pytest.Subtests) -> None:
-        for key, value, word in (
+    def test_errors_locate_an_invalid_class_or_limit(self, subtests: pytest.Subtests) -> None:
+        for key, value, message in (
             ("DeadlineMs", 0, r"Services\[1\]: DeadlineMs"), ("DeadlineMs", "x", r"Services\[1\]"),
             ("Effect", "maybe", r"Services\[1\]: Effect"), ("DeadlineMs", None, r"Services\[1\]"),
             ("WindowMs", -1.0, r"Services\[1\]: WindowMs"),
         ):  # fmt: skip
             services = [SETTINGS["Services"][0], {**SETTINGS["Services"][1], key: value}]
-            with subtests.test(key=key), pytest.raises(ConfigError, match=word):
-                load(self.given({**GOOD, "settings": {**SETTINGS, "Services": services}}))
+            with subtests.test(key=key), pytest.raises(ConfigError, match=message):
+                load(self.write_config({**VALID, "settings": {**SETTINGS, "Services": services}}))
         limits = {**SETTINGS["Limits"], "MaxAttempts": 0}
         with pytest.raises(ConfigError, match="Limits.MaxAttempts"):
-            load(self.given({**GOOD, "settings": {**SETTINGS, "Limits": limits}}))
+            load(self.write_config({**VALID, "settings": {**SETTINGS, "Limits": limits}}))
 
     def test_settings_of_other_deployments_are_read(self) -> None:
-        # Small copies of what deploy/sites/ stands for: short and few, and many, long and pushed.
-        short = {"Name": "lift", "AimMs": 200.0, "DeadlineMs": 300.0, "Effect": "once", "Worth": 9.0}
+        # One class with a short deadline, and many classes with long deadlines.
+        short_deadline = {"Name": "lift", "AimMs": 200.0, "DeadlineMs": 300.0, "Effect": "once", "Worth": 9.0}
         few = {
             **SETTINGS,
-            "Services": [short],
+            "Services": [short_deadline],
             "Limits": {**SETTINGS["Limits"], "MaxAttempts": 1, "MaxOpen": 1},
         }
-        long = [
+        long_deadlines = [
             {
                 "Name": f"c{n}",
                 "AimMs": 6e4,
@@ -109,27 +115,27 @@
             }
             for n, e in enumerate(("once", "by_key", "repeatable") * 4)
         ]
-        many = {**SETTINGS, "Services": long, "MembershipMode": "pushed", "Tenants": None,
+        many = {**SETTINGS, "Services": long_deadlines, "MembershipMode": "pushed", "Tenants": None,
                 "Specifics": {"MaxCalls": 40, "BatchByKind": [500, 1, 50]}}  # fmt: skip
-        for given, classes, longest in ((few, 1, 0.3), (many, 12, 600.0)):
-            config = load(self.given({**GOOD, "settings": given}))
-            assert len(config.settings.classes) == classes
-            assert max(config.names.deadlines_s) == pytest.approx(longest, abs=5e-8)
+        for settings, class_count, max_deadline_s in ((few, 1, 0.3), (many, 12, 600.0)):
+            config = load(self.write_config({**VALID, "settings": settings}))
+            assert len(config.settings.classes) == class_count
+            assert max(config.names.deadlines_s) == pytest.approx(max_deadline_s, abs=5e-8)
 
-    def test_one_invalid_entry_does_not_invalidate_the_list(self) -> None:
-        # Guards against news that fail for good: the same entry comes again with every watch.
+    def test_an_invalid_entry_does_not_invalidate_the_endpoint_list(self) -> None:
+        # Discovery repeats an invalid entry with each watch, so it must not reject the whole update.
         entry = {"id": "s-1", "addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
-        odd = ({**entry, "state": "Odd"}, {**entry, "addr": "x"}, "text", {**entry, "id": "s-2"})
-        config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": odd}}))
+        entries = ({**entry, "state": "Odd"}, {**entry, "addr": "x"}, "text", {**entry, "id": "s-2"})
+        config = load(self.write_config({**VALID, "known": {"version": 1, "full": True, "servers": entries}}))
         assert [(e.id, e.kind) for e in config.known_endpoints.endpoints] == [("s-2", 1)]
 
-    def test_an_invalid_listed_rate_is_none_and_counted(self) -> None:
-        # Guards a worker against its own rate: one that was no number cost it the whole entry.
+    def test_an_invalid_listed_rate_is_counted_and_treated_as_unlisted(self) -> None:
+        # Guards against dropping an endpoint because its rate is not a number.
         entry = {"addr": "127.0.0.1:81", "cell": 7, "state": "Ready", "kind": "small-partners"}
         rates: tuple[Any, ...] = (None, 0, 42.5, "40", -1, "many", [], float("nan"), float("inf"), 10**400)
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
         before = counters().get("listed_rates_invalid", 0)
-        config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
+        config = load(self.write_config({**VALID, "known": {"version": 1, "full": True, "servers": servers}}))
         found = [e.listed_rate for e in config.known_endpoints.endpoints]
         assert found == [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]
         assert counters()["listed_rates_invalid"] - before == 6
@@ -137,12 +143,12 @@
     def test_the_count_of_forwarders_defaults_to_one_and_is_validated(
         self, subtests: pytest.Subtests
     ) -> None:
-        assert load(self.given(GOOD)).settings.instances == 1
+        assert load(self.write_config(VALID)).settings.instances == 1
         for count in (0, -3, "forty", None, True, float("nan")):
             with subtests.test(count=count), pytest.raises(ConfigError, match="Instances: must be above 0"):
-                load(self.given({**GOOD, "settings": {**SETTINGS, "Instances": count}}))
+                load(self.write_config({**VALID, "settings": {**SETTINGS, "Instances": count}}))
 
-    def test_addresses(self, subtests: pytest.Subtests) -> None:
+    def test_invalid_addresses_are_rejected(self, subtests: pytest.Subtests) -> None:
         for text in ("", "a", ":1", "a:", "a:0", "a:70000", "a:-1"):
             with subtests.test(text=text), pytest.raises(ValueError):
                 parse_address(text)
@@ -151,7 +157,7 @@
         done = subprocess.run(
             [sys.executable, "-O", "-m", "juniperward"],
             cwd=ROOT,
-            env={**os.environ, **self.given({**GOOD, "known": {}})},
+            env={**os.environ, **self.write_config({**VALID, "known": {}})},
             capture_output=True,
             text=True,
             check=False,
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill their share of the file descriptors; the watch, notices, journal and calls keep theirs."""
+"""Idle clients must not exhaust the file descriptors of the watch, the notifications, the journal and the calls."""
 
 from __future__ import annotations
 
@@ -41,31 +41,36 @@
 from tests.player import ROOT, Program
 from tests.resources import Resources, UsesResources
 
-WAIT = 20.0
+WAIT_S = 20.0
 NO_DESCRIPTOR = OSError(24, "Too many open files")
 
 
-class TestDescriptorQuota:
-    def test_all_descriptor_quotas_together_fit_into_any_limit(self) -> None:
-        # Guards settings other than the site's: of 64 sockets, clients, calls and idle connections were given 56.
+class TestConnectionLimits:
+    def test_all_connection_limits_together_fit_into_any_descriptor_limit(self) -> None:
+        # Guards small descriptor limits, where the fixed reserve matters most.
         for limit in range(MIN_SOCKETS, 4096):
             for slots in (1, 4, 1000):
-                b = divide_descriptors(limit, slots)
-                shared = b.clients + b.closing_clients + b.calls + b.idle_endpoint_connections
-                assert shared + RESERVED_DESCRIPTORS <= limit, f"{limit}: {b}"
-                assert min(b.clients, b.closing_clients, b.calls, b.idle_endpoint_connections) >= 1
+                limits = divide_descriptors(limit, slots)
+                uses = (
+                    limits.clients,
+                    limits.closing_clients,
+                    limits.calls,
+                    limits.idle_endpoint_connections,
+                )
+                assert sum(uses) + RESERVED_DESCRIPTORS <= limit, f"{limit}: {limits}"
+                assert min(uses) >= 1
 
     def test_usual_descriptor_limits_are_divided_into_eighths(self) -> None:
         for limit in (256, 1024):
-            b = divide_descriptors(limit, 1000)
-            assert (b.clients, b.closing_clients) == (limit // 2 - 16, 16)
-            assert (b.calls, b.idle_endpoint_connections) == (limit // 4, limit // 8)
-        assert divide_descriptors(256, 4).calls == 16  # twice the slots and 8
+            limits = divide_descriptors(limit, 1000)
+            assert (limits.clients, limits.closing_clients) == (limit // 2 - 16, 16)
+            assert (limits.calls, limits.idle_endpoint_connections) == (limit // 4, limit // 8)
+        assert divide_descriptors(256, 4).calls == 16  # two for each slot, and 8 spare
 
 
 class TestDial(EndpointClientRig):
-    def test_a_call_without_a_socket_was_not_executed(self) -> None:
-        # Guards a class that may run once: a call without a descriptor was told as a reset, which may have run.
+    def test_a_call_that_gets_no_socket_is_reported_as_not_executed(self) -> None:
+        # Guards non-idempotent messages: reported as a reset, the call would count as possibly executed.
         message = Message("m0", 0, 0, 7, 9.0, None, b"")
         with mock.patch(
             "juniperward.forwarder.endpoint_connections.socket.socket", side_effect=NO_DESCRIPTOR
@@ -78,9 +83,9 @@
         assert event.outcomes == (ItemOutcome(0, Outcome.CONNECT_FAILED, written=False),)
 
 
-class TestRewrite(UsesResources):
-    def test_a_record_is_written_where_a_rewrite_fails(self) -> None:
-        # Guards a moment without descriptors: the record that asked for a rewrite was lost with it, though it fitted.
+class TestFailedCompaction(UsesResources):
+    def test_a_record_is_written_even_if_the_compaction_fails(self) -> None:
+        # Guards against losing the record that triggers a compaction while no descriptor is free.
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             journal = self.resources.closing(Journal(folder, 1_000_000, 0.0))
@@ -98,7 +103,7 @@
 
 
 class LimitedProgram(Program):
-    """The forwarder under a limit on its descriptors."""
+    """Runs the forwarder with a limit on its file descriptors."""
 
     def __init__(self, folder: Path, descriptors: int, sockets_setting: int) -> None:
         super().__init__(folder)
@@ -108,15 +113,15 @@
 
     def spawn(self) -> subprocess.Popen[bytes]:
         limited = [sys.executable, "-c", LIMIT_AND_RUN, str(self.descriptors)]
-        with mock.patch("tests.player.subprocess.Popen", self._popen_of(limited)):
+        with mock.patch("tests.player.subprocess.Popen", self._popen_with_prefix(limited)):
             return super().spawn()
 
     @staticmethod
-    def _popen_of(first: list[str]) -> Callable[..., subprocess.Popen[bytes]]:
+    def _popen_with_prefix(prefix: list[str]) -> Callable[..., subprocess.Popen[bytes]]:
         popen = subprocess.Popen
 
         def start(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
-            return popen([*first, *command], **options)
+            return popen([*prefix, *command], **options)
 
         return start
 
@@ -130,44 +135,44 @@
 
 
 class IdleClients:
-    """Clients that connect, and rest until they are shut; then they come again, until `close`."""
+    """Clients that keep idle connections open, and reconnect when the forwarder closes one, until `close`."""
 
     def __init__(self, address: tuple[str, int], count: int) -> None:
         self.address, self.count = address, count
-        self.socks: list[socket.socket] = []
-        self.shut = 0  # how many were ended by the forwarder
-        self.full = threading.Event()  # so many have been open at once
+        self.connections: list[socket.socket] = []
+        self.closed_by_forwarder = 0
+        self.all_connected = threading.Event()  # `count` connections have been open at once
         self.closing = threading.Event()
         self.thread = threading.Thread(target=self._run)
         self.thread.start()
 
     def _run(self) -> None:
         while not self.closing.is_set():
-            resting = [s for s in self.socks if sockets.is_reusable(s)]
-            for sock in set(self.socks) - set(resting):
-                self.shut += 1
+            idle = [s for s in self.connections if sockets.is_reusable(s)]
+            for sock in set(self.connections) - set(idle):
+                self.closed_by_forwarder += 1
                 sock.close()
-            self.socks = resting
-            while len(self.socks) < self.count and not self.closing.is_set():
+            self.connections = idle
+            while len(self.connections) < self.count and not self.closing.is_set():
                 try:
                     sock = socket.create_connection(self.address, 1.0)
                 except OSError:
                     break
                 sock.setblocking(False)
-                self.socks.append(sock)
-            if len(self.socks) >= self.count:
-                self.full.set()
+                self.connections.append(sock)
+            if len(self.connections) >= self.count:
+                self.all_connected.set()
             self.closing.wait(0.02)
 
     def close(self) -> None:
         self.closing.set()
-        self.thread.join(WAIT)
-        for sock in self.socks:
+        self.thread.join(WAIT_S)
+        for sock in self.connections:
             sock.close()
 
 
 class TestIdleClients:
-    """A real process, its descriptors limited, with clients that fill them while discovery is down."""
+    """A real process with few descriptors, and clients that use them up while discovery is down."""
 
     @pytest.fixture(autouse=True)
     def set_up(self, resources: Resources, tmp_path: Path) -> None:
@@ -191,7 +196,7 @@
         self.reader = threading.Thread(target=self._read, args=(program.process.stderr,))
         self.reader.start()
         self.until(
-            lambda: any(isinstance(r, WatchEventSent) for r in self.recorder.records), "the list is told"
+            lambda: any(isinstance(r, WatchEventSent) for r in self.recorder.records), "the watch is answered"
         )
         return program
 
@@ -200,59 +205,59 @@
             self.output.append(line.decode())
             self.lines.put(line.decode())
 
-    def until(self, holds: Callable[[], bool], what: str) -> None:
-        end = time.monotonic() + WAIT
+    def until(self, holds: Callable[[], bool], condition: str) -> None:
+        end = time.monotonic() + WAIT_S
         while not holds():
-            assert time.monotonic() < end, f"{what}: not within {WAIT} s; {self.output[-5:]}"
+            assert time.monotonic() < end, f"{condition}: not within {WAIT_S} s; {self.output[-5:]}"
             time.sleep(0.01)
 
     def counters(self, program: Program) -> dict[str, int]:
         assert program.process is not None
         program.process.send_signal(signal.SIGUSR1)
-        while "counters:" not in (line := self.lines.get(timeout=WAIT)):
+        while "counters:" not in (line := self.lines.get(timeout=WAIT_S)):
             pass
         return {name: int(value) for name, value in re.findall(r"(\w+)=(\d+)", line)}
 
-    def submit(self, program: Program, left: float = 10.0, size: int = 100) -> str:
-        """One message, submitted on new connections until it is accepted; its id."""
-        end = time.monotonic() + WAIT
+    def submit(self, program: Program, time_left_s: float = 10.0, size: int = 100) -> str:
+        """Submit messages, each on a new connection, until one is accepted; return its id."""
+        end = time.monotonic() + WAIT_S
         while time.monotonic() < end:
             self.serial += 1
             name = f"{self.serial:016x}"
             headers = {
                 "X-Correlation-Id": name, "X-Service-Class": "booking-update", "X-Account": "acme",
-                "X-Addressing": "dest=7", "X-Time-Left": f"{left}", "Idempotency-Key": f"k{name}",
+                "X-Addressing": "dest=7", "X-Time-Left": f"{time_left_s}", "Idempotency-Key": f"k{name}",
             }  # fmt: skip
             try:
                 with socket.create_connection(program.address, 1.0) as sock:
                     sock.sendall(encode_request("POST", "/api", "n0", headers, b"x" * size))
                     status = read_response(Stream(sock.recv)).status
             except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
-                continue  # shut unread: it comes again
+                continue  # closed before an answer: submit another message
             if status == 202:
                 return name
             assert status == 503
-        pytest.fail(f"nothing is accepted within {WAIT} s; {self.output[-5:]}")
+        pytest.fail(f"no message is accepted within {WAIT_S} s; {self.output[-5:]}")
 
     def test_watch_notifications_journal_and_calls_get_their_descriptors(self) -> None:
         program = self.start(256)
-        # Discovery has recorded the watch when it writes its answer, the program counts it once that is read.
+        # Discovery records the watch when it writes the answer, the forwarder counts it when it has read the answer.
         self.until(lambda: "watches_begun" in self.counters(program), "the watch is open")
         before = self.counters(program)
         self.discovery.set_outage(True)
         clients = self.resources.closing(IdleClients(program.address, 300))
-        assert clients.full.wait(WAIT)
-        self.until(lambda: clients.shut > 0, "the table is full")
+        assert clients.all_connected.wait(WAIT_S)
+        self.until(lambda: clients.closed_by_forwarder > 0, "the forwarder closes idle clients")
         delivered = [self.submit(program, size=6000) for _ in range(16)]
         self.until(lambda: set(delivered) <= self.called(), "endpoints are called")
         self.destination.inject_fault(FaultMode.DOWN)
-        undelivered = self.submit(program, left=1.5)
+        undelivered = self.submit(program, time_left_s=1.5)
         self.discovery.set_outage(False)
-        back_at = time.monotonic()
+        outage_ended_at = time.monotonic()
         self.until(lambda: undelivered in self.notified(), "the notification is delivered")
         watches = before["watches_begun"]
         self.until(lambda: self.counters(program)["watches_begun"] > watches, "the watch is opened again")
-        assert time.monotonic() - back_at < WAIT
+        assert time.monotonic() - outage_ended_at < WAIT_S
         after = self.counters(program)
         assert after["journal_compactions"] > before["journal_compactions"]
         for fault in (
@@ -266,15 +271,15 @@
         assert program.process is not None
         assert open_descriptors(program.process.pid) <= 256
 
-    def test_a_listener_without_descriptors_goes_on(self) -> None:
-        # The process is given fewer than its settings say: accepting fails, costs little, and comes back.
+    def test_a_listener_recovers_from_a_lack_of_descriptors(self) -> None:
+        # With fewer descriptors than its settings say, the forwarder must retry accepting without a busy loop.
         program = self.start(48)
         clients = self.resources.closing(IdleClients(program.address, 100))
         self.until(lambda: self.counters(program).get("accepts_failed", 0) >= 3, "accepting fails")
-        began, failed = time.monotonic(), self.counters(program)["accepts_failed"]
+        began_at, failed = time.monotonic(), self.counters(program)["accepts_failed"]
         self.until(lambda: self.counters(program)["accepts_failed"] >= failed + 10, "accepting goes on")
-        more = self.counters(program)["accepts_failed"] - failed
-        assert more <= (time.monotonic() - began) / 0.05 + 1, "it spins"
+        retries = self.counters(program)["accepts_failed"] - failed
+        assert retries <= (time.monotonic() - began_at) / 0.05 + 1, "accepting is retried in a busy loop"
         clients.close()
         name = self.submit(program)
         self.until(lambda: name in self.called(), "the endpoint is called")
@@ -286,12 +291,12 @@
         return {r.id for r in self.recorder.records if isinstance(r, NotificationReceived)}
 
 
-class TestLimit:
-    def test_the_rig_limits_the_process(self) -> None:
+class TestLimitedProgram:
+    def test_the_launcher_limits_the_descriptors_of_the_process(self) -> None:
         code = "import resource; print(resource.getrlimit(resource.RLIMIT_NOFILE)[0])"
         assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] != 77
         done = subprocess.run(
             [sys.executable, "-c", LIMIT_AND_RUN, "77", sys.executable, "-c", code],
-            cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=WAIT, check=True,
+            cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=WAIT_S, check=True,
         )  # fmt: skip
         assert done.stdout.strip() == "77"
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -1,4 +1,4 @@
-"""The on-call page has each log event and each counter of a forwarder, and nothing else."""
+"""The on-call page lists exactly the log events and the counters of a forwarder."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "on-call.md").read_text()
 PACKAGES = ("forwarder", "control", "net")
-FORMATTED = {  # names that the code puts together
+FORMATTED_NAMES = {  # the suffixes of names that the code builds, by prefix
     "attempts_": {outcome.name.lower() for outcome in Outcome},
     "rejections_": {"fenced", "unknown", "stopping", "full"},
     "broken_": {"NAME"},
@@ -21,7 +21,7 @@
 
 
 def calls() -> Iterator[tuple[str, list[ast.expr]]]:
-    """Each call in a forwarder's code, by the function's last name, with its arguments."""
+    """Yield the unqualified function name and the arguments of each call in a forwarder's code."""
     for package in PACKAGES:
         for path in sorted((ROOT / "juniperward" / package).rglob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -34,31 +34,31 @@
 
 
 def texts(argument: ast.expr) -> set[str]:
-    """The texts that an argument can be."""
+    """Return the texts that an argument can have."""
     match argument:
         case ast.Constant(value=str(text)):
             return {text}
         case ast.IfExp(body=body, orelse=orelse):
             return texts(body) | texts(orelse)
         case ast.JoinedStr(values=[ast.Constant(value=str(prefix)), _]):
-            return {f"{prefix}{word}" for word in FORMATTED[prefix]}
+            return {f"{prefix}{word}" for word in FORMATTED_NAMES[prefix]}
         case _:
             return set()
 
 
 def section(title: str) -> str:
-    """The text of a section of the page."""
+    """Return the text of a section of the page."""
     return PAGE.split(f"## {title}\n")[1].split("\n## ")[0]
 
 
-def test_the_page_has_each_counter_and_nothing_else() -> None:
+def test_the_page_lists_exactly_the_counters() -> None:
     counted = {t for name, args in calls() if name in ("increment", "count") and args for t in texts(args[0])}
     rows = [row.split("|")[1] for row in section("Counters").splitlines() if row.startswith("| `")]
     listed = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
     assert listed == counted
 
 
-def test_the_page_has_each_log_event_and_nothing_else() -> None:
+def test_the_page_lists_exactly_the_log_events() -> None:
     written = {
         f"{kind}: {event}"
         for name, args in calls()
@@ -77,7 +77,7 @@
     assert listed == written
 
 
-def test_the_reasons_of_rejections_are_those_that_intake_gives() -> None:
+def test_the_formatted_reasons_of_rejections_are_those_of_intake() -> None:
     source = ast.parse((ROOT / "juniperward/forwarder/reducer/intake.py").read_text())
     (method,) = [
         node
@@ -85,4 +85,4 @@
         if isinstance(node, ast.FunctionDef) and node.name == Intake._rejection.__name__
     ]
     returned = [node.value for node in ast.walk(method) if isinstance(node, ast.Return) and node.value]
-    assert {text for value in returned for text in texts(value)} == FORMATTED["rejections_"]
+    assert {text for value in returned for text in texts(value)} == FORMATTED_NAMES["rejections_"]
--- a/tests/test_process_footprint.py
+++ b/tests/test_process_footprint.py
@@ -1,4 +1,4 @@
-"""The footprint of a forwarder process: what it may import, and that it opens nothing that is not configured."""
+"""Tests of a forwarder process's footprint: its imports, its open files, and errors of the command line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.player import ROOT, Program
 
-HEAVY = (
+OPTIONAL_MODULES = (
     "typer",
     "rich",
     "structlog",
@@ -37,18 +37,19 @@
 
 
 class TestProcessFootprint:
-    def test_a_forwarder_starts_with_the_standard_library_alone(self) -> None:
-        # -S: no installed package can be imported.
-        code = f"import juniperward.forwarder.start, sys; print([m for m in {HEAVY!r} if m in sys.modules])"
+    def test_a_forwarder_imports_only_the_standard_library(self) -> None:
+        # -S hides the installed packages.
+        find_imported = f"print([m for m in {OPTIONAL_MODULES!r} if m in sys.modules])"
+        code = f"import juniperward.forwarder.start, sys; {find_imported}"
         found = subprocess.run(
             [sys.executable, "-S", "-c", code],
             cwd=ROOT, env={"PATH": os.environ["PATH"]}, capture_output=True, text=True,
         )  # fmt: skip
         assert (found.stdout.strip(), found.stderr) == ("[]", "")
 
-    def test_on_the_platform_nothing_more_is_opened(self) -> None:
-        # Without `control` and `kept` in the configuration: no Unix socket, and the state folder has the journal and
-        # the small note on the clocks beside it (forwarder/clock.py), which is not kept open.
+    def test_without_optional_features_only_the_journal_and_its_folder_are_open(self) -> None:
+        # Without `control` and `kept` in the configuration there is no Unix socket and no spool. The state folder has
+        # the journal and the clock reference, which does not stay open.
         with tempfile.TemporaryDirectory() as name:
             program = Program(Path(name))
             program.start()
@@ -57,8 +58,8 @@
             open_files = [str(path.readlink()) for path in folder.iterdir()]
             state = sorted(p.name for p in program.state.iterdir())
             program.close()
-        ours = [f for f in open_files if name in f]
-        assert sorted(Path(f).name for f in ours) == ["journal", "state"]
+        forwarder_files = [f for f in open_files if name in f]
+        assert sorted(Path(f).name for f in forwarder_files) == ["journal", "state"]
         assert state == ["clock", "journal"]
 
     def test_an_unknown_argument_is_reported_without_a_traceback(self) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,6 @@
-"""State folders written by the version before its code was made readable are read, and every message gets its end.
+"""State folders of an earlier version, in `tests/stored_data/`, are read, and each message gets its outcome.
 
-The folders in `tests/stored_data/` are committed as that version left them (`tests/stored_data_writer.py`). Words
-on disk stay as they are: what is read is written again as the same bytes.
+The format on disk is stable: the present version writes the same bytes (`tests/stored_data_writer.py`).
 """
 
 from __future__ import annotations
@@ -20,6 +19,7 @@
 from juniperward.agent import state_codec
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
+from juniperward.dead_letters.clock import Clock
 from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
 from juniperward.dead_letters.selection import Filter
 from juniperward.dead_letters.spool import Spool
@@ -37,8 +37,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.telemetry import counters
 from juniperward.scheduler.events import EndpointPhase, Outcome
-from juniperward.scheduler.settings import DeduplicationScope, MessageClass
-from juniperward.scheduler.settings import Idempotency as MessageEffect
+from juniperward.scheduler.settings import DeduplicationScope, Idempotency, MessageClass
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from tests import stored_data_writer
 from tests.helpers import settings
@@ -50,14 +49,14 @@
     MessageClass(
         latency_objective_s=4.0,
         deadline_s=20.0,
-        idempotency=MessageEffect.IDEMPOTENCY_KEY,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
         deduplication_window_s=12.0,
         deduplication_scope=DeduplicationScope.ALL,
     ),
-    MessageClass(latency_objective_s=4.0, deadline_s=20.0, idempotency=MessageEffect.NON_IDEMPOTENT),
+    MessageClass(latency_objective_s=4.0, deadline_s=20.0, idempotency=Idempotency.NON_IDEMPOTENT),
 )
-NOW = 5.0  # of the new process, by the clock of which the writer's time 0 is 0
-NOT_OVER = {
+NOW = 5.0  # monotonic time at the start of the new process; WRITTEN_AT is its time 0
+INCOMPLETE_IDS = {
     f"{effect}-{stage}"
     for effect in ("repeatable", "by-key", "once")
     for stage in ("accepted", "started", "not-run", "second", "failed", "rejected")
@@ -66,14 +65,14 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy of the stored folders."""
+    """Return a copy of the stored folders."""
     shutil.copytree(FOLDER, tmp_path / "data")
     return tmp_path / "data"
 
 
 @pytest.fixture(scope="module")
 def rewritten(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The same folders as the present version writes them."""
+    """Return the same folders, written by the present version."""
     folder = tmp_path_factory.mktemp("rewritten") / "data"
     stored_data_writer.main(folder)
     return folder
@@ -95,7 +94,7 @@
 
 
 def test_the_present_version_writes_the_same_store(rewritten: Path) -> None:
-    # As statements: SQLite writes its own version into the file.
+    # Compares SQL dumps, as the file itself has the version of SQLite.
     with (
         contextlib.closing(sqlite3.connect(FOLDER / "store" / "store.db")) as old_store,
         contextlib.closing(sqlite3.connect(rewritten / "store" / "store.db")) as new_store,
@@ -106,7 +105,7 @@
 
 
 def test_the_present_version_writes_the_same_agent_state(rewritten: Path) -> None:
-    # A saved version of the settings is named after its content, which has the folder's path in it.
+    # The name of a saved version depends on its content, which contains the path of the folder.
     (old_version,) = (path.name for path in (FOLDER / "agent" / "editions").iterdir())
     (new_version,) = (path.name for path in (rewritten / "agent" / "editions").iterdir())
     for name in ("state.json", "state.json.old"):
@@ -115,17 +114,17 @@
         assert new_body.replace(new_version, old_version) == old_body
 
 
-def restored(folder: Path) -> dict[str, RestoredMessage]:
-    read = Journal(folder / "forwarder", 1_000_000, WRITTEN_AT)
-    read.close()
-    return {message.message.id: message for message in read.restored()}
+def restored_messages(folder: Path) -> dict[str, RestoredMessage]:
+    journal = Journal(folder / "forwarder", 1_000_000, WRITTEN_AT)
+    journal.close()
+    return {message.message.id: message for message in journal.restored()}
 
 
 def test_the_journal_restores_each_incomplete_message(folder: Path) -> None:
     before = counters().get("journal_damaged", 0)
-    messages = restored(folder)
-    assert set(messages) == NOT_OVER
-    assert counters()["journal_damaged"] == before + 2  # the damaged line and the torn tail
+    messages = restored_messages(folder)
+    assert set(messages) == INCOMPLETE_IDS
+    assert counters()["journal_damaged"] == before + 2  # the damaged and the torn line
     for name, message in messages.items():
         if name.endswith(("-failed", "-rejected")):
             assert message.notification is not None
@@ -136,8 +135,8 @@
         assert message.message.time_left_s == 20.0
     history = [(a.endpoint, a.started_at, a.possibly_executed) for a in messages["by-key-second"].history]
     assert history == [("s-1", 1.0, False), ("s-2", 2.5, True)]
-    resend = messages["kept-0123456789abcdef0123-1"]
-    assert [(a.started_at, a.possibly_executed) for a in resend.history] == [(-3.0, True)]
+    redrive = messages["kept-0123456789abcdef0123-1"]
+    assert [(a.started_at, a.possibly_executed) for a in redrive.history] == [(-3.0, True)]
 
 
 def test_the_journal_writes_the_same_lines_as_it_reads(folder: Path) -> None:
@@ -149,64 +148,67 @@
     assert sum(r is None for r in records) == 2
 
 
-class Machine:
-    """Runs the reducer over time: timers fire, and each attempt is answered as delivered."""
+class ReducerSimulation:
+    """Runs the reducer with simulated time; each attempt succeeds after 50 ms."""
 
     def __init__(self) -> None:
         self.reducer = Reducer(settings(*CLASSES, slots=8, max_open=100), 1)
-        self.due: list[tuple[float, int, Event]] = []
-        self.ends: dict[str, list[str]] = {}
+        self.scheduled: list[tuple[float, int, Event]] = []
+        self.outcomes: dict[str, list[str]] = {}
         self.serial = 0
 
-    def do(self, now: float, *events: Event) -> None:
+    def reduce(self, now: float, *events: Event) -> None:
         for effect in self.reducer.reduce(now, events):
-            self._carry_out(now, effect)
+            self._perform(now, effect)
 
     def run(self, until: float) -> None:
-        while self.due and self.due[0][0] <= until:
-            at, _, event = heapq.heappop(self.due)
-            self.do(at, event)
+        while self.scheduled and self.scheduled[0][0] <= until:
+            at, _, event = heapq.heappop(self.scheduled)
+            self.reduce(at, event)
 
-    def _later(self, at: float, event: Event) -> None:
+    def _schedule(self, at: float, event: Event) -> None:
         self.serial += 1
-        heapq.heappush(self.due, (at, self.serial, event))
+        heapq.heappush(self.scheduled, (at, self.serial, event))
 
-    def _carry_out(self, now: float, effect: Effect) -> None:
+    def _perform(self, now: float, effect: Effect) -> None:
         match effect:
             case SetTimer(at=at, event=event):
-                self._later(max(at, now), event)
+                self._schedule(max(at, now), event)
             case StartAttempt(number=number, items=items):
-                ends = tuple(ItemOutcome(item.message, Outcome.OK) for item in items)
-                self._later(now + 0.05, AttemptAnswered(number, ends))
+                outcomes = tuple(ItemOutcome(item.message, Outcome.OK) for item in items)
+                self._schedule(now + 0.05, AttemptAnswered(number, outcomes))
             case AppendRecord(record=CompletedRecord(id=name)):
-                self.ends.setdefault(name, []).append("delivered")
+                self.outcomes.setdefault(name, []).append("delivered")
             case SendNotifications(notifications=notifications):
                 for n in notifications:
-                    self.ends.setdefault(n.id, []).append("failed" if n.retry_after_s is None else "rejected")
+                    self.outcomes.setdefault(n.id, []).append(
+                        "failed" if n.retry_after_s is None else "rejected"
+                    )
 
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_every_message_of_an_old_journal_gets_one_outcome(folder: Path, reachable: bool) -> None:
-    machine = Machine()
-    workers = tuple(
+    simulation = ReducerSimulation()
+    endpoints = tuple(
         Endpoint(f"s-{n}", "127.0.0.1", 80 + n, 7, EndpointPhase.READY, 0, 0, 0.0) for n in (1, 2)
     )
-    machine.do(NOW, EndpointsUpdated(1, True, workers if reachable else (), cached=True))
-    machine.do(NOW, JournalReplayed(tuple(restored(folder).values())))
-    machine.run(60.0)
-    assert set(machine.ends) == NOT_OVER
-    assert all(len(ends) == 1 for ends in machine.ends.values()), machine.ends
-    ends = {name: ends[0] for name, ends in machine.ends.items()}
-    assert ends["once-started"] == ends["once-second"] == "failed"  # it may have run, and must not run twice
+    simulation.reduce(NOW, EndpointsUpdated(1, True, endpoints if reachable else (), cached=True))
+    simulation.reduce(NOW, JournalReplayed(tuple(restored_messages(folder).values())))
+    simulation.run(60.0)
+    assert set(simulation.outcomes) == INCOMPLETE_IDS
+    assert all(len(each) == 1 for each in simulation.outcomes.values()), simulation.outcomes
+    outcomes = {name: each[0] for name, each in simulation.outcomes.items()}
+    # A non-idempotent message that possibly executed must not be attempted again.
+    assert outcomes["once-started"] == outcomes["once-second"] == "failed"
     for effect in ("repeatable", "by-key", "once"):
-        assert ends[f"{effect}-failed"] == "failed"
-        assert ends[f"{effect}-rejected"] == "rejected"
+        assert outcomes[f"{effect}-failed"] == "failed"
+        assert outcomes[f"{effect}-rejected"] == "rejected"
         assert (
-            ends[f"{effect}-accepted"]
-            == ends[f"{effect}-not-run"]
+            outcomes[f"{effect}-accepted"]
+            == outcomes[f"{effect}-not-run"]
             == ("delivered" if reachable else "rejected")
         )
-    assert ends["by-key-started"] == ends["by-key-second"] == ("delivered" if reachable else "failed")
+    assert outcomes["by-key-started"] == outcomes["by-key-second"] == ("delivered" if reachable else "failed")
 
 
 def test_the_clock_of_the_same_boot_is_carried_over(folder: Path) -> None:
@@ -230,19 +232,19 @@
     spool = Spool(path, 1_000_000)
     spool.close()
     assert spool.ids == set(messages)
-    assert [n for n, _ in segments(path)] == [2]  # the first was acknowledged
+    assert [n for n, _ in segments(path)] == [2]  # the first segment was acknowledged
     assert {name: (outcome.result, outcome.executed_at) for name, outcome in spool.outcomes.items()} == {
         "kept-a-1": ("delivered", WRITTEN_AT - 4.0),
         "kept-b-1": ("undeliverable", None),
         "kept-c-2": ("deferred", WRITTEN_AT - 3.0),
     }
     assert spool.outcomes.complete_since == WRITTEN_AT
-    good = (FOLDER / "spool" / "fates").read_bytes().split(b"\n")[:4]
-    assert (path / "fates").read_bytes() == b"\n".join(good) + b"\n"
+    valid_lines = (FOLDER / "spool" / "fates").read_bytes().split(b"\n")[:4]
+    assert (path / "fates").read_bytes() == b"\n".join(valid_lines) + b"\n"
 
 
 def read_lines(file: Path) -> list[tuple[Any, bytes]]:
-    """Each line of a segment as a message, and as its bytes."""
+    """Return each complete line of a segment, as a message and as bytes."""
     return [
         (decode_message(line[:-1]), line) for line in file.read_bytes().splitlines(True) if line[-1:] == b"\n"
     ]
@@ -251,14 +253,14 @@
 def test_the_store_restores_each_message_with_its_history(folder: Path) -> None:
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
     assert store.check() == []
-    stands = {str(f.id): str(f.status.value) for f in store.select(Filter())}
-    assert stands == {
+    statuses = {str(f.id): str(f.status.value) for f in store.select(Filter())}
+    assert statuses == {
         "m-waiting": "kept", "m-wished": "kept", "m-claimed": "claimed", "m-delivered": "delivered",
         "m-deferred": "kept", "m-discarded": "discarded", "m-settled": "delivered",
     }  # fmt: skip
-    story = {name: store.complete_record(name) for name in sorted(stands)}
+    records = {name: store.complete_record(name) for name in sorted(statuses)}
     expected = json.loads((FOLDER / "store" / "expected.json").read_text())
-    assert story == expected["messages"]
+    assert records == expected["messages"]
     assert store.stats() == expected["stats"]
     assert store.audit() == expected["audit"]
     (lease,) = store.open_redrives()
@@ -269,8 +271,8 @@
         WRITTEN_AT + 1,
     )
     assert store.spool_position("n1") == (2, 345)
-    seen = store.recorded_clock()
-    assert seen is not None and (seen.wall, seen.boot, seen.boot_id) == (WRITTEN_AT + 10.0, 500.0, BOOT_ID)
+    recorded_clock = store.recorded_clock()
+    assert recorded_clock == Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID)
     store.settle_redrive(lease, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
     assert {f.id for f in store.select(Filter(status="claimed"))} == set()
     store.close()
@@ -280,7 +282,7 @@
     lines = [line for _, file in segments(folder / "spool") for line in file.read_bytes().splitlines()]
     row = decode_line(next(line for line in lines if b'"m-by-key"' in line))
     message = decode_message(encode_line(row | {"effect": "later-word"})[:-1])
-    assert message is not None and message.idempotency is MessageEffect.NON_IDEMPOTENT
+    assert message is not None and message.idempotency is Idempotency.NON_IDEMPOTENT
     with contextlib.closing(sqlite3.connect(folder / "store" / "store.db")) as database, database:
         database.execute("UPDATE message SET effect = 'later-word' WHERE id = 'm-wished'")
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
@@ -290,40 +292,40 @@
     assert judgement.kind is RedriveSafety.UNCERTAIN and not judgement.may_go
 
 
-def test_the_agent_goes_on_from_an_old_state(folder: Path) -> None:
+def test_the_agent_reads_an_old_state(folder: Path) -> None:
     with mock.patch("juniperward.agent.store.boot_id", return_value=BOOT_ID):
-        durable, told = StateStore(folder / "agent").load()
-    assert told == []
-    instances = {i.name: i for i in durable.instances}
+        state, warnings = StateStore(folder / "agent").load()
+    assert warnings == []
+    instances = {i.name: i for i in state.instances}
     assert set(instances) == {"n1", "n2", "n3", "n4"}
     assert instances["n1"].process is not None and instances["n1"].process.pid == 4242
     assert instances["n3"].desired_state is DesiredState.STOPPED and instances["n4"].crashes.times == (
         1.0,
         2.0,
     )
-    assert durable.roll is not None and durable.roll.mode is RollMode.PAUSED
-    assert [s.stage for s in durable.roll.steps] == [
+    assert state.roll is not None and state.roll.mode is RollMode.PAUSED
+    assert [s.stage for s in state.roll.steps] == [
         RollStage.DONE,
         RollStage.SOAKING,
         RollStage.WAITING,
         RollStage.SKIPPED,
     ]
     body = (folder / "agent" / "state.json").read_bytes().partition(b"\n")[2]
-    assert state_codec.encode(durable) == body
+    assert state_codec.encode(state) == body
 
 
-def test_the_agent_falls_back_to_the_older_state(folder: Path) -> None:
+def test_the_agent_falls_back_to_its_previous_state(folder: Path) -> None:
     (folder / "agent" / "state.json").write_bytes(b"torn")
-    durable, told = StateStore(folder / "agent").load()
-    assert durable == PersistentState((), None, 2, "older") and len(told) == 1
+    state, warnings = StateStore(folder / "agent").load()
+    assert state == PersistentState((), None, 2, "older") and len(warnings) == 1
 
 
 def test_saved_versions_of_the_settings_are_read(folder: Path) -> None:
-    editions = ConfigurationVersions(folder / "agent" / "editions")
-    (configuration_version,) = [p.name for p in editions.folder.iterdir()]
+    versions = ConfigurationVersions(folder / "agent" / "editions")
+    (configuration_version,) = [p.name for p in versions.folder.iterdir()]
     for name in ("n1", "n2"):
-        config = editions.read(configuration_version, name)
+        config = versions.read(configuration_version, name)
         assert (
-            config == json.loads((editions.folder / configuration_version / f"{name}.json").read_text())
+            config == json.loads((versions.folder / configuration_version / f"{name}.json").read_text())
             and config
         )
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""The trace of a forwarder, and the tables over those of a whole fleet."""
+"""Tests of a forwarder's trace, and of the tables over the traces of a fleet."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 )
 
 
-def call(name: str) -> Message:
+def message(name: str) -> Message:
     return Message(name, 0, 0, 7, 12.0, None, b"")
 
 
-def trace_of_incarnation(start: float) -> list[str]:
-    """What a forwarder writes of three messages: one late after a rejection, one rejected, one failed."""
+def trace_of_process(unix_offset_s: float) -> list[str]:
+    """Return the trace of three messages: one delivered late after an overload, one rejected, one undeliverable."""
     out = io.StringIO()
     with contextlib.redirect_stderr(out):
-        trace = Trace(start)
-        a, b, c = call("a"), call("b"), call("c")
+        trace = Trace(unix_offset_s)
+        a, b, c = message("a"), message("b"), message("c")
         trace.write_events(
             0.0, [MessageReceived(1, a, 0.0), MessageReceived(2, b, 0.0), MessageReceived(3, c, 0.0)]
         )
@@ -75,8 +75,8 @@
 
 
 class TestTraces:
-    def test_what_forwarders_write_is_counted_over_all_of_them(self) -> None:
-        fleet = read({"n0": trace_of_incarnation(1000.0), "n1": trace_of_incarnation(1001.0)})
+    def test_traces_are_counted_over_all_forwarders(self) -> None:
+        fleet = read({"n0": trace_of_process(1000.0), "n1": trace_of_process(1001.0)})
         assert (fleet.unread_count, fleet.forwarders, fleet.latency_objective_s) == (0, 2, 2.0)
         ((destination, row),) = fleet.by_destination()
         assert destination == 7
@@ -86,17 +86,17 @@
         assert [second for second, _ in fleet.rows()] == [0, 1, 2, 3]
         assert [r.get("sick", 0) for _, r in fleet.rows(7)] == [1, 1, -1, -1]
 
-    def test_calls_of_a_killed_forwarder_are_not_those_of_its_next_incarnation(self) -> None:
-        begun = [x for x in trace_of_incarnation(1000.0) if " ended " not in x and " answer " not in x]
-        fleet = read({"n0": [*begun, *trace_of_incarnation(1010.0)]})
+    def test_calls_of_a_killed_forwarder_are_not_attributed_to_the_next_process(self) -> None:
+        unfinished = [x for x in trace_of_process(1000.0) if " ended " not in x and " answer " not in x]
+        fleet = read({"n0": [*unfinished, *trace_of_process(1010.0)]})
         assert fleet.unread_count == 0
         assert fleet.by_destination()[0][1]["ok"] == 1
 
     def test_unreadable_lines_are_counted_and_named(self) -> None:
-        bad = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
+        invalid = ["juniperward: trace: 1000.0 ended 99 ok 0.0", "juniperward: trace: 1000.0 danced 1",
                "juniperward: trace: soon call", "juniperward: trace: 1000.0 handed x"]  # fmt: skip
         fleet = read(
-            {"n0": [*trace_of_incarnation(1000.0), *bad, "juniperward: start: not a line of the trace"]}
+            {"n0": [*trace_of_process(1000.0), *invalid, "juniperward: start: not a line of the trace"]}
         )
         assert fleet.unread_count == 4
         assert any(x.startswith("n0:") and "danced" in x for x in fleet.unread)
