--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a forwarder from its configuration: the parts are connected and the journal read; no thread runs yet."""
+"""Builds a forwarder from its configuration: connects its components and replays the journal; starts no thread."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def build(config: Config) -> Loop:
-    """Return the loop of a forwarder; raises OSError where its folder or its address cannot be used."""
-    to_unix = time.time() - time.monotonic()
-    journal_to_unix = choose_unix_offset(
-        config.state_folder, to_unix, read_boot_id(), journal_name=JOURNAL_NAME
+    """Return the loop of a forwarder; raises OSError if its folder or its address cannot be used."""
+    unix_offset_s = time.time() - time.monotonic()
+    journal_unix_offset_s = choose_unix_offset(
+        config.state_folder, unix_offset_s, read_boot_id(), journal_name=JOURNAL_NAME
     )
-    journal = Journal(config.state_folder, config.journal_max_bytes, journal_to_unix)
-    dead_letters = _open_dead_letters(config, to_unix)
+    journal = Journal(config.state_folder, config.journal_max_bytes, journal_unix_offset_s)
+    dead_letters = _open_dead_letters(config, unix_offset_s)
     stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
     reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored)
     queue = EventQueue()
@@ -38,31 +38,33 @@
     return Loop(reducer, executor, queue)
 
 
-def _open_dead_letters(config: Config, to_unix: float) -> DeadLetterWriter | None:
+def _open_dead_letters(config: Config, unix_offset_s: float) -> DeadLetterWriter | None:
     if config.spool is None:
         return None
-    # Loaded only where dead letters are stored.
+    # Imported only if dead letters are stored, so that other forwarders start faster.
     from juniperward.dead_letters.spool import Spool
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
     return DeadLetterWriter(
-        Spool(config.spool.folder, config.spool.max_bytes), config.settings, config.names, to_unix
+        Spool(config.spool.folder, config.spool.max_bytes), config.settings, config.names, unix_offset_s
     )
 
 
 def _build_executor(config: Config, journal: Journal, queue: EventQueue) -> EffectExecutor:
     settings = config.settings
     if config.max_sockets < MIN_SOCKETS:
-        log("start", "few descriptors", sockets=config.max_sockets, needed=MIN_SOCKETS)
-    bounds = divide_descriptors(config.max_sockets, settings.slots)
-    server = Server(config.listen, config.names, bounds.clients, queue.post, bounds.closing_clients)
-    limits = EndpointClientLimits(
+        log("start", "descriptor limit too low", sockets=config.max_sockets, needed=MIN_SOCKETS)
+    connection_limits = divide_descriptors(config.max_sockets, settings.slots)
+    server = Server(
+        config.listen, config.names, connection_limits.clients, queue.post, connection_limits.closing_clients
+    )
+    client_limits = EndpointClientLimits(
         settings.dial_timeout_s,
         settings.keepalive_s,
-        bounds.calls,
-        bounds.idle_to_endpoints,
+        connection_limits.calls,
+        connection_limits.idle_endpoint_connections,
         max_read_s=max(message_class.deadline_s for message_class in settings.classes),
     )
-    endpoint_client = EndpointClient(limits, queue.post, journal.append)
+    endpoint_client = EndpointClient(client_limits, queue.post, journal.append)
     discovery = DiscoveryClient(config.discovery, config.names, queue.post)
     return EffectExecutor(journal, server, endpoint_client, discovery, queue)
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -1,6 +1,6 @@
 """Writes dead letters and the outcomes of redrives to the spool, from which the agent fetches them.
 
-Called by `effect_executor.py`; `control_output.py` reads the outcomes of redrives here.
+`effect_executor.py` calls it; `control_output.py` reads the outcomes of redrives from it.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.settings import SchedulerSettings
 
-MAX_UNIX_TIME_S = 1e18  # JSON has no infinity
+MAX_UNIX_TIME_S = 1e18  # stands for infinity, which JSON cannot encode
 
 
 class DeadLetterWriter:
-    """Used by the loop only. An error of the spool is counted and logged, and the service continues."""
+    """Writes to the spool, on the loop's thread only. An error of the spool is counted and logged, not raised."""
 
     def __init__(
-        self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, to_unix: float
+        self, spool: Spool, settings: SchedulerSettings, names: SettingsNames, unix_offset_s: float
     ) -> None:
-        """Write to a spool; `to_unix` added to monotonic time is Unix time."""
+        """Write to a spool; `unix_offset_s` is Unix time minus monotonic time."""
         self.spool = spool
-        self._settings, self._names, self._to_unix = settings, names, to_unix
+        self._settings, self._names, self._unix_offset_s = settings, names, unix_offset_s
 
     def store(self, effect: StoreDeadLetter) -> None:
-        """Write a message that is given up to the spool."""
+        """Write an undeliverable message to the spool."""
         try:
             self.spool.append(self._dead_letter(effect))
             increment("dead_letters_stored")
         except OSError as error:
             increment("dead_letters_failed")
-            log("dead_letters", "store failed", message=effect.message.id, error=error)
+            log("dead_letters", "dead letter not stored", message=effect.message.id, error=error)
 
     def _dead_letter(self, effect: StoreDeadLetter) -> SpooledMessage:
         message = effect.message
         message_class = self._settings.classes[message.class_index]
         attempts = tuple(
             SpooledAttempt(
-                past.endpoint, past.started_at + self._to_unix, past.outcome, past.possibly_executed
+                past.endpoint, past.started_at + self._unix_offset_s, past.outcome, past.possibly_executed
             )
             for past in effect.attempts
         )
@@ -54,8 +54,8 @@
             message.destination,
             message.idempotency_key,
             message.body,
-            effect.received_at + self._to_unix,
-            effect.given_up_at + self._to_unix,
+            effect.received_at + self._unix_offset_s,
+            effect.given_up_at + self._unix_offset_s,
             attempts,
             message_class.idempotency,
             message_class.deduplication_window_s,
@@ -63,17 +63,22 @@
         )
 
     def record_redrive_outcome(self, effect: RecordRedriveOutcome) -> None:
-        """Write the outcome of a redrive."""
-        executed_at = effect.executed_at + self._to_unix if effect.executed_at is not None else None
+        """Write the outcome of a redrive to the spool; where that fails, mark the outcomes as incomplete."""
+        executed_at = effect.executed_at + self._unix_offset_s if effect.executed_at is not None else None
         try:
             self.spool.outcomes.record(effect.id, RedriveOutcome(effect.outcome, executed_at))
         except OSError as error:
             increment("dead_letters_failed")
-            log("dead_letters", "redrive outcome not recorded", redrive=effect.id, error=error)
+            log(
+                "dead_letters",
+                "redrive outcome not stored; outcomes marked incomplete",
+                redrive=effect.id,
+                error=error,
+            )
             self.spool.outcomes.mark_incomplete()
 
     def redrive_outcomes(self, known: RedriveOutcomes) -> RedriveOutcomes:
-        """Return the reducer's answer completed by the spool, which has the outcomes of finished redrives."""
+        """Return the reducer's answer, completed with the outcomes of finished redrives from the spool."""
         rows = []
         for row in known.outcomes:
             outcome = self.spool.outcomes.get(row.id)
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -1,8 +1,8 @@
-"""The trace: the reducer's events and effects, a line each on standard error; off unless ROUTER_TRACE is set.
+"""Writes the reducer's events and effects to standard error, one per line, if ROUTER_TRACE is set.
 
-The log is for people and leaves lines out; a trace leaves out none: `juniperward simulate traces` counts its lines
-over all forwarders of a fleet. A line is `juniperward: trace: TIME KEYWORD FIELD ...`, TIME in Unix time, which all
-forwarders of a fleet share. The keywords are a format that benchmarks/traces.py reads, also of older versions.
+The log limits its rate, but the trace is complete, as `juniperward simulate traces` counts its lines over all
+forwarders of a fleet. A line is `juniperward: trace: TIME KEYWORD FIELD ...`, with TIME in Unix time. The keywords
+are a stable format: benchmarks/traces.py also reads the traces of older versions.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 
 
 class Trace:
-    """Writes the events and effects that pass between the loop and the reducer."""
+    """Writes the events that the loop passes to the reducer, and the effects that it gets back."""
 
-    def __init__(self, to_unix: float) -> None:
-        """Trace in Unix time; `to_unix` is added to monotonic time."""
-        self._to_unix = to_unix
-        self._waiting: dict[int, str] = {}  # by client: destination and id of its message
+    def __init__(self, unix_offset_s: float) -> None:
+        """Start a trace; `unix_offset_s` is Unix time minus monotonic time."""
+        self._unix_offset_s = unix_offset_s
+        self._unanswered: dict[int, str] = {}  # by client: destination and id of the message it sent
 
-    def events(self, now: float, events: Iterable[Event]) -> None:
+    def write_events(self, now: float, events: Iterable[Event]) -> None:
         """Write the events of a round."""
         self._write(now, [line for event in events for line in self._event_lines(event)])
 
@@ -61,8 +61,8 @@
         lines: list[str] = []
         match event:
             case MessageReceived(client=client, message=message):
-                self._waiting[client] = f"{message.destination} {message.id}"
-                lines = [f"handed {self._waiting[client]} {message.time_left_s:.3f}"]
+                self._unanswered[client] = f"{message.destination} {message.id}"
+                lines = [f"handed {self._unanswered[client]} {message.time_left_s:.3f}"]
             case MessageAccepted(client_answered=False, message=number):
                 lines = [f"untold {number}"]
             case NotificationAcknowledged(ids=ids):
@@ -73,7 +73,7 @@
                 lines = _attempt_lines(event)
         return lines
 
-    def effects(self, now: float, effects: Iterable[Effect]) -> None:
+    def write_effects(self, now: float, effects: Iterable[Effect]) -> None:
         """Write the effects of a round."""
         self._write(now, [line for effect in effects for line in self._effect_lines(effect)])
 
@@ -81,9 +81,9 @@
         lines: list[str] = []
         match effect:
             case AcceptMessage(client=client):
-                lines = [f"taken {self._waiting.pop(client, '? ?')}"]
+                lines = [f"taken {self._unanswered.pop(client, '? ?')}"]
             case ReplyToClient(client=client, status=status, retry_after_s=retry_after_s):
-                lines = [f"refused {self._waiting.pop(client, '? ?')} {status} {retry_after_s:.3f}"]
+                lines = [f"refused {self._unanswered.pop(client, '? ?')} {status} {retry_after_s:.3f}"]
             case StartAttempt(items=items):
                 ids = ",".join(item.content.id for item in items)
                 address = f"{effect.host}:{effect.port}"
@@ -96,14 +96,14 @@
                 lines = [f"say {format_event(event, dict(fields))}"]
         return lines
 
-    def answered(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
-        """Write an endpoint's answer as it was read; `fresh`: on a new connection."""
+    def write_answer(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
+        """Write the status and the headers of an endpoint's answer; `fresh`: it came on a new connection."""
         how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
     def _write(self, now: float, lines: list[str]) -> None:
         if lines:
-            text = "".join(f"{PREFIX} {now + self._to_unix:.3f} {line}\n" for line in lines)
+            text = "".join(f"{PREFIX} {now + self._unix_offset_s:.3f} {line}\n" for line in lines)
             with contextlib.suppress(OSError, ValueError):
                 print(text, end="", file=sys.stderr, flush=True)
 
