--- a/juniperward/forwarder/endpoint_list_codec.py
+++ b/juniperward/forwarder/endpoint_list_codec.py
@@ -61,7 +61,7 @@
         phase=PHASES[entry["state"]],
         kind=_position(entry.get("kind"), names.kinds),
         zone=_position(entry.get("zone"), names.zones),
-        listed_rate=_read_rate(entry.get("weight")),
+        listed_rate_per_s=_read_rate(entry.get("weight")),
     )
 
 
--- a/juniperward/forwarder/model.py
+++ b/juniperward/forwarder/model.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of discovery's list; `id` is discovery's, `listed_rate` attempts a second, or 0."""
+    """One entry of discovery's list; `id` is discovery's, `listed_rate_per_s` attempts, or 0."""
 
     id: str
     host: str
@@ -44,7 +44,7 @@
     phase: EndpointPhase
     kind: int
     zone: int
-    listed_rate: float
+    listed_rate_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -87,7 +87,12 @@
             directory.removed.discard(number)
         self._round.emit(SetEndpointDraining(number, endpoint.phase is not EndpointPhase.READY))
         return EndpointEntry(
-            number, endpoint.destination, endpoint.phase, endpoint.kind, endpoint.zone, endpoint.listed_rate
+            number,
+            endpoint.destination,
+            endpoint.phase,
+            endpoint.kind,
+            endpoint.zone,
+            endpoint.listed_rate_per_s,
         )
 
     def _drop_removed(self) -> None:
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -128,7 +128,7 @@
 
 def _endpoint_line(endpoint: Endpoint) -> str:
     phase = PHASE_WORDS[endpoint.phase]
-    return f"listed {endpoint.id} {endpoint.destination} {endpoint.kind} {phase} {endpoint.listed_rate}"
+    return f"listed {endpoint.id} {endpoint.destination} {endpoint.kind} {phase} {endpoint.listed_rate_per_s}"
 
 
 def _notification_line(notification: OutcomeNotification) -> str:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -130,7 +130,7 @@
         servers = [{**entry, "id": f"s-{n}", "weight": rate} for n, rate in enumerate(rates)]
         before = counters().get("listed_rates_invalid", 0)
         config = load(self.given({**GOOD, "known": {"version": 1, "full": True, "servers": servers}}))
-        found = [e.listed_rate for e in config.known_endpoints.endpoints]
+        found = [e.listed_rate_per_s for e in config.known_endpoints.endpoints]
         assert found == [0.0, 0.0, 42.5, 40.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]
         assert counters()["listed_rates_invalid"] - before == 6
 
