--- a/juniperward/forwarder/active_call.py
+++ b/juniperward/forwarder/active_call.py
@@ -1,4 +1,4 @@
-"""A call to an endpoint in flight: what the loop's thread and the call's own thread share of it."""
+"""The state of a call to an endpoint that the loop's thread and the call's own thread share."""
 
 from __future__ import annotations
 
@@ -9,12 +9,16 @@
 
 
 class ActiveCall:
-    """An attempt or a health check from its start to its outcome; guarded by the gate's lock."""
+    """An attempt or a health check in flight; guarded by the lock of the gate.
+
+    Attributes:
+        withdrawn: Numbers of the messages that must not be written.
+    """
 
     def __init__(self, effect: StartAttempt | StartHealthCheck) -> None:
-        """Begin before anything is written."""
+        """Start without a connection and with nothing written."""
         self.effect = effect
         self.sock: socket.socket | None = None
         self.cancelled = False
         self.progress = AttemptProgress.WAITING
-        self.withdrawn: set[int] = set()  # messages that must not be written any more
+        self.withdrawn: set[int] = set()
--- a/juniperward/forwarder/batch.py
+++ b/juniperward/forwarder/batch.py
@@ -1,7 +1,7 @@
-"""The body of an attempt with several messages: its encoding, and the size of one message in it.
+"""The body of an attempt with several messages, a JSON array: its encoding, and the size of a message in it.
 
-In come messages, out the bytes of the JSON array that the protocol page gives ('Forwarders to endpoints'). The
-scheduler decides which messages share an attempt, by the sizes from here. Called by intake and the endpoint client.
+The scheduler uses the sizes to decide which messages share an attempt. Called by `Intake` and the endpoint
+client.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 from juniperward.forwarder.model import Message
 
 SEPARATORS = (",", ":")
-BASE64_INPUT_BYTES, BASE64_OUTPUT_BYTES = 3, 4  # so many bytes become so many characters
+# Base64 encodes each group of three bytes, the last one padded, as four characters.
+BASE64_GROUP_BYTES, BASE64_GROUP_CHARACTERS = 3, 4
 
 
 def encode_batch(messages: Iterable[Message]) -> bytes:
-    """Return the body of an attempt with these messages."""
+    """Return the body of an attempt with several messages."""
     rows = [_row(message, base64.b64encode(message.body).decode()) for message in messages]
     return json.dumps(rows, separators=SEPARATORS).encode()
 
 
-def item_bytes(message: Message) -> int:
-    """Return the bytes of a message in such a body, with the separator before it; the body has one more in all."""
-    encoded_body = BASE64_OUTPUT_BYTES * -(-len(message.body) // BASE64_INPUT_BYTES)
+def batch_item_bytes(message: Message) -> int:
+    """Return a message's size in a body, with one separator; a body is one byte longer than the sum."""
+    encoded_body = BASE64_GROUP_CHARACTERS * -(-len(message.body) // BASE64_GROUP_BYTES)
     return len(json.dumps(_row(message, ""), separators=SEPARATORS)) + encoded_body + 1
 
 
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -1,6 +1,6 @@
-"""The reducer's output: what is to be done; the loop has the effect executor perform effects in their order.
+"""The reducer's output: effects, which the loop passes to the effect executor in their order.
 
-Moments (`at`, `until`, `deadline`, `_at`) are seconds of the monotonic clock.
+Times (`at`, `until`, `deadline`, `_at`) are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from juniperward.forwarder.model import BatchItem, Message, OutcomeNotification, PastAttempt, RouteKey
 from juniperward.forwarder.records import AcceptedRecord, JournalRecord
 
-if TYPE_CHECKING:  # the protocol is loaded where a control channel is open
+if TYPE_CHECKING:  # the protocol is loaded only if the control channel is used
     from juniperward.control.protocol import Answer
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptMessage:
-    """Journal the message, then answer its client 202; `MessageAccepted` follows in the same round."""
+    """Journal a message, then answer its client 202; `MessageAccepted` follows in the same round."""
 
     client: int
     message: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyToClient:
-    """Answer a client without accepting its message, or again where the message is known already."""
+    """Answer a client whose message is rejected or is a duplicate."""
 
     client: int
     status: int
@@ -36,14 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecord:
-    """Write a record to the journal."""
+    """Append a record to the journal."""
 
     record: JournalRecord
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Call an endpoint with one or more messages; one `AttemptAnswered` follows, unless it is cancelled."""
+    """Send messages to an endpoint; one `AttemptAnswered` follows unless the attempt is cancelled.
+
+    Attributes:
+        endpoint_id: Discovery's id of the endpoint, which is journalled.
+        route: The scope of a Retry-After in the response; None means the destination.
+    """
 
     number: int
     endpoint: int
@@ -52,8 +57,8 @@
     destination: int
     items: tuple[BatchItem, ...]
     deadline: float
-    endpoint_id: str = ""  # discovery's, for the journal
-    route: RouteKey | None = None  # what a Retry-After applies to; None for the destination
+    endpoint_id: str = ""
+    route: RouteKey | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Close the connection of an attempt; `AttemptCancelled` follows in the same round, nothing after it."""
+    """Close the connection of an attempt; `AttemptCancelled` follows in the same round as its last event."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawFromBatch:
-    """Withdraw a message from an attempt that is not written yet; `BatchItemWithdrawn` follows in the same round."""
+    """Withdraw a message from an unwritten attempt; `BatchItemWithdrawn` follows in the same round."""
 
     attempt_number: int
     message: int
@@ -93,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEndpointDraining:
-    """Write nothing new to an endpoint, or do so again."""
+    """Stop or resume starting new requests to an endpoint."""
 
     endpoint: int
     draining: bool
@@ -101,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseRoute:
-    """Write no attempt to a route's endpoints before `until`."""
+    """Write no request to a route's endpoints before `until`."""
 
     route: RouteKey
     until: float
@@ -109,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartWatch:
-    """Watch discovery for changes after a version."""
+    """Watch discovery for changes after a version of the endpoint list."""
 
     version: int
     epoch: int = 0
@@ -117,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwitchDiscovery:
-    """Use another address (host, port) of discovery, for the watch and for notifications."""
+    """Use a new address (host, port) for the watch and for notifications."""
 
     address: tuple[str, int]
     epoch: int
@@ -125,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetEndpoint:
-    """Drop all state of an endpoint that was removed and has nothing in flight."""
+    """Drop all state of a removed endpoint without attempts in flight."""
 
     endpoint: int
 
@@ -139,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Post an event at a moment."""
+    """Post an event at a time."""
 
     at: float
     event: TimerEvent
@@ -147,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write a log line: an event, and its fields in their order."""
+    """Write a log line with the text `event` and the fields in their order."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
@@ -163,19 +168,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainClients:
-    """Report not ready and close clients' connections with their next answer; or neither any more."""
+    """Report not ready and close each client's connection with its next response, or stop doing so."""
 
     draining: bool
 
 
 @dataclass(frozen=True, slots=True)
 class BeginShutdown:
-    """Begin a graceful shutdown, as SIGTERM would."""
+    """Start a graceful shutdown, as on SIGTERM."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreDeadLetter:
-    """Store a message that is given up, before its outcome is journalled; `endpoints` are its destination's."""
+    """Store a failed message, before its outcome is journalled; `endpoints` are those of its destination."""
 
     message: Message
     received_at: float
--- a/juniperward/forwarder/event_queue.py
+++ b/juniperward/forwarder/event_queue.py
@@ -1,4 +1,4 @@
-"""The loop's input: events that threads post, and timers."""
+"""The loop's input: posted events and timers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class EventQueue:
-    """Any thread may post, and a signal handler too; the loop alone sets timers and waits."""
+    """Any thread or signal handler may post events; only the loop's thread may set timers and wait."""
 
     def __init__(self) -> None:
-        """Begin without events and timers."""
+        """Start without events and timers."""
         self._posted: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self._timers: list[tuple[float, int, TimerEvent]] = []
         self._last_timer = 0
@@ -25,12 +25,12 @@
         self._posted.put(event)
 
     def set_timer(self, at: float, event: TimerEvent) -> None:
-        """Add an event to the loop's round at a moment of the monotonic clock."""
+        """Add an event to the loop's first round after a time of the monotonic clock."""
         self._last_timer += 1
         heapq.heappush(self._timers, (at, self._last_timer, event))
 
     def wait(self, timeout_s: float) -> list[Event]:
-        """Return the posted events, at most MAX_EVENTS_PER_ROUND; wait for one up to a timer or `timeout_s`."""
+        """Wait for an event, a timer or `timeout_s`; return up to MAX_EVENTS_PER_ROUND posted events."""
         now = time.monotonic()
         until = now + timeout_s
         if self._timers:
@@ -45,7 +45,7 @@
         return events
 
     def expired_timers(self, now: float) -> list[Event]:
-        """Return the events of timers that have expired, the earliest first."""
+        """Remove the expired timers and return their events, the earliest first."""
         events: list[Event] = []
         while self._timers and self._timers[0][0] <= now:
             events.append(heapq.heappop(self._timers)[2])
--- a/juniperward/forwarder/events.py
+++ b/juniperward/forwarder/events.py
@@ -1,6 +1,6 @@
-"""The reducer's input: what clients, endpoints, discovery, the platform, timers, signals and the control channel did.
+"""The reducer's input: events from clients, endpoints, discovery, the platform, timers and operators.
 
-Threads post these events to the loop, which hands them to the reducer. Moments (`_at`, `_by`, `_until`) are seconds
+Threads post events to the loop, which passes them to the reducer. Times (`_at`, `_by`, `_until`) are seconds
 of the monotonic clock.
 """
 
@@ -13,20 +13,20 @@
 from juniperward.forwarder.records import RestoredMessage
 from juniperward.scheduler.events import Outcome
 
-if TYPE_CHECKING:  # the protocol is loaded where a control channel is open
+if TYPE_CHECKING:  # the protocol is loaded only if the control channel is used
     from juniperward.control.protocol import Request
 
 
 @dataclass(frozen=True, slots=True)
 class JournalReplayed:
-    """The journal was read; comes once, before any client."""
+    """The journal was read; posted once, before clients are served."""
 
     messages: tuple[RestoredMessage, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A client sent a message; its last byte came at `received_at`."""
+    """A client sent a message, whose last byte arrived at `received_at`."""
 
     client: int
     message: Message
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """The result of an `AcceptMessage`; without `client_answered` its client must send it again."""
+    """The result of an `AcceptMessage`; a client that was not answered must send the message again."""
 
     message: int
     client_answered: bool
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An attempt ended by itself; it has the outcomes of all its messages."""
+    """An attempt ended without being cancelled; `outcomes` has one for each of its messages."""
 
     attempt_number: int
     outcomes: tuple[ItemOutcome, ...]
@@ -64,18 +64,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """Discovery sent endpoints, those that changed or the full list; `epoch` is that of the watch."""
+    """Discovery sent the full endpoint list or its changes.
+
+    Attributes:
+        full: Whether endpoints that are missing here were removed.
+        cached: Whether this is the last known list, from the configuration instead of discovery.
+        epoch: The epoch of the watch.
+    """
 
     version: int
     full: bool
     endpoints: tuple[Endpoint, ...]
-    cached: bool = False  # the list in the configuration, as it was last known
+    cached: bool = False
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class WatchLost:
-    """The watch failed or ended; `established`: it had been up for a while."""
+    """The watch failed or ended; `established` means that it had been active for a while."""
 
     epoch: int = 0
     established: bool = False
@@ -83,28 +89,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAddressChanged:
-    """The configuration was reloaded and has another address (host, port) of discovery."""
+    """The configuration was reloaded and has a new address (host, port) for discovery."""
 
     address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class NotificationAcknowledged:
-    """The platform accepted these notifications."""
+    """The platform acknowledged the notifications for these message ids."""
 
     ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerTimerFired:
-    """A timer of the scheduler expired."""
+    """A timer that the scheduler set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineReached:
-    """The deadline of one message in an attempt has passed."""
+    """The deadline of one message of an attempt has passed."""
 
     attempt_number: int
     message: int
@@ -112,14 +118,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancellationTimerFired:
-    """An attempt is to be cancelled now: the client's deadline of one of its messages has passed."""
+    """An attempt must be cancelled, because the client's deadline of one of its messages has passed."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class BatchItemWithdrawn:
-    """The result of a `WithdrawFromBatch`; `progress` is how far the attempt had come."""
+    """The result of a `WithdrawFromBatch`; `progress` is that of the attempt at the withdrawal."""
 
     attempt_number: int
     message: int
@@ -128,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCancelled:
-    """The result of a `CancelAttempt`; `progress` is how far the attempt had come when its connection was closed."""
+    """The result of a `CancelAttempt`; `progress` is that of the attempt when its connection was closed."""
 
     attempt_number: int
     progress: AttemptProgress
@@ -136,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process is to exit: by `exit_by`, and not before `accept_until`."""
+    """The process must exit, not before `accept_until` and no later than `exit_by`."""
 
     accept_until: float
     exit_by: float
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -1,6 +1,6 @@
-"""The loop, one thread: events from the queue to the reducer, its effects to the executor, until the process exits.
+"""The main loop: passes events from the queue to the reducer and its effects to the executor, on one thread.
 
-Events that follow from effects at once are reduced in the same round.
+Events that an effect returns are reduced in the same round.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from juniperward.forwarder.telemetry import report_fault
 from juniperward.forwarder.trace import Trace
 
-IDLE_SWEEP_INTERVAL_S = 1.0  # between sweeps of idle connections
-STOP_CHECK_INTERVAL_S = 0.05  # between checks of whether the process may exit
+IDLE_SWEEP_INTERVAL_S = 1.0
+EXIT_CHECK_INTERVAL_S = 0.05
 
 
 class Loop:
     """Runs rounds on one thread."""
 
     def __init__(self, reducer: Reducer, executor: EffectExecutor, queue: EventQueue) -> None:
-        """Reduce the events of a queue; an executor carries out the effects."""
+        """Reduce the events of `queue` by `reducer`, and perform the effects by `executor`."""
         self.reducer = reducer
         self.executor = executor
         self.queue = queue
@@ -32,7 +32,7 @@
         self._sweep_at = 0.0
 
     def round(self, events: list[Event]) -> None:
-        """Reduce events and perform the effects, until no event follows from them at once."""
+        """Reduce events and perform the effects, until no effect returns another event."""
         while events:
             now = time.monotonic()
             if self.trace is not None:
@@ -52,7 +52,7 @@
             return self.reducer.effects
 
     def _perform(self, effect: Effect) -> Event | None:
-        """Perform an effect; after one that fails the others of its round are performed all the same."""
+        """Perform an effect and return the event that follows; an error does not stop the other effects."""
         try:
             return self.executor.perform(effect)
         except Exception as error:
@@ -62,16 +62,16 @@
             return None
 
     def run(self, stopped: Callable[[], bool]) -> None:
-        """Run until the reducer says that the process may exit, or `stopped` does."""
+        """Run rounds until the reducer allows the process to exit, or `stopped` returns true."""
         executor, lifecycle = self.executor, self.reducer.state.lifecycle
         while not stopped() and not self.reducer.may_exit(time.monotonic(), executor.server.has_finished()):
             stopping = lifecycle.exit_by is not None
-            events = self.queue.wait(STOP_CHECK_INTERVAL_S if stopping else IDLE_SWEEP_INTERVAL_S)
+            events = self.queue.wait(EXIT_CHECK_INTERVAL_S if stopping else IDLE_SWEEP_INTERVAL_S)
             now = time.monotonic()
             self.round(events + self.queue.expired_timers(now))
             if now >= self._sweep_at:
                 self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
                 executor.endpoint_client.sweep(now)
-        # What was posted by now is journalled and answered; what threads post later is left to the next process.
+        # Events posted so far are still processed; the next process restores from the journal what is left.
         executor.endpoint_client.stop_sending()
         self.round(self.queue.wait(0.0))
--- a/juniperward/forwarder/model.py
+++ b/juniperward/forwarder/model.py
@@ -1,7 +1,7 @@
-"""The values that all parts of a forwarder share: messages, endpoints, and the outcomes of attempts.
+"""The value types that all parts of a forwarder share: messages, endpoints, and the outcomes of attempts.
 
-Moments are seconds of the monotonic clock. A message is decoded once; from then on it is known by a number of this
-process.
+Times are seconds of the monotonic clock. Integer fields named `message` and `endpoint` are numbers that the
+reducer assigned, which are valid in this process only.
 """
 
 from __future__ import annotations
@@ -13,13 +13,21 @@
 from juniperward.forwarder.stored_outcomes import StoredOutcome
 from juniperward.scheduler.events import EndpointPhase, Outcome
 
-# What shares a rate limit: a destination, or the id of an endpoint that is a route of its own.
+# The scope of a Retry-After: a destination's number, or the id of an endpoint whose kind has separate routes.
 RouteKey = int | str
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A client's message, decoded from the protocol that it came by."""
+    """A client's message.
+
+    Attributes:
+        class_index: The index of the message class in the settings.
+        tenant: The index of the tenant in the settings.
+        time_left_s: The time until the client's deadline, when the message was received.
+        executed_ago_s: For a redrive, the time since its first attempt that was possibly executed, when it
+            was received; None if there was none.
+    """
 
     id: str
     class_index: int
@@ -28,14 +36,12 @@
     time_left_s: float
     idempotency_key: str | None
     body: bytes
-    executed_ago_s: float | None = (
-        None  # of a redrive: since it first possibly executed, when it was received
-    )
+    executed_ago_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of discovery's list; `id` is discovery's, `listed_rate_per_s` attempts, or 0."""
+    """An entry of discovery's list; `id` is discovery's, and `listed_rate_per_s` is 0 if none is listed."""
 
     id: str
     host: str
@@ -49,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchItem:
-    """One message of an attempt; it must not be written after `start_before`."""
+    """A message of an attempt; its first byte must not be written after `start_before`."""
 
     message: int
     content: Message
@@ -57,17 +63,28 @@
 
 
 class AttemptProgress(Enum):
-    """How far an attempt has come; the values are those of the trace."""
+    """The progress of an attempt; the values are part of the trace's format."""
 
-    WAITING = "waits"  # nothing of it is written: its connection is not open, or it waits for a thread
+    WAITING = "waits"  # Nothing is written: the attempt waits for a thread or a connection.
     WRITING = "writes"
     WRITTEN = "written"
-    FINISHED = "over"  # its outcomes are known, and posted
+    FINISHED = "over"  # The outcomes were posted to the event queue.
 
 
 @dataclass(frozen=True, slots=True)
 class ItemOutcome:
-    """How one message of an attempt ended."""
+    """The outcome of one message of an attempt.
+
+    Attributes:
+        retry_after_s: The response's Retry-After, or 0.
+        no_slot_free: Whether the response says that no slot was free (X-Over-Slots).
+        message_ended: Whether the response is final, so that the message must not be attempted again.
+        capacity_left: The unused fraction of the reported limit, or None.
+        reported_limit_per_s: The rate limit that the endpoint reported, or None.
+        connection_table_full: Whether the endpoint runs but accepts no more connections.
+        written: Whether a byte of the message may have been written, in which case the journal has the
+            attempt.
+    """
 
     message: int
     outcome: Outcome
@@ -76,13 +93,13 @@
     message_ended: bool = False
     capacity_left: float | None = None
     reported_limit_per_s: float | None = None
-    connection_table_full: bool = False  # the endpoint runs, and accepts no more connections
-    written: bool = True  # a byte of it may have been written, and so the journal has it
+    connection_table_full: bool = False
+    written: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class PastAttempt:
-    """One attempt of a message that is given up."""
+    """An ended attempt, as it is stored with a dead letter."""
 
     endpoint: str
     started_at: float
@@ -92,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeNotification:
-    """The final outcome of an accepted message that was not delivered: failed, or rejected with `retry_after_s`."""
+    """The outcome of an undelivered message: rejected with `retry_after_s`, or failed if that is None."""
 
     id: str
     retry_after_s: float | None = None
--- a/juniperward/forwarder/records.py
+++ b/juniperward/forwarder/records.py
@@ -1,6 +1,6 @@
-"""The journal's records, and what they say together of a message that is not completed.
+"""The journal's records, and the message state that is restored from them.
 
-Moments are seconds of the monotonic clock; the journal's codec turns them into Unix time and back.
+Times are seconds of the monotonic clock; the journal's codec converts them to Unix time and back.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRecord:
-    """A message was accepted; of a redrive `executed_at` says when it first possibly executed."""
+    """A message was accepted; for a redrive, `executed_at` is its first possible execution or None."""
 
     message: Message
     expires_at: float
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeDecidedRecord:
-    """A message is given up; only its notification is left to be acknowledged."""
+    """A message was given up; its notification must still be acknowledged."""
 
     notification: OutcomeNotification
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedRecord:
-    """A message is completed: delivered, or its notification acknowledged."""
+    """A message needs no further work: it was delivered, withdrawn, or its notification was acknowledged."""
 
     id: str
 
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedAttempt:
-    """An attempt before a restart; one without a recorded outcome possibly executed."""
+    """An attempt before a restart; without a recorded outcome it counts as possibly executed."""
 
     endpoint: str
     started_at: float
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredMessage:
-    """What the journal says of a message that is not completed."""
+    """A message that the journal has no completion for; `notification` is set if its outcome is decided."""
 
     message: Message
     expires_at: float
--- a/juniperward/forwarder/reducer/__init__.py
+++ b/juniperward/forwarder/reducer/__init__.py
@@ -1,4 +1,4 @@
-"""The one place where the forwarder's state changes: a dispatcher and a handler a concern, without I/O."""
+"""The forwarder's state transitions: a dispatcher and one handler for each kind of event; performs no I/O."""
 
 from juniperward.forwarder.reducer.reducer import Reducer
 
--- a/juniperward/forwarder/reducer/attempts.py
+++ b/juniperward/forwarder/reducer/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts: which messages travel in which, the outcome of each message, and cancellation.
+"""The attempts in flight: their start, the outcome of each of their messages, and cancellation.
 
-Called by scheduling with what the scheduler starts and cancels, and by the reducer with what came of it. Outcomes go
-to the scheduler as `AttemptFinished`, and messages that are over with them to completion.
+`Scheduling` starts and cancels attempts here; the reducer reports their results. Each outcome goes to the
+scheduler as `AttemptFinished`; a message that it ends is passed to `Completion`.
 """
 
 from __future__ import annotations
@@ -34,19 +34,20 @@
 from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.scheduler.settings import SchedulerSettings
 
-LAST_ATTEMPT_BEFORE_EXIT_S = 0.9  # before the process must exit, after which no attempt is started
+# An attempt is not started with less time than this left until the process must exit.
+MIN_ATTEMPT_TIME_BEFORE_EXIT_S = 0.9
 
 
 def route_of(endpoint: Endpoint, settings: SchedulerSettings) -> RouteKey:
-    """Return what a Retry-After of an endpoint applies to: its destination, or itself where routes are separate."""
+    """Return a Retry-After's scope: the endpoint if its kind has separate routes, else the destination."""
     return endpoint.id if settings.kind(endpoint.kind).separate_routes else endpoint.destination
 
 
 class Attempts:
-    """Starts the attempts of the scheduler and reports their outcomes; owns those in flight."""
+    """Starts the attempts that the scheduler decides on and reports their outcomes; owns those in flight."""
 
     def __init__(self, round_: Round, completion: Completion, dead_letters: DeadLetters) -> None:
-        """Complete messages by `completion`, and have `dead_letters` remember their attempts."""
+        """Pass ended messages to `completion` and their attempts to `dead_letters`."""
         self._round = round_
         self._completion = completion
         self._dead_letters = dead_letters
@@ -54,11 +55,11 @@
     # --- starting ---------------------------------------------------------------------------------------
 
     def start(self, endpoint_number: int, scheduled: Sequence[ScheduledAttempt]) -> None:
-        """Start attempts at an endpoint with messages that may share one, as many in each as its batch size."""
+        """Send messages to an endpoint, in as many attempts as its batch size requires."""
         state = self._round.state
         exit_by = state.lifecycle.exit_by
-        if exit_by is not None and self._round.now > exit_by - LAST_ATTEMPT_BEFORE_EXIT_S:
-            return  # it could not end in this process; the journal has the message for the next one
+        if exit_by is not None and self._round.now > exit_by - MIN_ATTEMPT_TIME_BEFORE_EXIT_S:
+            return  # The next process restores these messages from the journal and attempts them.
         endpoint = state.directory.endpoints[endpoint_number]
         batch_size = self._round.settings.kind(endpoint.kind).batch_size
         for first in range(0, len(scheduled), batch_size):
@@ -70,13 +71,13 @@
                 if __debug__:
                     raise
                 report_fault("attempt", error)
-                not_begun = AttemptCancelled(attempt.number, AttemptProgress.WAITING)
-                self._round.emit(SetTimer(self._round.now, not_begun))
+                not_started = AttemptCancelled(attempt.number, AttemptProgress.WAITING)
+                self._round.emit(SetTimer(self._round.now, not_started))
 
     def _start_one(
         self, attempt: AttemptInFlight, endpoint: Endpoint, scheduled: Sequence[ScheduledAttempt]
     ) -> None:
-        """Start one attempt; its thread journals the messages right before their first byte."""
+        """Start one attempt; its thread journals each message right before the message's first byte."""
         now = self._round.now
         items = tuple(self._add_message(attempt, endpoint, message) for message in scheduled)
         in_flight = len(self._round.state.attempts_in_flight)
@@ -114,12 +115,12 @@
     # --- outcomes ---------------------------------------------------------------------------------------
 
     def answered(self, event: AttemptAnswered) -> None:
-        """Apply the outcomes of an attempt."""
+        """Apply the outcomes of an attempt; one that was cancelled before is ignored."""
         in_flight = self._round.state.attempts_in_flight
         attempt = in_flight.get(event.attempt_number)
         if attempt is None:
-            return  # cancelled meanwhile
-        # The scheduler learns from the first outcome of an attempt: a rejection, if there is one.
+            return
+        # The scheduler adapts to the first outcome of an attempt only: report a rejection first.
         rejections_first = sorted(
             event.outcomes, key=lambda item: (item.outcome is not Outcome.OVERLOADED, item.message)
         )
@@ -181,59 +182,61 @@
     # --- cancellation -----------------------------------------------------------------------------------
 
     def deadline_reached(self, event: DeadlineReached) -> None:
-        """Withdraw one message from its attempt, where others may still be in time.
+        """Withdraw a message from its attempt; the other messages of the attempt may still be in time.
 
-        It comes before any outcome, or a connection that opens late would carry the message after its end.
+        The outcome is applied only afterwards: otherwise a connection that opens late could still send the
+        message.
         """
         attempt = self._round.state.attempts_in_flight.get(event.attempt_number)
         if attempt is not None and event.message in attempt.unanswered:
             self._round.emit(WithdrawFromBatch(event.attempt_number, event.message))
 
     def item_withdrawn(self, event: BatchItemWithdrawn) -> None:
-        """End a message whose deadline has passed, by how far its attempt had come."""
+        """Time out a withdrawn message; the attempt's progress tells whether it was possibly executed."""
         state = self._round.state
         attempt = state.attempts_in_flight.get(event.attempt_number)
-        finished = event.progress is AttemptProgress.FINISHED  # what was answered in time counts as answered
+        # The outcomes of a finished attempt are queued already, and they count.
+        finished = event.progress is AttemptProgress.FINISHED
         if attempt is None or event.message not in attempt.unanswered or finished:
             return
         pending = state.messages.pending.get(event.message)
         cancel_at = pending.client_deadline_at if pending is not None else self._round.now
-        self._finish(attempt, self._unanswered(event.message, event.progress, Outcome.TIMEOUT))
+        self._finish(attempt, self._unanswered_outcome(event.message, event.progress, Outcome.TIMEOUT))
         if not attempt.unanswered:
             del state.attempts_in_flight[event.attempt_number]
             self._round.emit(CancelAttempt(event.attempt_number))
         elif event.progress is AttemptProgress.WRITING:
-            # A message cannot be taken out of a request that is half written: all of it is cancelled.
+            # A message cannot be removed from a partly written request, so the whole attempt is cancelled.
             self.cancel(event.attempt_number)
         elif event.progress is AttemptProgress.WRITTEN:
-            # They share its answer, and one after this client's deadline was seen to count for none of them.
+            # The messages share one response, which must arrive before the first client deadline among them.
             self._round.emit(SetTimer(cancel_at, CancellationTimerFired(event.attempt_number)))
 
     def cancel(self, attempt_number: int) -> None:
-        """Close an attempt's connection; how far it had come decides on the outcomes of its messages."""
+        """Close an attempt's connection; `AttemptCancelled` follows and ends its messages."""
         attempt = self._round.state.attempts_in_flight.get(attempt_number)
         if attempt is not None and not attempt.cancelled:
             attempt.cancelled = True
             self._round.emit(CancelAttempt(attempt_number))
 
     def cancel_message(self, number: int) -> None:
-        """Cancel the attempt of a message, and with it all messages that share its connection."""
+        """Cancel the attempt of a message, and with it all messages of the same attempt."""
         pending = self._round.state.messages.pending.get(number)
         if pending is not None and pending.attempt_number is not None:
             self.cancel(pending.attempt_number)
 
     def cancelled(self, event: AttemptCancelled) -> None:
-        """Give the messages of a cancelled attempt their outcomes; one that had finished keeps its own."""
+        """End the messages of a cancelled attempt; one that had finished before keeps its outcomes."""
         if event.progress is AttemptProgress.FINISHED:
             return
         attempt = self._round.state.attempts_in_flight.pop(event.attempt_number, None)
         if attempt is None:
             return
         for message in list(attempt.unanswered):
-            self._finish(attempt, self._unanswered(message, event.progress, Outcome.CANCELLED))
+            self._finish(attempt, self._unanswered_outcome(message, event.progress, Outcome.CANCELLED))
 
     @staticmethod
-    def _unanswered(message: int, progress: AttemptProgress, outcome: Outcome) -> ItemOutcome:
-        """Return the outcome of a message without an answer: not sent, where nothing of it was written."""
+    def _unanswered_outcome(message: int, progress: AttemptProgress, outcome: Outcome) -> ItemOutcome:
+        """Return the outcome of a message without a response: `NOT_SENT` if nothing was written."""
         written = progress is not AttemptProgress.WAITING
         return ItemOutcome(message, outcome if written else Outcome.NOT_SENT, written=written)
--- a/juniperward/forwarder/reducer/control.py
+++ b/juniperward/forwarder/reducer/control.py
@@ -1,6 +1,6 @@
 """The control channel's requests: status and tables, and orders to drain, resume and stop.
 
-Loaded at the first request; `introspection` builds the answers from the state.
+Loaded at the first request. `introspection` builds the replies from the state.
 """
 
 from __future__ import annotations
@@ -22,31 +22,32 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler import DeliveryScheduler
 
-FENCE_DURATION_S = 120.0  # for which a redrive that was reported unknown is rejected
+# A redrive that was reported as unknown is rejected for this long.
+FENCE_DURATION_S = 120.0
 
 
 class Control:
-    """Answers requests; owns the fenced redrives."""
+    """Replies to requests of the control channel; owns the fenced redrives."""
 
     def __init__(self, round_: Round, scheduler: DeliveryScheduler, shutdown: Shutdown) -> None:
-        """Read the state and the scheduler; drain and resume by `shutdown`."""
+        """Report on the state and the scheduler; drain and resume by `shutdown`."""
         self._round = round_
         self._scheduler = scheduler
         self._shutdown = shutdown
 
     def requested(self, event: ControlRequested) -> None:
-        """Follow an order and answer; an order that changes nothing is no error: it may have been sent twice."""
+        """Execute an order and reply; a repeated order changes nothing and is no error."""
         request = event.request
-        self._follow_order(request.verb)
-        self._round.emit(SendControlReply(event.client, Answer(request.id, self._body(request))))
+        self._execute_order(request.verb)
+        self._round.emit(SendControlReply(event.client, Answer(request.id, self._reply_body(request))))
 
-    def _body(self, request: Request) -> Body:
+    def _reply_body(self, request: Request) -> Body:
         if request.verb is Verb.REDRIVE_OUTCOMES:
             return self._redrive_outcomes(request)
         round_ = self._round
         return introspection.answer(request.verb, round_.state, round_.settings, self._scheduler, round_.now)
 
-    def _follow_order(self, verb: Verb) -> None:
+    def _execute_order(self, verb: Verb) -> None:
         match verb:
             case Verb.DRAIN | Verb.RESUME:
                 self._set_draining(verb)
@@ -60,9 +61,10 @@
             self._round.emit(DrainClients(draining), WriteLog("control order", (("verb", verb.value),)))
 
     def _redrive_outcomes(self, request: Request) -> RedriveOutcomes:
-        """Report what became of redrives, and fence the unknown ones: none of them is accepted from now on.
+        """Report whether redrives are pending or unknown, and reject the unknown ones for FENCE_DURATION_S.
 
-        What the agent had submitted before this request has been received, or has ended with its connection.
+        An unknown redrive cannot become pending later: the agent's earlier submissions were received before
+        this request, or their connections have ended.
         """
         state, now = self._round.state, self._round.now
         rows = tuple(
--- a/juniperward/forwarder/reducer/dead_letters.py
+++ b/juniperward/forwarder/reducer/dead_letters.py
@@ -1,7 +1,7 @@
-"""Dead letters: which messages that are given up are stored, with which attempts, and the outcomes of redrives.
+"""Dead letters: stores messages that are given up, and records the outcomes of redrives.
 
-Called by completion with messages that are over, and by attempts and intake with attempts that ended. It decides on
-the effects `StoreDeadLetter` and `RecordRedriveOutcome`; where dead letters are off it does nothing.
+Called by `Completion` with ended messages, and by `Attempts` and `Intake` with past attempts. It emits the
+effects `StoreDeadLetter` and `RecordRedriveOutcome`, and does nothing if dead letters are disabled.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 def is_redrive(pending: PendingMessage) -> bool:
-    """Return whether a message is a dead letter that is sent again."""
+    """Return whether a message is a redrive, that is a dead letter submitted again."""
     return is_redrive_id(pending.message.id)
 
 
 class DeadLetters:
-    """Owns `past_attempts` of pending messages."""
+    """Stores dead letters and records redrive outcomes; owns `past_attempts` of pending messages."""
 
     def __init__(self, round_: Round, enabled: bool, stored_ids: frozenset[str]) -> None:
-        """Store dead letters where `enabled`; `stored_ids` are those stored before a restart."""
+        """Store dead letters if `enabled`; `stored_ids` are the messages stored before a restart."""
         self._round = round_
         self._enabled = enabled
         self._stored_ids = stored_ids
@@ -36,7 +36,7 @@
         return pending.message.id in self._stored_ids
 
     def add_attempt(self, pending: PendingMessage, endpoint: Endpoint, item: ItemOutcome) -> None:
-        """Remember an attempt that ended, for the case that the message is stored."""
+        """Add an ended attempt to the history that is stored with a dead letter."""
         if self._enabled:
             pending.past_attempts.append(
                 PastAttempt(
@@ -48,19 +48,19 @@
             )
 
     def restore_attempts(self, pending: PendingMessage, history: Iterable[RecordedAttempt]) -> None:
-        """Remember the attempts of before a restart."""
+        """Set the attempt history of a restored message to the attempts before the restart."""
         if self._enabled:
             pending.past_attempts = [_restored_attempt(recorded) for recorded in history]
 
     def retry_after_s(self, pending: PendingMessage, retry_after_s: float | None) -> float | None:
-        """Return what a message that is given up is notified with: None, a failure, where it is to be stored."""
+        """Return the notification's Retry-After, or None (a failure) if the message is to be stored."""
         if not self._enabled or is_redrive(pending):
             return retry_after_s
         time_left_s = pending.expires_at - self._round.now
         return None if is_stored(time_left_s, retry_after_s) else retry_after_s
 
     def given_up(self, pending: PendingMessage, retry_after_s: float | None) -> None:
-        """Store a message that failed, and record the outcome of a redrive."""
+        """Store a failed message as a dead letter, or record the outcome if it is a redrive."""
         if not self._enabled:
             return
         if is_redrive(pending):
@@ -69,7 +69,7 @@
             self._store(pending)
 
     def answered(self, pending: PendingMessage, delivered: bool) -> None:
-        """Record the outcome of a redrive that an endpoint has answered for good."""
+        """Record the outcome of a redrive that has a final response from an endpoint."""
         if self._enabled and is_redrive(pending):
             self._record_redrive_outcome(pending, "delivered" if delivered else "undeliverable")
 
--- a/juniperward/forwarder/reducer/endpoint_list.py
+++ b/juniperward/forwarder/reducer/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: the watch on discovery, its updates, and endpoints that were removed.
+"""The endpoint list: the watch on discovery, the updates it delivers, and removed endpoints.
 
-Called by scheduling where the scheduler polls, and by the reducer with what discovery sent. Each update goes to the
-scheduler as `EndpointListUpdated`.
+Called by `Scheduling` when the scheduler polls, and by the reducer with discovery's events. Each update is
+passed to the scheduler as `EndpointListUpdated`.
 """
 
 from __future__ import annotations
@@ -15,25 +15,26 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, EndpointPhase, ListScope
 
-EMPTY_DESTINATION_RETENTION_S = 60.0  # for which a destination without endpoints is still known
+# A destination whose last endpoint was removed keeps accepting messages for this long.
+EMPTY_DESTINATION_RETENTION_S = 60.0
 
 
 class EndpointList:
-    """Owns the directory of endpoints."""
+    """Applies discovery's updates; owns the directory of endpoints."""
 
     def __init__(self, round_: Round) -> None:
-        """Begin without endpoints."""
+        """Start without endpoints and without a watch."""
         self._round = round_
 
     def watch(self) -> None:
-        """Start a watch, unless one is started; discovery serves one at a time."""
+        """Start a watch unless one is active; discovery serves a forwarder one watch at a time."""
         directory = self._round.state.directory
         if not directory.watching:
             directory.watching = True
             self._round.emit(StartWatch(directory.version, directory.epoch))
 
     def address_changed(self, address: tuple[str, int]) -> None:
-        """Watch at another address; updates of the old watch, of a lower epoch, are ignored from now on."""
+        """Start a watch at a new address; the old watch has a lower epoch, so its updates are ignored."""
         directory = self._round.state.directory
         directory.epoch += 1
         directory.watching = False
@@ -41,22 +42,23 @@
         self.watch()
 
     def watch_lost(self, event: WatchLost) -> None:
-        """Have the scheduler poll again."""
+        """Report the loss of the watch to the scheduler, which polls again."""
         directory = self._round.state.directory
         if event.epoch != directory.epoch:
             return
         increment("watches_lost")
         directory.watching = False
-        if event.established:  # no failure of one poll after another: the scheduler polls again soon
+        if event.established:
+            # An empty update first resets the scheduler's poll backoff: the watch worked until now.
             self._round.notify_scheduler(EndpointListUpdated(ListScope.DELTA))
         self._round.notify_scheduler(EndpointListUpdated(ListScope.FAILED))
 
     def updated(self, event: EndpointsUpdated) -> None:
-        """Apply an update of the present watch, or the cached list of the configuration."""
+        """Apply an update of the current watch, or the cached list of the configuration."""
         if event.cached or event.epoch == self._round.state.directory.epoch:
             self._apply(event)
         if event.cached:
-            # Where lists are pushed they come over a watch only, also before the scheduler polls.
+            # Discovery sends updates over a watch only, so the first one starts before the scheduler polls.
             self.watch()
 
     def _apply(self, event: EndpointsUpdated) -> None:
@@ -67,8 +69,8 @@
         increment("endpoint_list_updates")
         entries = tuple(self._apply_entry(endpoint) for endpoint in event.endpoints)
         if event.full:
-            named = {entry.endpoint for entry in entries}
-            missing = [number for number in directory.endpoints if number not in named]
+            listed = {entry.endpoint for entry in entries}
+            missing = [number for number in directory.endpoints if number not in listed]
             directory.removed.update(missing)
             self._round.emit(*(SetEndpointDraining(number, True) for number in missing))
         scope = ListScope.FULL if event.full else ListScope.DELTA
@@ -96,11 +98,13 @@
         )
 
     def _drop_removed(self) -> None:
-        """Drop removed endpoints without attempts, and their destinations: a process runs for months."""
+        """Drop removed endpoints without attempts, and expired destinations, to bound memory."""
         directory = self._round.state.directory
         busy = {attempt.endpoint for attempt in self._round.state.attempts_in_flight.values()}
         listed = {
-            e.destination for number, e in directory.endpoints.items() if number not in directory.removed
+            endpoint.destination
+            for number, endpoint in directory.endpoints.items()
+            if number not in directory.removed
         }
         for number in sorted(directory.removed - busy):
             directory.removed.discard(number)
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, which the scheduler starts where the settings allow them, and their outcomes for it."""
+"""Health checks of endpoints: started on the scheduler's request, with the outcomes reported back to it."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import HealthCheckFinished, Outcome
 
-TIMEOUT_PER_DIAL_TIMEOUT = 1.5  # a dial, then an answer that is work of milliseconds at a live endpoint
+# Times the dial timeout, to connect and to receive a response, which a healthy endpoint sends at once.
+TIMEOUT_DIAL_FACTOR = 1.5
 
 
 class HealthChecks:
-    """Starts health checks and reports them to the scheduler; owns those in flight."""
+    """Starts health checks and reports their outcomes to the scheduler; owns those in flight."""
 
     def __init__(self, round_: Round) -> None:
-        """Begin without health checks."""
+        """Start without health checks in flight."""
         self._round = round_
 
     def start(self, number: int) -> None:
-        """Check an endpoint; one that was removed is reported at once as not checked."""
+        """Check an endpoint; for one that was removed, report `NOT_SENT` to the scheduler instead."""
         state, settings = self._round.state, self._round.settings
         endpoint = state.directory.endpoints.get(number)
         if endpoint is None or number in state.directory.removed:
@@ -36,13 +37,13 @@
                 endpoint.host,
                 endpoint.port,
                 endpoint.destination,
-                self._round.now + TIMEOUT_PER_DIAL_TIMEOUT * settings.dial_timeout_s,
+                self._round.now + TIMEOUT_DIAL_FACTOR * settings.dial_timeout_s,
                 route_of(endpoint, settings),
             )
         )
 
     def answered(self, event: HealthCheckAnswered) -> None:
-        """Report the outcome of a health check."""
+        """Report the outcome of a health check to the scheduler and pause the route on a Retry-After."""
         state = self._round.state
         if state.health_checks_in_flight.pop(event.number, None) is None:
             return
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -1,12 +1,12 @@
-"""Intake: admission of messages from clients, and of those that the journal restores after a restart.
+"""Intake: admission of messages from clients, and of messages that are restored from the journal.
 
-A message is accepted by way of `AcceptMessage`; once its client is answered it goes to the scheduler as
+`AcceptMessage` journals a message and acknowledges it to its client; then it is passed to the scheduler as
 `MessageAdmitted`. Called by the reducer.
 """
 
 from __future__ import annotations
 
-from juniperward.forwarder.batch import item_bytes
+from juniperward.forwarder.batch import batch_item_bytes
 from juniperward.forwarder.effects import (
     AcceptMessage,
     AppendRecord,
@@ -25,41 +25,41 @@
 from juniperward.scheduler import events as scheduler_events
 from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_FRACTION
 
-ADMISSION_RETRY_AFTER_S = 1.0  # after which a client that was rejected may come again
-# A message expires by so much before its client's deadline: the notification has to arrive, and the clock of a
-# process that has just started was seen to run 0.2 to 1.1 s ahead and then to wait for the others'. Of a short time
-# it is a fraction, less than the three tenths in which a message may be given up.
-NOTIFICATION_MARGIN_S = 0.3
+ADMISSION_RETRY_AFTER_S = 1.0
+# A message expires this long before its client's deadline, to leave time for the notification, also if the
+# clock runs ahead just after the process started. For a short deadline the margin is a fraction of it,
+# which must be less than 1 - MINIMUM_ATTEMPT_FRACTION.
+MAX_NOTIFICATION_MARGIN_S = 0.3
 NOTIFICATION_MARGIN_FRACTION = 0.2
-# After a restart, in which no notification is overdue (1.5 s after being ready), less what one may take.
-NOTIFICATION_GRACE_AFTER_RESTART_S = 1.5 - NOTIFICATION_MARGIN_S
-NO_ENDPOINT = 0  # of a past attempt at an endpoint that is not listed any more
+# A notification that was due during the downtime is not late until 1.5 s after the process is ready again.
+NOTIFICATION_GRACE_AFTER_RESTART_S = 1.5 - MAX_NOTIFICATION_MARGIN_S
+NO_ENDPOINT = 0  # the number for an endpoint that is no longer listed
 
 
 def _notification_margin_s(message: Message) -> float:
-    return min(NOTIFICATION_MARGIN_S, NOTIFICATION_MARGIN_FRACTION * message.time_left_s)
+    return min(MAX_NOTIFICATION_MARGIN_S, NOTIFICATION_MARGIN_FRACTION * message.time_left_s)
 
 
 class Intake:
-    """Accepts messages or rejects them; owns those that are being accepted, and makes each pending message."""
+    """Accepts or rejects messages; creates each `PendingMessage`, and owns those that are being accepted."""
 
     def __init__(
         self, round_: Round, completion: Completion, notifications: Notifications, dead_letters: DeadLetters
     ) -> None:
-        """Accept as much as the settings' `max_open`; restored messages that are over go to the other handlers."""
+        """Accept up to `max_open` messages; pass restored messages that have ended to the other handlers."""
         self._round = round_
         self._completion = completion
         self._notifications = notifications
         self._dead_letters = dead_letters
-        # The scheduler has to know a message's size only where a call may carry several.
-        self._sizes_matter = any(kind.batch_size > 1 for kind in round_.settings.kinds)
+        # The scheduler needs the sizes of messages only where an attempt may have several.
+        self._batches_enabled = any(kind.batch_size > 1 for kind in round_.settings.kinds)
 
     def message_received(self, event: MessageReceived) -> None:
-        """Begin to accept a new message, or answer its client at once."""
+        """Begin to accept a new message; reply at once to a duplicate, or to one that is rejected."""
         messages, message = self._round.state.messages, event.message
         self._completion.drop_completed_ids()
         if self._is_known(message.id):
-            # A client sends it again whose request crossed our closing of its connection.
+            # A client repeats a request if its connection was closed before the response arrived.
             increment("duplicates_received")
             self._round.emit(ReplyToClient(event.client, HttpStatus.ACCEPTED))
             return
@@ -86,19 +86,21 @@
             pending.attempts = 1
         return pending
 
-    def _is_known(self, name: str) -> bool:
+    def _is_known(self, message_id: str) -> bool:
         state = self._round.state
         return (
-            name in state.messages.numbers or name in state.unacknowledged or name in state.messages.completed
+            message_id in state.messages.numbers
+            or message_id in state.unacknowledged
+            or message_id in state.messages.completed
         )
 
     def _rejection(self, event: MessageReceived) -> str | None:
-        """Return why a message is rejected, as counters name it; None where it is accepted."""
+        """Return the reason for a rejection, as a counter's suffix, or None if the message is accepted."""
         state, message = self._round.state, event.message
         if message.id in state.fenced_redrives:
             return "fenced"
         if message.destination not in state.directory.destinations:
-            # The list may be seconds old: the client may try again, and the list may have it by then.
+            # The endpoint list may lag behind by seconds; the client may retry.
             return "unknown"
         if state.lifecycle.rejects_messages:
             return "stopping"
@@ -107,7 +109,7 @@
         return "full" if expired or open_messages >= self._round.settings.max_open else None
 
     def message_accepted(self, number: int, client_answered: bool) -> None:
-        """Admit a journalled message to the scheduler whose client was answered; withdraw it otherwise."""
+        """Pass a journalled message to the scheduler; withdraw it if its client could not be answered."""
         messages = self._round.state.messages
         if not client_answered:
             withdrawn = messages.withdraw(number)
@@ -120,7 +122,7 @@
         history: tuple[scheduler_events.PastAttempt, ...] = ()
         if pending.executed_at is not None:
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
-        # The scheduler does not give it up before its first attempt in this part of its client's time.
+        # Before this moment, the scheduler does not give up a message that was never attempted.
         attempt_until = (
             pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_FRACTION) * pending.message.time_left_s
         )
@@ -145,12 +147,12 @@
                 history=history,
                 attempt_for_s=attempt_until - self._round.now,
                 never_attempted=pending.never_attempted,
-                batch_bytes=item_bytes(message) if self._sizes_matter else 0,
+                batch_bytes=batch_item_bytes(message) if self._batches_enabled else 0,
             )
         )
 
     def restore(self, restored: RestoredMessage) -> None:
-        """Go on with a message of the journal."""
+        """Resume a message that was restored from the journal, or send its notification."""
         now, messages = self._round.now, self._round.state.messages
         increment("messages_restored")
         if restored.notification is not None:
@@ -158,7 +160,7 @@
             return
         pending = self._restored_message(restored)
         if pending.expires_at <= now or self._dead_letters.was_stored(pending):
-            # One that is stored was given up; the process was killed before its outcome was journalled.
+            # A stored message was given up by a process that was killed before it journalled the outcome.
             increment("restored_overdue" if pending.expires_at <= now else "restored_dead_letters")
             self._completion.give_up(pending, None)
             return
@@ -168,7 +170,7 @@
 
     def _restored_message(self, restored: RestoredMessage) -> PendingMessage:
         message, history, now = restored.message, restored.history, self._round.now
-        # Right after a restart its notification may come later: all of its client's time is left for attempts.
+        # Right after a restart the notification may be later, so attempts may use the margin too.
         client_deadline_at = restored.expires_at + _notification_margin_s(message)
         expires_at = max(
             restored.expires_at, min(client_deadline_at, now + NOTIFICATION_GRACE_AFTER_RESTART_S)
--- a/juniperward/forwarder/reducer/introspection.py
+++ b/juniperward/forwarder/reducer/introspection.py
@@ -1,6 +1,6 @@
-"""Status and tables for the control channel, built from the state of the reducer and the scheduler; read only.
+"""Status and tables for the control channel, read from the state of the reducer and the scheduler.
 
-Called by `control`; the control output completes a status with what only the process knows.
+Called by `Control`. The control output fills in the fields of a status that the reducer does not know.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 def answer(
     verb: Verb, state: ForwarderState, settings: SchedulerSettings, scheduler: DeliveryScheduler, now: float
 ) -> Body:
-    """Return the body of the answer to a request; orders are answered with the status right after them."""
+    """Return the body of the reply to a request; the reply to an order is the status after it."""
     match verb:
         case Verb.DESTINATIONS:
-            return Rows(tuple(_destination(status) for status in destination_statuses(scheduler, now)))
+            return Rows(tuple(_destination_row(status) for status in destination_statuses(scheduler, now)))
         case Verb.ENDPOINTS:
             return Rows((), _endpoint_rows(state))
         case Verb.COUNTERS:
@@ -60,18 +60,18 @@
 def status(
     state: ForwarderState, settings: SchedulerSettings, scheduler: DeliveryScheduler, now: float
 ) -> Status:
-    """Return the status; the control output completes it with name, start and journal sizes."""
-    counted = counters()
+    """Return the status; the control output fills in the name, the start time and the journal sizes."""
+    values = counters()
     messages, directory = state.messages, state.directory
-    oldest = next(iter(messages.pending.values()), None)  # they are in the order accepted
-    now_phase = phase(state)
+    oldest = next(iter(messages.pending.values()), None)  # `pending` is in the order of acceptance
+    current_phase = phase(state)
     return Status(
         name="",
         version=VERSION,
         pid=os.getpid(),
         started_at=0.0,
-        phase=now_phase,
-        ready=now_phase is ForwarderPhase.SERVING,
+        phase=current_phase,
+        ready=current_phase is ForwarderPhase.SERVING,
         pending=len(messages.pending),
         accepting=len(messages.accepting),
         unacknowledged=len(state.unacknowledged),
@@ -85,24 +85,24 @@
         endpoint_list_age_s=now - directory.updated_at if directory.updated_at is not None else -1.0,
         destinations=len(directory.destinations),
         ejected_destinations=ejected_destinations(scheduler),
-        accepted=counted.get("messages_accepted", 0),
-        restored=counted.get("messages_restored", 0),
-        delivered=counted.get("messages_delivered", 0),
-        given_up=counted.get("messages_failed", 0) + counted.get("messages_rejected", 0),
-        rejected=_sum_of(counted, "rejections_"),
-        attempts=counted.get("attempts", 0),
-        attempts_failed=sum(counted.get(f"attempts_{outcome}", 0) for outcome in FAILED_OUTCOMES),
-        invariants_broken=_sum_of(counted, "broken_"),
-        dead_letters_stored=counted.get("dead_letters_stored", 0),
-        dead_letters_failed=counted.get("dead_letters_failed", 0),
+        accepted=values.get("messages_accepted", 0),
+        restored=values.get("messages_restored", 0),
+        delivered=values.get("messages_delivered", 0),
+        given_up=values.get("messages_failed", 0) + values.get("messages_rejected", 0),
+        rejected=_sum_by_prefix(values, "rejections_"),
+        attempts=values.get("attempts", 0),
+        attempts_failed=sum(values.get(f"attempts_{outcome}", 0) for outcome in FAILED_OUTCOMES),
+        invariants_broken=_sum_by_prefix(values, "broken_"),
+        dead_letters_stored=values.get("dead_letters_stored", 0),
+        dead_letters_failed=values.get("dead_letters_failed", 0),
     )
 
 
-def _sum_of(counted: dict[str, int], prefix: str) -> int:
-    return sum(value for name, value in counted.items() if name.startswith(prefix))
+def _sum_by_prefix(values: dict[str, int], prefix: str) -> int:
+    return sum(value for name, value in values.items() if name.startswith(prefix))
 
 
-def _destination(status: DestinationStatus) -> DestinationRow:
+def _destination_row(status: DestinationStatus) -> DestinationRow:
     return DestinationRow(
         destination=status.destination,
         health=status.health.value,
--- a/juniperward/forwarder/reducer/notifications.py
+++ b/juniperward/forwarder/reducer/notifications.py
@@ -1,6 +1,7 @@
-"""Notifications: the final outcome of a message that was not delivered, sent until the platform acknowledges it.
+"""Notifications: the final outcomes of undelivered messages, sent until the platform acknowledges them.
 
-Called by completion, by intake for those of before a restart, and by the reducer with acknowledgements.
+Called by `Completion`, by `Intake` with notifications that are restored, and by the reducer with
+acknowledgements.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 
 class Notifications:
-    """Owns the notifications that the platform has not acknowledged."""
+    """Sends notifications; owns those that the platform has not acknowledged."""
 
     def __init__(self, round_: Round) -> None:
-        """Begin without notifications."""
+        """Start without notifications."""
         self._round = round_
 
     def send(self, notification: OutcomeNotification) -> None:
@@ -26,7 +27,7 @@
         self._round.emit(SendNotifications((notification,)))
 
     def acknowledged(self, ids: Iterable[str]) -> None:
-        """Complete the messages whose notifications the platform has accepted; a second time changes nothing."""
+        """Complete the messages of acknowledged notifications; a repeated acknowledgement changes nothing."""
         for message_id in ids:
             if self._round.state.unacknowledged.pop(message_id, None) is not None:
                 self._round.emit(AppendRecord(CompletedRecord(message_id)))
--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -1,7 +1,7 @@
-"""The reducer: the events of a round in, the effects to perform out; no clock, no thread and no I/O.
+"""The reducer: turns the events of a round into effects, without clock, threads or I/O of its own.
 
-The scheduler decides which message goes where and when; the reducer has the state that sockets and journal need
-beside it. It dispatches each event to the handler of its concern. The loop calls it on one thread.
+The scheduler decides where and when each message is sent; the reducer owns all other state of the forwarder.
+It dispatches each event to the handler for it. The loop calls it on one thread.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 
 
 class Reducer:
-    """The only place where a forwarder's state changes."""
+    """Owns a forwarder's state; no other code changes it."""
 
     def __init__(
         self,
         settings: SchedulerSettings,
         seed: int,
         stores_dead_letters: bool = False,
-        stored: frozenset[str] = frozenset(),
+        stored_ids: frozenset[str] = frozenset(),
     ) -> None:
-        """Begin empty; `stored`: ids of dead letters of before a restart, which the journal may still have."""
+        """Start without messages; `stored_ids` are the ids of messages already stored as dead letters."""
         self.settings = settings
         self.scheduler = DeliveryScheduler(settings, seed)
         self.state = ForwarderState()
         round_ = self._round = Round(settings, self.state)
-        dead_letters = DeadLetters(round_, stores_dead_letters, stored)
+        dead_letters = DeadLetters(round_, stores_dead_letters, stored_ids)
         self._notifications = Notifications(round_)
         completion = Completion(round_, self._notifications, dead_letters)
         self._intake = Intake(round_, completion, self._notifications, dead_letters)
@@ -60,25 +60,26 @@
 
     @property
     def effects(self) -> list[Effect]:
-        """The effects of the present round so far, for a caller that caught an error of `reduce`."""
+        """The effects of the current round so far, for a caller that caught an error of `reduce`."""
         return self._round.effects
 
     def reduce(self, now: float, round_events: Iterable[events.Event]) -> list[Effect]:
-        """Apply the events of a round; return the effects, to be performed in their order."""
+        """Apply the events of a round; return the effects, which must be performed in order."""
         self._round.begin(now)
         for event in round_events:
             try:
                 self._dispatch(event)
-            except Exception as error:  # the other events of the round are applied all the same
+            except Exception as error:
                 if __debug__:
                     raise
+                # The other events of the round are still applied.
                 report_fault(type(event).__name__, error)
         if self._round.scheduler_events:
             self._scheduling.decide()
         return self._round.effects
 
     def may_exit(self, now: float, no_clients: bool = True) -> bool:
-        """Return whether a shutdown was requested and the process may exit; `no_clients`: none is connected."""
+        """Return whether a shutdown was requested and is finished, or has reached its deadline."""
         return self._shutdown.may_exit(now, no_clients)
 
     def _dispatch(self, event: events.Event) -> None:
@@ -102,7 +103,7 @@
                 self._dispatch_endpoint_event(event)
 
     def _control_handler(self) -> Control:
-        from juniperward.forwarder.reducer.control import Control  # not loaded where no channel is open
+        from juniperward.forwarder.reducer.control import Control  # loaded only if the channel is used
 
         if self._control is None:
             self._control = Control(self._round, self.scheduler, self._shutdown)
--- a/juniperward/forwarder/reducer/round.py
+++ b/juniperward/forwarder/reducer/round.py
@@ -1,4 +1,4 @@
-"""A round of the reducer: its time, the effects so far, and the events for the scheduler at its end."""
+"""A round of the reducer: its time, and the effects and scheduler events that its handlers add."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Round:
-    """What the handlers of the reducer share; each of them adds effects and scheduler events."""
+    """The context that the reducer's handlers share: settings, state, time, effects and scheduler events."""
 
     def __init__(self, settings: SchedulerSettings, state: ForwarderState) -> None:
-        """Begin before the first round."""
+        """Create the context; `begin` starts the first round."""
         self.settings = settings
         self.state = state
         self.now = 0.0
@@ -20,15 +20,15 @@
         self.scheduler_events: list[SchedulerEvent] = []
 
     def begin(self, now: float) -> None:
-        """Begin a round at a moment."""
+        """Start a round at a time of the monotonic clock, without effects and events."""
         self.now = now
         self.effects = []
         self.scheduler_events = []
 
     def emit(self, *effects: Effect) -> None:
-        """Add effects, to be performed in this order."""
+        """Add effects, which are performed in this order."""
         self.effects += effects
 
     def notify_scheduler(self, event: SchedulerEvent) -> None:
-        """Pass an event to the scheduler at the end of the round."""
+        """Add an event for the scheduler, which gets it at the end of the round."""
         self.scheduler_events.append(event)
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler's part of a round: its events in, its actions to the handlers that turn them into effects."""
+"""The scheduler's part of a round: passes events to the scheduler, and its actions to the handlers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler import actions as scheduler_actions
 
-RETRY_AFTER_ERROR_S = 0.05  # after which the scheduler is called again where it failed
+RETRY_AFTER_ERROR_S = 0.05  # delay before the scheduler is called again after an error
 
 
 @dataclass(frozen=True, slots=True)
 class Handlers:
-    """The handlers that the scheduler's actions concern."""
+    """The handlers that execute the scheduler's actions."""
 
     attempts: Attempts
     health_checks: HealthChecks
@@ -29,28 +29,28 @@
 
 
 class Scheduling:
-    """Carries out what the scheduler decides; owns no state."""
+    """Executes the scheduler's actions; owns no state."""
 
     def __init__(self, round_: Round, scheduler: DeliveryScheduler, handlers: Handlers) -> None:
-        """Hand each action to the handler that it concerns."""
+        """Pass the actions of `scheduler` to `handlers`."""
         self._round = round_
         self._scheduler = scheduler
         self._handlers = handlers
 
     def decide(self) -> None:
-        """Pass the round's events to the scheduler and carry out its actions."""
+        """Pass the round's events to the scheduler and execute its actions."""
         to_start: dict[tuple[int, int], list[scheduler_actions.StartAttempt]] = {}  # by endpoint and batch
         for action in self._actions():
             if isinstance(action, scheduler_actions.StartAttempt):
                 to_start.setdefault((action.endpoint, action.batch), []).append(action)
             else:
-                self._carry_out(action)
-        # Attempts come last: what they start must not meet what the same round gives up or closes.
+                self._execute(action)
+        # Attempts are started last, so that messages are given up and connections closed before.
         for (endpoint, _), scheduled in to_start.items():
             self._handlers.attempts.start(endpoint, scheduled)
 
     def _actions(self) -> list[scheduler_actions.Action]:
-        """Return the scheduler's actions; after an error those decided on before it, and a timer to go on."""
+        """Return the scheduler's actions; after an error, those before it and a timer to call it again."""
         try:
             return self._scheduler.handle(self._round.now, self._round.scheduler_events)
         except Exception as error:
@@ -60,7 +60,7 @@
             retry_timer = scheduler_actions.SetTimer(RETRY_AFTER_ERROR_S, self._scheduler.timer_token)
             return [*self._scheduler.pending_actions, retry_timer]
 
-    def _carry_out(self, action: scheduler_actions.Action) -> None:
+    def _execute(self, action: scheduler_actions.Action) -> None:
         match action:
             case scheduler_actions.Reject(message=number, retry_after_s=retry_after_s):
                 self._give_up(number, retry_after_s)
@@ -84,7 +84,7 @@
                 self._round.emit(WriteLog("destination recovered", (("destination", destination),)))
 
     def _give_up(self, number: int, retry_after_s: float | None) -> None:
-        """Give a message up; an attempt of it that is in flight still has its own outcome."""
+        """Give up a message; its attempt in flight, if any, is not cancelled and still gets an outcome."""
         pending = self._round.state.messages.pending.get(number)
         if pending is None:
             check_invariant(False, "one_final_answer")
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -1,7 +1,7 @@
-"""The reducer's state beside the scheduler's: messages, attempts in flight, endpoints, notifications, lifecycle.
+"""The reducer's state: messages, attempts in flight, endpoints, notifications and lifecycle.
 
-Each part's docstring names its owner, the one handler of the reducer that writes it, and what bounds it. Moments
-(`_at`, `_until`, `_by`) are seconds of the monotonic clock.
+Each docstring names the owner, the only handler that writes this state, and its bound. Times (`_at`,
+`_until`, `_by`) are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,67 +13,95 @@
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """A message that was accepted, or is being accepted, and has no final outcome.
-
-    Intake makes it; from then on Attempts alone writes it, and DeadLetters its `past_attempts`.
+    """A message without a final outcome, accepted or being accepted.
+
+    Created by Intake; then written by Attempts only, except `past_attempts`, which DeadLetters writes.
+
+    Attributes:
+        number: The message's number in this process.
+        expires_at: When the message is given up, before the client's deadline by the time that a
+            notification takes.
+        received_at: When this process received the message, or restored it from the journal.
+        client_deadline_at: The client's deadline.
+        never_attempted: Whether a restart restored the message, and not a byte of it has been written so
+            far.
+        attempts: How many attempts were started, also before a restart.
+        attempt_number: The attempt in flight, or None.
+        attempt_started_at: The start of the latest attempt.
+        executed_at: The start of the first attempt that was possibly executed, or None.
+        past_attempts: The ended attempts; empty if dead letters are disabled.
     """
 
     number: int
     message: Message
     expires_at: float
-    received_at: float  # by this process
-    client_deadline_at: float = 0.0  # `expires_at` is earlier by the time that a notification takes
-    never_attempted: bool = False  # accepted before a restart, and not a byte was written for it so far
+    received_at: float
+    client_deadline_at: float = 0.0
+    never_attempted: bool = False
     attempts: int = 0
-    attempt_number: int | None = None  # of the attempt that carries it
-    attempt_started_at: float = 0.0  # of the latest attempt
-    executed_at: float | None = None  # when it first possibly executed
-    past_attempts: list[PastAttempt] = field(default_factory=list)  # where dead letters are stored
+    attempt_number: int | None = None
+    attempt_started_at: float = 0.0
+    executed_at: float | None = None
+    past_attempts: list[PastAttempt] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class AttemptInFlight:
-    """An attempt, and its messages that have no outcome yet; written by Attempts. Bound: the batch size."""
+    """An attempt and its messages without an outcome; written by Attempts. Bound: the batch size.
+
+    Attributes:
+        unanswered: For each message without an outcome, the ordinal of this attempt among the message's own,
+            from 0.
+        cancelled: Whether the cancellation was requested.
+    """
 
     number: int
     endpoint: int
     started_at: float
-    unanswered: dict[int, int] = field(default_factory=dict)  # message to the ordinal of its attempt, from 0
+    unanswered: dict[int, int] = field(default_factory=dict)
     cancelled: bool = False
 
 
 @dataclass(slots=True)
 class NumberSequence:
-    """The numbers of attempts and health checks, which share one sequence."""
+    """A sequence of consecutive numbers."""
 
     last: int = 0
 
     def next(self) -> int:
-        """Return the next number, from 1 on."""
+        """Return the next number, starting with 1."""
         self.last += 1
         return self.last
 
 
 @dataclass(slots=True)
 class MessageTable:
-    """Messages by their number in this process: Intake adds them, Completion removes them, by the methods here.
+    """The messages of this process; Intake adds and Completion removes them by the methods here.
+
+    Bounds: `max_open` of the settings for `pending` and `accepting` together, MAX_COMPLETED_IDS for
+    `completed`.
 
-    Bound: `max_open` of the settings for `pending` and `accepting` together; `completed` has Completion's own.
+    Attributes:
+        pending: Accepted messages by number, in the order of acceptance.
+        accepting: Messages by number whose clients have not been answered.
+        numbers: The numbers of pending and accepting messages by message id.
+        completed: When each message id was completed; written by Completion.
+        sequence: The sequence of message numbers.
     """
 
-    pending: dict[int, PendingMessage] = field(default_factory=dict)  # in the order accepted
-    accepting: dict[int, PendingMessage] = field(default_factory=dict)  # their clients not answered yet
-    numbers: dict[str, int] = field(default_factory=dict)  # of pending and accepting messages, by id
-    completed: dict[str, float] = field(default_factory=dict)  # ids, and since when; written by Completion
+    pending: dict[int, PendingMessage] = field(default_factory=dict)
+    accepting: dict[int, PendingMessage] = field(default_factory=dict)
+    numbers: dict[str, int] = field(default_factory=dict)
+    completed: dict[str, float] = field(default_factory=dict)
     sequence: NumberSequence = field(default_factory=NumberSequence)
 
     def begin_accepting(self, pending: PendingMessage) -> None:
-        """Add a message whose client is not answered yet."""
+        """Add a message whose client has not been answered."""
         self.accepting[pending.number] = pending
         self.numbers[pending.message.id] = pending.number
 
     def accept(self, number: int) -> PendingMessage:
-        """Make a message pending whose client was answered; return it."""
+        """Move a message to `pending`, as its client was answered; return it."""
         pending = self.pending[number] = self.accepting.pop(number)
         return pending
 
@@ -84,7 +112,7 @@
         return pending
 
     def restore(self, pending: PendingMessage) -> None:
-        """Add a message of the journal, whose client was answered before the restart."""
+        """Add a message restored from the journal; its client was answered before the restart."""
         self.pending[pending.number] = pending
         self.numbers[pending.message.id] = pending.number
 
@@ -96,20 +124,32 @@
 
 @dataclass(slots=True)
 class EndpointDirectory:
-    """Discovery's endpoint list; written by EndpointList. Bound: what discovery lists, and what is in flight."""
+    """Discovery's endpoint list; written by EndpointList. Bound: the endpoints listed or in use.
+
+    Attributes:
+        endpoints: Endpoints by the number that the scheduler knows them by.
+        numbers: Endpoint numbers by discovery's id.
+        removed: Numbers of removed endpoints that still have attempts in flight.
+        destinations: Until when each destination accepts messages; infinite while endpoints of it are
+            listed.
+        version: The version of the list.
+        updated_at: When discovery last sent an update, or None.
+        epoch: How often discovery's address has changed.
+        watching: Whether a watch was started and not lost.
+    """
 
-    endpoints: dict[int, Endpoint] = field(default_factory=dict)  # by the scheduler's number
-    numbers: dict[str, int] = field(default_factory=dict)  # by discovery's id
+    endpoints: dict[int, Endpoint] = field(default_factory=dict)
+    numbers: dict[str, int] = field(default_factory=dict)
     last_number: int = 0
-    removed: set[int] = field(default_factory=set)  # of `endpoints`: removed, with attempts in flight
-    destinations: dict[int, float] = field(default_factory=dict)  # until when each is known
+    removed: set[int] = field(default_factory=set)
+    destinations: dict[int, float] = field(default_factory=dict)
     version: int = 0
-    updated_at: float | None = None  # when discovery last sent an update
-    epoch: int = 0  # how often its address was changed
-    watching: bool = False  # a watch is started
+    updated_at: float | None = None
+    epoch: int = 0
+    watching: bool = False
 
     def number(self, endpoint_id: str) -> int:
-        """Return the number of an endpoint by discovery's id; a new one gets the next."""
+        """Return the number for discovery's endpoint id; a new id gets the next number."""
         if endpoint_id not in self.numbers:
             self.last_number += 1
             self.numbers[endpoint_id] = self.last_number
@@ -118,11 +158,17 @@
 
 @dataclass(slots=True)
 class Lifecycle:
-    """Whether new messages are accepted; written by Shutdown."""
+    """Draining and shutdown; written by Shutdown.
+
+    Attributes:
+        draining: Whether an order to drain is in effect.
+        accept_until: During a shutdown, the process does not exit before this time.
+        exit_by: When the process must exit; None before a shutdown is requested.
+    """
 
     draining: bool = False
-    accept_until: float = 0.0  # the process does not exit before
-    exit_by: float | None = None  # set once a shutdown was requested
+    accept_until: float = 0.0
+    exit_by: float | None = None
 
     @property
     def rejects_messages(self) -> bool:
@@ -132,25 +178,29 @@
 
 @dataclass(slots=True)
 class ForwarderState:
-    """All of it.
-
-    `attempts_in_flight` (by Attempts) is bounded by the slots, `health_checks_in_flight` (by HealthChecks) by the
-    endpoints, `unacknowledged` (by Notifications) by what was given up and not acknowledged, `fenced_redrives` (by
-    Control) by the requests in FENCE_DURATION_S.
+    """The reducer's whole state.
+
+    Attributes:
+        attempts_in_flight: Attempts by number; written by Attempts. Bound: the slots.
+        health_checks_in_flight: Endpoint numbers by number of the check; written by HealthChecks. Bound: the
+            endpoints.
+        call_numbers: The sequence of numbers that attempts and health checks share.
+        unacknowledged: Notifications by message id; written by Notifications. Bound: the messages that were
+            given up and not acknowledged.
+        fenced_redrives: When each redrive id was reported as unknown, after which it is rejected; written by
+            Control. Bound: the requests in FENCE_DURATION_S.
     """
 
     messages: MessageTable = field(default_factory=MessageTable)
-    attempts_in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)  # by number
-    health_checks_in_flight: dict[int, int] = field(default_factory=dict)  # number to endpoint
+    attempts_in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)
+    health_checks_in_flight: dict[int, int] = field(default_factory=dict)
     call_numbers: NumberSequence = field(default_factory=NumberSequence)
     directory: EndpointDirectory = field(default_factory=EndpointDirectory)
-    unacknowledged: dict[str, OutcomeNotification] = field(
-        default_factory=dict
-    )  # notifications, by message id
-    fenced_redrives: dict[str, float] = field(default_factory=dict)  # reported unknown, and when: rejected
+    unacknowledged: dict[str, OutcomeNotification] = field(default_factory=dict)
+    fenced_redrives: dict[str, float] = field(default_factory=dict)
     lifecycle: Lifecycle = field(default_factory=Lifecycle)
 
     def has_work(self) -> bool:
-        """Whether a message, an attempt or a notification is unfinished."""
+        """Return whether a message, an attempt or a notification is unfinished."""
         messages = self.messages.accepting or self.messages.pending
         return bool(messages or self.attempts_in_flight or self.unacknowledged)
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -5,7 +5,7 @@
 import base64
 import json
 
-from juniperward.forwarder.batch import encode_batch, item_bytes
+from juniperward.forwarder.batch import batch_item_bytes, encode_batch
 from juniperward.forwarder.model import Message
 from juniperward.net.http_head import MAX_BODY_BYTES
 from juniperward.scheduler.settings import MessageClass, SchedulerSettings
@@ -27,7 +27,7 @@
     def test_message_sizes_add_up_to_the_body_size(self) -> None:
         for count in range(1, len(MESSAGES) + 1):
             chosen = MESSAGES[:count]
-            assert len(encode_batch(chosen)) == 1 + sum(map(item_bytes, chosen))
+            assert len(encode_batch(chosen)) == 1 + sum(map(batch_item_bytes, chosen))
 
     def test_a_batch_body_decodes_to_what_was_encoded(self) -> None:
         rows = json.loads(encode_batch(MESSAGES))
