--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -42,7 +42,7 @@
 from tests.helpers import settings
 from tests.player import SETTINGS, Program
 from tests.resources import Resources, UsesResources
-from tests.test_reducer import ReducerRig, worker
+from tests.test_reducer import ReducerRig, make_endpoint
 
 WAIT = 20.0
 BOOT, OTHER_BOOT = "8b6c", "90f1"
@@ -131,7 +131,7 @@
     def replay(self, now: float, restored: tuple[RestoredMessage, ...]) -> list[Any]:
         self.reducer = Reducer(settings(SHORT_WINDOW), 1)
         self.now = now
-        self.do(EndpointsUpdated(41, True, (worker(),), cached=True))
+        self.do(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
         return self.do(JournalReplayed(restored))
 
     def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -38,7 +38,7 @@
     chunk,
     endpoint_list,
 )
-from tests.test_reducer import worker
+from tests.test_reducer import make_endpoint
 
 DEADLINE = 6.0  # seconds after which a change counts as told
 MARGIN = 0.25  # seconds kept for the call that tells it, and for a busy machine
@@ -166,7 +166,7 @@
         self.reducer = RecordingReducer(seed, longest_waits)
         self.now = 100.0
         self.effects: list[Effect] = self.reducer.reduce(
-            self.now, [EndpointsUpdated(41, True, (worker(),), cached=True)]
+            self.now, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)]
         )
 
     def until_next(self, took: float, lived: bool = False) -> float:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -53,7 +53,7 @@
 from tests.helpers import KEYED, ONCE, settings
 
 
-def worker(
+def make_endpoint(
     name: str = "s-1", destination: int = 1, phase: EndpointPhase = EndpointPhase.READY, kind: int = 0
 ) -> Endpoint:
     return Endpoint(name, "127.0.0.1", 81, destination, phase, kind, 0, 0.0)
@@ -66,11 +66,11 @@
 class ReducerRig:
     """A reducer without sockets, driven by events; its subclasses hold the tests."""
 
-    def start(self, *workers: Endpoint, **changes: Any) -> Reducer:
+    def start(self, *endpoints: Endpoint, **changes: Any) -> Reducer:
         kinds = {"kinds": (DestinationKind(), DestinationKind(batch_size=20)), "slots": 8}
         self.reducer = Reducer(settings(KEYED, ONCE, **{**kinds, **changes}), 1)
         self.now = 100.0
-        self.do(EndpointsUpdated(41, True, workers or (worker(),), cached=True))
+        self.do(EndpointsUpdated(41, True, endpoints or (make_endpoint(),), cached=True))
         return self.reducer
 
     def do(self, *events: Event) -> list[Effect]:
@@ -151,10 +151,10 @@
     ) -> None:
         for left in (20.0, 0.96):
             with subtests.test(left=left):
-                self.start(worker("s-1", 2))
+                self.start(make_endpoint("s-1", 2))
                 began, effects = self.now, self.take("a", left=left, destination=2)
                 timers = self.only(effects, SetTimer)
-                self.do(EndpointsUpdated(42, False, (worker("s-1", 2, EndpointPhase.REMOVED),)))
+                self.do(EndpointsUpdated(42, False, (make_endpoint("s-1", 2, EndpointPhase.REMOVED),)))
                 effects = self.end(effects, (Outcome.OVERLOADED, 0.0))
                 timers += self.only(effects, SetTimer)
                 while not self.only(effects, SendNotifications):
@@ -184,7 +184,7 @@
         assert not self.only(effects, SendNotifications)
 
     def test_attempts_of_a_round_to_one_endpoint_are_one_batch(self) -> None:
-        self.start(worker(kind=1))
+        self.start(make_endpoint(kind=1))
         first = self.take("a")
         self.do(*self.only(self.end(first, (Outcome.OVERLOADED, 0.5)), DeadlineReached))
         for name in "bc":
@@ -219,7 +219,7 @@
                 assert [d.route for d in self.only(effects, StartAttempt)] == [told]
                 effects = self.end(effects, (Outcome.OVERLOADED, 5.0))
                 assert self.only(effects, PauseRoute) == [PauseRoute(told, 105.0)]
-                self.do(EndpointsUpdated(42, False, (worker("s-2"),)))
+                self.do(EndpointsUpdated(42, False, (make_endpoint("s-2"),)))
                 self.now += 0.5
                 # The other worker is called by the module, and the sockets let it.
                 later = self.do(EndpointsUpdated(43, False, ()))
@@ -269,7 +269,7 @@
             (AttemptProgress.WRITING, True),
         ):
             with subtests.test(progress=progress):
-                self.start(worker(kind=1))
+                self.start(make_endpoint(kind=1))
                 self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
                 self.now += 2.0
@@ -285,7 +285,7 @@
 
     def test_large_messages_are_batched_up_to_the_body_limit(self) -> None:
         # Guards the protocol's 64 KiB: twenty bodies of 2.4 KB made a call that is refused whole.
-        self.start(worker(kind=1))
+        self.start(make_endpoint(kind=1))
         self.end(self.take("a"), (Outcome.ERROR, 0.5))
         for name in ("b", "c", "d"):
             self.take(name, body=b"x" * 24_000)
@@ -295,7 +295,7 @@
 
     def test_a_message_the_scheduler_sends_alone_is_not_batched(self) -> None:
         # Guards the others: two calls of one round to one endpoint were made one, which ended with its first.
-        self.start(worker(kind=1))
+        self.start(make_endpoint(kind=1))
         self.end(self.take("a"), (Outcome.ERROR, 0.5))
         self.take("b", left=2.9)
         self.take("c")
@@ -308,7 +308,7 @@
         # whole, but counted for none: the others, delivered as we had it, got no final answer.
         for answered in (True, False):
             with subtests.test(answered=answered):
-                self.start(worker(kind=1))
+                self.start(make_endpoint(kind=1))
                 self.end(self.take("a", left=4.0), (Outcome.OVERLOADED, 0.5))
                 self.take("b")
                 self.now += 2.0
@@ -343,7 +343,7 @@
     def call_off(self, cls: int = 0) -> tuple[list[Effect], list[Effect]]:
         """Two calls that fill the slots, and a message behind them; what is asked for when one is called off."""
         self.start(slots=2)
-        self.do(EndpointsUpdated(42, False, (worker("s-2", 2), worker("s-3", 3))))
+        self.do(EndpointsUpdated(42, False, (make_endpoint("s-2", 2), make_endpoint("s-3", 3))))
         first = self.take("a", cls=cls)
         self.take("b", destination=2, cls=cls)
         effects = self.take("c", destination=3)
@@ -458,8 +458,8 @@
         assert self.reducer.may_exit(self.now)
 
     def test_a_removed_endpoint_gets_nothing(self) -> None:
-        self.start(worker("s-1"), worker("s-2", 2))
-        effects = self.do(EndpointsUpdated(42, True, (worker("s-2", 2),)))
+        self.start(make_endpoint("s-1"), make_endpoint("s-2", 2))
+        effects = self.do(EndpointsUpdated(42, True, (make_endpoint("s-2", 2),)))
         assert SetEndpointDraining(1, True) in effects
         assert self.sent(self.take("a", destination=1)) == []
         assert self.sent(self.take("b", destination=2)) == [["b"]]
@@ -472,7 +472,7 @@
             SwitchDiscovery(("127.0.0.1", 9), 1),
             StartWatch(43, 1),
         ]
-        assert self.do(EndpointsUpdated(44, False, (worker(phase=EndpointPhase.DRAINING),))) == []
+        assert self.do(EndpointsUpdated(44, False, (make_endpoint(phase=EndpointPhase.DRAINING),))) == []
         assert self.do(WatchLost()) == []
         self.do(EndpointsUpdated(45, False, (), epoch=1))
         assert self.reducer.state.directory.version == 45
@@ -496,7 +496,7 @@
         self.start()
         effects = self.take("a")
         for n in range(2, 50):
-            old, new = worker(f"s-{n - 1}", phase=EndpointPhase.REMOVED), worker(f"s-{n}")
+            old, new = make_endpoint(f"s-{n - 1}", phase=EndpointPhase.REMOVED), make_endpoint(f"s-{n}")
             told = self.do(EndpointsUpdated(41 + n, False, (old, new)))
             assert self.only(told, ForgetEndpoint) == ([] if n == 2 else [ForgetEndpoint(n - 1)])
         state, sender = self.reducer.state, self.reducer.scheduler
@@ -507,7 +507,7 @@
         )
         assert len(sender.state.table.endpoints) == 2
         self.end(effects, (Outcome.OK, 0.0))
-        self.do(EndpointsUpdated(99, True, (worker("s-49"),)))
+        self.do(EndpointsUpdated(99, True, (make_endpoint("s-49"),)))
         assert (len(state.directory.endpoints), list(state.directory.numbers), state.directory.removed) == (
             1,
             ["s-49"],
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -44,7 +44,7 @@
 from tests.helpers import SAFE, settings
 from tests.player import Program
 from tests.resources import Resources, UsesResources
-from tests.test_reducer import ReducerRig, call, worker
+from tests.test_reducer import ReducerRig, call, make_endpoint
 
 
 class TestFirstByte(EndpointClientRig):
@@ -178,7 +178,7 @@
     def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
         self.reducer = Reducer(settings(first, SAFE, **more), 1)
         self.now = 100.0
-        self.do(EndpointsUpdated(41, True, (worker(),), cached=True))
+        self.do(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
         return self.do(JournalReplayed(restored))
 
     def run_to(
@@ -251,7 +251,9 @@
         effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
         assert self.sent(effects) == []
         effects = self.do(
-            EndpointsUpdated(42, False, (worker("s-1", phase=EndpointPhase.REMOVED), worker("s-5", 5)))
+            EndpointsUpdated(
+                42, False, (make_endpoint("s-1", phase=EndpointPhase.REMOVED), make_endpoint("s-5", 5))
+            )
         )
         assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-5"]
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -26,7 +26,7 @@
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import ONCE, settings
 from tests.resources import UsesResources
-from tests.test_reducer import worker
+from tests.test_reducer import make_endpoint
 
 
 def start_probe(port: int, deadline: float = 1e12) -> StartHealthCheck:
@@ -39,7 +39,7 @@
         for on_request in (False, True):
             with subtests.test(on_request=on_request):
                 reducer = Reducer(settings(ONCE, endpoints_polled=on_request), 1)
-                effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
+                effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
                 assert [e for e in effects if isinstance(e, StartWatch)] == [StartWatch(41, 0)]
 
     def test_successive_unresponsive_watches_are_each_reopened_in_time(
@@ -50,7 +50,7 @@
         for lived, took, widest in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with subtests.test(lived=lived, took=took):
                 reducer, now, waits = Reducer(settings(ONCE, endpoints_polled=True), 1), 100.0, []
-                effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
+                effects = reducer.reduce(now, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
                 for _ in range(6):
                     now += took
                     began, effects = now, reducer.reduce(now, [WatchLost(0, lived)])
@@ -140,8 +140,8 @@
 
     def test_a_watch_event_does_not_open_a_second_watch(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(),), cached=True)])
-        effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker("s-2"),))])
+        reducer.reduce(100.0, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
+        effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (make_endpoint("s-2"),))])
         assert [e for e in effects if isinstance(e, StartWatch)] == []
 
 
@@ -212,7 +212,7 @@
             lost = events.get(timeout=5.0)
             assert lost == WatchLost(0, established=True)
         now = 100.0
-        effects = reducer.reduce(now, [EndpointsUpdated(41, True, (worker(),), cached=True)])
+        effects = reducer.reduce(now, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
         effects = reducer.reduce(now, [lost])
         while not (again := [e for e in effects if isinstance(e, StartWatch)]):
             wake = next(e for e in effects if isinstance(e, SetTimer))
@@ -223,10 +223,12 @@
 
     def test_changes_and_removals_remove_an_endpoint_and_a_complete_list_the_unlisted(self) -> None:
         reducer = Reducer(settings(ONCE), 1)
-        reducer.reduce(100.0, [EndpointsUpdated(41, True, (worker(), worker("s-2")), cached=True)])
-        reducer.reduce(101.0, [EndpointsUpdated(42, False, (worker(phase=EndpointPhase.REMOVED),))])
+        reducer.reduce(
+            100.0, [EndpointsUpdated(41, True, (make_endpoint(), make_endpoint("s-2")), cached=True)]
+        )
+        reducer.reduce(101.0, [EndpointsUpdated(42, False, (make_endpoint(phase=EndpointPhase.REMOVED),))])
         assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-2"]
-        reducer.reduce(102.0, [EndpointsUpdated(50, True, (worker("s-3"),))])
+        reducer.reduce(102.0, [EndpointsUpdated(50, True, (make_endpoint("s-3"),))])
         assert sorted(w.id for w in reducer.state.directory.endpoints.values()) == ["s-3"]
         assert reducer.state.directory.version == 50
 
@@ -237,7 +239,14 @@
         self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
         self.reducer.reduce(
             100.0,
-            [EndpointsUpdated(41, True, (worker(), worker("s-2", phase=EndpointPhase.REMOVED)), cached=True)],
+            [
+                EndpointsUpdated(
+                    41,
+                    True,
+                    (make_endpoint(), make_endpoint("s-2", phase=EndpointPhase.REMOVED)),
+                    cached=True,
+                )
+            ],
         )
 
     def test_a_health_check_goes_to_a_listed_endpoint_and_its_retry_after_binds(self) -> None:
