--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -131,8 +131,8 @@
     def replay(self, now: float, restored: tuple[RestoredMessage, ...]) -> list[Any]:
         self.reducer = Reducer(settings(SHORT_WINDOW), 1)
         self.now = now
-        self.do(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
-        return self.do(JournalReplayed(restored))
+        self.reduce(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
+        return self.reduce(JournalReplayed(restored))
 
     def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
         """A process that accepted a message, maybe began a call, and was killed."""
@@ -147,15 +147,17 @@
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
                 effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
-                assert self.only(effects, StartAttempt) == []
-                assert [n.id for e in self.only(effects, SendNotifications) for n in e.notifications] == ["a"]
+                assert self.of_type(effects, StartAttempt) == []
+                assert [n.id for e in self.of_type(effects, SendNotifications) for n in e.notifications] == [
+                    "a"
+                ]
 
     def test_a_retry_within_the_deduplication_window_is_sent(self, subtests: pytest.Subtests) -> None:
         for step in (-1.0, 0.0):
             with subtests.test(step=step):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
                 self.leave(began_at=100.0)
-                (sent,) = self.only(self.restart(100.6, OFFSET + step), StartAttempt)
+                (sent,) = self.of_type(self.restart(100.6, OFFSET + step), StartAttempt)
                 (parcel,) = sent.items
                 assert parcel.start_before < 100.0 + WINDOW
 
@@ -163,22 +165,22 @@
         # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
         self.leave(began_at=1500.0, expires=1600.0)
         effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
-        assert self.only(effects, StartAttempt) == []
+        assert self.of_type(effects, StartAttempt) == []
 
     def test_no_retry_two_kills_later(self) -> None:
         # The second process saw the clock a second behind, and left the first one's records as they were.
         self.leave(began_at=100.0)
         self.journal(OFFSET - 1.0)
         effects = self.restart(100.0 + WINDOW + 0.001, OFFSET - 1.0)
-        assert self.only(effects, StartAttempt) == []
+        assert self.of_type(effects, StartAttempt) == []
 
     def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
         self.leave(began_at=None, expires=105.0)
-        (sent,) = self.only(self.restart(101.0, OFFSET - 1.0), StartAttempt)
+        (sent,) = self.of_type(self.restart(101.0, OFFSET - 1.0), StartAttempt)
         assert sent.deadline == pytest.approx(105.0, abs=5e-8)
         effects = self.restart(105.5, OFFSET - 1.0)
-        assert self.only(effects, StartAttempt) == []
-        assert [n.id for e in self.only(effects, SendNotifications) for n in e.notifications] == ["a"]
+        assert self.of_type(effects, StartAttempt) == []
+        assert [n.id for e in self.of_type(effects, SendNotifications) for n in e.notifications] == ["a"]
 
 
 class SteppedProgram(Program):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -44,7 +44,7 @@
 from tests.helpers import SAFE, settings
 from tests.player import Program
 from tests.resources import Resources, UsesResources
-from tests.test_reducer import ReducerRig, call, make_endpoint
+from tests.test_reducer import ReducerRig, make_endpoint, make_message
 
 
 class TestFirstByte(EndpointClientRig):
@@ -178,37 +178,41 @@
     def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
         self.reducer = Reducer(settings(first, SAFE, **more), 1)
         self.now = 100.0
-        self.do(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
-        return self.do(JournalReplayed(restored))
+        self.reduce(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
+        return self.reduce(JournalReplayed(restored))
 
     def run_to(
         self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]
     ) -> list[Effect]:
         """Fire what is due up to a time; all effects on the way."""
-        seen, timers = list(effects), self.only(effects, SetTimer)
+        seen, timers = list(effects), self.of_type(effects, SetTimer)
         while timers := sorted((w for w in timers if w.at <= until), key=lambda w: w.at):
-            wake = timers.pop(0)
-            self.now = max(self.now, wake.at)
-            new = act(wake.event)
+            timer = timers.pop(0)
+            self.now = max(self.now, timer.at)
+            new = act(timer.event)
             seen += new
-            timers += self.only(new, SetTimer)
+            timers += self.of_type(new, SetTimer)
         self.now = until
         return seen
 
     def test_a_never_attempted_message_precedes_a_higher_priority_weight(self) -> None:
         # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
         fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
-        late = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(3)]  # past their aim
-        tried = RestoredMessage(call("t", cls=1), 115.0, (RecordedAttempt("s-1", 95.0, False),))
+        late = [
+            RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(3)
+        ]  # past their aim
+        tried = RestoredMessage(
+            make_message("t", class_index=1), 115.0, (RecordedAttempt("s-1", 95.0, False),)
+        )
         effects = self.begin(tried, *late, first=fresh, slots=1)
         before = counters()
         for n in range(3):
-            self.take(f"f{n}")
+            self.accept(f"f{n}")
         order = []
-        while sent := self.sent(effects):
+        while sent := self.attempted_ids(effects):
             order += sent[0]
             self.now += 0.5
-            effects = self.end(effects, (Outcome.ERROR if order == ["r0"] else Outcome.OK, 0.0))
+            effects = self.finish_attempt(effects, (Outcome.ERROR if order == ["r0"] else Outcome.OK, 0.0))
         # What was tried in either life stands in its place by worth, and by when it came.
         assert order == ["r0", "r1", "r2", "f0", "f1", "f2", "t", "r0"]
         gained = {k: v - before.get(k, 0) for k, v in counters().items() if k.startswith("restored_")}
@@ -216,53 +220,55 @@
 
     def test_a_never_attempted_message_has_its_full_deadline(self) -> None:
         # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
-        soon = RestoredMessage(call("soon", left=2.0), 99.9)  # its client's time is up at 100.2
-        over = RestoredMessage(call("over", left=2.0), 99.6)
+        soon = RestoredMessage(
+            make_message("soon", time_left_s=2.0), 99.9
+        )  # its client's time is up at 100.2
+        over = RestoredMessage(make_message("over", time_left_s=2.0), 99.6)
         effects = self.begin(over, soon)
-        assert self.sent(effects) == [["soon"]]
-        assert [n.id for t in self.only(effects, SendNotifications) for n in t.notifications] == ["over"]
-        (d,) = self.only(effects, StartAttempt)
-        assert d.deadline == pytest.approx(100.2, abs=5e-8)
+        assert self.attempted_ids(effects) == [["soon"]]
+        assert [n.id for t in self.of_type(effects, SendNotifications) for n in t.notifications] == ["over"]
+        (attempt,) = self.of_type(effects, StartAttempt)
+        assert attempt.deadline == pytest.approx(100.2, abs=5e-8)
         assert (
             pytest.approx(1.2, abs=5e-8) == NOTIFICATION_GRACE_AFTER_RESTART_S
         )  # no notice is overdue for 1.5 s
         effects = self.begin(
-            RestoredMessage(call("later", left=8.0), 105.0)
+            RestoredMessage(make_message("later", time_left_s=8.0), 105.0)
         )  # after that the spare is needed again
-        assert self.only(effects, StartAttempt)[0].deadline == pytest.approx(105.0, abs=5e-8)
+        assert self.of_type(effects, StartAttempt)[0].deadline == pytest.approx(105.0, abs=5e-8)
 
     def test_a_never_attempted_message_retains_its_slot_in_a_full_forwarder(self) -> None:
         # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
-        found = [RestoredMessage(call(f"r{n}", cls=1), 115.0) for n in range(4)]
+        found = [RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(4)]
         before = counters().get("restored_never_attempted", 0)
         effects = self.begin(*found, slots=1, max_open=4)
-        assert self.do(MessageReceived(5, call("new"), self.now)) == [
+        assert self.reduce(MessageReceived(5, make_message("new"), self.now)) == [
             ReplyToClient(5, 503, ADMISSION_RETRY_AFTER_S)
         ]
         order = []
-        while sent := self.sent(effects):
+        while sent := self.attempted_ids(effects):
             order += sent[0]
-            effects = self.end(effects, (Outcome.OK, 0.0))
+            effects = self.finish_attempt(effects, (Outcome.OK, 0.0))
         assert (order, counters().get("restored_never_attempted", 0)) == (["r0", "r1", "r2", "r3"], before)
-        assert self.sent(self.take("new")) == [["new"]]
+        assert self.attempted_ids(self.accept("new")) == [["new"]]
 
     def test_a_never_attempted_message_is_sent_once_its_destination_is_listed(self) -> None:
         # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
-        effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
-        assert self.sent(effects) == []
-        effects = self.do(
+        effects = self.begin(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
+        assert self.attempted_ids(effects) == []
+        effects = self.reduce(
             EndpointsUpdated(
                 42, False, (make_endpoint("s-1", phase=EndpointPhase.REMOVED), make_endpoint("s-5", 5))
             )
         )
-        assert [d.endpoint_id for d in self.only(effects, StartAttempt)] == ["s-5"]
+        assert [attempt.endpoint_id for attempt in self.of_type(effects, StartAttempt)] == ["s-5"]
 
     def test_a_never_attempted_message_is_pending_until_its_deadline(self) -> None:
         # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
-        effects = self.begin(RestoredMessage(call("a", destination=5, left=8.0), 105.0))
+        effects = self.begin(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
         before = counters().get("restored_never_attempted", 0)
-        seen = self.run_to(104.9, effects, self.do)
-        assert self.only(seen, SendNotifications) == []
-        seen = self.run_to(105.2, self.only(seen, SetTimer), self.do)
-        assert len(self.only(seen, SendNotifications)) == 1
+        seen = self.run_to(104.9, effects, self.reduce)
+        assert self.of_type(seen, SendNotifications) == []
+        seen = self.run_to(105.2, self.of_type(seen, SetTimer), self.reduce)
+        assert len(self.of_type(seen, SendNotifications)) == 1
         assert counters()["restored_never_attempted"] == before + 1
