--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -1,4 +1,4 @@
-"""The body of a call of several messages, and what one message takes of it."""
+"""The body of an attempt with several messages, and the size of a message in it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from juniperward.scheduler.settings import MessageClass, SchedulerSettings
 
 
-def message(name: str, key: str | None, body: bytes) -> Message:
-    return Message(name, 0, 0, 1, 5.0, key, body)
+def make_message(message_id: str, idempotency_key: str | None, body: bytes) -> Message:
+    return Message(message_id, 0, 0, 1, 5.0, idempotency_key, body)
 
 
 MESSAGES = [
-    message("a1", None, b""),
-    message("b2", "k", b"x"),
-    message('c"\\3', 'key "quoted"', bytes(range(256))),
-    message("d4", "k\xe9y", b"y" * 1000),
+    make_message("a1", None, b""),
+    make_message("b2", "k", b"x"),
+    make_message('c"\\3', 'key "quoted"', bytes(range(256))),
+    make_message("d4", "k\xe9y", b"y" * 1000),
 ]
 
 
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""Deduplication windows and deadlines across a kill, with wall clocks a second apart: no retry after its window."""
+"""Deduplication windows and deadlines across a kill, with wall clocks that differ by a second."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 from tests.resources import Resources, UsesResources
 from tests.test_reducer import ReducerRig, make_endpoint
 
-WAIT = 20.0
+TIMEOUT_S = 20.0
 BOOT, OTHER_BOOT = "8b6c", "90f1"
-OFFSET = 1000.0  # from the monotonic clock to Unix time, as the first process sees it
-WINDOW = 1.0
+OFFSET_S = 1000.0  # from the monotonic clock to Unix time in the first process
+WINDOW_S = 1.0
 SHORT_WINDOW = MessageClass(
     latency_objective_s=4.0,
     deadline_s=20.0,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
-    deduplication_window_s=WINDOW,
+    deduplication_window_s=WINDOW_S,
 )
 
 
@@ -62,56 +62,57 @@
         self.resources = resources
         self.folder = tmp_path
 
-    def carry(self, to_unix: float, boot: str = BOOT) -> float:
+    def choose_offset(self, to_unix: float, boot: str = BOOT) -> float:
         return choose_unix_offset(self.folder, to_unix, boot, JOURNAL_NAME)
 
-    def journal(self, to_unix: float, boot: str = BOOT) -> Journal:
-        """The journal as the process opens it at its start."""
-        return self.resources.closing(Journal(self.folder, 100_000, self.carry(to_unix, boot)))
+    def open_journal(self, to_unix: float, boot: str = BOOT) -> Journal:
+        """Open the journal as a process does at its start."""
+        return self.resources.closing(Journal(self.folder, 100_000, self.choose_offset(to_unix, boot)))
 
 
 class TestReference(FolderTest):
-    def test_an_empty_folder_counts_by_the_clock_as_it_is(self) -> None:
-        assert self.carry(OFFSET) == OFFSET
+    def test_an_empty_folder_uses_the_clock_as_it_is(self) -> None:
+        assert self.choose_offset(OFFSET_S) == OFFSET_S
 
     def test_a_clock_that_stepped_back_goes_on_as_before(self) -> None:
-        self.journal(OFFSET)
-        assert self.carry(OFFSET - 1.0) == OFFSET
-        assert self.carry(OFFSET - 1.0) == OFFSET  # also for what the third process finds
+        self.open_journal(OFFSET_S)
+        assert self.choose_offset(OFFSET_S - 1.0) == OFFSET_S
+        assert self.choose_offset(OFFSET_S - 1.0) == OFFSET_S  # also in the third process
 
-    def test_a_clock_that_stepped_ahead_counts(self) -> None:
-        self.journal(OFFSET)
-        assert self.carry(OFFSET + 1.0) == OFFSET + 1.0
-        assert self.carry(OFFSET) == OFFSET + 1.0
+    def test_a_clock_that_stepped_ahead_is_used(self) -> None:
+        self.open_journal(OFFSET_S)
+        assert self.choose_offset(OFFSET_S + 1.0) == OFFSET_S + 1.0
+        assert self.choose_offset(OFFSET_S) == OFFSET_S + 1.0
 
     def test_a_journal_without_a_reference_of_this_boot_counts_as_older(
         self, subtests: pytest.Subtests
     ) -> None:
-        self.journal(OFFSET)
-        whole = (self.folder / REFERENCE_NAME).read_text()
+        self.open_journal(OFFSET_S)
+        complete = (self.folder / REFERENCE_NAME).read_text()
         cases = {
-            "of another boot": json.dumps([OTHER_BOOT, OFFSET]),
-            "cut off": whole[:-3],
+            "of another boot": json.dumps([OTHER_BOOT, OFFSET_S]),
+            "cut off": complete[:-3],
             "not a pair": "17",
             "no number": json.dumps([BOOT, "soon"]),
             "not finite": json.dumps([BOOT, float("nan")]),
-            "of another clock": json.dumps([BOOT, OFFSET + MAX_STEP_BACK_S + 1.0]),
+            "of another clock": json.dumps([BOOT, OFFSET_S + MAX_STEP_BACK_S + 1.0]),
         }
         for name, text in cases.items():
             with subtests.test(name=name):
                 (self.folder / REFERENCE_NAME).write_text(text)
-                assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S
+                assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
         (self.folder / REFERENCE_NAME).unlink()  # an older version wrote none
-        assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S
-        assert self.carry(OFFSET) == OFFSET + MAX_CLOCK_ERROR_S  # what is still there keeps its age
+        assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
+        # The remaining records keep their age.
+        assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
 
     def test_a_reference_without_a_boot_id_counts_as_older(self) -> None:
-        self.journal(OFFSET, boot="")
-        assert self.carry(OFFSET, boot="") == OFFSET + MAX_CLOCK_ERROR_S
+        self.open_journal(OFFSET_S, boot="")
+        assert self.choose_offset(OFFSET_S, boot="") == OFFSET_S + MAX_CLOCK_ERROR_S
 
-    def test_a_reference_that_cannot_be_written_is_no_reason_not_to_start(self) -> None:
+    def test_a_process_starts_if_the_reference_cannot_be_written(self) -> None:
         with mock.patch("juniperward.forwarder.clock.Path.replace", side_effect=OSError(28, "No space left")):
-            assert self.carry(OFFSET) == OFFSET
+            assert self.choose_offset(OFFSET_S) == OFFSET_S
 
     def test_the_machine_has_a_boot_id(self) -> None:
         assert re.search(r"[0-9a-f-]{36}", read_boot_id())
@@ -120,11 +121,11 @@
 
 
 class TestKill(FolderTest, ReducerRig):
-    """What the next process decides on the journal of a killed one; times are of the monotonic clock."""
+    """A process restores the journal of a killed one; times are of the monotonic clock."""
 
     def restart(self, now: float, to_unix: float, boot: str = BOOT) -> list[Any]:
-        """The effects of a start at `now` over the folder."""
-        restored = self.journal(to_unix, boot).restored()
+        """Return the effects of a start at `now` with the journal in the folder."""
+        restored = self.open_journal(to_unix, boot).restored()
         assert len(restored) == 1
         return self.replay(now, restored)
 
@@ -134,65 +135,67 @@
         self.reduce(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
         return self.reduce(JournalReplayed(restored))
 
-    def leave(self, *, began_at: float | None, expires: float = 120.0, to_unix: float = OFFSET) -> None:
-        """A process that accepted a message, maybe began a call, and was killed."""
-        journal = self.journal(to_unix)
-        journal.append(AcceptedRecord(Message("a", 0, 0, 1, 20.0, "k", b""), expires))
-        if began_at is not None:
-            journal.append(AttemptStartedRecord("a", began_at, "s-1"))
+    def write_journal(
+        self, *, started_at: float | None, expires_at: float = 120.0, to_unix: float = OFFSET_S
+    ) -> None:
+        """Write the journal of a killed process that accepted a message and may have started an attempt."""
+        journal = self.open_journal(to_unix)
+        journal.append(AcceptedRecord(Message("a", 0, 0, 1, 20.0, "k", b""), expires_at))
+        if started_at is not None:
+            journal.append(AttemptStartedRecord("a", started_at, "s-1"))
 
     def test_no_retry_after_the_deduplication_window(self, subtests: pytest.Subtests) -> None:
-        for step in (-1.0, -0.5, 0.0, 0.5, 1.0):
-            with subtests.test(step=step):
+        for step_s in (-1.0, -0.5, 0.0, 0.5, 1.0):
+            with subtests.test(step_s=step_s):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
-                self.leave(began_at=100.0)
-                effects = self.restart(100.0 + WINDOW + 0.001, OFFSET + step)
+                self.write_journal(started_at=100.0)
+                effects = self.restart(100.0 + WINDOW_S + 0.001, OFFSET_S + step_s)
                 assert self.of_type(effects, StartAttempt) == []
                 assert [n.id for e in self.of_type(effects, SendNotifications) for n in e.notifications] == [
                     "a"
                 ]
 
     def test_a_retry_within_the_deduplication_window_is_sent(self, subtests: pytest.Subtests) -> None:
-        for step in (-1.0, 0.0):
-            with subtests.test(step=step):
+        for step_s in (-1.0, 0.0):
+            with subtests.test(step_s=step_s):
                 (self.folder / JOURNAL_NAME).unlink(missing_ok=True)
-                self.leave(began_at=100.0)
-                (sent,) = self.of_type(self.restart(100.6, OFFSET + step), StartAttempt)
-                (parcel,) = sent.items
-                assert parcel.start_before < 100.0 + WINDOW
+                self.write_journal(started_at=100.0)
+                (attempt,) = self.of_type(self.restart(100.6, OFFSET_S + step_s), StartAttempt)
+                (item,) = attempt.items
+                assert item.start_before < 100.0 + WINDOW_S
 
     def test_no_retry_on_a_machine_whose_clock_is_a_second_behind(self) -> None:
-        # Its monotonic clock began anew: 500 is there what 1500 was on the first machine, less the second.
-        self.leave(began_at=1500.0, expires=1600.0)
-        effects = self.restart(500.0 + WINDOW + 0.001, OFFSET + 1000.0 - 1.0, OTHER_BOOT)
+        # The second machine's monotonic clock reads 500 when the first one's reads 1500.
+        self.write_journal(started_at=1500.0, expires_at=1600.0)
+        effects = self.restart(500.0 + WINDOW_S + 0.001, OFFSET_S + 1000.0 - 1.0, OTHER_BOOT)
         assert self.of_type(effects, StartAttempt) == []
 
     def test_no_retry_two_kills_later(self) -> None:
-        # The second process saw the clock a second behind, and left the first one's records as they were.
-        self.leave(began_at=100.0)
-        self.journal(OFFSET - 1.0)
-        effects = self.restart(100.0 + WINDOW + 0.001, OFFSET - 1.0)
+        # The second process saw a clock that is a second behind, and kept the first one's records.
+        self.write_journal(started_at=100.0)
+        self.open_journal(OFFSET_S - 1.0)
+        effects = self.restart(100.0 + WINDOW_S + 0.001, OFFSET_S - 1.0)
         assert self.of_type(effects, StartAttempt) == []
 
     def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
-        self.leave(began_at=None, expires=105.0)
-        (sent,) = self.of_type(self.restart(101.0, OFFSET - 1.0), StartAttempt)
-        assert sent.deadline == pytest.approx(105.0, abs=5e-8)
-        effects = self.restart(105.5, OFFSET - 1.0)
+        self.write_journal(started_at=None, expires_at=105.0)
+        (attempt,) = self.of_type(self.restart(101.0, OFFSET_S - 1.0), StartAttempt)
+        assert attempt.deadline == pytest.approx(105.0, abs=5e-8)
+        effects = self.restart(105.5, OFFSET_S - 1.0)
         assert self.of_type(effects, StartAttempt) == []
         assert [n.id for e in self.of_type(effects, SendNotifications) for n in e.notifications] == ["a"]
 
 
 class SteppedProgram(Program):
-    """The forwarder as a process whose wall clock is so many seconds off."""
+    """A forwarder process whose wall clock is off by `step_s`."""
 
-    step = 0.0
+    step_s = 0.0
 
     def spawn(self) -> subprocess.Popen[bytes]:
         popen = subprocess.Popen
 
         def start(_command: list[str], **options: Any) -> subprocess.Popen[bytes]:
-            return popen([sys.executable, "-c", STEP_AND_RUN, str(self.step)], **options)
+            return popen([sys.executable, "-c", STEP_AND_RUN, str(self.step_s)], **options)
 
         with mock.patch("tests.player.subprocess.Popen", start):
             return super().spawn()
@@ -208,11 +211,11 @@
 
 class TestProcess(UsesResources):
     def test_no_retry_after_the_deduplication_window_across_a_kill(self, subtests: pytest.Subtests) -> None:
-        for step in (-1.0, 1.0):
-            with subtests.test(step=step):
-                self.play(step)
+        for step_s in (-1.0, 1.0):
+            with subtests.test(step_s=step_s):
+                self.check_no_retry(step_s)
 
-    def play(self, step: float) -> None:
+    def check_no_retry(self, step_s: float) -> None:
         folder = tempfile.TemporaryDirectory()
         self.resources.callback(folder.cleanup)
         recorder = Recorder()
@@ -222,23 +225,22 @@
         discovery.publish(*entries)
         destination.inject_fault(FaultMode.UNRESPONSIVE)
         short = copy.deepcopy(SETTINGS)
-        short["Services"][0]["WindowMs"] = WINDOW * 1000
+        short["Services"][0]["WindowMs"] = WINDOW_S * 1000
         program = self.resources.closing(SteppedProgram(Path(folder.name), short))
         program.config["discovery"] = discovery.address_for("n0")
         known = program.config["known"]["servers"]
         known[:] = [{**known[0], "id": entries[0].id, "addr": entries[0].address}]
         program.start()
         self.submit(program)
-        calls = [r for r in self.wait_for(recorder, AttemptReceived) if isinstance(r, AttemptReceived)]
+        attempts = [r for r in self.wait_for(recorder, AttemptReceived) if isinstance(r, AttemptReceived)]
         assert program.process is not None
         program.process.send_signal(signal.SIGKILL)
-        program.process.wait(WAIT)
-        while (
-            left := calls[0].at + WINDOW - time.monotonic()
-        ) > 0:  # real time has to pass: the window's end
-            time.sleep(left)
+        program.process.wait(TIMEOUT_S)
+        # The window must end in real time.
+        while (remaining_s := attempts[0].at + WINDOW_S - time.monotonic()) > 0:
+            time.sleep(remaining_s)
         program.end()
-        program.step = step
+        program.step_s = step_s
         program.start()
         self.wait_for(recorder, NotificationReceived)
         assert sum(isinstance(r, AttemptReceived) for r in recorder.records) == 1
@@ -248,16 +250,16 @@
             "X-Correlation-Id": "m0", "X-Service-Class": "booking-update", "X-Account": "acme",
             "X-Addressing": "dest=7", "X-Time-Left": "20", "Idempotency-Key": "k0",
         }  # fmt: skip
-        with socket.create_connection(program.address, WAIT) as sock:
+        with socket.create_connection(program.address, TIMEOUT_S) as sock:
             sock.sendall(encode_request("POST", "/api", "n0", headers, b"body"))
             assert read_response(Stream(sock.recv)).status == 202
 
     def wait_for(self, recorder: Recorder, kind: type[Any]) -> list[Any]:
-        return self._until(lambda: [r for r in recorder.records if isinstance(r, kind)])
+        return self._poll(lambda: [r for r in recorder.records if isinstance(r, kind)])
 
-    def _until(self, found: Callable[[], list[Any]]) -> list[Any]:
-        end = time.monotonic() + WAIT
+    def _poll(self, found: Callable[[], list[Any]]) -> list[Any]:
+        timeout_at = time.monotonic() + TIMEOUT_S
         while not (records := found()):
-            assert time.monotonic() < end, "nothing comes"
+            assert time.monotonic() < timeout_at, "timed out waiting for records"
             time.sleep(0.01)
         return records
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -342,9 +342,8 @@
                     for timer in self.of_type(self.expire_first_message(attempt), SetTimer)
                     if isinstance(timer.event, CancellationTimerFired)
                 ]
-                assert timer.at == pytest.approx(
-                    104.0, abs=5e-8
-                )  # the client's deadline, until which a response counts
+                # A response counts until the client's deadline.
+                assert timer.at == pytest.approx(104.0, abs=5e-8)
                 if answered:
                     self.reduce(
                         AttemptAnswered(
@@ -413,9 +412,8 @@
                     for e in self.of_type(effects, AppendRecord)
                     if isinstance(e.record, AttemptFinishedRecord)
                 ]
-                assert records == (
-                    [AttemptFinishedRecord("a", True)] if notifications else []
-                )  # no end without a start in the journal
+                # An attempt without a start in the journal must not have an end in it.
+                assert records == ([AttemptFinishedRecord("a", True)] if notifications else [])
 
     def test_an_answer_read_before_the_cancellation_counts(self) -> None:
         # Guards against a second attempt of a message whose delivery was read but not yet reported.
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""What a restart finds taken on and untried: it is known as untried, and it is tried."""
+"""Restarts: an accepted message that was never attempted is known as such, and is attempted."""
 
 from __future__ import annotations
 
@@ -52,16 +52,16 @@
     def set_up(self, resources: Resources, tmp_path: Path) -> None:
         self.listen(resources)
         self.folder = tmp_path
-        self.journal = self.open()
+        self.journal = self.open_journal()
         for n in range(2):
             self.journal.append(AcceptedRecord(Message(f"m{n}", 0, 0, 7, 9.0, None, b""), 1e6))
         self.client = EndpointClient(LIMITS, self.events.put, self.journal.append)
 
-    def open(self) -> Journal:
+    def open_journal(self) -> Journal:
         return self.resources.closing(Journal(self.folder, 100_000, 0.0))
 
-    def tried(self) -> list[str]:
-        """What a process that is killed now leaves as tried, by what its next life reads."""
+    def journalled_attempts(self) -> list[str]:
+        """Return the ids of messages with an attempt in the journal, as after a kill at this moment."""
         with tempfile.TemporaryDirectory() as folder:
             shutil.copy(self.folder / JOURNAL_NAME, folder)
             journal = Journal(Path(folder), 100_000, 0.0)
@@ -72,61 +72,61 @@
         items = tuple(BatchItem(n, Message(f"m{n}", 0, 0, 7, 9.0, None, b"")) for n in range(count))
         return StartAttempt(1, 3, "127.0.0.1", self.port, 7, items, 1e12, "s-3")
 
-    def test_a_kill_while_a_call_waits_for_its_connection_leaves_messages_never_attempted(self) -> None:
-        # Guards a restart amid dials: what never went out counted as what may have run, and was failed untried.
-        up, dial = threading.Event(), sockets.connect
+    def test_a_kill_while_an_attempt_waits_for_its_connection_leaves_messages_never_attempted(self) -> None:
+        # Guards against counting an unwritten message as possibly executed after a restart.
+        may_connect, connect = threading.Event(), sockets.connect
 
-        def late(*args: Any) -> None:
-            up.wait(5.0)
-            dial(*args)
+        def connect_late(*args: Any) -> None:
+            may_connect.wait(5.0)
+            connect(*args)
 
-        with mock.patch("juniperward.net.sockets.connect", late):
+        with mock.patch("juniperward.net.sockets.connect", connect_late):
             self.client.start(self.start_attempt())
-            assert self.tried() == []
+            assert self.journalled_attempts() == []
             self.client.withdraw(1, 1)
-            up.set()
+            may_connect.set()
             sock = self.accept()
-            assert sock.recv(1)  # never the other way: what a byte was written of is known as tried
-            assert self.tried() == ["m0"]  # the one struck off it is not
+            assert sock.recv(1)  # the journal has an attempt before its first byte is written
+            assert self.journalled_attempts() == ["m0"]  # m1 was withdrawn
 
-    def test_a_call_that_is_not_begun_leaves_an_earlier_attempt_unchanged(self) -> None:
-        # Guards rule 2: the end of a call that was never written must not clear one before it that may have run.
+    def test_an_attempt_that_is_not_written_leaves_an_earlier_attempt_unchanged(self) -> None:
+        # Guards against clearing a possibly executed attempt by the outcome of a later, unwritten one.
         self.client.start(self.start_attempt(1))
         sock = self.accept()
         sock.recv(1)
         self.listener.close()
         sock.close()
-        assert self.answered() == [ItemOutcome(0, Outcome.RESET)]
+        assert self.outcomes() == [ItemOutcome(0, Outcome.RESET)]
         self.client.start(self.start_attempt(1))
-        assert self.answered() == [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)]
-        assert self.tried() == ["m0"]
+        assert self.outcomes() == [ItemOutcome(0, Outcome.CONNECT_FAILED, written=False)]
+        assert self.journalled_attempts() == ["m0"]
 
-    def test_no_attempt_begins_once_the_process_ends(self) -> None:
-        # Guards the last moment: the next life may have read the journal already.
+    def test_no_attempt_starts_once_the_process_ends(self) -> None:
+        # Guards against an attempt after the next process has read the journal.
         self.client.stop_sending()
         self.client.start(self.start_attempt())
         sock = self.accept()
-        assert {e.outcome for e in self.answered()} == {Outcome.NOT_SENT}
+        assert {e.outcome for e in self.outcomes()} == {Outcome.NOT_SENT}
         self.client.close_idle(3)
-        assert (sock.recv(1), self.tried()) == (b"", [])
+        assert (sock.recv(1), self.journalled_attempts()) == (b"", [])
 
     def test_an_attempt_without_journal_capacity_is_not_written(self) -> None:
-        # Guards a full disk: a call without its record came back as untried, and a class that may run once ran twice.
-        failing = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
-        self.client.attempts.append = failing
+        # Guards against executing a non-idempotent message twice because its attempt was not journalled.
+        failing_append = mock.Mock(side_effect=[None, OSError(28, "No space left on device")])
+        self.client.attempts.append = failing_append
         self.client.start(self.start_attempt())
         sock = self.accept()
-        asked = read_request(Stream(sock.recv))
-        assert (asked.path, asked.headers["x-correlation-id"]) == ("/receive", "m0")
+        request = read_request(Stream(sock.recv))
+        assert (request.path, request.headers["x-correlation-id"]) == ("/receive", "m0")
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        assert {e.message: e.outcome for e in self.answered()} == {0: Outcome.OK, 1: Outcome.NOT_SENT}
-        failing.side_effect = OSError(28, "No space left on device")
+        assert {e.message: e.outcome for e in self.outcomes()} == {0: Outcome.OK, 1: Outcome.NOT_SENT}
+        failing_append.side_effect = OSError(28, "No space left on device")
         self.client.start(self.start_attempt())
-        assert {(e.outcome, e.written) for e in self.answered()} == {(Outcome.NOT_SENT, False)}
+        assert {(e.outcome, e.written) for e in self.outcomes()} == {(Outcome.NOT_SENT, False)}
         self.client.close_idle(3)
         assert sock.recv(1) == b""
 
-    def answered(self) -> list[ItemOutcome]:
+    def outcomes(self) -> list[ItemOutcome]:
         event = self.events.get(timeout=5.0)
         assert isinstance(event, AttemptAnswered)
         return list(event.outcomes)
@@ -142,19 +142,19 @@
                 failed.append(error)
 
         threads = [threading.Thread(target=write) for _ in range(4)]
-        for t in threads:
-            t.start()
-        for t in threads:
-            t.join()
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         assert failed == []
         before = counters().get("journal_damaged", 0)
-        assert {r.message.id for r in self.open().restored()} == {"m0", "m1", "m9"}
+        assert {r.message.id for r in self.open_journal().restored()} == {"m0", "m1", "m9"}
         assert counters().get("journal_damaged", 0) == before
 
 
-class TestWiring(UsesResources):
-    def test_calls_are_notified_of_a_record_that_was_not_written(self) -> None:
-        # Guards start.build: with a note that only logs the fault, a call would be begun without its record.
+class TestAssembly(UsesResources):
+    def test_an_attempt_gets_the_error_of_a_record_that_was_not_written(self) -> None:
+        # Guards `build`: if the error were only logged, an attempt would be written without its record.
         with tempfile.TemporaryDirectory() as folder:
             program = self.resources.closing(Program(Path(folder)))
             path = Path(folder) / "config.json"
@@ -173,88 +173,82 @@
 
 
 class TestNeverAttempted(ReducerRig):
-    """The reducer and the module after a restart."""
+    """The reducer and the scheduler after a restart."""
 
-    def begin(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
+    def restore(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
         self.reducer = Reducer(settings(first, SAFE, **more), 1)
         self.now = 100.0
         self.reduce(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
         return self.reduce(JournalReplayed(restored))
 
-    def run_to(
-        self, until: float, effects: list[Effect], act: Callable[[Event], list[Effect]]
+    def fire_timers(
+        self, until: float, effects: list[Effect], reduce: Callable[[Event], list[Effect]]
     ) -> list[Effect]:
-        """Fire what is due up to a time; all effects on the way."""
+        """Fire the timers up to a time; return all effects on the way."""
         seen, timers = list(effects), self.of_type(effects, SetTimer)
-        while timers := sorted((w for w in timers if w.at <= until), key=lambda w: w.at):
+        while timers := sorted((timer for timer in timers if timer.at <= until), key=lambda timer: timer.at):
             timer = timers.pop(0)
             self.now = max(self.now, timer.at)
-            new = act(timer.event)
+            new = reduce(timer.event)
             seen += new
             timers += self.of_type(new, SetTimer)
         self.now = until
         return seen
 
     def test_a_never_attempted_message_precedes_a_higher_priority_weight(self) -> None:
-        # Guards the term on restarts: late messages stood behind all that came since, and ended with no call.
+        # Guards against restored messages that expire unattempted behind messages received after the restart.
         fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
-        late = [
-            RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(3)
-        ]  # past their aim
-        tried = RestoredMessage(
+        # Restored messages that are past their latency objective.
+        late = [RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(3)]
+        unexecuted = RestoredMessage(
             make_message("t", class_index=1), 115.0, (RecordedAttempt("s-1", 95.0, False),)
         )
-        effects = self.begin(tried, *late, first=fresh, slots=1)
+        effects = self.restore(unexecuted, *late, first=fresh, slots=1)
         before = counters()
         for n in range(3):
             self.accept(f"f{n}")
         order = []
-        while sent := self.attempted_ids(effects):
-            order += sent[0]
+        while attempted := self.attempted_ids(effects):
+            order += attempted[0]
             self.now += 0.5
             effects = self.finish_attempt(effects, (Outcome.ERROR if order == ["r0"] else Outcome.OK, 0.0))
-        # What was tried in either life stands in its place by worth, and by when it came.
+        # Messages attempted before or after the restart are ordered by priority, then by arrival.
         assert order == ["r0", "r1", "r2", "f0", "f1", "f2", "t", "r0"]
         gained = {k: v - before.get(k, 0) for k, v in counters().items() if k.startswith("restored_")}
         assert (gained["restored_attempted"], gained.get("restored_never_attempted", 0)) == (3, 0)
 
     def test_a_never_attempted_message_has_its_full_deadline(self) -> None:
-        # Guards short deadlines: its end was told at once where the time left was less than the spare for notices.
-        soon = RestoredMessage(
-            make_message("soon", time_left_s=2.0), 99.9
-        )  # its client's time is up at 100.2
+        # Guards against failing a message at once if less than the notification margin is left.
+        soon = RestoredMessage(make_message("soon", time_left_s=2.0), 99.9)  # its client's deadline is 100.2
         over = RestoredMessage(make_message("over", time_left_s=2.0), 99.6)
-        effects = self.begin(over, soon)
+        effects = self.restore(over, soon)
         assert self.attempted_ids(effects) == [["soon"]]
         assert [n.id for t in self.of_type(effects, SendNotifications) for n in t.notifications] == ["over"]
         (attempt,) = self.of_type(effects, StartAttempt)
         assert attempt.deadline == pytest.approx(100.2, abs=5e-8)
-        assert (
-            pytest.approx(1.2, abs=5e-8) == NOTIFICATION_GRACE_AFTER_RESTART_S
-        )  # no notice is overdue for 1.5 s
-        effects = self.begin(
-            RestoredMessage(make_message("later", time_left_s=8.0), 105.0)
-        )  # after that the spare is needed again
+        # No notification is overdue for 1.5 s; then the notification margin applies again.
+        assert pytest.approx(1.2, abs=5e-8) == NOTIFICATION_GRACE_AFTER_RESTART_S
+        effects = self.restore(RestoredMessage(make_message("later", time_left_s=8.0), 105.0))
         assert self.of_type(effects, StartAttempt)[0].deadline == pytest.approx(105.0, abs=5e-8)
 
     def test_a_never_attempted_message_retains_its_slot_in_a_full_forwarder(self) -> None:
-        # Guards a kill under full load: neither the door nor the giving up of the least worth ends what is read back.
-        found = [RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(4)]
+        # Guards a kill under full load: neither intake nor load shedding ends a restored message.
+        restored = [RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(4)]
         before = counters().get("restored_never_attempted", 0)
-        effects = self.begin(*found, slots=1, max_open=4)
+        effects = self.restore(*restored, slots=1, max_open=4)
         assert self.reduce(MessageReceived(5, make_message("new"), self.now)) == [
             ReplyToClient(5, 503, ADMISSION_RETRY_AFTER_S)
         ]
         order = []
-        while sent := self.attempted_ids(effects):
-            order += sent[0]
+        while attempted := self.attempted_ids(effects):
+            order += attempted[0]
             effects = self.finish_attempt(effects, (Outcome.OK, 0.0))
         assert (order, counters().get("restored_never_attempted", 0)) == (["r0", "r1", "r2", "r3"], before)
         assert self.attempted_ids(self.accept("new")) == [["new"]]
 
     def test_a_never_attempted_message_is_sent_once_its_destination_is_listed(self) -> None:
-        # Guards a restart with an old list: its destination is not in it, or only under a worker that is gone since.
-        effects = self.begin(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
+        # Guards a restart with an outdated list that lacks the message's destination.
+        effects = self.restore(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
         assert self.attempted_ids(effects) == []
         effects = self.reduce(
             EndpointsUpdated(
@@ -264,11 +258,11 @@
         assert [attempt.endpoint_id for attempt in self.of_type(effects, StartAttempt)] == ["s-5"]
 
     def test_a_never_attempted_message_is_pending_until_its_deadline(self) -> None:
-        # Guards against an end before its time, also where its destination is not there: counted if it was not tried.
-        effects = self.begin(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
+        # Guards against giving up a message early for lack of endpoints; its expiry is counted.
+        effects = self.restore(RestoredMessage(make_message("a", destination=5, time_left_s=8.0), 105.0))
         before = counters().get("restored_never_attempted", 0)
-        seen = self.run_to(104.9, effects, self.reduce)
+        seen = self.fire_timers(104.9, effects, self.reduce)
         assert self.of_type(seen, SendNotifications) == []
-        seen = self.run_to(105.2, self.of_type(seen, SetTimer), self.reduce)
+        seen = self.fire_timers(105.2, self.of_type(seen, SetTimer), self.reduce)
         assert len(self.of_type(seen, SendNotifications)) == 1
         assert counters()["restored_never_attempted"] == before + 1
