--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -1,7 +1,7 @@
-"""The reducer's events and effects as plain JSON values, for recorded rounds.
+"""Conversion of the reducer's events and effects to and from JSON values, for recorded rounds.
 
-Names are those of the version that recorded them; `EVENTS`, `EFFECTS` and `WORDS` map the code's names to them, so
-that a rename in the code changes this page and no recording. Fields are told in their order.
+A recording has the class names of the version that wrote it. `EVENTS`, `EFFECTS` and `ENUMS` map them to the
+present classes, so that a rename in the code changes these tables and no recording. Fields are encoded by position.
 """
 
 from __future__ import annotations
@@ -146,16 +146,15 @@
     "Progress": AttemptProgress,
     "Verb": Verb,
 }
-TELLS_NOTHING_OF_THE_MOMENT = (
-    RedriveOutcomes,
-)  # bodies of control answers that hold no counters, pids and clocks
+# Bodies of control replies that are the same in each run, as they have no counters, process ids or times.
+REPRODUCIBLE_BODIES = (RedriveOutcomes,)
 
 _EVENT_NAMES = {kind: name for name, kind in EVENTS.items()}
 _ENUM_NAMES = {kind: name for name, kind in ENUMS.items()}
 
 
 def decode(value: Any) -> Any:
-    """Return the event, or the part of one, that a JSON value describes."""
+    """Return the event, or part of an event, that a JSON value encodes."""
     if isinstance(value, list):
         return tuple(decode(item) for item in value)
     if not isinstance(value, dict):
@@ -171,8 +170,8 @@
 
 
 def encode(value: Any) -> Any:
-    """Return the JSON value of an event, an effect or a part of one."""
-    if isinstance(value, Answer) and not isinstance(value.body, TELLS_NOTHING_OF_THE_MOMENT):
+    """Return the JSON value for an event, an effect or a part of one."""
+    if isinstance(value, Answer) and not isinstance(value.body, REPRODUCIBLE_BODIES):
         return {"Answer": [value.id, type(value.body).__name__]}
     if isinstance(value, WriteLog):
         return {"LogLine": [_recorded_text(value)]}
@@ -188,16 +187,16 @@
 
 
 def _encode_enum(value: Enum) -> Any:
-    """Return an enum's recorded form; outcomes that are stored were plain strings, HTTP statuses plain numbers."""
+    """Return an enum's JSON value; the recordings have some enums as their plain values."""
     if isinstance(value, RedriveState | StoredOutcome | HttpStatus):
         return value.value
     return {_ENUM_NAMES[type(value)]: value.value}
 
 
-def _recorded_text(line: WriteLog) -> str:
-    """Return the text of a line as it was when the effects were recorded."""
-    values = dict(line.fields)
-    match line.event:
+def _recorded_text(log_line: WriteLog) -> str:
+    """Return the text that the recording version logged for a line."""
+    values = dict(log_line.fields)
+    match log_line.event:
         case "destination ejected":
             return f"destination {values['destination']} ejected: {values['reason']}"
         case "destination recovered":
@@ -215,5 +214,5 @@
 
 
 def digest(effects: list[Any]) -> str:
-    """Return the digest of a round's effects."""
+    """Return the CRC-32 of a round's encoded effects, in hexadecimal."""
     return f"{zlib.crc32(repr(encode(effects)).encode()):08x}"
