--- a/juniperward/forwarder/reducer/reducer.py
+++ b/juniperward/forwarder/reducer/reducer.py
@@ -79,7 +79,7 @@
         return self._round.effects
 
     def may_exit(self, now: float, no_clients: bool = True) -> bool:
-        """Return whether a shutdown was requested and is finished, or has reached its deadline."""
+        """Return whether a requested shutdown is finished without clients, or has reached its deadline."""
         return self._shutdown.may_exit(now, no_clients)
 
     def _dispatch(self, event: events.Event) -> None:
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -45,7 +45,7 @@
                 to_start.setdefault((action.endpoint, action.batch), []).append(action)
             else:
                 self._execute(action)
-        # Attempts are started last, so that messages are given up and connections closed before.
+        # Attempts are started last, after all that the same round gives up, cancels or closes.
         for (endpoint, _), scheduled in to_start.items():
             self._handlers.attempts.start(endpoint, scheduled)
 
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -1,7 +1,8 @@
 """Conversion of the reducer's events and effects to and from JSON values, for recorded rounds.
 
 A recording has the class names of the version that wrote it. `EVENTS`, `EFFECTS` and `ENUMS` map them to the
-present classes, so that a rename in the code changes these tables and no recording. Fields are encoded by position.
+present classes, so that a rename in the code changes these tables and no recording. Fields are encoded by
+position.
 """
 
 from __future__ import annotations
--- a/tests/reducer_days.py
+++ b/tests/reducer_days.py
@@ -1,7 +1,7 @@
 """Simulated runs of the forwarder's reducer: clients, endpoints, discovery, restarts, control and shutdown.
 
-Events and effects are the JSON values of `tests/reducer_codec.py`. `python -m tests.reducer_days FOLDER` records
-the events of each run and the digests of the effects, for `tests/test_recorded_effects.py`.
+Events and effects are the JSON values of `tests/reducer_codec.py`. `python -m tests.reducer_days FOLDER`
+records the events of each run and the digests of the effects, for `tests/test_recorded_effects.py`.
 """
 
 from __future__ import annotations
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -177,7 +177,7 @@
         effects = self.restart(100.0 + WINDOW_S + 0.001, OFFSET_S - 1.0)
         assert self.of_type(effects, StartAttempt) == []
 
-    def test_a_deadline_is_not_moved_out_by_a_clock_that_is_behind(self) -> None:
+    def test_a_deadline_is_not_postponed_by_a_clock_that_is_behind(self) -> None:
         self.write_journal(started_at=None, expires_at=105.0)
         (attempt,) = self.of_type(self.restart(101.0, OFFSET_S - 1.0), StartAttempt)
         assert attempt.deadline == pytest.approx(105.0, abs=5e-8)
--- a/tests/test_recorded_effects.py
+++ b/tests/test_recorded_effects.py
@@ -1,7 +1,7 @@
 """The reducer returns the effects that were recorded for the same events.
 
-`tests/reducer_days.py` wrote the recordings in `tests/recorded_effects/`, with an earlier version of the reducer.
-A change that alters effects on purpose records them again, and its commit message says which.
+`tests/reducer_days.py` wrote the recordings in `tests/recorded_effects/`, with an earlier version of the
+reducer. A change that alters effects on purpose records them again, and its commit message says which.
 """
 
 from __future__ import annotations
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -113,7 +113,7 @@
 
 
 class TestReducer(ReducerRig):
-    def test_an_outcome_precedes_the_deadline_even_if_the_clock_stood_still(
+    def test_a_message_expires_before_its_deadline_by_the_notification_margin(
         self, subtests: pytest.Subtests
     ) -> None:
         # Guards against notifications that are late because the clock stood still after the process started.
@@ -179,7 +179,7 @@
                 assert self.now - started_at >= 0.7 * time_left_s - 1e-6
                 assert self.now - started_at <= time_left_s
 
-    def test_intake_counts_pending_and_offered_messages(self) -> None:
+    def test_intake_counts_pending_and_accepting_messages(self) -> None:
         self.start(max_open=2, slots=8)
         effects = self.reduce(*(MessageReceived(n, make_message(f"m{n}"), self.now) for n in range(3)))
         assert [type(e) for e in effects] == [AcceptMessage, AcceptMessage, ReplyToClient]
@@ -219,14 +219,14 @@
         ]
         assert self.of_type(effects, PauseRoute)[0] == PauseRoute(1, 105.0)
 
-    def test_a_retry_after_with_a_delivery_binds(self) -> None:
+    def test_a_retry_after_with_a_delivery_is_respected(self) -> None:
         # Guards the Retry-After of a 200: the scheduler must get it although nothing was rejected.
         self.start()
         self.finish_attempt(self.accept("a"), (Outcome.OK, 5.0))
         self.now += 1.0
         assert self.attempted_ids(self.accept("b")) == []
 
-    def test_with_separate_routes_retry_after_binds_the_endpoint_that_sent_it(
+    def test_with_separate_routes_retry_after_pauses_only_the_endpoint_that_sent_it(
         self, subtests: pytest.Subtests
     ) -> None:
         for separate_routes, route, second_attempts in ((False, 1, []), (True, "s-1", [["b"]])):
@@ -501,7 +501,7 @@
         self.finish_attempt(effects, (Outcome.OK, 0.0))
         assert self.reducer.may_exit(self.now)
 
-    def test_a_removed_endpoint_gets_nothing(self) -> None:
+    def test_a_removed_endpoint_gets_no_attempts(self) -> None:
         self.start(make_endpoint("s-1"), make_endpoint("s-2", 2))
         effects = self.reduce(EndpointsUpdated(42, True, (make_endpoint("s-2", 2),)))
         assert SetEndpointDraining(1, True) in effects
