--- a/juniperward/scheduler/__init__.py
+++ b/juniperward/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""The delivery scheduler: decides which message goes to which endpoint, when, and when to give it up."""
+"""The delivery scheduler: it chooses when and to which endpoint each message is sent, and when to give up."""
 
 from juniperward.scheduler.scheduler import DeliveryScheduler
 
--- a/juniperward/scheduler/actions.py
+++ b/juniperward/scheduler/actions.py
@@ -1,4 +1,8 @@
-"""What a scheduler has its caller do: attempts, final answers, health checks, timers; durations are in seconds."""
+"""The actions that a scheduler returns for its caller to execute.
+
+They start and cancel attempts, give final answers, start health checks and set timers. Durations are in
+seconds.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +13,23 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Call an endpoint with a message; messages of the same `batch` travel in one call."""
+    """Send a message to an endpoint.
+
+    Attributes:
+        start_within_s: the call must not begin later than this after the action.
+        batch: messages with the same number are sent in one call.
+    """
 
     message: int
     endpoint: int
     timeout_s: float
-    start_within_s: float = math.inf  # after which the call must not begin
+    start_within_s: float = math.inf
     batch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel an attempt that is in flight."""
 
     message: int
     attempt: int
@@ -28,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not delivered, and trying again is harmless."""
+    """Answer the client that the message was not delivered and may safely be submitted again."""
 
     message: int
     retry_after_s: float
@@ -36,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up, with no promise about its effect."""
+    """Answer the client that the message was given up; it may have taken effect."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Post a `TimerFired` with the token after a delay."""
+    """Send the scheduler a `TimerFired` event with this token after the delay."""
 
     delay_s: float
     token: int
@@ -51,25 +60,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Check an endpoint; it counts as a call there."""
+    """Send a health check to an endpoint, which counts as a call against its rate limit."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close this forwarder's idle connections to an endpoint."""
+    """Close the idle connections to an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Poll the endpoint list, and post the updates from now on."""
+    """Poll the endpoint list, and send the scheduler its updates from now on."""
 
 
 class EjectionReason(Enum):
-    """Why a destination's route was ejected; the values are the words of the log (`reason=`)."""
+    """Why a destination's route was ejected; the value is logged as `reason=`."""
 
     FAILING = "failing"
     UNRESPONSIVE = "silent"
@@ -78,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationEjected:
-    """Log that a route of a destination gets trials only."""
+    """Log that a route of a destination was ejected: until it recovers it gets trial calls only."""
 
     destination: int
     reason: EjectionReason
@@ -86,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationRecovered:
-    """Log that a route of a destination answers again, and warms up."""
+    """Log that an ejected route of a destination answers again and is in slow start."""
 
     destination: int
 
--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -1,4 +1,4 @@
-"""Which messages are admitted and with which weight, and when one gets its final answer undelivered."""
+"""Admits messages, sets their weight, and answers those that are given up."""
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import Fail, Reject
@@ -14,16 +14,16 @@
 
 
 class Admission(SchedulerPart):
-    """Messages at their beginning and at their end."""
+    """Decides on the admission of a message, and on its final answer if it is not delivered."""
 
     def __init__(self, state: SchedulerState) -> None:
-        """Give each tenant this forwarder's even part of its quota."""
+        """Divide the quota of each tenant evenly among the forwarders."""
         super().__init__(state)
         settings = state.round.settings
         self._quotas = [TokenBucket(tenant.quota_per_s / settings.instances) for tenant in settings.tenants]
 
     def admit(self, event: MessageAdmitted) -> Message | None:
-        """Admit a message; None where it is known already, or of no class."""
+        """Admit a message and return it; return None if it is already known or has no valid class."""
         known = event.message in self._backlog.messages
         if known or not 0 <= event.class_index < len(self._settings.classes):
             return None
@@ -40,7 +40,7 @@
         return message
 
     def shed_load(self) -> None:
-        """With nearly all messages open, give up the one of least weight in the longest queue."""
+        """When almost `max_open` messages are open, give up the last message of the longest queue."""
         if self._backlog.open_count <= tuning.LOAD_SHEDDING_FRACTION * self._settings.max_open:
             return
         longest = max(self._table.destinations.values(), key=lambda destination: len(destination.queue))
@@ -49,7 +49,7 @@
             self.give_up(max(candidates, key=rank))
 
     def give_up(self, message: Message) -> None:
-        """Give the final answer at once: a rejection where a retry is harmless, else a failure (rule 2)."""
+        """Answer a message at once: reject it if the client may safely submit it again, otherwise fail it."""
         if self._is_retry_harmless(message):
             self._act(Reject(message.id, self._retry_after(message.destination)))
         else:
@@ -77,7 +77,7 @@
         )
 
     def _consume_quota(self, tenant: int) -> bool:
-        """Count a message; returns whether it is within this forwarder's part of its tenant's quota."""
+        """Return whether a message is within this forwarder's part of its tenant's quota, and count it."""
         if not 0 <= tenant < len(self._quotas):
             return True
         return self._quotas[tenant].take(self._now)
@@ -87,7 +87,10 @@
         return max(last_useful_at, min(message.attempt_until, message.expires_at))
 
     def _expire(self, message: Message) -> None:
-        """Give up what is queued; what is in flight is answered when its time is over (rule 1)."""
+        """Give up a queued message; fail one in flight within the answer slack after its deadline.
+
+        Every message gets a final answer in time, whatever becomes of its attempts.
+        """
         if message.ended:
             return
         answer_at = message.expires_at + self._settings.answer_slack_s / 2
@@ -100,14 +103,17 @@
             self._backlog.end(message)
 
     def _is_retry_harmless(self, message: Message) -> bool:
-        """Return whether the client may submit the message again, also to another endpoint."""
+        """Return whether the client may safely submit the message again, also to another endpoint."""
         if not message.possibly_executed or message.idempotency is Idempotency.IDEMPOTENT:
             return True
-        anywhere = message.message_class.deduplication_scope is DeduplicationScope.ALL
-        return anywhere and may_retry(message, self._now)
+        all_endpoints = message.message_class.deduplication_scope is DeduplicationScope.ALL
+        return all_endpoints and may_retry(message, self._now)
 
     def _retry_after(self, destination: Destination) -> float:
-        """Return a wait past the next trials of an ejected destination, or until the queue is empty."""
+        """Return the Retry-After of a rejection.
+
+        It is the estimated time until the queue is empty; for an ejected destination it is the maximum.
+        """
         max_s = self._settings.max_retry_after_s
         route = destination.shared_route
         if route.ejected:
--- a/juniperward/scheduler/backlog.py
+++ b/juniperward/scheduler/backlog.py
@@ -1,6 +1,7 @@
-"""The messages of a scheduler that are not over, the calls in flight for them, and the round-robin ring.
+"""The messages that a scheduler holds, the calls in flight for them, and the round-robin ring.
 
-Bookkeeping for the modules under `policy`: they decide what goes and what ends, message_order.py in which order.
+This module only keeps records. The parts of the scheduler decide which message is sent or ends, and
+message_order.py sets the order.
 """
 
 from __future__ import annotations
@@ -16,29 +17,38 @@
 
 
 class Backlog:
-    """All messages that are not over, and the calls that are in flight for them."""
+    """The messages that are unanswered or have a call in flight, and these calls.
+
+    Attributes:
+        messages: all messages by id.
+        open_count: how many of them have no final answer yet.
+        in_flight: calls by serial, at most one for each slot.
+    """
 
     def __init__(self, round_: Round) -> None:
-        """Begin empty."""
+        """Create an empty backlog."""
         self._round = round_
         self.messages: dict[int, Message] = {}
-        self.open_count = 0  # messages without their final answer
+        self.open_count = 0
         self.key_order = KeyOrder(round_)
         self.ring = RoundRobinRing()
-        self.in_flight: dict[int, BatchAttempt] = {}  # by serial; never more than there are slots
-        self._last_sequence = 0  # of messages
-        self._last_serial = 0  # of calls
+        self.in_flight: dict[int, BatchAttempt] = {}
+        self._last_message_sequence = 0
+        self._last_call_serial = 0
 
     def add(self, message: Message) -> None:
-        """Add a new message, which is not queued yet."""
-        self._last_sequence += 1
-        message.sequence = self._last_sequence
+        """Add a new message without queueing it."""
+        self._last_message_sequence += 1
+        message.sequence = self._last_message_sequence
         self.messages[message.id] = message
         self.open_count += 1
         self.key_order.add(message)
 
     def enqueue(self, message: Message) -> None:
-        """Queue a message at its destination, and put that on the ring; nothing happens where it may not go."""
+        """Queue a message if it is eligible, and put its destination on the ring.
+
+        A message that waits for the cooldown of its ordering key is queued when the cooldown ends.
+        """
         latest = self._round.now + TIME_EPSILON_S
         if message.ended or message.queued or message.in_flight or message.not_before > latest:
             return
@@ -51,29 +61,32 @@
         self.make_ready(message.destination)
 
     def enqueue_at(self, message: Message, at: float) -> None:
-        """Queue a message at a moment, not before."""
+        """Queue a message at a later time."""
         message.not_before = at
         self._round.timers.schedule(at, self.enqueue, message)
 
     def mark_late(self, message: Message) -> None:
-        """Rank a message anew whose latency objective cannot be met any more."""
+        """Record that a message cannot meet its latency objective any more, and update its rank."""
         message.late = True
         if message.queued:
             message.destination.queue.put(message, rank(message))
 
     def make_ready(self, destination: Destination) -> None:
-        """Put a destination on the ring if messages are queued there: an event may have opened it."""
+        """Put a destination on the ring if it has queued messages, as an event may have made it callable."""
         self.ring.add(destination)
 
     def make_ready_at(self, destination: Destination, at: float) -> None:
-        """Put a destination on the ring at a moment, unless an earlier timer does."""
+        """Put a destination on the ring at a later time, unless a timer already does so earlier."""
         now = self._round.now
         if at < math.inf and not now < destination.wake_at <= at + TIME_EPSILON_S:
             destination.wake_at = max(at, now + TIME_EPSILON_S)
             self._round.timers.schedule(destination.wake_at, self.make_ready, destination)
 
     def end(self, message: Message) -> None:
-        """End a message; once nothing is in flight for it, it is removed and the next of its key may go."""
+        """End a message; remove it once it has no call in flight.
+
+        The removal makes the next message of its ordering key eligible.
+        """
         if not message.ended:
             message.ended = True
             self.open_count -= 1
@@ -85,18 +98,18 @@
             self.enqueue(next_of_key)
 
     def new_attempt(self, endpoint: Endpoint) -> BatchAttempt:
-        """Return a call to an endpoint, without messages yet."""
-        self._last_serial += 1
-        return BatchAttempt(self._last_serial, endpoint, self._round.now, set())
+        """Return a new call to an endpoint, without messages."""
+        self._last_call_serial += 1
+        return BatchAttempt(self._last_call_serial, endpoint, self._round.now, set())
 
     def start(self, attempt: BatchAttempt) -> None:
-        """Record that a call is in flight, and fills a slot."""
+        """Record that a call is in flight and uses a slot."""
         attempt.endpoint.in_flight[attempt.serial] = attempt
         self.in_flight[attempt.serial] = attempt
         attempt.endpoint.destination.slots_in_use += 1
 
     def cancel(self, attempt: BatchAttempt) -> None:
-        """Have a call cancelled, for each of its messages; its outcome is still to come."""
+        """Cancel a call, that is the attempt of each of its messages; their outcomes are still reported."""
         attempt.cancelled = True
         for message_id in sorted(attempt.message_ids):
             for number, other in self.messages[message_id].in_flight.items():
@@ -104,7 +117,7 @@
                     self._round.actions.append(CancelAttempt(message_id, number))
 
     def release_slot(self, message: Message, attempt: BatchAttempt) -> bool:
-        """Record a message's outcome of a call; with the last one the slot is free, which is returned."""
+        """Remove a finished message from its call; return whether it was the last and freed the slot."""
         attempt.message_ids.discard(message.id)
         if attempt.message_ids:
             return False
--- a/juniperward/scheduler/deficit_round_robin.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -1,4 +1,4 @@
-"""Which destination goes next: cost-charged deficit round robin. The interface: events.py and actions.py."""
+"""Deficit round robin over destinations, charged by slot time. Interface: events.py and actions.py."""
 
 from juniperward.scheduler.batching import Batching
 from juniperward.scheduler.overdue_calls import OverdueCalls
@@ -9,22 +9,22 @@
 
 
 class DeficitRoundRobin(SchedulerPart):
-    """Releases messages, destination by destination, each as its deficit of slot time allows."""
+    """Sends messages of one destination after the other, as far as the deficit counter of each allows."""
 
     def __init__(
         self, state: SchedulerState, overdue_calls: OverdueCalls, routing: Routing, batching: Batching
     ) -> None:
-        """Release to the endpoints that routing chooses."""
+        """Send calls that batching builds to the endpoints that routing chooses."""
         super().__init__(state)
         self._overdue_calls = overdue_calls
         self._routing = routing
         self._batching = batching
 
     def release(self) -> None:
-        """Serve destinations until all slots are in use, or none on the ring may be called."""
+        """Send messages until all slots are in use or no destination on the ring may be called."""
         ring = self._backlog.ring
-        blocked = 0  # destinations in a row that may not be called
-        while blocked < len(ring):
+        consecutive_blocked = 0
+        while consecutive_blocked < len(ring):
             destination = ring.current
             head = destination.queue.head()
             if head is None:
@@ -32,19 +32,19 @@
             elif len(self._backlog.in_flight) >= self._settings.slots:
                 self._overdue_calls.free_a_slot()
                 return
-            elif not may_retry(head, self._now):  # rule 2 binds at every release, whatever queued the message
+            elif not may_retry(head, self._now):  # it may have become unsafe to repeat while queued
                 self._routing.give_up(head)
             elif self._serve(destination, head):
-                blocked = 0
+                consecutive_blocked = 0
             elif not destination.closed:
-                blocked += 1
+                consecutive_blocked += 1
 
     def _serve(self, destination: Destination, head: Message) -> bool:
-        """Release a message or go on to the next destination; returns whether this one may be called."""
+        """Send a message or advance the ring; return whether the destination may be called."""
         ring = self._backlog.ring
         latency = self._latency
         choice = self._routing.choose(destination, head)
-        if choice is None and destination.closed:  # back on the ring by a timer or an event
+        if choice is None and destination.closed:  # a timer or an event puts it back on the ring
             ring.drop_current(deficit_s=latency.max_objective_s + latency.quantum_s)
             return False
         if choice is not None:
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -1,7 +1,7 @@
-"""What a scheduler receives: endpoint list updates, messages, outcomes of attempts and health checks, timers.
+"""The events that a scheduler receives: endpoint list updates, messages, outcomes and timers.
 
-Durations are in seconds; moments (`_at`) are seconds of the caller's monotonic clock. Ids are opaque and come
-back unchanged in actions.
+Durations are in seconds. Times (`_at`) are seconds of the caller's monotonic clock. Ids are opaque to the
+scheduler, which returns them unchanged in actions.
 """
 
 from __future__ import annotations
@@ -11,11 +11,14 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt or a health check ended; the numbers are those of the simulator's wire."""
+    """How an attempt or a health check ended; the simulator's protocol uses the same numbers.
+
+    OVERLOADED means that the endpoint rejected the call as over its limit.
+    """
 
     ERROR = 0
     OK = 1
-    OVERLOADED = 2  # rejected as over the endpoint's limit
+    OVERLOADED = 2
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -29,7 +32,7 @@
 
 
 class EndpointPhase(IntEnum):
-    """Whether the list lets an endpoint be called; it says nothing of its health."""
+    """The phase of an endpoint in the endpoint list; only READY ones are called, whatever their health."""
 
     DRAINING = 0
     READY = 1
@@ -37,17 +40,25 @@
 
 
 class ListScope(IntEnum):
-    """What an update of the endpoint list contains."""
+    """What an update of the endpoint list contains.
+
+    DELTA: the entries that changed. FULL: the complete list. CACHED: the complete list as it was last known.
+    FAILED: no entries, as the poll failed or the watch was lost.
+    """
 
-    DELTA = 0  # what has changed
-    FULL = 1  # the complete list
-    CACHED = 2  # the complete list as it was last known
-    FAILED = 3  # nothing: the poll failed, or the watch was lost
+    DELTA = 0
+    FULL = 1
+    CACHED = 2
+    FAILED = 3
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One entry of the endpoint list; `listed_rate` is calls a second of all forwarders, 0 where none is listed."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        listed_rate: calls per second that all forwarders together may make; 0 if the list names no rate.
+    """
 
     endpoint: int
     destination: int
@@ -59,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdated:
-    """The endpoint list has changed, or could not be read."""
+    """The endpoint list changed or could not be read."""
 
     scope: ListScope
     entries: tuple[EndpointEntry, ...] = ()
@@ -67,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PastAttempt:
-    """An attempt before a restart; `sent_at` is None where it surely did not execute."""
+    """An attempt from before a restart; `sent_at` is None if it certainly did not execute."""
 
     endpoint: int
     sent_at: float | None
@@ -75,7 +86,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAdmitted:
-    """A message was accepted, or is back after a restart; it gets one final answer within `time_left_s`."""
+    """A message was accepted, or restored after a restart; it gets one final answer within `time_left_s`.
+
+    Attributes:
+        size_hint_s: not used in any decision.
+        history: attempts from before a restart, the first one first.
+        attempt_for_s: how long the message is not given up while it certainly did not execute; None stands
+            for a fraction of `time_left_s`.
+        never_attempted: restored after a restart without an attempt; such messages are sent before others.
+        batch_bytes: size of the message in a call of several messages.
+    """
 
     message: int
     class_index: int
@@ -83,34 +103,41 @@
     time_left_s: float
     tenant: int = 0
     ordering_key: str | None = None
-    size_hint_s: float = 0.0  # no decision reads it
+    size_hint_s: float = 0.0
     history: tuple[PastAttempt, ...] = ()
-    # While it surely has not executed it is not given up before; None: a fraction of `time_left_s`.
     attempt_for_s: float | None = None
-    never_attempted: bool = False  # back after a restart without an attempt: it goes before the others
-    batch_bytes: int = 0  # its size in a call of several messages
+    never_attempted: bool = False
+    batch_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt ended; attempts of a message count from 0."""
+    """An attempt ended.
+
+    Attributes:
+        attempt: number of the attempt among those of the message, from 0.
+        message_ended: the message needs no further attempt, as it has its final answer.
+        no_slot_free: the attempt was not sent because all slots were in use; not used in any decision.
+        capacity_left: unused fraction of the reported limit.
+        connection_table_full: the connection failed because the endpoint, which runs, accepts no more.
+    """
 
     message: int
     attempt: int
     endpoint: int
     outcome: Outcome
     latency_s: float
-    message_ended: bool = False  # the message is over as well
+    message_ended: bool = False
     retry_after_s: float = 0.0
-    no_slot_free: bool = False  # of an attempt that was not sent; no decision reads it
-    capacity_left: float | None = None  # fraction of the reported limit
+    no_slot_free: bool = False
+    capacity_left: float | None = None
     reported_limit_per_s: float | None = None
-    connection_table_full: bool = False  # of a failed connection: the endpoint runs, but accepts no more
+    connection_table_full: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The answer to an attempt has begun, and its time-out no longer runs; no decision reads it."""
+    """The answer to an attempt began, which ends its timeout; not used in any decision."""
 
     message: int
     attempt: int
@@ -119,14 +146,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client withdrew the message, and expects no answer."""
+    """The client withdrew the message and expects no answer."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check ended."""
+    """A health check ended; `capacity_left` is the unused fraction of the reported limit."""
 
     endpoint: int
     outcome: Outcome
@@ -137,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the scheduler had set has fired."""
+    """A timer set by the scheduler fired."""
 
     token: int
 
--- a/juniperward/scheduler/queues.py
+++ b/juniperward/scheduler/queues.py
@@ -1,7 +1,6 @@
-"""A priority queue of messages.
+"""The priority queue of messages that each destination has.
 
-It knows of a message only what `Queueable` names. Each destination's record has one; the backlog puts messages in,
-the scheduler's decisions take them out.
+It uses only the attributes of a message that `Queueable` lists.
 """
 
 from __future__ import annotations
@@ -13,15 +12,19 @@
 
 
 class Rank(NamedTuple):
-    """Place of a message in its queue; the least goes first."""
+    """The sort key of a message in its queue; the lowest rank is sent first.
 
-    attempted: bool  # False for a message that came back from a restart without an attempt
+    Attributes:
+        attempted: False for a message restored after a restart without an attempt.
+    """
+
+    attempted: bool
     negative_weight: float
     sequence: int
 
 
 class Queueable(Protocol):
-    """What the queue reads and writes of a message."""
+    """The attributes of a message that the queue reads and writes."""
 
     queued: bool
     rank: Rank | None
@@ -35,22 +38,22 @@
 class MessageQueue(Generic[Item]):
     """A heap of messages by rank.
 
-    What is removed or ranked anew leaves an entry behind, which is dropped when it comes to the top.
+    Removing a message or changing its rank leaves a stale entry, which is dropped when it reaches the top.
     """
 
     entries: list[tuple[Rank, Item]] = field(default_factory=list)
     length: int = 0
 
     def __len__(self) -> int:
-        """Return how many messages wait."""
+        """Return the number of queued messages."""
         return self.length
 
     def __iter__(self) -> Iterator[Item]:
-        """Iterate over all that wait, in no order."""
+        """Iterate over the queued messages in no particular order."""
         return (item for rank, item in self.entries if item.queued and rank == item.rank)
 
     def put(self, item: Item, rank: Rank) -> None:
-        """Add a message, or rank it anew."""
+        """Add a message, or change the rank of a queued one."""
         if not item.queued:
             self.length += 1
         item.queued = True
@@ -58,13 +61,13 @@
         heapq.heappush(self.entries, (rank, item))
 
     def remove(self, item: Item) -> None:
-        """Remove a message; nothing happens where it does not wait."""
+        """Remove a message if it is queued."""
         if item.queued:
             self.length -= 1
         item.queued = False
 
     def head(self) -> Item | None:
-        """Return the first message, which stays."""
+        """Return the first message without removing it; None if the queue is empty."""
         while self.entries:
             rank, item = self.entries[0]
             if item.queued and rank == item.rank:
@@ -73,13 +76,13 @@
         return None
 
     def take_batch(self, limit: int, capacity_bytes: int, fits: Callable[[Item], bool]) -> list[Item]:
-        """Remove and return up to `limit` messages, in order, that fit into a call of `capacity_bytes`.
+        """Remove and return up to `limit` messages, in order, that fit into `capacity_bytes`.
 
-        At most `limit` messages that do not fit are passed over; they stay queued.
+        The search ends after `limit` messages that do not fit; these stay queued.
         """
         batch: list[Item] = []
-        passed_over: list[Item] = []
-        while len(batch) < limit and len(passed_over) < limit:
+        skipped: list[Item] = []
+        while len(batch) < limit and len(skipped) < limit:
             item = self.head()
             if item is None:
                 break
@@ -88,8 +91,8 @@
                 capacity_bytes -= item.batch_bytes
                 batch.append(item)
             else:
-                passed_over.append(item)
-        for item in passed_over:
+                skipped.append(item)
+        for item in skipped:
             assert item.rank is not None
             self.put(item, item.rank)
         return batch
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -1,4 +1,4 @@
-"""Whether a message may be attempted again, and when."""
+"""Decides whether a message is attempted again, and when."""
 
 import math
 
@@ -13,7 +13,10 @@
 
 
 def retry_until(message: Message) -> float:
-    """Return until when the destination drops a repeat of what possibly executed."""
+    """Return until when a message with an idempotency key may be retried; infinity if it did not execute.
+
+    This is the end of the deduplication window, in which the destination drops a repeat, less a margin.
+    """
     if not message.possibly_executed:
         return math.inf
     first_sent_at = min(message.possibly_executed.values())
@@ -21,27 +24,30 @@
 
 
 def may_retry(message: Message, now: float) -> bool:
-    """Return whether another attempt is harmless (rule 2 of the protocol)."""
+    """Return whether another attempt is safe: it cannot make the message take effect twice."""
     if not message.possibly_executed or message.idempotency is Idempotency.IDEMPOTENT:
         return True
     return message.idempotency is Idempotency.IDEMPOTENCY_KEY and now < retry_until(message) - TIME_EPSILON_S
 
 
 def may_give_up(message: Message, now: float) -> bool:
-    """Return whether a message may get its final answer: not early where it surely has not executed."""
+    """Return whether a message may get its final answer now.
+
+    A message that certainly did not execute is not given up before its `attempt_until`.
+    """
     return bool(message.possibly_executed) or now >= message.attempt_until - TIME_EPSILON_S
 
 
 class Retries(SchedulerPart):
-    """Attempts after the first one."""
+    """Decides after an unsuccessful attempt whether to retry the message or to give it up."""
 
     def __init__(self, state: SchedulerState, give_up: GiveUp) -> None:
-        """Queue messages again, or have them given up."""
+        """Retry messages, or end them by `give_up`."""
         super().__init__(state)
         self._give_up = give_up
 
     def resume(self, message: Message, history: tuple[PastAttempt, ...]) -> None:
-        """Count attempts from before a restart as the message's own: they bind it as those do."""
+        """Restore the attempts from before a restart; they restrict retries as later ones do."""
         executed = {number: past for number, past in enumerate(history) if past.sent_at is not None}
         message.attempts = len(history)
         message.last_endpoint = history[-1].endpoint
@@ -52,21 +58,25 @@
         self._give_up_unless_possible(message, too_late=False)
 
     def record_outcome(self, message: Message, finished: AttemptFinished) -> None:
-        """Record what an outcome shows of the message's effect."""
+        """Record whether an attempt certainly did not execute, or may still be running."""
         if finished.outcome.never_executed:
             message.possibly_executed.pop(finished.attempt, None)
         if finished.outcome in MAY_STILL_RUN:
-            self._backlog.key_order.begin_cooldown(message, self._settings.key_cooldown_s)  # rule 5
+            self._backlog.key_order.begin_cooldown(message, self._settings.key_cooldown_s)
 
     def after_attempt(self, message: Message, finished: AttemptFinished) -> None:
-        """Retry after an attempt without delivery, with a backoff, where that is harmless and in time."""
+        """Retry after a backoff if that is safe and in time; otherwise give the message up."""
         last_useful_at = message.expires_at - self._latency.minimum_useful_s(message.destination)
         too_late = last_useful_at <= self._now and may_give_up(message, self._now)
         if self._give_up_unless_possible(message, too_late):
             self._backlog.enqueue_at(message, self._now + self._backoff_s(message, finished))
 
     def _backoff_s(self, message: Message, finished: AttemptFinished) -> float:
-        """Return the wait before the next attempt; none where a rate limit or other endpoints space it."""
+        """Return the wait before the next attempt.
+
+        After a rejection the rate limit delays the next attempt, and with a full connection table it goes to
+        another endpoint: neither needs a backoff.
+        """
         if finished.outcome is Outcome.OVERLOADED or finished.connection_table_full:
             return 0.0
         backoff_s: float = min(tuning.RETRY_FIRST_S * 2 ** (message.attempts - 1), tuning.RETRY_MAX_S)
@@ -80,7 +90,7 @@
         return UNKNOWN_ZONE
 
     def _give_up_unless_possible(self, message: Message, too_late: bool) -> bool:
-        """Give a message up that may not be attempted again; returns whether it may be."""
+        """Return whether a message may be attempted again; if not, give it up."""
         exhausted = message.attempts >= self._settings.max_attempts
         if exhausted or too_late or not may_retry(message, self._now):
             self._give_up(message)
@@ -90,6 +100,6 @@
         return True
 
     def _window_closed(self, message: Message) -> None:
-        """Give a message up whose repeat the destination drops no more."""
+        """Give a message up when its deduplication window has ended."""
         if not message.ended and not message.in_flight and not may_retry(message, self._now):
             self._give_up(message)
--- a/juniperward/scheduler/round.py
+++ b/juniperward/scheduler/round.py
@@ -1,4 +1,4 @@
-"""The round that a scheduler is in: its time and its actions, and the timers and random numbers of all rounds."""
+"""The current round of a scheduler, with the timers and random numbers that all rounds share."""
 
 from __future__ import annotations
 
@@ -11,19 +11,25 @@
 
 
 class Round:
-    """The present round; a scheduler has no clock and no I/O."""
+    """The time and the actions of the current round.
+
+    A scheduler has no clock: its caller passes the time with each round.
+
+    Attributes:
+        started_at: time of the first round; infinity before it.
+    """
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
-        """Begin before the first round."""
+        """Create the state from before the first round."""
         self.settings = settings
         self.random = random.Random(seed)
         self.timers = TimerQueue()
         self.actions: list[Action] = []
         self.now = 0.0
-        self.started_at = math.inf  # of the first round
+        self.started_at = math.inf
 
     def begin(self, now: float) -> None:
-        """Set the time, and begin a new list of actions."""
+        """Set the time and clear the actions."""
         self.now = now
         self.started_at = min(self.started_at, now)
         self.actions = []
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a message goes to, and which destinations may not be called now."""
+"""Chooses the endpoint of each message, and finds out which destinations may be called now."""
 
 import math
 from collections.abc import Iterable
@@ -19,21 +19,21 @@
 
 
 class Choice(NamedTuple):
-    """What to release: a message, and the endpoint that it goes to."""
+    """A message to send now, and its endpoint."""
 
     message: Message
     endpoint: Endpoint
 
 
 class Availability(NamedTuple):
-    """Which endpoints may be called now, and when the next one may."""
+    """The endpoints that may be called now, and when the next one may; infinity until an event opens one."""
 
     open_endpoints: list[Endpoint]
-    next_open_at: float  # infinity where only an event opens one
+    next_open_at: float
 
 
 class Routing(SchedulerPart):
-    """Chooses endpoints."""
+    """Chooses endpoints by health, rate limit, connections and load."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         connections: Connections,
         give_up: GiveUp,
     ) -> None:
-        """Choose among the endpoints that the other parts allow."""
+        """Choose among the endpoints that slow start, batching and connections allow."""
         super().__init__(state)
         self._slow_start = slow_start
         self._batching = batching
@@ -51,7 +51,7 @@
         self.give_up = give_up
 
     def choose(self, destination: Destination, head: Message) -> Choice | None:
-        """Return what to release of a destination, None while there is nothing or no slot.
+        """Return a message to send now and its endpoint; None if no slot or endpoint is free.
 
         A destination without an open endpoint is marked `closed`.
         """
@@ -72,12 +72,12 @@
         return self._choose_endpoint(message, availability.open_endpoints)
 
     def opens_at(self, endpoint: Endpoint) -> float:
-        """Return when an endpoint may next be called: by Retry-After, limit, trials and slow start."""
+        """Return when an endpoint may be called, by Retry-After, rate limit, trials and slow start."""
         route = endpoint.route
         if route.ejected and self._large_fleet:
             self._stagger_missed_trial(route)
-        spaced_at = route.last_call_at + self._batching.spacing(endpoint)
-        opens_at = max(route.retry_after_until, spaced_at)  # rule 6
+        spaced_at = route.last_call_at + self._batching.call_spacing_s(endpoint)
+        opens_at = max(route.retry_after_until, spaced_at)
         limited = route.rate_limit is not None or route.slow_start_since is not None
         if route.ejected or limited or route.staggered:
             opens_at = max(opens_at, route.next_call_at)
@@ -104,13 +104,13 @@
             return False
         if not ejected:
             return True
-        # The trials of many unresponsive destinations must not take the slots of the others.
+        # Trials of many unresponsive destinations must leave slots to the others.
         calls = self._backlog.in_flight.values()
-        trials = sum(self._is_ejected(call.endpoint.destination) for call in calls)
-        return trials < max(1, int(tuning.TRIAL_SLOT_FRACTION * slots))
+        trial_count = sum(self._is_ejected(call.endpoint.destination) for call in calls)
+        return trial_count < max(1, int(tuning.TRIAL_SLOT_FRACTION * slots))
 
     def _availability(self, destination: Destination) -> Availability:
-        """Look at a sample of the endpoints, and at all of them before none is found."""
+        """Return which endpoints of a sample are open, or of all endpoints if none of the sample is."""
         sample = self._sample(destination)
         availability = self._availability_of(sample)
         if availability.open_endpoints or sample is destination.endpoint_order:
@@ -122,7 +122,7 @@
         open_endpoints: list[Endpoint] = []
         next_open_at = math.inf
         for endpoint in endpoints:
-            if not endpoint.is_ready:  # rule 3
+            if not endpoint.is_ready:
                 continue
             opens_at = self.opens_at(endpoint)
             if opens_at <= latest:
@@ -132,10 +132,11 @@
         return Availability(open_endpoints, next_open_at)
 
     def _sample(self, destination: Destination) -> Iterable[Endpoint]:
-        """Return all endpoints, or of many the recently called ones and a few at random.
+        """Return all endpoints, or if there are many the recently called ones and some random ones.
 
-        The cost of a release must not grow with the endpoints; a few at random are nearly as good a choice as
-        all (Mitzenmacher, The power of two choices in randomized load balancing, 2001).
+        The cost of a choice must not grow with the number of endpoints, and the best of a few random ones is
+        nearly as good as the best of all (Mitzenmacher, The power of two choices in randomized load
+        balancing, 2001).
         """
         if len(destination.endpoint_order) <= tuning.RECENT_ENDPOINTS:
             return destination.endpoint_order
@@ -148,16 +149,17 @@
         last_useful_at = head.expires_at - self._latency.minimum_useful_s(destination)
         if ejected and self._now < last_useful_at < next_open_at < math.inf:
             if may_give_up(head, self._now):
-                # It cannot be served in time: answered at once, to make its place in `max_open` free.
+                # It cannot be delivered in time: answer it now, so that it no longer counts in `max_open`.
                 self.give_up(head)
                 destination.closed = False
             wake_at = min(wake_at, max(head.attempt_until, self._now))
         self._backlog.make_ready_at(destination, wake_at)
 
     def _message_for_trial(self, head: Message, endpoint: Endpoint) -> Message | None:
-        """Return a message whose repeat is harmless, as a trial may fail with its effect unknown.
+        """Return the message of a trial call, None if a health check was sent in its place.
 
-        Where none is queued, a health check is the trial, or else the head.
+        A trial may fail after the message took effect, so one that may be repeated is preferred. If none is
+        queued, a health check is the trial; if health checks are off, the head is.
         """
         if head.idempotency is not Idempotency.NON_IDEMPOTENT:
             return head
@@ -171,22 +173,25 @@
 
     @staticmethod
     def _is_ejected(destination: Destination) -> bool:
-        """Return whether a destination has no ready endpoint that is healthy."""
+        """Return whether no ready endpoint of a destination is healthy."""
         ready = (endpoint for endpoint in destination.endpoints.values() if endpoint.is_ready)
         return all(endpoint.unhealthy or endpoint.route.ejected for endpoint in ready)
 
     def _stagger_missed_trial(self, route: RouteState) -> None:
-        """Delay a trial that was long possible while nothing was queued: a burst must not be all trials."""
+        """Delay a trial that has been due for long because no message was queued.
+
+        In a large fleet all forwarders would otherwise send their trials at the start of the next burst.
+        """
         warm_up_s = self._settings.warm_up_s
         if route.next_call_at < self._now - warm_up_s:
             route.next_call_at = self._now + self._random.random() * warm_up_s
 
     @staticmethod
     def _awaits_outcome(endpoint: Endpoint) -> bool:
-        """Return whether calls in flight must end, or become overdue, before another is risked.
+        """Return whether the next call must wait until calls in flight end or become overdue.
 
-        One trial at a time: its outcome, or that it is overdue, opens the next. Elsewhere one overdue call is
-        no proof of an unresponsive endpoint, but with it only one further call is risked.
+        An ejected route has one trial at a time. At other endpoints an overdue call does not prove that the
+        endpoint is unresponsive, but while it is unanswered only one further call is in flight.
         """
         calls = endpoint.in_flight.values()
         route = endpoint.route
@@ -198,7 +203,7 @@
         return unanswered and any(not call.overdue for call in calls)
 
     def _suits(self, endpoint: Endpoint, message: Message) -> bool:
-        """Return whether an endpoint is reachable, and would drop a repeat of what possibly executed."""
+        """Return whether an endpoint has or may open a connection, and whether a repeat there is safe."""
         other_zone = message.possibly_executed and endpoint.zone != message.zone
         if other_zone and self._is_bound_to_zone(message):
             return False
@@ -206,12 +211,12 @@
 
     @staticmethod
     def _is_bound_to_zone(message: Message) -> bool:
-        """Return whether only endpoints of a message's zone drop a repeat of it."""
+        """Return whether only endpoints in the zone of the earlier attempt drop a repeat of the message."""
         has_key = message.idempotency is Idempotency.IDEMPOTENCY_KEY
         return has_key and message.message_class.deduplication_scope is DeduplicationScope.ZONE
 
     def _preference(self, endpoint: Endpoint, message: Message) -> tuple[bool, bool, bool, int, float]:
-        """Return the sort key of a choice: the least is the best endpoint."""
+        """Return the sort key of an endpoint; the lowest is the best."""
         last_tried = endpoint.id == message.last_endpoint and message.attempts > 0
         needs_connection = not self._connections.has_free_stream(endpoint)
         load = len(endpoint.in_flight)
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler: composes one part a decision, and passes each event of a round to the parts that it concerns.
+"""The scheduler: creates the parts that make the decisions, and passes events to them.
 
-It decides nothing itself. `handle` is called by the forwarder's reducer, the simulator's adapter and the
-simulation; the actions that it returns are to be done in their order.
+The forwarder's reducer, the simulator's adapter and the simulation call `handle`, and execute the actions
+that it returns in their order.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 class DeliveryScheduler:
-    """The decisions of one forwarder; it has no clock, no I/O and no state outside itself."""
+    """Makes the decisions of one forwarder, without a clock, I/O or global state."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
-        """Begin without messages and endpoints; the same seed and events give the same actions."""
+        """Create a scheduler without messages and endpoints; equal seeds and events give equal actions."""
         state = SchedulerState(settings, seed)
         self.state = state
         self.rate_limits = RateLimits(state)
@@ -59,7 +59,7 @@
         self.idle_expiry = IdleExpiry(state)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Apply all events of a round, then decide once; `now` does not go back from round to round."""
+        """Apply the events of a round and return the actions to execute; `now` must never decrease."""
         round_ = self.state.round
         self.state.begin_round(now)
         for event in events:
@@ -73,12 +73,12 @@
 
     @property
     def pending_actions(self) -> list[Action]:
-        """The actions of the present round so far, for a caller that met an error in `handle`."""
+        """The actions of the current round so far, for a caller whose `handle` raised an error."""
         return self.state.round.actions
 
     @property
     def timer_token(self) -> int:
-        """The token of the latest timer that was requested."""
+        """The token of the timer that was requested last."""
         return self.state.round.timers.token
 
     def _dispatch(self, event: Event) -> None:
--- a/juniperward/scheduler/scheduler_part.py
+++ b/juniperward/scheduler/scheduler_part.py
@@ -1,4 +1,4 @@
-"""What the parts of a scheduler share: its state, and the base class that gives them access to it."""
+"""The state that the parts of a scheduler share, and the base class of the parts."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.traffic import TrafficEstimates, is_large_fleet
 
-GiveUp = Callable[[Message], None]  # gives a message its final answer undelivered
+GiveUp = Callable[[Message], None]  # answers a message that is not delivered, and ends it
 
 
 class SchedulerState:
-    """The state of one scheduler."""
+    """The state of one scheduler, and the parts that work on it."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
-        """Begin empty."""
+        """Create the state of a scheduler without messages, endpoints and parts."""
         self.round = Round(settings, seed)
         self.backlog = Backlog(self.round)
         self.table = EndpointTable(self.round)
@@ -30,17 +30,17 @@
         self.parts: list[SchedulerPart] = []
 
     def begin_round(self, now: float) -> None:
-        """Begin a round at a moment, which all parts get."""
+        """Begin a round, and tell all parts its time."""
         self.round.begin(now)
         for part in self.parts:
             part._now = now
 
 
 class SchedulerPart:
-    """The base of the parts that decide: access to the state, and to the round by shorter names."""
+    """The base class of the parts that decide, with short names for what they use of the state."""
 
     def __init__(self, state: SchedulerState) -> None:
-        """Work on a scheduler's state."""
+        """Register the part with the state of its scheduler."""
         self._round = state.round
         self._settings = state.round.settings
         self._large_fleet = is_large_fleet(state.round.settings)
@@ -48,7 +48,7 @@
         self._table = state.table
         self._latency = state.latency
         self._traffic = state.traffic
-        self._now = 0.0  # of the present round: an attribute, as it is read some thirty times a message
+        self._now = 0.0  # copied into each part every round, because parts read it very often
         state.parts.append(self)
 
     @property
--- a/juniperward/scheduler/settings.py
+++ b/juniperward/scheduler/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a scheduler: classes of message, kinds of destination, limits and rules.
+"""The settings of a scheduler: message classes, kinds of destination, tenants and limits.
 
-Durations are in seconds, rates per second. A value out of its range raises `SettingsError`, which names the field.
-The values of the enumerations are those of settings files and stored data.
+Durations are in seconds, rates per second. A value out of range raises `SettingsError`. Settings files and
+stored data contain the values of the enumerations.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class SettingsError(ValueError):
-    """A setting is out of its range; `field` names it, `expected` says what it must be."""
+    """A setting is out of range: `field` must satisfy `expected`, a phrase that follows "must"."""
 
     def __init__(self, field: str, expected: str, value: object) -> None:
-        """Describe the field, what was expected of it, and the value that it has."""
+        """Create the error for a value of a field."""
         super().__init__(f"{field}: must {expected}, not {value!r}")
         self.field = field
         self.expected = expected
@@ -22,15 +22,19 @@
 
 
 class Idempotency(Enum):
-    """What a repeated delivery of a message does at its destination."""
+    """What a repeated delivery of a message does at its destination.
 
-    IDEMPOTENT = "repeatable"  # no harm
-    IDEMPOTENCY_KEY = "by_key"  # dropped by its key, for as long as the deduplication window
-    NON_IDEMPOTENT = "once"  # takes effect again
+    IDEMPOTENT: it is harmless. IDEMPOTENCY_KEY: within the deduplication window the destination drops it by
+    its key. NON_IDEMPOTENT: it takes effect again.
+    """
+
+    IDEMPOTENT = "repeatable"
+    IDEMPOTENCY_KEY = "by_key"
+    NON_IDEMPOTENT = "once"
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints of a destination drop the same repeats."""
+    """Which endpoints of a destination share the keys by which they drop repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -46,20 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """A class of message; weights are relative, windows and objectives in seconds."""
+    """The settings of a class of messages.
+
+    Attributes:
+        priority_weight: weight of its messages, relative to those of other classes.
+        late_weight: fraction of the weight that a message keeps once it is late.
+        objective_stretch: validated, but not used in any decision.
+    """
 
     latency_objective_s: float
     deadline_s: float
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the weight that is left at the deadline
+    late_weight: float = 0.0
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_s: float = 0.0
     in_order: bool = False
-    objective_stretch: float = 0.0  # checked; no decision reads it
+    objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the ranges; raises SettingsError."""
+        """Validate the fields; raises SettingsError."""
         _check_positive(self, "latency_objective_s", "deadline_s")
         _check_not_negative(
             self, "priority_weight", "late_weight", "deduplication_window_s", "objective_stretch"
@@ -70,68 +80,99 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """A kind of destination."""
+    """The settings of a kind of destination.
+
+    Attributes:
+        batch_size: maximum number of messages in one call.
+        separate_routes: each endpoint has its own rate limit and outages.
+    """
 
-    batch_size: int = 1  # messages that one call may carry
-    separate_routes: bool = False  # each endpoint has its own limit and outages
+    batch_size: int = 1
+    separate_routes: bool = False
 
     def __post_init__(self) -> None:
-        """Check the range; raises SettingsError."""
+        """Validate the fields; raises SettingsError."""
         _check_positive(self, "batch_size")
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's agreed rate of messages, over all forwarders."""
+    """The agreed message rate of a tenant, over all forwarders."""
 
     quota_per_s: float
 
     def __post_init__(self) -> None:
-        """Check the range; raises SettingsError."""
+        """Validate the fields; raises SettingsError."""
         _check_not_negative(self, "quota_per_s")
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """All settings of a scheduler."""
+    """All settings of a scheduler.
+
+    Fields marked as unused are accepted, but no decision reads them.
+
+    Attributes:
+        slots: maximum number of calls in flight.
+        max_open: maximum number of messages without their final answer.
+        kinds: kinds of destination by number.
+        instances: number of forwarders that share the destinations.
+        over_quota_weight: factor on the weight of a message beyond the quota of its tenant.
+        weight_decay: unused.
+        answer_slack_s: how long after the deadline of a message its final answer still counts as in time.
+        slow_start_capacity_fraction: fraction of its capacity that a destination has when an outage ends.
+        warm_up_s: time after an outage until a destination has its full capacity.
+        overload_multiple: factor on the present capacity; calls beyond it for `overload_span_s` make a
+            destination that warms up fail again.
+        key_cooldown_s: delay of the next message of an ordering key after an attempt that may still run.
+        keepalive_s: time after which endpoints close an idle connection.
+        endpoints_polled: the endpoint list is polled; otherwise changes are pushed.
+        rates_listed: the endpoint list names the rate limit of a destination, in calls per second.
+        listed_rate_error: fraction by which a listed rate may be wrong.
+        health_checks: health checks are allowed.
+        cancellation: attempts may be cancelled.
+        hedging: unused; a message may have two attempts in flight.
+        rejection_price: unused.
+        zone_costs: unused.
+        max_batch_bytes: maximum size of all messages of one call; the protocol allows bodies up to 64 KiB.
+    """
 
     classes: tuple[MessageClass, ...]
-    slots: int  # attempts that may be in flight at once
-    max_open: int  # messages without their final answer that may be open at once
+    slots: int
+    max_open: int
     kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    instances: int = 1  # forwarders that share the destinations
+    instances: int = 1
     max_attempts: int = 3
-    over_quota_weight: float = 1.0  # x the class's weight, for a message beyond its tenant's quota
-    weight_decay: WeightDecay = WeightDecay.LINEAR  # checked; no decision reads it
-    answer_slack_s: float = 0.0  # after a message's time, in which its final answer is still in time
-    slow_start_capacity_fraction: float = 0.2  # of its capacity, that a destination has after an outage
-    warm_up_s: float = 10.0  # after which it has all of it
-    # x its present capacity, for overload_span_s: the calls with which a destination that warms up fails anew
+    over_quota_weight: float = 1.0
+    weight_decay: WeightDecay = WeightDecay.LINEAR
+    answer_slack_s: float = 0.0
+    slow_start_capacity_fraction: float = 0.2
+    warm_up_s: float = 10.0
     overload_multiple: float = 1.5
     overload_span_s: float = 2.0
-    key_cooldown_s: float = 0.0  # after an attempt that may still run, before the next message of its key
-    keepalive_s: float = 10.0  # after which an idle connection is closed by the endpoint
+    key_cooldown_s: float = 0.0
+    keepalive_s: float = 10.0
     dial_timeout_s: float = 1.0
     streams_per_connection: int = 1
     max_retry_after_s: float = 0.0
     timer_resolution_s: float = 0.005
-    endpoints_polled: bool = False  # the endpoint list is polled; else it is pushed
-    rates_listed: bool = False  # the list names the limit of a destination, in calls a second
-    listed_rate_error: float = 0.0  # fraction by which a listed rate may be wrong
-    health_checks: bool = False  # health checks are allowed
-    cancellation: bool = False  # attempts may be cancelled
-    hedging: bool = False  # two attempts of a message may be in flight; no decision reads it
-    rejection_price: float = 0.0  # checked; no decision reads it
-    zone_tolls: tuple[float, ...] = ()  # no decision reads it
-    max_batch_bytes: int = 65_535  # of all messages of one call (protocol: no body over 64 KiB)
+    endpoints_polled: bool = False
+    rates_listed: bool = False
+    listed_rate_error: float = 0.0
+    health_checks: bool = False
+    cancellation: bool = False
+    hedging: bool = False
+    rejection_price: float = 0.0
+    zone_costs: tuple[float, ...] = ()
+    max_batch_bytes: int = 65_535
 
     def kind(self, number: int) -> DestinationKind:
-        """Return a kind of destination by its number; one without settings is the default."""
+        """Return the settings of a kind of destination by its number; the default ones if it has none."""
         return self.kinds[number] if 0 <= number < len(self.kinds) else DestinationKind()
 
     def __post_init__(self) -> None:
-        """Check the ranges; raises SettingsError."""
+        """Validate the fields; raises SettingsError."""
         if not self.classes:
             raise SettingsError("classes", "name at least one class", self.classes)
         _check_positive(self, "slots", "max_open", "instances", "max_attempts", "warm_up_s")
--- a/juniperward/scheduler/settings_codec.py
+++ b/juniperward/scheduler/settings_codec.py
@@ -1,7 +1,6 @@
-"""Reads the settings object of the platform and of the simulator; their keys are mapped to the field's names here.
+"""Reads a scheduler's settings from the object that the platform and the simulator provide.
 
-Unknown keys are ignored. Times come in milliseconds. A value that cannot be used raises ValueError (SettingsError
-among them), which names its place.
+Times in it are in milliseconds; unknown keys are ignored. An invalid value raises ValueError with its key.
 """
 
 from __future__ import annotations
@@ -21,12 +20,11 @@
 )
 
 S_PER_MS = 0.001
-ROUGH_RATE_ERROR = 0.5  # "rough" rates are up to half too high or too low
+ROUGH_RATE_ERROR_FRACTION = 0.5  # error of listed rates when `Weights` is "rough"
 Member = TypeVar("Member", bound=Enum)
 
-
-# The platform's keys of the settings whose range is checked, by the field's name.
-KEYS = {
+# The key of each validated field, for error messages.
+KEY_BY_FIELD = {
     "latency_objective_s": "AimMs",
     "deadline_s": "DeadlineMs",
     "priority_weight": "Worth",
@@ -57,35 +55,35 @@
 
 
 class SettingsKeyError(ValueError):
-    """A key has a value out of its range."""
+    """The value of a key is out of range."""
 
     def __init__(self, error: SettingsError) -> None:
-        """Name the key, and what it must be."""
-        super().__init__(f"{KEYS.get(error.field, error.field)}: must {error.expected}")
+        """Create the error from that of the field."""
+        super().__init__(f"{KEY_BY_FIELD.get(error.field, error.field)}: must {error.expected}")
 
 
 class ServiceError(ValueError):
-    """One of `Services` cannot be used."""
+    """An entry of `Services`, that is a message class, is invalid."""
 
     def __init__(self, number: int, problem: str) -> None:
-        """Name the class by its place, and what is wrong with it."""
+        """Create the error for the entry at an index."""
         super().__init__(f"Services[{number}]: {problem}")
         self.number = number
         self.problem = problem
 
 
 class UnknownValueError(ValueError):
-    """A key has a value that is not among those it may have."""
+    """The value of a key is not one of those defined for it."""
 
     def __init__(self, key: str, value: object) -> None:
-        """Name the key and the value."""
+        """Create the error for a key and its value."""
         super().__init__(f"{key}: unknown value {value!r}")
         self.key = key
         self.value = value
 
 
 def read_settings(config: dict[str, Any]) -> SchedulerSettings:
-    """Return the settings that a `Config` object holds; raises ValueError, or KeyError for a missing key."""
+    """Return the settings of a `Config` object; raises ValueError, or KeyError for a missing key."""
     try:
         return _read(config)
     except SettingsError as error:
@@ -122,12 +120,12 @@
         timer_resolution_s=config.get("ResolutionMs", 5.0) * S_PER_MS,
         endpoints_polled=config.get("MembershipMode") == "on_request",
         rates_listed=weights in ("nominal", "rough"),
-        listed_rate_error=ROUGH_RATE_ERROR if weights == "rough" else 0.0,
+        listed_rate_error=ROUGH_RATE_ERROR_FRACTION if weights == "rough" else 0.0,
         health_checks=bool(limits.get("Probing", False)),
         cancellation=bool(limits.get("Cancel", False)),
         hedging=bool(limits.get("MayDuplicate", False)),
         rejection_price=specifics.get("RefusedPrice", 0.0),
-        zone_tolls=tuple(specifics.get("Toll") or ()),
+        zone_costs=tuple(specifics.get("Toll") or ()),
     )
 
 
@@ -145,7 +143,7 @@
 
 
 def _read_class(number: int, service: dict[str, Any]) -> MessageClass:
-    """Read one of `Services`; raises ServiceError, which names its place."""
+    """Return the message class of an entry of `Services`; raises ServiceError."""
     try:
         return MessageClass(
             latency_objective_s=service["AimMs"] * S_PER_MS,
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -1,4 +1,4 @@
-"""What the scheduler knows of each destination, for operators to read; nothing here decides."""
+"""The status of each destination as the scheduler knows it, for operators; no decision uses it."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 
 
 class Health(StrEnum):
-    """How a destination is; the values are those of the control channel."""
+    """Health of a destination; the control channel uses the values.
+
+    A destination without a recent delivery is UNKNOWN, unless it is ejected or in slow start.
+    """
 
     HEALTHY = "well"
     EJECTED = "failing"
     WARMING_UP = "warming"
-    UNKNOWN = "unknown"  # no attempt has ended there yet
+    UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationStatus:
-    """One destination at a moment; durations in seconds, rates in calls a second."""
+    """Status of one destination; durations in seconds, rates in calls per second."""
 
     destination: int
     health: Health
@@ -35,12 +38,12 @@
 
 
 def destination_statuses(scheduler: DeliveryScheduler, now: float) -> tuple[DestinationStatus, ...]:
-    """Return all destinations that the scheduler knows, by number."""
+    """Return the status of each destination that the scheduler knows, ordered by number."""
     return tuple(_status(scheduler, number, now) for number in sorted(scheduler.state.table.destinations))
 
 
 def ejected_destinations(scheduler: DeliveryScheduler) -> int:
-    """Return how many destinations have a route that gets trials only."""
+    """Return the number of destinations that have an ejected route."""
     destinations = scheduler.state.table.destinations.values()
     return sum(any(e.route.ejected for e in destination.endpoints.values()) for destination in destinations)
 
@@ -71,7 +74,7 @@
 
 
 def _warming_up_for(routes: list[RouteState], warm_up_s: float, now: float) -> float | None:
-    started_at = [route.slow_start_since for route in routes if route.slow_start_since is not None]
-    if not started_at or now - max(started_at) >= warm_up_s:
+    started_times = [route.slow_start_since for route in routes if route.slow_start_since is not None]
+    if not started_times or now - max(started_times) >= warm_up_s:
         return None
-    return now - max(started_at)
+    return now - max(started_times)
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -278,9 +278,9 @@
         for message in node.in_flight():
             node.settle(message)
     endpoint = node.scheduler.state.table.endpoints[10]
-    assert node.scheduler.batching.spacing(endpoint) < 0.2
+    assert node.scheduler.batching.call_spacing_s(endpoint) < 0.2
     node.route(1).rate_limit_cut_at = node.now
-    assert node.scheduler.batching.spacing(endpoint) == pytest.approx(0.4)
+    assert node.scheduler.batching.call_spacing_s(endpoint) == pytest.approx(0.4)
 
 
 def test_possibly_executed_messages_are_batched() -> None:
