--- a/juniperward/simulator_adapter/__init__.py
+++ b/juniperward/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The delivery scheduler on the simulator's wire: `python -m juniperward.simulator_adapter`."""
+"""Runs the delivery scheduler under the simulator: `python -m juniperward.simulator_adapter`."""
--- a/juniperward/simulator_adapter/__main__.py
+++ b/juniperward/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator on standard input and output; the exit code is 1 after malformed input."""
+"""Command-line entry point: serves the simulator on standard input and output."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Serve until the input ends, or end with one plain line on standard error."""
+    """Serve until the input ends; after malformed input print one line to standard error and return 1."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/juniperward/simulator_adapter/batch_reader.py
+++ b/juniperward/simulator_adapter/batch_reader.py
@@ -1,7 +1,7 @@
-"""Reads the simulator's lines of JSON into batches; `adapter.serve` answers each batch.
+"""Parses the simulator's JSON lines into batches.
 
-A line is an object with a single key, its name, whose value is the object of its fields. A batch begins with a
-`Mark`, which has its time and number, and ends with a `Go`.
+A line is an object with a single key, the name of the line; the value is an object with its fields. A batch
+begins with a `Mark` line, which has its time and its turn, and ends with a `Go` line.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Line(NamedTuple):
-    """One line of the input."""
+    """The name and the fields of an input line."""
 
     name: str
     fields: Fields
 
 
 class Batch(NamedTuple):
-    """The lines of one moment; `turn` comes back in the answer."""
+    """The lines between a `Mark` and its `Go`; the answer repeats `turn`."""
 
     time_ms: float
     turn: Any
@@ -29,20 +29,24 @@
 
 
 class BatchReader:
-    """Collects lines until a batch is complete."""
+    """Collects lines until they form a complete batch."""
 
     def __init__(self) -> None:
-        """Begin outside a batch."""
+        """Create a reader that expects the beginning of a batch."""
         self._mark: Fields | None = None
         self._lines: list[Line] = []
 
     @property
     def inside_batch(self) -> bool:
-        """Whether a batch has begun that is not complete yet."""
+        """Whether a batch has begun and is not complete."""
         return self._mark is not None
 
     def add(self, text: str) -> Batch | None:
-        """Add a line; returns the batch that it completes; raises WireError, ValueError or KeyError."""
+        """Add a line and return the batch that it completes, None if there is none.
+
+        Raises WireError for a line that is misplaced or not an object, ValueError for invalid JSON, and
+        KeyError for a `Mark` without time or turn.
+        """
         line = _parse(text)
         match line.name, self._mark:
             case "Mark", None:
@@ -61,10 +65,10 @@
 
 
 def _parse(text: str) -> Line:
-    message = json.loads(text)
-    if not isinstance(message, dict) or len(message) != 1:
+    value = json.loads(text)
+    if not isinstance(value, dict) or len(value) != 1:
         raise NotAnObjectError
-    ((name, fields),) = message.items()
+    ((name, fields),) = value.items()
     if not isinstance(fields, dict):
         raise NotAnObjectError
     return Line(name, fields)
--- a/juniperward/simulator_adapter/errors.py
+++ b/juniperward/simulator_adapter/errors.py
@@ -1,52 +1,52 @@
-"""What can be wrong with the input of the adapter; all errors are WireErrors."""
+"""Errors in the input of the adapter; their base class is WireError."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """The input does not follow the wire; the text says where and how."""
+    """The input violates the simulator's protocol."""
 
 
 class BadLineError(WireError):
-    """A line cannot be used; `number` counts from 1, `cause` says what is wrong."""
+    """A line of the input is invalid; `number` counts lines from 1."""
 
     def __init__(self, number: int, cause: Exception) -> None:
-        """Describe the line and what is wrong with it."""
+        """Create the error for a line, with the error that it caused."""
         super().__init__(f"line {number}: {type(cause).__name__}: {cause}")
         self.number = number
         self.cause = cause
 
 
 class MisplacedLineError(WireError):
-    """A line stands inside a batch that must be outside of one, or the other way round."""
+    """A line that is valid only outside a batch is inside one, or the reverse."""
 
     def __init__(self, name: str, inside_batch: bool) -> None:
-        """Describe the line and its place."""
-        super().__init__(f"{name} {'inside' if inside_batch else 'outside'} a batch")
+        """Create the error for a line by its name."""
+        super().__init__(f"unexpected {name!r} {'inside' if inside_batch else 'outside'} a batch")
         self.name = name
         self.inside_batch = inside_batch
 
 
 class NotAnObjectError(WireError):
-    """A line is not an object with a single key, whose value is an object."""
+    """A line is not an object with a single key whose value is an object."""
 
     def __init__(self) -> None:
-        """Describe what is expected."""
-        super().__init__("not an object with a single key and its fields")
+        """Create the error."""
+        super().__init__("expected an object with a single key whose value is an object")
 
 
 class TruncatedBatchError(WireError):
     """The input ended inside a batch."""
 
     def __init__(self) -> None:
-        """Describe the end."""
-        super().__init__("the input ended inside a batch")
+        """Create the error."""
+        super().__init__("the input ended before the end of a batch")
 
 
 class UnknownEventError(WireError):
-    """An event has a name that the wire does not know."""
+    """The protocol has no event of this name."""
 
     def __init__(self, name: str) -> None:
-        """Name the event."""
+        """Create the error for an event by its name."""
         super().__init__(f"unknown event {name!r}")
         self.name = name
--- a/juniperward/simulator_adapter/wire.py
+++ b/juniperward/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: its events as the scheduler's, and the scheduler's actions as its answers.
+"""Decodes the simulator's events into those of the scheduler, and encodes the scheduler's actions.
 
-A wire object has a single key, its name, with an object of its fields. Times are in milliseconds. Unknown fields
-are ignored. The wire's words stand in this module alone.
+An encoded object has a single key, its name; the value is an object with its fields. Times in it are in
+milliseconds. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 from juniperward.scheduler.settings_codec import S_PER_MS
 from juniperward.simulator_adapter.errors import UnknownEventError
 
-Fields = dict[str, Any]  # of one wire object, or the object itself
-Catalogs = dict[int, tuple[EndpointEntry, ...]]  # numbered lists of endpoints
+Fields = dict[str, Any]  # the fields of an encoded object, or the object itself
+Catalogs = dict[int, tuple[EndpointEntry, ...]]  # endpoint lists by the number of their catalog
 
-NO_SLOT_FREE = 1  # in `WaitMs` of an attempt that was not sent: all slots were in use
-EJECTION_REASONS = {  # in `NoteText`
+WAIT_MS_NO_SLOT_FREE = 1  # the `WaitMs` of an attempt that was not sent because all slots were in use
+EJECTION_NOTES = {
     EjectionReason.FAILING: "failing",
     EjectionReason.UNRESPONSIVE: "silent",
     EjectionReason.REJECTS_ALL: "refuses all",
@@ -63,7 +63,7 @@
 
 
 def decode_catalog(fields: Fields) -> tuple[EndpointEntry, ...]:
-    """Return the entries of a `Catalog`, a numbered list of endpoints."""
+    """Return the entries of a `Catalog`, a numbered endpoint list to which `Fleet` events refer."""
     return tuple(
         EndpointEntry(
             host["Endpoint"],
@@ -78,9 +78,10 @@
 
 
 def decode_event(name: str, fields: Fields, catalogs: Catalogs) -> Event | None:
-    """Return the event of one line, None for one that concerns no scheduler.
+    """Return the event of a line, None for one that the scheduler does not use.
 
-    Raises UnknownEventError for an unknown name, KeyError for a missing field, ValueError for an unknown number.
+    Raises UnknownEventError for an unknown name, KeyError for a missing field or catalog, and ValueError for
+    an undefined enumeration value.
     """
     event: Event | None = None
     match name:
@@ -99,7 +100,7 @@
         case "Probed":
             event = _decode_health_check(fields)
         case "Whisper":
-            pass  # forwarders share nothing
+            pass  # a message of another forwarder; forwarders exchange none
         case _:
             raise UnknownEventError(name)
     return event
@@ -129,7 +130,7 @@
         latency_s=fields["DelaySeenMs"] * S_PER_MS,
         message_ended=bool(fields.get("Ended")),
         retry_after_s=wait_ms * S_PER_MS if outcome is Outcome.OVERLOADED else 0.0,
-        no_slot_free=outcome is Outcome.NOT_SENT and wait_ms == NO_SLOT_FREE,
+        no_slot_free=outcome is Outcome.NOT_SENT and wait_ms == WAIT_MS_NO_SLOT_FREE,
         capacity_left=load_report.get("x0"),
         reported_limit_per_s=load_report.get("x1"),
     )
@@ -154,7 +155,7 @@
 
 
 def encode_action(instance: str, action: Action) -> Fields:
-    """Return the wire object of an action of an instance."""
+    """Return the encoded form of an action of an instance."""
     name = ANSWER_NAMES[type(action)]
     return {name: {"Who": instance, **_encode_fields(action)}}
 
@@ -177,7 +178,7 @@
         case PollEndpointList():
             fields = {"On": True}
         case DestinationEjected(destination=destination, reason=reason):
-            fields = {"NoteText": f"destination {destination}: {EJECTION_REASONS[reason]}, held to trials"}
+            fields = {"NoteText": f"destination {destination}: {EJECTION_NOTES[reason]}, held to trials"}
         case DestinationRecovered(destination=destination):
             fields = {"NoteText": f"destination {destination}: answers again, warming up"}
     return fields
