--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -1,4 +1,4 @@
-"""The ordinary path: deficit round robin and its charges, the slot cap, the rate limit, idle state."""
+"""Deficit round robin, limits on slots, batching, rate limits and the expiry of idle state."""
 
 from __future__ import annotations
 
@@ -12,42 +12,43 @@
 
 def test_destinations_share_free_slots_round_robin() -> None:
     node = Node(settings(SAFE, slots=4))
-    node.arrive(destination=3, count=4)  # fills three slots
+    node.arrive(destination=3, count=4)
     assert len(node.sent_at) == 3
-    for d in (1, 2):
-        node.arrive(destination=d, count=6)
+    for destination in (1, 2):
+        node.arrive(destination=destination, count=6)
     served = {1: 0, 2: 0}
     for _ in range(8):
         node.run(0.1)
         oldest = min(
-            (at, m)
-            for (m, n), at in node.sent_at.items()
-            if m in node.messages and node.messages[m].in_flight
+            (sent_at, message)
+            for (message, _), sent_at in node.sent_at.items()
+            if message in node.messages and node.messages[message].in_flight
         )[1]
-        for m in attempted(node.settle(oldest)):
-            if m > 4:
-                served[node.messages[m].destination.id] += 1
+        for message in attempted(node.settle(oldest)):
+            if message > 4:
+                served[node.messages[message].destination.id] += 1
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
 
 
-def test_a_costly_destination_gets_fewer_turns() -> None:
+def test_a_slow_destination_is_served_less_often() -> None:
     node = Node(settings(SAFE, slots=2))
-    for d, latency in ((1, 0.2), (2, 2.0)):
+    latencies_s = {1: 0.2, 2: 2.0}
+    for destination, latency_s in latencies_s.items():
         for _ in range(30):
-            node.arrive(destination=d)
-            node.run(latency)
+            node.arrive(destination=destination)
+            node.run(latency_s)
             node.settle(node.serial)
     node.arrive(destination=1, count=60)
     node.arrive(destination=2, count=60)
     start, served = node.now, {1: 0, 2: 0}
     while node.now < start + 8.0:
         node.run(0.1)
-        for m in node.in_flight():
-            d = node.messages[m].destination.id
-            n = node.attempts[m] - 1
-            if node.now - node.sent_at[m, n] >= (0.2 if d == 1 else 2.0) - 1e-6:
-                served[d] += 1
-                node.settle(m)
+        for message in node.in_flight():
+            destination = node.messages[message].destination.id
+            attempt = node.attempts[message] - 1
+            if node.now - node.sent_at[message, attempt] >= latencies_s[destination] - 1e-6:
+                served[destination] += 1
+                node.settle(message)
     assert served[1] > 3 * served[2] > 0
 
 
@@ -58,14 +59,14 @@
     assert node.destination(1).deficit_s == 0.0
 
 
-@pytest.mark.parametrize(("slots", "healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
-def test_a_healthy_destination_fills_three_quarters_of_the_slots(slots: int, healthy: int) -> None:
+@pytest.mark.parametrize(("slots", "slots_of_healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
+def test_a_healthy_destination_fills_three_quarters_of_the_slots(slots: int, slots_of_healthy: int) -> None:
     node = Node(settings(SAFE, slots=slots))
-    assert len(attempted(node.arrive(count=40))) == healthy
+    assert len(attempted(node.arrive(count=40))) == slots_of_healthy
     assert len(attempted(node.arrive(destination=2))) == 1
 
 
-def test_the_rate_limit_over_its_lifetime() -> None:
+def test_a_rejection_sets_a_rate_limit_that_grows_and_is_dropped() -> None:
     node = Node(settings(SAFE, slots=40))
     for _ in range(10):
         node.arrive()
@@ -77,22 +78,21 @@
     node.arrive()
     node.run(0.05)
     node.settle(node.serial, Outcome.OVERLOADED)
-    assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the last second's calls
-    before = route.rate_limit
+    assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the rate of the last second
+    first_limit = route.rate_limit
     node.do()
     node.arrive(count=20)
     node.run(0.3)
-    out = node.in_flight()
-    node.settle(out[0])
-    assert route.rate_limit == before
+    node.settle(node.in_flight()[0])
+    assert route.rate_limit == first_limit
     node.run(1.05)
-    assert route.rate_limit is not None and route.rate_limit == pytest.approx(before + 1.0)
-    for m in node.in_flight():
-        node.settle(m)
-    for _ in range(60):  # nothing held any more: the pace no longer binds and is dropped
+    assert route.rate_limit is not None and route.rate_limit == pytest.approx(first_limit + 1.0)
+    for message in node.in_flight():
+        node.settle(message)
+    for _ in range(60):  # an empty queue does not need the limit, which is then dropped
         node.run(0.2)
-        for m in node.in_flight():
-            node.settle(m)
+        for message in node.in_flight():
+            node.settle(message)
     assert route.rate_limit is None
 
 
@@ -100,20 +100,19 @@
     node = Node(settings(SAFE, slots=40, max_attempts=100))
     node.arrive(count=3)
     node.run(0.05)
-    for m in (1, 2, 3):
-        node.settle(m, Outcome.OVERLOADED)
+    for message in (1, 2, 3):
+        node.settle(message, Outcome.OVERLOADED)
     route = node.route(1)
     assert route.rate_limit == pytest.approx(1.5)
     for _ in range(20):
         node.run(0.5)
-        for m in node.in_flight():
-            node.settle(m, Outcome.OVERLOADED)
+        for message in node.in_flight():
+            node.settle(message, Outcome.OVERLOADED)
     assert route.rate_limit == 1.0
 
 
 def test_the_rate_limit_does_not_grow_while_nothing_is_delivered() -> None:
-    # Seen on a bench day: a shut destination told its wait, the pace opened meanwhile, and the whole
-    # backlog met its return.
+    # Guards against a limit that grows during a Retry-After and then lets the whole backlog through.
     node = Node(settings(SAFE, slots=40))
     node.arrive(count=4)
     node.run(0.05)
@@ -136,15 +135,17 @@
     assert attempted(node.arrive()) == [2]
 
 
-def test_a_full_node_rejects_the_lowest_priority_weight_with_retry_after() -> None:
+def test_a_full_scheduler_rejects_the_lowest_priority_weight_with_retry_after() -> None:
     low = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=1.0)
     high = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=5.0)
     node = Node(settings(low, high, slots=2, max_open=20))
     node.arrive(class_index=0, count=9, time_left_s=1.0)
-    assert rejected(node.arrive(class_index=1, count=10)) == []  # none that has not run is given up so early
+    assert (
+        rejected(node.arrive(class_index=1, count=10)) == []
+    )  # too early to give up messages without an attempt
     node.run(0.71)
-    seen = node.arrive(class_index=1, count=1)
-    assert rejected(seen) and all(m <= 10 for m in rejected(seen))
+    given_up = rejected(node.arrive(class_index=1, count=1))
+    assert given_up and all(message <= 10 for message in given_up)
 
 
 def test_a_batch_is_one_call_and_one_slot() -> None:
@@ -152,13 +153,13 @@
     assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
     assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
-    for m in range(1, 5):
-        assert attempted(node.settle(m)) == []
+    for message in range(1, 5):
+        assert attempted(node.settle(message)) == []
     assert attempted(node.settle(5)) == [6, 7]
 
 
 def test_non_idempotent_messages_are_batched() -> None:
-    # Guards a limit that counts calls: with one message in each, three of four were refused.
+    # Guards against calls of one message each, which exceed a limit that counts calls.
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
 
@@ -173,7 +174,7 @@
 
 
 def test_a_message_close_to_its_deadline_is_not_batched() -> None:
-    # Guards the others: a call ends at the time of any of its messages, and 33 of 39 lost their attempt so.
+    # Guards the other messages of a call, which ends at the earliest deadline of its messages.
     node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive()
     node.arrive(time_left_s=0.9)
@@ -181,12 +182,12 @@
     assert attempted(node.settle(1)) == [2]
     shared = [a for a in node.settle(2) if isinstance(a, StartAttempt)]
     assert [a.message for a in shared] == [3, 4]
-    # Behind a connection that comes up late a message of a shared call has to have that time as well.
+    # The time left must also suffice if the call first waits for a connection.
     assert [a.start_within_s for a in shared] == [pytest.approx(9.0)] * 2
 
 
 def test_messages_are_batched_up_to_the_body_limit() -> None:
-    # Guards large messages: a call is refused whole whose body is over what the protocol allows.
+    # Guards against a body over the limit of the protocol, for which the whole call is rejected.
     node = Node(
         settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),), max_batch_bytes=100),
         (EndpointEntry(10, 1),),
@@ -194,12 +195,10 @@
     node.arrive()
     for size in (60, 50, 40, 120, 10):
         node.arrive(batch_bytes=size)
-    assert attempted(node.settle(1)) == [2, 4]  # the next that fits, also behind one that does not
+    assert attempted(node.settle(1)) == [2, 4]  # message 3 does not fit, message 4 does
     assert [attempted(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
-    assert [attempted(node.settle(m)) for m in (3, 6)] == [
-        [],
-        [5],
-    ]  # one that is too large for any goes alone
+    # Message 5 exceeds the limit by itself and is sent alone.
+    assert [attempted(node.settle(m)) for m in (3, 6)] == [[], [5]]
 
 
 def test_an_unbatched_message_does_not_block_batches() -> None:
@@ -214,9 +213,9 @@
 
 def test_a_slow_destination_fills_half_of_the_slots() -> None:
     node = Node(settings(SAFE, slots=8))
-    for latency in [0.2] * 20 + [2.0] * 8:
+    for latency_s in [0.2] * 20 + [2.0] * 8:
         node.arrive()
-        node.run(latency)
+        node.run(latency_s)
         node.settle(node.serial)
     assert not node.route(1).ejected
     assert len(attempted(node.arrive(count=20))) == 4
@@ -231,48 +230,47 @@
     assert attempted(node.arrive()) == []
 
 
-def gathering(batch: int = 20) -> Node:
-    """One destination that takes four calls a second from two senders."""
-    config = settings(KEYED, kinds=(DestinationKind(batch_size=batch),), instances=2, rates_listed=True)
+def node_with_batches(batch_size: int = 20) -> Node:
+    """One of two forwarders; the listed rate of its destination is four calls per second."""
+    config = settings(KEYED, kinds=(DestinationKind(batch_size=batch_size),), instances=2, rates_listed=True)
     return Node(config, (EndpointEntry(10, 1, listed_rate=4.0),))
 
 
 def test_a_listed_rate_spaces_batches() -> None:
-    # Guards the limit, which counts calls: one for each message was refused, and then all waited.
-    node = gathering()
+    # Guards a limit that counts calls, which calls of one message each would exceed.
+    node = node_with_batches()
     node.arrive()
     assert [attempted(node.arrive()) for _ in range(3)] == [[], [], []]
     assert attempted(node.run(0.3)) == []
     assert attempted(node.run(0.2)) == [2, 3, 4]
-    single = gathering(batch=1)
+    single = node_with_batches(batch_size=1)
     single.arrive()
     assert attempted(single.arrive()) == [2]
 
 
-def spaced(instances: int, rating: float) -> Node:
-    """One of many senders; its destination takes one message in a call."""
-    return Node(
-        settings(KEYED, instances=instances, rates_listed=True), (EndpointEntry(10, 1, listed_rate=rating),)
-    )
+def node_with_single_calls(instances: int, listed_rate: float) -> Node:
+    """One of many forwarders; its destination accepts one message per call."""
+    config = settings(KEYED, instances=instances, rates_listed=True)
+    return Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
 
 
-def test_many_nodes_space_single_calls_by_their_quota_of_the_listed_rate() -> None:
-    # Guards the limit, which refused calls use up as well: bursts of all senders were refused 15 times in 100.
-    node = spaced(10, 20.0)  # its share is two calls a second
+def test_a_large_fleet_spaces_single_calls_by_the_quota_of_each_forwarder() -> None:
+    # Guards the listed rate against simultaneous bursts of all forwarders; rejected calls count in it too.
+    node = node_with_single_calls(10, 20.0)  # its quota is two calls per second
     assert attempted(node.arrive(count=3)) == [1]
     assert attempted(node.run(0.35)) == []
     assert attempted(node.run(0.1)) == [2]
 
 
 def test_a_quota_below_one_call_in_half_a_latency_objective_does_not_bind() -> None:
-    # Guards large fleets: chance, not a share, decides there who calls; a clump must not go call by call.
-    node = spaced(200, 20.0)  # a call in 10 s; the aim is 4 s
+    # In a large fleet few forwarders call a destination at a time; a burst must not be spaced out.
+    node = node_with_single_calls(200, 20.0)  # its quota is one call in 10 s, the latency objective 4 s
     assert attempted(node.arrive(count=3)) == [1, 2, 3]
 
 
-def test_a_node_with_more_traffic_spaces_by_its_fraction_until_rejected() -> None:
-    node = spaced(10, 20.0)
-    for _ in range(200):  # half of what the destination takes came here
+def test_a_forwarder_with_more_traffic_spaces_calls_by_its_own_rate_until_rejected() -> None:
+    node = node_with_single_calls(10, 20.0)
+    for _ in range(200):  # half of the listed rate
         node.arrive()
         node.run(0.1)
         for message in node.in_flight():
@@ -284,8 +282,8 @@
 
 
 def test_possibly_executed_messages_are_batched() -> None:
-    # Guards the repeat window: after a spoilt answer to many, one call each lasted longer than that.
-    node = gathering()
+    # Guards the deduplication window, which is too short for one call per message after a failed batch.
+    node = node_with_batches()
     node.arrive(count=5)
     for message in range(1, 6):
         node.settle(message, Outcome.RESET)
@@ -294,7 +292,7 @@
 
 
 def test_one_idle_state_check_is_scheduled_for_each_destination() -> None:
-    # Guards memory: a timer of a minute for each call stood by the thousand.
+    # Guards memory against a timer of a minute for each call.
     node = Node()
     for _ in range(50):
         node.arrive()
@@ -303,24 +301,24 @@
     assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
 
-def listed(rating: float, **changes: object) -> Node:
-    """Two senders' one destination, with two endpoints and a listed rate."""
+def node_with_listed_rate(listed_rate: float, **changes: object) -> Node:
+    """One of two forwarders; its destination has two endpoints and a listed rate."""
     config = settings(KEYED, instances=2, rates_listed=True, **changes)
-    return Node(config, tuple(EndpointEntry(n, 1, listed_rate=rating) for n in (10, 11)))
+    return Node(config, tuple(EndpointEntry(number, 1, listed_rate=listed_rate) for number in (10, 11)))
 
 
 def test_a_rejection_cuts_the_rate_limit_to_no_less_than_a_fraction_of_the_quota() -> None:
-    # Guards large destinations: a 503 of another cause left 4 of 240 calls a second.
-    for rating, pace in ((400.0, 180.0), (0.0, 1.0)):
-        node = listed(rating)
+    # Guards large destinations, where a single 503 of another cause must not stop nearly all calls.
+    for listed_rate, rate_limit in ((400.0, 180.0), (0.0, 1.0)):
+        node = node_with_listed_rate(listed_rate)
         node.arrive()
         node.settle(node.serial, Outcome.OVERLOADED)
-        assert node.route(1).rate_limit == pytest.approx(pace)
+        assert node.route(1).rate_limit == pytest.approx(rate_limit)
 
 
 def test_an_overtaken_call_is_cancelled_and_retried() -> None:
-    # Guards the slots: a connection that falls silent held one until its message's end, and then failed it.
-    node = listed(0.0)
+    # Guards the slot of a call whose connection is dead, and leaves its message time for a retry.
+    node = node_with_listed_rate(0.0)
     lost = 2
     for _ in range(30):
         node.arrive()
@@ -334,10 +332,14 @@
 
 
 def test_half_open_attempts_and_slow_start_follow_the_listed_quota() -> None:
-    # Guards the return of large destinations: a trial each 3 s, then as many calls as were delivered lately.
-    def calls(rating: float) -> tuple[int, int]:
-        node = listed(
-            rating, slow_start_capacity_fraction=0.2, overload_multiple=2.0, overload_span_s=3.0, slots=40
+    # Guards against trials and a slow start too rare for the listed rate of a large destination.
+    def count_calls(listed_rate: float) -> tuple[int, int]:
+        node = node_with_listed_rate(
+            listed_rate,
+            slow_start_capacity_fraction=0.2,
+            overload_multiple=2.0,
+            overload_span_s=3.0,
+            slots=40,
         )
         node.arrive(count=4)
         for message in range(1, 5):
@@ -346,26 +348,28 @@
             for message in attempted(node.run(0.5)):
                 node.settle(message, Outcome.CONNECT_FAILED)
         assert node.route(1).ejected
-        counted = []
+        counts = []
         for outcome in (Outcome.CONNECT_FAILED, Outcome.OK):
-            before = sum(node.attempts.values())
+            attempts_before = sum(node.attempts.values())
             for _ in range(300):
                 for message in attempted(node.arrive(time_left_s=60.0)) + attempted(node.run(0.02)):
                     node.settle(message, outcome)
-            counted.append(sum(node.attempts.values()) - before)
-        return counted[0], counted[1]
+            counts.append(sum(node.attempts.values()) - attempts_before)
+        return counts[0], counts[1]
 
-    (trials, warming), (few, slow) = calls(100.0), calls(0.0)
-    assert few <= 2 < trials <= 7
-    assert slow < 20 < warming < 6 * 100.0 * 1.5 / 2  # rule 4 leaves twice of what both send
+    trials, slow_start_calls = count_calls(100.0)
+    unlisted_trials, unlisted_slow_start_calls = count_calls(0.0)
+    assert unlisted_trials <= 2 < trials <= 7
+    # Two forwarders together must stay under the overload multiple of the listed rate.
+    assert unlisted_slow_start_calls < 20 < slow_start_calls < 6 * 100.0 * 1.5 / 2
 
 
 def test_a_rate_limit_counts_calls_and_not_messages() -> None:
-    # Guards a paced destination of full calls: each was charged as nearly six, and the queue grew.
-    node = gathering()
+    # Guards the throughput of a rate-limited destination with full batches.
+    node = node_with_batches()
     node.arrive()
     node.settle(node.serial, Outcome.OVERLOADED)
     node.arrive(count=200)
-    sent = node.run(5.0)
-    calls = len({at for at, a in node.log if isinstance(a, StartAttempt)})
-    assert 6 <= calls <= 10 and len(attempted(sent)) >= 120
+    sent = attempted(node.run(5.0))
+    call_count = len({at for at, action in node.log if isinstance(action, StartAttempt)})
+    assert 6 <= call_count <= 10 and len(sent) >= 120
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""One test for each of the six rules; each was seen to fail with its guard taken out."""
+"""The guarantees that the scheduler must keep in every situation, each with its own tests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def zone_scoped_node() -> Node:
-    """A node whose one class deduplicates per zone, with endpoint 10 in zone 0 and endpoint 11 in zone 1."""
+    """A node whose class deduplicates per zone; endpoint 10 is in zone 0 and endpoint 11 in zone 1."""
     zone_keyed = MessageClass(
         latency_objective_s=4.0,
         deadline_s=20.0,
@@ -35,60 +35,60 @@
     return Node(settings(zone_keyed), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
 
 
-def test_1_a_pending_message_is_answered_before_its_deadline() -> None:
+def test_a_pending_message_is_answered_before_its_deadline() -> None:
     node = Node(endpoints=())
     node.arrive(destination=9)
-    seen = node.run(20.02)
-    assert rejected(seen) == [1]
+    actions = node.run(20.02)
+    assert rejected(actions) == [1]
     assert node.run(60.0) == []
 
 
-def test_1_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
+def test_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
     node = Node(settings(ONCE))
     assert attempted(node.arrive()) == [1]
-    seen = node.run(20.02)
-    assert failed(seen) == [1] and rejected(seen) == []
+    actions = node.run(20.02)
+    assert failed(actions) == [1] and rejected(actions) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_2_a_possibly_executed_non_idempotent_message_is_failed_and_never_retried(outcome: Outcome) -> None:
+def test_a_possibly_executed_non_idempotent_message_is_failed_and_never_retried(outcome: Outcome) -> None:
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    seen = node.settle(1, outcome) + node.run(20.0)
-    assert failed(seen) == [1] and attempted(seen) == [] and rejected(seen) == []
+    actions = node.settle(1, outcome) + node.run(20.0)
+    assert failed(actions) == [1] and attempted(actions) == [] and rejected(actions) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
-def test_2_an_unexecuted_non_idempotent_message_is_retried(outcome: Outcome) -> None:
+def test_an_unexecuted_non_idempotent_message_is_retried(outcome: Outcome) -> None:
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
     assert attempted(node.settle(1, outcome) + node.run(5.0)) == [1]
 
 
-def test_2_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
+def test_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
     node = Node(settings(KEYED))
     node.arrive()
     node.run(4.9)
-    seen = node.settle(1, Outcome.TIMEOUT) + node.run(20.0)
-    assert all(at < 105.0 for (m, n), at in node.sent_at.items())
-    assert failed(seen) == [1]
+    actions = node.settle(1, Outcome.TIMEOUT) + node.run(20.0)
+    assert all(at < 105.0 for at in node.sent_at.values())
+    assert failed(actions) == [1]
 
 
-def test_2_an_attempt_with_an_idempotency_key_has_a_start_deadline() -> None:
-    # Seen on join+mass: a repeat waited behind a dial of up to 1 s and was written after its window.
+def test_an_attempt_with_an_idempotency_key_has_a_start_deadline() -> None:
+    # Guards against a retry that waits for a new connection and is sent after the deduplication window.
     node = Node(settings(KEYED, ONCE))
     assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
     node.run(4.0)
-    again = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
-    assert len(again) == 1
-    assert node.sent_at[1, 1] + again[0].start_within_s == pytest.approx(105.0, abs=0.03)
+    retries = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
+    assert len(retries) == 1
+    assert node.sent_at[1, 1] + retries[0].start_within_s == pytest.approx(105.0, abs=0.03)
     assert [a.start_within_s for a in node.arrive(class_index=1) if isinstance(a, StartAttempt)] == [math.inf]
 
 
-def test_2_a_window_that_ends_on_the_clocks_own_rounding_still_binds() -> None:
-    # Seen on a bench day: the timer came one rounding step early and the end of the window was never met.
+def test_a_deduplication_window_is_kept_when_its_timer_fires_early_by_rounding() -> None:
+    # Guards against a timer that fires a rounding error before the end of the window and has no effect.
     node = Node(settings(KEYED, slots=2))
     node.arrive(destination=1)
     node.run(0.01)
@@ -101,32 +101,31 @@
     assert attempted(node.run(14.0)) == []
 
 
-def test_2_a_zone_scoped_retry_stays_in_its_zone() -> None:
+def test_a_zone_scoped_retry_stays_in_its_zone() -> None:
     node = zone_scoped_node()
     node.arrive()
-    first = node.endpoint[1, 0]
+    first_endpoint = node.endpoint[1, 0]
     node.run(0.05)
     node.settle(1, Outcome.ERROR)
     node.run(2.0)
-    assert node.endpoint[1, 1] == first
+    assert node.endpoint[1, 1] == first_endpoint
     node.settle(1, Outcome.ERROR)
-    seen = node.run(8.0)
-    assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first}
-    assert rejected(seen) == []
+    actions = node.run(8.0)
+    assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first_endpoint}
+    assert rejected(actions) == []
 
 
-def test_2_after_a_restart_a_zone_that_is_not_known_any_more_is_no_zone() -> None:
-    # Guards a restart whose list lacks the endpoint that had the call: the repeat went to the zone with number 0.
+def test_after_a_restart_a_zone_scoped_message_with_unlisted_endpoint_is_not_retried() -> None:
+    # Guards against a retry in zone 0 when the endpoint of the earlier attempt is no longer listed.
     node = zone_scoped_node()
     node.arrive(history=(PastAttempt(0, 99.0),))
     assert (attempted(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
-    node.arrive(
-        history=(PastAttempt(0, node.now - 2.0), PastAttempt(11, node.now - 1.0))
-    )  # one that is listed tells its zone
+    # A listed endpoint among the earlier attempts determines the zone.
+    node.arrive(history=(PastAttempt(0, node.now - 2.0), PastAttempt(11, node.now - 1.0)))
     assert node.endpoint[2, 0] == 11
 
 
-def test_3_nothing_goes_to_a_draining_endpoint() -> None:
+def test_a_draining_endpoint_gets_no_attempts() -> None:
     node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
     node.listed(draining_endpoint(10, 1))
     node.arrive(count=6)
@@ -135,9 +134,9 @@
     assert attempted(node.arrive(count=3)) == []
 
 
-def test_4_a_recovering_destination_is_limited_by_a_token_bucket() -> None:
+def test_a_recovering_destination_is_not_overloaded() -> None:
     node = Node(settings(SAFE, slots=40))
-    for _ in range(40):  # 4 delivered calls a second
+    for _ in range(40):  # 4 deliveries per second
         node.arrive()
         node.run(0.05)
         node.settle(node.serial)
@@ -145,29 +144,29 @@
     for _ in range(6):
         node.arrive()
         node.run(0.05)
-        for m in node.in_flight():
-            node.settle(m, Outcome.ERROR)
+        for message in node.in_flight():
+            node.settle(message, Outcome.ERROR)
     node.arrive(count=60)
-    before = len(node.sent_at)
+    attempts_before = len(node.sent_at)
     answered = set()
-    back = node.now + 6.0
-    times = []
-    while node.now < back + 4.0:
-        for (m, n), at in sorted(node.sent_at.items()):
-            if (m, n) not in answered and at <= node.now - 0.05 and n == node.attempts[m] - 1:
-                answered.add((m, n))
-                if m in node.messages and node.messages[m].in_flight:
-                    node.settle(m, Outcome.OK if node.now >= back else Outcome.ERROR)
+    recovers_at = node.now + 6.0
+    while node.now < recovers_at + 4.0:
+        for (message, attempt), at in sorted(node.sent_at.items()):
+            is_latest = attempt == node.attempts[message] - 1
+            if (message, attempt) not in answered and at <= node.now - 0.05 and is_latest:
+                answered.add((message, attempt))
+                if message in node.messages and node.messages[message].in_flight:
+                    node.settle(message, Outcome.OK if node.now >= recovers_at else Outcome.ERROR)
         node.run(0.05)
-    times = [t for t in list(node.sent_at.values())[before:] if t >= back]
+    times = [at for at in list(node.sent_at.values())[attempts_before:] if at >= recovers_at]
     assert times
-    # 1.5 x (0.25 rising to 0.55 within 4 s) x 4 a second, over 2 s, leaves room for 3 to 6 calls.
+    # In 2 s, 1.5 x a capacity fraction that rises from 0.25 to 0.55 x 4 calls per second is 3 to 6 calls.
     for start in times:
-        assert sum(1 for t in times if start <= t < start + 2.0) <= 5
+        assert sum(1 for at in times if start <= at < start + 2.0) <= 5
     assert len(times) < 15
 
 
-def test_5_messages_of_a_key_are_sent_one_at_a_time_with_a_cooldown() -> None:
+def test_messages_of_a_key_are_sent_one_at_a_time_with_a_cooldown() -> None:
     node = Node(settings(ORDERED, key_cooldown_s=0.3))
     node.arrive(ordering_key="a")
     assert attempted(node.arrive(ordering_key="a")) == []
@@ -181,25 +180,25 @@
     assert attempted(node.run(0.02)) == [4]
 
 
-def test_6_retry_after_delays_every_message_of_the_destination() -> None:
+def test_retry_after_delays_every_message_of_the_destination() -> None:
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the pace alone would hold
+    node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the wait by the rate limit
     assert attempted(node.arrive(count=3) + node.run(1.89)) == []
     assert attempted(node.arrive(destination=2)) != []
     assert attempted(node.run(1.0)) != []
 
 
-def test_6_with_separate_routes_retry_after_delays_its_route_only() -> None:
+def test_with_separate_routes_retry_after_delays_its_route_only() -> None:
     node = Node(
         settings(kinds=(DestinationKind(separate_routes=True),)), (EndpointEntry(10, 1), EndpointEntry(11, 1))
     )
     node.arrive()
-    first = node.endpoint[1, 0]
+    first_endpoint = node.endpoint[1, 0]
     node.run(0.1)
     node.settle(1, Outcome.OVERLOADED, retry_after_s=5.0)
     node.run(0.5)
     node.arrive(count=2)
-    later = {ep for key, ep in node.endpoint.items() if key != (1, 0)}
-    assert later and first not in later
+    later_endpoints = {endpoint for key, endpoint in node.endpoint.items() if key != (1, 0)}
+    assert later_endpoints and first_endpoint not in later_endpoints
--- a/tests/test_scheduler_settings.py
+++ b/tests/test_scheduler_settings.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense are turned down with the field's name."""
+"""Invalid settings are rejected with the name of the field."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "field",
     ["slots", "max_open", "instances", "max_attempts", "slow_start_capacity_fraction", "key_cooldown_s"],
 )
-def test_negative_settings_are_named(field: str) -> None:
+def test_the_error_for_a_negative_setting_names_the_field(field: str) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: -1})
 
@@ -28,7 +28,7 @@
         ("priority_weight", "x"),
     ],
 )
-def test_class_fields_are_named(field: str, value: Any) -> None:
+def test_the_error_for_an_invalid_message_class_names_the_field(field: str, value: Any) -> None:
     with pytest.raises(ValueError, match=field):
         MessageClass(**{"latency_objective_s": 1.0, "deadline_s": 2.0, field: value})
 
