--- a/tests/decision_adapter.py
+++ b/tests/decision_adapter.py
@@ -1,8 +1,7 @@
-"""The simulator's adapter with what only the forwarder tells the scheduler, for recorded decisions.
+"""The simulator's adapter, extended by what only the forwarder exchanges with the scheduler.
 
-`RecordedAdapter.answer` takes the events of one batch and returns the answers, as the adapter does. Events may
-have the further fields `History`, `Owed`, `EarlyMs`, `BatchBytes` (of a `Query`) and `TableFull` (of a `Settled`);
-each `Send` among the answers also says `WithinMs` and `Call`.
+A `Query` may also have `History`, `Owed`, `EarlyMs` and `BatchBytes`, and a `Settled` `TableFull`; each
+`Send` also has `WithinMs` and `Call`.
 """
 
 from __future__ import annotations
@@ -17,63 +16,65 @@
 from juniperward.scheduler.settings_codec import read_settings
 from juniperward.simulator_adapter import wire
 
-Body = dict[str, Any]
+Fields = dict[str, Any]
 S_PER_MS = 0.001
 
 
-class RecordedAdapter:
-    """Any number of schedulers behind the simulator's wire."""
+class ExtendedAdapter:
+    """Connects any number of schedulers to encoded events."""
 
     def __init__(self) -> None:
         self.schedulers: dict[str, DeliveryScheduler] = {}
         self.catalogs: wire.Catalogs = {}
 
-    def answer(self, now_ms: float, lines: list[tuple[str, Body]]) -> list[Body]:
-        """Return the answers to one batch of events."""
-        pending: dict[str, list[Event]] = {}
-        for name, body in lines:
+    def answer(self, now_ms: float, lines: list[tuple[str, Fields]]) -> list[Fields]:
+        """Return the answers to a batch of events."""
+        events_by_instance: dict[str, list[Event]] = {}
+        for name, fields in lines:
             if name == "Catalog":
-                self.catalogs[body["Slot"]] = wire.decode_catalog(body)
+                self.catalogs[fields["Slot"]] = wire.decode_catalog(fields)
                 continue
-            who = body["Who"]
+            instance = fields["Who"]
             if name == "Exit":
-                self.schedulers.pop(who, None)
-                pending.pop(who, None)
+                self.schedulers.pop(instance, None)
+                events_by_instance.pop(instance, None)
             elif name == "Configure":
-                pending[who] = []
-                self.schedulers[who] = DeliveryScheduler(read_settings(body["Config"]), body["Entropy"])
+                events_by_instance[instance] = []
+                self.schedulers[instance] = DeliveryScheduler(
+                    read_settings(fields["Config"]), fields["Entropy"]
+                )
             else:
-                pending.setdefault(who, []).append(self._event(name, body))
-        answers: list[Body] = []
-        for who, events in pending.items():
-            for action in self.schedulers[who].handle(now_ms * S_PER_MS, events):
-                answers.append(self._answer(who, action))
+                events_by_instance.setdefault(instance, []).append(self._event(name, fields))
+        answers: list[Fields] = []
+        for instance, events in events_by_instance.items():
+            for action in self.schedulers[instance].handle(now_ms * S_PER_MS, events):
+                answers.append(self._answer(instance, action))
         return answers
 
-    def _event(self, name: str, body: Body) -> Event:
-        event = wire.decode_event(name, body, self.catalogs)
+    def _event(self, name: str, fields: Fields) -> Event:
+        event = wire.decode_event(name, fields, self.catalogs)
         assert event is not None
         if isinstance(event, MessageAdmitted):
             history = tuple(
-                PastAttempt(endpoint, sent * S_PER_MS if sent is not None else None)
-                for endpoint, sent in body.get("History", ())
+                PastAttempt(endpoint, sent_at_ms * S_PER_MS if sent_at_ms is not None else None)
+                for endpoint, sent_at_ms in fields.get("History", ())
             )
-            early = body["EarlyMs"] * S_PER_MS if "EarlyMs" in body else None
+            attempt_for_s = fields["EarlyMs"] * S_PER_MS if "EarlyMs" in fields else None
             event = replace(
                 event,
                 history=history,
-                attempt_for_s=early,
-                never_attempted=body.get("Owed", False),
-                batch_bytes=body.get("BatchBytes", 0),
+                attempt_for_s=attempt_for_s,
+                never_attempted=fields.get("Owed", False),
+                batch_bytes=fields.get("BatchBytes", 0),
             )
         elif isinstance(event, AttemptFinished):
-            event = replace(event, connection_table_full=body.get("TableFull", False))
+            event = replace(event, connection_table_full=fields.get("TableFull", False))
         return event
 
     @staticmethod
-    def _answer(who: str, action: Any) -> Body:
-        answer = wire.encode_action(who, action)
+    def _answer(instance: str, action: Any) -> Fields:
+        answer = wire.encode_action(instance, action)
         if isinstance(action, StartAttempt):
-            within = None if math.isinf(action.start_within_s) else action.start_within_s / S_PER_MS
-            answer["Send"] |= {"WithinMs": within, "Call": action.batch}
+            start_within_ms = None if math.isinf(action.start_within_s) else action.start_within_s / S_PER_MS
+            answer["Send"] |= {"WithinMs": start_within_ms, "Call": action.batch}
         return answer
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -140,9 +140,8 @@
     high = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=5.0)
     node = Node(settings(low, high, slots=2, max_open=20))
     node.arrive(class_index=0, count=9, time_left_s=1.0)
-    assert (
-        rejected(node.arrive(class_index=1, count=10)) == []
-    )  # too early to give up messages without an attempt
+    # Messages that did not execute are not given up before a fraction of their time.
+    assert rejected(node.arrive(class_index=1, count=10)) == []
     node.run(0.71)
     given_up = rejected(node.arrive(class_index=1, count=1))
     assert given_up and all(message <= 10 for message in given_up)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,8 +1,6 @@
-"""The scheduler decides as it did when its decisions were recorded, to the byte of each answer.
+"""The scheduler's decisions equal the recorded ones, to the byte of each answer.
 
-The inputs in `tests/recorded_decisions/` and the digests of the answers were written by the version before its
-code was made readable (`tests/decision_days.py`). A change that is to alter decisions records them anew and says
-in its commit which days changed and why.
+After an intended change of decisions, `tests/decision_days.py` records them again.
 """
 
 from __future__ import annotations
@@ -14,23 +12,23 @@
 
 import pytest
 
-from tests.decision_adapter import RecordedAdapter
-from tests.decision_days import SITUATIONS, digest
+from tests.decision_adapter import ExtendedAdapter
+from tests.decision_days import SCENARIOS, digest
 
 FOLDER = Path(__file__).parent / "recorded_decisions"
 
 
 def recorded_rounds(name: str) -> list[list[Any]]:
-    """The rounds of a recorded day: time in milliseconds, events, digest of the answers."""
+    """The rounds of a recorded scenario: time in milliseconds, events, digest of the answers."""
     text = gzip.decompress((FOLDER / f"{name}.jsonl.gz").read_bytes()).decode()
     return [json.loads(line) for line in text.splitlines()]
 
 
-@pytest.mark.parametrize("name", sorted(SITUATIONS))
+@pytest.mark.parametrize("name", sorted(SCENARIOS))
 def test_decisions_equal_the_recorded_ones(name: str) -> None:
     rounds = recorded_rounds(name)
     assert len(rounds) >= 300
-    adapter = RecordedAdapter()
+    adapter = ExtendedAdapter()
     for number, (at, lines, expected) in enumerate(rounds):
         answers = adapter.answer(at, [(event, body) for event, body in lines])
         assert digest(answers) == expected, f"round {number} at {at} ms: {answers}"
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on small batches written by hand."""
+"""The simulator's adapter: answers to small batches, and errors for malformed input."""
 
 from __future__ import annotations
 
@@ -30,18 +30,19 @@
 }
 
 
-def start(who: str, config: dict[str, Any] | None = None) -> list[dict[str, Any]]:
+def start_events(instance: str, config: dict[str, Any] | None = None) -> list[dict[str, Any]]:
     return [
-        {"Configure": {"Who": who, "Entropy": 1, "Config": config or CONFIG}},
+        {"Configure": {"Who": instance, "Entropy": 1, "Config": config or CONFIG}},
         CATALOG,
-        {"Fleet": {"Who": who, "Scope": 2, "Generation": 1, "Slot": 3}},
+        {"Fleet": {"Who": instance, "Scope": 2, "Generation": 1, "Slot": 3}},
     ]
 
 
-def play(*batches: tuple[float, list[dict[str, Any]]]) -> list[list[dict[str, Any]]]:
+def run_batches(*batches: tuple[float, list[dict[str, Any]]]) -> list[list[dict[str, Any]]]:
+    """Return the answers to each batch, which is a time in milliseconds and events."""
     lines = []
-    for turn, (at, events) in enumerate(batches):
-        for event in [{"Mark": {"TimeMs": at, "turn": turn}}, *events, {"Go": {}}]:
+    for turn, (time_ms, events) in enumerate(batches):
+        for event in [{"Mark": {"TimeMs": time_ms, "turn": turn}}, *events, {"Go": {}}]:
             lines.append(json.dumps(event) + "\n")
     sink = io.StringIO()
     serve(io.StringIO("".join(lines)), sink)
@@ -53,35 +54,41 @@
     return replies[:-1]
 
 
-def query(who: str, number: int) -> dict[str, Any]:
-    return {"Query": {"Who": who, "Corr": number, "Qos": 0, "BudgetMs": 9000.0, "ToExchange": 5, "Odd": True}}
+def message_event(instance: str, number: int) -> dict[str, Any]:
+    fields = {"Who": instance, "Corr": number, "Qos": 0, "BudgetMs": 9000.0, "ToExchange": 5, "Odd": True}
+    return {"Query": fields}
 
 
-def names(reply: list[dict[str, Any]], name: str) -> list[dict[str, Any]]:
+def answers_named(reply: list[dict[str, Any]], name: str) -> list[dict[str, Any]]:
+    """The fields of the answers of one name."""
     return [line[name] for line in reply if name in line]
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert play((0.0, [])) == [[{"Eor": {"turn": 0}}]]
+    assert run_batches((0.0, [])) == [[{"Eor": {"turn": 0}}]]
 
 
-def test_a_message_goes_out_and_its_instances_share_nothing() -> None:
-    replies = play((10.0, start("node/0") + start("node/1")), (15.0, [query("node/1", 4)]))
-    assert names(replies[1], "Send") == [{"Who": "node/1", "Corr": 4, "Endpoint": 77, "TimeoutMs": 9000.0}]
+def test_a_message_is_sent_by_its_own_instance_only() -> None:
+    replies = run_batches(
+        (10.0, start_events("node/0") + start_events("node/1")), (15.0, [message_event("node/1", 4)])
+    )
+    assert answers_named(replies[1], "Send") == [
+        {"Who": "node/1", "Corr": 4, "Endpoint": 77, "TimeoutMs": 9000.0}
+    ]
     assert replies[1][-1] == {"Eor": {"turn": 1}}
 
 
 def test_a_killed_instance_loses_its_pending_messages() -> None:
-    replies = play(
-        (10.0, start("node/0")),
-        (15.0, [query("node/0", 4), {"Exit": {"Who": "node/0"}}]),
+    replies = run_batches(
+        (10.0, start_events("node/0")),
+        (15.0, [message_event("node/0", 4), {"Exit": {"Who": "node/0"}}]),
         (20.0, [{"TickDue": {"Who": "node/0", "Nonce": 1}}]),
     )
     assert replies[1] == [{"Eor": {"turn": 1}}] and replies[2] == [{"Eor": {"turn": 2}}]
 
 
 def test_events_for_messages_not_pending_are_ignored() -> None:
-    odd = [
+    events = [
         {"Withdrawn": {"Who": "node/0", "Corr": 9}},
         {"TickDue": {"Who": "node/0", "Nonce": 99}},
         {"Probed": {"Who": "node/0", "Status": 1, "DelaySeenMs": 1.0, "Endpoint": 1}},
@@ -97,25 +104,25 @@
             }
         },
     ]
-    replies = play((10.0, start("node/0")), (15.0, odd))
+    replies = run_batches((10.0, start_events("node/0")), (15.0, events))
     assert [line for line in replies[1] if "After" not in line] == [{"Eor": {"turn": 1}}]
 
 
-def test_invalid_settings_are_reported_with_their_name() -> None:
-    bad = {**CONFIG, "Specifics": {**CONFIG["Specifics"], "MaxCalls": -1}}
-    (reply,) = play((10.0, start("node/0", bad)))
-    assert "Specifics.MaxCalls" in names(reply, "Die")[0]["NoteText"]
+def test_invalid_settings_are_reported_with_their_key() -> None:
+    invalid = {**CONFIG, "Specifics": {**CONFIG["Specifics"], "MaxCalls": -1}}
+    (reply,) = run_batches((10.0, start_events("node/0", invalid)))
+    assert "Specifics.MaxCalls" in answers_named(reply, "Die")[0]["NoteText"]
 
 
-def test_a_failure_in_the_rules_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_the_scheduler_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     fault = IndexError("no such place")
 
     def broken(*_args: object) -> None:
         raise fault
 
     monkeypatch.setattr("juniperward.scheduler.DeliveryScheduler.handle", broken)
-    (reply,) = play((10.0, start("node/0")))
-    assert "no such place" in names(reply, "Die")[0]["NoteText"]
+    (reply,) = run_batches((10.0, start_events("node/0")))
+    assert "no such place" in answers_named(reply, "Die")[0]["NoteText"]
 
 
 @pytest.mark.parametrize(
@@ -127,12 +134,12 @@
         '{"Mark":{"TimeMs":1,"turn":1}}\n{"Nonesuch":{"Who":"node/0"}}\n{"Go":{}}\n',
     ],
 )
-def test_malformed_input_ends_without_a_half_written_reply(text: str) -> None:
+def test_malformed_input_is_an_error_without_a_partial_reply(text: str) -> None:
     sink = io.StringIO()
     with pytest.raises(WireError):
         serve(io.StringIO(text), sink)
     assert sink.getvalue() == ""
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "juniperward.simulator_adapter"],
         input=text,
         text=True,
@@ -140,15 +147,15 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode != 0 and done.stdout == "" and len(done.stderr.splitlines()) == 1
+    assert process.returncode != 0 and process.stdout == "" and len(process.stderr.splitlines()) == 1
 
 
-def test_the_readmes_example_prints_what_it_says() -> None:
+def test_the_example_in_the_readme_prints_the_output_shown_there() -> None:
     text = (ROOT / "README.md").read_text()
     code = re.search(r"<!-- example -->\n```python\n(.*?)```", text, re.S)
-    said = re.search(r"<!-- output -->\n```text\n(.*?)```", text, re.S)
-    assert code and said
-    done = subprocess.run(
+    shown = re.search(r"<!-- output -->\n```text\n(.*?)```", text, re.S)
+    assert code and shown
+    process = subprocess.run(
         [sys.executable, "-c", code[1]], text=True, capture_output=True, cwd=ROOT, check=True
     )
-    assert done.stdout == said[1]
+    assert process.stdout == shown[1]
