--- a/tests/decision_days.py
+++ b/tests/decision_days.py
@@ -408,7 +408,8 @@
     "restarts_of_many": Scenario(
         24, _config(*ALL_CLASSES, Instances=40, Weights="nominal"), 2400, 3, listed_rate=20.0,
         limit_per_s=14.0, extended=True, restarts_ms=(4000.0, 9000.0),
-        outages=((3000.0, 8000.0, CONNECT_FAILED),), arrivals_per_s=25.0, retry_after_ms=1500.0, list_changes=True,
+        outages=((3000.0, 8000.0, CONNECT_FAILED),), arrivals_per_s=25.0, retry_after_ms=1500.0,
+        list_changes=True,
     ),
     "probed": Scenario(
         25, _config(_message_class("once", DeadlineMs=9000.0), Limits=HEALTH_CHECKS), 1800, load_reports=True,
