--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -50,7 +50,7 @@
 
     def give_up(self, message: Message) -> None:
         """Answer a message at once: reject it if the client may safely submit it again, otherwise fail it."""
-        if self._is_retry_harmless(message):
+        if self._is_resubmission_safe(message):
             self._act(Reject(message.id, self._retry_after(message.destination)))
         else:
             self._act(Fail(message.id))
@@ -89,7 +89,7 @@
     def _expire(self, message: Message) -> None:
         """Give up a queued message; fail one in flight within the answer slack after its deadline.
 
-        Every message gets a final answer in time, whatever becomes of its attempts.
+        Every message thus gets a final answer in time, even if an attempt never ends.
         """
         if message.ended:
             return
@@ -102,7 +102,7 @@
             self._act(Fail(message.id))
             self._backlog.end(message)
 
-    def _is_retry_harmless(self, message: Message) -> bool:
+    def _is_resubmission_safe(self, message: Message) -> bool:
         """Return whether the client may safely submit the message again, also to another endpoint."""
         if not message.possibly_executed or message.idempotency is Idempotency.IDEMPOTENT:
             return True
