--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -11,7 +11,7 @@
 from juniperward.agent.state import State
 from juniperward.fleet.decisions import phase
 from juniperward.fleet.model import Instance, Phase
-from juniperward.fleet.roll_model import ACTIVE, FleetView
+from juniperward.fleet.roll_model import ACTIVE_STAGES, FleetView
 
 
 class Round:
@@ -49,7 +49,7 @@
         roll, name = self.state.roll, found.get("instance")
         if roll is not None and not roll.over and name is not None:
             step = roll.step_of(name)
-            if step is not None and step.stage in ACTIVE:
+            if step is not None and step.stage in ACTIVE_STAGES:
                 found |= {"roll": roll.id, "step": step.stage.value}
         self.emit(LogEvent(event, found, level))
 
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -43,7 +43,7 @@
 
 OVER = frozenset({RollMode.DONE, RollMode.UNDONE, RollMode.ENDED})
 ADVANCING = frozenset({RollMode.IN_PROGRESS, RollMode.UNDOING})
-ACTIVE = frozenset({RollStage.DRAINING, RollStage.STOPPING, RollStage.STARTING, RollStage.SOAKING})
+ACTIVE_STAGES = frozenset({RollStage.DRAINING, RollStage.STOPPING, RollStage.STARTING, RollStage.SOAKING})
 FINISHED = frozenset({RollStage.DONE, RollStage.SKIPPED})
 
 
--- a/juniperward/fleet/roll_progress.py
+++ b/juniperward/fleet/roll_progress.py
@@ -14,7 +14,7 @@
 
 from juniperward.fleet.roll_commands import pause
 from juniperward.fleet.roll_model import (
-    ACTIVE,
+    ACTIVE_STAGES,
     FINISHED,
     FleetView,
     Roll,
@@ -34,7 +34,7 @@
         return RollProgress(roll)
     orders: list[RollOrder] = []
     for step in roll.steps:
-        if step.stage in ACTIVE:
+        if step.stage in ACTIVE_STAGES:
             roll, more = advance_step(roll, step, fleet)
             orders += more
     if roll.advancing:
@@ -51,7 +51,7 @@
     """Begin with the next instances, as far as floor and batch size allow."""
     orders: list[RollOrder] = []
     ready = fleet.ready()
-    active = {step.name for step in roll.steps if step.stage in ACTIVE}
+    active = {step.name for step in roll.steps if step.stage in ACTIVE_STAGES}
     blocked = ""
     for step in _waiting(roll, ready):
         if len(active) >= roll.rules.batch_size:
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -41,7 +41,7 @@
 from juniperward.agent.reducer import Reducer
 from juniperward.agent.state import PersistentState, Rules
 from juniperward.fleet.model import Process, Reading, RestartPolicy, RollRules, Timeouts
-from tests.test_fleet import BLANK
+from tests.test_fleet import READY_READING
 
 RULES = Rules(
     RestartPolicy(first_delay_s=0.3, max_delay_s=2.0), Timeouts(unresponsive_s=1.0, start_s=8.0, stop_s=2.0),
@@ -188,7 +188,7 @@
     def reading(self, m: Machine) -> Reading:
         up = self.now - m.born >= 0.3
         return replace(
-            BLANK, at=self.now, pid=m.process.pid, phase="drained" if m.drained else "serving",
+            READY_READING, at=self.now, pid=m.process.pid, phase="drained" if m.drained else "serving",
             ready=up and not m.drained, discovery_synced=up, delivered=m.delivered,
         )  # fmt: skip
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
 from juniperward.fleet.service import Meter, Tally
 
 TIMEOUTS = Timeouts()
-BLANK = Reading(
+READY_READING = Reading(
     at=0.0,
     pid=1,
     phase="serving",
@@ -120,7 +120,7 @@
                 self.fleet[name] = replace(i, unanswered_since=since)
                 continue
             bad = name in self.barren and i.configuration_version == "b"
-            r = i.reading or replace(BLANK, pid=i.process.pid)
+            r = i.reading or replace(READY_READING, pid=i.process.pid)
             r = replace(
                 r, at=self.now, delivered=r.delivered + (0 if bad else 5),
                 attempts_failed=r.attempts_failed + (5 if bad else 0),
@@ -169,16 +169,18 @@
 class TestStates:
     def test_each_state_is_derived_from_its_facts(self, subtests: pytest.Subtests) -> None:
         now, alive = 100.0, Process(1, 1)
-        base = Instance("a", DesiredState.RUNNING, alive, started_at=90.0, reading=BLANK, was_ready=True)
+        base = Instance(
+            "a", DesiredState.RUNNING, alive, started_at=90.0, reading=READY_READING, was_ready=True
+        )
         cases = [
             (Instance("a"), Phase.STOPPED),
             (Instance("a", crashes=Crashes(crash_loop="x")), Phase.FAILED),
             (replace(base, reading=None, was_ready=False), Phase.STARTING),
             (base, Phase.READY),
-            (replace(base, reading=replace(BLANK, discovery_synced=False)), Phase.STARTING),
-            (replace(base, reading=replace(BLANK, phase="draining", ready=False)), Phase.DRAINING),
-            (replace(base, reading=replace(BLANK, phase="drained", ready=False)), Phase.DRAINED),
-            (replace(base, reading=replace(BLANK, phase="stopping", ready=False)), Phase.STOPPING),
+            (replace(base, reading=replace(READY_READING, discovery_synced=False)), Phase.STARTING),
+            (replace(base, reading=replace(READY_READING, phase="draining", ready=False)), Phase.DRAINING),
+            (replace(base, reading=replace(READY_READING, phase="drained", ready=False)), Phase.DRAINED),
+            (replace(base, reading=replace(READY_READING, phase="stopping", ready=False)), Phase.STOPPING),
             (replace(base, stopping_since=99.0, unanswered_since=1.0), Phase.STOPPING),
             (replace(base, unanswered_since=97.0), Phase.UNRESPONSIVE),
             (replace(base, unanswered_since=99.0), Phase.READY),
@@ -416,7 +418,9 @@
     def test_counts_survive_restarts(self) -> None:
         meter = Meter()
         for now, pid, delivered in ((0.0, 1, 100), (1.0, 1, 110), (2.0, 2, 4), (3.0, 2, 8)):
-            meter = meter.with_readings(now, {"a": replace(BLANK, pid=pid, delivered=delivered)}, 30.0)
+            meter = meter.with_readings(
+                now, {"a": replace(READY_READING, pid=pid, delivered=delivered)}, 30.0
+            )
         assert meter.total == Tally(118, 0)
         assert meter.recent(3.0, 1.0) == Tally(4, 0)
         assert Tally().success_rate is None
