--- a/juniperward/fleet/__init__.py
+++ b/juniperward/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided about many instances: pure, without clock, thread or I/O."""
+"""Decisions about a fleet of forwarders. Pure functions, without clock, threads or I/O."""
