--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -17,8 +17,8 @@
 def phase(instance: Instance, now: float, timeouts: Timeouts) -> Phase:
     """Return the observed phase of an instance.
 
-    An instance that does not answer is unresponsive, whatever its last reading says. An instance that was ordered to
-    stop is stopping, whether it answers or not.
+    An instance that does not answer is unresponsive, whatever its last reading says. An instance that was
+    ordered to stop is stopping, whether it answers or not.
     """
     if instance.process is None:
         return Phase.FAILED if instance.crashes.crash_loop else Phase.STOPPED
@@ -52,9 +52,9 @@
 ) -> Instance:
     """Return the instance after its process has exited.
 
-    A requested exit clears the crash history and ends a drain. Any other exit is a crash: the instance is restarted
-    after an exponential backoff, or not at all if it is in a crash loop. `random_fraction`, from 0 to 1, sets the
-    jitter of the backoff.
+    A requested exit clears the crash history and ends a drain. Any other exit is a crash: the instance is
+    restarted after an exponential backoff, or not at all if it is in a crash loop. `random_fraction`, from 0
+    to 1, sets the jitter of the backoff.
     """
     requested = instance.stopping_since is not None or instance.desired_state is DesiredState.STOPPED
     exited = replace(
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -1,7 +1,7 @@
 """The values that decisions about a fleet are made from.
 
-All times are seconds of one monotonic clock that the caller chooses. The agent uses the machine's monotonic clock,
-which continues when the agent restarts.
+All times are seconds of one monotonic clock that the caller chooses. The agent uses the machine's monotonic
+clock, which continues when the agent restarts.
 """
 
 from __future__ import annotations
@@ -160,7 +160,8 @@
         first_delay_s: The delay before the first restart; it doubles with each consecutive crash.
         max_delay_s: The upper limit of the delay, before jitter.
         jitter: The fraction by which the delay varies in both directions.
-        stable_after_s: Once a process that was ready has run for so long, its next crash counts as the first.
+        stable_after_s: Once a process that was ready has run for so long, its next crash counts as the
+            first.
         crash_limit: The number of crashes within `crash_window_s` that is a crash loop.
         crash_window_s: The time over which crashes are counted.
 
@@ -194,18 +195,21 @@
 class RollRules:
     """How a roll proceeds.
 
-    A success rate is the fraction of finished attempts that succeeded, from 0 to 1. The baseline is the fleet's
-    success rate before the roll.
+    A success rate is the fraction of finished attempts that succeeded, from 0 to 1. The baseline is the
+    fleet's success rate before the roll.
 
     Attributes:
         batch_size: Instances that are restarted at the same time.
         min_ready: The floor: the number of instances that must stay ready at any time.
-        drain_timeout_s: Time after which a draining instance is stopped; its pending messages stay in its journal.
+        drain_timeout_s: Time after which a draining instance is stopped; its pending messages stay in its
+            journal.
         soak_s: Minimum time that a ready instance is observed before the next one is restarted.
         max_soak_s: Maximum soak of an instance that has too few finished attempts to be judged by.
         min_attempts: Finished attempts that a success rate is judged by.
-        instance_success_factor: The success rate that a restarted instance must reach, relative to the baseline.
-        fleet_success_factor: The success rate that the fleet must keep during the roll, relative to the baseline.
+        instance_success_factor: The success rate that a restarted instance must reach, relative to the
+            baseline.
+        fleet_success_factor: The success rate that the fleet must keep during the roll, relative to the
+            baseline.
         success_window_s: The time over which the fleet's success rate is computed.
         blocked_timeout_s: Time after which a roll that the floor blocks pauses.
         kill: Whether to end instances by SIGKILL, without a drain, to rehearse crashes.
--- a/juniperward/fleet/roll_commands.py
+++ b/juniperward/fleet/roll_commands.py
@@ -1,6 +1,7 @@
-"""What a person may do with a roll: plan one, pause it, resume, undo or end it. No clock, no I/O.
+"""Operator commands for a roll: plan, pause, resume, undo and end it, or skip an instance.
 
-Called by the agent's reducer (`requests`, `instances`), and by a roll that pauses by itself (`roll_progress`).
+Pure functions. The agent's reducer calls them on requests; `roll_progress` and `roll_steps` use `pause` for
+a roll that pauses by itself.
 """
 
 from __future__ import annotations
@@ -29,10 +30,12 @@
 
 
 def plan(roll_id: str, target: str, names: list[str], rules: RollRules, fleet: FleetView) -> Roll:
-    """Return a roll of these instances. Those that are not ready come first: their restart costs nothing.
+    """Return a roll of the named instances that should run.
+
+    Instances that are not ready come first, as their restart does not reduce the number of ready instances.
 
     Raises:
-        RollRejectedError: for unknown names, none at all, or a floor that allows no restart.
+        RollRejectedError: If a name is unknown, no instance should run, or the rules allow no restart.
 
     """
     running = _running(names, fleet)
@@ -58,29 +61,32 @@
 def _check_rules(rules: RollRules, fleet: FleetView) -> None:
     if rules.batch_size < 1:
         raise BatchSizeError
-    meant_to_run = sum(
+    desired_running = sum(
         instance.desired_state is DesiredState.RUNNING for instance in fleet.instances.values()
     )
-    if rules.min_ready > meant_to_run - 1:
-        raise FloorError(rules.min_ready, meant_to_run)
+    if rules.min_ready > desired_running - 1:
+        raise FloorError(rules.min_ready, desired_running)
 
 
 def check_not_over(roll: Roll) -> None:
-    """Raise RollOverError where nothing more is to happen with this roll."""
+    """Raise RollOverError if the roll is over."""
     if roll.over:
         raise RollOverError(roll.id, roll.mode.value)
 
 
-def pause(roll: Roll, why: str) -> Roll:
-    """Return the roll paused: no further instance is begun, one under way is completed."""
-    return roll if roll.over else replace(roll, mode=RollMode.PAUSED, reason=why, blocked_since=None)
+def pause(roll: Roll, reason: str) -> Roll:
+    """Return the roll paused, or unchanged if it is over.
+
+    No restart of another instance is begun; those in progress are completed.
+    """
+    return roll if roll.over else replace(roll, mode=RollMode.PAUSED, reason=reason, blocked_since=None)
 
 
 def resume(roll: Roll) -> Roll:
-    """Return the roll in progress again; an instance that failed is restarted once more.
+    """Return a paused roll in progress again; instances that failed are restarted once more.
 
     Raises:
-        RollNotPausedError: where it is not paused.
+        RollNotPausedError: If the roll is not paused.
 
     """
     if roll.mode is not RollMode.PAUSED:
@@ -92,57 +98,57 @@
 
 
 def undo(roll: Roll) -> RollProgress:
-    """Return the roll that brings all that it has touched back to what it ran before, the latest first.
+    """Return the roll undoing: restarted instances get their previous version back, the latest first.
 
-    What is only draining accepts messages again; what was restarted with the version that it had before has
-    nothing to go back to, and stays as it is.
+    A draining instance accepts messages again. An instance whose previous version is the target version is
+    not restarted once more.
 
     Raises:
-        RollOverError: where it is over.
+        RollOverError: If the roll is over.
 
     """
     check_not_over(roll)
-    steps = tuple(_undone(step, roll.target_version) for step in reversed(roll.steps))
-    orders = _resume_drained(tuple(reversed(roll.steps)))
+    steps = tuple(_step_to_undo(step, roll.target_version) for step in reversed(roll.steps))
+    orders = _resume_orders(tuple(reversed(roll.steps)))
     undoing = replace(roll, mode=RollMode.UNDOING, reason="undone by order", steps=steps, blocked_since=None)
     return RollProgress(undoing, orders)
 
 
-def _undone(step: RollStep, target: str) -> RollStep:
-    """Return a step as undoing begins with it."""
+def _step_to_undo(step: RollStep, target_version: str) -> RollStep:
+    """Return the step in the stage from which undoing continues."""
     match step.stage:
         case RollStage.DRAINING:
-            return replace(step, stage=RollStage.SKIPPED, detail="takes messages again")
+            return replace(step, stage=RollStage.SKIPPED, detail="accepts messages again")
         case RollStage.WAITING | RollStage.SKIPPED:
-            return replace(step, stage=RollStage.SKIPPED, detail=step.detail or "not begun")
-        case _ if step.previous_version != target:
+            return replace(step, stage=RollStage.SKIPPED, detail=step.detail or "not restarted by this roll")
+        case _ if step.previous_version != target_version:
             return replace(step, stage=RollStage.WAITING, detail="")
         case RollStage.DONE:
-            return replace(step, stage=RollStage.SKIPPED, detail="nothing to go back to")
+            return replace(step, stage=RollStage.SKIPPED, detail="has no other version to restore")
         case _:
             return replace(step, detail="")
 
 
-def _resume_drained(steps: tuple[RollStep, ...]) -> tuple[RollOrder, ...]:
+def _resume_orders(steps: tuple[RollStep, ...]) -> tuple[RollOrder, ...]:
     draining = (step for step in steps if step.stage is RollStage.DRAINING)
     return tuple(RollOrder(RollCommand.RESUME, step.name) for step in draining)
 
 
 def end(roll: Roll) -> RollProgress:
-    """Return the roll ended, with all as it is but for what is draining: that accepts messages again.
+    """Return the roll ended: instances stay as they are, except that draining ones accept messages again.
 
     Raises:
-        RollOverError: where it is over.
+        RollOverError: If the roll is over already.
 
     """
     check_not_over(roll)
     ended = replace(roll, mode=RollMode.ENDED, reason="ended by order")
-    return RollProgress(ended, _resume_drained(roll.steps))
+    return RollProgress(ended, _resume_orders(roll.steps))
 
 
-def skip_instance(roll: Roll, name: str, why: str) -> Roll:
-    """Return the roll without an instance that was given another order meanwhile."""
+def skip_instance(roll: Roll, name: str, reason: str) -> Roll:
+    """Return the roll with an instance skipped, unless its restart is done or it is not part of the roll."""
     step = roll.step_of(name)
     if step is None or step.stage is RollStage.DONE:
         return roll
-    return roll.with_step(replace(step, stage=RollStage.SKIPPED, detail=why))
+    return roll.with_step(replace(step, stage=RollStage.SKIPPED, detail=reason))
--- a/juniperward/fleet/roll_errors.py
+++ b/juniperward/fleet/roll_errors.py
@@ -1,4 +1,4 @@
-"""Why a request for a roll is rejected; the text of each goes to the client.
+"""Errors that reject a request for a roll; the agent returns their text to its client.
 
 Raised by `roll_commands` and by the agent's reducer.
 """
@@ -9,108 +9,108 @@
 
 
 class RollRejectedError(Exception):
-    """A request that cannot be followed."""
+    """A request for a roll was rejected."""
 
 
 class UnknownInstanceError(RollRejectedError):
-    """The request names instances that the settings do not have."""
+    """The request names instances that are not in the settings."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        """Name them."""
+        """Build the message from the unknown names."""
         self.names = tuple(names)
         super().__init__(f"no such instance: {', '.join(names)}")
 
 
 class NothingRunningError(RollRejectedError):
-    """None of the instances is meant to run."""
+    """None of the named instances should run."""
 
     def __init__(self) -> None:
-        """Build the text."""
-        super().__init__("none of these instances is meant to run")
+        """Build the message."""
+        super().__init__("the desired state of all of these instances is stopped")
 
 
 class BatchSizeError(RollRejectedError):
-    """No instance at all may be restarted at a time."""
+    """The batch size is less than 1."""
 
     def __init__(self) -> None:
-        """Build the text."""
-        super().__init__("at_once: at least one instance at a time")
+        """Build the message."""
+        super().__init__("at_once: must be at least 1")
 
 
 class FloorError(RollRejectedError):
-    """So many instances must stay ready that none can be restarted."""
+    """The floor is so high that no instance can be restarted."""
 
-    def __init__(self, floor: int, meant_to_run: int) -> None:
-        """Take the floor, and how many instances are meant to run."""
-        self.floor, self.meant_to_run = floor, meant_to_run
-        super().__init__(f"floor: {floor} of {meant_to_run} must stay ready, so none can be restarted")
+    def __init__(self, floor: int, desired_running: int) -> None:
+        """Build the message from the floor and the number of instances that should run."""
+        self.floor, self.desired_running = floor, desired_running
+        super().__init__(f"floor: {floor} of {desired_running} must stay ready, so none can be restarted")
 
 
 class RollOverError(RollRejectedError):
-    """The roll is over."""
+    """The roll is over and accepts no commands."""
 
     def __init__(self, roll_id: str, mode: str) -> None:
-        """Name the roll and the mode that it ended in."""
+        """Build the message from the roll's id and its final mode."""
         self.roll_id, self.mode = roll_id, mode
         super().__init__(f"roll {roll_id} is over: {mode}")
 
 
 class RollNotPausedError(RollRejectedError):
-    """Only a paused roll can go on."""
+    """A roll that is not paused cannot be resumed."""
 
     def __init__(self, roll_id: str, mode: str) -> None:
-        """Name the roll and its mode."""
+        """Build the message from the roll's id and its mode."""
         self.roll_id, self.mode = roll_id, mode
         super().__init__(f"roll {roll_id} is {mode}, not paused")
 
 
 class RollUnderWayError(RollRejectedError):
-    """Another roll is not over yet."""
+    """A roll cannot be planned while another one is not over."""
 
     def __init__(self, roll_id: str, mode: str) -> None:
-        """Name the roll and its mode."""
+        """Build the message from the other roll's id and its mode."""
         self.roll_id, self.mode = roll_id, mode
         super().__init__(f"roll {roll_id} is under way ({mode})")
 
 
 class RollBeingSavedError(RollRejectedError):
-    """A step of the roll is being stored; the request may be sent again at once."""
+    """A changed roll is being stored; the client may retry at once."""
 
     def __init__(self) -> None:
-        """Build the text."""
-        super().__init__("a step of a roll is being stored; send the request again")
+        """Build the message."""
+        super().__init__("a changed roll is being stored; send the request again")
 
 
 class NoRollError(RollRejectedError):
-    """No roll has been made yet."""
+    """The agent has no roll yet."""
 
     def __init__(self) -> None:
-        """Build the text."""
-        super().__init__("no roll has been made")
+        """Build the message."""
+        super().__init__("there is no roll")
 
 
 class UnknownOrderError(RollRejectedError):
-    """The agent knows no such order."""
+    """The agent's API has no such verb."""
 
     def __init__(self, verb: str) -> None:
-        """Name it."""
+        """Build the message from the verb."""
         self.verb = verb
-        super().__init__(f"no such order: {verb}")
+        super().__init__(f"no such verb: {verb}")
 
 
 class UnknownRuleError(RollRejectedError):
-    """A roll has no such rule."""
+    """A roll has no rule of this name."""
 
     def __init__(self, rule: str) -> None:
-        """Name it."""
+        """Build the message from the rule's name."""
         self.rule = rule
-        super().__init__(f"no such rule of a roll: {rule}")
+        super().__init__(f"no such roll rule: {rule}")
 
 
 class RuleValueError(RollRejectedError):
-    """A rule of a roll cannot have this value."""
+    """The value of a roll rule is invalid."""
 
-    def __init__(self, rule: str, why: str) -> None:
-        """Name the rule, and why the value does not fit."""
+    def __init__(self, rule: str, problem: str) -> None:
+        """Build the message from the rule's name and what is wrong with the value."""
         self.rule = rule
-        super().__init__(f"{rule}: {why}")
+        super().__init__(f"{rule}: {problem}")
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -1,7 +1,7 @@
-"""The values of a rolling restart: the plan, its steps, the orders that it gives, and the fleet that it sees.
+"""The values of a rolling restart: the roll, its steps, its orders to instances, and its view of the fleet.
 
-Used by `roll_commands` and `roll_progress`, which change a roll, and by the agent, which stores it
-(`agent.state_codec`) and carries its orders out.
+`roll_commands`, `roll_progress` and `roll_steps` change a roll. The agent stores it (`agent.state_codec`)
+and carries out its orders.
 """
 
 from __future__ import annotations
@@ -19,95 +19,125 @@
 
 
 class RollStage(StrEnum):
-    """Where one instance is in a roll; the values are those of the state file and of the agent's API."""
+    """The stage of one instance in a roll; the values are those of the state file and of the agent's API.
+
+    Attributes:
+        SOAKING: It is ready, and its attempts are observed before the next instance is restarted.
+        SKIPPED: The roll does not restart it, or no longer does.
+
+    """
 
     WAITING = "waiting"
     DRAINING = "draining"
     STOPPING = "stopping"
     STARTING = "starting"
-    SOAKING = "soaking"  # ready, and observed before the next instance is restarted
+    SOAKING = "soaking"
     DONE = "done"
-    SKIPPED = "left out"  # stopped, or ordered otherwise, while the roll was under way
+    SKIPPED = "left out"
 
 
 class RollMode(StrEnum):
-    """What a complete roll is doing; the values are those of the state file and of the agent's API."""
+    """The state of a whole roll; the values are those of the state file and of the agent's API.
+
+    Attributes:
+        ENDED: Ended by order; instances that were not restarted keep their version.
+
+    """
 
     IN_PROGRESS = "going"
     PAUSED = "paused"
     UNDOING = "undoing"
     DONE = "done"
     UNDONE = "undone"
-    ENDED = "ended"  # by order, with what was not begun left as it was
+    ENDED = "ended"
 
 
-OVER = frozenset({RollMode.DONE, RollMode.UNDONE, RollMode.ENDED})
-ADVANCING = frozenset({RollMode.IN_PROGRESS, RollMode.UNDOING})
+FINAL_MODES = frozenset({RollMode.DONE, RollMode.UNDONE, RollMode.ENDED})
+ADVANCING_MODES = frozenset({RollMode.IN_PROGRESS, RollMode.UNDOING})
 ACTIVE_STAGES = frozenset({RollStage.DRAINING, RollStage.STOPPING, RollStage.STARTING, RollStage.SOAKING})
-FINISHED = frozenset({RollStage.DONE, RollStage.SKIPPED})
+FINAL_STAGES = frozenset({RollStage.DONE, RollStage.SKIPPED})
 
 
 @dataclass(frozen=True, slots=True)
 class RollStep:
-    """One instance in a roll."""
+    """The restart of one instance in a roll.
+
+    Attributes:
+        name: The name of the instance.
+        previous_version: Its configuration version when the roll was planned; an undo restores it.
+        stage_since: When it entered its stage.
+        detail: What was unusual, as text for people; begins with FAILURE_MARK if the instance failed.
+
+    """
 
     name: str
-    previous_version: str  # the configuration version that it ran when the roll was made; an undo restores it
+    previous_version: str
     stage: RollStage = RollStage.WAITING
     stage_since: float = 0.0
-    detail: str = ""  # for a person: what was unusual about the stage
+    detail: str = ""
 
     @property
     def failed(self) -> bool:
-        """Whether the instance did not come up, or did not deliver; the roll is paused for it."""
+        """Whether the instance did not become ready or its attempts failed, which pauses the roll."""
         return self.detail.startswith(FAILURE_MARK)
 
 
 @dataclass(frozen=True, slots=True)
 class Roll:
-    """A rolling restart: its plan and how far it has come."""
+    """A rolling restart: its plan and its progress.
+
+    Attributes:
+        target_version: The configuration version that all its instances should run.
+        steps: The instances in the order in which they are restarted.
+        reason: Why it is paused, undoing or ended.
+        baseline_success_rate: The success rate of the fleet's attempts before the roll, from 0 to 1; None
+            without any.
+        made_at: When it was planned.
+        blocked_since: Since when the floor forbids the next restart; None if it does not.
+
+    """
 
     id: str
-    target_version: str  # the configuration version that all are to run
+    target_version: str
     rules: RollRules
     steps: tuple[RollStep, ...]
     mode: RollMode = RollMode.IN_PROGRESS
-    reason: str = ""  # of a pause, or of an end
-    baseline_success_rate: float | None = None  # of the fleet's attempts before the roll, from 0 to 1
+    reason: str = ""
+    baseline_success_rate: float | None = None
     made_at: float = 0.0
-    blocked_since: float | None = None  # since when the floor keeps the next instance from being restarted
+    blocked_since: float | None = None
 
     @property
     def over(self) -> bool:
-        """Whether nothing more is to happen."""
-        return self.mode in OVER
+        """Whether the roll is in a final mode."""
+        return self.mode in FINAL_MODES
 
     @property
     def advancing(self) -> bool:
-        """Whether the next instances are to be restarted."""
-        return self.mode in ADVANCING
+        """Whether the roll restarts further instances."""
+        return self.mode in ADVANCING_MODES
 
     def version_for(self, step: RollStep) -> str:
-        """Return the configuration version that this instance is to run."""
+        """Return the configuration version with which to start this instance."""
         return step.previous_version if self.mode is RollMode.UNDOING else self.target_version
 
     def step_of(self, name: str) -> RollStep | None:
-        """Return an instance's step, or None where it is no part of the roll."""
+        """Return an instance's step, or None if the instance is not part of the roll."""
         return next((step for step in self.steps if step.name == name), None)
 
     def enter_stage(self, step: RollStep, stage: RollStage, now: float, detail: str = "") -> Roll:
-        """Return the roll with an instance at its next stage."""
+        """Return the roll with a step in another stage, entered now."""
         return self.with_step(replace(step, stage=stage, stage_since=now, detail=detail))
 
     def with_step(self, changed: RollStep) -> Roll:
-        """Return the roll with one step changed."""
+        """Return the roll with the step of the same name replaced."""
         return replace(
             self, steps=tuple(changed if step.name == changed.name else step for step in self.steps)
         )
 
 
 class RollCommand(StrEnum):
-    """What an order has the agent do with an instance."""
+    """What the agent does with an instance to carry out an order."""
 
     DRAIN = "drain"
     RESUME = "resume"
@@ -118,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RollOrder:
-    """A command for an instance; `configuration_version` belongs to a start."""
+    """A command for an instance; `configuration_version` is empty unless the command is START."""
 
     command: RollCommand
     name: str
@@ -126,7 +156,7 @@
 
 
 class RollProgress(NamedTuple):
-    """A roll after a decision, and the orders to instances that follow from it."""
+    """A roll after a decision, and the resulting orders to instances."""
 
     roll: Roll
     orders: tuple[RollOrder, ...] = ()
@@ -134,9 +164,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The fleet at one moment: all that a decision about a roll looks at.
+    """A snapshot of the fleet, the input of decisions about a roll.
 
-    `now` and the times of the instances are seconds of one clock that does not jump.
+    `now` and the times of the instances are seconds of the same monotonic clock.
     """
 
     instances: Mapping[str, Instance]
@@ -145,13 +175,13 @@
     timeouts: Timeouts
 
     def phase_of(self, instance: Instance) -> Phase:
-        """Return the observed state of an instance."""
+        """Return the observed phase of an instance."""
         return phase(instance, self.now, self.timeouts)
 
     def ready(self) -> set[str]:
-        """Return the names of the instances that accept messages."""
+        """Return the names of the ready instances."""
         return {name for name, instance in self.instances.items() if self.phase_of(instance) is Phase.READY}
 
     def recent(self, window_s: float) -> Tally:
-        """Return the attempts of the whole fleet that finished within the last seconds."""
+        """Return the fleet's attempts that finished within the last `window_s` seconds."""
         return self.meter.recent(self.now, window_s)
--- a/juniperward/fleet/roll_steps.py
+++ b/juniperward/fleet/roll_steps.py
@@ -1,8 +1,7 @@
-"""One instance in a roll: from draining over stopping and starting to the soak, after which it is judged. Pure.
+"""The restart of one instance in a roll: drain, stop, start and soak.
 
-Each function takes the roll, the instance's step and what is observed of the instance, and returns the roll as it is
-then, with the orders to the instance. An order that it has not followed yet is given again. Called by
-`roll_progress`.
+Pure functions, called by `roll_progress`. The functions of the stages return the changed roll and the orders
+to the instance. An order is repeated until the instance has followed it.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 )
 from juniperward.fleet.service import Tally, tally
 
-DEFAULT_BASELINE_SUCCESS_RATE = 0.5  # where nothing had finished before the roll
+DEFAULT_BASELINE_SUCCESS_RATE = 0.5  # used if no attempts finished before the roll
 
 
 def advance_step(roll: Roll, step: RollStep, fleet: FleetView) -> RollProgress:
-    """Take one instance that the roll is at as far as its present state lets it go."""
+    """Return the roll with a step advanced as far as the instance allows, and the orders to the instance."""
     if is_withdrawn(step, fleet):
         return RollProgress(roll.enter_stage(step, RollStage.SKIPPED, fleet.now, "stopped by order"))
     instance = fleet.instances[step.name]
@@ -45,13 +44,13 @@
 
 
 def is_withdrawn(step: RollStep, fleet: FleetView) -> bool:
-    """Return whether the instance is not meant to run any more."""
+    """Return whether the instance is no longer meant to run."""
     instance = fleet.instances.get(step.name)
     return instance is None or instance.desired_state is not DesiredState.RUNNING
 
 
 def stop_order(roll: Roll, step: RollStep) -> RollOrder:
-    """Return the order that ends the instance's process."""
+    """Return the order that ends the instance's process, by SIGTERM or by SIGKILL."""
     return RollOrder(RollCommand.KILL if roll.rules.kill else RollCommand.STOP, step.name)
 
 
@@ -59,20 +58,20 @@
     return RollOrder(RollCommand.START, step.name, roll.version_for(step))
 
 
-def _fail(roll: Roll, step: RollStep, what: str, why: str) -> RollProgress:
-    """Pause the roll for an instance that did not do what it should."""
-    failed = roll.with_step(replace(step, detail=FAILURE_MARK + why))
-    return RollProgress(pause(failed, f"{step.name} {what}{why}"))
+def _fail(roll: Roll, step: RollStep, failure: str, cause: str) -> RollProgress:
+    """Mark the step as failed and pause the roll."""
+    failed = roll.with_step(replace(step, detail=FAILURE_MARK + cause))
+    return RollProgress(pause(failed, f"{step.name} {failure}{cause}"))
 
 
 # --- draining and stopping ---------------------------------------------------------------------------------
 
 
 def _drain(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> RollProgress:
-    """Wait until nothing is unfinished, or the drain's time is over."""
+    """Stop the instance once it is drained or the drain has timed out."""
     now = fleet.now
     if instance.process is None:
-        detail = f"ended while draining: {instance.last_exit}"
+        detail = f"exited while draining: {instance.last_exit}"
         starting = roll.enter_stage(step, RollStage.STARTING, now, detail)
         return RollProgress(starting, (_start_order(roll, step),))
     observed = fleet.phase_of(instance)
@@ -80,7 +79,7 @@
     if observed is Phase.DRAINED:
         return RollProgress(roll.enter_stage(step, RollStage.STOPPING, now), (stop,))
     if now - step.stage_since >= roll.rules.drain_timeout_s:
-        # What is pending is in its journal: the next process continues with it.
+        # Pending messages are in the instance's journal; its next process restores them.
         detail = f"not drained within {roll.rules.drain_timeout_s:g} s ({_unfinished(instance, observed)})"
         return RollProgress(roll.enter_stage(step, RollStage.STOPPING, now, detail), (stop,))
     if instance.drain_requested:
@@ -89,7 +88,6 @@
 
 
 def _unfinished(instance: Instance, observed: Phase) -> str:
-    """Return why an instance is not drained yet."""
     if observed is Phase.UNRESPONSIVE:
         return observed.value
     count = instance.reading.unfinished if instance.reading is not None else 0
@@ -97,7 +95,7 @@
 
 
 def _stop(roll: Roll, step: RollStep, instance: Instance, now: float) -> RollProgress:
-    """Wait until its process has ended, or another one of the right version was started since."""
+    """Begin the start once the process has ended, or has been replaced by one of the right version."""
     right_version = instance.configuration_version == roll.version_for(step)
     restarted = right_version and instance.started_at > step.stage_since
     if instance.process is None or restarted:
@@ -110,21 +108,21 @@
 
 
 def _start(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> RollProgress:
-    """Wait until it is ready; pause the roll where it does not come up."""
+    """Begin the soak once the instance is ready; pause the roll if it fails to start."""
     if fleet.phase_of(instance) is Phase.READY:
         return RollProgress(roll.enter_stage(step, RollStage.SOAKING, fleet.now))
     if step.failed:
         return RollProgress(roll)
-    why = _start_failure(step, instance, fleet)
-    if why:
-        return _fail(roll, step, "does not come up: ", why)
+    failure_cause = _start_failure(step, instance, fleet)
+    if failure_cause:
+        return _fail(roll, step, "failed to start: ", failure_cause)
     if instance.process is None:
         return RollProgress(roll, (_start_order(roll, step),))
     return RollProgress(roll)
 
 
 def _start_failure(step: RollStep, instance: Instance, fleet: FleetView) -> str:
-    """Return why an instance has not come up, or an empty text where it may still do so."""
+    """Return why an instance failed to start, or an empty text if it may still become ready."""
     crashes, timeouts = instance.crashes, fleet.timeouts
     if crashes.crash_loop:
         return crashes.crash_loop
@@ -133,7 +131,7 @@
     else:
         crashed = crashes.consecutive and crashes.times and crashes.times[-1] > step.stage_since
         if crashed:
-            return f"it ended at its start: {instance.last_exit}"
+            return f"exited before it was ready: {instance.last_exit}"
         timed_out = fleet.now - step.stage_since >= timeouts.start_s
     return f"not ready {timeouts.start_s:g} s after its start" if timed_out else ""
 
@@ -142,7 +140,7 @@
 
 
 def _soak(roll: Roll, step: RollStep, instance: Instance, fleet: FleetView) -> RollProgress:
-    """Watch whether it delivers: ready is only what it reports of itself."""
+    """Judge the instance by its attempts, as one that reports ready may still fail all of them."""
     if step.failed:
         return RollProgress(roll)
     observed = fleet.phase_of(instance)
@@ -150,12 +148,15 @@
         return _judge(roll, step, instance, fleet.now)
     if observed is Phase.UNRESPONSIVE or instance.process is None:
         return _fail(roll, step, f"was ready and is {observed.value}: ", instance.last_exit or observed.value)
-    # Not ready for the moment: its soak begins anew.
+    # The instance is temporarily not ready: restart its soak.
     return RollProgress(roll.enter_stage(step, RollStage.SOAKING, fleet.now, step.detail))
 
 
 def _judge(roll: Roll, step: RollStep, instance: Instance, now: float) -> RollProgress:
-    """Decide by its attempts whether a ready instance is good."""
+    """Finish the step or pause the roll, depending on the success rate of a ready instance.
+
+    A low success rate fails the step only after the minimum soak, as it may still rise.
+    """
     assert instance.reading is not None
     rules, counted, soaked_s = roll.rules, tally(instance.reading), now - step.stage_since
     required_rate = rules.instance_success_factor * _baseline(roll)
@@ -164,10 +165,10 @@
     if enough_attempts and rate is not None and rate < required_rate:
         if soaked_s < rules.soak_s:
             return RollProgress(roll)
-        why = f"{counted.succeeded} of {counted.finished} calls deliver, {required_rate:.2f} of them must"
-        return _fail(roll, step, "is ready but ", why)
+        cause = f"{counted.succeeded} of {counted.finished} attempts succeeded, minimum {required_rate:.2f}"
+        return _fail(roll, step, "is ready but ", cause)
     if soaked_s >= rules.max_soak_s or (soaked_s >= rules.soak_s and _can_be_judged(counted, roll)):
-        detail = "" if enough_attempts else f"only {counted.finished} calls to judge it by"
+        detail = "" if enough_attempts else f"judged by {counted.finished} attempts only"
         return RollProgress(roll.enter_stage(step, RollStage.DONE, now, detail))
     return RollProgress(roll)
 
@@ -178,5 +179,5 @@
 
 
 def _can_be_judged(counted: Tally, roll: Roll) -> bool:
-    """Whether more attempts are not worth a longer soak: there are enough, or there were none before the roll."""
+    """Return whether the soak need not wait for attempts: there are enough, or the fleet had none before."""
     return counted.finished >= roll.rules.min_attempts or roll.baseline_success_rate is None
--- a/juniperward/fleet/service.py
+++ b/juniperward/fleet/service.py
@@ -1,6 +1,7 @@
-"""How well a fleet serves, from what its instances count: the success rate of their attempts. Pure.
+"""The success rate of a fleet's attempts, computed from the counters of its instances. Pure functions.
 
-The agent's reducer feeds a `Meter` with readings; decisions about a roll and the status view look at its `recent`.
+The agent's reducer adds readings to a `Meter`; decisions about a roll and the status view use
+`Meter.recent`.
 """
 
 from __future__ import annotations
@@ -10,24 +11,30 @@
 
 from juniperward.fleet.model import Reading
 
-SAMPLES_PER_HISTORY = 20  # totals that a meter stores for the time that it looks back
+SAMPLES_PER_HISTORY = 20
 
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """Attempts that finished: `succeeded` delivered, `failed` did not, or their message was given up."""
+    """Counts of finished attempts.
+
+    Attributes:
+        succeeded: Attempts that delivered their message.
+        failed: Attempts that failed, and messages given up.
+
+    """
 
     succeeded: int = 0
     failed: int = 0
 
     @property
     def finished(self) -> int:
-        """All that finished."""
+        """The count of all finished attempts."""
         return self.succeeded + self.failed
 
     @property
     def success_rate(self) -> float | None:
-        """The fraction of successful ones, from 0 to 1; None where nothing has finished."""
+        """The fraction of finished attempts that succeeded, from 0 to 1; None if none has finished."""
         return self.succeeded / self.finished if self.finished else None
 
     def __add__(self, other: Tally) -> Tally:
@@ -35,24 +42,27 @@
         return Tally(self.succeeded + other.succeeded, self.failed + other.failed)
 
     def __sub__(self, other: Tally) -> Tally:
-        """Return what was counted since `other`."""
+        """Return the difference to an earlier count."""
         return Tally(self.succeeded - other.succeeded, self.failed - other.failed)
 
 
 def tally(reading: Reading) -> Tally:
-    """Return what an instance has counted since its start; attempts that an endpoint rejected are no failure."""
+    """Return an instance's counts since the start of its process.
+
+    Attempts that an endpoint rejected as overloaded are not counted.
+    """
     return Tally(reading.delivered, reading.attempts_failed + reading.given_up)
 
 
 class ProcessCounts(NamedTuple):
-    """What an instance's process had counted when it last answered."""
+    """The counts in the latest reading of an instance's process."""
 
     pid: int
     counted: Tally
 
 
 class Sample(NamedTuple):
-    """The fleet's total at a time (s)."""
+    """The fleet's total at a time, in seconds of the agent's clock."""
 
     at: float
     total: Tally
@@ -60,14 +70,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Meter:
-    """What the whole fleet has done over time; outlasts restarts of instances, whose counts begin anew."""
+    """The attempts of the whole fleet over time, including those before restarts of its instances.
+
+    Attributes:
+        total: The fleet's attempts since the meter was created.
+        latest: The latest counts of each instance, by its name.
+        samples: Earlier totals, the oldest first.
+
+    """
 
     total: Tally = Tally()
-    latest: dict[str, ProcessCounts] = field(default_factory=dict)  # by instance
-    samples: tuple[Sample, ...] = ()  # of the history, the oldest first
+    latest: dict[str, ProcessCounts] = field(default_factory=dict)
+    samples: tuple[Sample, ...] = ()
 
     def with_readings(self, now: float, readings: dict[str, Reading], history_s: float) -> Meter:
-        """Return the meter after the latest readings of all instances that answer."""
+        """Return the meter with new readings added; samples older than `history_s` seconds are dropped."""
         total, latest = self.total, dict(self.latest)
         for name, reading in readings.items():
             counted = tally(reading)
@@ -81,7 +98,7 @@
         return Meter(total, latest, samples)
 
     def recent(self, now: float, window_s: float) -> Tally:
-        """Return what finished within the last seconds, or since the oldest sample."""
+        """Return the attempts finished in the last `window_s` seconds, or since a newer oldest sample."""
         older = [sample for sample in self.samples if now - sample.at >= window_s]
         if older:
             return self.total - older[-1].total
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -205,7 +205,7 @@
         roll(world)
         assert world.run(30.0, lambda: world.mode == RollMode.PAUSED)
         assert world.reducer.state.roll is not None
-        assert "n0 does not come up: it ended at its start: exit 2" in world.reducer.state.roll.reason
+        assert "n0 failed to start: exited before it was ready: exit 2" in world.reducer.state.roll.reason
         assert world.ask("roll_undo").status == 200
         assert world.run(60.0, world.over)
         assert world.run(10.0, lambda: world.ready() == 3)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -294,7 +294,7 @@
         model = Model(4)
         model.dead_at_start.add("n1")
         roll = model.run(model.plan(), until=RollMode.PAUSED)
-        assert "n1 does not come up: it ended at its start: exit 1" in roll.reason
+        assert "n1 failed to start: exited before it was ready: exit 1" in roll.reason
         assert [model.fleet[n].configuration_version for n in ("n0", "n2", "n3")] == ["b", "a", "a"]
         paused = model.run(roll, 20.0)
         assert (paused.mode, model.fleet["n2"].configuration_version) == (RollMode.PAUSED, "a")
@@ -320,7 +320,7 @@
             model.fleet[name] = replace(model.fleet[name], configuration_version="b")
             model.barren.add(name)
         roll = model.run(roll, until=RollMode.PAUSED)
-        assert "service fell" in roll.reason
+        assert "success rate fell" in roll.reason
 
     def test_a_loss_elsewhere_that_breaks_the_floor_pauses_and_a_resume_goes_on(self) -> None:
         model = Model(4)
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -129,7 +129,7 @@
         cluster.request("reload")
         roll = cluster.roll()
         assert roll["mode"] == "paused"
-        assert "n0 does not come up: it ended at its start: exit 2" in roll["why"]
+        assert "n0 failed to start: exited before it was ready: exit 2" in roll["why"]
         assert cluster.request("status")["ready"] == 2
         cluster.base["settings"]["Limits"] = good
         cluster.write_settings()
@@ -149,7 +149,7 @@
         cluster.request("reload")
         roll = cluster.roll()
         assert roll["mode"] == "paused", roll
-        assert re.search("n0 is ready but|service fell", roll["why"])
+        assert re.search("n0 is ready but|success rate fell", roll["why"])
         cluster.request("roll_undo")
         assert cluster.roll_end()["mode"] == "undone"
         assert clients.done.wait(30.0)
