--- a/juniperward/control/__init__.py
+++ b/juniperward/control/__init__.py
@@ -1,1 +1,1 @@
-"""A forwarder's control channel: a Unix socket, opened only where the settings name its path."""
+"""A forwarder's control channel: a Unix socket that is opened only if the configuration names its path."""
--- a/juniperward/control/client.py
+++ b/juniperward/control/client.py
@@ -1,6 +1,6 @@
-"""The client of a forwarder's control channel: one connection, one request at a time, a time limit on each.
+"""The client of a forwarder's control channel, used by the agent and by benchmarks.
 
-Used by the agent and by benchmarks.
+It has one connection and sends one request at a time, each with a time limit.
 """
 
 from __future__ import annotations
@@ -24,81 +24,86 @@
 
 DEFAULT_TIMEOUT_S = 1.0
 MIN_TIMEOUT_S = 0.001
-READ_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 
 class ControlClient:
-    """Used by one thread; connects at the first request and again after a failure."""
+    """A client of one forwarder, for use by one thread.
+
+    It connects at the first request, and again at the first one after a failure.
+    """
 
     def __init__(self, path: Path, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-        """Send requests to the forwarder that listens at `path`; each has `timeout_s` seconds in all."""
+        """Create a client of the forwarder that listens at `path`; `timeout_s` limits a whole request."""
         self.path, self.timeout_s = path, timeout_s
         self.sock: socket.socket | None = None
         self._last_id = 0
 
     def close(self) -> None:
-        """End the connection, if there is one."""
+        """Close the connection, if there is one."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
     def status(self) -> Status:
-        """Return the forwarder's state.
+        """Return the forwarder's status.
+
+        All requests raise these errors.
 
         Raises:
-            ControlUnreachableError: for no answer in time, or where no process listens; so do all requests.
-            ControlRejectedError: where the forwarder rejects the request.
-            ProtocolError: for an answer that cannot be read.
+            ControlUnreachableError: If no process listens, the connection fails or no answer comes in time.
+            ControlRejectedError: If the forwarder rejects the request or answers another one.
+            ProtocolError: If the answer cannot be decoded.
 
         """
-        return self._typed(Verb.STATUS, Status)
+        return self._request_body(Verb.STATUS, Status)
 
     def rows(self, verb: Verb) -> Rows:
-        """Return the destinations or the endpoints."""
-        return self._typed(verb, Rows)
+        """Return the answer to DESTINATIONS or ENDPOINTS."""
+        return self._request_body(verb, Rows)
 
     def counters(self) -> dict[str, int]:
         """Return all counters that are not zero."""
-        return self._typed(Verb.COUNTERS, Counters).counters
+        return self._request_body(Verb.COUNTERS, Counters).counters
 
     def order(self, verb: Verb) -> Status:
-        """Have it drain, resume or stop; the state right after."""
-        return self._typed(verb, Status)
+        """Order the forwarder to drain, resume or stop, and return its status right after."""
+        return self._request_body(verb, Status)
 
     def redrive_outcomes(self, ids: tuple[str, ...]) -> RedriveOutcomes:
-        """Return what became of redriven messages; ids that are not known there will never be accepted there."""
-        return self._typed(Verb.REDRIVE_OUTCOMES, RedriveOutcomes, ids)
+        """Return the outcomes of redrives; from now on the forwarder rejects redrives with unknown ids."""
+        return self._request_body(Verb.REDRIVE_OUTCOMES, RedriveOutcomes, ids)
 
-    def _typed(self, verb: Verb, kind: type[T], ids: tuple[str, ...] = ()) -> T:
+    def _request_body(self, verb: Verb, body_type: type[T], ids: tuple[str, ...] = ()) -> T:
         body = self.request(verb, ids)
-        if not isinstance(body, kind):
+        if not isinstance(body, body_type):
             raise AnswerTypeError(verb.value)
         return body
 
     def request(self, verb: Verb, ids: tuple[str, ...] = ()) -> Any:
-        """Return the body of the answer to any request; raises as `status` does."""
+        """Send any request and return the body of its answer; raises as `status` does."""
         deadline = time.monotonic() + self.timeout_s
-        fresh = self.sock is None
+        is_new_connection = self.sock is None
         try:
-            return self._attempt(verb, ids, deadline)
+            return self._request_once(verb, ids, deadline)
         except ControlUnreachableError:
-            # A connection of an earlier request may belong to a process that has ended: retry once on a new one.
-            if fresh or time.monotonic() >= deadline:
+            # An existing connection may be one to a process that has ended: retry once on a new connection.
+            if is_new_connection or time.monotonic() >= deadline:
                 raise
-            return self._attempt(verb, ids, deadline)
+            return self._request_once(verb, ids, deadline)
 
-    def _attempt(self, verb: Verb, ids: tuple[str, ...], deadline: float) -> Any:
+    def _request_once(self, verb: Verb, ids: tuple[str, ...], deadline: float) -> Any:
         self._last_id += 1
         answer = self._exchange(Request(self._last_id, verb, ids), deadline)
         if answer.id != self._last_id:
             self.close()
-            raise ControlRejectedError(answer.error or "an answer to another request")
+            raise ControlRejectedError(answer.error or "received an answer to another request")
         if answer.body is None:
             raise ControlRejectedError(answer.error)
         return answer.body
 
     def _exchange(self, request: Request, deadline: float) -> Answer:
-        """Send a request and read the next answer; after an error the connection is closed."""
+        """Send a request and return the next answer; closes the connection after an error."""
         try:
             sock = self._connect(deadline)
             sock.sendall(encode_request(request))
@@ -106,12 +111,12 @@
             return decode_answer(text, request.verb)
         except (BlockingIOError, TimeoutError) as error:
             self.close()
-            why = f"no answer within {self.timeout_s:g} s"
-            raise ControlUnreachableError(why) from error
+            reason = f"no answer within {self.timeout_s:g} s"
+            raise ControlUnreachableError(reason) from error
         except (OSError, EOFError) as error:
             self.close()
-            why = f"nobody listens: {getattr(error, 'strerror', None) or 'it hung up'}"
-            raise ControlUnreachableError(why) from error
+            reason = f"connection failed: {getattr(error, 'strerror', None) or 'closed by the forwarder'}"
+            raise ControlUnreachableError(reason) from error
         except ProtocolError:
             self.close()
             raise
@@ -126,15 +131,15 @@
 
 
 def _read_exactly(sock: socket.socket, length: int, deadline: float) -> bytes:
-    """Return so many bytes; raises TimeoutError, EOFError or OSError."""
+    """Return the next `length` bytes; raises TimeoutError, EOFError or OSError."""
     data = bytearray()
     while len(data) < length:
         left_s = deadline - time.monotonic()
         if left_s <= 0:
             raise TimeoutError
         sockets.set_timeout(sock, socket.SO_RCVTIMEO, left_s)
-        piece = sock.recv(min(length - len(data), READ_BYTES))
-        if not piece:
+        chunk = sock.recv(min(length - len(data), MAX_READ_BYTES))
+        if not chunk:
             raise EOFError
-        data += piece
+        data += chunk
     return bytes(data)
--- a/juniperward/control/codec.py
+++ b/juniperward/control/codec.py
@@ -1,8 +1,8 @@
-"""The control channel's frames: values to bytes and back, without sockets.
+"""Encoding and decoding of the control channel's frames, without sockets.
 
-A frame is a length (4 bytes, big-endian) and so many bytes of JSON. A client sends one request at a time,
-`{"v": 1, "id": N, "verb": "status"}`, and gets one answer, `{"v": 1, "id": N, "ok": true, "body": ...}` or
-`{"v": 1, "id": N, "ok": false, "error": TEXT}`.
+A frame is a length in bytes (4 bytes, big-endian) followed by JSON of this length. A client sends one
+request at a time, `{"v": 1, "id": N, "verb": "status"}`, and receives one answer to it,
+`{"v": 1, "id": N, "ok": true, "body": ...}` or `{"v": 1, "id": N, "ok": false, "error": TEXT}`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     VersionError,
 )
 from juniperward.control.protocol import (
-    BODIES,
+    BODY_TYPES,
     Answer,
     Body,
     DestinationRow,
@@ -34,14 +34,17 @@
 )
 from juniperward.control.typed_json import from_json, to_json
 
-VERSION = 1
-MAX_REQUEST_BYTES = 32 * 1024  # a request holds a few small fields, and up to MAX_IDS ids
-MAX_IDS = 100
-MAX_ANSWER_BYTES = 16 * 1024 * 1024  # thousands of destinations in one
-MAX_NESTING = 4  # arrays and objects in a request: the decoder must not go down far in a small stack
-MAX_REQUEST_NUMBER = 2**53  # what each JSON decoder reads as a whole number
+PROTOCOL_VERSION = 1
+MAX_REQUEST_BYTES = 32 * 1024  # room for MAX_REDRIVE_IDS ids
+MAX_REDRIVE_IDS = 100
+MAX_ANSWER_BYTES = 16 * 1024 * 1024  # room for thousands of destinations
+MAX_REQUEST_CONTAINERS = (
+    4  # arrays and objects; bounds the decoder's recursion on the small stack of a thread
+)
+REQUEST_ID_LIMIT = 2**53  # all JSON decoders represent integers below it exactly
 FRAME_HEADER = struct.Struct("!I")
-WIRE_NAMES = {  # of the fields that have another name on the wire
+# Names on the wire of the fields whose name in the code differs.
+WIRE_NAMES = {
     Status: {
         "started_at": "started",
         "pending": "held",
@@ -77,81 +80,81 @@
 
 
 def frame(value: Any) -> bytes:
-    """Return a value as a frame."""
+    """Return a frame that contains a JSON value."""
     text = json.dumps(value, separators=(",", ":")).encode()
     return FRAME_HEADER.pack(len(text)) + text
 
 
-def read_frame(exactly: Callable[[int], bytes], limit: int) -> bytes:
-    """Return the text of the next frame; `exactly` gives so many bytes or raises.
+def read_frame(read_exactly: Callable[[int], bytes], max_bytes: int) -> bytes:
+    """Return the JSON text of the next frame; `read_exactly` returns the given number of bytes or raises.
 
     Raises:
-        FrameLengthError: for a frame that is empty or longer than `limit` bytes.
+        FrameLengthError: If the frame is empty or longer than `max_bytes`.
 
     """
-    (length,) = FRAME_HEADER.unpack(exactly(FRAME_HEADER.size))
-    if not 0 < length <= limit:
-        raise FrameLengthError(length, limit)
-    return exactly(length)
+    (length,) = FRAME_HEADER.unpack(read_exactly(FRAME_HEADER.size))
+    if not 0 < length <= max_bytes:
+        raise FrameLengthError(length, max_bytes)
+    return read_exactly(length)
 
 
 def encode_request(request: Request) -> bytes:
     """Return a request as a frame."""
-    more = {"ids": request.ids} if request.ids else {}
-    return frame({"v": VERSION, "id": request.id, "verb": request.verb.value, **more})
+    optional = {"ids": request.ids} if request.ids else {}
+    return frame({"v": PROTOCOL_VERSION, "id": request.id, "verb": request.verb.value, **optional})
 
 
 def decode_request(text: bytes) -> Request:
-    """Read a request; raises ProtocolError, whatever came."""
-    if text.count(b"{") + text.count(b"[") > MAX_NESTING:
+    """Decode a request; raises ProtocolError for any invalid text."""
+    if text.count(b"{") + text.count(b"[") > MAX_REQUEST_CONTAINERS:
         raise NestingError
     try:
-        given = json.loads(text)
-        version, number, verb = given["v"], given["id"], given["verb"]
-        ids = given.get("ids", [])
+        request = json.loads(text)
+        version, request_id, verb = request["v"], request["id"], request["verb"]
+        ids = request.get("ids", [])
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise MalformedRequestError(error) from error
-    if version != VERSION:
-        why = f"version {version!r} is not spoken here; {VERSION} is"
-        raise VersionError(version, why)
-    if type(number) is not int or not 0 <= number < MAX_REQUEST_NUMBER:
-        raise FieldError("id", "a whole number is needed")
-    if not isinstance(ids, list) or len(ids) > MAX_IDS or not all(isinstance(x, str) for x in ids):
-        raise FieldError("ids", f"an array of {MAX_IDS} texts at most is needed")
+    if version != PROTOCOL_VERSION:
+        problem = f"protocol version {version!r} is not supported; the forwarder uses {PROTOCOL_VERSION}"
+        raise VersionError(version, problem)
+    if type(request_id) is not int or not 0 <= request_id < REQUEST_ID_LIMIT:
+        raise FieldError("id", f"an integer from 0 to {REQUEST_ID_LIMIT - 1} is needed")
+    if not isinstance(ids, list) or len(ids) > MAX_REDRIVE_IDS or not all(isinstance(x, str) for x in ids):
+        raise FieldError("ids", f"an array of at most {MAX_REDRIVE_IDS} strings is needed")
     try:
-        return Request(number, Verb(verb), tuple(ids))
+        return Request(request_id, Verb(verb), tuple(ids))
     except ValueError as error:
         raise FieldError("verb", f"no such verb: {verb!r}") from error
 
 
 def body_to_json(body: Body) -> Any:
-    """Return a body as JSON values, with the wire's names."""
+    """Return a body as JSON values, with the names of the wire."""
     return to_json(body, WIRE_NAMES)
 
 
 def encode_answer(answer: Answer) -> bytes:
     """Return an answer as a frame."""
-    row: dict[str, Any] = {"v": VERSION, "id": answer.id, "ok": answer.body is not None}
+    fields: dict[str, Any] = {"v": PROTOCOL_VERSION, "id": answer.id, "ok": answer.body is not None}
     if answer.body is None:
-        row["error"] = answer.error
+        fields["error"] = answer.error
     else:
-        row["body"] = body_to_json(answer.body)
-    return frame(row)
+        fields["body"] = body_to_json(answer.body)
+    return frame(fields)
 
 
 def decode_answer(text: bytes, verb: Verb) -> Answer:
-    """Read the answer to a request with this verb; raises ProtocolError, whatever came."""
+    """Decode the answer to a request with this verb; raises ProtocolError for any invalid text."""
     try:
-        return _read_answer(json.loads(text), verb)
+        return _answer_from_json(json.loads(text), verb)
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise MalformedAnswerError(error) from error
 
 
-def _read_answer(given: dict[str, Any], verb: Verb) -> Answer:
-    version = given["v"]
-    if version != VERSION:
-        why = f"an answer of version {version!r}; {VERSION} is spoken here"
-        raise VersionError(version, why)
-    if not given["ok"]:
-        return Answer(int(given["id"]), None, str(given["error"]))
-    return Answer(int(given["id"]), from_json(BODIES[verb], given["body"], "body", WIRE_NAMES))
+def _answer_from_json(answer: dict[str, Any], verb: Verb) -> Answer:
+    version = answer["v"]
+    if version != PROTOCOL_VERSION:
+        problem = f"protocol version {version!r} is not supported; the client uses {PROTOCOL_VERSION}"
+        raise VersionError(version, problem)
+    if not answer["ok"]:
+        return Answer(int(answer["id"]), None, str(answer["error"]))
+    return Answer(int(answer["id"]), from_json(BODY_TYPES[verb], answer["body"], "body", WIRE_NAMES))
--- a/juniperward/control/errors.py
+++ b/juniperward/control/errors.py
@@ -1,88 +1,91 @@
-"""The errors of a control channel; apart, so that a forwarder without one loads little for them."""
+"""The errors of the control channel.
+
+They are separate from the channel, as a forwarder without one imports only its errors to start faster.
+"""
 
 from __future__ import annotations
 
 
 class ControlError(Exception):
-    """What can go wrong with a control channel."""
+    """Base class of the errors of a control channel."""
 
 
 class ControlSocketError(ControlError):
-    """The channel's socket cannot be opened as the settings ask; nothing listens."""
+    """The socket cannot be opened at the configured path."""
 
-    def __init__(self, place: object, why: str) -> None:
-        """Name the socket or its folder, and say why."""
-        self.place, self.why = place, why
-        super().__init__(f"{place}: {why}")
+    def __init__(self, path: object, reason: str) -> None:
+        """Build the message from the path of the socket or of its directory, and the reason."""
+        self.path, self.reason = path, reason
+        super().__init__(f"{path}: {reason}")
 
 
 class ControlUnreachableError(ControlError):
-    """There was no answer in time, or no process listens; the next request connects again."""
+    """No process listens, the connection failed or no answer came in time; the next request reconnects."""
 
 
 class ControlRejectedError(ControlError):
-    """The forwarder rejected the request."""
+    """The forwarder rejected the request, or its answer belongs to another request."""
 
 
 class ProtocolError(ControlError):
-    """What came is no frame of this protocol, or no value of the type that it should be."""
+    """A received frame is invalid, or its content does not have the expected type."""
 
 
 class FrameLengthError(ProtocolError):
-    """A frame is empty, or longer than is taken."""
+    """A frame is empty or too long."""
 
     def __init__(self, length: int, limit: int) -> None:
-        """Name its length and the limit, in bytes."""
+        """Build the message from the frame's length and the limit, in bytes."""
         self.length, self.limit = length, limit
-        super().__init__(f"a frame of {length} bytes; at most {limit} are taken")
+        super().__init__(f"the length of a frame is {length} bytes; 1 to {limit} are allowed")
 
 
 class VersionError(ProtocolError):
-    """The other end speaks another version of the protocol."""
+    """The peer uses an unsupported version of the protocol."""
 
-    def __init__(self, version: object, why: str) -> None:
-        """Name its version; `why` is the text for people."""
+    def __init__(self, version: object, problem: str) -> None:
+        """Keep the peer's version, and use `problem` as the message."""
         self.version = version
-        super().__init__(why)
+        super().__init__(problem)
 
 
 class NestingError(ProtocolError):
-    """A request has more arrays and objects than any request of this protocol."""
+    """A request contains more arrays and objects than any valid request."""
 
     def __init__(self) -> None:
-        """Say so."""
-        super().__init__("a request holds one flat object")
+        """Build the message."""
+        super().__init__("the request contains too many nested values; one flat object is needed")
 
 
 class AnswerTypeError(ProtocolError):
-    """An answer is none to the request that was made."""
+    """The body of an answer has not the type that belongs to the request's verb."""
 
     def __init__(self, verb: str) -> None:
-        """Name the request's verb."""
+        """Build the message from the request's verb."""
         self.verb = verb
-        super().__init__(f"{verb} was answered with another type")
+        super().__init__(f"the answer to {verb} has a body of another type")
 
 
 class FieldError(ProtocolError):
-    """A field has not the type or the range that it should have."""
+    """A field has a value of the wrong type or outside its range."""
 
     def __init__(self, place: str, needed: str) -> None:
-        """Name the place, as `body.counters.x`, and what is needed there."""
+        """Build the message from the field's place, such as `body.counters.x`, and what is needed there."""
         self.place, self.needed = place, needed
         super().__init__(f"{place}: {needed}")
 
 
 class MalformedRequestError(ProtocolError):
-    """The text of a frame is no request."""
+    """A frame does not contain a request."""
 
     def __init__(self, error: Exception) -> None:
-        """Name the decoder's error."""
-        super().__init__(f"not a request: {type(error).__name__}: {error}")
+        """Build the message from the decoder's error."""
+        super().__init__(f"malformed request: {type(error).__name__}: {error}")
 
 
 class MalformedAnswerError(ProtocolError):
-    """The text of a frame is no answer."""
+    """A frame does not contain an answer."""
 
     def __init__(self, error: Exception) -> None:
-        """Name the decoder's error."""
-        super().__init__(f"not an answer: {type(error).__name__}: {error}")
+        """Build the message from the decoder's error."""
+        super().__init__(f"malformed answer: {type(error).__name__}: {error}")
--- a/juniperward/control/server.py
+++ b/juniperward/control/server.py
@@ -1,8 +1,8 @@
-"""The forwarder's end of the control channel: a Unix socket, a thread a client, and hard bounds.
+"""The server of the control channel: a Unix socket, with one thread per client.
 
-Requests go to `on_request` and become events of the forwarder's reducer; `answer` brings its answers back. What a
-client does can delay only that client: each has its own thread, request rate and time limits, and the encoding of an
-answer is done by that thread, not by the loop.
+`on_request` passes requests on as events of the forwarder's reducer, and `answer` returns its answers. A
+client can delay only itself: it has its own thread, request rate and time limits, and this thread, not the
+forwarder's loop, encodes the answers.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from juniperward.control.server_connection import ServerConnection
 from juniperward.net import sockets
 
-MAX_CLIENTS = 8  # at once; for a further one, the one that has been idle for the longest is evicted
-ACCEPT_INTERVAL_S = 0.01  # between two connections accepted: a flood of them costs little
-ACCEPT_RETRY_S = 0.1  # after accepting has failed
-ANSWER_TIMEOUT_S = 5.0  # for the reducer's answer
+MAX_CLIENTS = 8
+ACCEPT_INTERVAL_S = 0.01  # bounds the cost of a flood of connections
+ACCEPT_RETRY_DELAY_S = 0.1
+ANSWER_TIMEOUT_S = 5.0
 
 
 class ControlServer:
-    """Owns the socket and its clients; `_lock` guards the table of clients."""
+    """The listening socket and its clients; `_lock` guards the table of clients."""
 
     def __init__(
         self,
@@ -37,7 +37,11 @@
         increment: Callable[[str], None],
         report_fault: Callable[[str, BaseException], None],
     ) -> None:
-        """Open the socket; `on_request` gets each request with its client's number. Raises ControlSocketError."""
+        """Open the socket; raises ControlSocketError.
+
+        `on_request` is called with the client's number and the request, in the client's thread. `increment`
+        counts an event by the counter's name. `report_fault` reports an unexpected error.
+        """
         self.path = path
         self._on_request, self._increment, self._report_fault = on_request, increment, report_fault
         self._listener = open_socket(path)
@@ -47,11 +51,11 @@
         self._closed = False
 
     def start(self) -> None:
-        """Begin to accept."""
-        threading.Thread(target=self._accept, name="control", daemon=True).start()
+        """Start the thread that accepts connections."""
+        threading.Thread(target=self._accept_connections, name="control", daemon=True).start()
 
     def close(self) -> None:
-        """Accept no more, and remove the socket."""
+        """Stop accepting connections and remove the socket; existing connections stay open."""
         self._closed = True
         sockets.shutdown(self._listener)
         self._listener.close()
@@ -59,7 +63,7 @@
             self.path.unlink()
 
     def answer(self, number: int, answer: Answer) -> None:
-        """Pass an answer to the thread that waits for it; never blocks."""
+        """Pass an answer to the client's thread without blocking; drop it if no request waits for it."""
         with self._lock:
             client = self.clients.get(number)
         if client is None:
@@ -70,7 +74,7 @@
                 client.answer = answer
                 client.answered.set()
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._closed:
             try:
                 sock, _ = self._listener.accept()
@@ -78,7 +82,7 @@
                 if self._closed:
                     return
                 self._report_fault("control", error)
-                time.sleep(ACCEPT_RETRY_S)
+                time.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             try:
                 self._admit(sock)
@@ -98,7 +102,7 @@
         threading.Thread(target=self._serve, args=(client,), name="control-client", daemon=True).start()
 
     def _evict(self) -> None:
-        """End the connection of the client that has been idle for the longest; the lock is held."""
+        """Close the connection of the client that has been idle the longest; the caller holds `_lock`."""
         client = min(self.clients.values(), key=lambda candidate: candidate.idle_since)
         self._increment("control_clients_evicted")
         sockets.shutdown(client.sock)
@@ -118,7 +122,7 @@
             client.sock.close()
 
     def _serve_next(self, client: ServerConnection) -> bool:
-        """Answer one request; return whether the client may send another."""
+        """Serve one request; return whether to keep the connection for another one."""
         try:
             request = decode_request(read_frame(client.read_exactly, MAX_REQUEST_BYTES))
         except ProtocolError as error:
@@ -138,7 +142,7 @@
         return True
 
     def _request_answer(self, client: ServerConnection, request: Request) -> Answer | None:
-        """Return the reducer's answer to a request; None where it does not come in time."""
+        """Return the reducer's answer to a request, or None if it does not come within ANSWER_TIMEOUT_S."""
         with client.lock:
             client.answered.clear()
             client.pending_id = request.id
--- a/juniperward/control/typed_json.py
+++ b/juniperward/control/typed_json.py
@@ -1,6 +1,7 @@
-"""Dataclasses to plain JSON values and back, by their type hints; `codec` says which fields have another name there.
+"""Conversion of dataclasses to JSON values and back, by their type hints.
 
-Fields that a dataclass does not have are ignored: they are those of a newer version.
+A table of names maps fields to their names in JSON. Unknown fields in JSON are ignored, as newer versions
+may add some.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from juniperward.control.errors import FieldError
 
 T = TypeVar("T")
-JsonNames = Mapping[type, Mapping[str, str]]  # by dataclass: a field's name to its name in JSON, if another
+JsonNames = Mapping[type, Mapping[str, str]]  # dataclass -> field name -> name in JSON, where they differ
 
 
 def to_json(value: Any, names: JsonNames) -> Any:
@@ -30,20 +31,23 @@
     return value
 
 
-def from_json(kind: type[T], value: Any, place: str, names: JsonNames) -> T:
-    """Return a JSON value as an instance of a dataclass; raises FieldError that names the place."""
+def from_json(cls: type[T], value: Any, place: str, names: JsonNames) -> T:
+    """Return a JSON value as an instance of a dataclass; raises FieldError with the place of the error.
+
+    `place` is the path of the value, such as `body.counters`.
+    """
     if not isinstance(value, dict):
         needed = f"an object is needed, not {type(value).__name__}"
         raise FieldError(place, needed)
-    hints = typing.get_type_hints(kind)
-    json_names = names.get(kind, {})
-    given = {}
-    for field in fields(kind):  # type: ignore[arg-type]
+    hints = typing.get_type_hints(cls)
+    json_names = names.get(cls, {})
+    arguments = {}
+    for field in fields(cls):  # type: ignore[arg-type]
         key = json_names.get(field.name, field.name)
         if key in value:
-            given[field.name] = _field_from_json(hints[field.name], value[key], f"{place}.{key}", names)
+            arguments[field.name] = _field_from_json(hints[field.name], value[key], f"{place}.{key}", names)
     try:
-        return kind(**given)
+        return cls(**arguments)
     except TypeError as error:
         raise FieldError(place, str(error)) from error
 
