--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control channel: its frames, its bounds, and a real forwarder asked through it."""
+"""The control channel: its frames, the limits of its server, and requests to a real forwarder."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
             assert decode_answer(encode_answer(answer)[4:], verb) == answer
         assert decode_answer(encode_answer(Answer(7, None, "no"))[4:], Verb.STATUS) == Answer(7, None, "no")
 
-    def test_an_answer_locates_the_error(self) -> None:
+    def test_a_decoding_error_names_the_place_or_the_version(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{"a":"x"}}}'
         with pytest.raises(ProtocolError, match=r"body\.counters\.a: int is needed"):
             decode_answer(text, Verb.COUNTERS)
@@ -60,12 +60,12 @@
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.binary(max_size=300) | st.text(alphabet='{}[]":,v1idverbstatus ', max_size=200).map(str.encode))
-    def test_malformed_frames_are_reported(self, text: bytes) -> None:
+    def test_any_malformed_request_is_a_protocol_error(self, text: bytes) -> None:
         with contextlib.suppress(ProtocolError):
             decode_request(text)
 
     def test_nesting_is_bounded(self) -> None:
-        # Guards the thread's stack: the JSON decoder goes down in C with each bracket.
+        # Guards against a stack overflow of the C JSON decoder, which recurses with each bracket.
         with pytest.raises(ProtocolError):
             decode_request(b"[" * 4000)
 
@@ -77,21 +77,24 @@
         self.folder = tmp_path
         self.path = self.folder / "run" / "n0.sock"
 
-    def serve(self, ask: Callable[[ControlServer, int, Request], None]) -> ControlServer:
-        found: list[ControlServer] = []
-        mine = ControlServer(self.path, lambda c, r: ask(found[0], c, r), mock.Mock(), mock.Mock())
-        found.append(mine)
-        mine.start()
-        self.resources.callback(mine.close)
-        return mine
+    def serve(self, on_request: Callable[[ControlServer, int, Request], None]) -> ControlServer:
+        control_server = ControlServer(
+            self.path,
+            lambda client, request: on_request(control_server, client, request),
+            mock.Mock(),
+            mock.Mock(),
+        )
+        control_server.start()
+        self.resources.callback(control_server.close)
+        return control_server
 
-    def test_folder_and_socket_are_for_this_user_only(self) -> None:
+    def test_directory_and_socket_are_accessible_to_this_user_only(self) -> None:
         with open_socket(self.path):
             assert stat.S_IMODE(self.path.stat().st_mode) == 0o600
             assert stat.S_IMODE(self.path.parent.stat().st_mode) == 0o700
             with pytest.raises(ControlSocketError, match="another process listens"):
                 open_socket(self.path)
-        open_socket(self.path).close()  # what a killed process left is taken away
+        open_socket(self.path).close()  # replaces the socket of a process that was killed
         self.path.parent.chmod(0o755)
         with pytest.raises(ControlSocketError, match="mode 0700"):
             open_socket(self.path)
@@ -102,8 +105,8 @@
         with pytest.raises(ControlSocketError, match="exists and is not a socket"):
             open_socket(self.folder / "plain")
 
-    def test_a_client_without_an_answer_times_out(self) -> None:
-        self.serve(lambda _mine, _client, _request: None)
+    def test_a_request_without_an_answer_times_out(self) -> None:
+        self.serve(lambda _server, _client, _request: None)
         began = time.monotonic()
         with pytest.raises(ControlUnreachableError, match="no answer within 0.2 s"):
             ControlClient(self.path, 0.2).status()
@@ -112,36 +115,42 @@
             ControlClient(self.folder / "none", 0.2).status()
 
     def test_an_answer_to_an_earlier_request_is_ignored(self) -> None:
-        self.serve(lambda mine, client, request: mine.answer(client, Answer(request.id - 1, Counters({}))))
+        self.serve(
+            lambda control_server, client, request: control_server.answer(
+                client, Answer(request.id - 1, Counters({}))
+            )
+        )
         with pytest.raises(ControlUnreachableError):
             ControlClient(self.path, 0.2).counters()
 
     def test_a_full_connection_table_evicts_the_longest_idle(self) -> None:
-        mine = self.serve(lambda me, client, request: me.answer(client, Answer(request.id, Counters({}))))
-        silent = []
+        control_server = self.serve(
+            lambda control_server, client, request: control_server.answer(
+                client, Answer(request.id, Counters({}))
+            )
+        )
+        idle = []
         for _ in range(server.MAX_CLIENTS):
-            silent.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
-            silent[-1].connect(str(self.path))
-        with pytest.raises(
-            ControlUnreachableError
-        ):  # it hears nothing before its turn to be admitted, then is served
+            idle.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
+            idle[-1].connect(str(self.path))
+        with pytest.raises(ControlUnreachableError):
             ControlClient(self.folder / "none", 0.1).counters()
         assert ControlClient(self.path, WAIT).counters() == {}
-        silent[0].settimeout(WAIT)
-        assert silent[0].recv(1) == b""
-        assert len(mine.clients) <= server.MAX_CLIENTS
-        for sock in silent:
+        idle[0].settimeout(WAIT)
+        assert idle[0].recv(1) == b""
+        assert len(control_server.clients) <= server.MAX_CLIENTS
+        for sock in idle:
             sock.close()
 
     def test_a_flood_is_rate_limited(self) -> None:
-        # Guards the loop: one client gets its burst, then REQUESTS_PER_S requests a second, however fast it asks.
-        asked: list[float] = []
+        # Guards the forwarder's loop: beyond its burst, a client is limited to REQUESTS_PER_S.
+        received: list[Request] = []
 
-        def ask(mine: ControlServer, client: int, request: Request) -> None:
-            asked.append(time.monotonic())
-            mine.answer(client, Answer(request.id, Counters({})))
+        def answer_request(control_server: ControlServer, client: int, request: Request) -> None:
+            received.append(request)
+            control_server.answer(client, Answer(request.id, Counters({})))
 
-        self.serve(ask)
+        self.serve(answer_request)
         client = ControlClient(self.path, WAIT)
         with (
             mock.patch.object(server_connection, "REQUEST_BURST", 3.0),
@@ -150,13 +159,13 @@
             for _ in range(8):
                 client.counters()
         client.close()
-        assert len(asked) == 8
-        one = server_connection.ServerConnection(1, mock.Mock())
-        one._tokens, one._tokens_at = 0.0, time.monotonic() + 60.0  # no time has passed for it
-        assert one.take_token_s() > 0.0
+        assert len(received) == 8
+        connection = server_connection.ServerConnection(1, mock.Mock())
+        connection._tokens, connection._tokens_at = 0.0, time.monotonic() + 60.0  # empty and not refilled
+        assert connection.take_token_s() > 0.0
 
     def test_malformed_input_is_answered_and_the_connection_closed(self, subtests: pytest.Subtests) -> None:
-        self.serve(lambda _mine, _client, _request: None)
+        self.serve(lambda _server, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
             with subtests.test(text=text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
                 sock.settimeout(WAIT)
@@ -166,18 +175,18 @@
                 assert answer.body is None
 
 
-class TestFolder:
-    def test_two_never_share_a_state_folder(self) -> None:
+class TestStateFolder:
+    def test_two_processes_never_share_a_state_folder(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            file = lock_folder(Path(name))
+            lock = lock_folder(Path(name))
             with pytest.raises(FolderInUseError):
                 lock_folder(Path(name), 0.05)
-            os.close(file)
+            os.close(lock)
             os.close(lock_folder(Path(name)))
 
 
 class TestForwarder:
-    """A real forwarder with its channel open."""
+    """Requests to a real forwarder whose control channel is open."""
 
     @pytest.fixture(autouse=True)
     def set_up(self, resources: Resources, tmp_path: Path) -> None:
@@ -197,11 +206,11 @@
         assert status.endpoint_list_age_s == -1.0
         self.player.play("@ c client\n+ taken m1 7\n@ w worker\n+ received m1")
         assert (self.client.status().pending, self.client.status().attempts_in_flight) == (1, 1)
-        (row,) = [r for r in self.client.rows(Verb.DESTINATIONS).destinations if r.destination == 7]
+        (row,) = [row for row in self.client.rows(Verb.DESTINATIONS).destinations if row.destination == 7]
         assert (row.in_flight, row.queued, row.health) == (1, 0, "unknown")
-        assert [w.in_flight for w in self.client.rows(Verb.ENDPOINTS).endpoints] == [1, 0]
+        assert [row.in_flight for row in self.client.rows(Verb.ENDPOINTS).endpoints] == [1, 0]
         assert self.client.order(Verb.DRAIN).phase == "draining"
-        # What is held goes on to its end; a new message and the ready page hear 503 at once.
+        # The pending message is completed; a new message and the readiness check get 503 at once.
         self.player.play(
             "@ c\n+ call m2 7 15\n+ overload\n< Connection: close\n<\n= end\n"
             "@ p client\n> GET /health/ready HTTP/1.1\n>\n< HTTP/1.1 503 Service Unavailable\n"
@@ -223,7 +232,7 @@
         with pytest.raises(ControlUnreachableError):
             self.client.status()
 
-    def test_a_second_one_on_the_same_folder_does_not_start(self) -> None:
+    def test_a_second_forwarder_on_the_same_state_folder_does_not_start(self) -> None:
         environment = {**os.environ, "ROUTER_CONFIG": str(self.program.folder / "config.json"),
                        "ROUTER_STATE": str(self.program.state)}  # fmt: skip
         second = subprocess.run(
@@ -233,7 +242,7 @@
         assert second.returncode == 1
         assert b"another forwarder works in this folder" in second.stderr
 
-    def test_a_stopped_process_is_unresponsive_and_recovers(self) -> None:
+    def test_a_suspended_process_is_unreachable_and_recovers(self) -> None:
         process = self.program.process
         assert process is not None
         self.client.status()
@@ -245,8 +254,8 @@
             process.send_signal(signal.SIGCONT)
         assert self.client.status().phase == "serving"
 
-    def test_stalled_and_flooding_clients_leave_the_loop_alone(self) -> None:
-        # Guards the loop's own time: 7 clients flood and one never reads; an honest message still passes.
+    def test_flooding_clients_do_not_delay_messages(self) -> None:
+        # Guards the forwarder's loop: 7 control clients flood it with requests and hardly read the answers.
         stop = threading.Event()
 
         def flood() -> None:
@@ -273,12 +282,16 @@
 
 
 class TestRejection:
-    def test_a_rejection_is_reported_with_its_text(self) -> None:
+    def test_a_rejection_is_raised_with_its_text(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / "run" / "s"
-            say = mock.Mock()
-            mine = ControlServer(path, lambda c, r: mine.answer(c, Answer(r.id, None, "no")), say, say)
-            mine.start()
+            control_server = ControlServer(
+                path,
+                lambda client, request: control_server.answer(client, Answer(request.id, None, "no")),
+                mock.Mock(),
+                mock.Mock(),
+            )
+            control_server.start()
             with pytest.raises(ControlRejectedError, match="no"):
                 ControlClient(path, WAIT).status()
-            mine.close()
+            control_server.close()
--- a/tests/test_control_codec.py
+++ b/tests/test_control_codec.py
@@ -1,4 +1,4 @@
-"""The control channel's JSON: each body has the keys and values, byte for byte, that other versions know."""
+"""The control channel's JSON: the bytes of each body are those of earlier versions."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     12.5,
     (RedriveOutcomeRow("a", RedriveState.PENDING), RedriveOutcomeRow("b", RedriveState.DELIVERED, 3.5)),
 )
-ANSWERS: dict[Verb, tuple[Body, bytes]] = {  # as the version before the field's names wrote them
+ANSWERS: dict[Verb, tuple[Body, bytes]] = {
     Verb.STATUS: (
         STATUS,
         b'{"name":"name","version":"version","pid":3,"started":4.5,"phase":"phase","ready":true,"held":7,'
@@ -99,9 +99,9 @@
 
 
 @pytest.mark.parametrize("verb", ANSWERS)
-def test_each_body_has_the_bytes_of_the_wire_and_comes_back(verb: Verb) -> None:
-    body, wire = ANSWERS[verb]
-    text = b'{"v":1,"id":7,"ok":true,"body":' + wire + b"}"
+def test_each_body_is_encoded_to_its_wire_format_and_back(verb: Verb) -> None:
+    body, encoded_body = ANSWERS[verb]
+    text = b'{"v":1,"id":7,"ok":true,"body":' + encoded_body + b"}"
     assert encode_answer(Answer(7, body)) == FRAME_HEADER.pack(len(text)) + text
     assert decode_answer(text, verb) == Answer(7, body)
 
@@ -109,13 +109,13 @@
 @pytest.mark.parametrize(
     "verb", ["status", "destinations", "workers", "counters", "drain", "resume", "stop", "fate"]
 )
-def test_each_verb_has_its_keyword_on_the_wire(verb: str) -> None:
+def test_each_verb_is_encoded_as_its_name_on_the_wire(verb: str) -> None:
     text = b'{"v":1,"id":1,"verb":"' + verb.encode() + b'"}'
     assert encode_request(Request(1, Verb(verb))) == FRAME_HEADER.pack(len(text)) + text
     assert len(Verb) == 8
 
 
-def test_the_place_of_a_wrong_field_has_the_wire_name() -> None:
+def test_a_field_error_names_the_field_as_on_the_wire() -> None:
     text = (
         b'{"v":1,"id":1,"ok":true,"body":{"destinations":[{"destination":1,"health":"well","waiting":"x"}]}}'
     )
@@ -124,6 +124,6 @@
     assert caught.value.place == "body.destinations[0].waiting"
 
 
-def test_a_body_without_a_needed_field_is_rejected() -> None:
+def test_a_body_without_a_required_field_is_rejected() -> None:
     with pytest.raises((FieldError, MalformedAnswerError), match="body"):
         decode_answer(b'{"v":1,"id":1,"ok":true,"body":{"held":3}}', Verb.STATUS)
