--- a/juniperward/control/codec.py
+++ b/juniperward/control/codec.py
@@ -38,9 +38,7 @@
 MAX_REQUEST_BYTES = 32 * 1024  # room for MAX_REDRIVE_IDS ids
 MAX_REDRIVE_IDS = 100
 MAX_ANSWER_BYTES = 16 * 1024 * 1024  # room for thousands of destinations
-MAX_REQUEST_CONTAINERS = (
-    4  # arrays and objects; bounds the decoder's recursion on the small stack of a thread
-)
+MAX_REQUEST_CONTAINERS = 4  # arrays and objects; bounds the recursion of the JSON decoder
 REQUEST_ID_LIMIT = 2**53  # all JSON decoders represent integers below it exactly
 FRAME_HEADER = struct.Struct("!I")
 # Names on the wire of the fields whose name in the code differs.
--- a/juniperward/fleet/roll_progress.py
+++ b/juniperward/fleet/roll_progress.py
@@ -29,7 +29,7 @@
 
 
 def advance(roll: Roll, fleet: FleetView) -> RollProgress:
-    """Return the roll as far as the observed fleet lets it advance, with the orders to instances."""
+    """Return the roll advanced as far as the observed fleet allows, with the orders to instances."""
     if roll.over:
         return RollProgress(roll)
     orders: list[RollOrder] = []
