--- a/juniperward/net/__init__.py
+++ b/juniperward/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 and sockets for every program of the project: parsers, encoders and helpers."""
+"""HTTP/1.1 parsers and encoders, and socket helpers, shared by all programs of the project."""
--- a/juniperward/net/http_errors.py
+++ b/juniperward/net/http_errors.py
@@ -1,40 +1,48 @@
-"""The errors of HTTP messages that are read."""
+"""Errors raised while an HTTP message is read."""
 
 from __future__ import annotations
 
 
 class ConnectionClosedError(Exception):
-    """The other side closed the connection between two messages."""
+    """The peer closed the connection between two messages."""
 
 
 class IncompleteMessageError(Exception):
-    """The other side closed or reset the connection within a message.
+    """The peer closed or reset the connection before the end of a message.
+
+    Attributes:
+        status: the status of a response whose status line was received, else None.
 
-    `status` is that of a response whose status line had come, else None.
     """
 
     status: int | None = None
 
     @classmethod
     def after(cls, status: int, error: Exception) -> IncompleteMessageError:
-        """Return the error of a response that failed after its status line."""
+        """Return the error of a response whose status line was received but whose rest could not be read."""
         incomplete = cls(str(error))
         incomplete.status = status
         return incomplete
 
 
 class MessageTimeoutError(IncompleteMessageError):
-    """A message was not complete in its time."""
+    """A message was not complete when its time limit was reached."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("not complete in its time")
+        """Set the error message."""
+        super().__init__("message not complete within its time limit")
 
 
 class MalformedMessageError(Exception):
-    """The bytes are not HTTP in the form that is read here; `status` is what a server answers to such a request."""
+    """The bytes received are not HTTP, or use a feature that is not supported.
+
+    Attributes:
+        status: the status with which a server answers such a request.
+        problem: a description, which is sent to the client.
+
+    """
 
     def __init__(self, status: int, problem: str) -> None:
-        """Name the status, and the problem, which clients get as text."""
+        """Set the status and the description."""
         super().__init__(problem)
         self.status, self.problem = status, problem
--- a/juniperward/net/http_head.py
+++ b/juniperward/net/http_head.py
@@ -1,4 +1,4 @@
-"""What requests and responses share in their heads: header lines, the body's length, the connection's end."""
+"""Parsing of what requests and responses have in common: header lines, Content-Length and Connection."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 MAX_LENGTH_DIGITS = 11
-TOO_LONG_LENGTH = 10**12  # stands for every length of more digits
-VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
+OVERSIZED_LENGTH_BYTES = 10**12  # the result for a Content-Length of more than MAX_LENGTH_DIGITS digits
+SUPPORTED_VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
-NOT_REPEATABLE = (
+SINGLE_VALUE_HEADERS = (
     "content-length",
     "transfer-encoding",
     "host",
@@ -23,22 +23,22 @@
 
 
 def read_headers(stream: Stream) -> dict[str, str]:
-    """Return header lines up to the empty one, names in lower case; the values of a repeated one are joined.
+    """Return the headers by name in lower case; the values of a repeated header are joined.
 
     Raises:
-        MalformedMessageError: for lines that are not headers, or too many bytes of them.
-        IncompleteMessageError: as `Stream` does.
+        MalformedMessageError: for a malformed header line, or headers of more than MAX_HEAD_BYTES.
+        IncompleteMessageError: if the stream ends or the time limit is reached before the empty line.
 
     """
     headers: dict[str, str] = {}
-    left_bytes = MAX_HEAD_BYTES
-    while line := stream.read_line(left_bytes, HttpStatus.HEADER_FIELDS_TOO_LARGE):
-        left_bytes -= len(line)
-        if left_bytes < 0:
+    remaining_bytes = MAX_HEAD_BYTES
+    while line := stream.read_line(remaining_bytes, HttpStatus.HEADER_FIELDS_TOO_LARGE):
+        remaining_bytes -= len(line)
+        if remaining_bytes < 0:
             raise MalformedMessageError(HttpStatus.HEADER_FIELDS_TOO_LARGE, "the headers are too large")
         name, text = _parse_header(line)
         if name in headers:
-            if name in NOT_REPEATABLE:
+            if name in SINGLE_VALUE_HEADERS:
                 raise MalformedMessageError(HttpStatus.BAD_REQUEST, f"{name} stands twice")
             text = f"{headers[name]}, {text}"
         headers[name] = text
@@ -56,16 +56,16 @@
 
 
 def content_length(headers: dict[str, str]) -> int | None:
-    """Return the length of the body, None where it is not given; raises MalformedMessageError."""
+    """Return the value of Content-Length, None without the header; raises MalformedMessageError."""
     text = headers.get("content-length")
     if text is None:
         return None
     if not text.isascii() or not text.isdigit():
         raise MalformedMessageError(HttpStatus.BAD_REQUEST, "content-length is not a number")
-    return int(text) if len(text) <= MAX_LENGTH_DIGITS else TOO_LONG_LENGTH
+    return int(text) if len(text) <= MAX_LENGTH_DIGITS else OVERSIZED_LENGTH_BYTES
 
 
 def ends_connection(version: bytes, headers: dict[str, str]) -> bool:
-    """Return whether the connection is closed after this message."""
+    """Return whether the sender of this message closes the connection after the exchange."""
     options = {option.strip().lower() for option in headers.get("connection", "").split(",")}
     return "close" in options or (version == b"HTTP/1.0" and "keep-alive" not in options)
--- a/juniperward/net/http_requests.py
+++ b/juniperward/net/http_requests.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests: bytes of a stream to a value, and a request to bytes. No sockets."""
+"""Reading of HTTP/1.1 requests from a stream, and their encoding. No sockets are used here."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from juniperward.net.http_head import (
     MAX_BODY_BYTES,
     MAX_HEAD_BYTES,
+    SUPPORTED_VERSIONS,
     TOKEN_BYTES,
-    VERSIONS,
     content_length,
     ends_connection,
     read_headers,
@@ -24,21 +24,23 @@
 from juniperward.net.http_values import HttpRequest
 from juniperward.net.stream import Stream
 
-TARGET_START = re.compile(rb"(?:[Hh][Tt][Tt][Pp]://[^/?#]+)?/")  # of a path, or of its absolute form
+# The start of a target in origin form (a path) or in absolute form (a URL).
+TARGET_START = re.compile(rb"(?:[Hh][Tt][Tt][Pp]://[^/?#]+)?/")
 REQUEST_LINE_PARTS = 3
 
 
-def _do_nothing() -> None:
-    """Send no 100 (Continue)."""
+def _send_no_continue() -> None:
+    """Send no 100 (Continue) response."""
 
 
-def read_request(stream: Stream, send_continue: Callable[[], None] = _do_nothing) -> HttpRequest:
-    """Return the next request; `send_continue` is called where the client waits for it before the body.
+def read_request(stream: Stream, send_continue: Callable[[], None] = _send_no_continue) -> HttpRequest:
+    """Return the next request; `send_continue` is called if the client expects 100 (Continue).
 
     Raises:
-        ConnectionClosedError: where the client closes between two requests.
-        MalformedMessageError: with the status to answer.
-        IncompleteMessageError: where the client closes within a request, MessageTimeoutError where time is up.
+        ConnectionClosedError: if the client closes the connection between two requests.
+        MalformedMessageError: if the request is not valid; `status` is the status to answer.
+        MessageTimeoutError: if the request is not complete within its time limit.
+        IncompleteMessageError: if the client closes the connection before the end of the request.
 
     """
     method, target, version = _read_request_line(stream)
@@ -56,7 +58,7 @@
 
 
 def _read_request_line(stream: Stream) -> tuple[bytes, bytes, bytes]:
-    """Return method, target and version; empty lines ahead are skipped."""
+    """Return method, target and version; empty lines before the request line are skipped."""
     line = b""
     while not line:
         if not stream.buffer:
@@ -68,7 +70,7 @@
     method, target, version = parts
     if not method or not TOKEN_BYTES.issuperset(method) or not TARGET_START.match(target):
         raise MalformedMessageError(HttpStatus.BAD_REQUEST, "the request line is malformed")
-    if version not in VERSIONS:
+    if version not in SUPPORTED_VERSIONS:
         is_http = version.startswith(b"HTTP/")
         status = HttpStatus.VERSION_NOT_SUPPORTED if is_http else HttpStatus.BAD_REQUEST
         raise MalformedMessageError(status, "not HTTP/1.1")
@@ -85,7 +87,7 @@
 
 
 def encode_request(method: str, target: str, host: str, headers: dict[str, str], body: bytes | None) -> bytes:
-    """Return the bytes of a request; without a body there is no Content-Length."""
+    """Return the bytes of a request; without a body it has no Content-Length."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body is not None:
--- a/juniperward/net/http_responses.py
+++ b/juniperward/net/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 responses: bytes of a stream to a value, and a response to bytes. No sockets."""
+"""Reading of HTTP/1.1 responses from a stream, and their encoding. No sockets are used here."""
 
 from __future__ import annotations
 
@@ -9,45 +9,49 @@
 from juniperward.net.http_head import (
     MAX_BODY_BYTES,
     MAX_HEAD_BYTES,
-    VERSIONS,
+    SUPPORTED_VERSIONS,
     content_length,
     ends_connection,
     read_headers,
 )
-from juniperward.net.http_status import FIRST_FINAL_STATUS, REASONS, WITHOUT_BODY, HttpStatus
+from juniperward.net.http_status import FIRST_FINAL_STATUS, REASON_PHRASES, STATUSES_WITHOUT_BODY, HttpStatus
 from juniperward.net.http_values import HttpResponse
 from juniperward.net.stream import Stream
 
-MAX_CHUNK_BYTES = 4 * 1024 * 1024  # a chunk of discovery may have its complete endpoint list
+MAX_CHUNK_BYTES = 4 * 1024 * 1024  # a chunk from discovery may hold its complete endpoint list
 MAX_CHUNK_LINE_BYTES = 256
-MAX_INTERIM = 16  # 1xx responses ahead of the final one
-# int() accepts far more than these forms.
-STATUS = re.compile(rb"[1-9][0-9]{2}")
-HEXADECIMAL = re.compile(rb"[0-9A-Fa-f]{1,8}")
+MAX_INTERIM_RESPONSES = 16
+# Checked before int(), which also accepts signs, underscores and blanks.
+STATUS_CODE = re.compile(rb"[1-9][0-9]{2}")
+CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
 
-def _ignore(_: bool) -> None:
-    """Take no note of whether a response has begun."""
+def _ignore_begun(_: bool) -> None:
+    """Do nothing when a response begins."""
 
 
-def read_head(stream: Stream, on_begun: Callable[[bool], None] = _ignore) -> tuple[int, dict[str, str], bool]:
-    """Return status, headers and whether the connection ends, of a response; a few interim ones are skipped.
+def read_head(
+    stream: Stream, set_begun: Callable[[bool], None] = _ignore_begun
+) -> tuple[int, dict[str, str], bool]:
+    """Return the status and headers of a response, and whether the server closes the connection after it.
 
-    `on_begun` is called with False ahead of each head and with True once its first bytes have come: a server may
-    take its time until then, and no more after it.
+    Up to MAX_INTERIM_RESPONSES interim (1xx) responses are skipped. `set_begun` is called with False before
+    each head and with True once its first bytes are received, so that the caller can limit the time of the
+    transfer apart from the time of the wait for it.
 
     Raises:
-        MalformedMessageError, IncompleteMessageError: before a status line has come; after one always an
-            IncompleteMessageError that has its status.
+        MalformedMessageError: if the first status line is malformed.
+        IncompleteMessageError: if the response is incomplete, or invalid after its status line. Its `status` is
+            that of the last status line received, None if there was none.
 
     """
     status: int | None = None
-    for _ in range(MAX_INTERIM + 1):
+    for _ in range(MAX_INTERIM_RESPONSES + 1):
         try:
-            on_begun(False)
+            set_begun(False)
             if not stream.buffer:
                 stream.read_more()
-            on_begun(True)
+            set_begun(True)
             version, status = _read_status_line(stream)
             headers = read_headers(stream)
         except (IncompleteMessageError, MalformedMessageError) as error:
@@ -57,33 +61,33 @@
         if status >= FIRST_FINAL_STATUS:
             return status, headers, ends_connection(version, headers)
     assert status is not None
-    no_end = MalformedMessageError(HttpStatus.BAD_REQUEST, "no end of interim answers")
-    raise IncompleteMessageError.after(status, no_end)
+    problem = MalformedMessageError(HttpStatus.BAD_REQUEST, "too many interim responses")
+    raise IncompleteMessageError.after(status, problem)
 
 
 def _read_status_line(stream: Stream) -> tuple[bytes, int]:
     parts = stream.read_line(MAX_HEAD_BYTES, HttpStatus.BAD_REQUEST).split(b" ", 2)
-    if len(parts) < 2 or parts[0] not in VERSIONS or not STATUS.fullmatch(parts[1]):
+    if len(parts) < 2 or parts[0] not in SUPPORTED_VERSIONS or not STATUS_CODE.fullmatch(parts[1]):
         raise MalformedMessageError(HttpStatus.BAD_REQUEST, "the status line is malformed")
     return parts[0], int(parts[1])
 
 
 def read_response(
-    stream: Stream, on_begun: Callable[[bool], None] = _ignore, max_body_bytes: int = MAX_BODY_BYTES
+    stream: Stream, set_begun: Callable[[bool], None] = _ignore_begun, max_body_bytes: int = MAX_BODY_BYTES
 ) -> HttpResponse:
-    """Return a complete response; `on_begun` and errors as in `read_head`."""
-    status, headers, close = read_head(stream, on_begun)
+    """Return a complete response; `set_begun` and the errors are those of `read_head`."""
+    status, headers, close = read_head(stream, set_begun)
     try:
         body = _read_body(stream, status, headers, max_body_bytes)
     except (IncompleteMessageError, MalformedMessageError) as error:
         raise IncompleteMessageError.after(status, error) from error
     has_length = "transfer-encoding" in headers or "content-length" in headers
-    ends_with_connection = not has_length and status not in WITHOUT_BODY
+    ends_with_connection = not has_length and status not in STATUSES_WITHOUT_BODY
     return HttpResponse(status, headers, body, close or ends_with_connection)
 
 
 def _read_body(stream: Stream, status: int, headers: dict[str, str], max_bytes: int) -> bytes:
-    if status in WITHOUT_BODY:
+    if status in STATUSES_WITHOUT_BODY:
         return b""
     if "transfer-encoding" in headers:
         return _read_chunked_body(stream, headers, max_bytes)
@@ -97,7 +101,9 @@
 
 def _read_chunked_body(stream: Stream, headers: dict[str, str], max_bytes: int) -> bytes:
     if headers["transfer-encoding"].lower() != "chunked" or "content-length" in headers:
-        raise MalformedMessageError(HttpStatus.BAD_REQUEST, "the length of the body is not clear")
+        raise MalformedMessageError(
+            HttpStatus.BAD_REQUEST, "the body has an unsupported transfer coding, or also a content-length"
+        )
     body = b""
     for chunk in read_chunks(stream, max_bytes):
         body += chunk
@@ -107,24 +113,24 @@
 
 
 def read_chunks(stream: Stream, max_chunk_bytes: int = MAX_CHUNK_BYTES) -> Iterator[bytes]:
-    """Yield the chunks of a body until its last; raises MalformedMessageError or as `Stream` does."""
+    """Yield the chunks of a body; raises MalformedMessageError or IncompleteMessageError."""
     while True:
         line = stream.read_line(MAX_CHUNK_LINE_BYTES, HttpStatus.BAD_REQUEST)
         size = line.split(b";", 1)[0].strip()
-        length = int(size, 16) if HEXADECIMAL.fullmatch(size) else -1
+        length = int(size, 16) if CHUNK_SIZE.fullmatch(size) else -1
         if not 0 <= length <= max_chunk_bytes:
             raise MalformedMessageError(HttpStatus.BAD_REQUEST, "a chunk's size is malformed")
         if length == 0:
-            read_headers(stream)  # trailers
+            read_headers(stream)  # The trailers are not used.
             return
         yield stream.read_exactly(length)
         if stream.read_line(2, HttpStatus.BAD_REQUEST):
-            raise MalformedMessageError(HttpStatus.BAD_REQUEST, "a chunk does not end where it should")
+            raise MalformedMessageError(HttpStatus.BAD_REQUEST, "a chunk is longer than its size")
 
 
 def encode_response(status: int, headers: dict[str, str], body: bytes, close: bool) -> bytes:
     """Return the bytes of a response."""
-    lines = [f"HTTP/1.1 {status:d} {REASONS[status]}"]
+    lines = [f"HTTP/1.1 {status:d} {REASON_PHRASES[status]}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     lines.append(f"Content-Length: {len(body)}")
     if close:
--- a/juniperward/net/http_status.py
+++ b/juniperward/net/http_status.py
@@ -1,4 +1,4 @@
-"""The HTTP statuses that the programs answer or read, and their reason phrases."""
+"""The HTTP status codes that the programs send or receive, and their reason phrases."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HttpStatus(IntEnum):
-    """A status by its name in RFC 9110."""
+    """A status code, named as in RFC 9110."""
 
     OK = 200
     ACCEPTED = 202
@@ -29,9 +29,10 @@
     VERSION_NOT_SUPPORTED = 505
 
 
-FIRST_FINAL_STATUS = 200  # those below are interim
-WITHOUT_BODY = (HttpStatus.NO_CONTENT, HttpStatus.NOT_MODIFIED)
-REASONS = {  # of the statuses that responses are encoded with
+FIRST_FINAL_STATUS = 200  # lower ones are interim responses
+STATUSES_WITHOUT_BODY = (HttpStatus.NO_CONTENT, HttpStatus.NOT_MODIFIED)
+# Only of the status codes that the programs send.
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     204: "No Content",
--- a/juniperward/net/sockets.py
+++ b/juniperward/net/sockets.py
@@ -1,4 +1,4 @@
-"""Helpers for blocking sockets: time limits that the kernel keeps, and a look at a connection without reading."""
+"""Helpers for blocking sockets: kernel-enforced timeouts, and checks of a connection without reading."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class ConnectTimeoutError(TimeoutError):
-    """A connection was not established in its time."""
+    """A connection was not established within its timeout."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("no connection in time")
+        """Set the error message."""
+        super().__init__("connection not established within its timeout")
 
 
 class ReadTimeoutError(TimeoutError):
-    """What is read was not complete in its time."""
+    """The data was not received completely within the time limit."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("not complete in its time")
+        """Set the error message."""
+        super().__init__("data not complete within its time limit")
 
 
 def set_timeout(sock: socket.socket, option: int, timeout_s: float) -> None:
-    """Set SO_RCVTIMEO or SO_SNDTIMEO: a system call that takes longer ends with BlockingIOError."""
-    total = max(1, int(timeout_s * 1e6))
-    seconds, microseconds = divmod(total, MICROSECONDS_PER_S)
+    """Set `option`, SO_RCVTIMEO or SO_SNDTIMEO; a system call that takes longer raises BlockingIOError."""
+    timeout_us = max(1, int(timeout_s * 1e6))
+    seconds, microseconds = divmod(timeout_us, MICROSECONDS_PER_S)
     sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("@ll", seconds, microseconds))
 
 
 def connect(host: str, port: int, timeout_s: float, sock: socket.socket) -> None:
-    """Connect within a time limit; raises OSError, after the limit ConnectTimeoutError."""
+    """Connect a socket; raises OSError, after `timeout_s` ConnectTimeoutError."""
     set_timeout(sock, socket.SO_SNDTIMEO, timeout_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
@@ -44,7 +44,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Return whether the other side has ended the connection, without waiting or reading."""
+    """Return whether the peer has closed or reset the connection, without waiting or reading."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -54,7 +54,7 @@
 
 
 def is_reusable(sock: socket.socket) -> bool:
-    """Return whether no bytes have come and the other side has not ended, without waiting or reading."""
+    """Return whether the connection is open and nothing was received, without waiting or reading."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -65,27 +65,27 @@
 
 
 class DeadlineReader:
-    """Reads of a socket that share one time limit: single bytes now and then do not extend it."""
+    """Reads from a socket under one time limit for all, which a peer cannot extend by sending slowly."""
 
     def __init__(self, sock: socket.socket, timeout_s: float) -> None:
-        """Let the time begin."""
+        """Start the time limit."""
         self.sock, self.timeout_s = sock, timeout_s
         self.restart()
 
     def restart(self) -> None:
-        """Count the time from now."""
+        """Start the time limit again."""
         self.deadline = time.monotonic() + self.timeout_s
 
     def receive(self, size: int) -> bytes:
-        """Read some bytes; raises TimeoutError or BlockingIOError once the time is up."""
-        left_s = self.deadline - time.monotonic()
-        if left_s <= 0:
+        """Return at most `size` bytes; raises TimeoutError or BlockingIOError at the time limit."""
+        remaining_s = self.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise ReadTimeoutError
-        set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
+        set_timeout(self.sock, socket.SO_RCVTIMEO, remaining_s)
         return self.sock.recv(size)
 
 
 def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """End a connection now, in one direction or both; a thread that waits on it wakes up."""
+    """Shut down one or both directions of a connection; a thread blocked on it returns."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/juniperward/net/stream.py
+++ b/juniperward/net/stream.py
@@ -1,4 +1,4 @@
-"""A buffer over a function that receives bytes: lines and byte counts out of pieces cut anywhere."""
+"""Buffered reading of lines and byte counts from a function that receives bytes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 
 
 class Stream:
-    """Bytes as they come. All reads raise IncompleteMessageError, where time is up MessageTimeoutError."""
+    """A buffered byte stream.
+
+    Reads raise IncompleteMessageError if the connection ends before the requested bytes have come, and
+    MessageTimeoutError if `receive` times out.
+    """
 
     def __init__(self, receive: Callable[[int], bytes]) -> None:
-        """Read by `receive`, which returns at most so many bytes and none at the end of the stream."""
+        """Read by `receive`, which returns at most as many bytes as asked, and none at the end."""
         self.receive = receive
         self.buffer = bytearray()
 
     def read_more(self) -> None:
-        """Append the next bytes to the buffer."""
+        """Receive bytes and append them to the buffer."""
         try:
             data = self.receive(READ_BYTES)
         except (TimeoutError, BlockingIOError) as error:
@@ -30,12 +34,17 @@
             raise IncompleteMessageError("closed")
         self.buffer += data
 
-    def read_line(self, max_bytes: int, too_long: int) -> bytes:
-        """Return the next line without its end; raises MalformedMessageError with status `too_long`."""
+    def read_line(self, max_bytes: int, too_long_status: int) -> bytes:
+        """Return the next line without its line end.
+
+        Raises:
+            MalformedMessageError: with status `too_long_status` for a line of more than `max_bytes`.
+
+        """
         searched = 0
         while (end := self.buffer.find(b"\n", searched)) < 0:
             if len(self.buffer) > max_bytes:
-                raise MalformedMessageError(too_long, "a line is too long")
+                raise MalformedMessageError(too_long_status, "a line is too long")
             searched = len(self.buffer)
             self.read_more()
         line = bytes(self.buffer[:end])
@@ -43,7 +52,7 @@
         return line.removesuffix(b"\r")
 
     def read_exactly(self, length: int) -> bytes:
-        """Return so many bytes."""
+        """Return the next `length` bytes."""
         while len(self.buffer) < length:
             self.read_more()
         data = bytes(self.buffer[:length])
@@ -51,7 +60,7 @@
         return data
 
     def read_to_end(self, max_bytes: int) -> bytes:
-        """Return all bytes until the other side closes; raises MalformedMessageError where there are too many."""
+        """Return all bytes up to the end of the stream; raises MalformedMessageError above `max_bytes`."""
         try:
             while len(self.buffer) <= max_bytes:
                 self.read_more()
