--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -92,15 +92,15 @@
         if draining:
             self.close_idle(endpoint)
 
-    def sweep(self, now: float) -> None:
-        """Close connections that have been idle for too long, before their endpoints do."""
+    def close_expired(self, now: float) -> None:
+        """Close the connections that have been idle for too long, before their endpoints do."""
         expired: list[EndpointConnection] = []
         with self._lock:
             for endpoint, connections in list(self.idle.items()):
-                fresh = [c for c in connections if now - c.idle_since < self.keepalive_s]
+                usable = [c for c in connections if now - c.idle_since < self.keepalive_s]
                 expired += [c for c in connections if now - c.idle_since >= self.keepalive_s]
-                if fresh:
-                    self.idle[endpoint] = fresh
+                if usable:
+                    self.idle[endpoint] = usable
                 else:
                     del self.idle[endpoint]
         _close_all(expired)
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -130,9 +130,9 @@
         """Write no call to a route before a moment."""
         self.gate.pause_route(route, until)
 
-    def sweep(self, now: float) -> None:
-        """Close connections that have been idle for too long, and remove pauses of routes that are over."""
-        self.pool.sweep(now)
+    def remove_expired(self, now: float) -> None:
+        """Close connections idle for too long, and remove the pauses of routes that have ended."""
+        self.pool.close_expired(now)
         self.gate.remove_expired_pauses(now)
 
     def stop_sending(self) -> None:
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -71,7 +71,7 @@
             self.round(events + self.queue.expired_timers(now))
             if now >= self._sweep_at:
                 self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
-                executor.endpoint_client.sweep(now)
+                executor.endpoint_client.remove_expired(now)
         # What was posted by now is journalled and answered; what threads post later is left to the next process.
         executor.endpoint_client.stop_sending()
         self.round(self.queue.wait(0.0))
--- a/juniperward/net/http_responses.py
+++ b/juniperward/net/http_responses.py
@@ -33,7 +33,7 @@
 def read_head(
     stream: Stream, set_begun: Callable[[bool], None] = _ignore_begun
 ) -> tuple[int, dict[str, str], bool]:
-    """Return the status and headers of a response, and whether the server closes the connection after it.
+    """Return the status and headers of a response, and whether the server then closes the connection.
 
     Up to MAX_INTERIM_RESPONSES interim (1xx) responses are skipped. `set_begun` is called with False before
     each head and with True once its first bytes are received, so that the caller can limit the time of the
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -530,9 +530,9 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OK
         (kept,) = self.client.pool.idle[3]
-        self.client.sweep(kept.idle_since + 8.9)
+        self.client.remove_expired(kept.idle_since + 8.9)
         assert 3 in self.client.pool.idle
-        self.client.sweep(kept.idle_since + 9.1)
+        self.client.remove_expired(kept.idle_since + 9.1)
         assert sock.recv(1) == b""
 
     def test_an_endless_answer_does_not_block_its_call(self) -> None:
@@ -572,7 +572,7 @@
         self.client.set_draining(3, True)
         self.client.pause_route(7, time.monotonic() + 1.0)
         self.client.forget(3)
-        self.client.sweep(time.monotonic() + 2.0)
+        self.client.remove_expired(time.monotonic() + 2.0)
         assert (self.client.gate.draining, self.client.gate.paused_until, self.client.pool.idle) == (
             set(),
             {},
