--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -54,12 +54,12 @@
     return tuple(ItemOutcome(item.message, outcome, written=written) for item in attempt.items)
 
 
-def read_health(answer: HttpResponse, fresh: bool = False) -> Outcome:
-    """Return the outcome of a health check; `fresh`: the answer came on a new connection."""
+def read_health(answer: HttpResponse, on_new_connection: bool = False) -> Outcome:
+    """Return the outcome of a health check."""
     match answer.status:
         case HttpStatus.OK:
             return Outcome.OK
-        case HttpStatus.SERVICE_UNAVAILABLE if fresh and _closed_at_once(answer):
+        case HttpStatus.SERVICE_UNAVAILABLE if on_new_connection and _closed_at_once(answer):
             increment("connection_tables_full")
             return Outcome.CONNECT_FAILED  # the connection table is full, as in `_read_status`
         case HttpStatus.SERVICE_UNAVAILABLE | HttpStatus.TOO_MANY_REQUESTS:
@@ -71,14 +71,14 @@
 
 
 def read_outcomes(
-    attempt: StartAttempt, answer: HttpResponse, fresh: bool = False
+    attempt: StartAttempt, answer: HttpResponse, on_new_connection: bool = False
 ) -> tuple[ItemOutcome, ...]:
-    """Return the outcome of each message of an attempt; `fresh`: the answer came on a new connection."""
+    """Return the outcome of each message of an attempt."""
     retry_after_s = read_retry_after(answer.headers)
     load_report = read_load_report(answer.headers)
     if answer.status == HttpStatus.OK and len(attempt.items) > 1:
         return _read_batch(attempt, answer, retry_after_s, load_report)
-    meaning = _read_status(attempt, answer, fresh and _closed_at_once(answer))
+    meaning = _read_status(attempt, answer, on_new_connection and _closed_at_once(answer))
     return tuple(
         ItemOutcome(
             item.message,
--- a/juniperward/forwarder/attempt_call.py
+++ b/juniperward/forwarder/attempt_call.py
@@ -111,14 +111,16 @@
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return _outcomes_without_answer(call, attempt, error)
-        fresh = not connection.reused
+        on_new_connection = not connection.reused
         if self.trace is not None:
-            self.trace.write_answer(attempt.number, fresh, answer.status, answer.close, f"{answer.headers}")
+            self.trace.write_answer(
+                attempt.number, on_new_connection, answer.status, answer.close, f"{answer.headers}"
+            )
         if connection.stream.buffer:
             # More bytes than one answer has; they must not become the next call's answer.
             increment("answers_with_excess")
         self._connections.release(call, connection, answer)
-        return read_outcomes(attempt, answer, fresh)
+        return read_outcomes(attempt, answer, on_new_connection)
 
 
 def _outcomes_without_answer(
--- a/juniperward/forwarder/health_check_call.py
+++ b/juniperward/forwarder/health_check_call.py
@@ -44,17 +44,17 @@
             self._connections.put_back(call, connection)
             return without_answer(check, Outcome.NOT_SENT, began)
         connection.deadline = check.deadline
-        fresh = not connection.reused
+        on_new_connection = not connection.reused
         try:
             connection.sock.sendall(encode_health_check(check))
             answer = read_response(connection.stream, connection.limit_transfer)
             connection.deadline = None
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
-            return without_answer(check, _outcome_of_error(check, fresh, error), began)
+            return without_answer(check, _outcome_of_error(check, on_new_connection, error), began)
         increment("health_checks_answered")
         self._connections.release(call, connection, answer)
-        return _answered(check, read_health(answer, fresh), began, answer)
+        return _answered(check, read_health(answer, on_new_connection), began, answer)
 
 
 def without_answer(check: StartHealthCheck, outcome: Outcome, began: float) -> HealthCheckAnswered:
@@ -78,12 +78,12 @@
     )
 
 
-def _outcome_of_error(check: StartHealthCheck, fresh: bool, error: Exception) -> Outcome:
+def _outcome_of_error(check: StartHealthCheck, on_new_connection: bool, error: Exception) -> Outcome:
     # A read that took too long comes as an incomplete message: the time alone tells a timeout.
     if time.monotonic() >= check.deadline:
         return Outcome.TIMEOUT
     endpoint = format_address((check.host, check.port))
     increment("health_checks_incomplete")
     log("health_check", "answer incomplete", endpoint=endpoint, error=error)
-    was_rejected = fresh and isinstance(error, ConnectionError)
+    was_rejected = on_new_connection and isinstance(error, ConnectionError)
     return Outcome.CONNECT_FAILED if was_rejected else Outcome.RESET
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -96,9 +96,13 @@
                 lines = [f"say {format_event(event, dict(fields))}"]
         return lines
 
-    def write_answer(self, attempt_number: int, fresh: bool, status: int, close: bool, headers: str) -> None:
-        """Write the status and the headers of an endpoint's answer; `fresh`: it came on a new connection."""
-        how = f"{'fresh' if fresh else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
+    def write_answer(
+        self, attempt_number: int, on_new_connection: bool, status: int, close: bool, headers: str
+    ) -> None:
+        """Write the status and the headers of an endpoint's answer."""
+        how = (
+            f"{'fresh' if on_new_connection else 'kept'} {status} {'closes' if close else 'stays'} {headers}"
+        )
         self._write(time.monotonic(), [f"answer {attempt_number} {how}"])
 
     def _write(self, now: float, lines: list[str]) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -88,11 +88,13 @@
         # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
         end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
         full, ends = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
-        assert read_outcomes(start_attempt(1, 1), ends, fresh=True) == (end,)
-        assert read_outcomes(start_attempt(1, 1), ends, fresh=False) == (full,)
-        assert read_outcomes(start_attempt(1, 1), HttpResponse(503, {}, b"", False), fresh=True) == (full,)
+        assert read_outcomes(start_attempt(1, 1), ends, on_new_connection=True) == (end,)
+        assert read_outcomes(start_attempt(1, 1), ends, on_new_connection=False) == (full,)
+        assert read_outcomes(
+            start_attempt(1, 1), HttpResponse(503, {}, b"", False), on_new_connection=True
+        ) == (full,)
         told = HttpResponse(503, {"retry-after": "0.5"}, b"", True)
-        assert read_outcomes(start_attempt(1, 1), told, fresh=True) == (
+        assert read_outcomes(start_attempt(1, 1), told, on_new_connection=True) == (
             ItemOutcome(0, Outcome.OVERLOADED, 0.5),
         )
 
