--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -63,7 +63,7 @@
         settings.keepalive_s,
         connection_limits.calls,
         connection_limits.idle_endpoint_connections,
-        max_read_s=max(message_class.deadline_s for message_class in settings.classes),
+        read_timeout_s=max(message_class.deadline_s for message_class in settings.classes),
     )
     endpoint_client = EndpointClient(client_limits, queue.post, journal.append)
     discovery = DiscoveryClient(config.discovery, config.names, queue.post)
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -16,7 +16,7 @@
 from juniperward.forwarder.attempt_call import AttemptCalls
 from juniperward.forwarder.connection_pool import ConnectionPool
 from juniperward.forwarder.effects import StartAttempt, StartHealthCheck
-from juniperward.forwarder.endpoint_connection import MAX_READ_S
+from juniperward.forwarder.endpoint_connection import MIN_READ_TIMEOUT_S
 from juniperward.forwarder.endpoint_connections import EndpointConnections
 from juniperward.forwarder.events import AttemptAnswered, Event, HealthCheckAnswered
 from juniperward.forwarder.health_check_call import HealthCheckCalls, without_answer
@@ -36,7 +36,7 @@
     keepalive_s: float  # of the endpoints
     max_threads: int
     max_idle_connections: int
-    max_read_s: float = MAX_READ_S
+    read_timeout_s: float = MIN_READ_TIMEOUT_S
 
 
 class EndpointClient:
@@ -51,7 +51,9 @@
         """Begin without threads, they are started as calls need them; `append` writes to the journal."""
         self.pool = ConnectionPool(limits.keepalive_s, limits.max_idle_connections)
         self.gate = SendGate()
-        self.connections = EndpointConnections(self.pool, self.gate, limits.dial_timeout_s, limits.max_read_s)
+        self.connections = EndpointConnections(
+            self.pool, self.gate, limits.dial_timeout_s, limits.read_timeout_s
+        )
         self.attempts = AttemptCalls(self.connections, self.gate, append)
         self.health_checks = HealthCheckCalls(self.connections, self.gate)
         self.max_threads = limits.max_threads
--- a/juniperward/forwarder/endpoint_connection.py
+++ b/juniperward/forwarder/endpoint_connection.py
@@ -8,16 +8,20 @@
 from juniperward.net import sockets
 from juniperward.net.stream import Stream
 
-MAX_READ_S = 60.0  # after it a read ends in any case; it is longer where a class has a longer deadline
+MIN_READ_TIMEOUT_S = (
+    60.0  # after it a read ends in any case; it is longer where a class has a longer deadline
+)
 ANSWER_TRANSFER_S = 0.5  # that an answer may take from its first byte to its last
 
 
 class EndpointConnection:
     """A connection to an endpoint; used by one thread at a time."""
 
-    def __init__(self, sock: socket.socket, address: tuple[str, int], max_read_s: float = MAX_READ_S) -> None:
-        """Read from a socket that is connected, and whose kernel timeout of a read is `max_read_s`."""
-        self.sock, self.address, self.max_read_s = sock, address, max_read_s
+    def __init__(
+        self, sock: socket.socket, address: tuple[str, int], read_timeout_s: float = MIN_READ_TIMEOUT_S
+    ) -> None:
+        """Read from a socket that is connected, and whose kernel timeout of a read is `read_timeout_s`."""
+        self.sock, self.address, self.read_timeout_s = sock, address, read_timeout_s
         self.stream = Stream(self._receive)
         self.idle_since = time.monotonic()
         self.reused = False  # an earlier call has had an answer on it
@@ -43,6 +47,6 @@
             sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
             self._has_short_timeout = True
         elif self._has_short_timeout:
-            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self.max_read_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self.read_timeout_s)
             self._has_short_timeout = False
         return self.sock.recv(size)
--- a/juniperward/forwarder/endpoint_connections.py
+++ b/juniperward/forwarder/endpoint_connections.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.address import format_address
 from juniperward.forwarder.answer_headers import read_retry_after
 from juniperward.forwarder.connection_pool import ConnectionPool
-from juniperward.forwarder.endpoint_connection import MAX_READ_S, EndpointConnection
+from juniperward.forwarder.endpoint_connection import MIN_READ_TIMEOUT_S, EndpointConnection
 from juniperward.forwarder.send_gate import SendGate, route_of
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.net import sockets
@@ -23,12 +23,16 @@
     """Opens, reuses and releases connections; any number of threads may call it at once."""
 
     def __init__(
-        self, pool: ConnectionPool, gate: SendGate, dial_timeout_s: float, max_read_s: float = MAX_READ_S
+        self,
+        pool: ConnectionPool,
+        gate: SendGate,
+        dial_timeout_s: float,
+        read_timeout_s: float = MIN_READ_TIMEOUT_S,
     ) -> None:
         """Take idle connections from a pool; a Retry-After pauses its route at the gate."""
         self._pool, self._gate = pool, gate
         self.dial_timeout_s = dial_timeout_s
-        self.max_read_s = max(max_read_s, MAX_READ_S)
+        self.read_timeout_s = max(read_timeout_s, MIN_READ_TIMEOUT_S)
 
     def connect(self, call: ActiveCall) -> EndpointConnection | None:
         """Return a connection for a call, None where none can be established; `call.sock` is its socket."""
@@ -54,14 +58,14 @@
             sockets.connect(*address, left_s, sock)
             # The time that was left for this dial must not limit later writes on the connection.
             sockets.set_timeout(sock, socket.SO_SNDTIMEO, self.dial_timeout_s)
-            sockets.set_timeout(sock, socket.SO_RCVTIMEO, self.max_read_s)
+            sockets.set_timeout(sock, socket.SO_RCVTIMEO, self.read_timeout_s)
         except OSError as error:
             sock.close()
             increment("dials_failed")
             log("dial", "failed", endpoint=format_address(address), error=error or "too late")
             return None
         increment("connections_opened")
-        return EndpointConnection(sock, address, self.max_read_s)
+        return EndpointConnection(sock, address, self.read_timeout_s)
 
     def put_back(self, call: ActiveCall, connection: EndpointConnection) -> None:
         """Return a connection that a call has not used."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -469,7 +469,7 @@
     def test_an_answer_is_waited_for_as_long_as_the_longest_class_may_wait(self) -> None:
         # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
         for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
-            limits = replace(LIMITS, max_read_s=deadline)
+            limits = replace(LIMITS, read_timeout_s=deadline)
             self.client = EndpointClient(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
             sock = self.accept()
