--- a/juniperward/forwarder/attempt_call.py
+++ b/juniperward/forwarder/attempt_call.py
@@ -1,7 +1,7 @@
-"""One attempt, on the thread of its call: a connection, the records, the request, and the answer's outcomes.
+"""Makes an attempt on the thread of its call: gets a connection, sends the request and reads the answer.
 
-`endpoint_client.py` calls `AttemptCalls.run`. The order of a message's steps: its `AttemptStartedRecord` in the
-journal, then the first byte of its call.
+`endpoint_client.py` calls `AttemptCalls.run`. The `AttemptStartedRecord` of each message is in the journal
+before the first byte of the request is sent.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class AttemptCalls:
-    """Makes attempts; any number of threads may call it at once."""
+    """Makes attempts; safe to call from any thread."""
 
     def __init__(
         self,
@@ -37,38 +37,38 @@
         gate: SendGate,
         append: Callable[[JournalRecord], None],
     ) -> None:
-        """Write calls that the gate lets pass; `append` writes to the journal and raises OSError."""
+        """Send only the attempts that `gate` allows; `append` writes to the journal and raises OSError."""
         self._connections, self._gate = connections, gate
         self.append = append
         self.trace: Trace | None = None
 
     def run(self, call: ActiveCall, attempt: StartAttempt) -> tuple[ItemOutcome, ...]:
-        """Make an attempt; return the outcomes of all its messages."""
+        """Make an attempt and return the outcome of each of its messages."""
         connection = self._connections.connect(call)
         if connection is None:
             return same_outcomes(attempt, Outcome.CONNECT_FAILED, written=False)
         if connection.reused:
             increment("connections_reused")
-        items = self._begin(call, attempt)
+        items = self._journal_sendable(call, attempt)
         if not items:
-            # A drain or a Retry-After came while it waited for its connection.
+            # A drain, a Retry-After, a withdrawal or a deadline came during the wait for a connection.
             increment("attempts_withheld")
             self._connections.put_back(call, connection)
             return same_outcomes(attempt, Outcome.NOT_SENT, written=False)
         if len(items) == len(attempt.items):
             return self._exchange(call, attempt, connection)
-        # The others ended meanwhile, and their clients were notified: written now, they would execute all the same.
+        # Messages that ended during the wait for a connection, or could not be journalled, are not sent.
         increment("batch_items_withdrawn", len(attempt.items) - len(items))
         not_sent = same_outcomes(attempt, Outcome.NOT_SENT, written=False)
         exchanged = self._exchange(call, replace(attempt, items=items), connection)
         outcomes = {outcome.message: outcome for outcome in not_sent + exchanged}
         return tuple(outcomes.values())
 
-    def _begin(self, call: ActiveCall, attempt: StartAttempt) -> tuple[BatchItem, ...]:
-        """Journal the messages that may still be written, and return them; none where the call must not be written.
+    def _journal_sendable(self, call: ActiveCall, attempt: StartAttempt) -> tuple[BatchItem, ...]:
+        """Journal and return the messages that may still be sent; none if the call must not be sent.
 
-        They are journalled here, before their first byte and not when the scheduler decided: a process killed
-        while a call waits for its connection leaves its messages unattempted.
+        They are journalled only now, after the wait for a connection, so that the messages of a process
+        killed during that wait are restored as not attempted.
         """
         now = time.monotonic()
         with self._gate.lock:
@@ -78,27 +78,30 @@
             for item in attempt.items:
                 if item.message in call.withdrawn or now >= item.start_before:
                     continue
-                if not self._journal(attempt, item, now):
+                if not self._journal_start(attempt, item, now):
                     break
                 items.append(item)
             if items:
                 call.progress = AttemptProgress.WRITING
             return tuple(items)
 
-    def _journal(self, attempt: StartAttempt, item: BatchItem, now: float) -> bool:
-        """Write a message's record; a message without it must not be written, it would come back as unattempted."""
+    def _journal_start(self, attempt: StartAttempt, item: BatchItem, now: float) -> bool:
+        """Write the record of a message; return False if that fails.
+
+        A message without a record must not be sent: after a crash it would be restored as not attempted.
+        """
         try:
             self.append(AttemptStartedRecord(item.content.id, now, attempt.endpoint_id))
         except OSError as error:
             increment("journal_failures")
-            log("journal", "attempt not recorded", message=item.content.id, error=error)
+            log("journal", "attempt not recorded; message not sent", message=item.content.id, error=error)
             return False
         return True
 
     def _exchange(
         self, call: ActiveCall, attempt: StartAttempt, connection: EndpointConnection
     ) -> tuple[ItemOutcome, ...]:
-        """Write a call and read its answer; the connection is put back, or closed."""
+        """Send the request and read its answer; the connection is put back or closed."""
         try:
             connection.sock.sendall(encode_attempt(attempt, time.monotonic()))
         except OSError:
@@ -107,7 +110,7 @@
         with self._gate.lock:
             call.progress = AttemptProgress.WRITTEN
         try:
-            answer = read_response(connection.stream, connection.limit_transfer)
+            answer = read_response(connection.stream, connection.set_answer_begun)
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
             return _outcomes_without_answer(call, attempt, error)
@@ -117,7 +120,7 @@
                 attempt.number, on_new_connection, answer.status, answer.close, f"{answer.headers}"
             )
         if connection.stream.buffer:
-            # More bytes than one answer has; they must not become the next call's answer.
+            # `release` closes the connection, so that these bytes are not taken for the next answer.
             increment("answers_with_excess")
         self._connections.release(call, connection, answer)
         return read_outcomes(attempt, answer, on_new_connection)
@@ -129,8 +132,8 @@
     if not call.cancelled:
         endpoint = format_address((attempt.host, attempt.port))
         increment("answers_incomplete")
-        log("endpoint", "answer incomplete", endpoint=endpoint, error=error)
-    # A status line with 200 has delivered a single message, whatever becomes of the rest of the answer.
+        log("endpoint", "answer incomplete; connection closed", endpoint=endpoint, error=error)
+    # The status 200 means that a single message was delivered, even if the rest of the answer is lost.
     is_single = len(attempt.items) == 1
     delivered = is_single and getattr(error, "status", None) == HttpStatus.OK
     return same_outcomes(attempt, Outcome.OK if delivered else Outcome.RESET)
--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -1,7 +1,7 @@
-"""Idle connections to endpoints, between a call that has had its answer and the next one.
+"""A pool of idle connections to endpoints.
 
-Threads take a connection for a call and put it back after it (`endpoint_connections.py`); the loop has idle ones
-closed (`endpoint_client.py`).
+The threads that make calls take connections and put them back (`endpoint_connections.py`); the loop closes
+idle ones (`endpoint_client.py`).
 """
 
 from __future__ import annotations
@@ -12,28 +12,36 @@
 from juniperward.forwarder.endpoint_connection import EndpointConnection
 from juniperward.net import sockets
 
-KEEPALIVE_FRACTION = 0.9  # of the endpoints' keepalive: an idle connection is not used after it
-MIN_IDLE_S = (
-    0.01  # after an answer, before its connection is used again: bytes behind the answer show by then
-)
+# The part of the endpoints' keepalive after which an idle connection is closed instead of used.
+MAX_IDLE_KEEPALIVE_FRACTION = 0.9
+# The time between an answer and the next call on its connection. Excess bytes after the answer arrive by
+# then, and are not taken for the next answer.
+MIN_IDLE_S = 0.01
 
 
 class ConnectionPool:
-    """Idle connections by endpoint; any thread may call it."""
+    """Idle connections by endpoint; safe to call from any thread.
 
-    def __init__(self, keepalive_s: float, max_idle: int) -> None:
-        """Hold at most `max_idle` connections, each for less time than the endpoints' `keepalive_s`."""
-        self.keepalive_s = keepalive_s * KEEPALIVE_FRACTION
-        self.max_idle = max_idle
-        self.idle: dict[int, list[EndpointConnection]] = {}  # of an endpoint, the most recently used one last
+    Attributes:
+        max_idle_s: the time for which a connection may be idle and still be used.
+        max_connections: the limit of idle connections, to all endpoints together.
+        idle: connections by endpoint, the most recently used one last.
+
+    """
+
+    def __init__(self, keepalive_s: float, max_connections: int) -> None:
+        """Start empty; `keepalive_s` is the time after which endpoints close idle connections."""
+        self.max_idle_s = keepalive_s * MAX_IDLE_KEEPALIVE_FRACTION
+        self.max_connections = max_connections
+        self.idle: dict[int, list[EndpointConnection]] = {}
         self._draining: set[int] = set()
         self._lock = threading.Lock()
 
     def take(self, endpoint: int, address: tuple[str, int]) -> EndpointConnection | None:
-        """Return a connection that can be used, None where there is none.
+        """Return a usable connection, None if there is none; unusable ones found meanwhile are closed.
 
-        The most recently used one that has been idle for MIN_IDLE_S goes first; where none has, the oldest does
-        after a short sleep. Connections that can no longer be used are closed on the way.
+        The most recently used connection that has been idle for MIN_IDLE_S is preferred. If there is none,
+        the least recently used one is taken, after a sleep until it has been idle for that time.
         """
         while True:
             connection = self._pop(endpoint)
@@ -42,7 +50,7 @@
             idle_s = time.monotonic() - connection.idle_since
             if idle_s < MIN_IDLE_S:
                 time.sleep(MIN_IDLE_S - idle_s)
-            if idle_s < self.keepalive_s and _is_usable(connection, address):
+            if idle_s < self.max_idle_s and _is_usable(connection, address):
                 connection.reused = True
                 return connection
             connection.close()
@@ -53,21 +61,24 @@
             connections = self.idle.get(endpoint)
             if not connections:
                 return None
-            # They are in the order of their use: only the last few can have been idle for less than MIN_IDLE_S.
+            # Ordered by last use, so only the last few can have been idle for less than MIN_IDLE_S.
             for index in range(len(connections) - 1, -1, -1):
                 if now - connections[index].idle_since >= MIN_IDLE_S:
                     return connections.pop(index)
             return connections.pop(0)
 
     def put_back(self, endpoint: int, connection: EndpointConnection) -> None:
-        """Add an idle connection; it is closed where its endpoint drains, the oldest where there are too many."""
+        """Add an idle connection, or close it if its endpoint is draining.
+
+        Above `max_connections`, the connection that has been idle for longest is closed.
+        """
         connection.idle_since = time.monotonic()
         surplus = [connection]
         with self._lock:
             if endpoint not in self._draining:
                 self.idle.setdefault(endpoint, []).append(connection)
                 surplus = []
-            if sum(map(len, self.idle.values())) > self.max_idle:
+            if sum(map(len, self.idle.values())) > self.max_connections:
                 surplus.append(self._pop_oldest())
         _close_all(surplus)
 
@@ -77,13 +88,13 @@
         return oldest.pop(0)
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to an endpoint."""
         with self._lock:
             connections = self.idle.pop(endpoint, [])
         _close_all(connections)
 
     def set_draining(self, endpoint: int, draining: bool) -> None:
-        """Have no idle connections to an endpoint while it drains."""
+        """Set whether an endpoint is draining; while it is, no idle connections to it are held."""
         with self._lock:
             if draining:
                 self._draining.add(endpoint)
@@ -97,8 +108,8 @@
         expired: list[EndpointConnection] = []
         with self._lock:
             for endpoint, connections in list(self.idle.items()):
-                usable = [c for c in connections if now - c.idle_since < self.keepalive_s]
-                expired += [c for c in connections if now - c.idle_since >= self.keepalive_s]
+                usable = [c for c in connections if now - c.idle_since < self.max_idle_s]
+                expired += [c for c in connections if now - c.idle_since >= self.max_idle_s]
                 if usable:
                     self.idle[endpoint] = usable
                 else:
@@ -107,7 +118,7 @@
 
 
 def _is_usable(connection: EndpointConnection, address: tuple[str, int]) -> bool:
-    """Return whether the next answer on a connection will be that of the next call."""
+    """Return whether a connection is open, has the right address and holds no excess bytes."""
     is_same_address = connection.address == address
     return is_same_address and not connection.stream.buffer and sockets.is_reusable(connection.sock)
 
--- a/juniperward/forwarder/endpoint_client.py
+++ b/juniperward/forwarder/endpoint_client.py
@@ -1,6 +1,6 @@
-"""Calls to endpoints as the loop sees them: started, cancelled, withdrawn; a thread each while one is in flight.
+"""Makes calls to endpoints on threads; the loop starts and cancels them, and withdraws messages from them.
 
-The loop calls an `EndpointClient` by effects (`effect_executor.py`); outcomes come back as events by `post`.
+`effect_executor.py` calls an `EndpointClient` for the effects of the reducer; results are posted as events.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from juniperward.forwarder.endpoint_connection import MIN_READ_TIMEOUT_S
 from juniperward.forwarder.endpoint_connections import EndpointConnections
 from juniperward.forwarder.events import AttemptAnswered, Event, HealthCheckAnswered
-from juniperward.forwarder.health_check_call import HealthCheckCalls, without_answer
+from juniperward.forwarder.health_check_call import HealthCheckCalls, health_check_without_answer
 from juniperward.forwarder.model import AttemptProgress, RouteKey
 from juniperward.forwarder.records import JournalRecord
 from juniperward.forwarder.send_gate import SendGate
@@ -30,17 +30,31 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointClientLimits:
-    """The bounds of an endpoint client; times in seconds."""
+    """The limits of an endpoint client.
+
+    Attributes:
+        keepalive_s: the time after which endpoints close idle connections.
+        read_timeout_s: the longest time to wait for an answer; at least MIN_READ_TIMEOUT_S is used.
+
+    """
 
     dial_timeout_s: float
-    keepalive_s: float  # of the endpoints
+    keepalive_s: float
     max_threads: int
     max_idle_connections: int
     read_timeout_s: float = MIN_READ_TIMEOUT_S
 
 
 class EndpointClient:
-    """Has threads make calls, and posts their results; the gate's lock guards the calls."""
+    """Makes calls on threads and posts their results; the lock of the gate guards the state of the calls.
+
+    Attributes:
+        active: the calls in flight by number.
+        submitted: the calls that wait for a thread.
+        threads: the number of threads, which grows up to `max_threads`.
+        free_threads: the number of threads without a call; below 0, the number of calls that wait for one.
+
+    """
 
     def __init__(
         self,
@@ -48,7 +62,7 @@
         post: Callable[[Event], None],
         append: Callable[[JournalRecord], None],
     ) -> None:
-        """Begin without threads, they are started as calls need them; `append` writes to the journal."""
+        """Start without threads; `post` takes results, `append` writes to the journal and raises OSError."""
         self.pool = ConnectionPool(limits.keepalive_s, limits.max_idle_connections)
         self.gate = SendGate()
         self.connections = EndpointConnections(
@@ -61,12 +75,12 @@
         self.active: dict[int, ActiveCall] = {}
         self.submitted: queue.SimpleQueue[ActiveCall] = queue.SimpleQueue()
         self.threads = 0
-        self.free_threads = 0  # below 0: calls that wait for a thread
+        self.free_threads = 0
 
-    # --- called by the loop -----------------------------------------------------------------------------
+    # Called by the loop:
 
     def start(self, effect: StartAttempt | StartHealthCheck) -> None:
-        """Have a thread make this attempt, or this health check."""
+        """Make an attempt or a health check on a thread."""
         call = ActiveCall(effect)
         with self.gate.lock:
             self.active[effect.number] = call
@@ -89,7 +103,7 @@
                 self.free_threads -= 1
 
     def cancel(self, number: int) -> AttemptProgress:
-        """Close the connection of a call, whose result is not posted any more; return how far it had come."""
+        """Cancel a call and return its progress; its connection is shut down and its result not posted."""
         with self.gate.lock:
             call = self.active.pop(number, None)
             if call is None:
@@ -101,9 +115,9 @@
         return progress
 
     def withdraw(self, number: int, message: int) -> AttemptProgress:
-        """Leave a message out of a call that is not written yet; return how far the call has come.
+        """Leave a message that has ended out of a call that still waits for its connection.
 
-        The call may wait for its connection for seconds, and the message has ended meanwhile.
+        Return the progress of the call; the message is left out only if that is WAITING.
         """
         with self.gate.lock:
             call = self.active.get(number)
@@ -114,22 +128,22 @@
             return call.progress
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to an endpoint."""
         self.pool.close_idle(endpoint)
 
     def set_draining(self, endpoint: int, draining: bool) -> None:
-        """Write no new call to an endpoint that drains or was removed, or do so again."""
+        """Block new calls to an endpoint that is draining or was removed, or allow them again."""
         self.gate.set_draining(endpoint, draining)
         self.pool.set_draining(endpoint, draining)
 
     def forget(self, endpoint: int) -> None:
-        """Release all that is stored of an endpoint that was removed and has no call in flight."""
+        """Remove the state of a removed endpoint, which must have no call in flight."""
         self.pool.close_idle(endpoint)
         self.gate.set_draining(endpoint, False)
         self.pool.set_draining(endpoint, False)
 
     def pause_route(self, route: RouteKey, until: float) -> None:
-        """Write no call to a route before a moment."""
+        """Block calls on a route until `until`, monotonic."""
         self.gate.pause_route(route, until)
 
     def remove_expired(self, now: float) -> None:
@@ -138,10 +152,10 @@
         self.gate.remove_expired_pauses(now)
 
     def stop_sending(self) -> None:
-        """Write no call any more; calls that are written may still be answered."""
+        """Block all further calls; those already sent may still be answered."""
         self.gate.close()
 
-    # --- threads ----------------------------------------------------------------------------------------
+    # Called on the threads:
 
     def _work(self) -> None:
         while True:
@@ -154,7 +168,7 @@
                 self._post(result)
 
     def _run(self, call: ActiveCall) -> Event:
-        """Make a call; an unexpected error gives all its messages an outcome, too."""
+        """Make a call and return its result, also after an unexpected error."""
         match call.effect:
             case StartHealthCheck() as check:
                 return self._run_health_check(call, check)
@@ -175,4 +189,4 @@
             return self.health_checks.run(call, check)
         except Exception as error:
             report_fault("health_check", error)
-            return without_answer(check, Outcome.RESET, began)
+            return health_check_without_answer(check, Outcome.RESET, began)
--- a/juniperward/forwarder/endpoint_connection.py
+++ b/juniperward/forwarder/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, and the time limits of reads on it."""
+"""A connection to an endpoint, with the time limits of its reads."""
 
 from __future__ import annotations
 
@@ -8,43 +8,51 @@
 from juniperward.net import sockets
 from juniperward.net.stream import Stream
 
-MIN_READ_TIMEOUT_S = (
-    60.0  # after it a read ends in any case; it is longer where a class has a longer deadline
-)
-ANSWER_TRANSFER_S = 0.5  # that an answer may take from its first byte to its last
+MIN_READ_TIMEOUT_S = 60.0  # used unless a message class has a longer deadline
+MAX_ANSWER_TRANSFER_S = 0.5  # from the first byte of an answer to the last
 
 
 class EndpointConnection:
-    """A connection to an endpoint; used by one thread at a time."""
+    """A connection to an endpoint; used by one thread at a time.
+
+    Attributes:
+        idle_since: when the connection was opened or last put into the pool, monotonic.
+        reused: whether it was taken from the pool.
+        transfer_deadline: when an answer that has begun must be complete, monotonic; None before it begins.
+        answer_deadline: when an answer must be complete, whenever it begins, monotonic; None for no limit.
+
+    """
 
     def __init__(
         self, sock: socket.socket, address: tuple[str, int], read_timeout_s: float = MIN_READ_TIMEOUT_S
     ) -> None:
-        """Read from a socket that is connected, and whose kernel timeout of a read is `read_timeout_s`."""
+        """Use a connected socket whose receive timeout in the kernel is `read_timeout_s`."""
         self.sock, self.address, self.read_timeout_s = sock, address, read_timeout_s
         self.stream = Stream(self._receive)
         self.idle_since = time.monotonic()
-        self.reused = False  # an earlier call has had an answer on it
-        self.complete_by: float | None = None  # for an answer that has begun
-        self.deadline: float | None = None  # for an answer, whether it has begun or not
+        self.reused = False
+        self.transfer_deadline: float | None = None
+        self.answer_deadline: float | None = None
         self._has_short_timeout = False
 
-    def limit_transfer(self, begun: bool) -> None:
-        """Limit the time of an answer once it has begun: it may be long in coming, but not in arriving."""
-        self.complete_by = time.monotonic() + ANSWER_TRANSFER_S if begun else None
+    def set_answer_begun(self, begun: bool) -> None:
+        """Start the time limit for the transfer of an answer, or clear it while no answer has begun."""
+        self.transfer_deadline = time.monotonic() + MAX_ANSWER_TRANSFER_S if begun else None
 
     def close(self) -> None:
         """Close the socket."""
         self.sock.close()
 
     def _receive(self, size: int) -> bytes:
-        """Read some bytes; raises TimeoutError or BlockingIOError once the time is up."""
-        deadlines = [deadline for deadline in (self.complete_by, self.deadline) if deadline is not None]
+        """Return at most `size` bytes; raises TimeoutError or BlockingIOError at a time limit."""
+        deadlines = [
+            deadline for deadline in (self.transfer_deadline, self.answer_deadline) if deadline is not None
+        ]
         if deadlines:
-            left_s = min(deadlines) - time.monotonic()
-            if left_s <= 0:
+            remaining_s = min(deadlines) - time.monotonic()
+            if remaining_s <= 0:
                 raise TimeoutError
-            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, left_s)
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, remaining_s)
             self._has_short_timeout = True
         elif self._has_short_timeout:
             sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self.read_timeout_s)
--- a/juniperward/forwarder/endpoint_connections.py
+++ b/juniperward/forwarder/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""A connection for each call to an endpoint: from the pool or dialled, and what becomes of it after the answer.
+"""Opens or reuses a connection for each call to an endpoint, and returns it to the pool after the answer.
 
 Used by the threads that make attempts (`attempt_call.py`) and health checks (`health_check_call.py`).
 """
@@ -20,7 +20,7 @@
 
 
 class EndpointConnections:
-    """Opens, reuses and releases connections; any number of threads may call it at once."""
+    """Opens, reuses and releases connections; safe to call from any thread."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
         dial_timeout_s: float,
         read_timeout_s: float = MIN_READ_TIMEOUT_S,
     ) -> None:
-        """Take idle connections from a pool; a Retry-After pauses its route at the gate."""
+        """Use the idle connections of `pool`; a Retry-After in an answer pauses its route at `gate`."""
         self._pool, self._gate = pool, gate
         self.dial_timeout_s = dial_timeout_s
         self.read_timeout_s = max(read_timeout_s, MIN_READ_TIMEOUT_S)
 
     def connect(self, call: ActiveCall) -> EndpointConnection | None:
-        """Return a connection for a call, None where none can be established; `call.sock` is its socket."""
+        """Return a connection for a call, None if none can be established; sets `call.sock` to its socket."""
         address = (call.effect.host, call.effect.port)
         connection = self._pool.take(call.effect.endpoint, address)
         if connection is None:
@@ -46,36 +46,41 @@
     def _dial(self, call: ActiveCall, address: tuple[str, int]) -> EndpointConnection | None:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # for want of descriptors: nothing of the call was written
+        except OSError as error:
             increment("dials_failed")
-            log("dial", "no socket", endpoint=format_address(address), error=error)
+            log("dial", "socket not created; call not sent", endpoint=format_address(address), error=error)
             return None
         call.sock = sock
-        left_s = min(self.dial_timeout_s, call.effect.deadline - time.monotonic())
+        remaining_s = min(self.dial_timeout_s, call.effect.deadline - time.monotonic())
         try:
-            if call.cancelled or left_s <= 0:
+            if call.cancelled or remaining_s <= 0:
                 raise TimeoutError
-            sockets.connect(*address, left_s, sock)
-            # The time that was left for this dial must not limit later writes on the connection.
+            sockets.connect(*address, remaining_s, sock)
+            # Replace the timeout of this dial, which would also limit later writes on the connection.
             sockets.set_timeout(sock, socket.SO_SNDTIMEO, self.dial_timeout_s)
             sockets.set_timeout(sock, socket.SO_RCVTIMEO, self.read_timeout_s)
         except OSError as error:
             sock.close()
             increment("dials_failed")
-            log("dial", "failed", endpoint=format_address(address), error=error or "too late")
+            log(
+                "dial",
+                "connection failed; call not sent",
+                endpoint=format_address(address),
+                error=error or "cancelled, or past its deadline",
+            )
             return None
         increment("connections_opened")
         return EndpointConnection(sock, address, self.read_timeout_s)
 
     def put_back(self, call: ActiveCall, connection: EndpointConnection) -> None:
-        """Return a connection that a call has not used."""
+        """Put back a connection on which nothing was sent."""
         self._pool.put_back(call.effect.endpoint, connection)
 
     def release(self, call: ActiveCall, connection: EndpointConnection, answer: HttpResponse) -> None:
-        """Put a connection back or close it, and pause the route from the moment its Retry-After is read.
+        """Put back or close the connection of an answered call, and pause its route for a Retry-After.
 
-        Not from when the loop gets to the answer: between the two, other threads would write what the scheduler
-        decided before it knew, on a busy process for longer than the 100 ms that the protocol allows.
+        The route is paused here and not when the loop handles the answer, since other threads may send calls
+        until then. On a busy process that takes longer than the 100 ms that the protocol allows.
         """
         if answer.close or call.cancelled or connection.stream.buffer:
             connection.close()
--- a/juniperward/forwarder/endpoint_requests.py
+++ b/juniperward/forwarder/endpoint_requests.py
@@ -1,6 +1,6 @@
-"""The codec of what is written to endpoints: attempts and health checks to HTTP requests.
+"""Encodes attempts and health checks as HTTP requests to endpoints.
 
-The headers and paths are those of the protocol page, 'Forwarders to endpoints'; `answers.py` reads the answers.
+The protocol page describes them under 'Forwarders to endpoints'. `answers.py` decodes the answers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def encode_attempt(attempt: StartAttempt, now: float) -> bytes:
-    """Return the request of an attempt that is written at `now`: one message, or several in one body."""
+    """Return the request of an attempt that is sent at `now`; several messages are sent as a batch."""
     host = format_address((attempt.host, attempt.port))
     headers = {"X-Time-Left": f"{max(attempt.deadline - now, MIN_TIME_LEFT_S):.3f}"}
     if len(attempt.items) > 1:
--- a/juniperward/forwarder/health_check_call.py
+++ b/juniperward/forwarder/health_check_call.py
@@ -1,7 +1,7 @@
-"""One health check, on the thread of its call: a connection, the request, and what the answer says.
+"""Makes a health check on the thread of its call: gets a connection, sends the request and reads the answer.
 
-`endpoint_client.py` calls `HealthCheckCalls.run`. A health check counts as a call: it waits for draining endpoints
-and paused routes as an attempt does, and uses an idle connection.
+`endpoint_client.py` calls `HealthCheckCalls.run`. Like an attempt, a health check uses idle connections, and
+is not sent to a draining endpoint or on a paused route.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class HealthCheckCalls:
-    """Makes health checks; any number of threads may call it at once."""
+    """Makes health checks; safe to call from any thread."""
 
     def __init__(self, connections: EndpointConnections, gate: SendGate) -> None:
-        """Write calls that the gate lets pass."""
+        """Use `connections`, and send only the health checks that `gate` allows."""
         self._connections, self._gate = connections, gate
 
     def run(self, call: ActiveCall, check: StartHealthCheck) -> HealthCheckAnswered:
@@ -36,29 +36,33 @@
         began = time.monotonic()
         connection = self._connections.connect(call)
         if connection is None:
-            return without_answer(check, Outcome.CONNECT_FAILED, began)
+            return health_check_without_answer(check, Outcome.CONNECT_FAILED, began)
         with self._gate.lock:
-            may_write = not call.cancelled and self._gate.is_open(check, time.monotonic())
-        if not may_write:
+            may_send = not call.cancelled and self._gate.is_open(check, time.monotonic())
+        if not may_send:
             increment("health_checks_withheld")
             self._connections.put_back(call, connection)
-            return without_answer(check, Outcome.NOT_SENT, began)
-        connection.deadline = check.deadline
+            return health_check_without_answer(check, Outcome.NOT_SENT, began)
+        connection.answer_deadline = check.deadline
         on_new_connection = not connection.reused
         try:
             connection.sock.sendall(encode_health_check(check))
-            answer = read_response(connection.stream, connection.limit_transfer)
-            connection.deadline = None
+            answer = read_response(connection.stream, connection.set_answer_begun)
+            connection.answer_deadline = None
         except (IncompleteMessageError, MalformedMessageError, OSError) as error:
             connection.close()
-            return without_answer(check, _outcome_of_error(check, on_new_connection, error), began)
+            return health_check_without_answer(
+                check, _outcome_of_error(check, on_new_connection, error), began
+            )
         increment("health_checks_answered")
         self._connections.release(call, connection, answer)
         return _answered(check, read_health(answer, on_new_connection), began, answer)
 
 
-def without_answer(check: StartHealthCheck, outcome: Outcome, began: float) -> HealthCheckAnswered:
-    """Return the result of a health check that began at a moment and got no complete answer."""
+def health_check_without_answer(
+    check: StartHealthCheck, outcome: Outcome, began: float
+) -> HealthCheckAnswered:
+    """Return the result of a health check without a complete answer; `began` is its start, monotonic."""
     return HealthCheckAnswered(check.number, check.endpoint, outcome, time.monotonic() - began)
 
 
@@ -79,11 +83,11 @@
 
 
 def _outcome_of_error(check: StartHealthCheck, on_new_connection: bool, error: Exception) -> Outcome:
-    # A read that took too long comes as an incomplete message: the time alone tells a timeout.
+    # A transfer may also time out before the deadline, so the clock decides and not the error.
     if time.monotonic() >= check.deadline:
         return Outcome.TIMEOUT
     endpoint = format_address((check.host, check.port))
     increment("health_checks_incomplete")
-    log("health_check", "answer incomplete", endpoint=endpoint, error=error)
-    was_rejected = on_new_connection and isinstance(error, ConnectionError)
-    return Outcome.CONNECT_FAILED if was_rejected else Outcome.RESET
+    log("health_check", "answer incomplete; connection closed", endpoint=endpoint, error=error)
+    failed_to_send = on_new_connection and isinstance(error, ConnectionError)
+    return Outcome.CONNECT_FAILED if failed_to_send else Outcome.RESET
--- a/juniperward/forwarder/health_page.py
+++ b/juniperward/forwarder/health_page.py
@@ -1,6 +1,6 @@
-"""The pages for health checks of this process: whether it runs, and whether it accepts messages.
+"""The health pages of this process: whether it is live, and whether it is ready to accept messages.
 
-`client_session.py` answers each request that is not a message by `answer_page`.
+`client_session.py` answers every request that is not a message with `answer_page`.
 """
 
 from __future__ import annotations
@@ -18,14 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A status, and a body of plain text."""
+    """A status and a plain-text body."""
 
     status: int
     body: bytes
 
 
 def answer_page(request: HttpRequest, ready: bool, close: bool) -> bytes:
-    """Return the bytes of the answer to a request that is not a message."""
+    """Return the encoded response to a request that is not a message.
+
+    `ready` is the readiness of this process; with `close`, the connection is closed after the response.
+    """
     page = _page(request, ready)
     headers = {"Content-Type": "text/plain; charset=utf-8"}
     if page.status == HttpStatus.METHOD_NOT_ALLOWED:
--- a/juniperward/net/http_responses.py
+++ b/juniperward/net/http_responses.py
@@ -33,7 +33,7 @@
 def read_head(
     stream: Stream, set_begun: Callable[[bool], None] = _ignore_begun
 ) -> tuple[int, dict[str, str], bool]:
-    """Return the status and headers of a response, and whether the server then closes the connection.
+    """Return the status and headers of a response, and whether the connection is closed after it.
 
     Up to MAX_INTERIM_RESPONSES interim (1xx) responses are skipped. `set_begun` is called with False before
     each head and with True once its first bytes are received, so that the caller can limit the time of the
@@ -41,8 +41,8 @@
 
     Raises:
         MalformedMessageError: if the first status line is malformed.
-        IncompleteMessageError: if the response is incomplete, or invalid after its status line. Its `status` is
-            that of the last status line received, None if there was none.
+        IncompleteMessageError: if the response is incomplete, or invalid after its status line. Its `status`
+            is that of the last status line received, None if there was none.
 
     """
     status: int | None = None
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -69,7 +69,10 @@
         # the longest read (60 s or more), and its endpoint was not probed again for so long.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
-            with subtests.test(text=text), mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 60.0):
+            with (
+                subtests.test(text=text),
+                mock.patch.object(endpoint_connection, "MAX_ANSWER_TRANSFER_S", 60.0),
+            ):
                 ours, theirs = socket.socketpair()
                 self.resources.callback(theirs.close)
                 kept = EndpointConnection(ours, ("127.0.0.1", self.port))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -539,7 +539,7 @@
 
     def test_an_endless_answer_does_not_block_its_call(self) -> None:
         # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
-        with mock.patch.object(endpoint_connection, "ANSWER_TRANSFER_S", 0.05):
+        with mock.patch.object(endpoint_connection, "MAX_ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
                 (b"HTTP/1.1 500 Internal", Outcome.RESET),
                 (b"HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\n", Outcome.RESET),
