--- a/tests/endpoint_client_rig.py
+++ b/tests/endpoint_client_rig.py
@@ -1,4 +1,4 @@
-"""An endpoint client in front of a listening socket, for several test modules."""
+"""A fixture for test modules: an endpoint client, and a listening socket in place of an endpoint."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class EndpointClientRig:
-    """An endpoint client (LIMITS) and a listening socket on a port the system gives."""
+    """An endpoint client with LIMITS and a socket that listens on a free port."""
 
     @pytest.fixture(autouse=True)
     def set_up(self, resources: Resources) -> None:
         self.listen(resources)
 
     def listen(self, resources: Resources) -> None:
-        """Listen on a port and build the client."""
+        """Create the client and the listening socket."""
         self.resources = resources
         self.events: queue.Queue[Event] = queue.Queue()
         self.client = EndpointClient(LIMITS, self.events.put, mock.Mock())
@@ -33,7 +33,7 @@
         self.port = self.listener.getsockname()[1]
 
     def accept(self) -> socket.socket:
-        """Accept the next connection that the client opens."""
+        """Return the next connection that the client opens."""
         sock, _ = self.listener.accept()
         self.resources.callback(sock.close)
         sock.settimeout(5.0)
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -1,4 +1,4 @@
-"""What a forwarder keeps to towards endpoints, sentence by sentence, over loopback sockets."""
+"""Calls over loopback sockets to endpoints that are slow or send faulty answers."""
 
 from __future__ import annotations
 
@@ -22,51 +22,52 @@
 from tests.endpoint_client_rig import EndpointClientRig
 from tests.helpers import open_descriptors
 
-WORKER = 3
+ENDPOINT = 3
 DESTINATION = 7
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-def delegate(number: int, port: int, count: int = 1, body: bytes = b"") -> StartAttempt:
-    """A call with so many messages, each with this body."""
-    parcels = tuple(BatchItem(n, Message(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
-    return StartAttempt(number, WORKER, "127.0.0.1", port, DESTINATION, parcels, time.monotonic() + 60.0)
+def start_attempt(number: int, port: int, count: int = 1, body: bytes = b"") -> StartAttempt:
+    """Return an attempt with `count` messages, each with `body`."""
+    items = tuple(BatchItem(n, Message(f"m{n}", 0, 0, DESTINATION, 1.0, None, body)) for n in range(count))
+    return StartAttempt(number, ENDPOINT, "127.0.0.1", port, DESTINATION, items, time.monotonic() + 60.0)
 
 
 class EndpointRig(EndpointClientRig):
-    """The shared rig, and what every test here does with it."""
+    """An endpoint client and a listening socket, with the outcomes of calls."""
 
     def outcomes(self) -> set[Outcome]:
-        """How the messages of the next call to end have ended."""
+        """Wait for the next answer and return the outcomes of its messages."""
         event = self.events.get(timeout=5.0)
         assert isinstance(event, AttemptAnswered)
-        return {end.outcome for end in event.outcomes}
+        return {item.outcome for item in event.outcomes}
 
 
 class TestRetryAfter(EndpointRig):
-    def test_retry_after_binds_with_as_many_decimals_as_a_double(self, subtests: pytest.Subtests) -> None:
-        # Guards the rule on waits: one with more than nine decimals was taken for none, and the next call broke it.
+    def test_retry_after_with_the_decimals_of_a_double_pauses_its_route(
+        self, subtests: pytest.Subtests
+    ) -> None:
+        # Guards against ignoring a Retry-After of more than nine decimals.
         cases = (("0.30000000000000004", 0.3), ("1.1102230246251565", 1.11), (".5", 0.5), ("2.", 2.0))
         for text, seconds in cases:
             with subtests.test(text=text):
                 assert read_retry_after({"retry-after": text}) == pytest.approx(seconds, abs=5e-3)
-        self.client.start(delegate(1, self.port))
+        self.client.start(start_attempt(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 30.000000000000004\r\nContent-Length: 0\r\n\r\n")
         assert self.outcomes() == {Outcome.OVERLOADED}
-        self.client.start(delegate(2, self.port))
+        self.client.start(start_attempt(2, self.port))
         assert self.outcomes() == {Outcome.NOT_SENT}
 
 
 class TestHealthCheck(EndpointRig):
-    def probe(self, number: int, seconds: float) -> StartHealthCheck:
-        deadline = time.monotonic() + seconds
-        return StartHealthCheck(number, WORKER, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
+    def health_check(self, number: int, timeout_s: float) -> StartHealthCheck:
+        deadline = time.monotonic() + timeout_s
+        return StartHealthCheck(number, ENDPOINT, "127.0.0.1", self.port, DESTINATION, deadline, DESTINATION)
 
     def test_a_health_check_ends_at_its_deadline(self, subtests: pytest.Subtests) -> None:
-        # Guards a probe that was answered by half a line or by an interim answer: behind the latter it waited for
-        # the longest read (60 s or more), and its endpoint was not probed again for so long.
+        # Guards against a health check that waits past its deadline after a partial or an interim answer.
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         for number, text in enumerate((b"", interim, 3 * interim, b"HTTP/1.1 2", OK[:-2])):
             with (
@@ -75,11 +76,11 @@
             ):
                 ours, theirs = socket.socketpair()
                 self.resources.callback(theirs.close)
-                kept = EndpointConnection(ours, ("127.0.0.1", self.port))
-                kept.idle_since -= 1.0
-                kept.stream = Stream(lambda _, kept=kept: kept._receive(1))  # type: ignore[misc]
-                self.client.pool.idle[WORKER] = [kept]
-                self.client.start(self.probe(number, 0.3))
+                connection = EndpointConnection(ours, ("127.0.0.1", self.port))
+                connection.idle_since -= 1.0
+                connection.stream = Stream(lambda _, c=connection: c._receive(1))  # type: ignore[misc]
+                self.client.pool.idle[ENDPOINT] = [connection]
+                self.client.start(self.health_check(number, 0.3))
                 theirs.recv(1000)
                 theirs.sendall(text)
                 event = self.events.get(timeout=5.0)
@@ -87,38 +88,37 @@
                 assert event.outcome is Outcome.TIMEOUT
 
     def test_a_call_on_the_connection_of_a_health_check_has_its_own_timeout(self) -> None:
-        # Guards calls: the probe's deadline must not go on to the next call on its connection.
-        self.client.start(self.probe(1, 0.2))
+        # Guards against a health check's deadline that limits the next call on its connection.
+        self.client.start(self.health_check(1, 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         event = self.events.get(timeout=5.0)
         assert isinstance(event, HealthCheckAnswered)
         assert event.outcome is Outcome.OK
-        self.client.start(delegate(2, self.port))
+        self.client.start(start_attempt(2, self.port))
         assert b"m0" in sock.recv(1000)
         with pytest.raises(queue.Empty):
-            self.events.get(timeout=0.4)  # past the probe's deadline
+            self.events.get(timeout=0.4)  # past the deadline of the health check
         sock.sendall(OK)
         assert self.outcomes() == {Outcome.OK}
 
 
-class TestSlowDial(EndpointRig):
+class TestDial(EndpointRig):
     def test_a_connection_dialled_close_to_a_deadline_does_not_inherit_its_timeout(self) -> None:
-        # Guards large calls: the time that its first message had left for the dial went on to bound each later
-        # write on that connection, and a call that its endpoint read slowly ended as one that never connected.
+        # Guards against large requests that fail because the short timeout of the dial still limits writes.
         self.client.connections.dial_timeout_s = 5.0
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.client.start(replace(delegate(1, self.port), deadline=time.monotonic() + 0.2))
+        self.client.start(replace(start_attempt(1, self.port), deadline=time.monotonic() + 0.2))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         assert self.outcomes() == {Outcome.OK}
-        ((kept,),) = self.client.pool.idle.values()
-        kept.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.client.start(delegate(2, self.port, 4, b"x" * 65_536))
+        ((connection,),) = self.client.pool.idle.values()
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        self.client.start(start_attempt(2, self.port, 4, b"x" * 65_536))
         with pytest.raises(queue.Empty):
-            self.events.get(timeout=1.5)  # it is not read, and not over either
+            self.events.get(timeout=1.5)  # the request is not read, but must not fail
         stream, length = Stream(sock.recv), 0
         while line := stream.read_line(1000, 400):
             if line.startswith(b"Content-Length: "):
@@ -128,93 +128,94 @@
         sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(states) + 2}\r\n\r\n[{states}]".encode())
         assert self.outcomes() == {Outcome.OK}
 
-    def test_hundreds_of_failed_dials_leak_nothing(self) -> None:
-        # Guards soak: one in fifty connections never comes up; no thread, descriptor or place for a call may leak.
-        silent = self.resources.closing(socket.socket())
-        silent.bind(("127.0.0.1", 0))
-        silent.listen(0)
-        line = [socket.socket() for _ in range(4)]  # they fill its line, so that no other comes up
-        for sock in line:
+    def test_failed_dials_leak_no_resources(self) -> None:
+        # Guards against a leak of threads, descriptors or calls when connections are never established.
+        full_listener = self.resources.closing(socket.socket())
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
+        # Connections that fill the backlog, so that no other one is established.
+        backlog = [socket.socket() for _ in range(4)]
+        for sock in backlog:
             self.resources.callback(sock.close)
             sock.setblocking(False)
-            sock.connect_ex(silent.getsockname())
+            sock.connect_ex(full_listener.getsockname())
         self.client.connections.dial_timeout_s = 0.01
-        port = silent.getsockname()[1]
-        self.client.start(delegate(0, port))
+        port = full_listener.getsockname()[1]
+        self.client.start(start_attempt(0, port))
         assert self.outcomes() == {Outcome.CONNECT_FAILED}
-        before = open_descriptors()
+        initial_descriptors = open_descriptors()
         for number in range(1, 301):
-            self.client.start(delegate(number, port))
+            self.client.start(start_attempt(number, port))
             if number % 4 == 0:
-                # Those that come up late come up in vain, and one is given up while it is dialled.
+                # Cancelled while it connects, so no result is posted.
                 self.client.cancel(number)
             else:
                 assert self.outcomes() == {Outcome.CONNECT_FAILED}
-        self.client.start(delegate(301, self.port))
+        self.client.start(start_attempt(301, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         assert self.outcomes() == {Outcome.OK}
-        until = time.monotonic() + 5.0
-        while self.client.free_threads != self.client.threads and time.monotonic() < until:
+        deadline = time.monotonic() + 5.0
+        while self.client.free_threads != self.client.threads and time.monotonic() < deadline:
             time.sleep(0)
         assert self.client.free_threads == self.client.threads
         assert self.client.threads <= 4
         assert (self.client.active, self.client.submitted.qsize()) == ({}, 0)
-        # The one connection that is kept, its other end and nothing else.
-        assert open_descriptors() <= before + 2
+        # One idle connection and its other end remain open.
+        assert open_descriptors() <= initial_descriptors + 2
 
 
 class TestEndlessAnswer(EndpointRig):
     def test_an_endless_answer_is_bounded(self, subtests: pytest.Subtests) -> None:
-        # Guards slots and memory: heads, bodies, chunks and interim answers that never end.
-        one, many = 1, 2
+        # Guards against answers without an end that hold a slot, or fill the memory.
+        single, batch = 1, 2
         head = b"HTTP/1.1 500 X\r\n"
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
-        several = b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[" + b'{"id":"m0","state":"ok"},'
+        batch_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[" + b'{"id":"m0","state":"ok"},'
         cases: list[tuple[str, int, bytes, bytes, Outcome]] = [
-            ("a status line", one, b"HTTP/1.1 500 ", b"x" * 1000, Outcome.RESET),
-            ("header lines", one, head, b"A: b\r\n" * 100, Outcome.RESET),
-            ("one header", one, head + b"A: ", b"x" * 1000, Outcome.RESET),
-            ("a body up to the end", one, head + b"\r\n", b"x" * 1000, Outcome.RESET),
-            ("a body up to the end, delivered", one, b"HTTP/1.1 200 OK\r\n\r\n", b"x" * 1000, Outcome.OK),
-            ("chunks", one, chunked, b"10\r\n" + b"x" * 16 + b"\r\n", Outcome.RESET),
-            ("a chunk's size", one, chunked, b"0" * 100, Outcome.RESET),
-            ("trailers", one, chunked + b"0\r\n", b"A: b\r\n" * 100, Outcome.RESET),
-            ("interim answers", one, b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 5, Outcome.RESET),
-            ("several messages, more", many, several, b'{"id":"m1","state":"ok"},' * 10, Outcome.ERROR),
-            ("several messages, no more", many, several, b"", Outcome.RESET),
-            ("several messages, in chunks", many, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            ("a status line", single, b"HTTP/1.1 500 ", b"x" * 1000, Outcome.RESET),
+            ("header lines", single, head, b"A: b\r\n" * 100, Outcome.RESET),
+            ("one header", single, head + b"A: ", b"x" * 1000, Outcome.RESET),
+            ("a body up to the end", single, head + b"\r\n", b"x" * 1000, Outcome.RESET),
+            ("a body up to the end, delivered", single, b"HTTP/1.1 200 OK\r\n\r\n", b"x" * 1000, Outcome.OK),
+            ("chunks", single, chunked, b"10\r\n" + b"x" * 16 + b"\r\n", Outcome.RESET),
+            ("a chunk's size", single, chunked, b"0" * 100, Outcome.RESET),
+            ("trailers", single, chunked + b"0\r\n", b"A: b\r\n" * 100, Outcome.RESET),
+            ("interim answers", single, b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 5, Outcome.RESET),
+            ("several messages, more", batch, batch_answer, b'{"id":"m1","state":"ok"},' * 10, Outcome.ERROR),
+            ("several messages, no more", batch, batch_answer, b"", Outcome.RESET),
+            ("several messages, in chunks", batch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
              b"1\r\n \r\n", Outcome.RESET),
         ]  # fmt: skip
-        for number, (name, count, first, rest, outcome) in enumerate(cases):
+        for number, (name, count, first, repeated, outcome) in enumerate(cases):
             with subtests.test(name=name):
-                self.client.start(delegate(number, self.port, count))
+                self.client.start(start_attempt(number, self.port, count))
                 sock = self.accept()
                 sock.recv(65536)
                 sock.sendall(first)
-                writer = threading.Thread(target=write_on, args=(sock, rest), daemon=True)
+                writer = threading.Thread(target=write_repeatedly, args=(sock, repeated), daemon=True)
                 writer.start()
                 assert self.outcomes() == {outcome}
                 writer.join(5.0)
-                assert not writer.is_alive(), "its connection goes on"
-                assert self.client.pool.idle.get(WORKER, []) == []
+                assert not writer.is_alive(), "the connection is still open"
+                assert self.client.pool.idle.get(ENDPOINT, []) == []
 
 
 class TestNoDelay(EndpointRig):
     def test_endpoint_connections_have_tcp_nodelay(self) -> None:
-        # Guards small writes: without TCP_NODELAY a close over unread bytes takes along what waits in the system.
-        self.client.start(delegate(1, self.port))
+        # Guards against the loss of a small write that the kernel delays until the connection is closed.
+        self.client.start(start_attempt(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(OK)
         assert self.outcomes() == {Outcome.OK}
-        ((kept,),) = self.client.pool.idle.values()
-        assert kept.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        ((connection,),) = self.client.pool.idle.values()
+        assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-def write_on(sock: socket.socket, text: bytes) -> None:
-    """Write this over and over until the other side ends the connection; nothing to write: until it ends."""
+def write_repeatedly(sock: socket.socket, text: bytes) -> None:
+    """Send `text` repeatedly until the peer closes the connection; without text, only wait for that."""
     try:
         while text:
             sock.sendall(text)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Parts of the network code that an exchange cannot reach without a race."""
+"""Network code of the forwarder in cases that depend on timing, or on bytes that no real peer sends."""
 
 from __future__ import annotations
 
@@ -46,33 +46,33 @@
 
 
 class TestAnswers:
-    def test_each_answer_has_its_meaning(self, subtests: pytest.Subtests) -> None:
-        # Guards the table of PROTOCOL, and that what we cannot read counts as what may have run.
-        one, two = start_attempt(1, 1), start_attempt(1, 1, 2)
-        told = {"retry-after": "0.25"}
+    def test_answers_are_decoded_to_outcomes(self, subtests: pytest.Subtests) -> None:
+        # Guards the protocol page's table of answers. An unreadable answer must count as possibly executed.
+        single, batch = start_attempt(1, 1), start_attempt(1, 1, 2)
+        retry_after = {"retry-after": "0.25"}
         cases: list[tuple[StartAttempt, int, dict[str, str], bytes, list[ItemOutcome]]] = [
-            (one, 200, {}, b"", [ItemOutcome(0, Outcome.OK)]),
-            (one, 500, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
-            (one, 429, told, b"", [ItemOutcome(0, Outcome.OVERLOADED, 0.25)]),
-            (one, 429, {"retry-after": "nan"}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
-            (one, 503, {}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
-            (one, 503, {"x-over-slots": "1"}, b"", [ItemOutcome(0, Outcome.NOT_SENT, no_slot_free=True)]),
-            (one, 504, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT)]),
-            (one, 410, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT, message_ended=True)]),
-            (one, 302, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
-            (two, 413, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT), ItemOutcome(1, Outcome.NOT_SENT)]),
-            (two, 200, {}, b"nonsense", [ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)]),
+            (single, 200, {}, b"", [ItemOutcome(0, Outcome.OK)]),
+            (single, 500, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
+            (single, 429, retry_after, b"", [ItemOutcome(0, Outcome.OVERLOADED, 0.25)]),
+            (single, 429, {"retry-after": "nan"}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
+            (single, 503, {}, b"", [ItemOutcome(0, Outcome.OVERLOADED)]),
+            (single, 503, {"x-over-slots": "1"}, b"", [ItemOutcome(0, Outcome.NOT_SENT, no_slot_free=True)]),
+            (single, 504, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT)]),
+            (single, 410, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT, message_ended=True)]),
+            (single, 302, {}, b"", [ItemOutcome(0, Outcome.ERROR)]),
+            (batch, 413, {}, b"", [ItemOutcome(0, Outcome.NOT_SENT), ItemOutcome(1, Outcome.NOT_SENT)]),
+            (batch, 200, {}, b"nonsense", [ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)]),
             (
-                two,
+                batch,
                 200,
                 {},
                 b'[{"id":"m1","state":"new"}]',
                 [ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR)],
             ),
             (
-                two,
+                batch,
                 200,
-                told,
+                retry_after,
                 b'[{"id":"m1","state":"later"},{"id":"m0","state":"gone"}]',
                 [
                     ItemOutcome(0, Outcome.NOT_SENT, 0.25, message_ended=True),
@@ -80,28 +80,28 @@
                 ],
             ),
         ]
-        for what, status, headers, body, ends in cases:
+        for attempt, status, headers, body, outcomes in cases:
             with subtests.test(status=status, body=body):
-                assert read_outcomes(what, HttpResponse(status, headers, body, False)) == tuple(ends)
+                assert read_outcomes(attempt, HttpResponse(status, headers, body, False)) == tuple(outcomes)
 
     def test_only_an_immediately_closed_connection_is_a_full_connection_table(self) -> None:
-        # Guards that a full table, which forty forwarders see all day, is never taken for a limit or an outage.
-        end = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
-        full, ends = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
-        assert read_outcomes(start_attempt(1, 1), ends, on_new_connection=True) == (end,)
-        assert read_outcomes(start_attempt(1, 1), ends, on_new_connection=False) == (full,)
+        # Guards against handling a full connection table, which is common, as a rate limit or as an outage.
+        table_full = ItemOutcome(0, Outcome.CONNECT_FAILED, connection_table_full=True)
+        overloaded, closing = ItemOutcome(0, Outcome.OVERLOADED), HttpResponse(503, {}, b"", True)
+        assert read_outcomes(start_attempt(1, 1), closing, on_new_connection=True) == (table_full,)
+        assert read_outcomes(start_attempt(1, 1), closing, on_new_connection=False) == (overloaded,)
         assert read_outcomes(
             start_attempt(1, 1), HttpResponse(503, {}, b"", False), on_new_connection=True
-        ) == (full,)
-        told = HttpResponse(503, {"retry-after": "0.5"}, b"", True)
-        assert read_outcomes(start_attempt(1, 1), told, on_new_connection=True) == (
+        ) == (overloaded,)
+        with_retry_after = HttpResponse(503, {"retry-after": "0.5"}, b"", True)
+        assert read_outcomes(start_attempt(1, 1), with_retry_after, on_new_connection=True) == (
             ItemOutcome(0, Outcome.OVERLOADED, 0.5),
         )
 
 
 class TestMalformedAnswers:
     def test_a_malformed_answer_is_reported(self, subtests: pytest.Subtests) -> None:
-        # Guards against what Python's own int() and json take, or die of: each of these came from a worker.
+        # Guards against input that int() or json accepts or fails on, and against oversized answers.
         head = b"HTTP/1.1 500 X\r\n"
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
         for text in (
@@ -124,24 +124,24 @@
                 read_response(Stream(lambda _, left=[text, b""]: left.pop(0) if left else b""))  # type: ignore[misc]
 
     def test_a_malformed_load_report_or_outcome_list_is_ignored(self) -> None:
-        # Guards the process: decoding a deep one overran a thread's stack, and a delivery became a reset.
-        def run() -> None:
+        # Guards against a stack overflow in a thread that decodes deeply nested JSON.
+        def read_answers() -> None:
             huge = '{"x0":' + "9" * 400 + "}"
             for text in ("[" * 16000, '{"x0":' * 2600, '{"x0":NaN}', huge, '{"x1":-1}', "7"):
                 answer = HttpResponse(200, {"x-backend-load": text}, b"", False)
-                ends.append(read_outcomes(start_attempt(1, 1), answer))
-            ends.append(read_outcomes(start_attempt(1, 1, 2), HttpResponse(200, {}, b"[" * 60000, False)))
+                outcomes.append(read_outcomes(start_attempt(1, 1), answer))
+            outcomes.append(read_outcomes(start_attempt(1, 1, 2), HttpResponse(200, {}, b"[" * 60000, False)))
 
-        ends: list[tuple[ItemOutcome, ...]] = []
+        outcomes: list[tuple[ItemOutcome, ...]] = []
         threading.stack_size(128 * 1024)
-        thread = threading.Thread(target=run)
+        thread = threading.Thread(target=read_answers)
         thread.start()
         threading.stack_size(0)
         thread.join()
-        assert ends[:-1] == [(ItemOutcome(0, Outcome.OK),)] * 6
-        assert ends[-1] == (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR))
+        assert outcomes[:-1] == [(ItemOutcome(0, Outcome.OK),)] * 6
+        assert outcomes[-1] == (ItemOutcome(0, Outcome.ERROR), ItemOutcome(1, Outcome.ERROR))
 
-    def test_a_retry_after_that_is_no_number_is_none(self) -> None:
+    def test_a_malformed_retry_after_is_ignored(self) -> None:
         for text in ("inf", "1e300", "1_0", "-1", "9" * 9, ""):
             assert read_retry_after({"retry-after": text}) == 0.0
         assert read_retry_after({"retry-after": "0.250"}) == 0.25
@@ -149,7 +149,7 @@
 
 class TestCodec:
     def test_invalid_client_requests_are_rejected(self, subtests: pytest.Subtests) -> None:
-        # Guards against a 202 for a message that nobody could end: a deadline that never comes, or no id.
+        # Guards against accepting a message without a valid id, class, destination or deadline.
         good = {"x-correlation-id": "a1", "x-service-class": "c", "x-time-left": "0.5"}
         good["x-addressing"] = "dest=7"
         assert decode_message(HttpRequest("POST", "/api", good, b"", False), NAMES).time_left_s == 0.5
@@ -179,47 +179,45 @@
 
 class TestServer(UsesResources):
     def test_a_disconnected_client_is_not_acknowledged(self) -> None:
-        # Guards order: the 202 must have reached somebody, or the message is withdrawn; a client that only
-        # ended its sending still gets an answer.
+        # Guards against accepting a message whose client is gone.
+        # A client that has only shut down its sending side still gets an answer.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 10, lambda _: None))
         ours, theirs = socket.socketpair()
         self.resources.callback(ours.close)
         self.resources.callback(theirs.close)
         client = server.table.clients[1] = ClientConnection(1, ours)
-        assert not server.answer(1, 202)  # nothing is asked
+        assert not server.answer(1, 202)  # no request is pending
         client.pending = True
         assert server.answer(1, 202)
-        assert not server.answer(1, 202)  # answered already
-        client.pending = client.evicted = (
-            True  # its call was read after we had shut its connection for others' sake
-        )
+        assert not server.answer(1, 202)  # it has been answered
+        client.pending = client.evicted = True  # the request was read after the eviction
         assert not server.answer(1, 202)
         assert client.close
         client.pending, client.evicted = True, False
         theirs.shutdown(socket.SHUT_WR)
         assert not server.answer(1, 202)
-        told = theirs.recv(1000)
-        assert (told.count(b" 202 "), told.count(b" 503 ")) == (1, 2)
+        received = theirs.recv(1000)
+        assert (received.count(b" 202 "), received.count(b" 503 ")) == (1, 2)
         assert not server.answer(2, 202)
 
     def test_a_connection_being_accepted_at_close_counts_as_a_client(self) -> None:
-        # Guards the end of the process between accept and the table of clients: nobody seemed to be here, and the
-        # connection was reset with its call in it.
+        # Guards against a reset of a connection that is accepted, but not yet in the client table, when the
+        # server closes.
         server = Server(("127.0.0.1", 0), NAMES, 10, lambda _: None)
-        accepted, go_on, admit = threading.Event(), threading.Event(), server._admit
+        accepted, may_admit, admit = threading.Event(), threading.Event(), server._admit
 
-        def late(sock: socket.socket) -> None:
+        def admit_later(sock: socket.socket) -> None:
             accepted.set()
-            go_on.wait(5.0)
+            may_admit.wait(5.0)
             admit(sock)
 
-        here: list[int] = []
+        client_counts: list[int] = []
 
         def close() -> None:
             server.close()
-            here.append(len(server.table.clients))
+            client_counts.append(len(server.table.clients))
 
-        with mock.patch.object(server, "_admit", late):
+        with mock.patch.object(server, "_admit", admit_later):
             server.start()
             self.resources.closing(socket.create_connection(server.listener.getsockname()))
             assert accepted.wait(5.0)
@@ -228,12 +226,12 @@
             while server.listener.fileno() >= 0:
                 time.sleep(0)
             closing.join(0.1)
-            go_on.set()
+            may_admit.set()
             closing.join(5.0)
-        assert (here, server.has_finished()) == ([1], False)
+        assert (client_counts, server.has_finished()) == ([1], False)
 
     def test_a_connection_in_the_kernel_backlog_at_close_is_answered(self) -> None:
-        # Guards the end of a stop: a connection that nobody had accepted yet was reset with its call unread.
+        # Guards against a reset of a connection that was not accepted yet when the server closes.
         def refuse(event: Event) -> None:
             assert isinstance(event, MessageReceived)
             server.answer(event.client, 503)
@@ -247,7 +245,7 @@
             late.sendall(b"X-Addressing: dest=7\r\n\r\n")
             assert not server.has_finished()
             server.close()
-            assert not server.has_finished()  # the process stays for it
+            assert not server.has_finished()  # the process still has to answer it
             assert late.recv(100).startswith(b"HTTP/1.1 503 ")
         for thread in threading.enumerate():
             if thread.name == "client":
@@ -255,7 +253,7 @@
         assert server.has_finished()
 
     def test_an_answer_is_written_completely_or_its_connection_closed(self) -> None:
-        # Guards a client that waits for the rest of an answer: its message counted as withdrawn, and it sat there.
+        # Guards against a client that waits for the rest of an answer while its message counts as withdrawn.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         ours, theirs = socket.socketpair()
         self.resources.callback(ours.close)
@@ -270,34 +268,34 @@
             pass
 
     def test_a_full_connection_table_evicts_the_longest_idle_answered_client(self) -> None:
-        # Guards usual clients: those that asked once and stayed, or never asked, kept all places. A crowd
-        # with a connection for each message was turned away when each had to stay idle for seconds.
+        # Guards against idle clients that fill the connection table, and against rejecting many clients that
+        # open a connection for each message.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
         now = time.monotonic()
-        theirs = []
-        for number, (served, age) in enumerate(((True, 0.05), (False, 0.3), (True, 0.2)), 1):
-            ours, there = socket.socketpair()
+        peers = []
+        for number, (served, idle_s) in enumerate(((True, 0.05), (False, 0.3), (True, 0.2)), 1):
+            ours, peer = socket.socketpair()
             self.resources.callback(ours.close)
-            self.resources.callback(there.close)
-            theirs.append(there)
+            self.resources.callback(peer.close)
+            peers.append(peer)
             client = server.table.clients[number] = ClientConnection(number, ours)
-            client.served, client.idle_since = served, now - age
-        assert server.table.evict_one()  # not the one before its first call, which would fail
+            client.served, client.idle_since = served, now - idle_s
+        assert server.table.evict_one()  # not client 2, whose first request would fail
         assert [server.table.clients[n].evicted for n in (1, 2, 3)] == [False, False, True]
         assert [server.table.evict_one(), server.table.evict_one()] == [True, False]
         assert [server.table.clients[n].evicted for n in (1, 2, 3)] == [False, True, True]
 
     def test_a_request_must_be_complete_within_its_timeout(self) -> None:
-        # Guards the places: a head that trickles in, or none at all, held one for as long as it liked.
+        # Guards against a client that holds a place in the table with a slow request, or with none.
         server = self.resources.closing(Server(("127.0.0.1", 0), NAMES, 3, lambda _: None))
-        for sent, told in ((b"", b""), (b"POST /api HTTP/1.1\r\nA: b", b"HTTP/1.1 408 ")):
+        for sent, answer in ((b"", b""), (b"POST /api HTTP/1.1\r\nA: b", b"HTTP/1.1 408 ")):
             ours, theirs = socket.socketpair()
             self.resources.callback(theirs.close)
             theirs.sendall(sent)
             client = ClientConnection(1, ours)
             client.read_by = client.idle_since + 0.05
             server._serve(client)
-            assert theirs.recv(13) == told
+            assert theirs.recv(13) == answer
         assert client_connection.FIRST_REQUEST_S <= 2.5
 
 
@@ -308,26 +306,25 @@
         return event.outcomes[0].outcome
 
     def test_with_separate_routes_retry_after_delays_its_endpoint_only(self) -> None:
-        # Guards a customer whose partners' endpoints have limits of their own: one that told a wait held the others
-        # of its destination, and what the module sent to those came back as not sent, a try used up.
-        def ask(number: int, worker: int, name: str) -> StartAttempt:
-            return replace(start_attempt(number, self.port), endpoint=worker, endpoint_id=name, route=name)
+        # Guards against a Retry-After of one endpoint that pauses the other endpoints of its destination.
+        def attempt_on_route(number: int, endpoint: int, name: str) -> StartAttempt:
+            return replace(start_attempt(number, self.port), endpoint=endpoint, endpoint_id=name, route=name)
 
-        self.client.start(ask(1, 3, "s-3"))
+        self.client.start(attempt_on_route(1, 3, "s-3"))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 X\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OVERLOADED
-        self.client.start(ask(2, 4, "s-4"))
+        self.client.start(attempt_on_route(2, 4, "s-4"))
         other = self.accept()
         assert b"m0" in other.recv(1000)
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OK
-        self.client.start(ask(3, 3, "s-3"))
+        self.client.start(attempt_on_route(3, 3, "s-3"))
         assert self.outcome() is Outcome.NOT_SENT
 
-    def test_a_call_delayed_by_a_dial_is_not_written_past_its_deadline(self) -> None:
-        # Guards the 250 ms after a drain and a told wait: both may come while a connection is opened.
+    def test_a_call_delayed_by_a_dial_is_not_sent_after_a_drain_or_a_pause(self) -> None:
+        # Guards against sending after a drain or a Retry-After that comes while a connection is opened.
         self.client.set_draining(3, True)
         self.client.start(start_attempt(1, self.port))
         assert self.outcome() is Outcome.NOT_SENT
@@ -347,8 +344,8 @@
         except BlockingIOError:
             return False
 
-    def test_a_first_line_with_200_delivers(self) -> None:
-        # Guards against a second delivery: the worker counts the message as done from that line on.
+    def test_a_status_line_with_200_delivers_a_message(self) -> None:
+        # Guards against a second delivery of a message that the endpoint counts as executed.
         for text, outcome in ((b"HTTP/1.1 200 OK\r\n", Outcome.OK), (b"HTTP/1.1 2", Outcome.RESET)):
             self.client.start(start_attempt(1, self.port))
             sock = self.accept()
@@ -357,45 +354,52 @@
             sock.close()
             assert self.outcome() is outcome
 
-    def test_retry_after_binds_before_the_loop_has_the_answer(self) -> None:
-        # Guards calm+mass: other threads wrote calls in the time the loop took to hold the destination.
+    def test_retry_after_pauses_its_route_before_the_loop_handles_the_answer(self) -> None:
+        # Guards against calls that other threads send before the loop has paused the route.
         self.client.start(start_attempt(1, self.port))
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-        assert self.outcome() is Outcome.OVERLOADED  # nothing of this reaches a reducer, nor a Hold
+        assert self.outcome() is Outcome.OVERLOADED  # no reducer is there to pause the route
         self.client.start(start_attempt(2, self.port))
         assert self.outcome() is Outcome.NOT_SENT
 
-    def test_a_retry_is_not_written_after_its_deduplication_window(self) -> None:
-        # Guards rule 2 behind a dial: the message whose window is over comes back as not sent, the other goes.
-        what = start_attempt(1, self.port, 2)
-        late = replace(what, items=(replace(what.items[0], start_before=time.monotonic()), what.items[1]))
-        self.client.start(late)
+    def test_a_retry_is_not_sent_after_its_deduplication_window(self) -> None:
+        # Guards against a second execution: the deduplication window may end while a connection is opened.
+        attempt = start_attempt(1, self.port, 2)
+        expired = replace(
+            attempt, items=(replace(attempt.items[0], start_before=time.monotonic()), attempt.items[1])
+        )
+        self.client.start(expired)
         sock = self.accept()
         assert read_request(Stream(sock.recv)).headers["x-correlation-id"] == "m1"
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sock.close()
-        ends = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
-        assert self.events.get(timeout=5.0) == AttemptAnswered(1, ends)
+        outcomes = (ItemOutcome(0, Outcome.NOT_SENT, written=False), ItemOutcome(1, Outcome.OK))
+        assert self.events.get(timeout=5.0) == AttemptAnswered(1, outcomes)
 
     def test_a_message_ended_during_a_slow_dial_is_left_out_of_its_batch(
         self, subtests: pytest.Subtests
     ) -> None:
-        # Guards join+mass: a message of a batch was told its end, then its connection came up and carried it.
-        for struck in ((0,), (0, 2), (0, 1, 2)):
-            up, dial = threading.Event(), sockets.connect
+        # Guards against executing a message after its client was notified of its end.
+        for withdrawn in ((0,), (0, 2), (0, 1, 2)):
+            may_connect, connect = threading.Event(), sockets.connect
 
-            def late(*args: Any, up: threading.Event = up, dial: Callable[..., None] = dial) -> None:
-                up.wait(5.0)
-                dial(*args)
+            def slow_connect(
+                *args: Any, may_connect: threading.Event = may_connect, connect: Callable[..., None] = connect
+            ) -> None:
+                may_connect.wait(5.0)
+                connect(*args)
 
-            with subtests.test(struck=struck), mock.patch("juniperward.net.sockets.connect", late):
+            with (
+                subtests.test(withdrawn=withdrawn),
+                mock.patch("juniperward.net.sockets.connect", slow_connect),
+            ):
                 self.client.start(start_attempt(1, self.port, 3))
-                assert {self.client.withdraw(1, n) for n in struck} == {AttemptProgress.WAITING}
-                up.set()
+                assert {self.client.withdraw(1, n) for n in withdrawn} == {AttemptProgress.WAITING}
+                may_connect.set()
                 sock = self.accept()
-                if len(struck) == 3:
+                if len(withdrawn) == 3:
                     assert self.outcome() is Outcome.NOT_SENT
                     self.client.close_idle(3)
                     assert sock.recv(1000) == b""
@@ -405,34 +409,34 @@
                     written = [row["id"] for row in json.loads(call.body)]
                 else:
                     written = [call.headers["x-correlation-id"]]
-                assert written == [f"m{n}" for n in range(3) if n not in struck]
+                assert written == [f"m{n}" for n in range(3) if n not in withdrawn]
                 assert self.client.withdraw(1, 1) is not AttemptProgress.WAITING
                 sock.close()
                 event = self.events.get(timeout=5.0)
                 assert isinstance(event, AttemptAnswered)
-                left = {e.message for e in event.outcomes if e.outcome is Outcome.NOT_SENT}
-                assert left == set(struck)  # the reducer has settled them
+                not_sent = {e.message for e in event.outcomes if e.outcome is Outcome.NOT_SENT}
+                assert not_sent == set(withdrawn)
                 assert self.client.withdraw(1, 1) is AttemptProgress.FINISHED
 
     def test_a_cancelled_call_reports_its_progress(self) -> None:
-        # Guards what a call called off means for its messages: nothing is written after the word that nothing was.
-        begun, up, dial = threading.Event(), threading.Event(), sockets.connect
+        # Guards against sending a call after it was cancelled and reported as not sent.
+        begun, may_connect, connect = threading.Event(), threading.Event(), sockets.connect
 
-        def late(*args: Any) -> None:
+        def slow_connect(*args: Any) -> None:
             begun.set()
-            up.wait(5.0)
-            dial(*args)
+            may_connect.wait(5.0)
+            connect(*args)
 
-        with mock.patch("juniperward.net.sockets.connect", late):
+        with mock.patch("juniperward.net.sockets.connect", slow_connect):
             self.client.start(start_attempt(1, self.port))
             assert begun.wait(5.0)
             assert self.client.cancel(1) is AttemptProgress.WAITING
-            up.set()
+            may_connect.set()
             sock = self.accept()
-        while not self.client.pool.idle:  # it came up after all
+        while not self.client.pool.idle:  # until the cancelled call has put its connection back
             time.sleep(0)
         self.client.start(start_attempt(2, self.port))
-        assert sock.recv(1000) == b""  # nothing was written on it, and it was not fit for the next one
+        assert sock.recv(1000) == b""  # nothing was sent on it, and it was not reused
         sock = self.accept()
         assert b"m0" in sock.recv(1000)
         while self.client.active[2].progress is not AttemptProgress.WRITTEN:
@@ -444,47 +448,47 @@
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # and nothing of the two before it
+        assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # cancelled calls post no result
         assert self.client.cancel(3) is AttemptProgress.FINISHED
 
     def test_an_answer_cut_at_any_byte_gives_every_message_an_outcome(self) -> None:
         body = b'[{"id":"m0","state":"ok"},{"id":"m1","state":"later"}]'
         head = b"HTTP/1.1 200 OK\r\nX-Backend-Load: {}\r\nContent-Length: %d\r\n\r\n" % len(body)
-        text, first = head + body, head.index(b"\n") + 1
+        answer, status_line_bytes = head + body, head.index(b"\n") + 1
         for count in (1, 2):
-            what = start_attempt(1, self.port, count)
-            for cut in range(len(text)):
+            attempt = start_attempt(1, self.port, count)
+            for cut in range(len(answer)):
                 ours, theirs = socket.socketpair()
-                theirs.sendall(text[:cut])
+                theirs.sendall(answer[:cut])
                 theirs.shutdown(socket.SHUT_WR)
-                ends = self.client.attempts._exchange(
-                    ActiveCall(what), what, EndpointConnection(ours, ("w", 1))
+                outcomes = self.client.attempts._exchange(
+                    ActiveCall(attempt), attempt, EndpointConnection(ours, ("w", 1))
                 )
                 theirs.close()
-                assert [e.message for e in ends] == list(range(count))
-                # Of one message a first line with 200 is its delivery; of several, what is not whole may have run.
-                told = Outcome.OK if count == 1 and cut >= first else Outcome.RESET
-                assert {e.outcome for e in ends} == {told}, text[:cut]
-
-    def test_an_answer_is_waited_for_as_long_as_the_longest_class_may_wait(self) -> None:
-        # Guards deadlines of over a minute: a read ended after 60 s, as a reset of what might still be answered.
-        for deadline, most in ((20.0, 60.0), (600.0, 600.0)):
+                assert [e.message for e in outcomes] == list(range(count))
+                # A status 200 delivers a single message, but not the messages of a batch.
+                expected = Outcome.OK if count == 1 and cut >= status_line_bytes else Outcome.RESET
+                assert {e.outcome for e in outcomes} == {expected}, answer[:cut]
+
+    def test_the_read_timeout_covers_the_longest_class_deadline(self) -> None:
+        # Guards against a read that times out before the deadline of a message class with a long one.
+        for deadline, expected_s in ((20.0, 60.0), (600.0, 600.0)):
             limits = replace(LIMITS, read_timeout_s=deadline)
             self.client = EndpointClient(limits, self.events.put, mock.Mock())
             self.client.start(start_attempt(1, self.port))
             sock = self.accept()
             sock.recv(1000)
-            ours = self.client.active[1].sock
-            assert ours is not None
-            limit = struct.unpack("@ll", ours.getsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, 16))
-            assert limit[0] == most
+            client_sock = self.client.active[1].sock
+            assert client_sock is not None
+            timeout = struct.unpack("@ll", client_sock.getsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, 16))
+            assert timeout[0] == expected_s
 
-    def test_connection_refused_is_not_executed(self) -> None:
+    def test_a_refused_connection_is_a_failed_connect(self) -> None:
         self.listener.close()
         self.client.start(start_attempt(1, self.port))
         assert self.outcome() is Outcome.CONNECT_FAILED
 
-    def test_an_abandoned_call_reports_nothing_and_ends_its_connection(self) -> None:
+    def test_a_cancelled_call_posts_no_result_and_closes_its_connection(self) -> None:
         self.client.start(start_attempt(1, self.port))
         sock = self.accept()
         assert sock.recv(1000).startswith(b"POST /receive")
@@ -500,23 +504,23 @@
         sock.close()
 
     def test_a_connection_past_its_cooldown_is_used_before_one_in_cooldown(self) -> None:
-        # Guards against 10 ms of sleep in each call of a worker that is called again at once.
-        kept = {}
-        for name, ago in (("eldest", 1.0), ("rested", 0.5), ("resting", -0.5)):
+        # Guards against a sleep of MIN_IDLE_S before each of several calls in quick succession.
+        connections = {}
+        for name, idle_s in (("oldest", 1.0), ("past cooldown", 0.5), ("in cooldown", -0.5)):
             ours, theirs = socket.socketpair()
             self.resources.callback(theirs.close)
             self.resources.callback(ours.close)
-            k = kept[name] = EndpointConnection(ours, ("w", 1))
-            k.idle_since -= ago
-        self.client.pool.idle[3] = list(kept.values())
+            connection = connections[name] = EndpointConnection(ours, ("w", 1))
+            connection.idle_since -= idle_s
+        self.client.pool.idle[3] = list(connections.values())
         slept: list[float] = []
         with mock.patch("juniperward.forwarder.connection_pool.time.sleep", slept.append):
             taken = [self.client.pool.take(3, ("w", 1)) for _ in range(3)]
-        assert taken == [kept["rested"], kept["eldest"], kept["resting"]]
-        assert len(slept) == 1  # only where nothing else was left
+        assert taken == [connections["past cooldown"], connections["oldest"], connections["in cooldown"]]
+        assert len(slept) == 1  # only for the last one
 
     def test_an_idle_connection_closed_by_its_endpoint_is_not_used(self) -> None:
-        # Guards against a reset that costs an attempt: the close is seen before the call is written.
+        # Guards against an attempt lost to a reset: the close is noticed before the request is sent.
         for number in (1, 2):
             self.client.start(start_attempt(number, self.port))
             sock = self.accept()
@@ -531,14 +535,14 @@
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert self.outcome() is Outcome.OK
-        (kept,) = self.client.pool.idle[3]
-        self.client.remove_expired(kept.idle_since + 8.9)
+        (connection,) = self.client.pool.idle[3]
+        self.client.remove_expired(connection.idle_since + 8.9)
         assert 3 in self.client.pool.idle
-        self.client.remove_expired(kept.idle_since + 9.1)
+        self.client.remove_expired(connection.idle_since + 9.1)
         assert sock.recv(1) == b""
 
     def test_an_endless_answer_does_not_block_its_call(self) -> None:
-        # Guards the slots: a worker that sends half an answer and stays kept one until the message's end.
+        # Guards against an endpoint that holds a slot until the deadline by sending only part of an answer.
         with mock.patch.object(endpoint_connection, "MAX_ANSWER_TRANSFER_S", 0.05):
             for text, outcome in (
                 (b"HTTP/1.1 500 Internal", Outcome.RESET),
@@ -552,17 +556,17 @@
                 assert self.outcome() is outcome
                 assert sock.recv(1) == b""
 
-    def test_bytes_behind_an_answer_are_never_the_next_answer(self) -> None:
-        # Guards against a delivery that was none: a copy of one answer, taken for the next.
-        good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        for late in (False, True):
+    def test_excess_bytes_after_an_answer_are_not_the_next_answer(self) -> None:
+        # Guards against a false delivery: a duplicate of one answer must not be taken for the next.
+        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+        for is_late in (False, True):
             self.client.start(start_attempt(1, self.port))
             sock = self.accept()
             sock.recv(1000)
-            sock.sendall(good if late else 2 * good)
+            sock.sendall(answer if is_late else 2 * answer)
             assert self.outcome() is Outcome.OK
-            if late:
-                sock.sendall(good)
+            if is_late:
+                sock.sendall(answer)
             self.client.start(start_attempt(2, self.port))
             sock = self.accept()
             sock.recv(1000)
@@ -570,7 +574,7 @@
             assert self.outcome() is Outcome.RESET
 
     def test_no_state_is_retained_of_a_removed_endpoint(self) -> None:
-        # Guards memory over months, and who comes at its address: it must not inherit a bar.
+        # Guards against a memory leak, and against an endpoint that inherits the state of a removed one.
         self.client.set_draining(3, True)
         self.client.pause_route(7, time.monotonic() + 1.0)
         self.client.forget(3)
