--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -23,7 +23,7 @@
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net.http_status import HttpStatus
 from juniperward.scheduler import events as scheduler_events
-from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_FRACTION
+from juniperward.scheduler.tuning import MIN_ATTEMPT_TIME_FRACTION
 
 ADMISSION_RETRY_AFTER_S = 1.0  # after which a client that was rejected may come again
 # A message expires by so much before its client's deadline: the notification has to arrive, and the clock of a
@@ -122,7 +122,7 @@
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
         # The scheduler does not give it up before its first attempt in this part of its client's time.
         attempt_until = (
-            pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_FRACTION) * pending.message.time_left_s
+            pending.client_deadline_at - (1 - MIN_ATTEMPT_TIME_FRACTION) * pending.message.time_left_s
         )
         self._admit(pending, max(pending.expires_at - self._round.now, 0.0), history, attempt_until)
 
--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -61,7 +61,7 @@
         expires_at = self._now + event.time_left_s
         attempt_for_s = event.attempt_for_s
         if attempt_for_s is None:
-            attempt_for_s = tuning.MINIMUM_ATTEMPT_FRACTION * event.time_left_s
+            attempt_for_s = tuning.MIN_ATTEMPT_TIME_FRACTION * event.time_left_s
         return Message(
             id=event.message,
             message_class=message_class,
@@ -112,5 +112,5 @@
         route = destination.shared_route
         if route.ejected:
             return max_s
-        rate = max(recent_rate(route, self._now), tuning.RATE_FLOOR)
-        return min(max(tuning.RETRY_FIRST_S, len(destination.queue) / rate), max_s)
+        rate = max(recent_rate(route, self._now), tuning.MIN_TOTAL_RATE_PER_S)
+        return min(max(tuning.RETRY_INITIAL_BACKOFF_S, len(destination.queue) / rate), max_s)
--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -28,7 +28,7 @@
         self._slow_start = slow_start
         self._overdue_calls = overdue_calls
         self._connections = connections
-        self._listed_max_spacing_s = tuning.MAX_SPACING_FRACTION * self._latency.min_objective_s
+        self._listed_max_spacing_s = tuning.MAX_CALL_SPACING_FRACTION * self._latency.min_objective_s
         self._reported_max_spacing_s = self._latency.min_deadline_s / tuning.MIN_CALLS_PER_DEADLINE
 
     def spacing(self, endpoint: Endpoint) -> float:
@@ -38,16 +38,16 @@
         if quota <= 0:
             return 0.0
         if destination.listed_rate <= 0:
-            return min(tuning.SPACING_FACTOR / quota, self._reported_max_spacing_s)
+            return min(tuning.CALL_SPACING_FACTOR / quota, self._reported_max_spacing_s)
         max_s = self._listed_max_spacing_s
         if self._settings.kind(endpoint.kind).batch_size > 1:
-            return min(tuning.SPACING_FACTOR / quota, max_s)
-        if not self._large_fleet or quota * max_s < tuning.SPACING_FACTOR:
+            return min(tuning.CALL_SPACING_FACTOR / quota, max_s)
+        if not self._large_fleet or quota * max_s < tuning.CALL_SPACING_FACTOR:
             return 0.0  # too small a quota to space calls of one message by
         if self._now - route.rate_limit_cut_at > tuning.RATE_MEMORY_S:
             # It may have more of the traffic than other forwarders.
             quota = max(quota, self._traffic.expected_rate(destination, route))
-        return min(tuning.SPACING_FACTOR / quota, max_s)
+        return min(tuning.CALL_SPACING_FACTOR / quota, max_s)
 
     def start(self, head: Message, endpoint: Endpoint) -> None:
         """Release a message, and those that may travel with it, to an endpoint."""
@@ -58,7 +58,7 @@
         for message in messages:
             self._add(attempt, message, shared=len(messages) > 1)
         self._backlog.start(attempt)
-        destination.record_call(endpoint, self._now, tuning.RECENT_ENDPOINTS)
+        destination.record_call(endpoint, self._now, tuning.MAX_RECENT_ENDPOINTS)
         self._connections.record_call(endpoint)
         self._slow_start.record_call(endpoint, 1.0 + tuning.BATCH_ITEM_WEIGHT * (len(messages) - 1))
         overdue_at = self._now + self._latency.overdue_after_s(destination)
--- a/juniperward/scheduler/connections.py
+++ b/juniperward/scheduler/connections.py
@@ -27,15 +27,15 @@
 
     def record_answer(self, endpoint: Endpoint) -> None:
         """Leave idle connections open for longer, up to the usual time."""
-        endpoint.keepalive_factor = min(endpoint.keepalive_factor * tuning.KEEPALIVE_RISE, 1.0)
+        endpoint.keepalive_factor = min(endpoint.keepalive_factor * tuning.KEEPALIVE_RAISE_FACTOR, 1.0)
 
     def record_full_table(self, endpoint: Endpoint, reported: bool) -> None:
         """Use the open connections and open no more for a while; `reported` by the endpoint itself."""
         endpoint.open_connections = self._needed(endpoint)
-        endpoint.keepalive_factor *= tuning.KEEPALIVE_CUT
+        endpoint.keepalive_factor *= tuning.KEEPALIVE_CUT_FACTOR
         pause_s = self._settings.dial_timeout_s
         if reported:
-            pause_s = tuning.RETRY_FIRST_S * self._random.random()
+            pause_s = tuning.RETRY_INITIAL_BACKOFF_S * self._random.random()
         endpoint.no_new_connection_until = self._now + pause_s
 
     def call_ended(self, endpoint: Endpoint) -> None:
--- a/juniperward/scheduler/endpoint_polling.py
+++ b/juniperward/scheduler/endpoint_polling.py
@@ -12,7 +12,7 @@
     def __init__(self, state: SchedulerState) -> None:
         """Poll in the first round where the list is not pushed."""
         super().__init__(state)
-        self._backoff_s = tuning.POLL_FIRST_S
+        self._backoff_s = tuning.POLL_INITIAL_BACKOFF_S
         self._polled_at = 0.0
         if self._settings.endpoints_polled:
             self._schedule(0.0, self._poll)
@@ -21,11 +21,11 @@
         """Poll again with a longer backoff after a failure; a list that is not cached resets the backoff."""
         if scope is ListScope.FAILED:
             # Spaced from begin to begin: the time that the poll took was a wait too.
-            wait_s = max(tuning.POLL_FIRST_S, self._polled_at + self._backoff_s - self._now)
-            self._schedule(self._now + wait_s * self._random.uniform(*tuning.POLL_JITTER), self._poll)
-            self._backoff_s = min(2 * self._backoff_s, tuning.POLL_MAX_S)
+            wait_s = max(tuning.POLL_INITIAL_BACKOFF_S, self._polled_at + self._backoff_s - self._now)
+            self._schedule(self._now + wait_s * self._random.uniform(*tuning.POLL_JITTER_FACTORS), self._poll)
+            self._backoff_s = min(2 * self._backoff_s, tuning.POLL_MAX_BACKOFF_S)
         elif scope is not ListScope.CACHED:
-            self._backoff_s = tuning.POLL_FIRST_S
+            self._backoff_s = tuning.POLL_INITIAL_BACKOFF_S
 
     def _poll(self) -> None:
         self._polled_at = self._now
--- a/juniperward/scheduler/latency.py
+++ b/juniperward/scheduler/latency.py
@@ -16,7 +16,7 @@
         self.min_objective_s = min(objectives_s)
         self.max_objective_s = max(objectives_s)
         self.min_deadline_s = min(each.deadline_s for each in settings.classes)
-        self.quantum_s = tuning.QUANTUM_FRACTION * self.min_objective_s
+        self.quantum_s = tuning.QUANTUM_OBJECTIVE_FRACTION * self.min_objective_s
 
     def record(self, message: Message, latency_s: float) -> None:
         """Add a delivery, by class: a class that fails or lingers must not change the cost of another."""
@@ -27,7 +27,7 @@
         by_class[message.class_index] = running_mean(by_class.get(message.class_index), latency_s, weight)
         destination.mean_latency_s = running_mean(destination.mean_latency_s, latency_s, weight)
         destination.baseline_latency_s = running_mean(
-            destination.baseline_latency_s or None, latency_s, tuning.BASELINE_WEIGHT
+            destination.baseline_latency_s or None, latency_s, tuning.BASELINE_LATENCY_WEIGHT
         )
 
     def expected_s(self, message: Message) -> float:
@@ -45,17 +45,17 @@
         """Return the time that a message must have left for another attempt to be of use."""
         if destination.mean_latency_s is None:
             return tuning.MIN_USEFUL_TIMER_STEPS * self._resolution_s
-        return tuning.MIN_USEFUL_MEAN_FACTOR * destination.mean_latency_s
+        return tuning.MIN_USEFUL_LATENCY_FACTOR * destination.mean_latency_s
 
     def overdue_after_s(self, destination: Destination) -> float:
         """Return the time after which an attempt is overdue."""
         if destination.mean_latency_s is None:
             return self.max_objective_s
-        overdue_s = max(tuning.OVERDUE_MIN_S, tuning.OVERDUE_FACTOR * destination.mean_latency_s)
+        overdue_s = max(tuning.MIN_OVERDUE_S, tuning.OVERDUE_FACTOR * destination.mean_latency_s)
         return min(overdue_s, self.max_objective_s)
 
     def shared_call_minimum_s(self, destination: Destination) -> float:
         """Return the time that each message of a shared call must have left: any of them may end it."""
         if destination.mean_latency_s is None:
-            return tuning.OVERDUE_MIN_S
+            return tuning.MIN_OVERDUE_S
         return self.overdue_after_s(destination)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -73,13 +73,13 @@
             self._eject(endpoint, reason)
 
     def _was_just_reached(self, endpoint: Endpoint) -> bool:
-        since = self._now - self._settings.dial_timeout_s - tuning.REACHED_MARGIN_S
+        since = self._now - self._settings.dial_timeout_s - tuning.REACHABLE_MARGIN_S
         return endpoint.last_success_at > since
 
     def _record_success(self, endpoint: Endpoint, sent_at: float) -> None:
         route = endpoint.route
         endpoint.last_success_at = self._now
-        endpoint.record_result(answered=True, remembered=tuning.RECENT_CALLS)
+        endpoint.record_result(answered=True, remembered=tuning.FAILURE_WINDOW_CALLS)
         self._connections.record_answer(endpoint)
         record_delivery(route, self._now, sent_at)
         # An answer from before the outage shows no recovery, unless the endpoint was only unresponsive.
@@ -108,10 +108,14 @@
         return route.first_delivery_at is not None or not endpoint.destination.listed_rate
 
     def _record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
-        endpoint.record_result(answered=False, remembered=tuning.RECENT_CALLS)
-        in_row = tuning.WARM_UP_FAILURES_IN_ROW if endpoint.route.warming_up else tuning.FAILURES_IN_ROW
+        endpoint.record_result(answered=False, remembered=tuning.FAILURE_WINDOW_CALLS)
+        in_row = (
+            tuning.WARM_UP_UNHEALTHY_CONSECUTIVE_FAILURES
+            if endpoint.route.warming_up
+            else tuning.UNHEALTHY_CONSECUTIVE_FAILURES
+        )
         failures = endpoint.recent_results.count(False)
-        if endpoint.consecutive_failures() >= in_row or failures >= tuning.RECENT_FAILURES:
+        if endpoint.consecutive_failures() >= in_row or failures >= tuning.UNHEALTHY_WINDOW_FAILURES:
             self.mark_unhealthy(endpoint, EjectionReason.FAILING)
         self._record_fault(endpoint, EjectionReason.FAILING, outcome is Outcome.CONNECT_FAILED)
 
@@ -126,7 +130,7 @@
         idle_s = math.inf
         if route.first_delivery_at is not None:
             idle_s = self._now - route.last_delivery_at
-        contact_s = tuning.RECENT_CONTACT_SPANS * settings.overload_span_s
+        contact_s = tuning.RECENT_DELIVERY_SPANS * settings.overload_span_s
         in_contact = idle_s <= contact_s and not route.warming_up
         if not self._large_fleet or route.ejected or in_contact:
             return
@@ -158,8 +162,8 @@
     def _may_be_chance(self, endpoint: Endpoint) -> bool:
         """Return whether failed connections show no outage: one does not, nor do a few of many calls."""
         rate = self._traffic.expected_rate(endpoint.destination, endpoint.route)
-        many_calls = rate * self._settings.overload_span_s >= tuning.FAILURES_IN_ROW
-        limit = tuning.FAILURES_IN_ROW if many_calls else tuning.CHANCE_FAULTS
+        many_calls = rate * self._settings.overload_span_s >= tuning.UNHEALTHY_CONSECUTIVE_FAILURES
+        limit = tuning.UNHEALTHY_CONSECUTIVE_FAILURES if many_calls else tuning.LOW_TRAFFIC_OUTAGE_FAULTS
         return endpoint.route.consecutive_faults < limit
 
     def _eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
--- a/juniperward/scheduler/overdue_calls.py
+++ b/juniperward/scheduler/overdue_calls.py
@@ -35,7 +35,7 @@
             if endpoint.last_success_at <= attempt.sent_at:
                 self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         unanswered = endpoint.last_success_at <= self._now - limit_s + TIME_EPSILON_S
-        if overdue >= tuning.UNRESPONSIVE_CALLS and unanswered and not endpoint.unhealthy:
+        if overdue >= tuning.UNRESPONSIVE_OVERDUE_CALLS and unanswered and not endpoint.unhealthy:
             self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         if endpoint.route.ejected:
             self._backlog.make_ready_at(destination, self._now)
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -48,7 +48,7 @@
 
         Reports are delayed: after a delivery, one counts once rejections have gone on for longer than that.
         """
-        if route.reported_capacity_left < tuning.USED_UP_FRACTION:
+        if route.reported_capacity_left < tuning.EXHAUSTED_CAPACITY_FRACTION:
             return False
         if route.first_delivery_at is None:
             return True
@@ -75,16 +75,18 @@
 
     def _is_outage(self, route: RouteState) -> bool:
         rejecting_s = self._now - route.rejections_since
-        long_enough = rejecting_s >= tuning.OUTAGE_REJECTING_S
-        return route.consecutive_rejections >= tuning.OUTAGE_REJECTIONS and long_enough
+        long_enough = rejecting_s >= tuning.OUTAGE_MIN_DURATION_S
+        return route.consecutive_rejections >= tuning.OUTAGE_MIN_REJECTIONS and long_enough
 
     def _cut(self, destination: Destination, route: RouteState) -> None:
         limit = self._limit_after_cut(destination, route)
         route.rate_limit = limit
         route.rate_limit_cut_at = self._now
         # At a phase of its own: forwarders with the same Retry-After must not all call at its end.
-        spaced_at = self._now + self._random.uniform(*tuning.LIMITED_CALL_JITTER) / limit
-        after_wait_at = route.retry_after_until + self._random.uniform(*tuning.RETRY_AFTER_JITTER) / limit
+        spaced_at = self._now + self._random.uniform(*tuning.LIMITED_CALL_JITTER_FACTORS) / limit
+        after_wait_at = (
+            route.retry_after_until + self._random.uniform(*tuning.RETRY_AFTER_JITTER_FACTORS) / limit
+        )
         route.next_call_at = max(route.next_call_at, spaced_at, after_wait_at)
 
     def _limit_after_cut(self, destination: Destination, route: RouteState) -> float:
@@ -96,9 +98,11 @@
         limit = route.rate_limit
         present = limit if limit is not None else calls_within(route, self._now, 1.0)
         floor = max(
-            tuning.RATE_FLOOR * self._traffic.own_fraction(), tuning.LISTED_FLOOR_FRACTION * quota, least
+            tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction(),
+            tuning.QUOTA_FLOOR_FRACTION * quota,
+            least,
         )
-        return max(tuning.RATE_CUT * present, floor)
+        return max(tuning.RATE_CUT_FACTOR * present, floor)
 
     def _rejects_over_limit(self, route: RouteState, quota: float) -> bool:
         """Return whether rejections mean that all forwarders together are over the known limit."""
@@ -114,11 +118,11 @@
         forwarders send has fallen below it.
         """
         if route.consecutive_rejections:
-            return tuning.RATE_CUT
-        return tuning.LISTED_FLOOR_FRACTION if destination.listed_rate > 0 else 1.0
+            return tuning.RATE_CUT_FACTOR
+        return tuning.QUOTA_FLOOR_FRACTION if destination.listed_rate > 0 else 1.0
 
     def _raise_later(self, destination: Destination, route: RouteState) -> None:
-        route.rate_limit_raise_at = self._now + tuning.RATE_RAISE_S
+        route.rate_limit_raise_at = self._now + tuning.RATE_RAISE_INTERVAL_S
         self._schedule(route.rate_limit_raise_at, self.raise_limit, destination, route)
 
     def _next_change(self, destination: Destination, route: RouteState, limit: float) -> LimitChange:
@@ -126,8 +130,8 @@
         idle = not destination.queue
         if quota > 0 and self._large_fleet:
             return self._cautious_change(route, limit, quota, idle)
-        fraction = min(1.0, tuning.SMALL_FLEET * self._traffic.own_fraction())
-        step = max(tuning.RATE_STEP_PER_S * fraction, tuning.LISTED_STEP_FRACTION * quota)
+        fraction = min(1.0, tuning.SMALL_FLEET_MAX_INSTANCES * self._traffic.own_fraction())
+        step = max(tuning.RATE_INCREASE_PER_S * fraction, tuning.QUOTA_STEP_FRACTION * quota)
         span_s = 1.0 if limit >= 1.0 else tuning.RATE_MEMORY_S  # a second shows nothing of fewer calls
         lifted = idle and limit > calls_within(route, self._now, span_s) / span_s + step
         return LimitChange(step, lifted)
@@ -135,7 +139,7 @@
     def _cautious_change(self, route: RouteState, limit: float, quota: float, idle: bool) -> LimitChange:
         """Raise slowly near what was too much, then ever faster; at the quota, slowly from there."""
         since_cut_s = min(self._now - route.rate_limit_cut_at, tuning.RATE_MEMORY_S)
-        step = tuning.CAUTIOUS_STEP_FRACTION * quota * 2**since_cut_s
+        step = tuning.CAUTIOUS_QUOTA_STEP_FRACTION * quota * 2**since_cut_s
         if limit < quota <= limit + step:
             step = quota - limit
             route.rate_limit_cut_at = self._now
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -69,8 +69,10 @@
         """Return the wait before the next attempt; none where a rate limit or other endpoints space it."""
         if finished.outcome is Outcome.OVERLOADED or finished.connection_table_full:
             return 0.0
-        backoff_s: float = min(tuning.RETRY_FIRST_S * 2 ** (message.attempts - 1), tuning.RETRY_MAX_S)
-        return backoff_s * self._random.uniform(*tuning.RETRY_JITTER)
+        backoff_s: float = min(
+            tuning.RETRY_INITIAL_BACKOFF_S * 2 ** (message.attempts - 1), tuning.RETRY_MAX_BACKOFF_S
+        )
+        return backoff_s * self._random.uniform(*tuning.RETRY_JITTER_FACTORS)
 
     def _first_known_zone(self, endpoint_ids: list[int]) -> int:
         for endpoint_id in endpoint_ids:
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -92,7 +92,7 @@
         if suitable:
             return Choice(message, min(suitable, key=lambda endpoint: self._preference(endpoint, message)))
         message.destination.queue.remove(message)
-        self._backlog.enqueue_at(message, self._now + tuning.RETRY_FIRST_S)
+        self._backlog.enqueue_at(message, self._now + tuning.RETRY_INITIAL_BACKOFF_S)
         return None
 
     def _has_free_slot(self, destination: Destination, ejected: bool) -> bool:
@@ -137,9 +137,9 @@
         The cost of a release must not grow with the endpoints; a few at random are nearly as good a choice as
         all (Mitzenmacher, The power of two choices in randomized load balancing, 2001).
         """
-        if len(destination.endpoint_order) <= tuning.RECENT_ENDPOINTS:
+        if len(destination.endpoint_order) <= tuning.MAX_RECENT_ENDPOINTS:
             return destination.endpoint_order
-        drawn = self._random.choices(destination.endpoint_order, k=tuning.SAMPLED_ENDPOINTS)
+        drawn = self._random.choices(destination.endpoint_order, k=tuning.ENDPOINT_SAMPLE_SIZE)
         return (destination.recently_called | {endpoint.id: endpoint for endpoint in drawn}).values()
 
     def _close(self, destination: Destination, head: Message, ejected: bool, next_open_at: float) -> None:
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -41,7 +41,9 @@
         """Let no trial wait for longer than a warm-up after a Retry-After, which ends with the return."""
         warm_up_s = self._settings.warm_up_s
         if self._large_fleet and route.ejected and route.retry_after_until > self._now - warm_up_s:
-            warm_at = route.retry_after_until + self._random.uniform(*tuning.WARM_UP_JITTER) * warm_up_s
+            warm_at = (
+                route.retry_after_until + self._random.uniform(*tuning.WARM_UP_JITTER_FACTORS) * warm_up_s
+            )
             route.next_call_at = min(route.next_call_at, warm_at)
 
     def trial_interval(self, destination: Destination, route: RouteState, weight: float) -> float:
@@ -74,7 +76,7 @@
         """End the slow start: queued messages must not arrive at once, so a rate limit takes over."""
         route.slow_start_since = None
         if route.rate_limit is None:
-            floor = tuning.RATE_FLOOR * self._traffic.own_fraction()
+            floor = tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction()
             self._rate_limits.start_limit(destination, route, max(floor, rate))
 
     def _remember_rate(self, route: RouteState) -> None:
@@ -83,15 +85,15 @@
         The outage, which passes without deliveries, must not lower it.
         """
         recent = recent_rate(route, route.last_delivery_at) - 0.5 / tuning.RATE_MEMORY_S
-        faded = route.rate_before_outage * tuning.RATE_BEFORE_OUTAGE_DECAY
+        faded = route.rate_before_outage * tuning.RATE_BEFORE_OUTAGE_DECAY_FACTOR
         route.rate_before_outage = max(recent, faded)
 
     def _large_fleet_trial_interval(self, usual_rate: float, weight: float) -> float:
         settings = self._settings
         overload = settings.slow_start_capacity_fraction * settings.overload_multiple
         rate = usual_rate * (overload * tuning.TRIAL_BUDGET_FRACTION)
-        min_s = min(settings.overload_span_s, tuning.TRIAL_MIN_S)
-        return max(min_s, self._random.uniform(*tuning.TRIAL_JITTER) * weight / rate)
+        min_s = min(settings.overload_span_s, tuning.MIN_TRIAL_INTERVAL_S)
+        return max(min_s, self._random.uniform(*tuning.TRIAL_JITTER_FACTORS) * weight / rate)
 
     def _small_fleet_trial_interval(
         self, destination: Destination, usual_rate: float, weight: float
@@ -99,13 +101,13 @@
         settings = self._settings
         min_s = settings.overload_span_s
         if destination.listed_rate > 0 and settings.rates_listed:
-            min_s = min(min_s, tuning.TRIAL_MIN_S)
+            min_s = min(min_s, tuning.MIN_TRIAL_INTERVAL_S)
         rate = usual_rate * ((1 + settings.overload_multiple) / 2) * settings.slow_start_capacity_fraction
         interval_s = weight / (rate + TIME_EPSILON_S)
-        return max(min_s, min(interval_s, tuning.TRIAL_MAX_SPANS * settings.overload_span_s))
+        return max(min_s, min(interval_s, tuning.MAX_TRIAL_INTERVAL_SPANS * settings.overload_span_s))
 
     def _usual_rate(self, destination: Destination, route: RouteState) -> float:
         if self._large_fleet:
             return self._traffic.expected_rate(destination, route)
-        floor = tuning.RATE_FLOOR / self._settings.instances
+        floor = tuning.MIN_TOTAL_RATE_PER_S / self._settings.instances
         return max(route.rate_before_outage, floor, self._traffic.rate_quota(destination, route))
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -11,7 +11,7 @@
 
 def is_large_fleet(settings: SchedulerSettings) -> bool:
     """Return whether so many forwarders share the destinations that each must allow for the others."""
-    return settings.instances > tuning.SMALL_FLEET
+    return settings.instances > tuning.SMALL_FLEET_MAX_INSTANCES
 
 
 def record_call(route: RouteState, now: float) -> None:
@@ -44,7 +44,7 @@
     if route.first_delivery_at is None:
         return 0.0
     memory_s = tuning.RATE_MEMORY_S
-    observed_s = max(at - route.first_delivery_at, tuning.MIN_OBSERVED_S)
+    observed_s = max(at - route.first_delivery_at, tuning.MIN_RATE_OBSERVATION_S)
     rate = decayed(route.delivery_rate, at - route.last_delivery_at, memory_s)
     return rate / observed_fraction(observed_s, memory_s)
 
@@ -89,6 +89,6 @@
         memory_s = tuning.RATE_MEMORY_S
         quota = self.rate_quota(destination, route)
         if quota > 0:
-            return max(quota * instances, tuning.RATE_FLOOR) * self.own_fraction()
-        even = memory_s * tuning.RATE_FLOOR / instances
+            return max(quota * instances, tuning.MIN_TOTAL_RATE_PER_S) * self.own_fraction()
+        even = memory_s * tuning.MIN_TOTAL_RATE_PER_S / instances
         return (route.delivery_count + even) / (self._round.now - self._round.started_at + memory_s)
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -25,7 +25,7 @@
 from juniperward.forwarder.effects import Effect, SetTimer, StartWatch
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.net import sockets
-from juniperward.scheduler.tuning import POLL_FIRST_S, POLL_MAX_S
+from juniperward.scheduler.tuning import POLL_INITIAL_BACKOFF_S, POLL_MAX_BACKOFF_S
 from tests.discovery_fixture import (
     HEAD,
     NAMES,
@@ -89,7 +89,7 @@
         took = DIAL_TIMEOUT_S if call is BLACKHOLED else 0.0
         if call in (NO_ANSWER, CUT_AND_OPEN, CUT_WITHIN_A_CHUNK, SILENT_WATCH):
             took = STREAM_TIMEOUT_S + TIMER_LATE
-        return took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD
+        return took + max(POLL_INITIAL_BACKOFF_S, POLL_MAX_BACKOFF_S - took) * SPREAD
 
 
 CASES = (
@@ -193,9 +193,9 @@
         asks = DiscoveryRequests(seed, longest_waits=False)
         for took in (0.0, 0.0, 0.0, first, second, first, second):
             spacing = asks.until_next(took)
-            assert spacing <= took + max(POLL_FIRST_S, POLL_MAX_S - took) * SPREAD + 0.01
+            assert spacing <= took + max(POLL_INITIAL_BACKOFF_S, POLL_MAX_BACKOFF_S - took) * SPREAD + 0.01
             assert (
-                spacing >= took + 0.75 * POLL_FIRST_S
+                spacing >= took + 0.75 * POLL_INITIAL_BACKOFF_S
             )  # never at once: all forwarders lose their watch together
 
 
@@ -203,8 +203,8 @@
     asks = DiscoveryRequests(1, longest_waits=True)
     spacings = [asks.until_next(0.0) for _ in range(6)]
     assert spacings == sorted(spacings)
-    assert spacings[0] == pytest.approx(POLL_FIRST_S * SPREAD, abs=0.01)
-    assert spacings[-1] == pytest.approx(POLL_MAX_S * SPREAD, abs=0.01)
+    assert spacings[0] == pytest.approx(POLL_INITIAL_BACKOFF_S * SPREAD, abs=0.01)
+    assert spacings[-1] == pytest.approx(POLL_MAX_BACKOFF_S * SPREAD, abs=0.01)
 
 
 def test_a_long_watch_that_ends_is_not_reopened_at_once() -> None:
@@ -213,9 +213,9 @@
         DiscoveryRequests(seed, longest_waits=False).until_next(300.0, lived=True) - 300.0
         for seed in range(50)
     }
-    assert min(spacings) >= 0.75 * POLL_FIRST_S
-    assert max(spacings) <= SPREAD * POLL_FIRST_S + 0.01
-    assert max(spacings) - min(spacings) > 0.3 * POLL_FIRST_S
+    assert min(spacings) >= 0.75 * POLL_INITIAL_BACKOFF_S
+    assert max(spacings) <= SPREAD * POLL_INITIAL_BACKOFF_S + 0.01
+    assert max(spacings) - min(spacings) > 0.3 * POLL_INITIAL_BACKOFF_S
 
 
 # --- how long one call can take -------------------------------------------------------------------------------
