--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -27,7 +27,7 @@
         known = event.message in self._backlog.messages
         if known or not 0 <= event.class_index < len(self._settings.classes):
             return None
-        self._traffic.admitted += 1
+        self._traffic.admitted_count += 1
         message = self._new_message(event)
         if not self._consume_quota(event.tenant):
             message.weight *= self._settings.over_quota_weight
--- a/juniperward/scheduler/connections.py
+++ b/juniperward/scheduler/connections.py
@@ -38,7 +38,7 @@
             pause_s = tuning.RETRY_INITIAL_BACKOFF_S * self._random.random()
         endpoint.no_new_connection_until = self._now + pause_s
 
-    def call_ended(self, endpoint: Endpoint) -> None:
+    def record_call_end(self, endpoint: Endpoint) -> None:
         """Schedule the closing of idle connections.
 
         Those of a large fleet fill an endpoint's table: all forwarders together leave them open for as
--- a/juniperward/scheduler/deficit_round_robin.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -30,7 +30,7 @@
             if head is None:
                 ring.drop_current(deficit_s=0.0)
             elif len(self._backlog.in_flight) >= self._settings.slots:
-                self._overdue_calls.free_a_slot()
+                self._overdue_calls.free_slot()
                 return
             elif not may_retry(head, self._now):  # rule 2 binds at every release, whatever queued the message
                 self._routing.give_up(head)
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -11,7 +11,7 @@
 class IdleExpiry(SchedulerPart):
     """Looks at a destination once nothing is in flight there."""
 
-    def call_ended(self, destination: Destination) -> None:
+    def record_call_end(self, destination: Destination) -> None:
         """Schedule one look at a destination that may stay idle, not one for each call."""
         if not destination.slots_in_use and not destination.idle_check_scheduled:
             self._check_later(destination)
@@ -61,4 +61,4 @@
             ejected_at=route.ejected_at,
             delivery_count=route.delivery_count,
         )
-        route.replace_all(remembered)
+        route.copy_from(remembered)
--- a/juniperward/scheduler/overdue_calls.py
+++ b/juniperward/scheduler/overdue_calls.py
@@ -41,7 +41,7 @@
             self._backlog.make_ready_at(destination, self._now)
         self._schedule(self._now + limit_s / 2, self.check, attempt)
 
-    def free_a_slot(self) -> None:
+    def free_slot(self) -> None:
         """Cancel the call least likely to be answered: unresponsive destinations must not fill all slots."""
         if not self._settings.cancellation:
             return
--- a/juniperward/scheduler/route_state.py
+++ b/juniperward/scheduler/route_state.py
@@ -45,7 +45,7 @@
         """Whether it is in its slow start after an outage."""
         return self.slow_start_since is not None
 
-    def replace_all(self, other: RouteState) -> None:
+    def copy_from(self, other: RouteState) -> None:
         """Take over all values of another state; those who refer to this one see them."""
         for each in fields(other):
             setattr(self, each.name, getattr(other, each.name))
--- a/juniperward/scheduler/scheduler.py
+++ b/juniperward/scheduler/scheduler.py
@@ -88,7 +88,7 @@
             case AttemptFinished():
                 self._attempt_finished(event)
             case TimerFired(token=token):
-                self.state.round.timers.fired(token)
+                self.state.round.timers.record_fired(token)
             case EndpointListUpdated():
                 self._endpoint_list_updated(event)
             case HealthCheckFinished():
@@ -118,8 +118,8 @@
         if message is None or attempt is None:
             return
         if backlog.release_slot(message, attempt):
-            self.connections.call_ended(attempt.endpoint)
-            self.idle_expiry.call_ended(attempt.endpoint.destination)
+            self.connections.record_call_end(attempt.endpoint)
+            self.idle_expiry.record_call_end(attempt.endpoint.destination)
         self.rate_limits.record_retry_after(attempt.endpoint.route, event.retry_after_s)
         self.retries.record_outcome(message, event)
         if event.outcome is Outcome.OK:
--- a/juniperward/scheduler/timers.py
+++ b/juniperward/scheduler/timers.py
@@ -43,7 +43,7 @@
             expired = heapq.heappop(self._heap)
             expired.callback(*expired.arguments)
 
-    def fired(self, token: int) -> None:
+    def record_fired(self, token: int) -> None:
         """Record that the caller's timer fired; an older one than the latest is ignored."""
         if token == self.token:
             self._requested_at = math.inf
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -64,7 +64,7 @@
         self._round = round_
         self._table = table
         self._large_fleet = is_large_fleet(round_.settings)
-        self.admitted = 0  # messages so far
+        self.admitted_count = 0  # messages so far
 
     def own_fraction(self) -> float:
         """Return this forwarder's fraction of the traffic, by what came here of the listed rates."""
@@ -76,7 +76,7 @@
             return 1.0 / instances
         memory_s = tuning.RATE_MEMORY_S
         seen_s = self._round.now - self._round.started_at
-        return min(1.0, (self.admitted / listed + memory_s / instances) / (seen_s + memory_s))
+        return min(1.0, (self.admitted_count / listed + memory_s / instances) / (seen_s + memory_s))
 
     def rate_quota(self, destination: Destination, route: RouteState) -> float:
         """Return this forwarder's quota of the listed or else the reported limit; 0 where none is known."""
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -131,11 +131,11 @@
             node.arrive(count=2)
             node.settle(in_flight(node)[0], Outcome.ERROR)
         start = node.now
-        node.scheduler.state.traffic.admitted = 0  # its part is an even one
+        node.scheduler.state.traffic.admitted_count = 0  # its part is an even one
         assert node.route(1).ejected
         for _ in range(40):
             node.arrive(time_left_s=1.0)
-            node.scheduler.state.traffic.admitted = 0
+            node.scheduler.state.traffic.admitted_count = 0
             node.run(1.0)
             for message in in_flight(node):
                 node.settle(message, Outcome.ERROR, message_ended=True)
