--- a/juniperward/scheduler/latency.py
+++ b/juniperward/scheduler/latency.py
@@ -1,4 +1,4 @@
-"""How long attempts are expected to take, when one is overdue, and when another is of no use."""
+"""Latency estimates: how long an attempt should take, when it is overdue, and when it is no longer useful."""
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.estimators import running_mean
@@ -7,10 +7,10 @@
 
 
 class LatencyEstimates:
-    """Running means of latencies by destination and class, and what follows from them; all in seconds."""
+    """Running means of the latency by destination and message class, and bounds derived from them."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
-        """Derive the bounds from all classes of message."""
+        """Compute the bounds that hold for all message classes."""
         self._resolution_s = settings.timer_resolution_s
         objectives_s = [each.latency_objective_s for each in settings.classes]
         self.min_objective_s = min(objectives_s)
@@ -19,7 +19,10 @@
         self.quantum_s = tuning.QUANTUM_OBJECTIVE_FRACTION * self.min_objective_s
 
     def record(self, message: Message, latency_s: float) -> None:
-        """Add a delivery, by class: a class that fails or lingers must not change the cost of another."""
+        """Add the latency of a delivery to the means of its destination and of its message class.
+
+        Means by class keep a failing or slow class from changing the expected latency of another.
+        """
         latency_s = min(latency_s, message.message_class.latency_objective_s)
         destination = message.destination
         weight = tuning.LATENCY_MEAN_WEIGHT
@@ -31,31 +34,37 @@
         )
 
     def expected_s(self, message: Message) -> float:
-        """Return the slot time of an attempt: the running mean, and at most and at first the objective."""
+        """Return the expected slot time of an attempt in seconds.
+
+        It is the running mean, bounded by the latency objective, or the objective where there is no mean yet.
+        """
         destination = message.destination
         objective_s = message.message_class.latency_objective_s
         mean_s = destination.latency_by_class_s.get(message.class_index, destination.mean_latency_s)
         return objective_s if mean_s is None else min(mean_s, objective_s)
 
     def is_slow(self, destination: Destination) -> bool:
-        """Return whether a destination takes much longer than it usually does."""
+        """Return whether the mean latency of a destination is far above its baseline."""
         return (destination.mean_latency_s or 0.0) > tuning.SLOW_FACTOR * destination.baseline_latency_s
 
     def minimum_useful_s(self, destination: Destination) -> float:
-        """Return the time that a message must have left for another attempt to be of use."""
+        """Return the seconds that a message must have left for another attempt to be useful."""
         if destination.mean_latency_s is None:
             return tuning.MIN_USEFUL_TIMER_STEPS * self._resolution_s
         return tuning.MIN_USEFUL_LATENCY_FACTOR * destination.mean_latency_s
 
     def overdue_after_s(self, destination: Destination) -> float:
-        """Return the time after which an attempt is overdue."""
+        """Return the seconds after which an attempt is overdue."""
         if destination.mean_latency_s is None:
             return self.max_objective_s
         overdue_s = max(tuning.MIN_OVERDUE_S, tuning.OVERDUE_FACTOR * destination.mean_latency_s)
         return min(overdue_s, self.max_objective_s)
 
     def shared_call_minimum_s(self, destination: Destination) -> float:
-        """Return the time that each message of a shared call must have left: any of them may end it."""
+        """Return the seconds that each message of a shared call must have left.
+
+        The call ends when the time of any of its messages is over.
+        """
         if destination.mean_latency_s is None:
             return tuning.MIN_OVERDUE_S
         return self.overdue_after_s(destination)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are unhealthy and which routes ejected, by the outcomes of calls; when they recover."""
+"""Marks endpoints unhealthy and ejects routes by the outcomes of their calls, and ends ejections."""
 
 import math
 
@@ -14,11 +14,11 @@
 from juniperward.scheduler.traffic import record_delivery, record_load_report
 
 Result = AttemptFinished | HealthCheckFinished
-NO_FAILURE = (Outcome.OK, Outcome.OVERLOADED, Outcome.NOT_SENT, Outcome.CANCELLED)
+NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.NOT_SENT, Outcome.CANCELLED)
 
 
 class OutlierDetection(SchedulerPart):
-    """Ejects what fails or is unresponsive, and begins the recovery of what answers again."""
+    """Ejects failing and unresponsive routes, and begins the slow start of a route that answers again."""
 
     def __init__(
         self,
@@ -27,18 +27,18 @@
         slow_start: SlowStart,
         connections: Connections,
     ) -> None:
-        """Have rejections cut rate limits, the slow start space trials, and full tables close connections."""
+        """Use the parts that cut rate limits, space trials and count connections."""
         super().__init__(state)
         self._rate_limits = rate_limits
         self._slow_start = slow_start
         self._connections = connections
 
     def record_attempt(self, attempt: BatchAttempt, finished: AttemptFinished) -> None:
-        """Record the outcome of a call, once for all its messages."""
-        # A message that was not sent shows nothing of the call that the others travelled in.
+        """Record the outcome of a call, which is the same for all its messages."""
+        # A message that was not sent says nothing about the call, so another message reports its outcome.
         attempt.outcome_recorded = finished.outcome is not Outcome.NOT_SENT
-        if finished.outcome not in NO_FAILURE:
-            # A quick error must not gain slot time: what it saved of the normal cost is charged after all.
+        if finished.outcome not in NON_FAILURE_OUTCOMES:
+            # Charge a quick error the slot time of a normal call, so that failing is not cheaper.
             normal_s = self._latency.expected_s(self._backlog.messages[finished.message])
             attempt.endpoint.destination.deficit_s -= max(0.0, finished.latency_s - normal_s)
         self.record_outcome(attempt.endpoint, finished, attempt.sent_at)
@@ -56,14 +56,14 @@
                 self._record_success(endpoint, sent_at)
             case Outcome.OVERLOADED:
                 self._record_rejection(endpoint, sent_at, retry_after_s)
-            case Outcome.CONNECT_FAILED if table_full or self._was_just_reached(endpoint):
-                # Calls of others get through: its connection table is full.
+            case Outcome.CONNECT_FAILED if table_full or self._is_reachable(endpoint):
+                # A reachable endpoint that refuses a connection has a full connection table.
                 self._connections.record_full_table(endpoint, table_full)
             case Outcome.ERROR | Outcome.TIMEOUT | Outcome.CONNECT_FAILED | Outcome.RESET:
                 self._record_failure(endpoint, result.outcome)
 
     def mark_unhealthy(self, endpoint: Endpoint, reason: EjectionReason) -> None:
-        """Give an endpoint trials only; with no healthy one left, its route is ejected."""
+        """Limit an endpoint to trials, and eject its route if no ready endpoint of it is healthy."""
         destination, route = endpoint.destination, endpoint.route
         if not endpoint.unhealthy:
             endpoint.mark_unhealthy(self._now, reason is EjectionReason.UNRESPONSIVE)
@@ -72,7 +72,7 @@
         if all(other.unhealthy for other in destination.endpoints_on(route) if other.is_ready):
             self._eject(endpoint, reason)
 
-    def _was_just_reached(self, endpoint: Endpoint) -> bool:
+    def _is_reachable(self, endpoint: Endpoint) -> bool:
         since = self._now - self._settings.dial_timeout_s - tuning.REACHABLE_MARGIN_S
         return endpoint.last_success_at > since
 
@@ -82,7 +82,7 @@
         endpoint.record_result(answered=True, remembered=tuning.FAILURE_WINDOW_CALLS)
         self._connections.record_answer(endpoint)
         record_delivery(route, self._now, sent_at)
-        # An answer from before the outage shows no recovery, unless the endpoint was only unresponsive.
+        # An answer to a call from before the outage shows no recovery, unless the endpoint was unresponsive.
         if endpoint.unhealthy and (endpoint.unresponsive or sent_at >= endpoint.unhealthy_since):
             endpoint.mark_healthy()
         if not (route.ejected or route.staggered):
@@ -92,16 +92,17 @@
 
     def _record_rejection(self, endpoint: Endpoint, sent_at: float, retry_after_s: float) -> None:
         route = endpoint.route
-        # Warming up, a rejection after a delivery, or of a call before the latest cut, is its limit's edge.
+        # During the warm-up, a rejection is expected at the rate limit: the first one after a delivery, and
+        # those of calls that were sent before the latest cut.
         after_delivery = sent_at < route.rate_limit_cut_at or not route.consecutive_rejections
-        at_edge = route.warming_up and after_delivery
+        at_limit = route.warming_up and after_delivery
         if self._rate_limits.record_rejection(endpoint, sent_at, retry_after_s):
             self._eject(endpoint, EjectionReason.REJECTS_ALL)
-        if self._rejects_below_limit(endpoint) and not at_edge:
+        if self._is_rejected_below_limit(endpoint) and not at_limit:
             self._record_fault(endpoint, EjectionReason.REJECTS_ALL)
 
-    def _rejects_below_limit(self, endpoint: Endpoint) -> bool:
-        """Return whether a rejection has another reason than the endpoint's limit."""
+    def _is_rejected_below_limit(self, endpoint: Endpoint) -> bool:
+        """Return whether a rejection has another cause than the endpoint's rate limit."""
         route = endpoint.route
         if route.reported_limit_per_s > 0:
             return self._rate_limits.has_capacity_left(route)
@@ -109,65 +110,66 @@
 
     def _record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
         endpoint.record_result(answered=False, remembered=tuning.FAILURE_WINDOW_CALLS)
-        in_row = (
+        threshold = (
             tuning.WARM_UP_UNHEALTHY_CONSECUTIVE_FAILURES
             if endpoint.route.warming_up
             else tuning.UNHEALTHY_CONSECUTIVE_FAILURES
         )
         failures = endpoint.recent_results.count(False)
-        if endpoint.consecutive_failures() >= in_row or failures >= tuning.UNHEALTHY_WINDOW_FAILURES:
+        if endpoint.consecutive_failures() >= threshold or failures >= tuning.UNHEALTHY_WINDOW_FAILURES:
             self.mark_unhealthy(endpoint, EjectionReason.FAILING)
         self._record_fault(endpoint, EjectionReason.FAILING, outcome is Outcome.CONNECT_FAILED)
 
-    def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, unreached: bool = False) -> None:
-        """Eject or stagger a route: rule 4 binds each forwarder of a large fleet from its first failure.
+    def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, connect_failed: bool = False) -> None:
+        """Eject or stagger a route of a large fleet after a failure, or after a rejection that is a fault.
 
-        docs/design/at-size.md says why.
+        Many forwarders with a few calls each would together overload a recovering destination if each of them
+        waited for several failures.
         """
         route = endpoint.route
         settings = self._settings
         route.consecutive_faults += 1
-        idle_s = math.inf
+        since_delivery_s = math.inf
         if route.first_delivery_at is not None:
-            idle_s = self._now - route.last_delivery_at
-        contact_s = tuning.RECENT_DELIVERY_SPANS * settings.overload_span_s
-        in_contact = idle_s <= contact_s and not route.warming_up
-        if not self._large_fleet or route.ejected or in_contact:
+            since_delivery_s = self._now - route.last_delivery_at
+        recent_s = tuning.RECENT_DELIVERY_SPANS * settings.overload_span_s
+        recently_delivered = since_delivery_s <= recent_s and not route.warming_up
+        if not self._large_fleet or route.ejected or recently_delivered:
             return
-        if unreached and self._may_be_chance(endpoint):
+        if connect_failed and self._may_be_isolated(endpoint):
             return
-        if self._is_outage(route, idle_s):
+        if self._is_outage(route, since_delivery_s):
             self._eject(endpoint, reason)
         else:
             self._stagger(route)
 
-    def _is_outage(self, route: RouteState, idle_s: float) -> bool:
-        """Return whether a fault counts as an outage; a first one does, at random, in part of the fleet."""
+    def _is_outage(self, route: RouteState, since_delivery_s: float) -> bool:
+        """Return whether a fault counts as an outage; a first one does so in a random part of the fleet."""
         retry_after_runs = route.retry_after_until > self._now
         if route.consecutive_faults > 1 or route.warming_up or retry_after_runs:
             return True
         settings = self._settings
-        may_go_on = 1.0  # probability
-        if idle_s > settings.warm_up_s:
-            may_go_on = settings.slow_start_capacity_fraction * settings.overload_multiple
-        return self._random.random() > may_go_on
+        continue_probability = 1.0
+        if since_delivery_s > settings.warm_up_s:
+            continue_probability = settings.slow_start_capacity_fraction * settings.overload_multiple
+        return self._random.random() > continue_probability
 
     def _stagger(self, route: RouteState) -> None:
-        """Delay the next call by up to a warm-up, at random: the forwarders must not all call at once."""
+        """Delay the next call by a random part of the warm-up, so that the forwarders do not call at once."""
         route.staggered = True
         route.ejected_at = self._now
         staggered_at = self._now + self._random.random() * self._settings.warm_up_s
         route.next_call_at = max(route.next_call_at, staggered_at)
 
-    def _may_be_chance(self, endpoint: Endpoint) -> bool:
-        """Return whether failed connections show no outage: one does not, nor do a few of many calls."""
+    def _may_be_isolated(self, endpoint: Endpoint) -> bool:
+        """Return whether failed connections are too few to show an outage, given the traffic of the route."""
         rate = self._traffic.expected_rate(endpoint.destination, endpoint.route)
         many_calls = rate * self._settings.overload_span_s >= tuning.UNHEALTHY_CONSECUTIVE_FAILURES
         limit = tuning.UNHEALTHY_CONSECUTIVE_FAILURES if many_calls else tuning.LOW_TRAFFIC_OUTAGE_FAULTS
         return endpoint.route.consecutive_faults < limit
 
     def _eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
-        """Begin an outage of the endpoint's route: its messages wait, and it gets few, spaced trials."""
+        """Eject the endpoint's route: its messages wait, and only spaced trials are sent."""
         destination, route = endpoint.destination, endpoint.route
         if route.ejected:
             return
@@ -183,14 +185,15 @@
         self._act(DestinationEjected(destination.id, reason))
 
     def _begin_recovery(self, endpoint: Endpoint) -> None:
-        """Begin the slow start after a trial was answered: the rate of calls grows over the warm-up."""
+        """End an ejection and begin the slow start, in which the rate of calls grows over the warm-up."""
         destination, route = endpoint.destination, endpoint.route
         route.ejected = False
         route.staggered = False
         route.consecutive_faults = 0
         route.slow_start_since = self._now
         if self._large_fleet and route.retry_after_until > route.ejected_at:
-            route.slow_start_since = route.retry_after_until  # the endpoints began to warm up then
+            # The endpoints began to warm up when the Retry-After ended.
+            route.slow_start_since = route.retry_after_until
         for other in destination.endpoints_on(route):
             other.mark_healthy()
             other.unresponsive = False
--- a/juniperward/scheduler/overdue_calls.py
+++ b/juniperward/scheduler/overdue_calls.py
@@ -1,4 +1,4 @@
-"""Which calls are overdue, what that shows of their endpoints, and which of them are cancelled."""
+"""Detects overdue calls, marks unresponsive endpoints unhealthy, and cancels calls that are lost."""
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.actions import EjectionReason
@@ -10,62 +10,66 @@
 
 
 class OverdueCalls(SchedulerPart):
-    """Looks at calls that take longer than they should."""
+    """Watches calls that take longer than expected."""
 
     def __init__(self, state: SchedulerState, outlier_detection: OutlierDetection) -> None:
-        """Have unresponsive endpoints marked unhealthy."""
+        """Use the part that marks unresponsive endpoints unhealthy."""
         super().__init__(state)
         self._outlier_detection = outlier_detection
 
     def check(self, attempt: BatchAttempt) -> None:
-        """Mark a call overdue that is still in flight, and look at it again later.
+        """Mark a call overdue if it is still in flight, and schedule the next check of it.
 
-        An endpoint is unresponsive with several overdue calls and no answer meanwhile.
+        An endpoint with several overdue calls and no recent answer is unresponsive. A lost call is cancelled.
         """
         endpoint, destination = attempt.endpoint, attempt.endpoint.destination
         if attempt.serial not in endpoint.in_flight:
             return
         attempt.overdue = True
         self._backlog.make_ready(destination)
-        limit_s = self._latency.overdue_after_s(destination)
+        overdue_after_s = self._latency.overdue_after_s(destination)
         overdue = sum(1 for other in endpoint.in_flight.values() if other.overdue)
-        if self._is_lost(attempt, limit_s) and self._may_retry_all(attempt):
-            # Its connection is lost; or its endpoint, where none of its calls was answered.
+        if self._is_lost(attempt, overdue_after_s) and self._may_retry_all(attempt):
+            # If the endpoint has answered since the call was sent, only the connection is lost.
             self._backlog.cancel(attempt)
             if endpoint.last_success_at <= attempt.sent_at:
                 self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
-        unanswered = endpoint.last_success_at <= self._now - limit_s + TIME_EPSILON_S
+        unanswered = endpoint.last_success_at <= self._now - overdue_after_s + TIME_EPSILON_S
         if overdue >= tuning.UNRESPONSIVE_OVERDUE_CALLS and unanswered and not endpoint.unhealthy:
             self._outlier_detection.mark_unhealthy(endpoint, EjectionReason.UNRESPONSIVE)
         if endpoint.route.ejected:
             self._backlog.make_ready_at(destination, self._now)
-        self._schedule(self._now + limit_s / 2, self.check, attempt)
+        self._schedule(self._now + overdue_after_s / 2, self.check, attempt)
 
     def free_slot(self) -> None:
-        """Cancel the call least likely to be answered: unresponsive destinations must not fill all slots."""
+        """Cancel the oldest overdue call that may be cancelled.
+
+        Calls to unresponsive destinations must not occupy all slots. Without cancellation, nothing is done.
+        """
         if not self._settings.cancellation:
             return
         candidates = [attempt for attempt in self._backlog.in_flight.values() if self._may_cancel(attempt)]
         if candidates:
             attempt = min(candidates, key=lambda candidate: (candidate.sent_at, candidate.serial))
             self._backlog.cancel(attempt)
-            # A cancelled call is overdue no more, and would leave no evidence.
+            # A cancelled call does not count as overdue any more, so record the evidence now.
             self._outlier_detection.mark_unhealthy(attempt.endpoint, EjectionReason.UNRESPONSIVE)
 
-    def _is_lost(self, attempt: BatchAttempt, limit_s: float) -> bool:
-        """Return whether a call may be cancelled as later ones of its route were answered."""
+    def _is_lost(self, attempt: BatchAttempt, overdue_after_s: float) -> bool:
+        """Return whether a call may be cancelled because later calls of its route were answered."""
         if not self._settings.cancellation or attempt.cancelled:
             return False
-        overtaken = attempt.endpoint.route.last_delivery_at > attempt.sent_at + limit_s / 2
+        overtaken = attempt.endpoint.route.last_delivery_at > attempt.sent_at + overdue_after_s / 2
         age_s = self._now - attempt.sent_at
-        return overtaken and age_s >= tuning.LOST_CALL_FACTOR * limit_s - TIME_EPSILON_S
+        return overtaken and age_s >= tuning.LOST_CALL_FACTOR * overdue_after_s - TIME_EPSILON_S
 
     def _may_cancel(self, attempt: BatchAttempt) -> bool:
         endpoint = attempt.endpoint
         if not attempt.overdue or attempt.cancelled:
             return False
         if not endpoint.unhealthy and endpoint.last_success_at >= attempt.sent_at:
-            return False  # it may still be answered
+            # The endpoint answers, so this call may still be answered.
+            return False
         last_resort_s = tuning.LAST_RESORT_FACTOR * self._latency.overdue_after_s(endpoint.destination)
         return self._now - attempt.sent_at >= last_resort_s or self._may_retry_all(attempt)
 
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -1,6 +1,6 @@
-"""How many calls a second a route gets from this forwarder: cut by rejections, raised without them.
+"""Rate limits of routes: additive increase while calls are accepted, multiplicative decrease on rejections.
 
-Where the endpoint list or load reports name a limit, each forwarder keeps to its quota of it.
+A limit that the endpoint list or load reports name is divided into quotas of the forwarders.
 """
 
 from typing import NamedTuple
@@ -14,22 +14,27 @@
 
 
 class LimitChange(NamedTuple):
-    """What becomes of a limit after a while without rejections."""
+    """The change of a rate limit after an interval without rejections.
+
+    Attributes:
+        raise_by: the increase, in calls a second.
+        lifted: whether the limit is removed.
+    """
 
     raise_by: float
-    lifted: bool = False  # there is no limit any more
+    lifted: bool = False
 
 
 class RateLimits(SchedulerPart):
-    """The rate limit of each route."""
+    """Sets, raises and removes the rate limit of each route."""
 
     def record_retry_after(self, route: RouteState, retry_after_s: float) -> None:
-        """Call a route no more before a Retry-After ends; it binds whatever outcome it came with (rule 6)."""
+        """Send no call to a route before a Retry-After ends, whatever outcome it came with."""
         if retry_after_s > 0:
             route.retry_after_until = max(route.retry_after_until, self._now + retry_after_s)
 
     def record_rejection(self, endpoint: Endpoint, sent_at: float, retry_after_s: float) -> bool:
-        """Cut the limit after a rejection; returns whether so many in a row are an outage."""
+        """Cut the limit after a rejection, and return whether the rejections amount to an outage."""
         destination, route = endpoint.destination, endpoint.route
         self.record_retry_after(route, retry_after_s)
         min_interval_s = destination.mean_latency_s
@@ -44,9 +49,10 @@
         return self._is_outage(route) or retry_after_s >= self._settings.overload_span_s
 
     def has_capacity_left(self, route: RouteState) -> bool:
-        """Return whether load reports show that rejections have another reason than the limit.
+        """Return whether load reports show that rejections have another cause than the limit.
 
-        Reports are delayed: after a delivery, one counts once rejections have gone on for longer than that.
+        Reports are delayed. Once a call has been delivered, they count only after rejections have gone on for
+        longer than that delay.
         """
         if route.reported_capacity_left < tuning.EXHAUSTED_CAPACITY_FRACTION:
             return False
@@ -56,12 +62,12 @@
         return route.consecutive_rejections > 0 and rejecting_s > tuning.LOAD_REPORT_DELAY_S
 
     def start_limit(self, destination: Destination, route: RouteState, limit: float) -> None:
-        """Limit a route that had no limit; it is raised from here."""
+        """Set the limit of a route that had none, and schedule its first raise."""
         route.rate_limit = limit
         self._raise_later(destination, route)
 
     def raise_limit(self, destination: Destination, route: RouteState) -> None:
-        """Raise a limit after a second without rejections, and lift it once it binds no more."""
+        """Raise a limit after an interval without rejections, or remove it if it no longer binds."""
         if route.rate_limit is None or self._now < route.rate_limit_raise_at - TIME_EPSILON_S:
             return
         if not route.consecutive_rejections:
@@ -82,40 +88,41 @@
         limit = self._limit_after_cut(destination, route)
         route.rate_limit = limit
         route.rate_limit_cut_at = self._now
-        # At a phase of its own: forwarders with the same Retry-After must not all call at its end.
-        spaced_at = self._now + self._random.uniform(*tuning.LIMITED_CALL_JITTER_FACTORS) / limit
-        after_wait_at = (
+        # Jitter spreads the calls of forwarders that received the same Retry-After.
+        after_cut_at = self._now + self._random.uniform(*tuning.LIMITED_CALL_JITTER_FACTORS) / limit
+        after_retry_after_at = (
             route.retry_after_until + self._random.uniform(*tuning.RETRY_AFTER_JITTER_FACTORS) / limit
         )
-        route.next_call_at = max(route.next_call_at, spaced_at, after_wait_at)
+        route.next_call_at = max(route.next_call_at, after_cut_at, after_retry_after_at)
 
     def _limit_after_cut(self, destination: Destination, route: RouteState) -> float:
         quota = self._traffic.rate_quota(destination, route)
-        least = tuning.MIN_CALLS_PER_DEADLINE / self._latency.min_deadline_s
-        if self._rejects_over_limit(route, quota):
-            known = min(quota, route.rate_limit or quota)
-            return max(self._cut_factor(destination, route) * known, least)
+        min_rate = tuning.MIN_CALLS_PER_DEADLINE / self._latency.min_deadline_s
+        if self._is_rejected_over_limit(route, quota):
+            known_limit = min(quota, route.rate_limit or quota)
+            return max(self._cut_factor(destination, route) * known_limit, min_rate)
         limit = route.rate_limit
-        present = limit if limit is not None else calls_within(route, self._now, 1.0)
+        current = limit if limit is not None else calls_within(route, self._now, 1.0)
         floor = max(
             tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction(),
             tuning.QUOTA_FLOOR_FRACTION * quota,
-            least,
+            min_rate,
         )
-        return max(tuning.RATE_CUT_FACTOR * present, floor)
+        return max(tuning.RATE_CUT_FACTOR * current, floor)
 
-    def _rejects_over_limit(self, route: RouteState, quota: float) -> bool:
-        """Return whether rejections mean that all forwarders together are over the known limit."""
+    def _is_rejected_over_limit(self, route: RouteState, quota: float) -> bool:
+        """Return whether rejections mean that all forwarders together exceed the known limit."""
         if route.reported_limit_per_s:
             return not self.has_capacity_left(route)
         return self._large_fleet and quota > 0
 
     @staticmethod
     def _cut_factor(destination: Destination, route: RouteState) -> float:
-        """Return the factor of a cut: a first rejection may be chance at the limit's edge.
+        """Return the factor by which a rejection cuts a known limit.
 
-        The next in a row shows a lower limit. Rejections use a limit up: nothing is delivered before what all
-        forwarders send has fallen below it.
+        A first rejection may be chance close to the limit. A second one in a row shows that the limit is
+        lower than was known. Rejected calls count against a limit too, so the total rate of the forwarders
+        must fall below it before any call is delivered.
         """
         if route.consecutive_rejections:
             return tuning.RATE_CUT_FACTOR
@@ -132,12 +139,13 @@
             return self._cautious_change(route, limit, quota, idle)
         fraction = min(1.0, tuning.SMALL_FLEET_MAX_INSTANCES * self._traffic.own_fraction())
         step = max(tuning.RATE_INCREASE_PER_S * fraction, tuning.QUOTA_STEP_FRACTION * quota)
-        span_s = 1.0 if limit >= 1.0 else tuning.RATE_MEMORY_S  # a second shows nothing of fewer calls
+        # Below one call a second, one second is too short to measure the rate of calls.
+        span_s = 1.0 if limit >= 1.0 else tuning.RATE_MEMORY_S
         lifted = idle and limit > calls_within(route, self._now, span_s) / span_s + step
         return LimitChange(step, lifted)
 
     def _cautious_change(self, route: RouteState, limit: float, quota: float, idle: bool) -> LimitChange:
-        """Raise slowly near what was too much, then ever faster; at the quota, slowly from there."""
+        """Return a step that doubles each second; it starts small after a cut and again at the quota."""
         since_cut_s = min(self._now - route.rate_limit_cut_at, tuning.RATE_MEMORY_S)
         step = tuning.CAUTIOUS_QUOTA_STEP_FRACTION * quota * 2**since_cut_s
         if limit < quota <= limit + step:
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -1,9 +1,10 @@
-"""How often a destination is called that is ejected or warms up after an outage (rule 4 of the protocol).
+"""Spacing of the trials of ejected routes, and of calls during the slow start after an outage.
 
-In any overload span all forwarders together may send `slow_start_capacity_fraction` x `overload_multiple` x
-capacity, and none knows of the return. Expected rates add up to the capacity, so calls that are spaced by
-rate x fraction x multiple make up that budget. `TRIAL_BUDGET_FRACTION` of it is for trials, the rest for the
-call after a good one.
+When a destination returns, all forwarders together may send `slow_start_capacity_fraction` x
+`overload_multiple` x its capacity within any overload span, and no forwarder knows when it returns. The
+expected rates of the forwarders add up to the capacity, so each of them may send at its expected rate x
+fraction x multiple. Trials use `TRIAL_BUDGET_FRACTION` of this budget. The rest is for the call that follows
+a successful trial.
 """
 
 from juniperward.scheduler import tuning
@@ -16,29 +17,36 @@
 
 
 class SlowStart(SchedulerPart):
-    """Spaces trials, and the calls of a slow start."""
+    """Spaces trials and the calls of a slow start."""
 
     def __init__(self, state: SchedulerState, rate_limits: RateLimits) -> None:
-        """Leave a route that is warm to its rate limit."""
+        """Use the part that limits the rate of a route once its slow start has ended."""
         super().__init__(state)
         self._rate_limits = rate_limits
 
     def record_call(self, endpoint: Endpoint, weight: float) -> None:
-        """Space the next call after a call or a health check; `weight` is 1 for a call of one message."""
+        """Set the earliest time of the next call after a call or a health check.
+
+        `weight` is the cost of the call relative to a call with one message.
+        """
         destination, route = endpoint.destination, endpoint.route
         route.last_call_at = self._now
         record_call(route, self._now)
         interval = self.trial_interval if route.ejected else self.slow_start_interval
         interval_s = interval(destination, route, weight)
         if route.rate_limit is not None:
-            interval_s = max(interval_s, 1.0 / route.rate_limit)  # a limit counts calls, whatever they carry
+            # A rate limit counts calls, so the weight does not matter here.
+            interval_s = max(interval_s, 1.0 / route.rate_limit)
         route.next_call_at = max(route.next_call_at, self._now) + interval_s
         self.bring_trial_forward(route)
         if endpoint.unhealthy:
             endpoint.next_trial_at = self._now + self.trial_interval(destination, route, weight)
 
     def bring_trial_forward(self, route: RouteState) -> None:
-        """Let no trial wait for longer than a warm-up after a Retry-After, which ends with the return."""
+        """Bound the wait for a trial by a jittered warm-up after the end of a Retry-After.
+
+        The destination is expected to return at that end, and to be warm after the warm-up.
+        """
         warm_up_s = self._settings.warm_up_s
         if self._large_fleet and route.ejected and route.retry_after_until > self._now - warm_up_s:
             warm_at = (
@@ -56,7 +64,10 @@
         return self._small_fleet_trial_interval(destination, usual_rate, weight)
 
     def slow_start_interval(self, destination: Destination, route: RouteState, weight: float) -> float:
-        """Return the seconds until the next call of a route that warms up; 0 where it does not."""
+        """Return the seconds until the next call of a route in slow start, or 0 if it is in none.
+
+        Ends a slow start whose warm-up has passed.
+        """
         if route.slow_start_since is None:
             return 0.0
         warm_up_s = self._settings.warm_up_s
@@ -73,25 +84,25 @@
         return min(weight / (allowed + TIME_EPSILON_S), warm_up_s - elapsed_s)
 
     def _end(self, destination: Destination, route: RouteState, rate: float) -> None:
-        """End the slow start: queued messages must not arrive at once, so a rate limit takes over."""
+        """End a slow start. A rate limit takes over, so that queued messages are not sent in one burst."""
         route.slow_start_since = None
         if route.rate_limit is None:
             floor = tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction()
             self._rate_limits.start_limit(destination, route, max(floor, rate))
 
     def _remember_rate(self, route: RouteState) -> None:
-        """Remember the rate at the last delivery, less half of that one's own weight.
+        """Remember the rate as of the last delivery, as the outage since then must not lower it.
 
-        The outage, which passes without deliveries, must not lower it.
+        Half of the last delivery's own contribution is subtracted.
         """
         recent = recent_rate(route, route.last_delivery_at) - 0.5 / tuning.RATE_MEMORY_S
-        faded = route.rate_before_outage * tuning.RATE_BEFORE_OUTAGE_DECAY_FACTOR
-        route.rate_before_outage = max(recent, faded)
+        decayed_rate = route.rate_before_outage * tuning.RATE_BEFORE_OUTAGE_DECAY_FACTOR
+        route.rate_before_outage = max(recent, decayed_rate)
 
     def _large_fleet_trial_interval(self, usual_rate: float, weight: float) -> float:
         settings = self._settings
-        overload = settings.slow_start_capacity_fraction * settings.overload_multiple
-        rate = usual_rate * (overload * tuning.TRIAL_BUDGET_FRACTION)
+        budget_factor = settings.slow_start_capacity_fraction * settings.overload_multiple
+        rate = usual_rate * (budget_factor * tuning.TRIAL_BUDGET_FRACTION)
         min_s = min(settings.overload_span_s, tuning.MIN_TRIAL_INTERVAL_S)
         return max(min_s, self._random.uniform(*tuning.TRIAL_JITTER_FACTORS) * weight / rate)
 
