--- a/juniperward/scheduler/endpoint_table.py
+++ b/juniperward/scheduler/endpoint_table.py
@@ -1,4 +1,7 @@
-"""The endpoints that the list names, and their destinations; idle_expiry.py decides what is removed."""
+"""The table of endpoints that the endpoint list names, and of their destinations.
+
+idle_expiry.py decides when entries are removed.
+"""
 
 from __future__ import annotations
 
@@ -11,21 +14,28 @@
 
 
 class EndpointTable:
-    """Destinations and endpoints by number."""
+    """Destinations and endpoints by number.
+
+    Attributes:
+        listed_rate_total: the sum of the listed rates of all destinations.
+    """
 
     def __init__(self, round_: Round) -> None:
-        """Begin without any."""
+        """Start with an empty table."""
         self._round = round_
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.listed_rate_total = 0.0  # sum of the destinations' listed rates
+        self.listed_rate_total = 0.0
 
     def destination(self, number: int) -> Destination:
-        """Return a destination, which is added if it is new."""
+        """Return the destination with a number; it is created if it does not exist."""
         return self.destinations.setdefault(number, Destination(number))
 
     def apply(self, update: EndpointListUpdated) -> list[Destination]:
-        """Apply an update of the list; returns the destinations of its entries, in their order."""
+        """Apply an update of the endpoint list, and return the destinations of its entries in their order.
+
+        Endpoints that a full list does not name get the phase REMOVED.
+        """
         if update.scope is not ListScope.DELTA:
             named = {entry.endpoint for entry in update.entries}
             for endpoint in self.endpoints.values():
@@ -34,12 +44,12 @@
         return [self._apply_entry(entry) for entry in update.entries]
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Remove an endpoint, from its destination too."""
+        """Remove an endpoint from the table and from its destination."""
         del self.endpoints[endpoint.id]
         endpoint.destination.remove(endpoint)
 
     def remove_destination(self, destination: Destination) -> None:
-        """Remove a destination."""
+        """Remove a destination, and subtract its listed rate from the total."""
         self.listed_rate_total -= destination.listed_rate
         del self.destinations[destination.id]
 
--- a/juniperward/scheduler/idle_expiry.py
+++ b/juniperward/scheduler/idle_expiry.py
@@ -1,4 +1,4 @@
-"""When what was learned of an idle destination expires, and when endpoints and destinations are removed."""
+"""Expires what was learned of idle destinations, and removes unused endpoints and destinations."""
 
 from juniperward.scheduler import tuning
 from juniperward.scheduler.events import EndpointPhase
@@ -9,25 +9,25 @@
 
 
 class IdleExpiry(SchedulerPart):
-    """Looks at a destination once nothing is in flight there."""
+    """Checks whether destinations without calls in flight have become idle."""
 
     def record_call_end(self, destination: Destination) -> None:
-        """Schedule one look at a destination that may stay idle, not one for each call."""
+        """Schedule the idle check of a destination without calls in flight, unless one is scheduled."""
         if not destination.slots_in_use and not destination.idle_check_scheduled:
-            self._check_later(destination)
+            self._schedule_check(destination)
 
     def check_idle(self, destination: Destination) -> None:
-        """Forget what was learned of a destination that has been idle for long enough."""
+        """Reset what was learned of a destination if it has been idle for the expiry time."""
         destination.idle_check_scheduled = False
         if destination.queue or destination.slots_in_use:
             return
         if destination.last_used_at + tuning.IDLE_EXPIRY_S > self._now + TIME_EPSILON_S:
-            self._check_later(destination)
+            self._schedule_check(destination)
         else:
-            self._forget(destination)
+            self._reset(destination)
 
     def prune(self) -> None:
-        """Remove endpoints that the list names no more, and destinations without endpoints and messages."""
+        """Remove endpoints that the list no longer names, and idle destinations that are not in use."""
         for endpoint in list(self._table.endpoints.values()):
             if endpoint.phase is EndpointPhase.REMOVED and not endpoint.in_flight:
                 self._table.remove_endpoint(endpoint)
@@ -38,11 +38,11 @@
             if idle and not in_use:
                 self._table.remove_destination(destination)
 
-    def _check_later(self, destination: Destination) -> None:
+    def _schedule_check(self, destination: Destination) -> None:
         destination.idle_check_scheduled = True
         self._schedule(destination.last_used_at + tuning.IDLE_EXPIRY_S, self.check_idle, destination)
 
-    def _forget(self, destination: Destination) -> None:
+    def _reset(self, destination: Destination) -> None:
         destination.latency_by_class_s = {}
         destination.mean_latency_s = None
         destination.baseline_latency_s = 0.0
@@ -50,15 +50,18 @@
         for endpoint in destination.endpoints.values():
             endpoint.mark_healthy()
             endpoint.open_connections = 0
-            self._forget_route(endpoint.route)
+            self._reset_route(endpoint.route)
 
-    def _forget_route(self, route: RouteState) -> None:
-        """Forget what was learned, but for what rules 4 and 6 require: an ejection, and a Retry-After."""
-        remembered = RouteState(
+    def _reset_route(self, route: RouteState) -> None:
+        """Reset the state of a route, but keep its Retry-After and, in a large fleet, its ejection.
+
+        Without the ejection, all forwarders of a large fleet would soon call a destination that is down.
+        """
+        kept_state = RouteState(
             next_call_at=route.next_call_at,
             retry_after_until=route.retry_after_until,
             ejected=self._large_fleet and route.ejected,
             ejected_at=route.ejected_at,
             delivery_count=route.delivery_count,
         )
-        route.copy_from(remembered)
+        route.copy_from(kept_state)
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -1,7 +1,7 @@
-"""What a scheduler stores of messages, attempts, endpoints and destinations: plain data and its bookkeeping.
+"""The records that a scheduler keeps of messages, attempts, endpoints and destinations.
 
-The modules under `policy` decide on it. Moments (`_at`, `_since`, `_until`) are seconds of the caller's monotonic
-clock, rates calls a second.
+They hold data and its bookkeeping; the parts of the scheduler make the decisions. Times (`_at`, `_since`,
+`_until`) are seconds of the caller's monotonic clock, rates are in calls a second.
 """
 
 from __future__ import annotations
@@ -20,7 +20,19 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message without its final answer, or with an attempt in flight."""
+    """A message that has no final answer yet, or still has an attempt in flight.
+
+    Attributes:
+        sequence: the position in the order of admission.
+        late: whether the latency objective can no longer be met.
+        rank: the rank in the queue of its destination; None while it is not queued.
+        attempts: the number of attempts so far.
+        in_flight: the attempts in flight, by attempt number.
+        possibly_executed: when the attempts that may have been executed were sent, by attempt number.
+        zone: the zone of the first attempt that may have been executed, or UNKNOWN_ZONE.
+        attempt_until: the message is not given up before this time while it has surely not been executed.
+        never_attempted: whether the message was restored after a restart and has had no attempt.
+    """
 
     id: int
     message_class: MessageClass
@@ -29,29 +41,29 @@
     ordering_key: str | None
     expires_at: float
     weight: float
-    sequence: int = 0  # by admission
-    late: bool = False  # its latency objective cannot be met any more
+    sequence: int = 0
+    late: bool = False
     ended: bool = False
     queued: bool = False
-    rank: Rank | None = None  # in its queue
+    rank: Rank | None = None
     objective_at: float = 0.0
     not_before: float = 0.0
     attempts: int = 0
-    in_flight: dict[int, BatchAttempt] = field(default_factory=dict)  # by number of its attempt
-    possibly_executed: dict[int, float] = field(default_factory=dict)  # attempts: when they were sent
-    zone: int = 0  # of the first attempt that possibly executed, or UNKNOWN_ZONE
+    in_flight: dict[int, BatchAttempt] = field(default_factory=dict)
+    possibly_executed: dict[int, float] = field(default_factory=dict)
+    zone: int = 0
     last_endpoint: int | None = None
-    attempt_until: float = 0.0  # not given up before, while it surely has not executed
-    never_attempted: bool = False  # restored after a restart, without an attempt
+    attempt_until: float = 0.0
+    never_attempted: bool = False
     batch_bytes: int = 0
 
     @property
     def idempotency(self) -> Idempotency:
-        """What a repeat of it does."""
+        """The effect of a repeated delivery at the destination."""
         return self.message_class.idempotency
 
     def record_attempt(self, attempt: BatchAttempt) -> None:
-        """Record that the message travels in a call; its zone is that of the first that possibly executed."""
+        """Record an attempt of the message, and its zone if no earlier attempt may have been executed."""
         if not self.possibly_executed:
             self.zone = attempt.endpoint.zone
         self.in_flight[self.attempts] = attempt
@@ -63,20 +75,26 @@
 
 @dataclass(slots=True, eq=False)
 class BatchAttempt:
-    """One call in flight: a slot, an endpoint, and the messages that travel in it."""
+    """One call in flight, which occupies one slot and carries one or more messages.
+
+    Attributes:
+        message_ids: the messages whose outcome has not been reported yet.
+        cancelled: whether cancellation was requested; the outcome is still to be reported.
+        outcome_recorded: whether the outcome, which all messages share, is recorded for the endpoint.
+    """
 
     serial: int
     endpoint: Endpoint
     sent_at: float
-    message_ids: set[int]  # of those whose outcome is to come
+    message_ids: set[int]
     overdue: bool = False
-    cancelled: bool = False  # its outcome is still to come
-    outcome_recorded: bool = False  # for the endpoint; all its messages share it
+    cancelled: bool = False
+    outcome_recorded: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class OrderedKey:
-    """The messages that share an ordering key, in the order admitted, and the cooldown of the key."""
+    """The messages that share an ordering key, in their order of admission, and the cooldown of the key."""
 
     queue: deque[Message] = field(default_factory=deque)
     cooldown_until: float = -math.inf
@@ -84,7 +102,16 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What is known of one endpoint; endpoints with the same `route` share its limit and its outages."""
+    """The state of one endpoint; endpoints with the same `route` share its rate limit and its outages.
+
+    Attributes:
+        tie_breaker: a random number; without it, all schedulers would prefer the same endpoint.
+        in_flight: the calls in flight, by serial number.
+        recent_results: whether each of the latest calls was answered, oldest first.
+        open_connections: the estimated number of open connections.
+        keepalive_factor: the factor on the usual idle timeout of connections.
+        is_ready: whether the endpoint list allows calls; written by `set_phase`.
+    """
 
     id: int
     destination: Destination
@@ -92,90 +119,103 @@
     phase: EndpointPhase
     kind: int
     zone: int
-    tie_breaker: float  # random for each scheduler, or all would fill the same endpoint first
-    in_flight: dict[int, BatchAttempt] = field(default_factory=dict)  # by serial
-    recent_results: tuple[
-        bool, ...
-    ] = ()  # whether the latest calls were answered; an empty deque takes 600 bytes
+    tie_breaker: float
+    in_flight: dict[int, BatchAttempt] = field(default_factory=dict)
+    # A tuple, as each deque would take 600 bytes even if empty.
+    recent_results: tuple[bool, ...] = ()
     unhealthy: bool = False
     unhealthy_since: float = 0.0
     unresponsive: bool = False
     next_trial_at: float = 0.0
     last_success_at: float = -math.inf
-    open_connections: int = 0  # an estimate
+    open_connections: int = 0
     last_used_at: float = -math.inf
     no_new_connection_until: float = -math.inf
-    keepalive_factor: float = 1.0  # x the usual time for which an idle connection stays open
+    keepalive_factor: float = 1.0
     close_idle_at: float = 0.0
-    is_ready: bool = False  # whether the list lets it be called, by `set_phase`
+    is_ready: bool = False
 
     def set_phase(self, phase: EndpointPhase) -> None:
-        """Record the phase that the list gives it."""
+        """Store the phase from the endpoint list, and whether the endpoint is ready."""
         self.phase = phase
         self.is_ready = phase is EndpointPhase.READY
 
     def record_result(self, answered: bool, remembered: int) -> None:
-        """Add a call to the latest ones, of which so many are remembered."""
+        """Add the result of a call to the `remembered` latest ones."""
         self.recent_results = (*self.recent_results, answered)[-remembered:]
 
     def consecutive_failures(self) -> int:
-        """Return how many of the latest calls failed since one was answered."""
+        """Return how many of the latest calls failed in a row."""
         for count, answered in enumerate(reversed(self.recent_results)):
             if answered:
                 return count
         return len(self.recent_results)
 
     def mark_unhealthy(self, now: float, unresponsive: bool) -> None:
-        """Record the beginning of an outage of the endpoint."""
+        """Mark the endpoint unhealthy from now on, and record whether it is unresponsive."""
         self.unhealthy = True
         self.unhealthy_since = now
         self.unresponsive = unresponsive
 
     def mark_healthy(self) -> None:
-        """Record that it answers again; earlier calls count no more."""
+        """Mark the endpoint healthy, and discard the results of earlier calls."""
         self.unhealthy = False
         self.recent_results = ()
 
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """A queue and its deficit counter, with what was learned of the destination's endpoints."""
+    """The queue of a destination, its deficit counter, and what was learned of its endpoints.
+
+    Attributes:
+        shared_route: the route of all endpoints, unless each has its own.
+        deficit_s: the slot time that the destination may still use.
+        latency_by_class_s: the running mean of the latency, by message class.
+        mean_latency_s: the running mean of the latency; None before the first delivery.
+        baseline_latency_s: a slower running mean of the latency; 0 before the first delivery.
+        wake_at: when the destination is next put on the ring.
+        listed_rate: the calls a second that all forwarders together may make, by the endpoint list.
+        closed: whether no endpoint was open at the latest check. A closed destination stays off the ring
+            until an event or a timer.
+        endpoint_order: the endpoints as a list, for random samples.
+        recently_called: the endpoints that were called recently, the least recent first.
+    """
 
     id: int
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     shared_route: RouteState = field(default_factory=RouteState)
     queue: MessageQueue[Message] = field(default_factory=MessageQueue)
     on_ring: bool = False
-    deficit_s: float = 0.0  # slot time that it may still use
+    deficit_s: float = 0.0
     slots_in_use: int = 0
-    latency_by_class_s: dict[int, float] = field(default_factory=dict)  # running means
+    latency_by_class_s: dict[int, float] = field(default_factory=dict)
     mean_latency_s: float | None = None
-    baseline_latency_s: float = 0.0  # a slower mean; 0 before the first delivery
-    wake_at: float = -math.inf  # when it is next put on the ring
-    listed_rate: float = 0.0  # calls a second that all forwarders together may make
+    baseline_latency_s: float = 0.0
+    wake_at: float = -math.inf
+    listed_rate: float = 0.0
     last_used_at: float = 0.0
     idle_check_scheduled: bool = False
-    closed: bool = False  # no endpoint was open at the latest look: off the ring until an event or a timer
-    endpoint_order: list[Endpoint] = field(default_factory=list)  # for random samples
-    recently_called: dict[int, Endpoint] = field(default_factory=dict)  # the least recent first
+    closed: bool = False
+    endpoint_order: list[Endpoint] = field(default_factory=list)
+    recently_called: dict[int, Endpoint] = field(default_factory=dict)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Add an endpoint."""
+        """Add an endpoint to the destination."""
         self.endpoints[endpoint.id] = endpoint
         self.endpoint_order.append(endpoint)
 
     def remove(self, endpoint: Endpoint) -> None:
-        """Remove an endpoint."""
+        """Remove an endpoint from the destination."""
         del self.endpoints[endpoint.id]
         self.endpoint_order.remove(endpoint)
         self.recently_called.pop(endpoint.id, None)
 
     def endpoints_on(self, route: RouteState) -> list[Endpoint]:
-        """Return the endpoints that share a route."""
+        """Return the endpoints of the destination that share a route."""
         return [endpoint for endpoint in self.endpoints.values() if endpoint.route is route]
 
     def record_call(self, endpoint: Endpoint, now: float, remembered: int) -> None:
-        """Record that an endpoint is called now, as one of so many recently called ones."""
+        """Record a call to an endpoint, and keep the `remembered` most recently called ones."""
         endpoint.last_used_at = now
         self.last_used_at = now
         self.recently_called.pop(endpoint.id, None)
