--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -295,7 +295,7 @@
 
 
 def test_many_forwarders_adapt_to_a_limit_lowered_to_a_third_and_use_it_fully() -> None:
-    # Quotas that stay near the listed rate keep the fleet above a lowered limit, where all calls are rejected.
+    # Forwarders that stay near their quotas of the listed rate exceed a lowered limit for too long.
     nodes = create_fleet(40, 80.0)
     simulate_load(nodes, 10.0, 80.0)
     simulate_load(nodes, 2.0, 27.0)  # the time to adapt
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -1,4 +1,4 @@
-"""The overload invariant in a large fleet: what all forwarders together send to a destination in slow start."""
+"""The calls of all forwarders to a recovering destination stay within its capacity, in fleets of any size."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 from juniperward.scheduler.events import EndpointEntry, Outcome
 from tests.helpers import KEYED, SAFE, Node, attempted, settings
 
-NODES = 300
+INSTANCES = 300
 LISTED_RATE = 6.0
 SPAN_S = 2.0
 SLOW_START_FRACTION = 0.25
 MULTIPLE = 1.5
 WARM_UP_S = 10.0
-LEAST_BUDGET = SLOW_START_FRACTION * MULTIPLE * LISTED_RATE * SPAN_S  # calls in a span, at the return
-CHANCE = 3 * math.sqrt(LEAST_BUDGET)  # the invariant leaves a little slack for chance
+MIN_BUDGET = (
+    SLOW_START_FRACTION * MULTIPLE * LISTED_RATE * SPAN_S
+)  # calls in a span, when the destination returns
+CHANCE_MARGIN = 3 * math.sqrt(MIN_BUDGET)  # calls; forwarders act at random times
 
 
-def fleet(count: int = NODES, **changes: Any) -> list[Node]:
+def create_fleet(count: int = INSTANCES, **overrides: Any) -> list[Node]:
     values: dict[str, Any] = {
         "instances": count,
         "slots": 3,
@@ -32,14 +34,14 @@
         "overload_span_s": SPAN_S,
         "warm_up_s": WARM_UP_S,
         "max_attempts": 8,
-        **changes,
+        **overrides,
     }
     nodes = [
         Node(settings(SAFE, **values), (EndpointEntry(10, 1, listed_rate=LISTED_RATE),)) for _ in range(count)
     ]
-    for k, node in enumerate(nodes):
-        node.random.seed(k)
-        node.run(300.0)  # a node knows its part of the traffic by its uptime
+    for index, node in enumerate(nodes):
+        node.random.seed(index)
+        node.run(300.0)  # the fraction of the traffic is estimated over the uptime
     return nodes
 
 
@@ -47,91 +49,96 @@
     return node.in_flight()
 
 
-def max_calls_in_a_span(times: list[float]) -> int:
+def max_calls_in_span(times: list[float]) -> int:
     return max((sum(t <= x < t + SPAN_S for x in times) for t in times), default=0)
 
 
-def calls_after_return(outcome: Outcome, outage_s: float, with_retry_after: bool, burst: int) -> list[float]:
-    """Traffic at the listed rate, and a burst before the end, through an outage and WarmWithin after it.
+def calls_after_return(
+    outcome: Outcome, outage_s: float, with_retry_after: bool, burst_count: int
+) -> list[float]:
+    """Simulate an outage and the warm-up, with traffic at the listed rate and a burst before the return.
 
-    Calls sent in the outage get `outcome` after 0.1 s, `with_retry_after` a Retry-After until its end; later ones
-    are answered. Returned are the times since the return of calls by nodes that were notified of a failure.
+    Calls that are sent in the outage get `outcome` after 0.1 s, and a Retry-After until the return if
+    `with_retry_after` is set. Later calls succeed. The result is the times of the calls after the return, in
+    seconds since it, from forwarders whose earlier calls failed.
     """
-    nodes, chance = fleet(), random.Random(5)
-    start = nodes[0].now
-    back, end = start + outage_s, start + outage_s + WARM_UP_S
-    steady = round(LISTED_RATE * (end - start))
-    arrivals = [(chance.uniform(start, end), chance.randrange(NODES)) for _ in range(steady)]
-    arrivals += [(back - chance.uniform(0.8, 1.0), chance.randrange(NODES)) for _ in range(burst)]
+    nodes, rng = create_fleet(), random.Random(5)
+    started_at = nodes[0].now
+    returned_at, ended_at = started_at + outage_s, started_at + outage_s + WARM_UP_S
+    steady_count = round(LISTED_RATE * (ended_at - started_at))
+    arrivals = [(rng.uniform(started_at, ended_at), rng.randrange(INSTANCES)) for _ in range(steady_count)]
+    arrivals += [(returned_at - rng.uniform(0.8, 1.0), rng.randrange(INSTANCES)) for _ in range(burst_count)]
     arrivals.sort()
-    notified: set[int] = set()
+    failed_nodes: set[int] = set()
     times: list[float] = []
-    answers: list[tuple[float, int, int, float]] = []  # arrives, node, message, sent
-    seen = [0] * NODES
-    for tick in range(1, round((end - start) / 0.05) + 1):
-        at = start + 0.05 * tick
+    answers: list[tuple[float, int, int, float]] = []  # answered at, node index, message, sent at
+    log_positions = [0] * INSTANCES
+    for tick in range(1, round((ended_at - started_at) / 0.05) + 1):
+        now = started_at + 0.05 * tick
         for node in nodes:
-            node.run(at - node.now)
-        while answers and answers[0][0] <= at:
-            _, k, message, sent = answers.pop(0)
-            if sent >= back:
-                nodes[k].settle(message)
+            node.run(now - node.now)
+        while answers and answers[0][0] <= now:
+            _, index, message, sent_at = answers.pop(0)
+            if sent_at >= returned_at:
+                nodes[index].settle(message)
             else:
-                notified.add(k)
-                nodes[k].settle(
-                    message, outcome, retry_after_s=max(back - at, 0.01) if with_retry_after else 0.0
+                failed_nodes.add(index)
+                nodes[index].settle(
+                    message, outcome, retry_after_s=max(returned_at - now, 0.01) if with_retry_after else 0.0
                 )
-        while arrivals and arrivals[0][0] <= at:
+        while arrivals and arrivals[0][0] <= now:
             nodes[arrivals.pop(0)[1]].arrive()
-        for k, node in enumerate(nodes):
-            for when, action in node.log[seen[k] :]:
+        for index, node in enumerate(nodes):
+            for when, action in node.log[log_positions[index] :]:
                 if isinstance(action, StartAttempt):
-                    answers.append((at + 0.1, k, action.message, when))
-                    if when >= back and k in notified:
-                        times.append(when - back)
-            seen[k] = len(node.log)
-    assert len(notified) > NODES / 10
+                    answers.append((now + 0.1, index, action.message, when))
+                    if when >= returned_at and index in failed_nodes:
+                        times.append(when - returned_at)
+            log_positions[index] = len(node.log)
+    assert len(failed_nodes) > INSTANCES / 10
     return times
 
 
-def budget_of(since: float) -> float:
-    """Return the calls that the destination bears in the span up to a time since its return."""
+def budget_at(elapsed_s: float) -> float:
+    """Return the calls that the destination can take in a span that ends `elapsed_s` after its return."""
     return (
         MULTIPLE
         * LISTED_RATE
         * SPAN_S
-        * (SLOW_START_FRACTION + (1 - SLOW_START_FRACTION) * min(since / WARM_UP_S, 1.0))
+        * (SLOW_START_FRACTION + (1 - SLOW_START_FRACTION) * min(elapsed_s / WARM_UP_S, 1.0))
     )
 
 
 @pytest.mark.parametrize("with_retry_after", [True, False])
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.ERROR])
-def test_notified_nodes_do_not_crash_a_destination(outcome: Outcome, with_retry_after: bool) -> None:
-    # h7938c8: a burst was rejected a second before the return, one message at each of some twenty nodes.
+def test_forwarders_with_failed_calls_do_not_overload_a_recovering_destination(
+    outcome: Outcome, with_retry_after: bool
+) -> None:
+    # The messages of a burst that was rejected just before the return must not all be sent at once after it.
     carries_retry_after = with_retry_after and outcome is Outcome.OVERLOADED
-    times = calls_after_return(outcome, outage_s=9.0, with_retry_after=carries_retry_after, burst=25)
+    times = calls_after_return(outcome, outage_s=9.0, with_retry_after=carries_retry_after, burst_count=25)
     for last in times:
-        sent = sum(last - SPAN_S < t <= last for t in times)
-        assert sent <= budget_of(last) + 2 * math.sqrt(budget_of(last)), (
-            f"{sent} up to {last:.2f} s after the return"
+        sent_count = sum(last - SPAN_S < t <= last for t in times)
+        assert sent_count <= budget_at(last) + 2 * math.sqrt(budget_at(last)), (
+            f"{sent_count} calls in the span up to {last:.2f} s after the return"
         )
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 200, 230, 300, 600])
-def test_half_open_attempts_add_up_to_the_capacity_for_any_number_of_nodes(count: int) -> None:
-    # The gap of a trial was capped at twice WarmWithin: 600 nodes made 60 calls in 2 s of it.
-    nodes = fleet(count)
+def test_trials_stay_within_the_capacity_for_any_number_of_forwarders(count: int) -> None:
+    # The interval of trials must grow with the fleet: a cap on it lets a large fleet exceed the capacity.
+    nodes = create_fleet(count)
     times: list[float] = []
     for node in nodes:
         node.arrive(count=3)
         node.settle(in_flight(node)[0], Outcome.ERROR)
         for message in in_flight(node):
             node.settle(message, Outcome.ERROR)
-        if count < 6:  # each of a few takes four failures in a row for an outage
+        if count < 6:  # a small fleet ejects after four failures in a row
             node.arrive(count=2)
             node.settle(in_flight(node)[0], Outcome.ERROR)
-        start = node.now
-        node.scheduler.state.traffic.admitted_count = 0  # its part is an even one
+        started_at = node.now
+        node.scheduler.state.traffic.admitted_count = 0  # makes the fraction of the traffic even
         assert node.route(1).ejected
         for _ in range(40):
             node.arrive(time_left_s=1.0)
@@ -139,13 +146,13 @@
             node.run(1.0)
             for message in in_flight(node):
                 node.settle(message, Outcome.ERROR, message_ended=True)
-        times += [t - start for t, a in node.log if isinstance(a, StartAttempt) and t > start]
-    assert 0 < max_calls_in_a_span(times) <= LEAST_BUDGET + CHANCE
-    assert len(times) <= LEAST_BUDGET * 40 / SPAN_S
+        times += [t - started_at for t, a in node.log if isinstance(a, StartAttempt) and t > started_at]
+    assert 0 < max_calls_in_span(times) <= MIN_BUDGET + CHANCE_MARGIN
+    assert len(times) <= MIN_BUDGET * 40 / SPAN_S
 
 
-def test_half_open_attempts_scheduled_while_nothing_was_pending_do_not_burst() -> None:
-    nodes = fleet()[:30]
+def test_trials_that_were_due_without_messages_do_not_burst() -> None:
+    nodes = create_fleet()[:30]
     times: list[float] = []
     for node in nodes:
         node.arrive(count=3)
@@ -156,16 +163,16 @@
         assert node.route(1).ejected
         node.route(1).next_call_at = node.now + 20.0
         node.run(40.0)
-        start = node.now
+        started_at = node.now
         node.arrive()
         node.run(WARM_UP_S)
-        times += [t - start for t, a in node.log if isinstance(a, StartAttempt) and t >= start]
-    assert len(times) > 20 and max_calls_in_a_span(times) <= 15
+        times += [t - started_at for t, a in node.log if isinstance(a, StartAttempt) and t >= started_at]
+    assert len(times) > 20 and max_calls_in_span(times) <= 15
 
 
-def test_an_ejection_outlasts_the_idle_minute() -> None:
-    # Dropped with idle state, the next messages of all nodes would go at once, long before their trials.
-    node = fleet()[0]
+def test_an_ejection_outlasts_the_idle_expiry() -> None:
+    # Without the ejection, the next messages of all forwarders would be sent before their trials are due.
+    node = create_fleet()[0]
     for _ in range(2):
         node.arrive(time_left_s=19.0)
         node.run(20.0)
@@ -180,41 +187,42 @@
     assert route.ejected and attempted(node.arrive()) == []
 
 
-def test_the_answer_after_one_failure_opens_a_bucket_for_pending_messages() -> None:
-    staggered = 0
-    for node in fleet()[:30]:
+def test_an_answer_after_one_failure_begins_the_slow_start() -> None:
+    staggered_count = 0
+    for node in create_fleet()[:30]:
         node.arrive()
         node.settle(1, Outcome.ERROR)
         route = node.route(1)
         assert not in_flight(node)
         if not route.staggered:
-            continue  # its first failure turned it to trials
-        staggered += 1
+            continue  # the first failure has ejected the route
+        staggered_count += 1
         node.run(WARM_UP_S + 0.1)
         assert in_flight(node) == [1]
         node.settle(1)
         assert route.slow_start_since == node.now
-    assert 5 <= staggered <= 18  # ColdShare x FallMultiple of 30 are 11
+    # The expected count is SLOW_START_FRACTION * MULTIPLE * 30, which is about 11.
+    assert 5 <= staggered_count <= 18
 
 
-def test_a_retry_after_with_capacity_left_is_an_outage_and_its_end_the_return() -> None:
-    # The Retry-After ends with the return: WarmWithin after it the destination is warm, and the node may call.
-    nodes = fleet()[:40]
-    early, late = 0, 0
+def test_a_retry_after_with_capacity_left_is_an_outage_that_ends_with_it() -> None:
+    # The destination returns at the end of the Retry-After, and is called again after the warm-up.
+    nodes = create_fleet()[:40]
+    early_count, late_count = 0, 0
     for node in nodes:
         node.arrive()
         node.settle(1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0)
         assert node.route(1).ejected
-        start = node.now
+        started_at = node.now
         node.run(1.5 + WARM_UP_S)
-        early += sum(isinstance(a, StartAttempt) and t > start for t, a in node.log)
+        early_count += sum(isinstance(a, StartAttempt) and t > started_at for t, a in node.log)
         node.arrive()
-        late += len(attempted(node.run(WARM_UP_S)))
-    assert early <= 4 and late >= 30
+        late_count += len(attempted(node.run(WARM_UP_S)))
+    assert early_count <= 4 and late_count >= 30
 
 
-def warming(listed_rate: float = 80.0) -> Node:
-    """One of 40 forwarders, each with a quota of two calls a second, whose destination has just returned."""
+def create_warming_up_node(listed_rate: float = 80.0) -> Node:
+    """Return one of 40 forwarders that share the listed rate, at the start of the slow start."""
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
     node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
     node.arrive()
@@ -224,9 +232,9 @@
     return node
 
 
-def test_a_rejection_behind_a_delivery_in_slow_start_is_no_outage() -> None:
-    # Guards a destination at its limit: each first rejection of its ten seconds ejected it anew.
-    node = warming()
+def test_a_rejection_after_a_delivery_in_slow_start_is_no_outage() -> None:
+    # A destination at its limit must not be ejected again by each first rejection in its slow start.
+    node = create_warming_up_node()
     route = node.route(1)
     for _ in range(2):
         node.arrive()
@@ -240,7 +248,7 @@
 
 
 def test_a_second_rejection_in_a_row_in_slow_start_is_an_outage() -> None:
-    node = warming()
+    node = create_warming_up_node()
     node.arrive()
     node.run(4.0)
     node.settle(node.serial, Outcome.OVERLOADED)
@@ -251,8 +259,8 @@
 
 
 def test_a_rejection_of_an_attempt_sent_before_the_rate_limit_was_cut_changes_nothing() -> None:
-    node = warming()
-    node.route(1).slow_start_since = node.now - 9.0  # nearly warm
+    node = create_warming_up_node()
+    node.route(1).slow_start_since = node.now - 9.0  # the warm-up is nearly over
     node.arrive(count=2)
     node.run(0.9)
     first, second = in_flight(node)
@@ -263,7 +271,7 @@
 
 
 def test_a_rate_limit_grows_slowly_again_from_its_quota_of_the_listed_rate() -> None:
-    # Guards the limit: growth that had doubled for seconds went past the quota at its fastest, and all at once.
+    # A step that has doubled for seconds must not carry the limit far past its quota.
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
     node = Node(config, (EndpointEntry(10, 1, listed_rate=80.0),))
     node.arrive(count=60)
@@ -284,10 +292,10 @@
 
 
 @pytest.mark.parametrize(("listed_rate", "needed"), [(2.0, 2), (400.0, 4)])
-def test_refused_connections_eject_after_as_many_as_a_forwarder_has_calls_to_make(
+def test_refused_connections_that_eject_a_route_are_fewer_with_little_traffic(
     listed_rate: float, needed: int
 ) -> None:
-    # Guards large fleets: four in a row at one endpoint never came together, and no forwarder was notified.
+    # In a large fleet, a forwarder makes too few calls to see four failures in a row at one endpoint.
     config = settings(KEYED, slots=8, instances=40, rates_listed=True, max_attempts=100)
     node = Node(config, tuple(EndpointEntry(n, 1, listed_rate=listed_rate) for n in (10, 11, 12, 13, 14)))
     route = node.route(1)
