--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -34,11 +34,12 @@
         self._connections = connections
 
     def record_attempt(self, attempt: BatchAttempt, finished: AttemptFinished) -> None:
-        """Record the outcome of a call, which is the same for all its messages."""
-        # A message that was not sent says nothing about the call, so another message reports its outcome.
+        """Record the outcome of a call, which all its messages share."""
+        # A message that was not sent says nothing about the call, so the outcome of another one is recorded.
         attempt.outcome_recorded = finished.outcome is not Outcome.NOT_SENT
         if finished.outcome not in NON_FAILURE_OUTCOMES:
-            # Charge a quick error the slot time of a normal call, so that failing is not cheaper.
+            # The expected slot time was charged at the start. A failure that took longer is charged the
+            # excess, and a quicker one gets no refund.
             normal_s = self._latency.expected_s(self._backlog.messages[finished.message])
             attempt.endpoint.destination.deficit_s -= max(0.0, finished.latency_s - normal_s)
         self.record_outcome(attempt.endpoint, finished, attempt.sent_at)
@@ -121,10 +122,10 @@
         self._record_fault(endpoint, EjectionReason.FAILING, outcome is Outcome.CONNECT_FAILED)
 
     def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, connect_failed: bool = False) -> None:
-        """Eject or stagger a route of a large fleet after a failure, or after a rejection that is a fault.
+        """Count a fault, and eject or stagger the route in a large fleet without a recent delivery.
 
-        Many forwarders with a few calls each would together overload a recovering destination if each of them
-        waited for several failures.
+        If each of many forwarders waited for several failures, their calls together would overload a
+        recovering destination.
         """
         route = endpoint.route
         settings = self._settings
@@ -155,7 +156,7 @@
         return self._random.random() > continue_probability
 
     def _stagger(self, route: RouteState) -> None:
-        """Delay the next call by a random part of the warm-up, so that the forwarders do not call at once."""
+        """Delay the next call by a random part of the warm-up, to spread the calls of the forwarders."""
         route.staggered = True
         route.ejected_at = self._now
         staggered_at = self._now + self._random.random() * self._settings.warm_up_s
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -1,10 +1,10 @@
 """Spacing of the trials of ejected routes, and of calls during the slow start after an outage.
 
-When a destination returns, all forwarders together may send `slow_start_capacity_fraction` x
-`overload_multiple` x its capacity within any overload span, and no forwarder knows when it returns. The
-expected rates of the forwarders add up to the capacity, so each of them may send at its expected rate x
-fraction x multiple. Trials use `TRIAL_BUDGET_FRACTION` of this budget. The rest is for the call that follows
-a successful trial.
+No forwarder knows when an ejected destination returns. Directly after its return, all forwarders together may
+send calls at its capacity times `slow_start_capacity_fraction` times `overload_multiple`, within any overload
+span. The expected rates of the forwarders add up to the capacity, so each forwarder applies the same factors
+to its own expected rate. Trials use `TRIAL_BUDGET_FRACTION` of this budget. The rest is for the call that
+follows a successful trial.
 """
 
 from juniperward.scheduler import tuning
@@ -43,9 +43,9 @@
             endpoint.next_trial_at = self._now + self.trial_interval(destination, route, weight)
 
     def bring_trial_forward(self, route: RouteState) -> None:
-        """Bound the wait for a trial by a jittered warm-up after the end of a Retry-After.
+        """Limit the wait for the next trial to a jittered warm-up after the end of a Retry-After.
 
-        The destination is expected to return at that end, and to be warm after the warm-up.
+        The destination is expected to return when the Retry-After ends.
         """
         warm_up_s = self._settings.warm_up_s
         if self._large_fleet and route.ejected and route.retry_after_until > self._now - warm_up_s:
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -18,10 +18,10 @@
 SLOW_START_FRACTION = 0.25
 MULTIPLE = 1.5
 WARM_UP_S = 10.0
-MIN_BUDGET = (
-    SLOW_START_FRACTION * MULTIPLE * LISTED_RATE * SPAN_S
-)  # calls in a span, when the destination returns
-CHANCE_MARGIN = 3 * math.sqrt(MIN_BUDGET)  # calls; forwarders act at random times
+# The calls that the destination can take in a span directly after its return.
+MIN_BUDGET = SLOW_START_FRACTION * MULTIPLE * LISTED_RATE * SPAN_S
+# The calls by which a span may exceed that budget, as forwarders act at random times.
+CHANCE_MARGIN = 3 * math.sqrt(MIN_BUDGET)
 
 
 def create_fleet(count: int = INSTANCES, **overrides: Any) -> list[Node]:
