--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -23,12 +23,12 @@
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net.http_status import HttpStatus
 from juniperward.scheduler import events as scheduler_events
-from juniperward.scheduler.tuning import MINIMUM_ATTEMPT_FRACTION
+from juniperward.scheduler.tuning import MIN_ATTEMPT_TIME_FRACTION
 
 ADMISSION_RETRY_AFTER_S = 1.0
 # A message expires this long before its client's deadline, to leave time for the notification, also if the
 # clock runs ahead just after the process started. For a short deadline the margin is a fraction of it,
-# which must be less than 1 - MINIMUM_ATTEMPT_FRACTION.
+# which must be less than 1 - MIN_ATTEMPT_TIME_FRACTION.
 MAX_NOTIFICATION_MARGIN_S = 0.3
 NOTIFICATION_MARGIN_FRACTION = 0.2
 # A notification that was due during the downtime is not late until 1.5 s after the process is ready again.
@@ -124,7 +124,7 @@
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
         # Before this moment, the scheduler does not give up a message that was never attempted.
         attempt_until = (
-            pending.client_deadline_at - (1 - MINIMUM_ATTEMPT_FRACTION) * pending.message.time_left_s
+            pending.client_deadline_at - (1 - MIN_ATTEMPT_TIME_FRACTION) * pending.message.time_left_s
         )
         self._admit(pending, max(pending.expires_at - self._round.now, 0.0), history, attempt_until)
 
