--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -38,7 +38,7 @@
 ROOT_USER = 0
 
 
-def peer(sock: socket.socket) -> tuple[int, int]:
+def peer_credentials(sock: socket.socket) -> tuple[int, int]:
     """Return the process and the user at the other end."""
     credentials = struct.Struct("3i")
     found = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size)
@@ -115,7 +115,7 @@
     def _serve_requests(self, sock: socket.socket) -> None:
         sockets.set_timeout(sock, socket.SO_RCVTIMEO, IDLE_TIMEOUT_S)
         sockets.set_timeout(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
-        _, user = peer(sock)
+        _, user = peer_credentials(sock)
         if user not in (os.geteuid(), ROOT_USER):
             why = f"user {user} has no right to this agent"
             _write(sock, ApiResponse(HTTPStatus.FORBIDDEN, ErrorReply(why)), close=True)
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -186,7 +186,7 @@
                 self.assertIn(b" 400 ", sock.recv(100))
 
     def test_another_user_is_rejected(self) -> None:
-        other = mock.patch.object(api, "peer", return_value=(1, os.geteuid() + 1))
+        other = mock.patch.object(api, "peer_credentials", return_value=(1, os.geteuid() + 1))
         with other, self.assertRaises(AgentRejectedError) as caught:
             request(self.settings.socket, "agent")
         self.assertEqual(caught.exception.status, 403)
