--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -43,7 +43,7 @@
         self.redriver = Redriver(self.store, self.fleet, settings)
         self.latest = Round()
         self.fault = ""  # why the latest round failed
-        self.ended = threading.Event()
+        self.stop_requested = threading.Event()
         self._log = log
         self._queries = DeadLetterQueries(self.store, self.fleet, self.redriver, self._progress)
         self._sweep_at = 0.0
@@ -68,7 +68,7 @@
         }
 
     def _run(self) -> None:
-        while not self.ended.wait(ROUND_INTERVAL_S):
+        while not self.stop_requested.wait(ROUND_INTERVAL_S):
             try:
                 self._round()
             except Exception as error:
@@ -77,7 +77,7 @@
                     why = f"{type(error).__name__}: {error}"
                     self._log("redrive stalled", "error", {"why": why})
                 self.fault = str(error)
-                self.ended.wait(ERROR_PAUSE_S)
+                self.stop_requested.wait(ERROR_PAUSE_S)
 
     def _round(self) -> None:
         self.latest = self.redriver.round()
--- a/juniperward/agent/program.py
+++ b/juniperward/agent/program.py
@@ -140,6 +140,6 @@
         finally:
             self._api.close()
             if self._dead_letters is not None:
-                self._dead_letters.ended.set()
+                self._dead_letters.stop_requested.set()
             self._loop.log_event("agent stopped", "info", {"fleet": settings.name})
             os.close(self._lock)
