--- a/juniperward/agent/api.py
+++ b/juniperward/agent/api.py
@@ -1,7 +1,7 @@
-"""The agent's API: HTTP/1.1 on a Unix socket, for processes of the same user only.
+"""The agent's API: HTTP/1.1 on a Unix socket, for the agent's user and root.
 
-`POST /v1/VERB` with a JSON object `{"names": [...], "options": {...}}`; the answer is a JSON object, with `error` in
-it where the status is not 200. The verbs are those of `queries.Queries`.
+A request is `POST /v1/VERB` with a JSON object `{"names": [...], "options": {...}}`. The response is a JSON object,
+with the key `error` if the status is not 200. `queries.Queries` implements the verbs.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 MAX_CLIENTS = 32
 IDLE_TIMEOUT_S = 30.0
 WRITE_TIMEOUT_S = 5.0
-ACCEPT_RETRY_S = 0.1
+ACCEPT_RETRY_DELAY_S = 0.1
 PATH_PREFIX = "/v1/"
-ROOT_USER = 0
+ROOT_UID = 0
 
 
 def peer_credentials(sock: socket.socket) -> tuple[int, int]:
-    """Return the process and the user at the other end."""
+    """Return the process id and the user id of the connected client."""
     credentials = struct.Struct("3i")
-    found = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size)
-    process, user, _ = credentials.unpack(found)
-    return process, user
+    option = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size)
+    process_id, user_id, _ = credentials.unpack(option)
+    return process_id, user_id
 
 
 class Api:
-    """Owns the socket; a thread a client. `reload` and `shutdown` are the program's own."""
+    """The API's server: owns the listening socket and serves each client on a thread of its own."""
 
     def __init__(
         self,
@@ -56,7 +56,18 @@
         reload: Callable[[], ReloadReply],
         shutdown: Callable[[bool], None],
     ) -> None:
-        """Listen at `path`; raises ControlSocketError."""
+        """Listen on a Unix socket; connections are accepted from `start` on.
+
+        Args:
+            path: The path of the socket.
+            loop: Executes the requests that change the fleet.
+            reload: Reads the settings file again.
+            shutdown: Ends the agent; called with True, it stops the instances first.
+
+        Raises:
+            ControlSocketError: if the socket cannot be opened.
+
+        """
         self.queries = Queries(loop, reload, shutdown)
         self._path = path
         self._listener = open_socket(path)
@@ -65,15 +76,15 @@
         self._closed = False
 
     def serve_dead_letters(self, service: DeadLetterService) -> None:
-        """Answer requests about dead letters too, from now on."""
+        """Answer requests about dead letters with `service`; until then they are rejected."""
         self.queries.dead_letters = service
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Accept connections on a background thread."""
         threading.Thread(target=self._accept, name="api", daemon=True).start()
 
     def close(self) -> None:
-        """Accept no more, and take the socket away."""
+        """Stop accepting connections and remove the socket; open connections are left to their threads."""
         self._closed = True
         sockets.shutdown(self._listener)
         self._listener.close()
@@ -86,7 +97,7 @@
             except OSError:
                 if self._closed:
                     return
-                time.sleep(ACCEPT_RETRY_S)
+                time.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             if self._admit():
                 threading.Thread(target=self._serve, args=(sock,), name="api-client", daemon=True).start()
@@ -115,9 +126,9 @@
     def _serve_requests(self, sock: socket.socket) -> None:
         sockets.set_timeout(sock, socket.SO_RCVTIMEO, IDLE_TIMEOUT_S)
         sockets.set_timeout(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
-        _, user = peer_credentials(sock)
-        if user not in (os.geteuid(), ROOT_USER):
-            why = f"user {user} has no right to this agent"
+        _, user_id = peer_credentials(sock)
+        if user_id not in (os.geteuid(), ROOT_UID):
+            why = f"permission denied: user {user_id} is neither the user of this agent nor root"
             _write(sock, ApiResponse(HTTPStatus.FORBIDDEN, ErrorReply(why)), close=True)
             return
         stream = Stream(sock.recv)
@@ -129,17 +140,17 @@
                 _write(sock, ApiResponse(error.status, ErrorReply(str(error))), close=True)
                 return
             close = request.close
-            _write(sock, self._answer(request, user), close)
+            _write(sock, self._answer(request, user_id), close)
 
-    def _answer(self, request: HttpRequest, user: int) -> ApiResponse:
+    def _answer(self, request: HttpRequest, user_id: int) -> ApiResponse:
         verb = request.path.removeprefix(PATH_PREFIX)
         if request.method != "POST" or verb == request.path:
             return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply("use POST /v1/VERB"))
         try:
             decoded = msgspec.json.decode(request.body or b"{}", type=ApiRequest)
         except (msgspec.DecodeError, RecursionError) as error:
-            return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"the body: {error}"))
-        return self.queries.answer(verb, decoded, user)
+            return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"request body: {error}"))
+        return self.queries.answer(verb, decoded, user_id)
 
 
 def _write(sock: socket.socket, response: ApiResponse, close: bool) -> None:
--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -1,4 +1,4 @@
-"""Requests to agents: one to each, all at the same time, with a time limit on every one; the tool calls it."""
+"""A client of the agent's API: sends a request to one agent, or to several agents in parallel."""
 
 from __future__ import annotations
 
@@ -19,19 +19,24 @@
 from juniperward.net.http_values import HttpResponse
 from juniperward.net.stream import Stream
 
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 DEFAULT_TIMEOUT_S = 5.0
 
 
 class AgentUnreachableError(Exception):
-    """No answer in time, or nobody listens at the socket."""
+    """The agent does not accept connections, or sent no valid response within the time limit."""
 
 
 class AgentRejectedError(Exception):
-    """The agent rejected the request and says why; `status` is the HTTP status of its response."""
+    """The agent rejected the request.
+
+    Attributes:
+        status: The HTTP status of the response.
+
+    """
 
     def __init__(self, status: int, text: str) -> None:
-        """Take the answer's HTTP status, and its text."""
+        """Take the HTTP status of the response, and the reason that it gives."""
         super().__init__(text)
         self.status = status
 
@@ -43,18 +48,25 @@
     timeout_s: float = DEFAULT_TIMEOUT_S,
     **options: Any,
 ) -> Any:
-    """Return the answer to one request; `timeout_s` is the time for all of it, in seconds.
+    """Send one request to an agent and return the decoded response.
+
+    Args:
+        path: The path of the agent's socket.
+        verb: The verb of the request.
+        names: The instances that the request is about.
+        timeout_s: The time limit from the connect to the end of the response, in seconds.
+        options: The options of the verb.
 
     Raises:
-        AgentUnreachableError: for no complete answer in time, or nobody there.
-        AgentRejectedError: where the agent rejects the request.
+        AgentUnreachableError: if the agent does not accept the connection, or sends no valid response in time.
+        AgentRejectedError: if the status of the response is not 200.
 
     """
     body = msgspec.json.encode({"names": names or [], "options": options})
     encoded = encode_request("POST", f"/v1/{verb}", "agent", {"Connection": "close"}, body)
     try:
-        answer = _exchange(path, encoded, timeout_s)
-        found = msgspec.json.decode(answer.body)
+        response = _exchange(path, encoded, timeout_s)
+        decoded = msgspec.json.decode(response.body)
     except (IncompleteMessageError, TimeoutError, BlockingIOError) as error:
         why = f"no complete answer within {timeout_s:g} s"
         raise AgentUnreachableError(why) from error
@@ -62,27 +74,37 @@
         why = f"{path}: {error.strerror or error}"
         raise AgentUnreachableError(why) from error
     except (MalformedMessageError, msgspec.DecodeError) as error:
-        why = f"an answer that cannot be read: {error}"
+        why = f"{path}: invalid response: {error}"
         raise AgentUnreachableError(why) from error
-    if answer.status != HTTPStatus.OK:
-        raise AgentRejectedError(answer.status, str(found.get("error", f"answered {answer.status}")))
-    return found
+    if response.status != HTTPStatus.OK:
+        why = str(decoded.get("error", f"the agent answered with HTTP status {response.status}"))
+        raise AgentRejectedError(response.status, why)
+    return decoded
 
 
 def _exchange(path: Path, request: bytes, timeout_s: float) -> HttpResponse:
-    """Send a request on a connection of its own, and read the answer within the time for both."""
+    """Send a request on a new connection and read the response; `timeout_s` is the limit for both."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        timed = sockets.DeadlineReader(sock, timeout_s)
+        reader = sockets.DeadlineReader(sock, timeout_s)
         sockets.set_timeout(sock, socket.SO_SNDTIMEO, timeout_s)
         sock.connect(str(path))
-        with contextlib.suppress(BrokenPipeError):  # one that is rejected is answered before it has written
+        # The agent may reject the request and close the connection before it has read all of it.
+        with contextlib.suppress(BrokenPipeError):
             sock.sendall(request)
-        return read_response(Stream(timed.receive), max_body_bytes=MAX_ANSWER_BYTES)
+        return read_response(Stream(reader.receive), max_body_bytes=MAX_RESPONSE_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
 class AgentReply:
-    """What became of a request to one agent: a body, or an error and whether the agent was unreachable."""
+    """The result of a request to one agent.
+
+    Attributes:
+        agent: The path of the agent's socket.
+        body: The decoded response; empty if the request failed.
+        error: Why the request failed; empty if it succeeded.
+        unreachable: Whether it failed without a valid response, rather than being rejected by the agent.
+
+    """
 
     agent: Path
     body: dict[str, Any] = field(default_factory=dict)
@@ -97,7 +119,7 @@
     timeout_s: float = DEFAULT_TIMEOUT_S,
     **options: Any,
 ) -> list[AgentReply]:
-    """Send one request to several agents at once; one row for each, in their order, whatever became of it."""
+    """Send one request to several agents in parallel and return their results, in the order of `paths`."""
 
     def request_one(path: Path) -> AgentReply:
         try:
--- a/juniperward/agent/dead_letter_errors.py
+++ b/juniperward/agent/dead_letter_errors.py
@@ -1,4 +1,4 @@
-"""Why a client's request about dead letters cannot be answered; raised by `dead_letter_queries` and its parts."""
+"""Errors in clients' requests about dead letters; raised by `dead_letter_queries` and `redrive_preview`."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request that cannot be answered as it is; the text goes to the client."""
+    """The request is invalid; the message of the error is sent to the client."""
 
 
-class PageSizeError(InvalidRequestError):
-    """More ids than one request may have."""
+class TooManyIdsError(InvalidRequestError):
+    """A request names more messages than allowed."""
 
     def __init__(self, count: int, limit: int) -> None:
-        """Take how many there are, and how many there may be."""
+        """Take the number of ids in the request and the allowed maximum."""
         self.count, self.limit = count, limit
-        super().__init__(f"{count} ids; {limit} at most in one call")
+        super().__init__(f"ids: at most {limit} are allowed in one request, not {count}")
 
 
 class ReasonMissingError(InvalidRequestError):
-    """A message is settled without a reason."""
+    """A request settles a message without a reason."""
 
     def __init__(self) -> None:
-        """Build the text."""
-        super().__init__("why: whoever settles a message says how he knows")
+        """Build the message."""
+        super().__init__("why: a reason is required to settle a message")
 
 
-class NothingStoredError(InvalidRequestError):
-    """A settings file does not have dead letters stored."""
+class DeadLettersDisabledError(InvalidRequestError):
+    """A settings file does not enable dead letters."""
 
     def __init__(self, file: Path) -> None:
-        """Name the file."""
+        """Take the settings file."""
         self.file = file
-        super().__init__(f"{file}: nothing is kept: it has no kept {{ on: true }}")
+        super().__init__(f"{file}: dead letters are disabled: the file does not set kept {{ on: true }}")
--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -1,6 +1,6 @@
-"""What clients may request about dead letters, by action; called by `dead_letter_service`.
+"""Handlers of the requests about dead letters, by action; called by `dead_letter_service`.
 
-Actions: list, show, resend, settle, discard, undo, stats, audit, simulate, check, backup.
+The actions are list, show, resend, settle, discard, undo, stats, audit, simulate, check, backup.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from juniperward.agent.dead_letter_errors import InvalidRequestError, PageSizeError, ReasonMissingError
+from juniperward.agent.dead_letter_errors import InvalidRequestError, ReasonMissingError, TooManyIdsError
 from juniperward.agent.redrive_preview import preview_redrives, redrive_settings
 from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.running_fleet import RunningFleet
@@ -27,8 +27,9 @@
 
 MAX_PAGE = 500
 DEFAULT_PAGE = 100
-CHANGES = frozenset({"resend", "settle", "discard", "undo"})
-FILTERS = {  # the keys of a request, and the fields of `Filter`
+CHANGE_ACTIONS = frozenset({"resend", "settle", "discard", "undo"})
+# Options of the action `list`, and the fields of `Filter` that they set.
+FILTER_FIELDS = {
     "stand": "status",
     "destination": "destination",
     "cls": "class_name",
@@ -38,13 +39,13 @@
     "until": "until",
     "wished": "redrive_requested",
 }
-JUDGEMENT = ("kind", "may_go", "why", "wanted_by")
+JUDGEMENT_KEYS = ("kind", "may_go", "why", "wanted_by")
 
 Options = dict[str, Any]
 
 
 class DeadLetterQueries:
-    """Answers by the store and the redriver's rules; used by any thread."""
+    """Answers requests from the dead-letter store and the redriver's rules; may be called by any thread."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         redriver: Redriver,
         progress: Callable[[], dict[str, Any]],
     ) -> None:
-        """Take what `stats` reports of the redriver's thread from `progress`."""
+        """Use these; `progress` returns what the action `stats` reports about the redriver's thread."""
         self._store, self._fleet, self._redriver = store, fleet, redriver
         self._progress = progress
         self._handlers: dict[str, Callable[[Options], dict[str, Any]]] = {
@@ -65,10 +66,10 @@
             "backup": self._backup,
         }
 
-    def answer(self, options: Options, who: str) -> ApiResponse:
-        """Answer one request; `who` is the user at the other end."""
+    def answer(self, options: Options, user: str) -> ApiResponse:
+        """Return the response to one request; `user` is the name of the client's user, for the audit trail."""
         try:
-            return self._answer(str(options.get("action", "")), _ids(options), options, who)
+            return self._answer(str(options.get("action", "")), _ids(options), options, user)
         except InvalidRequestError as error:
             return ApiResponse(HTTPStatus.BAD_REQUEST, ErrorReply(f"ValueError: {error}"))
         except (TypeError, ValueError, KeyError) as error:
@@ -76,54 +77,54 @@
         except LeaseLostError as error:
             return ApiResponse(HTTPStatus.CONFLICT, ErrorReply(str(error)))
 
-    def _answer(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> ApiResponse:
+    def _answer(self, action: str, ids: tuple[str, ...], options: Options, user: str) -> ApiResponse:
         if action == "show":
-            return self._show(options, who)
-        if action in CHANGES:
-            return _ok(self._change(action, ids, options, who))
+            return self._show(options, user)
+        if action in CHANGE_ACTIONS:
+            return _ok(self._change(action, ids, options, user))
         handler = self._handlers.get(action)
         if handler is not None:
             return _ok(handler(options))
         return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such action: {action}"))
 
-    # --- orders --------------------------------------------------------------------------------------------
+    # --- changes -------------------------------------------------------------------------------------------
 
-    def _change(self, action: str, ids: tuple[str, ...], options: Options, who: str) -> dict[str, Any]:
+    def _change(self, action: str, ids: tuple[str, ...], options: Options, user: str) -> dict[str, Any]:
         match action:
             case "resend":
                 confirmed = bool(options.get("partner_sure"))
-                return {"asked": self._store.request_redrive(ids, who, confirmed)}
+                return {"asked": self._store.request_redrive(ids, user, confirmed)}
             case "discard":
-                return {"discarded": self._store.discard(ids, who)}
+                return {"discarded": self._store.discard(ids, user)}
             case "undo":
-                return {"undone": self._store.undo(ids, who)}
+                return {"undone": self._store.undo(ids, user)}
             case _:
-                return self._settle(options, who)
+                return self._settle(options, user)
 
-    def _settle(self, options: Options, who: str) -> dict[str, Any]:
+    def _settle(self, options: Options, user: str) -> dict[str, Any]:
         why = str(options.get("why") or "").strip()
         if not why:
             raise ReasonMissingError
-        message = str(options["id"])
-        statement = Statement(bool(options["delivered"]), who, why)
-        self._store.settle(message, statement, self._now())
-        return {"settled": message}
+        message_id = str(options["id"])
+        statement = Statement(bool(options["delivered"]), user, why)
+        self._store.settle(message_id, statement, self._now())
+        return {"settled": message_id}
 
     # --- reads --------------------------------------------------------------------------------------------
 
     def _now(self) -> float:
         return certain_now(self._fleet.clock(), self._store.recorded_clock())
 
-    def _show(self, options: Options, who: str) -> ApiResponse:
-        message = str(options["id"])
-        found = self._store.complete_record(message)
-        if found is None:
-            return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such message: {message}"))
-        (row,) = self._list({"ids": [message]})["messages"]
-        found |= {name: row[name] for name in JUDGEMENT}
+    def _show(self, options: Options, user: str) -> ApiResponse:
+        message_id = str(options["id"])
+        record = self._store.complete_record(message_id)
+        if record is None:
+            return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such message: {message_id}"))
+        (row,) = self._list({"ids": [message_id]})["messages"]
+        record |= {name: row[name] for name in JUDGEMENT_KEYS}
         if options.get("body"):
-            found["body"] = base64.b64encode(self._store.show_body(message, who) or b"").decode()
-        return _ok(found)
+            record["body"] = base64.b64encode(self._store.show_body(message_id, user) or b"").decode()
+        return _ok(record)
 
     def _stats(self, _: Options) -> dict[str, Any]:
         rates = {str(destination): rate.reason for destination, rate in self._redriver.rates.items()}
@@ -131,25 +132,30 @@
         return {**self._store.stats(), "open": open_count, "paces": rates, **self._progress()}
 
     def _list(self, options: Options) -> dict[str, Any]:
-        """Return a page of messages, each with its judgement; `next` begins the page after, null at the end."""
-        chosen = {field: options[key] for key, field in FILTERS.items() if options.get(key) is not None}
+        """Return a page of messages, each with whether it may be redriven.
+
+        `next` is the value of `after` for the next page; None on the last page.
+        """
+        filters = {
+            field: options[key] for key, field in FILTER_FIELDS.items() if options.get(key) is not None
+        }
         limit = min(int(options.get("limit", DEFAULT_PAGE)), MAX_PAGE)
         given_up_at, last_id = options.get("after") or BEFORE_ALL
         after = Position(float(given_up_at), str(last_id))
-        selected = Filter(tuple(options.get("ids", ())), **chosen)
+        selected = Filter(tuple(options.get("ids", ())), **filters)
         messages = self._store.select(selected, limit, after)
         now = self._now()
         destinations = {message.destination for message in messages}
-        listed = {number: self._fleet.known_endpoints(number) for number in destinations}
+        endpoints = {number: self._fleet.known_endpoints(number) for number in destinations}
         last = messages[-1] if len(messages) == limit else None
         return {
-            "messages": [self._row(message, now, listed[message.destination]) for message in messages],
+            "messages": [self._row(message, now, endpoints[message.destination]) for message in messages],
             "next": [last.given_up_at, last.id] if last is not None else None,
         }
 
-    def _row(self, message: DeadLetter, now: float, listed: frozenset[str] | None) -> dict[str, Any]:
+    def _row(self, message: DeadLetter, now: float, endpoints: frozenset[str] | None) -> dict[str, Any]:
         settings = self._redriver.settings
-        judgement = judge_redrive(message, now, listed, settings.clock_allowance_s)
+        judgement = judge_redrive(message, now, endpoints, settings.clock_allowance_s)
         is_stored = message.status is Status.STORED
         return {
             "id": message.id,
@@ -174,7 +180,7 @@
         return {"faults": self._store.check()}
 
     def _preview(self, options: Options) -> dict[str, Any]:
-        """Return what the rules of another file would redrive now; nothing is sent."""
+        """Return what the rules of another settings file would redrive now; nothing is sent."""
         settings = redrive_settings(Path(str(options["file"])))
         preview = preview_redrives(self._store, self._fleet, settings, self._now())
         return {"go": preview.redriven, "stay": preview.retained, "most_rate": settings.rate_limits.max_per_s}
@@ -190,7 +196,7 @@
 
 
 def _ids(options: Options) -> tuple[str, ...]:
-    ids = tuple(str(message) for message in options.get("ids", ()))
+    ids = tuple(str(message_id) for message_id in options.get("ids", ()))
     if len(ids) > MAX_PAGE:
-        raise PageSizeError(len(ids), MAX_PAGE)
+        raise TooManyIdsError(len(ids), MAX_PAGE)
     return ids
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -1,4 +1,4 @@
-"""Dead letters in the agent: the store, the redriver's thread, and the answers to clients' requests."""
+"""The agent's dead-letter service: the store, the redriver's thread, and the requests of clients."""
 
 from __future__ import annotations
 
@@ -16,18 +16,28 @@
 from juniperward.dead_letters.store import DeadLetterStore
 
 ROUND_INTERVAL_S = 0.25
-SWEEP_INTERVAL_S = 60.0  # between looks at what is too old
-ERROR_PAUSE_S = 1.0
+SWEEP_INTERVAL_S = 60.0
+ERROR_RETRY_DELAY_S = 1.0
 
 LogFunction = Callable[[str, str, dict[str, Any]], None]  # event, level, fields
 
 
 def _log_nothing(event: str, level: str, fields: dict[str, Any]) -> None:
-    """Stand for the log of an agent that has none."""
+    """Discard a log event."""
 
 
 class DeadLetterService:
-    """The store, the redriver's thread, and the answers to `POST /v1/kept`."""
+    """Runs the redriver on a thread of its own, and answers `POST /v1/kept`.
+
+    Attributes:
+        store: The dead-letter store in the agent's folder.
+        fleet: The running forwarders, as the redriver uses them.
+        redriver: Collects spooled messages and redrives them, in rounds.
+        latest_round: What the latest completed round did.
+        latest_error: Why the latest round failed; empty if it succeeded.
+        stop_requested: Set by the agent to end the redriver's thread.
+
+    """
 
     def __init__(
         self,
@@ -37,33 +47,45 @@
         ready: ReadyInstances,
         log: LogFunction = _log_nothing,
     ) -> None:
-        """Open the store in the agent's folder; raises StoreError."""
+        """Open the store.
+
+        Args:
+            folder: The agent's folder.
+            settings: The settings of the redriver.
+            names: Returns the names of the fleet's instances.
+            ready: Returns the instances that accept messages now.
+            log: Writes a log event.
+
+        Raises:
+            StoreError: if the store cannot be opened.
+
+        """
         self.store = DeadLetterStore(folder / "kept.db")
         self.fleet = RunningFleet(folder, names, ready)
         self.redriver = Redriver(self.store, self.fleet, settings)
-        self.latest = Round()
-        self.fault = ""  # why the latest round failed
+        self.latest_round = Round()
+        self.latest_error = ""
         self.stop_requested = threading.Event()
         self._log = log
         self._queries = DeadLetterQueries(self.store, self.fleet, self.redriver, self._progress)
-        self._sweep_at = 0.0
+        self._next_sweep_at = 0.0
 
     def start(self) -> None:
-        """Begin rounds."""
+        """Start the redriver's thread."""
         threading.Thread(target=self._run, name="redriver", daemon=True).start()
 
     def configure(self, settings: RedriveSettings) -> None:
-        """Use new settings, from the next round on."""
+        """Replace the settings of the redriver from its next round on."""
         self.redriver.settings = settings
 
-    def answer(self, options: dict[str, Any], who: str) -> ApiResponse:
-        """Answer one question or order; `who` is the user at the other end."""
-        return self._queries.answer(options, who)
+    def answer(self, options: dict[str, Any], user: str) -> ApiResponse:
+        """Return the response to one request; `user` is the name of the client's user."""
+        return self._queries.answer(options, user)
 
     def _progress(self) -> dict[str, Any]:
         return {
-            "trouble": self.fault,
-            "lost_memory": self.latest.forgotten,
+            "trouble": self.latest_error,
+            "lost_memory": self.latest_round.forgotten,
             "damaged_lines": self.fleet.damaged_lines,
         }
 
@@ -72,21 +94,21 @@
             try:
                 self._round()
             except Exception as error:
-                # A full disk, a damaged file: nothing is begun, claims stay, the next round tries again.
-                if str(error) != self.fault:
+                # For example a full disk or a damaged file. Leases are retained; the next round tries again.
+                if str(error) != self.latest_error:
                     why = f"{type(error).__name__}: {error}"
                     self._log("redrive stalled", "error", {"why": why})
-                self.fault = str(error)
-                self.stop_requested.wait(ERROR_PAUSE_S)
+                self.latest_error = str(error)
+                self.stop_requested.wait(ERROR_RETRY_DELAY_S)
 
     def _round(self) -> None:
-        self.latest = self.redriver.round()
-        if self.latest.stored:
-            self._log("dead letters stored", "info", {"messages": self.latest.stored})
-        if time.monotonic() >= self._sweep_at:
-            self._sweep_at = time.monotonic() + SWEEP_INTERVAL_S
+        self.latest_round = self.redriver.round()
+        if self.latest_round.stored:
+            self._log("dead letters stored", "info", {"messages": self.latest_round.stored})
+        if time.monotonic() >= self._next_sweep_at:
+            self._next_sweep_at = time.monotonic() + SWEEP_INTERVAL_S
             if dropped := self.redriver.sweep():
                 self._log("dead letters dropped", "warning", {"messages": dropped})
-        if self.fault:
+        if self.latest_error:
             self._log("redrive resumed", "info", {})
-        self.fault = ""
+        self.latest_error = ""
--- a/juniperward/agent/redrive_preview.py
+++ b/juniperward/agent/redrive_preview.py
@@ -1,11 +1,11 @@
-"""What the redrive rules of another settings file would do now: which messages they redrive, and why others stay."""
+"""Previews the redrive rules of another settings file: which messages they would redrive, and why others stay."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from juniperward.agent.dead_letter_errors import InvalidRequestError, NothingStoredError
+from juniperward.agent.dead_letter_errors import DeadLettersDisabledError, InvalidRequestError
 from juniperward.agent.running_fleet import RunningFleet
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.redrive_rules import requested_by
@@ -15,34 +15,40 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.settings.load import SettingsError, load
 
-PAGE_SIZE = 500  # messages read from the store at a time
-NO_RULE = "no rule takes it"
+PAGE_SIZE = 500
+NO_MATCHING_RULE = "no rule takes it"
 
 
 @dataclass(slots=True)
 class RedrivePreview:
-    """Counts of messages: by rule and destination those redriven, by reason those that stay."""
+    """Counts of the messages that rules would redrive, and of those that would stay.
+
+    Attributes:
+        redriven: The number of redriven messages by rule and destination.
+        retained: The number of messages that would stay, by reason.
+
+    """
 
     redriven: dict[str, dict[str, int]] = field(default_factory=dict)
     retained: dict[str, int] = field(default_factory=dict)
 
     def count_redriven(self, rule: str, destination: int) -> None:
-        """Count a message that a rule would have redriven."""
+        """Count a message that a rule would redrive."""
         by_destination = self.redriven.setdefault(rule, {})
         key = str(destination)
         by_destination[key] = by_destination.get(key, 0) + 1
 
     def count_retained(self, why: str) -> None:
-        """Count a message that would stay."""
+        """Count a message that would stay, with the reason."""
         self.retained[why] = self.retained.get(why, 0) + 1
 
 
 def redrive_settings(file: Path) -> RedriveSettings:
-    """Return the redrive settings of a fleet's file.
+    """Return the redrive settings of a fleet's settings file.
 
     Raises:
-        InvalidRequestError: for a file that cannot be used.
-        NothingStoredError: for one that has no dead letters stored.
+        InvalidRequestError: if the file cannot be read or has errors.
+        DeadLettersDisabledError: if the file does not enable dead letters.
 
     """
     try:
@@ -50,14 +56,14 @@
     except SettingsError as error:
         raise InvalidRequestError(str(error)) from error
     if settings is None:
-        raise NothingStoredError(file)
+        raise DeadLettersDisabledError(file)
     return settings
 
 
 def preview_redrives(
     store: DeadLetterStore, fleet: RunningFleet, settings: RedriveSettings, now: float
 ) -> RedrivePreview:
-    """Return what these settings would do with the stored messages at `now`; nothing is sent."""
+    """Return what these settings would do with the stored messages at the time `now`; nothing is sent."""
     preview = RedrivePreview()
     after = BEFORE_ALL
     while page := store.select(Filter(status=Status.STORED), PAGE_SIZE, after):
@@ -83,4 +89,4 @@
     if rule:
         preview.count_redriven(rule, message.destination)
     else:
-        preview.count_retained(NO_RULE)
+        preview.count_retained(NO_MATCHING_RULE)
--- a/juniperward/agent/replies.py
+++ b/juniperward/agent/replies.py
@@ -1,7 +1,7 @@
-"""The bodies of the agent's replies: the one place that maps the words of its API to the classes' fields.
+"""The bodies of the agent's replies, with the keys of the API where they differ from the names of the fields.
 
-The API's words are documented in docs/operators.md and stay. Made by `views`, the reducer and `queries`; encoded by
-`api`.
+docs/operators.md documents the keys, which must not change. `views`, the reducer and `queries` create the replies;
+`api` encodes them.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Why a request was not followed."""
+    """Why a request failed."""
 
     error: str
 
 
 class SettingsRejectedReply(msgspec.Struct, frozen=True):
-    """Why settings that were read again cannot be used, and each fault with its file, line and field."""
+    """Why reloaded settings were rejected, with the file, line and field of each fault."""
 
     error: str
     faults: tuple[str, ...]
@@ -28,14 +28,14 @@
 class SettingsReply(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"configuration_version": "edition"}
 ):
-    """The version of the settings that were read again."""
+    """The version of the reloaded settings; `changed` is whether it differs from the version before."""
 
     configuration_version: str
     changed: bool | None = None
 
 
 class DoneReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An order that was carried out, by its verb, and on which instances."""
+    """The verb of a request that was carried out, and the instances that it affected."""
 
     done: str
     instances: tuple[str, ...] | None = None
@@ -48,13 +48,13 @@
 
 
 class EventsReply(msgspec.Struct, frozen=True):
-    """Events of the agent; each has `seq`, `at`, `event`, `level` and its fields."""
+    """Log events of the agent, each with `seq`, `at`, `event`, `level` and its own fields."""
 
     events: list[dict[str, Any]]
 
 
 class AgentRow(msgspec.Struct, frozen=True, rename={"uptime_s": "up", "cpu_s": "cpu_seconds"}):
-    """The agent's own process."""
+    """The process of the agent."""
 
     name: str
     file: str
@@ -70,7 +70,7 @@
     frozen=True,
     rename={"succeeded": "good", "failed": "bad", "success_rate": "share", "window_s": "seconds"},
 ):
-    """The fleet's attempts that finished within the last seconds."""
+    """The attempts of the whole fleet that ended within the last `window_s` seconds."""
 
     succeeded: int
     failed: int
@@ -100,7 +100,7 @@
         "endpoint_list_age_s": "registry_age",
     },
 ):
-    """One instance; what is not known is null. The fields from `pending` on are of its latest reading."""
+    """One instance; unknown values are null. The latest reading fills in the fields from `reading_age_s` on."""
 
     name: str
     phase: str
@@ -129,7 +129,7 @@
 
 
 class RollStepRow(msgspec.Struct, frozen=True, rename={"detail": "note", "previous_version": "before"}):
-    """One instance in a roll."""
+    """The progress of a roll on one instance."""
 
     instance: str
     stage: str
@@ -148,7 +148,7 @@
         "baseline_success_rate": "baseline",
     },
 ):
-    """A roll and each of its steps."""
+    """A roll and its steps."""
 
     id: str
     mode: str
@@ -167,7 +167,7 @@
     kw_only=True,
     rename={"configuration_version": "edition", "meant_to_run": "wanted"},
 ):
-    """The complete fleet of this agent; `agent` is filled in by the thread that answers."""
+    """The complete fleet of an agent; the thread of the client fills in `agent`."""
 
     agent: AgentRow | msgspec.UnsetType = msgspec.UNSET
     configuration_version: str
@@ -188,12 +188,13 @@
     | AgentRow
     | RollReply
     | StatusReply
-    | Mapping[str, Any]  # of an instance's own answers, and of dead letters
+    # Replies about dead letters, and the answers of an inspected instance.
+    | Mapping[str, Any]
 )
 
 
 class ApiResponse(NamedTuple):
-    """An HTTP status, and the body that goes with it."""
+    """The HTTP status and the body of a response."""
 
     status: int
     body: ReplyBody
--- a/juniperward/agent/views.py
+++ b/juniperward/agent/views.py
@@ -1,4 +1,4 @@
-"""What the agent replies to its clients, made from its state: typed rows, documented in docs/operators.md. Pure."""
+"""Builds the replies about the fleet and its rolls from the agent's state, by pure functions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from juniperward.fleet.model import DesiredState, Instance, Phase, Reading, Timeouts
 from juniperward.fleet.roll_model import FAILURE_MARK, Roll
 
-SERVICE_WINDOW_S = 10.0  # over which the status has the fleet's attempts
+SERVICE_WINDOW_S = 10.0
 
 
 def status(state: State, now: float) -> StatusReply:
-    """Return the complete fleet of this agent."""
+    """Return the status of the complete fleet."""
     rows = tuple(
         instance_row(state.instances[name], now, state.rules.timeouts, state.configuration_version)
         for name in sorted(state.instances)
@@ -32,7 +32,7 @@
 
 
 def instance_row(instance: Instance, now: float, timeouts: Timeouts, newest_version: str) -> InstanceRow:
-    """Return one row; what is not known is None."""
+    """Return the status of one instance; unknown values are None."""
     observed = phase(instance, now, timeouts)
     version = instance.configuration_version
     process = instance.process
@@ -40,7 +40,7 @@
         name=instance.name,
         phase=observed.value,
         desired_state=instance.desired_state.value,
-        why=_why(instance, observed, now),
+        why=_reason_not_serving(instance, observed, now),
         pid=process.pid if process is not None else None,
         uptime_s=round(now - instance.started_at, 3) if process is not None else None,
         configuration_version=version or None,
@@ -73,8 +73,8 @@
     )
 
 
-def _why(instance: Instance, observed: Phase, now: float) -> str:
-    """Return what a person wants to know about an instance that does not serve; else an empty text."""
+def _reason_not_serving(instance: Instance, observed: Phase, now: float) -> str:
+    """Return why an instance does not serve, as text for the operator; empty if no reason is known."""
     restart_at = instance.crashes.restart_at
     if observed is Phase.UNRESPONSIVE and instance.unanswered_since is not None:
         return f"no answer for {now - instance.unanswered_since:.1f} s"
@@ -86,7 +86,7 @@
 
 
 def roll_view(roll: Roll) -> RollReply:
-    """Return a roll and each of its steps."""
+    """Return the reply about a roll and its steps."""
     steps = tuple(
         RollStepRow(step.name, step.stage.value, step.detail.lstrip(FAILURE_MARK), step.previous_version)
         for step in roll.steps
