--- a/juniperward/cli/config.py
+++ b/juniperward/cli/config.py
@@ -10,7 +10,7 @@
 from juniperward.cli.options import OutputOption
 from juniperward.cli.output import ExitCode, Output, console, print_json
 from juniperward.settings.faults import Fault
-from juniperward.settings.load import SettingsError, load, show
+from juniperward.settings.load import SettingsError, format_settings, load
 
 app = typer.Typer(help="Check and show settings files.", no_args_is_help=True)
 FileArgument = Annotated[Path, typer.Argument(help="A fleet's settings, protobuf text format.")]
@@ -42,7 +42,7 @@
 def show_understood(file: FileArgument) -> None:
     """Print a file as it is understood, with every default filled in."""
     try:
-        typer.echo(show(load(file)), nl=False)
+        typer.echo(format_settings(load(file)), nl=False)
     except SettingsError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(ExitCode.USAGE) from None
--- a/juniperward/settings/fault_collector.py
+++ b/juniperward/settings/fault_collector.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from juniperward.settings.faults import Fault, SettingsError
-from juniperward.settings.line_index import lines
+from juniperward.settings.line_index import field_lines
 
 # Parts that a file has once are named without a number in a fault, and with one in the index of lines.
 _SINGLE_PARTS = re.compile(r"^(restart|patience|roll|logs|kept)\.(?:(pace)\.)?")
@@ -18,7 +18,7 @@
     def __init__(self, file: Path, text: str) -> None:
         """Take the file's name and its text, which gives the lines."""
         self._file = file
-        self._lines = lines(text)
+        self._lines = field_lines(text)
         self._faults: list[Fault] = []
 
     def add(self, field: str, text: str) -> None:
--- a/juniperward/settings/line_index.py
+++ b/juniperward/settings/line_index.py
@@ -7,7 +7,7 @@
 from google.protobuf import text_format
 
 
-def lines(text: str) -> dict[str, int]:
+def field_lines(text: str) -> dict[str, int]:
     """Return the line of each field, from 1, by its path as `instance[1].listen`."""
     found: dict[str, int] = {}
     seen: dict[str, int] = {}
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -15,10 +15,18 @@
 from juniperward.settings.checker import check_settings
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
-from juniperward.settings.line_index import lines
+from juniperward.settings.line_index import field_lines
 from juniperward.settings.rule_keys import key_of
 
-__all__ = ["Fault", "FleetSettings", "InstanceSettings", "SettingsError", "lines", "load", "show"]
+__all__ = [
+    "Fault",
+    "FleetSettings",
+    "InstanceSettings",
+    "SettingsError",
+    "field_lines",
+    "format_settings",
+    "load",
+]
 
 
 def load(file: Path) -> FleetSettings:
@@ -37,7 +45,7 @@
     return check_settings(file, text, message)
 
 
-def show(settings: FleetSettings) -> str:
+def format_settings(settings: FleetSettings) -> str:
     """Return the file as it is understood, every default filled in."""
     message = fleet_pb2.Fleet(name=settings.name, folder=str(settings.folder))
     for instance in settings.instances:
--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -12,7 +12,7 @@
 from google.protobuf import text_format
 
 from juniperward.settings.load import Fault as SettingsFault
-from juniperward.settings.load import SettingsError, lines
+from juniperward.settings.load import SettingsError, field_lines
 from juniperward.simulation import scenario_pb2
 from juniperward.simulation.objective import DeliveryObjective
 from juniperward.simulation.scenario import DestinationGroup, Fault, FaultKind, Scenario, Traffic
@@ -90,7 +90,7 @@
 
     def __init__(self, name: str, text: str, message: Any) -> None:
         self._name, self._text, self._message = name, text, message
-        self._lines = lines(text)
+        self._lines = field_lines(text)
         self._errors: list[SettingsFault] = []
 
     def scenario(self) -> Scenario:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 
 from juniperward.settings import fleet_pb2
 from juniperward.settings.configuration_versions import ConfigurationVersions, version_of
-from juniperward.settings.load import FleetSettings, SettingsError, load, show
+from juniperward.settings.load import FleetSettings, SettingsError, format_settings, load
 
 ROOT = Path(__file__).parent.parent
 GOOD = """# a comment
@@ -59,7 +59,7 @@
         assert found.roll.min_ready == 1  # all but one
         assert found.folder == self.folder.resolve() / "f.run"
         assert found.instances[0].config["control"] == str(found.folder / "run" / "n1")
-        again = text_format.Parse(show(found), fleet_pb2.Fleet())
+        again = text_format.Parse(format_settings(found), fleet_pb2.Fleet())
         assert (again.roll.drain, again.instance[1].name) == (10.0, "n2")
 
     def test_faults_name_their_line_and_field(self) -> None:
