--- a/juniperward/settings/__init__.py
+++ b/juniperward/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' settings: protobuf text format, and the checks that name file, line and field."""
+"""The settings files that operators write: parsing, and checks that name file, line and field."""
--- a/juniperward/settings/base_files.py
+++ b/juniperward/settings/base_files.py
@@ -1,4 +1,4 @@
-"""The JSON files with the forwarders' own configuration that a settings file names as `base`."""
+"""The JSON files that a settings file names as `base`: the part of the configuration that forwarders share."""
 
 from __future__ import annotations
 
@@ -9,27 +9,33 @@
 from juniperward.settings.fault_collector import FaultCollector
 
 
-class BaseShapeError(ValueError):
-    """A base file is JSON of another shape."""
+class InvalidBaseFileError(ValueError):
+    """A base file has no object under the key `settings`."""
 
     def __init__(self) -> None:
-        """Say what is needed."""
-        super().__init__("an object with the key `settings` is needed")
+        """Build the message."""
+        super().__init__("must be a JSON object that has an object under the key `settings`")
 
 
 class BaseFiles:
-    """Reads each file once."""
+    """Reads the base files of one settings file, each of them once."""
 
     def __init__(self, folder: Path, faults: FaultCollector) -> None:
-        """Read files relative to the settings file's folder."""
+        """Read files relative to `folder`, the folder of the settings file."""
         self._folder, self._faults = folder, faults
         self._contents: dict[Path, dict[str, Any]] = {}
 
     def read(self, name: str, field: str) -> dict[str, Any]:
-        """Return a file's content; for one that cannot be used record one fault at `field`, and return {}."""
+        """Return the content of a base file; if it is unusable, record a fault and return {}.
+
+        Args:
+            name: The path of the file, relative to the settings file.
+            field: The field of the settings file that names it, for the fault.
+
+        """
         if not name:
             if not self._faults.has(field):
-                self._faults.add(field, "the JSON file with `settings` and `limits` must be named")
+                self._faults.add(field, "must name a JSON file with the keys `settings` and `limits`")
             return {}
         path = self._folder / name
         if path not in self._contents:
@@ -45,7 +51,7 @@
             return {}
 
     def deadlines_s(self) -> dict[str, float]:
-        """Return each class's deadline in seconds, over all files that were read."""
+        """Return the deadline of each message class, from all files that were read."""
         return {
             service["Name"]: float(service["DeadlineMs"]) / 1000
             for content in self._contents.values()
@@ -54,7 +60,7 @@
 
 
 def _read_json(path: Path) -> dict[str, Any]:
-    found = json.loads(path.read_text())
-    if not isinstance(found, dict) or not isinstance(found.get("settings"), dict):
-        raise BaseShapeError
-    return found
+    content = json.loads(path.read_text())
+    if not isinstance(content, dict) or not isinstance(content.get("settings"), dict):
+        raise InvalidBaseFileError
+    return content
--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -1,6 +1,6 @@
-"""Checks a parsed settings file and returns its values, or raises every fault that it has; `load` calls it.
+"""Checks a parsed settings file and converts it to `FleetSettings`; called by `load`.
 
-The one place, with `redrive_checker.py` and `instance_checker.py`, where the file's keys become fields.
+`redrive_checker` and `instance_checker` do so for the parts `kept` and `instance`.
 """
 
 from __future__ import annotations
@@ -16,25 +16,35 @@
 from juniperward.settings.instance_checker import InstanceChecker
 from juniperward.settings.redrive_checker import redrive_settings
 from juniperward.settings.rule_keys import field_values
-from juniperward.settings.value_checks import check_socket_path, numbers
+from juniperward.settings.value_checks import check_socket_path, checked_numbers
 
 DEFAULT_LOG_BYTES = 10_000_000
 DEFAULT_LOG_FILES_RETAINED = 3
-DEFAULT_BATCH_SIZE = 1  # instances away because of a roll
-SOCKET = "agent.sock"
+DEFAULT_BATCH_SIZE = 1
+SOCKET_NAME = "agent.sock"
 
 
 def check_settings(file: Path, text: str, message: fleet_pb2.Fleet) -> FleetSettings:
-    """Return the checked values of a file, given its text and its parsed message; raises SettingsError."""
+    """Return the checked settings of a file.
+
+    Args:
+        file: The path of the file.
+        text: The text of the file, from which the lines of faults are taken.
+        message: The parsed text.
+
+    Raises:
+        SettingsError: with all faults, if there are any.
+
+    """
     faults = FaultCollector(file, text)
     if not message.name:
-        faults.add("name", "a fleet needs a name")
-    here = file.resolve().parent
-    folder = here / (message.folder or f"{file.stem}.run")
-    socket = folder / SOCKET
+        faults.add("name", "must not be empty")
+    settings_folder = file.resolve().parent
+    folder = settings_folder / (message.folder or f"{file.stem}.run")
+    socket = folder / SOCKET_NAME
     check_socket_path(faults, "folder", socket)
-    bases = BaseFiles(here, faults)
-    instances = InstanceChecker(message, here, folder, bases, faults).instances()
+    bases = BaseFiles(settings_folder, faults)
+    instances = InstanceChecker(message, settings_folder, folder, bases, faults).instances()
     dead_letters, logs = message.kept, message.logs
     settings = FleetSettings(
         file=file,
@@ -43,8 +53,10 @@
         socket=socket,
         instances=instances,
         roll=_roll_rules(message.roll, instances, faults),
-        restart=RestartPolicy(**field_values(RestartPolicy, numbers(faults, "restart", message.restart))),
-        timeouts=Timeouts(**field_values(Timeouts, numbers(faults, "patience", message.patience))),
+        restart=RestartPolicy(
+            **field_values(RestartPolicy, checked_numbers(faults, "restart", message.restart))
+        ),
+        timeouts=Timeouts(**field_values(Timeouts, checked_numbers(faults, "patience", message.patience))),
         log_bytes=logs.bytes if logs.HasField("bytes") else DEFAULT_LOG_BYTES,
         log_files_retained=logs.keep if logs.HasField("keep") else DEFAULT_LOG_FILES_RETAINED,
         log_json=logs.json if logs.HasField("json") else None,
@@ -57,11 +69,14 @@
 def _roll_rules(
     given: fleet_pb2.Roll, instances: Sequence[InstanceSettings], faults: FaultCollector
 ) -> RollRules:
-    """Return the rules of a roll; the floor follows from the instances where the file does not have one."""
-    rules = field_values(RollRules, numbers(faults, "roll", given))
+    """Return the rules of a roll; by default, a roll keeps all but one batch of the instances ready."""
+    rules = field_values(RollRules, checked_numbers(faults, "roll", given))
     running = sum(not instance.stopped for instance in instances)
     if not given.HasField("floor"):
         rules["min_ready"] = max(running - rules.get("batch_size", DEFAULT_BATCH_SIZE), 0)
     elif running and given.floor > running - 1:
-        faults.add("roll.floor", f"{given.floor} of {running} must stay ready: no roll can begin")
+        faults.add(
+            "roll.floor",
+            f"must be below {running}, not {given.floor}: with {running} running instances no roll can begin",
+        )
     return RollRules(**rules)
--- a/juniperward/settings/faults.py
+++ b/juniperward/settings/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: each fault with its file, line and field. `load` raises them all at once."""
+"""The faults of a settings file, each with file, line and field, and the error that reports all of them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something wrong with a settings file; `line` counts from 1, 0 where no line can be named."""
+    """An error in a settings file.
+
+    Attributes:
+        file: The path of the file.
+        line: The line, from 1; 0 if the fault belongs to no line.
+        field: The path of the field, such as `instance[1].listen`; empty if the fault belongs to no field.
+        text: What is wrong, or what is expected.
+
+    """
 
     file: str
     line: int
@@ -15,15 +23,20 @@
     text: str
 
     def __str__(self) -> str:
-        """Return the fault as one line: place, field, what is wrong."""
+        """Return the fault as `FILE:LINE: FIELD: TEXT`."""
         place = f"{self.file}:{self.line}" if self.line else self.file
         return f"{place}: {self.field}: {self.text}" if self.field else f"{place}: {self.text}"
 
 
 class SettingsError(Exception):
-    """The file cannot be used; `faults` has all that was found, not only the first."""
+    """A settings file is unusable.
+
+    Attributes:
+        faults: All faults that were found in the file.
+
+    """
 
     def __init__(self, faults: list[Fault]) -> None:
-        """Take one fault at least."""
+        """Take at least one fault."""
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
--- a/juniperward/settings/instance_checker.py
+++ b/juniperward/settings/instance_checker.py
@@ -1,4 +1,4 @@
-"""Checks the instances of a settings file, and puts each forwarder's configuration together."""
+"""Checks the instances of a settings file, and creates the configuration of each forwarder."""
 
 from __future__ import annotations
 
@@ -12,31 +12,45 @@
 from juniperward.settings.fleet_settings import InstanceSettings
 from juniperward.settings.value_checks import check_address, check_name, check_socket_path
 
-MAX_INSTANCES = 4096  # of one agent: a process and a socket each; no list of forwarders is cut below 1,024
+MAX_INSTANCES = 4096
 DEFAULT_SPOOL_BYTES = 50_000_000
 UNIQUE_FIELDS = ("name", "listen", "state")
-NO_ENDPOINTS = {"version": 0, "full": True, "servers": []}  # a forwarder's list until discovery sends one
+EMPTY_ENDPOINT_LIST = {"version": 0, "full": True, "servers": []}
 
 
 class InstanceChecker:
-    """Goes through the instances of one parsed file."""
+    """Checks the instances of one settings file."""
 
     def __init__(
-        self, message: fleet_pb2.Fleet, here: Path, folder: Path, bases: BaseFiles, faults: FaultCollector
+        self,
+        message: fleet_pb2.Fleet,
+        settings_folder: Path,
+        folder: Path,
+        bases: BaseFiles,
+        faults: FaultCollector,
     ) -> None:
-        """Take the parsed file, the folder that it is in, the agent's folder, and where faults go."""
-        self._message, self._here, self._folder = message, here, folder
+        """Prepare to check a file.
+
+        Args:
+            message: The parsed file.
+            settings_folder: The folder of the file.
+            folder: The agent's folder.
+            bases: Reads the base files.
+            faults: Collects the faults.
+
+        """
+        self._message, self._settings_folder, self._folder = message, settings_folder, folder
         self._bases, self._faults = bases, faults
 
     def instances(self) -> tuple[InstanceSettings, ...]:
-        """Return the instances; what is wrong with them is recorded."""
+        """Return the settings of the instances, and record their faults."""
         given = self._message.instance
         if not given:
-            self._faults.add("instance", "a fleet needs one instance at least")
+            self._faults.add("instance", "a fleet needs at least one instance")
         if len(given) > MAX_INSTANCES:
-            why = f"{len(given)} instances; an agent runs {MAX_INSTANCES} at most"
+            why = f"an agent runs at most {MAX_INSTANCES} instances, not {len(given)}"
             self._faults.add("instance", why)
-        instances = tuple(self._instance(number, one) for number, one in enumerate(given))
+        instances = tuple(self._instance(number, instance) for number, instance in enumerate(given))
         for field in UNIQUE_FIELDS:
             self._check_unique(field, [getattr(instance, field) for instance in instances])
         return instances
@@ -47,7 +61,7 @@
         check_address(self._faults, f"{place}.listen", given.listen)
         registry = given.registry or self._message.registry
         check_address(self._faults, f"{place}.registry", registry)
-        state = self._here / given.state if given.state else self._folder / "state" / given.name
+        state = self._settings_folder / given.state if given.state else self._folder / "state" / given.name
         control = self._folder / "run" / given.name
         check_socket_path(self._faults, f"{place}.name", control)
         base_field = f"{place}.base" if given.base else "base"
@@ -60,11 +74,11 @@
             "control": str(control),
             **self._spool(given.name),
         }
-        config.setdefault("known", dict(NO_ENDPOINTS))
+        config.setdefault("known", dict(EMPTY_ENDPOINT_LIST))  # used until discovery sends a list
         return InstanceSettings(given.name, given.listen, state, control, given.stopped, config)
 
     def _spool(self, name: str) -> dict[str, Any]:
-        """Return the part of a forwarder's configuration that has dead letters spooled."""
+        """Return the part of a forwarder's configuration that enables its spool; {} if dead letters are off."""
         dead_letters = self._message.kept
         if not dead_letters.on:
             return {}
@@ -76,5 +90,8 @@
         for number, value in enumerate(values):
             if value and value in first:
                 other = self._message.instance[first[value]].name
-                self._faults.add(f"instance[{number}].{field}", f"{value} is {other}'s already")
+                self._faults.add(
+                    f"instance[{number}].{field}",
+                    f"must be unique: {value} is already used by instance {other}",
+                )
             first.setdefault(value, number)
--- a/juniperward/settings/line_index.py
+++ b/juniperward/settings/line_index.py
@@ -1,4 +1,4 @@
-"""The line of each field of a text-format file, so that a fault can name it."""
+"""Finds the line of each field of a file in protobuf text format, for the messages of faults."""
 
 from __future__ import annotations
 
@@ -8,27 +8,30 @@
 
 
 def field_lines(text: str) -> dict[str, int]:
-    """Return the line of each field, from 1, by its path as `instance[1].listen`."""
-    found: dict[str, int] = {}
-    seen: dict[str, int] = {}
+    """Return the line of each field, from 1, by its path such as `instance[1].listen`."""
+    lines: dict[str, int] = {}
+    counts: dict[str, int] = {}
     stack: list[str] = []
     for name, line, opens, closes in _fields(text):
         if closes:
             stack.pop()
             continue
         path = ".".join([*stack, name])
-        number = seen.get(path, 0)
-        seen[path] = number + 1
+        number = counts.get(path, 0)
+        counts[path] = number + 1
         indexed = f"{path}[{number}]"
-        found[indexed] = line
-        found.setdefault(path, line)
+        lines[indexed] = line
+        lines.setdefault(path, line)
         if opens:
             stack.append(f"{name}[{number}]")
-    return found
+    return lines
 
 
 def _fields(text: str) -> Iterator[tuple[str, int, bool, bool]]:
-    """Yield name, line, whether it opens a message, and whether a message ends here instead."""
+    """Yield (name, line, whether the field is a message, False) for each field.
+
+    Yields ("", 0, False, True) at the end of each message.
+    """
     tokens = text_format.Tokenizer(text.split("\n"))
     while not tokens.AtEnd():
         if tokens.TryConsume("}") or tokens.TryConsume(">"):
--- a/juniperward/settings/load.py
+++ b/juniperward/settings/load.py
@@ -1,6 +1,6 @@
-"""Reading a fleet's settings: text format in, checked values out, and every fault with its file, line and field.
+"""Loads a fleet's settings file, and formats loaded settings.
 
-The agent loads its settings here, and the tool the files that it checks.
+Used by the agent for its settings, and by the command line for the files that it checks.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from juniperward.settings.faults import Fault, SettingsError
 from juniperward.settings.fleet_settings import FleetSettings, InstanceSettings
 from juniperward.settings.line_index import field_lines
-from juniperward.settings.rule_keys import key_of
+from juniperward.settings.rule_keys import settings_key
 
 __all__ = [
     "Fault",
@@ -30,7 +30,7 @@
 
 
 def load(file: Path) -> FleetSettings:
-    """Read and check a file; raises SettingsError with every fault."""
+    """Return the settings of a file; raises SettingsError with all faults."""
     try:
         text = file.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -46,7 +46,7 @@
 
 
 def format_settings(settings: FleetSettings) -> str:
-    """Return the file as it is understood, every default filled in."""
+    """Return settings in protobuf text format, with the defaults filled in."""
     message = fleet_pb2.Fleet(name=settings.name, folder=str(settings.folder))
     for instance in settings.instances:
         message.instance.add(
@@ -63,7 +63,7 @@
     )
     for part, values in parts:
         for field in fields(values):
-            key = key_of(type(values), field.name)
+            key = settings_key(type(values), field.name)
             if key in part.DESCRIPTOR.fields_by_name:
                 setattr(part, key, getattr(values, field.name))
     message.logs.bytes = settings.log_bytes
--- a/juniperward/settings/redrive_checker.py
+++ b/juniperward/settings/redrive_checker.py
@@ -1,4 +1,4 @@
-"""Checks the `kept` part of a settings file, and maps its keys to the fields of `RedriveSettings`."""
+"""Checks the part `kept` of a settings file and converts it to `RedriveSettings`."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from juniperward.dead_letters.redrive_settings import DEFAULT_MAX_AGE_S, SECONDS_A_DAY, RedriveSettings
 from juniperward.settings import fleet_pb2
 from juniperward.settings.fault_collector import FaultCollector
-from juniperward.settings.value_checks import check_name, numbers
+from juniperward.settings.value_checks import check_name, checked_numbers
 
-RATE_KEYS = {  # of `kept.pace`, and the fields of RedriveRateLimits
+# Keys of `kept.pace`, and the fields of RedriveRateLimits that they set.
+RATE_FIELDS = {
     "first": "initial_per_s",
     "step": "increase_per_s",
     "cut": "decrease_factor",
@@ -20,7 +21,8 @@
     "share_of_rate": "fraction_of_rate_limit",
     "share_of_slots": "fraction_of_slots",
 }
-RULE_KEYS = {  # of `kept.rule`, and the fields of Rule; repeated ones are read by themselves
+# Keys of `kept.rule` that are not repeated, and the fields of Rule that they set.
+RULE_FIELDS = {
     "least_age": "min_age_s",
     "most_age": "max_age_s",
     "most_resends": "max_redrives",
@@ -32,16 +34,16 @@
 def redrive_settings(
     faults: FaultCollector, given: fleet_pb2.Kept, deadlines_s: Mapping[str, float]
 ) -> RedriveSettings:
-    """Return the settings; `deadlines_s` are the deadlines of the classes, which no redrive goes beyond."""
-    values = numbers(faults, "kept", given)
-    rate = numbers(faults, "kept.pace", given.pace)
+    """Return the settings of redrives; `deadlines_s` limits the time of a redrive by its message class."""
+    values = checked_numbers(faults, "kept", given)
+    rate = checked_numbers(faults, "kept.pace", given.pace)
     rules = tuple(_rule(faults, number, rule) for number, rule in enumerate(given.rule))
     _check_names(faults, [rule.name for rule in rules])
     defaults = RedriveSettings()
     max_days = values.get("most_days", DEFAULT_MAX_AGE_S / SECONDS_A_DAY)
     return RedriveSettings(
         rules=rules,
-        rate_limits=RedriveRateLimits(**{RATE_KEYS[key]: value for key, value in rate.items()}),
+        rate_limits=RedriveRateLimits(**{RATE_FIELDS[key]: value for key, value in rate.items()}),
         clock_allowance_s=values.get("allowance", defaults.clock_allowance_s),
         time_left_s={
             name: min(values.get("time_left", deadline_s), deadline_s)
@@ -57,7 +59,7 @@
     for number, name in enumerate(names):
         field = f"kept.rule[{number}].name"
         if check_name(faults, field, name) and name in names[:number]:
-            faults.add(field, f"{name} stands twice")
+            faults.add(field, f"must be unique: another rule is named {name}")
 
 
 def _rule(faults: FaultCollector, number: int, given: fleet_pb2.ResendRule) -> Rule:
@@ -65,14 +67,14 @@
     values = {descriptor.name: value for descriptor, value in given.ListFields()}
     for key in ("from_hour", "to_hour"):
         if not 0 <= values.get(key, 0) <= HOURS_A_DAY:
-            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY:g}, not {values[key]:g}"
+            why = f"must be an hour of the day from 0 to {HOURS_A_DAY:g}, not {values[key]:g}"
             faults.add(f"{place}.{key}", why)
     if values.get("least_age", 0) > values.get("most_age", math.inf):
-        faults.add(f"{place}.most_age", "below least_age: no message is ever of such an age")
+        faults.add(f"{place}.most_age", "must not be below least_age: the rule would match no message")
     return Rule(
         given.name,
         frozenset(given.destination),
         frozenset(getattr(given, "class")),
         frozenset(given.account),
-        **{field: values[key] for key, field in RULE_KEYS.items() if key in values},
+        **{field: values[key] for key, field in RULE_FIELDS.items() if key in values},
     )
--- a/juniperward/settings/rule_keys.py
+++ b/juniperward/settings/rule_keys.py
@@ -1,7 +1,7 @@
-"""The keys of a fleet's rules: the one place that maps the words of the settings file to the classes' fields.
+"""The keys of a fleet's rules, by the fields of the classes that hold the rules.
 
-The same words name a rule in the agent's API (`agent.reducer.roll_options`) and in its state file
-(`agent.state_codec`). Used by `checker` and `load`, and by these two.
+The same keys are used in the settings file (`checker`, `load`), in the agent's API (`agent.reducer.roll_options`) and
+in the agent's state file (`agent.state_codec`).
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 }
 
 
-def key_of(kind: type, field: str) -> str:
-    """Return the key of a class's field; a class that is not listed has the keys as its fields' names."""
-    return KEYS.get(kind, {}).get(field, field)
+def settings_key(rules_class: type, field: str) -> str:
+    """Return the key of a field; it is the name of the field unless KEYS has another."""
+    return KEYS.get(rules_class, {}).get(field, field)
 
 
-def field_values(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return values that are given by key by the fields' names of `kind`."""
-    fields = {key: field for field, key in KEYS[kind].items()}
+def field_values(rules_class: type, values: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the values of keys as values of the fields of `rules_class`."""
+    fields = {key: field for field, key in KEYS[rules_class].items()}
     return {fields[key]: value for key, value in values.items()}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -199,7 +199,7 @@
         file.write_text(GOOD.replace("floor: 1", "floor: 2"))
         result = self.run_tool("config", "check", file)
         self.assertEqual(result.exit_code, 2)
-        self.assertIn("f.textproto:12: roll.floor: 2 of 2 must stay ready", result.output)
+        self.assertIn("f.textproto:12: roll.floor: must be below 2, not 2: with 2 running", result.output)
         rows = json.loads(self.run_tool("config", "check", file, "-o", "json").output)
         self.assertEqual((rows["faults"][0]["line"], rows["faults"][0]["field"]), (12, "roll.floor"))
         file.write_text(GOOD)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -158,7 +158,7 @@
         other.write_text(GOOD + 'kept { on: true\n rule { name: "x" destination: 8 }\n rule { name: "x" } }')
         result = CliRunner().invoke(app, ["dead-letters", "rules", "check", str(other)])
         assert result.exit_code == 2
-        assert "g.textproto:16: kept.rule[1].name: x stands twice" in result.output
+        assert "g.textproto:16: kept.rule[1].name: must be unique: another rule is named x" in result.output
         other.write_text(GOOD + 'kept { on: true rule { name: "x" destination: 8 } }')
         assert CliRunner().invoke(app, ["dead-letters", "rules", "check", str(other)]).exit_code == 0
         words = ["dead-letters", "rules", "simulate", str(other), "-a", str(self.file), "-o", "json"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -63,17 +63,22 @@
         assert (again.roll.drain, again.instance[1].name) == (10.0, "n2")
 
     def test_faults_name_their_line_and_field(self) -> None:
-        self.fault(GOOD.replace('"n2"', '"n1"'), 7, "instance[1].name", "n1 is n1's already")
-        self.fault(GOOD.replace("8082", "8081"), 8, "instance[1].listen", "is n1's already")
+        self.fault(GOOD.replace('"n2"', '"n1"'), 7, "instance[1].name", "n1 is already used by instance n1")
+        self.fault(
+            GOOD.replace("8082", "8081"),
+            8,
+            "instance[1].listen",
+            "127.0.0.1:8081 is already used by instance n1",
+        )
         self.fault(GOOD.replace("8082", "x"), 8, "instance[1].listen", "host:port")
         self.fault(GOOD.replace('"n2"', '"n 2"'), 7, "instance[1].name", "letters, digits")
         self.fault(GOOD.replace("floor: 1", "floor: 2"), 12, "roll.floor", "no roll can begin")
         self.fault(GOOD.replace("at_once: 1", "at_once: 0"), 11, "roll.at_once", "above 0")
         self.fault(GOOD.replace("floor: 1", "soak_share: 1.5"), 12, "roll.soak_share", "from 0 to 1")
-        self.fault(GOOD.replace("floor: 1", "soak: -1"), 12, "roll.soak", "negative")
+        self.fault(GOOD.replace("floor: 1", "soak: -1"), 12, "roll.soak", "0 or more, not -1")
         self.fault(GOOD.replace("base.json", "none.json"), 3, "base", "No such file")
         self.fault(GOOD.replace('registry: "127.0.0.1:8500"\n', ""), 4, "instance[0].registry", "host:port")
-        self.fault('name: "x"', 0, "instance", "one instance at least")
+        self.fault('name: "x"', 0, "instance", "at least one instance")
         long = GOOD.replace("base: ", f'folder: "{"f" * 120}" base: ')
         self.fault(long, 3, "folder", "Unix socket's path")
 
