--- a/tests/test_agent_replies.py
+++ b/tests/test_agent_replies.py
@@ -1,4 +1,4 @@
-"""The JSON of the agent's replies keeps the words of its API, whatever the classes' fields are named."""
+"""The JSON of the agent's replies has the documented keys of the API, however the fields are named."""
 
 from __future__ import annotations
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: a good file, and for each fault the file, the line and the field."""
+"""Settings files: defaults, saved versions, and the file, line and field of each fault."""
 
 from __future__ import annotations
 
@@ -42,51 +42,55 @@
         file.write_text(text)
         return load(file)
 
-    def fault(self, text: str, line: int, field: str, why: str) -> None:
+    def assert_fault(self, text: str, line: int, field: str, pattern: str) -> None:
         with pytest.raises(SettingsError) as caught:
             self.load(text)
-        found = [(f.line, f.field) for f in caught.value.faults]
-        assert (line, field) in found, str(caught.value)
-        assert re.search(why, str(caught.value))
+        places = [(fault.line, fault.field) for fault in caught.value.faults]
+        assert (line, field) in places, str(caught.value)
+        assert re.search(pattern, str(caught.value))
 
     def test_the_example_is_valid(self) -> None:
-        found = load(ROOT / "deploy" / "fleet.textproto")
-        assert [i.name for i in found.instances] == ["n1", "n2", "n3"]
-        assert (found.roll.min_ready, found.roll.batch_size) == (2, 1)
+        settings = load(ROOT / "deploy" / "fleet.textproto")
+        assert [instance.name for instance in settings.instances] == ["n1", "n2", "n3"]
+        assert (settings.roll.min_ready, settings.roll.batch_size) == (2, 1)
 
     def test_a_valid_file_gets_its_defaults(self) -> None:
-        found = self.load(GOOD.replace("  floor: 1\n", ""))
-        assert found.roll.min_ready == 1  # all but one
-        assert found.folder == self.folder.resolve() / "f.run"
-        assert found.instances[0].config["control"] == str(found.folder / "run" / "n1")
-        again = text_format.Parse(format_settings(found), fleet_pb2.Fleet())
-        assert (again.roll.drain, again.instance[1].name) == (10.0, "n2")
+        settings = self.load(GOOD.replace("  floor: 1\n", ""))
+        assert settings.roll.min_ready == 1  # all instances but one
+        assert settings.folder == self.folder.resolve() / "f.run"
+        assert settings.instances[0].config["control"] == str(settings.folder / "run" / "n1")
+        formatted = text_format.Parse(format_settings(settings), fleet_pb2.Fleet())
+        assert (formatted.roll.drain, formatted.instance[1].name) == (10.0, "n2")
 
     def test_faults_name_their_line_and_field(self) -> None:
-        self.fault(GOOD.replace('"n2"', '"n1"'), 7, "instance[1].name", "n1 is already used by instance n1")
-        self.fault(
+        self.assert_fault(
+            GOOD.replace('"n2"', '"n1"'), 7, "instance[1].name", "n1 is already used by instance n1"
+        )
+        self.assert_fault(
             GOOD.replace("8082", "8081"),
             8,
             "instance[1].listen",
             "127.0.0.1:8081 is already used by instance n1",
         )
-        self.fault(GOOD.replace("8082", "x"), 8, "instance[1].listen", "host:port")
-        self.fault(GOOD.replace('"n2"', '"n 2"'), 7, "instance[1].name", "letters, digits")
-        self.fault(GOOD.replace("floor: 1", "floor: 2"), 12, "roll.floor", "no roll can begin")
-        self.fault(GOOD.replace("at_once: 1", "at_once: 0"), 11, "roll.at_once", "above 0")
-        self.fault(GOOD.replace("floor: 1", "soak_share: 1.5"), 12, "roll.soak_share", "from 0 to 1")
-        self.fault(GOOD.replace("floor: 1", "soak: -1"), 12, "roll.soak", "0 or more, not -1")
-        self.fault(GOOD.replace("base.json", "none.json"), 3, "base", "No such file")
-        self.fault(GOOD.replace('registry: "127.0.0.1:8500"\n', ""), 4, "instance[0].registry", "host:port")
-        self.fault('name: "x"', 0, "instance", "at least one instance")
-        long = GOOD.replace("base: ", f'folder: "{"f" * 120}" base: ')
-        self.fault(long, 3, "folder", "Unix socket's path")
+        self.assert_fault(GOOD.replace("8082", "x"), 8, "instance[1].listen", "host:port")
+        self.assert_fault(GOOD.replace('"n2"', '"n 2"'), 7, "instance[1].name", "letters, digits")
+        self.assert_fault(GOOD.replace("floor: 1", "floor: 2"), 12, "roll.floor", "no roll can begin")
+        self.assert_fault(GOOD.replace("at_once: 1", "at_once: 0"), 11, "roll.at_once", "above 0")
+        self.assert_fault(GOOD.replace("floor: 1", "soak_share: 1.5"), 12, "roll.soak_share", "from 0 to 1")
+        self.assert_fault(GOOD.replace("floor: 1", "soak: -1"), 12, "roll.soak", "0 or more, not -1")
+        self.assert_fault(GOOD.replace("base.json", "none.json"), 3, "base", "No such file")
+        self.assert_fault(
+            GOOD.replace('registry: "127.0.0.1:8500"\n', ""), 4, "instance[0].registry", "host:port"
+        )
+        self.assert_fault('name: "x"', 0, "instance", "at least one instance")
+        long_path = GOOD.replace("base: ", f'folder: "{"f" * 120}" base: ')
+        self.assert_fault(long_path, 3, "folder", "Unix socket's path")
 
     def test_syntax_and_unknown_fields_name_their_line(self) -> None:
-        self.fault(GOOD.replace("  floor", "  flor"), 12, "", 'no field named "flor"')
-        self.fault(GOOD.replace("at_once: 1", "at_once: many"), 11, "", "integer")
-        self.fault(GOOD + "}", 14, "", "f.textproto:14")
-        self.fault(GOOD.replace("base:", 'base: "a" base:'), 3, "", "base")
+        self.assert_fault(GOOD.replace("  floor", "  flor"), 12, "", 'no field named "flor"')
+        self.assert_fault(GOOD.replace("at_once: 1", "at_once: many"), 11, "", "integer")
+        self.assert_fault(GOOD + "}", 14, "", "f.textproto:14")
+        self.assert_fault(GOOD.replace("base:", 'base: "a" base:'), 3, "", "base")
 
     def test_all_errors_are_reported_at_once(self) -> None:
         with pytest.raises(SettingsError) as caught:
@@ -101,19 +105,19 @@
             load(self.folder / "bad")
 
     def test_configuration_versions_are_retained_and_pruned(self) -> None:
-        editions = ConfigurationVersions(self.folder / "e")
-        first = editions.save(self.load(GOOD), set())
+        versions = ConfigurationVersions(self.folder / "e")
+        first = versions.save(self.load(GOOD), set())
         assert first == version_of(self.load(GOOD))
-        assert editions.read(first, "n2")["listen"] == "127.0.0.1:8082"
+        assert versions.read(first, "n2")["listen"] == "127.0.0.1:8082"
         names = [first]
         for port in range(9000, 9012):
-            names.append(editions.save(self.load(GOOD.replace("8082", str(port))), {first}))
-        left = {p.name for p in (self.folder / "e").iterdir()}
-        assert first in left  # in use
-        assert names[-1] in left
-        assert len(left) < 11
+            names.append(versions.save(self.load(GOOD.replace("8082", str(port))), {first}))
+        retained = {path.name for path in (self.folder / "e").iterdir()}
+        assert first in retained  # in use
+        assert names[-1] in retained
+        assert len(retained) < 11
         with pytest.raises(OSError):
-            editions.read(first, "n9")
+            versions.read(first, "n9")
 
     def test_generated_code_is_not_stale(self) -> None:
         for package, name in (("settings", "fleet"), ("simulation", "scenario")):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 forwarders and of 1,024 endpoints, through the settings, the list's codec and the scheduler."""
+"""1,024 forwarders and 1,024 endpoints pass through the settings, the endpoint list's codec and the scheduler."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def test_an_agent_manages_1024_forwarders(tmp_path: Path) -> None:
-    # Guards a cap of 1,000 that rejected the file.
+    # Guards against a limit of instances that is below the supported size of a fleet.
     (tmp_path / "base.json").write_text('{"settings": {}}')
-    rows = "".join(f'instance {{ name: "n{n}" listen: "127.0.0.1:{2000 + n}" }}\n' for n in range(1024))
+    instances = "".join(f'instance {{ name: "n{n}" listen: "127.0.0.1:{2000 + n}" }}\n' for n in range(1024))
     file = tmp_path / "f.textproto"
-    file.write_text('name: "y"\nbase: "base.json"\nregistry: "127.0.0.1:8500"\n' + rows)
+    file.write_text('name: "y"\nbase: "base.json"\nregistry: "127.0.0.1:8500"\n' + instances)
     assert len(load(file).instances) == 1024
 
 
-def test_a_forwarder_knows_1024_servers_beside_1024_forwarders(subtests: pytest.Subtests) -> None:
+def test_a_forwarder_accepts_1024_endpoints_in_a_fleet_of_1024_forwarders(subtests: pytest.Subtests) -> None:
     rig = ReducerRig(1024, 1024, 1)
     rig.receive_list()
     state = rig.reducer.state
@@ -35,19 +35,19 @@
     assert (state.messages.pending, state.attempts_in_flight) == ({}, {})
 
 
-def test_an_unusable_entry_invalidates_no_other() -> None:
-    value = endpoint_list(1024)
-    unusable = [
+def test_an_invalid_endpoint_entry_does_not_affect_the_others() -> None:
+    endpoints = endpoint_list(1024)
+    invalid = [
         {"id": "x"},
-        {**value["servers"][5], "addr": "nowhere"},
-        {**value["servers"][6], "cell": None},
-        {**value["servers"][7], "state": "Gone?"},
+        {**endpoints["servers"][5], "addr": "nowhere"},
+        {**endpoints["servers"][6], "cell": None},
+        {**endpoints["servers"][7], "state": "Gone?"},
         7,
     ]
     before = counters().get("endpoint_entries_unreadable", 0)
-    update = read_endpoint_list_update({**value, "servers": [*unusable, *value["servers"]]}, NAMES)
+    update = read_endpoint_list_update({**endpoints, "servers": [*invalid, *endpoints["servers"]]}, NAMES)
     assert len(update.endpoints) == 1024
-    assert counters()["endpoint_entries_unreadable"] == before + len(unusable)
+    assert counters()["endpoint_entries_unreadable"] == before + len(invalid)
     rig = ReducerRig(1, 40, 1)
     rig.reduce(EndpointsUpdated(9, True, update.endpoints))
     assert len(rig.reducer.scheduler.state.table.endpoints) == 1024
