--- a/juniperward/agent/replies.py
+++ b/juniperward/agent/replies.py
@@ -1,4 +1,4 @@
-"""The bodies of the agent's replies, with the keys of the API where they differ from the names of the fields.
+"""The bodies of the agent's replies; `rename` maps a field to its key in the API where the two differ.
 
 docs/operators.md documents the keys, which must not change. `views`, the reducer and `queries` create the replies;
 `api` encodes them.
