--- a/juniperward/agent/reducer/configuration.py
+++ b/juniperward/agent/reducer/configuration.py
@@ -1,4 +1,4 @@
-"""What the agent begins with: the operator's settings, and the state that an earlier agent stored."""
+"""Applies the operator's settings and restores the state that an earlier agent stored."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Configuration:
-    """Takes in the settings, and the state of an earlier agent."""
+    """Applies settings and restores stored state."""
 
     def __init__(self, round_: Round, orders: InstanceOrders) -> None:
-        """Stop what the settings no longer name through `orders`."""
+        """Use `orders` to stop instances that are removed from the settings."""
         self._round, self._orders = round_, orders
 
     def settings_loaded(self, event: SettingsLoaded) -> None:
-        """Add the instances that the settings name; what they no longer name is stopped and forgotten."""
+        """Add the instances that the settings name; stop those that they no longer name, then delete them."""
         round_ = self._round
         before = round_.state
         instances = before.instances
@@ -46,7 +46,7 @@
         self._report_change(event, before.configuration_version)
 
     def _report_change(self, event: SettingsLoaded, previous_version: str) -> None:
-        """Log a new version of the settings, and answer the client that had them read."""
+        """Log a new version of the settings, and answer the client that requested the reload, if any."""
         version = event.configuration_version
         changed = previous_version != version
         if previous_version and changed:
@@ -59,12 +59,15 @@
             self._round.reply(event.requested_by, SettingsReply(version, changed))
 
     def restored(self, event: StateRestored) -> None:
-        """Continue with what an earlier agent left. Orders that it had sent are sent again if need be."""
+        """Restore the state of an earlier agent and adopt its running processes.
+
+        An instance that was being stopped is sent SIGTERM again, as the first signal may not have been sent.
+        """
         round_, stored = self._round, event.state
         running = {found.name for found in event.running}
         for instance in stored.instances:
             if instance.process is not None and instance.name not in running:
-                instance = _exited_unobserved(instance)
+                instance = _exited_while_agent_was_down(instance)
             round_.put(instance)
         for found in event.running:
             self._adopt(found, stored.roll)
@@ -80,30 +83,34 @@
             round_.emit(LogEvent("roll continued", {"roll": roll.id, "mode": roll.mode.value}))
 
     def _adopt(self, found: RunningProcess, roll: Roll | None) -> None:
-        """Continue with a process that outlived the earlier agent."""
+        """Take over a process that an earlier agent started."""
         round_, name, process = self._round, found.name, found.process
         instance = round_.state.instances.get(name, Instance(name, DesiredState.RUNNING))
         if instance.process != process:
-            # A version that was never stored belongs to a start that was under way.
+            # The earlier agent exited before it stored this start; the roll may say which version was started.
             version = _version_being_started(roll, name) or instance.configuration_version
             instance = replace(instance, stopping_since=None, configuration_version=version, was_ready=False)
         round_.put(replace(instance, process=process, started_at=found.started_at))
         if instance.stopping_since is not None:
-            # Ordered to end: ordered again, as that may not have reached it, and killed at the time set before.
+            # SIGTERM may not have been sent. The time of SIGKILL still counts from the first stop.
             round_.emit(SendSignal(name, process, signal.SIGTERM))
         round_.emit(WatchInstance(name, process))
         round_.emit(LogEvent("adopted", {"instance": name, "pid": process.pid}))
 
 
-def _exited_unobserved(instance: Instance) -> Instance:
-    """Return an instance whose process ended while no agent ran; how is not known, and counts as no crash."""
+def _exited_while_agent_was_down(instance: Instance) -> Instance:
+    """Return the instance without its process; the exit reason is unknown, so it does not count as a crash."""
     return replace(
-        instance, process=None, was_ready=False, stopping_since=None, last_exit="ended while no agent looked"
+        instance,
+        process=None,
+        was_ready=False,
+        stopping_since=None,
+        last_exit="exited while no agent was running",
     )
 
 
 def _version_being_started(roll: Roll | None, name: str) -> str:
-    """Return the configuration version that a roll under way is starting this instance with, else an empty text."""
+    """Return the configuration version with which a roll is starting this instance, or an empty string."""
     if roll is None or roll.over:
         return ""
     step = roll.step_of(name)
--- a/juniperward/agent/reducer/instance_orders.py
+++ b/juniperward/agent/reducer/instance_orders.py
@@ -1,4 +1,4 @@
-"""The orders that are carried out on instances: of clients, of a roll and of the supervisor."""
+"""Carries out orders to instances, which come from clients, rolls and the supervisor."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class InstanceOrders:
-    """Carries orders out on instances, and changes what they are meant to be."""
+    """Carries out orders to instances, and sets their desired state."""
 
     def __init__(self, round_: Round) -> None:
-        """Emit the effects into `round_`."""
+        """Change the state of `round_` and emit effects to it."""
         self._round = round_
 
     def carry_out(self, order: RollOrder) -> None:
-        """Carry an order out, unless it has been: orders may come twice."""
+        """Carry out an order; one that is already carried out, or names no known instance, has no effect."""
         instance = self._round.state.instances.get(order.name)
         if instance is None:
             return
@@ -35,7 +35,7 @@
                 self._send_order(instance, order.command)
 
     def kill(self, instance: Instance) -> None:
-        """End an instance's process by SIGKILL, unless that was done."""
+        """Send SIGKILL to an instance's process, unless it was sent before."""
         if instance.process is None or instance.kill_sent:
             return
         self._round.put(replace(instance, stopping_since=self._round.now, kill_sent=True))
@@ -43,16 +43,16 @@
         self._round.log("killed", {"instance": instance.name}, "warning")
 
     def set_desired_running(self, name: str) -> None:
-        """Have an instance run, and forget its crashes."""
+        """Set the desired state to running, and clear the crash history."""
         instance = self._round.state.instances[name]
         self._round.put(replace(instance, desired_state=DesiredState.RUNNING, crashes=Crashes()))
 
-    def set_desired_stopped(self, name: str, why: str) -> None:
-        """Have an instance stopped; a roll under way skips it."""
+    def set_desired_stopped(self, name: str, reason: str) -> None:
+        """Set the desired state to stopped and send SIGTERM; an active roll skips the instance, with this reason."""
         round_ = self._round
         roll = round_.state.roll
         if roll is not None and not roll.over:
-            round_.state = replace(round_.state, roll=skip_instance(roll, name, why))
+            round_.state = replace(round_.state, roll=skip_instance(roll, name, reason))
         instance = round_.state.instances[name]
         crashes = replace(instance.crashes, restart_at=None)
         instance = replace(instance, desired_state=DesiredState.STOPPED, crashes=crashes)
--- a/juniperward/agent/reducer/instance_status.py
+++ b/juniperward/agent/reducer/instance_status.py
@@ -1,4 +1,4 @@
-"""What is observed of the instances: their answers, and how their processes begin and end."""
+"""Tracks the observed status of instances: their answers, and the start and exit of their processes."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class InstanceStatus:
-    """Takes in what instances and their processes report."""
+    """Updates instances from polls of their status and from events of their processes."""
 
     def __init__(self, round_: Round, seed: int) -> None:
-        """Draw the jitter of restarts from a generator of its own."""
+        """Seed the random generator that draws the jitter of restarts."""
         self._round = round_
         self._random = random.Random(seed)
 
     def answered(self, event: InstanceAnswered) -> None:
-        """Take in the status that an instance reports; an answer of an earlier process is ignored."""
+        """Record the status that an instance reports; ignore an answer of an earlier process."""
         round_, reading = self._round, event.reading
         instance = round_.state.instances.get(event.name)
         if instance is None or instance.process is None or instance.process.pid != reading.pid:
@@ -35,7 +35,7 @@
         round_.put(replace(instance, reading=reading, unanswered_since=None, was_ready=was_ready))
 
     def unanswered(self, event: InstanceUnanswered) -> None:
-        """Record since when an instance has not answered."""
+        """Record since when an instance has not answered, and log when it becomes unresponsive."""
         round_ = self._round
         instance = round_.state.instances.get(event.name)
         if instance is None or instance.process != event.process:
@@ -48,13 +48,13 @@
             round_.log("unresponsive", {"instance": event.name, "why": event.error}, "warning")
 
     def exited(self, event: ProcessExited) -> None:
-        """Decide what follows the end of a process."""
+        """Record the exit of a process; after a crash, schedule a restart or mark a crash loop."""
         instance = self._round.state.instances.get(event.name)
         if instance is not None and instance.process == event.process:
             self._process_ended(instance, event.exit_reason)
 
     def spawned(self, event: ProcessSpawned) -> None:
-        """Take in a new process; one that cannot be started counts as crashed, so that a backoff follows."""
+        """Record a new process; a failed start counts as a crash, so that it is retried after a backoff."""
         round_ = self._round
         instance = round_.state.instances.get(event.name)
         if instance is None:
--- a/juniperward/agent/reducer/reducer.py
+++ b/juniperward/agent/reducer/reducer.py
@@ -1,4 +1,4 @@
-"""The one place where the agent's state changes: dispatches each event to the handler that it concerns."""
+"""Dispatches each event of the agent to its handler; the state changes nowhere else."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from juniperward.agent.state import State
 from juniperward.fleet.model import Instance, Phase
 
-SERVICE_HISTORY_S = 60.0  # of the fleet's attempts
+METER_HISTORY_S = 60.0
 
 
 class Reducer:
     """Composes the handlers; `reduce` is the only way to change the state."""
 
     def __init__(self, seed: int) -> None:
-        """Begin with an empty state; `seed` is that of the restarts' jitter."""
+        """Start with an empty state; `seed` seeds the jitter of restarts."""
         self._round = Round()
         orders = InstanceOrders(self._round)
         self._instance_status = InstanceStatus(self._round, seed)
@@ -46,20 +46,23 @@
 
     @property
     def state(self) -> State:
-        """The state as it is now; a value that does not change."""
+        """The current state, an immutable value."""
         return self._round.state
 
     @property
     def effects(self) -> list[Effect]:
-        """The effects of the present round so far."""
+        """The effects that the current round has emitted so far."""
         return self._round.effects
 
     def phase_of(self, instance: Instance) -> Phase:
-        """Return the observed state of an instance."""
+        """Return the phase of an instance at the time of the latest round."""
         return self._round.phase_of(instance)
 
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take in all events of a round; the effects are to be carried out in their order."""
+        """Apply all events of a round and return the effects, to be carried out in order.
+
+        `now` is in seconds of the monotonic clock.
+        """
         self._round.begin(now)
         for event in events:
             self._dispatch(event)
@@ -94,7 +97,7 @@
             for name, instance in state.instances.items()
             if instance.reading is not None
         }
-        meter = state.meter.with_readings(self._round.now, readings, SERVICE_HISTORY_S)
+        meter = state.meter.with_readings(self._round.now, readings, METER_HISTORY_S)
         self._round.state = replace(state, meter=meter)
         self._supervisor.supervise()
         self._rolls.advance()
--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -1,4 +1,4 @@
-"""The requests of clients: the status, orders to instances, and orders to rolls."""
+"""Handles requests of clients: the status, orders to instances, and commands to rolls."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Requests:
-    """Follows the requests of clients, or replies why not."""
+    """Carries out requests of clients, or replies why they are rejected."""
 
     def __init__(self, round_: Round, orders: InstanceOrders, rolls: Rolls) -> None:
-        """Order instances through `orders` and change the roll through `rolls`."""
+        """Use `orders` for instances and `rolls` for the roll."""
         self._round, self._orders, self._rolls = round_, orders, rolls
 
     def requested(self, event: ControlRequest) -> None:
-        """Follow one request; each gets one reply, that of a changed roll once it is stored."""
+        """Carry out one request and send one reply; the reply to a change of the roll waits until it is stored."""
         round_ = self._round
         known = round_.state.instances
         if event.verb == "status":
@@ -40,8 +40,8 @@
             return
         unknown = [name for name in event.names if name not in known]
         if unknown:
-            why = str(UnknownInstanceError(unknown))
-            round_.reject(event.client, HTTPStatus.NOT_FOUND, why)
+            message = str(UnknownInstanceError(unknown))
+            round_.reject(event.client, HTTPStatus.NOT_FOUND, message)
             return
         names = list(event.names or sorted(known))
         try:
@@ -60,7 +60,7 @@
             case "start":
                 self._orders.set_desired_running(name)
             case "stop":
-                self._orders.set_desired_stopped(name, "stopped by order")
+                self._orders.set_desired_stopped(name, "stopped on request")
             case "kill" | "drain" | "resume":
                 self._orders.carry_out(RollOrder(RollCommand(verb), name))
             case _:
@@ -77,7 +77,7 @@
         elif event.verb == "roll_show":
             self._round.reply(event.client, views.roll_view(state.roll))
         else:
-            changed, orders = _change(state.roll, event.verb)
+            changed, orders = _apply_command(state.roll, event.verb)
             self._rolls.save(changed, orders, event.client)
 
     def _new_roll(self, event: ControlRequest, names: list[str]) -> None:
@@ -94,12 +94,12 @@
         self._rolls.save(roll, [], event.client)
 
 
-def _change(roll: Roll, verb: str) -> RollProgress:
-    """Return the roll as a client changes it, and the orders to instances; raises RollRejectedError."""
+def _apply_command(roll: Roll, verb: str) -> RollProgress:
+    """Return the roll after a client's command, and the orders to instances; raises RollRejectedError."""
     match verb:
         case "roll_pause":
             check_not_over(roll)
-            return RollProgress(pause(roll, "paused by order"))
+            return RollProgress(pause(roll, "paused on request"))
         case "roll_resume":
             return RollProgress(resume(roll))
         case "roll_undo":
--- a/juniperward/agent/reducer/roll_options.py
+++ b/juniperward/agent/reducer/roll_options.py
@@ -1,6 +1,6 @@
-"""The options of a request for a roll: what they change in the rules of the settings.
+"""Applies the options of a roll request to the roll rules of the settings.
 
-An option has the key of its rule in the settings file (`settings.rule_keys`). Called by `requests`.
+An option has the same key as its rule in the settings file (`settings.rule_keys`).
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from juniperward.settings.rule_keys import KEYS
 
 DRY_RUN = "dry_run"
-RESTART_ALL = "restart"  # all of these at once, whatever is left
+# Restarts all requested instances at once, even if no other one is ready.
+RESTART_ALL = "restart"
 
 _FIELD_OF_KEY = {key: field for field, key in KEYS[RollRules].items()}
 _TYPE_OF_FIELD = {field.name: field.type for field in fields(RollRules)}
 
 
 def roll_rules(base: RollRules, options: Mapping[str, Any], count: int) -> RollRules:
-    """Return the settings' rules with what a request for `count` instances changes in them.
+    """Return `base` with the options of a request for `count` instances applied.
 
     Raises:
-        UnknownRuleError: for a rule that does not exist.
-        RuleValueError: for a value that does not fit it.
+        UnknownRuleError: If an option names no rule.
+        RuleValueError: If the value of an option is of the wrong type or negative.
 
     """
     changes: dict[str, Any] = {}
@@ -40,13 +41,14 @@
 
 
 def _checked_field(key: str, value: Any) -> str:
-    """Return the field that a key stands for, where the value fits it."""
+    """Return the field of RollRules for a key, after a check of the value."""
     field = _FIELD_OF_KEY.get(key)
     if field is None:
         raise UnknownRuleError(key)
     is_flag = _TYPE_OF_FIELD[field] == "bool"
     if isinstance(value, bool) != is_flag or not isinstance(value, bool | int | float):
-        raise RuleValueError(key, f"not a value for it: {value!r}")
+        expected = "true or false" if is_flag else "a number"
+        raise RuleValueError(key, f"must be {expected}, not {value!r}")
     if value < 0:
         raise RuleValueError(key, "must not be negative")
     return field
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -1,7 +1,6 @@
-"""The roll under way: each of its steps is stored before its orders are carried out.
+"""Advances the active roll and stores each change before its orders are carried out.
 
-A changed roll is saved first; `saved` has its orders carried out once it is on disk. Where it cannot be saved, the
-roll stays where it was and pauses.
+If a change cannot be stored, its orders are dropped and the roll is paused in its previous state.
 """
 
 from __future__ import annotations
@@ -21,18 +20,18 @@
 from juniperward.fleet.roll_model import Roll, RollMode, RollOrder, RollStage
 from juniperward.fleet.roll_progress import advance
 
-SAVE_RETRY_S = 1.0  # after which a state that could not be saved is saved again
+SAVE_RETRY_DELAY_S = 1.0
 
 
 class Rolls:
-    """Advances the roll, and has its steps stored."""
+    """Advances the roll and stores its changes."""
 
     def __init__(self, round_: Round, orders: InstanceOrders) -> None:
-        """Carry the roll's orders out through `orders`."""
+        """Use `orders` to carry out the roll's orders."""
         self._round, self._orders = round_, orders
 
     def advance(self) -> None:
-        """Take the roll as far as the fleet lets it go, unless a step is being stored."""
+        """Advance the roll as far as the state of the fleet allows, unless a change is being stored."""
         roll = self._round.state.roll
         if roll is None or roll.over or self._round.state.saving_roll:
             return
@@ -44,7 +43,7 @@
             self._orders.carry_out(order)
 
     def save(self, changed: Roll, orders: Sequence[RollOrder], client: int | None = None) -> None:
-        """Have a changed roll stored; then its orders are carried out, and the client is answered."""
+        """Store a changed roll; once it is stored, `saved` carries out `orders` and answers `client`."""
         state = self._round.state
         self._round.state = replace(
             state,
@@ -57,7 +56,7 @@
         self._round.emit(SaveState(self._round.state.persistent()))
 
     def saved(self, event: StateSaved) -> None:
-        """Carry out the orders of the step that is on disk now, or return to the step before."""
+        """Carry out the orders of a stored roll; if it could not be stored, return to the roll before."""
         before = self._round.state
         self._round.state = replace(
             before, saving_roll=False, roll_before_save=None, pending_orders=(), waiting_clients=()
@@ -78,18 +77,18 @@
     def _save_failed(self, before: State, error: str) -> None:
         round_ = self._round
         round_.log("state not saved", {"why": error}, "error")
-        round_.state = replace(round_.state, save_retry_at=round_.now + SAVE_RETRY_S)
-        why = f"the plan cannot be written: {error}"
+        round_.state = replace(round_.state, save_retry_at=round_.now + SAVE_RETRY_DELAY_S)
+        reason = f"the roll cannot be stored: {error}"
         if before.roll is not None and before.saving_roll:
             previous = before.roll_before_save
             if previous is not None and previous.id == before.roll.id:
-                previous = pause(previous, why)
+                previous = pause(previous, reason)
             round_.state = replace(round_.state, roll=previous)
         for client in before.waiting_clients:
-            round_.reject(client, HTTPStatus.SERVICE_UNAVAILABLE, why)
+            round_.reject(client, HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
     def _log_changes(self, before: Roll | None, roll: Roll) -> None:
-        """Log each instance's new stage, and the roll's new mode."""
+        """Log the new stage of each instance, and the new mode of the roll."""
         if before is not None and before.id != roll.id:
             before = None
         stages = {step.name: step.stage for step in before.steps} if before is not None else {}
--- a/juniperward/agent/reducer/round.py
+++ b/juniperward/agent/reducer/round.py
@@ -1,4 +1,4 @@
-"""What the handlers of one round share: the state, the time and the effects so far."""
+"""The context that the handlers share in one round: the state, the time and the effects."""
 
 from __future__ import annotations
 
@@ -15,48 +15,55 @@
 
 
 class Round:
-    """The agent's state, changed by the handlers alone, and the round that is being reduced."""
+    """The agent's state, and the time and effects of the current round.
+
+    Attributes:
+        state: Replaced by the handlers.
+        now: Seconds of the monotonic clock, fixed for the round.
+        effects: What the round has emitted so far, in order.
+
+    """
 
     def __init__(self) -> None:
-        """Begin with an empty state."""
+        """Start with an empty state."""
         self.state = State()
-        self.now = 0.0  # seconds of the machine's monotonic clock
+        self.now = 0.0
         self.effects: list[Effect] = []
 
     def begin(self, now: float) -> None:
-        """Start a round."""
+        """Start a round at `now`, with no effects."""
         self.now, self.effects = now, []
 
     def emit(self, *effects: Effect) -> None:
-        """Add effects; they are carried out in their order."""
+        """Add effects; they are carried out in order after the round."""
         self.effects += effects
 
     def put(self, instance: Instance) -> None:
-        """Put an instance in the place of what was known of it."""
+        """Add an instance to the state, or replace the one of the same name."""
         self.state = self.state.with_instance(instance)
 
     def phase_of(self, instance: Instance) -> Phase:
-        """Return the observed state of an instance."""
+        """Return the phase of an instance at the time of the round."""
         return phase(instance, self.now, self.state.rules.timeouts)
 
     def fleet(self) -> FleetView:
-        """Return the fleet as a decision about a roll sees it."""
+        """Return the view of the fleet on which decisions about a roll are based."""
         return FleetView(self.state.instances, self.state.meter, self.now, self.state.rules.timeouts)
 
     def log(self, event: str, fields: Mapping[str, Any], level: str = "info") -> None:
-        """Log an event; one of an instance that a roll is restarting names the roll and its stage."""
-        found = dict(fields)
-        roll, name = self.state.roll, found.get("instance")
+        """Log an event; add the roll and its stage if the event concerns an instance that a roll is restarting."""
+        all_fields = dict(fields)
+        roll, name = self.state.roll, all_fields.get("instance")
         if roll is not None and not roll.over and name is not None:
             step = roll.step_of(name)
             if step is not None and step.stage in ACTIVE_STAGES:
-                found |= {"roll": roll.id, "step": step.stage.value}
-        self.emit(LogEvent(event, found, level))
+                all_fields |= {"roll": roll.id, "step": step.stage.value}
+        self.emit(LogEvent(event, all_fields, level))
 
     def reply(self, client: int, body: ReplyBody) -> None:
-        """Answer a client whose request was followed."""
+        """Answer a client whose request succeeded."""
         self.emit(ReplyToClient(client, ApiResponse(HTTPStatus.OK, body)))
 
-    def reject(self, client: int, status: HTTPStatus, why: str) -> None:
-        """Answer a client whose request was not followed."""
-        self.emit(ReplyToClient(client, ApiResponse(status, ErrorReply(why))))
+    def reject(self, client: int, status: HTTPStatus, message: str) -> None:
+        """Answer a client whose request was rejected."""
+        self.emit(ReplyToClient(client, ApiResponse(status, ErrorReply(message))))
--- a/juniperward/agent/reducer/supervisor.py
+++ b/juniperward/agent/reducer/supervisor.py
@@ -1,4 +1,4 @@
-"""What follows for instances from time alone: a restart after its backoff, SIGKILL, a drain ordered once more."""
+"""Supervises instances on each tick: restarts after the backoff, SIGKILL after the stop timeout, lost drains."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from juniperward.fleet.model import Instance
 from juniperward.fleet.roll_model import Roll, RollCommand, RollStage
 
-SERVING = "serving"  # the phase that an instance reports while it accepts messages
+# The phase that an instance reports while it accepts messages.
+SERVING_PHASE = "serving"
 
 
 class Supervisor:
-    """Looks at each instance once a tick."""
+    """Restarts, kills and drains instances when they are due."""
 
     def __init__(self, round_: Round, orders: InstanceOrders) -> None:
-        """Kill through `orders`."""
+        """Use `orders` to kill instances."""
         self._round, self._orders = round_, orders
 
     def supervise(self) -> None:
-        """Bring each instance a step nearer to what it is meant to be."""
+        """Take the next step, if any, that brings each instance to its desired state."""
         for instance in list(self._round.state.instances.values()):
             self._supervise(instance)
 
@@ -41,7 +42,7 @@
 
 
 def _started_by_roll(roll: Roll | None, instance: Instance) -> bool:
-    """Whether a roll is to start this one, after a stop that it ordered itself."""
+    """Return whether the roll stopped this instance and will start it itself."""
     if roll is None or roll.over:
         return False
     step = roll.step_of(instance.name)
@@ -53,11 +54,11 @@
 
 
 def _serves_despite_drain(instance: Instance) -> bool:
-    """Whether an instance that was ordered to drain accepts messages, as its process is a new one."""
+    """Return whether an instance accepts messages despite a drain order, as after a restart of its process."""
     reading = instance.reading
     return (
         instance.drain_requested
         and instance.stopping_since is None
         and reading is not None
-        and reading.phase == SERVING
+        and reading.phase == SERVING_PHASE
     )
