--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -80,7 +80,7 @@
         return ProcessSpawned(name, version, process)
 
     def _signal(self, effect: SendSignal) -> None:
-        if not processes.send(effect.process, effect.signal):
+        if not processes.send_signal(effect.process, effect.signal):
             fields = {"instance": effect.name, "pid": effect.process.pid}
             self._log("signal found no process", "warning", fields)
 
--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -59,7 +59,7 @@
         """Queue an event for the loop; any thread may."""
         self.events.put(event)
 
-    def reply_through(self, reply: ReplyFunction) -> None:
+    def set_reply_function(self, reply: ReplyFunction) -> None:
         """Have replies to clients go to `reply`."""
         self._executor.reply = reply
 
@@ -68,7 +68,7 @@
         stored, damage = self._store.load()
         for text in damage:
             self.log_event("state file damaged", "error", {"why": text})
-        running = processes.find(self.launcher.mark)
+        running = processes.find_instances(self.launcher.mark)
         for instance in stored.instances:
             if instance.process is not None and processes.alive(instance.process):
                 running[instance.name] = instance.process
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -21,7 +21,7 @@
 
 from juniperward.fleet.model import Process
 
-MARK = "JUNIPERWARD_INSTANCE"
+INSTANCE_VARIABLE = "JUNIPERWARD_INSTANCE"
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 LINE_BYTES = 400  # of a log line, at a guess, where the last lines are looked for
@@ -81,7 +81,7 @@
         super().__init__(f"{name}: its process ended at once")
 
 
-def send(process: Process, number: int) -> bool:
+def send_signal(process: Process, number: int) -> bool:
     """Signal exactly this process, and return whether it was there. No other one can be hit, whatever its pid."""
     try:
         handle = os.pidfd_open(process.pid)
@@ -99,10 +99,10 @@
         os.close(handle)
 
 
-def find(mark: str) -> dict[str, Process]:
+def find_instances(mark: str) -> dict[str, Process]:
     """Return the running processes of this user whose mark begins so, by the rest of the mark."""
     found = {}
-    start = f"{MARK}={mark}:".encode()
+    start = f"{INSTANCE_VARIABLE}={mark}:".encode()
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit():
             continue
@@ -142,7 +142,7 @@
         fresh.write_text(json.dumps(instance_config))
         fresh.replace(file)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
-        environment |= {"ROUTER_CONFIG": str(file), MARK: f"{self.mark}:{name}"}
+        environment |= {"ROUTER_CONFIG": str(file), INSTANCE_VARIABLE: f"{self.mark}:{name}"}
         with self.log_file(name).open("ab") as log:
             child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "juniperward"],
--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -89,7 +89,7 @@
             "agent": lambda _: _ok(self._agent_row()),
             "shutdown": self._shut_down,
         }
-        loop.reply_through(self._replied)
+        loop.set_reply_function(self._replied)
 
     def answer(self, verb: str, request: ApiRequest, user: int) -> ApiResponse:
         """Answer one request of a user, given by number."""
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotifiedDestinations:
+class ReportedDestinations:
     """What an instance last reported, when polled, of its destinations and their endpoints."""
 
     at: float = 0.0  # seconds of the monotonic clock
@@ -56,7 +56,7 @@
     def __init__(self, folder: Path, names: Callable[[], list[str]], ready: ReadyInstances) -> None:
         """Look in the agent's folder for spools and control channels."""
         self.damaged_lines = 0  # of spools
-        self.notified: dict[str, NotifiedDestinations] = {}
+        self.reports: dict[str, ReportedDestinations] = {}
         self._folder, self._names, self._ready = folder, names, ready
         self._boot_id = processes.boot_id()
         self._clients: dict[str, ControlClient] = {}
@@ -97,24 +97,24 @@
 
     def known_endpoints(self, destination: int) -> frozenset[str] | None:
         """Return what the latest round had: other threads must not share its connections."""
-        notified = list(self.notified.values())
+        notified = list(self.reports.values())
         return _endpoints(notified, destination) if notified else None
 
-    def _poll_all(self) -> list[tuple[NotifiedDestinations, int]]:
+    def _poll_all(self) -> list[tuple[ReportedDestinations, int]]:
         """Return what each ready instance reports, and its slots; those that do not answer are left out."""
         found = []
         for name, ready in self._ready().items():
-            notified = self.notified.get(name, NotifiedDestinations())
+            notified = self.reports.get(name, ReportedDestinations())
             if time.monotonic() - notified.at > MAX_AGE_S:
                 try:
                     notified = self._poll(name)
                 except ControlError:
                     continue
-                self.notified[name] = notified
+                self.reports[name] = notified
             found.append((notified, ready.reading.slots))
         return found
 
-    def _poll(self, name: str) -> NotifiedDestinations:
+    def _poll(self, name: str) -> ReportedDestinations:
         client = self._client(name)
         rows: tuple[DestinationRow, ...] = client.rows(Verb.DESTINATIONS).destinations
         listed: tuple[EndpointRow, ...] = client.rows(Verb.ENDPOINTS).endpoints
@@ -122,7 +122,7 @@
         for endpoint in listed:
             if endpoint.phase == "ready":
                 endpoints.setdefault(endpoint.destination, set()).add(endpoint.id)
-        return NotifiedDestinations(time.monotonic(), {row.destination: row for row in rows}, endpoints)
+        return ReportedDestinations(time.monotonic(), {row.destination: row for row in rows}, endpoints)
 
     def _client(self, name: str) -> ControlClient:
         if name not in self._clients:
@@ -190,5 +190,5 @@
         }
 
 
-def _endpoints(notified: list[NotifiedDestinations], destination: int) -> frozenset[str]:
+def _endpoints(notified: list[ReportedDestinations], destination: int) -> frozenset[str]:
     return frozenset().union(*(row.endpoints.get(destination, set()) for row in notified))
--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -109,7 +109,7 @@
         if ready and (self._stopped is None or not processes.alive(self._stopped)):
             self._stopped = processes.identify(self._random.choice(ready)["pid"])
             if self._stopped is not None:
-                self.tally.stops += processes.send(self._stopped, signal.SIGSTOP)
+                self.tally.stops += processes.send_signal(self._stopped, signal.SIGSTOP)
 
 
 def chaos(seed: int, out: Path, rounds: int = 50, instances: int = 10, rate: float = 60.0) -> bool:
@@ -134,7 +134,7 @@
         load.end()
         _settle(cluster, instances)
         verdict = cluster.verdict()
-        running = processes.find(str(cluster.folder / "run"))
+        running = processes.find_instances(str(cluster.folder / "run"))
     report.table(VERDICT_HEAD, [verdict_row("chaos", verdict, 0.0, load.lateness())])
     _report_tally(report, run.tally, kills, len(running))
     for violation in verdict.violations[:5]:
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -163,8 +163,8 @@
         self.load_balancer.closed = True
         if self.agent is not None and self.agent.poll() is None:
             self._shut_down(self.agent)
-        for process in processes.find(str(self.folder / "run")).values():
-            processes.send(process, signal.SIGKILL)
+        for process in processes.find_instances(str(self.folder / "run")).values():
+            processes.send_signal(process, signal.SIGKILL)
         self.discovery.close()
         for destination in self.destinations.values():
             destination.close()
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -18,7 +18,7 @@
 from juniperward.agent.events import ControlRequest
 from juniperward.agent.folder_lock import AgentRunningError, lock_folder
 from juniperward.agent.loop import Loop
-from juniperward.agent.processes import MARK, Launcher
+from juniperward.agent.processes import INSTANCE_VARIABLE, Launcher
 from juniperward.agent.replies import ErrorReply
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
@@ -101,14 +101,14 @@
         self.assertTrue(processes.alive(process))
         other = Process(child.pid, process.start + 1)
         self.assertFalse(processes.alive(other))
-        self.assertFalse(processes.send(other, signal.SIGKILL))
+        self.assertFalse(processes.send_signal(other, signal.SIGKILL))
         self.assertIsNone(child.poll())
-        self.assertTrue(processes.send(process, signal.SIGKILL))
+        self.assertTrue(processes.send_signal(process, signal.SIGKILL))
         while (how := processes.reap(process)) is None:
             pass
         self.assertEqual(how, "signal 9")
         self.assertEqual(processes.reap(process), "gone")
-        self.assertFalse(processes.send(process, signal.SIGTERM))
+        self.assertFalse(processes.send_signal(process, signal.SIGTERM))
 
     def test_a_start_time_is_on_this_clock(self) -> None:
         before = time.monotonic()
@@ -117,9 +117,9 @@
         self.assertAlmostEqual(processes.started_at(process), before, delta=2.0)
 
     def test_marked_processes_are_found_again(self) -> None:
-        child = self.child(**{MARK: f"/some/{os.getpid()}:n1"})
-        self.child(**{MARK: f"/some/{os.getpid()}x:n2"})
-        while not (found := processes.find(f"/some/{os.getpid()}")):
+        child = self.child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}:n1"})
+        self.child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}x:n2"})
+        while not (found := processes.find_instances(f"/some/{os.getpid()}")):
             pass
         self.assertEqual({name: p.pid for name, p in found.items()}, {"n1": child.pid})
 
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -13,7 +13,7 @@
 from juniperward.agent.dead_letter_service import DeadLetterService
 from juniperward.agent.loop import Loop
 from juniperward.agent.replies import ErrorReply
-from juniperward.agent.running_fleet import NotifiedDestinations
+from juniperward.agent.running_fleet import ReportedDestinations
 from juniperward.agent.store import StateStore
 from juniperward.cli.main import app
 from juniperward.cli.output import console
@@ -53,7 +53,7 @@
             for n in range(260)
         ]
         self.service.store.add("n0", messages, SpoolPosition(1, 1))
-        self.service.fleet.notified["n0"] = NotifiedDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
+        self.service.fleet.reports["n0"] = ReportedDestinations(1e18, {}, {7: {"s-1"}, 8: {"s-1"}})
 
     def run_tool(self, *words: object, code: int = 0) -> Result:
         console.width = 240
