--- a/juniperward/agent/__init__.py
+++ b/juniperward/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent of one machine: keeps instances running, watches them and carries out plans."""
+"""The agent of one machine: starts forwarder instances, supervises them and carries out rolls."""
--- a/juniperward/agent/effect_executor.py
+++ b/juniperward/agent/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of the agent's reducer: files, processes, orders to instances, replies, log lines."""
+"""Carries out the effects of the agent's reducer: saves, processes, signals, orders, replies and log events."""
 
 from __future__ import annotations
 
@@ -23,12 +23,19 @@
 from juniperward.agent.watch import Watcher
 from juniperward.settings.configuration_versions import ConfigurationVersions
 
-LogFunction = Callable[[str, str, dict[str, Any]], None]  # event, level, fields
-ReplyFunction = Callable[[int, ApiResponse], None]  # client, by its number
+# Takes the event, the level and the fields.
+LogFunction = Callable[[str, str, dict[str, Any]], None]
+# Takes the number of the client and the response.
+ReplyFunction = Callable[[int, ApiResponse], None]
 
 
 class EffectExecutor:
-    """Used by the loop's thread alone."""
+    """Carries out effects on the loop's thread; not thread-safe.
+
+    Attributes:
+        reply: Sends a response to a client; while it is None, replies are dropped.
+
+    """
 
     def __init__(
         self,
@@ -38,14 +45,14 @@
         new_watcher: Callable[[str], Watcher],
         log: LogFunction,
     ) -> None:
-        """Make a watcher by `new_watcher` for each instance, when the first effect concerns it."""
+        """Use `new_watcher` to create the watcher of an instance at the first effect that needs it."""
         self.reply: ReplyFunction | None = None
         self._store, self._launcher, self._versions = store, launcher, versions
         self._new_watcher, self._log = new_watcher, log
         self._watchers: dict[str, Watcher] = {}
 
     def execute(self, effect: Effect) -> Event | None:
-        """Carry an effect out; return what is known of it at once, for the reducer."""
+        """Carry out an effect; return the event that reports its outcome to the reducer, or None."""
         match effect:
             case SaveState():
                 return self._save(effect)
@@ -82,7 +89,7 @@
     def _signal(self, effect: SendSignal) -> None:
         if not processes.send_signal(effect.process, effect.signal):
             fields = {"instance": effect.name, "pid": effect.process.pid}
-            self._log("signal found no process", "warning", fields)
+            self._log("signal not sent, process has exited", "warning", fields)
 
     def _watcher(self, name: str) -> Watcher:
         if name not in self._watchers:
--- a/juniperward/agent/effects.py
+++ b/juniperward/agent/effects.py
@@ -1,4 +1,4 @@
-"""The effects of the agent's reducer: what is to be done; `effect_executor` carries them out in their order."""
+"""The effects that the agent's reducer emits; `effect_executor` carries them out in order."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """Store the state; `StateSaved` follows at once."""
+    """Store the state; a `StateSaved` event reports the outcome."""
 
     state: PersistentState
 
 
 @dataclass(frozen=True, slots=True)
 class SpawnProcess:
-    """Start an instance's process; `ProcessSpawned` follows at once."""
+    """Start the process of an instance; a `ProcessSpawned` event reports the outcome."""
 
     name: str
     configuration_version: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSignal:
-    """Send a signal to a process, if it is still the same."""
+    """Send a signal to a process, unless it has exited, even if its pid is in use again."""
 
     name: str
     process: Process
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order on an instance's control channel: drain or resume."""
+    """Send an order (drain or resume) on the control channel of an instance."""
 
     name: str
     verb: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchInstance:
-    """Poll this process for its status from now on; None: poll none."""
+    """Poll the status of this process from now on; with None, stop polling."""
 
     name: str
     process: Process | None
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyToClient:
-    """Answer a client."""
+    """Send the response to a client's request."""
 
     client: int
     response: ApiResponse
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write an event to the log, and add it to those that clients may read."""
+    """Write an event to the log, and to the latest events that clients can read."""
 
     event: str
     fields: dict[str, Any]
--- a/juniperward/agent/events.py
+++ b/juniperward/agent/events.py
@@ -1,4 +1,4 @@
-"""The events of the agent's reducer: what has happened, as the loop, the watchers and the API report it."""
+"""The events that the loop, the watchers and the API post to the agent's reducer."""
 
 from __future__ import annotations
 
@@ -11,12 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Triggers what depends on time: backoffs, timeouts and the advance of a roll."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsLoaded:
-    """The settings were read: at the start, or again."""
+    """The settings were loaded at the start, or reloaded.
+
+    Attributes:
+        names: All instances of the settings.
+        stopped: Those of `names` whose initial desired state is stopped.
+        configuration_version: The stored version of the instances' configuration.
+        rules: The rules for restarts, timeouts and rolls.
+        requested_by: The client that gets a reply, or None.
+
+    """
 
     names: tuple[str, ...]
     stopped: frozenset[str]
@@ -27,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningProcess:
-    """A process of an instance found running when the agent starts; `started_at` on the monotonic clock (s)."""
+    """An instance's process that runs when the agent starts; `started_at` is in monotonic seconds."""
 
     name: str
     process: Process
@@ -36,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRestored:
-    """What an earlier agent stored, and which of its processes still run; comes once, first of all."""
+    """The stored state of an earlier agent, and its processes that still run; the first event, posted once."""
 
     state: PersistentState
     running: tuple[RunningProcess, ...]
@@ -44,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceAnswered:
-    """An instance has reported its status."""
+    """An instance answered a poll with its status."""
 
     name: str
     reading: Reading
@@ -52,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceUnanswered:
-    """An instance was polled and did not answer; `since` is when it was first polled in vain."""
+    """An instance did not answer a poll; `since` is the time of the first unanswered poll, in monotonic seconds."""
 
     name: str
     process: Process
@@ -62,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessExited:
-    """A process has ended; `exit_reason` is for a person: its exit code or signal."""
+    """A process has exited; `exit_reason` is a text for people with its exit code or signal."""
 
     name: str
     process: Process
@@ -71,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSpawned:
-    """The outcome of a `SpawnProcess`: a process, or an error where there is none."""
+    """The outcome of a `SpawnProcess`; if it failed, `process` is None and `error` says why."""
 
     name: str
     configuration_version: str
@@ -81,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSaved:
-    """The outcome of a `SaveState`; `error` is empty where the state is on disk."""
+    """The outcome of a `SaveState`; `error` is empty if the state was stored."""
 
     state: PersistentState
     error: str = ""
@@ -89,7 +98,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """A client's request that the reducer answers; `verb` is one of the agent's API."""
+    """A request of a client that the reducer answers.
+
+    Attributes:
+        client: The number to which the reply goes.
+        verb: A verb of the agent's API.
+        names: The instances concerned; empty for all.
+        options: The options of a roll, by key.
+
+    """
 
     client: int
     verb: str
--- a/juniperward/agent/folder_lock.py
+++ b/juniperward/agent/folder_lock.py
@@ -1,4 +1,4 @@
-"""The agent's folder, locked for one process: two agents of a fleet would both start its instances."""
+"""Locks the agent's folder, as two agents of one fleet would both start its instances."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 import os
 from pathlib import Path
 
-PRIVATE_FOLDER = 0o700
+PRIVATE_FOLDER_MODE = 0o700
 
 
 class AgentRunningError(Exception):
-    """Another agent runs for this fleet."""
+    """Another agent is running for this fleet."""
 
     def __init__(self, folder: Path) -> None:
-        """Name the folder that it has locked."""
+        """Build the message from the folder that the other agent has locked."""
         self.folder = folder
-        super().__init__(f"{folder}: another agent looks after this fleet")
+        super().__init__(f"{folder}: another agent is already running for this fleet")
 
 
 def lock_folder(folder: Path) -> int:
-    """Lock the folder for this process, and return its open file, which holds the lock.
+    """Create and lock the folder, and return the file descriptor that holds the lock.
 
     Raises:
-        AgentRunningError: where another process has locked it.
-        OSError: where it cannot be made or opened.
+        AgentRunningError: If another process has locked it.
+        OSError: If it cannot be created or opened.
 
     """
-    folder.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
-    folder.chmod(PRIVATE_FOLDER)
-    file = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
+    folder.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
+    folder.chmod(PRIVATE_FOLDER_MODE)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
     try:
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
-        os.close(file)
+        os.close(descriptor)
         raise AgentRunningError(folder) from None
-    return file
+    return descriptor
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -1,8 +1,8 @@
-"""Processes of forwarders: starting them so that they outlast the agent, telling them apart, their logs.
+"""Starts and identifies the processes of instances, and manages their logs; the processes outlive the agent.
 
-A process is known by its pid and its start time: a pid comes again, both together do not. An instance's process
-carries the mark `JUNIPERWARD_INSTANCE` in its environment, by which an agent that was killed between starting it
-and writing that down finds it again.
+A process is identified by its pid and its start time, as the kernel reuses pids. The environment of an instance's
+process has the variable JUNIPERWARD_INSTANCE with a mark for the agent's folder and the name of the instance. An
+agent uses it to find a process that an earlier agent started but did not record before it was killed.
 """
 
 from __future__ import annotations
@@ -22,47 +22,53 @@
 from juniperward.fleet.model import Process
 
 INSTANCE_VARIABLE = "JUNIPERWARD_INSTANCE"
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-LINE_BYTES = 400  # of a log line, at a guess, where the last lines are looked for
-PRIVATE_FOLDER = 0o700
+# Bytes read from the end of a log for each line requested; lines longer than this may be missing.
+TAIL_BYTES_PER_LINE = 400
+PRIVATE_FOLDER_MODE = 0o700
 
 
 def boot_id() -> str:
-    """Return the name of this boot of the machine: monotonic times and start times mean nothing across boots."""
+    """Return the id of the current boot; monotonic times and start times are valid within one boot only."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 def _stat(pid: int) -> tuple[str, int] | None:
-    """The state letter and the start time of a process, or None where there is none."""
+    """Return the state letter and the start time (clock ticks since boot), or None without such a process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except (OSError, UnicodeDecodeError):
         return None
-    parts = text.rpartition(")")[2].split()  # the name before may hold anything
+    # The command name comes first, in parentheses, and may itself contain spaces and parentheses.
+    parts = text.rpartition(")")[2].split()
     return parts[0], int(parts[19])
 
 
 def identify(pid: int) -> Process | None:
-    """Return the process with this pid now."""
+    """Return the process that has this pid now; None if there is none or it is a zombie."""
     found = _stat(pid)
     return Process(pid, found[1]) if found is not None and found[0] not in "ZX" else None
 
 
 def alive(process: Process) -> bool:
-    """Return whether exactly this process still runs; one that waits to be reaped does not."""
+    """Return whether this very process is running; a zombie is not."""
     return identify(process.pid) == process
 
 
 def started_at(process: Process) -> float:
-    """Return when it started, on the monotonic clock of this agent."""
-    since_boot = time.clock_gettime(time.CLOCK_BOOTTIME) - process.start / TICKS_A_SECOND
+    """Return when a process started, in seconds of the monotonic clock."""
+    since_boot = time.clock_gettime(time.CLOCK_BOOTTIME) - process.start / CLOCK_TICKS_PER_S
     return time.monotonic() - max(since_boot, 0.0)
 
 
 def reap(process: Process) -> str | None:
-    """Return how it ended, or None while it runs; `gone` where it is not this agent's child."""
-    running = alive(process)  # looked at first: what has ended before the wait below is reported by it
+    """Return the exit code or signal of a process as text, or None while it runs.
+
+    Returns `gone` if the process has exited and is not a child of this agent.
+    """
+    # Checked first: waitpid still reports a child that exits after this check.
+    running = alive(process)
     try:
         pid, status = os.waitpid(process.pid, os.WNOHANG)
     except ChildProcessError:
@@ -74,15 +80,15 @@
 
 
 class NotStartedError(OSError):
-    """A process ended as soon as it was started."""
+    """A process exited immediately after it was started."""
 
     def __init__(self, name: str) -> None:
-        """Name its instance."""
-        super().__init__(f"{name}: its process ended at once")
+        """Build the message from the name of the instance."""
+        super().__init__(f"{name}: process exited immediately after its start")
 
 
 def send_signal(process: Process, number: int) -> bool:
-    """Signal exactly this process, and return whether it was there. No other one can be hit, whatever its pid."""
+    """Send a signal to this very process and return whether it was running; never signals a reused pid."""
     try:
         handle = os.pidfd_open(process.pid)
     except OSError:
@@ -100,9 +106,9 @@
 
 
 def find_instances(mark: str) -> dict[str, Process]:
-    """Return the running processes of this user whose mark begins so, by the rest of the mark."""
+    """Return the running processes of this user's instances that carry this mark, by instance name."""
     found = {}
-    start = f"{INSTANCE_VARIABLE}={mark}:".encode()
+    prefix = f"{INSTANCE_VARIABLE}={mark}:".encode()
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit():
             continue
@@ -110,19 +116,25 @@
             environment = Path(f"/proc/{entry.name}/environ").read_bytes().split(b"\0")
         except OSError:
             continue
-        for word in environment:
-            if word.startswith(start):
+        for variable in environment:
+            if variable.startswith(prefix):
                 process = identify(int(entry.name))
                 if process is not None:
-                    found[word[len(start) :].decode(errors="replace")] = process
+                    found[variable[len(prefix) :].decode(errors="replace")] = process
     return found
 
 
 class Launcher:
-    """Starts instances; their configuration and their log are files of the agent's folder."""
+    """Starts instances, with their configuration and log in files of the agent's folder.
+
+    Attributes:
+        folder: The agent's folder.
+        mark: Identifies this folder in the environment of the processes.
+
+    """
 
     def __init__(self, folder: Path) -> None:
-        """Start instances in the agent's folder."""
+        """Use `folder` as the agent's folder."""
         self.folder = folder
         self.mark = str(folder)
 
@@ -131,16 +143,23 @@
         return self.folder / "logs" / f"{name}.log"
 
     def start(self, name: str, config: dict[str, Any]) -> Process:
-        """Start an instance; raises OSError, and KeyError or TypeError for a configuration that is none."""
+        """Start the process of an instance with this configuration.
+
+        Raises:
+            OSError: If a file cannot be written or the process cannot be started.
+            KeyError: If the configuration has no `state`.
+            TypeError: If `state` is not a path.
+
+        """
         run = self.folder / "run"
         for path in (run, self.folder / "logs"):
-            path.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
-        Path(config["state"]).mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+            path.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
+        Path(config["state"]).mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
         instance_config = {**config, "seed": secrets.token_hex(8)}
         file = run / f"{name}.json"
-        fresh = run / f"{name}.json.new"
-        fresh.write_text(json.dumps(instance_config))
-        fresh.replace(file)
+        temporary_file = run / f"{name}.json.new"
+        temporary_file.write_text(json.dumps(instance_config))
+        temporary_file.replace(file)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         environment |= {"ROUTER_CONFIG": str(file), INSTANCE_VARIABLE: f"{self.mark}:{name}"}
         with self.log_file(name).open("ab") as log:
@@ -148,31 +167,33 @@
                 [sys.executable, "-O", "-m", "juniperward"],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
-                stderr=log,  # a file, not a pipe of ours: it must outlast the agent
+                # A file and not a pipe, as the process outlives the agent.
+                stderr=log,
                 env=environment,
                 start_new_session=True,
                 cwd=Path(__file__).parent.parent.parent,
             )
-        child.returncode = 0  # `reap` waits for it; Popen must not
+        # Keeps Popen from waiting for the child, whose exit status `reap` collects.
+        child.returncode = 0
         process = identify(child.pid)
         if process is None:
             raise NotStartedError(name)
         return process
 
-    def rotate(self, name: str, most: int, keep: int) -> bool:
-        """Move a log of more than `most` bytes aside, and return whether it was.
+    def rotate(self, name: str, max_bytes: int, retained_files: int) -> bool:
+        """Rotate a log that is larger than `max_bytes`, and return whether it was rotated.
 
-        The writer keeps its open file, which is cut to nothing after it is copied; as it appends, it goes on
-        at the new end. Lines written between the copy and the cut are lost: a few microseconds' worth.
+        The writer keeps the file open in append mode, so the log is copied and then truncated. Lines written
+        between the copy and the truncation are lost.
         """
         file = self.log_file(name)
         try:
-            if file.stat().st_size <= most:
+            if file.stat().st_size <= max_bytes:
                 return False
-            for number in range(keep, 1, -1):
+            for number in range(retained_files, 1, -1):
                 with contextlib.suppress(FileNotFoundError):
                     Path(f"{file}.{number - 1}").replace(f"{file}.{number}")
-            if keep:
+            if retained_files:
                 shutil.copyfile(file, f"{file}.1")
             os.truncate(file, 0)
         except FileNotFoundError:
@@ -180,11 +201,11 @@
         return True
 
     def tail(self, name: str, lines: int) -> list[str]:
-        """Return the last lines of an instance's log."""
+        """Return at most `lines` of the last lines of an instance's log; none if there is no log."""
         try:
             with self.log_file(name).open("rb") as file:
                 file.seek(0, os.SEEK_END)
-                file.seek(max(0, file.tell() - LINE_BYTES * lines))
+                file.seek(max(0, file.tell() - TAIL_BYTES_PER_LINE * lines))
                 found = file.read().decode(errors="replace").splitlines()
         except FileNotFoundError:
             return []
@@ -192,14 +213,14 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used of its machine."""
+    """The CPU time and resident memory of a process."""
 
     cpu_s: float
     resident_bytes: int
 
 
 def usage(pid: int) -> Usage:
-    """Return the CPU time and the memory of a process; raises OSError where there is none."""
+    """Return the resource usage of a process; raises OSError if there is none with this pid."""
     parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu_ticks = int(parts[11]) + int(parts[12])
-    return Usage(cpu_ticks / TICKS_A_SECOND, int(parts[21]) * PAGE_BYTES)
+    return Usage(cpu_ticks / CLOCK_TICKS_PER_S, int(parts[21]) * PAGE_BYTES)
--- a/juniperward/agent/program.py
+++ b/juniperward/agent/program.py
@@ -1,4 +1,4 @@
-"""The agent as a whole: its loop, its API and its dead letters, begun and ended together; `start` runs it."""
+"""The agent as a whole: starts and stops its loop, its API and its dead-letter service together."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
 from juniperward.fleet.model import Phase
 from juniperward.settings.load import FleetSettings, SettingsError, load
 
-STOP_MARGIN_S = 2.0  # beyond twice the time from SIGTERM to SIGKILL, for all instances to end
-STOP_POLL_S = 0.05
+# Added to twice the stop timeout when a shutdown waits for all instances to exit.
+STOP_MARGIN_S = 2.0
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class FolderChangedError(ValueError):
-    """Settings that are read again name another folder."""
+    """Reloaded settings name another folder."""
 
     def __init__(self) -> None:
-        """Say what to do."""
-        super().__init__("folder: only the next start of the agent takes another one")
+        """Build the message."""
+        super().__init__("folder: cannot change on a reload; restart the agent to use another folder")
 
 
 class Agent:
-    """The agent's parts put together; `run` returns after `shutdown`."""
+    """Owns the agent's parts; `run` returns after `shutdown`."""
 
     def __init__(self, settings: FleetSettings) -> None:
         """Lock the folder and open the socket.
@@ -50,7 +51,7 @@
             self._open_dead_letters(settings.redrive)
 
     def _open_dead_letters(self, settings: RedriveSettings) -> DeadLetterService:
-        """Begin to look after dead letters; raises StoreError."""
+        """Create the dead-letter service, without starting it; raises StoreError."""
         folder = self._loop.settings.folder
         service = DeadLetterService(folder, settings, self._names, self._ready, self._loop.log_event)
         self._dead_letters = service
@@ -61,8 +62,9 @@
         return list(self._loop.reducer.state.instances)
 
     def _ready(self) -> dict[str, ReadyInstance]:
-        """Return the instances that take messages: where, and what they last reported."""
-        state = self._loop.reducer.state  # a value: read by any thread, at once
+        """Return the ready instances with their addresses and last readings."""
+        # Called by other threads: the state is an immutable value, so one read of it is consistent.
+        state = self._loop.reducer.state
         addresses = {instance.name: instance.listen for instance in self._loop.settings.instances}
         found = {}
         for name, instance in state.instances.items():
@@ -74,9 +76,9 @@
         return found
 
     def reload(self) -> ReloadReply:
-        """Read the settings again; what cannot be used changes nothing, and the reply says why."""
+        """Reload the settings file; if it is rejected, the settings in use stay and the reply says why."""
         try:
-            event = self._loop.configured(self._load_again())
+            event = self._loop.store_settings(self._load_settings())
         except SettingsError as error:
             self._loop.log_event("settings rejected", "warning", {"why": str(error)})
             return SettingsRejectedReply(str(error), tuple(str(fault) for fault in error.faults))
@@ -87,14 +89,14 @@
         self._configure_dead_letters(self._loop.settings.redrive)
         return SettingsReply(event.configuration_version)
 
-    def _load_again(self) -> FleetSettings:
+    def _load_settings(self) -> FleetSettings:
         settings = load(self._loop.settings.file)
         if settings.folder != self._loop.settings.folder:
             raise FolderChangedError
         return settings
 
     def _configure_dead_letters(self, settings: RedriveSettings | None) -> None:
-        """Use new settings; where dead letters are switched off, what is stored stays, and no rule redrives it."""
+        """Apply new redrive settings, or with None disable all redrive rules; stored dead letters stay."""
         service = self._dead_letters
         if service is not None:
             if settings is None:
@@ -106,27 +108,27 @@
             except StoreError as error:
                 self._loop.log_event("dead letters unavailable", "error", {"why": str(error)})
 
-    def shutdown(self, instances: bool) -> None:
-        """End the agent; the instances go on, unless they are to be stopped first."""
-        threading.Thread(target=self._shutdown, args=(instances,), name="shutdown", daemon=True).start()
+    def shutdown(self, stop_instances: bool) -> None:
+        """Shut the agent down in the background; instances keep running unless `stop_instances` is set."""
+        threading.Thread(target=self._shutdown, args=(stop_instances,), name="shutdown", daemon=True).start()
 
-    def _shutdown(self, instances: bool) -> None:
-        if instances:
+    def _shutdown(self, stop_instances: bool) -> None:
+        if stop_instances:
             self._stop_instances()
         self._loop.ended = True
 
     def _stop_instances(self) -> None:
-        """Have all instances stopped, and wait for it within a bound."""
+        """Stop all instances, and wait for their exit for a limited time."""
         self._loop.post(ControlRequest(0, "stop"))
         until = time.monotonic() + 2 * self._loop.settings.timeouts.stop_s + STOP_MARGIN_S
         while time.monotonic() < until:
             instances = self._loop.reducer.state.instances.values()
             if all(instance.process is None for instance in instances):
                 return
-            time.sleep(STOP_POLL_S)
+            time.sleep(STOP_POLL_INTERVAL_S)
 
     def run(self) -> None:
-        """Take up what was left, serve, and end; signals are the caller's business."""
+        """Restore the stored state, serve until `shutdown`, and close the parts; the caller handles signals."""
         self._loop.begin()
         self._api.start()
         if self._dead_letters is not None:
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -1,4 +1,4 @@
-"""The running fleet as the redriver sees it: spools, control channels, and the forwarders' own front doors."""
+"""Gives the redriver access to the running fleet: spools, control channels and the HTTP API of forwarders."""
 
 from __future__ import annotations
 
@@ -26,47 +26,61 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.fleet.model import Reading
 
-MAX_AGE_S = 0.2  # for which what an instance reported of its destinations is used
-ANSWER_TIMEOUT_S = 0.5  # for an instance's answer
+MAX_REPORT_AGE_S = 0.2
+ANSWER_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ReadyInstance:
-    """An instance that takes messages: its HTTP address (host, port) and what it last reported."""
+    """An instance that accepts messages: its HTTP address (host, port) and its last reading."""
 
     address: tuple[str, int]
     reading: Reading
 
 
-ReadyInstances = Callable[[], dict[str, ReadyInstance]]  # by instance name
+# Returns the ready instances by name.
+ReadyInstances = Callable[[], dict[str, ReadyInstance]]
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedDestinations:
-    """What an instance last reported, when polled, of its destinations and their endpoints."""
+    """The destinations and endpoints that an instance reported at its last poll.
 
-    at: float = 0.0  # seconds of the monotonic clock
+    Attributes:
+        at: The time of the poll, in seconds of the monotonic clock.
+        destinations: The rows by destination.
+        endpoints: The ids of the ready endpoints by destination.
+
+    """
+
+    at: float = 0.0
     destinations: dict[int, DestinationRow] = field(default_factory=dict)
-    endpoints: dict[int, set[str]] = field(default_factory=dict)  # ids of the ready ones
+    endpoints: dict[int, set[str]] = field(default_factory=dict)
 
 
 class RunningFleet:
-    """Used by the redriver's thread; `known_endpoints` may be read by any."""
+    """The forwarders of this agent, for the redriver's thread; only `known_endpoints` is thread-safe.
+
+    Attributes:
+        damaged_lines: The number of unreadable lines found in spools.
+        reports: The last report of each instance, by name.
+
+    """
 
     def __init__(self, folder: Path, names: Callable[[], list[str]], ready: ReadyInstances) -> None:
-        """Look in the agent's folder for spools and control channels."""
-        self.damaged_lines = 0  # of spools
+        """Use the spools and control channels in the agent's folder; `names` returns all instances."""
+        self.damaged_lines = 0
         self.reports: dict[str, ReportedDestinations] = {}
         self._folder, self._names, self._ready = folder, names, ready
         self._boot_id = processes.boot_id()
         self._clients: dict[str, ControlClient] = {}
 
     def clock(self) -> Clock:
-        """Return the present moment."""
+        """Return the current wall-clock and boot time."""
         return Clock(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), self._boot_id)
 
     def forwarders(self) -> list[str]:
-        """Return the names of those that take messages now."""
+        """Return the names of the instances that accept messages now."""
         return sorted(self._ready())
 
     def slots(self) -> int:
@@ -76,10 +90,10 @@
     # --- destinations --------------------------------------------------------------------------------------
 
     def destination_views(self, destination: int) -> list[DestinationView]:
-        """Return what each ready instance that answers reports of a destination."""
+        """Return the view of a destination from each ready instance that answers."""
         found = []
-        for notified, slots in self._poll_all():
-            row = notified.destinations.get(destination)
+        for report, slots in self._poll_all():
+            row = report.destinations.get(destination)
             if row is None:
                 found.append(DestinationView("unknown", 0.0, False, 0.0, 0, slots))
             else:
@@ -91,27 +105,30 @@
         return found
 
     def endpoints(self, destination: int) -> frozenset[str] | None:
-        """Return the endpoints listed for a destination; None where no instance answers."""
-        notified = [snapshot for snapshot, _ in self._poll_all()]
-        return _endpoints(notified, destination) if notified else None
+        """Return the ids of a destination's ready endpoints; None if no instance answers."""
+        reports = [report for report, _ in self._poll_all()]
+        return _endpoints(reports, destination) if reports else None
 
     def known_endpoints(self, destination: int) -> frozenset[str] | None:
-        """Return what the latest round had: other threads must not share its connections."""
-        notified = list(self.reports.values())
-        return _endpoints(notified, destination) if notified else None
+        """Return the same as `endpoints` from the last reports, without a poll; None if there are none.
+
+        For other threads, which must not share the connections to the instances.
+        """
+        reports = list(self.reports.values())
+        return _endpoints(reports, destination) if reports else None
 
     def _poll_all(self) -> list[tuple[ReportedDestinations, int]]:
-        """Return what each ready instance reports, and its slots; those that do not answer are left out."""
+        """Return the report and the slots of each ready instance that answers."""
         found = []
         for name, ready in self._ready().items():
-            notified = self.reports.get(name, ReportedDestinations())
-            if time.monotonic() - notified.at > MAX_AGE_S:
+            report = self.reports.get(name, ReportedDestinations())
+            if time.monotonic() - report.at > MAX_REPORT_AGE_S:
                 try:
-                    notified = self._poll(name)
+                    report = self._poll(name)
                 except ControlError:
                     continue
-                self.reports[name] = notified
-            found.append((notified, ready.reading.slots))
+                self.reports[name] = report
+            found.append((report, ready.reading.slots))
         return found
 
     def _poll(self, name: str) -> ReportedDestinations:
@@ -132,11 +149,14 @@
     # --- spools --------------------------------------------------------------------------------------------
 
     def read_spools(self, store: DeadLetterStore) -> int:
-        """Read on in the spools of all instances; return how many messages were new."""
+        """Copy new messages from the spools of all instances to the store; return how many were new."""
         return sum(self._read_spool(store, name) for name in self._names())
 
     def _read_spool(self, store: DeadLetterStore, name: str) -> int:
-        """Read on in one; what is in the store is acknowledged, and the forwarder deletes it."""
+        """Read one spool from the stored position on.
+
+        Segments that are completely in the store are acknowledged, so that the forwarder deletes them.
+        """
         folder = self._folder / "spool" / name
         segments = spool_files.segments(folder)
         if not segments:
@@ -156,15 +176,15 @@
                 current, offset = number, end
         newest = segments[-1][0]
         if newest > spool_files.acknowledged_segment(folder) + 1:
-            # All but the newest are complete: the forwarder writes to that one only.
+            # The forwarder writes only to the newest segment; all others are complete.
             spool_files.acknowledge_segment(folder, newest - 1)
         return new
 
     def _read_segment(self, path: Path, offset: int) -> tuple[list[SpooledMessage], int]:
-        """Return the messages from an offset on, and where the next one will begin."""
+        """Return the messages from an offset on, and the offset of the next one."""
         messages = []
-        for message, behind in spool_files.read(path, offset):
-            offset = behind
+        for message, next_offset in spool_files.read(path, offset):
+            offset = next_offset
             if message is None:
                 self.damaged_lines += 1
             else:
@@ -174,12 +194,12 @@
     # --- redriven messages ---------------------------------------------------------------------------------
 
     def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
-        """Hand a message in; return status and Retry-After wait, as `resubmission.resubmit` does."""
+        """Submit a message to a forwarder; the status is NOT_CONNECTED if the forwarder is not ready."""
         ready = self._ready().get(forwarder)
         return resubmit(ready.address, message) if ready is not None else SubmissionAnswer(NOT_CONNECTED, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
-        """Return what became of redriven messages; None where the forwarder does not answer."""
+        """Return the outcomes of redriven messages by id; None if the forwarder does not answer."""
         try:
             answer = self._client(forwarder).redrive_outcomes(ids)
         except ControlError:
@@ -190,5 +210,5 @@
         }
 
 
-def _endpoints(notified: list[ReportedDestinations], destination: int) -> frozenset[str]:
-    return frozenset().union(*(row.endpoints.get(destination, set()) for row in notified))
+def _endpoints(reports: list[ReportedDestinations], destination: int) -> frozenset[str]:
+    return frozenset().union(*(report.endpoints.get(destination, set()) for report in reports))
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -1,4 +1,4 @@
-"""The agent's command: reads the settings, runs the agent, and follows the signals of its process."""
+"""The agent's command: loads the settings, runs the agent and handles signals."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from juniperward.dead_letters.store_errors import StoreError
 from juniperward.settings.load import SettingsError, load
 
-THREAD_STACK_BYTES = 512 * 1024  # structlog and msgspec go deeper than the forwarder's own code
+# structlog and msgspec need deeper stacks than the forwarder's threads.
+THREAD_STACK_BYTES = 512 * 1024
 SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
-EXIT_ENDED, EXIT_CANNOT_START, EXIT_BAD_SETTINGS = 0, 1, 2
+EXIT_OK, EXIT_CANNOT_START, EXIT_BAD_SETTINGS = 0, 1, 2
 
 
-def _follow_signals(agent: Agent) -> None:
-    """SIGHUP reads the settings again, SIGTERM and SIGINT end the agent."""
+def _handle_signals(agent: Agent) -> None:
+    """Reload the settings on SIGHUP; shut the agent down on SIGTERM and SIGINT."""
     while True:
         if signal.sigwait(SIGNALS) == signal.SIGHUP:
             agent.reload()
@@ -38,7 +39,7 @@
 
 
 def main(file: Path, as_json: bool | None = None) -> int:
-    """Run an agent and return the exit code: 0 ended, 1 cannot start, 2 settings that cannot be used."""
+    """Run an agent and return its exit code: 0 after a shutdown, 1 if it cannot start, 2 for invalid settings."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
         settings = load(file)
@@ -53,7 +54,7 @@
     except (AgentRunningError, ControlSocketError, StoreError, OSError) as error:
         structlog.get_logger().error("cannot start", why=str(error))
         return EXIT_CANNOT_START
-    threading.Thread(target=_follow_signals, args=(agent,), name="signals", daemon=True).start()
+    threading.Thread(target=_handle_signals, args=(agent,), name="signals", daemon=True).start()
     with contextlib.suppress(KeyboardInterrupt):
         agent.run()
-    return EXIT_ENDED
+    return EXIT_OK
--- a/juniperward/agent/state.py
+++ b/juniperward/agent/state.py
@@ -1,6 +1,6 @@
-"""The agent's state: what the reducer knows, and the part of it that is stored.
+"""The state of the agent's reducer, and the part of it that is stored.
 
-Both are values: the reducer puts a new one in the place of the old, and other threads read whichever is current.
+Both are immutable: the reducer replaces its state, and other threads may read the current one.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentState:
-    """What outlasts the agent's process; stored as one value."""
+    """The part of the state that is stored; `configuration_version` is the newest one."""
 
     instances: tuple[Instance, ...] = ()
     roll: Roll | None = None
     rolls_made: int = 0
-    configuration_version: str = ""  # the newest
+    configuration_version: str = ""
 
 
 def persistent_part(instance: Instance) -> Instance:
-    """Return an instance without what is only of the moment: that is observed again."""
+    """Return an instance without the fields that the next agent observes again."""
     has_process = instance.process is not None
     return Instance(
         instance.name,
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the settings say of decisions."""
+    """The rules of the settings on which the reducer bases its decisions."""
 
     restart: RestartPolicy = RestartPolicy()
     timeouts: Timeouts = Timeouts()
@@ -52,7 +52,24 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All that the agent knows; a value: an earlier one stays as it was."""
+    """The state of the reducer.
+
+    Attributes:
+        instances: The instances by name.
+        rules: The rules of the settings.
+        meter: Recent samples of the fleet's attempts.
+        roll: The last roll, over or not; None before the first.
+        rolls_made: The number of rolls so far, from which the next roll gets its id.
+        configuration_version: The newest version of the settings.
+        last_saved: The part that is on disk, as last stored or restored.
+        save_retry_at: The earliest time of the next save after a failed one, in monotonic seconds.
+        saving_roll: Whether a changed roll is being stored. The next three fields are used meanwhile.
+        roll_before_save: The roll as last stored, restored if the save fails.
+        pending_orders: The orders to carry out once the roll is stored.
+        waiting_clients: The clients to answer once the roll is stored.
+        removed: Instances removed from the settings, which are deleted when their process has exited.
+
+    """
 
     instances: PMap[str, Instance] = field(default_factory=pmap)
     rules: Rules = Rules()
@@ -61,15 +78,15 @@
     rolls_made: int = 0
     configuration_version: str = ""
     last_saved: PersistentState | None = None
-    save_retry_at: float = 0.0  # after a failure
-    saving_roll: bool = False  # a changed roll is being stored; the next three fields belong to it
+    save_retry_at: float = 0.0
+    saving_roll: bool = False
     roll_before_save: Roll | None = None
-    pending_orders: tuple[RollOrder, ...] = ()  # carried out once the roll is stored
-    waiting_clients: tuple[int, ...] = ()  # answered then
-    removed: frozenset[str] = frozenset()  # no longer in the settings; forgotten once their process has ended
+    pending_orders: tuple[RollOrder, ...] = ()
+    waiting_clients: tuple[int, ...] = ()
+    removed: frozenset[str] = frozenset()
 
     def with_instance(self, instance: Instance) -> State:
-        """Return the state with an instance in the place of what was known of it."""
+        """Return the state with an instance added, or replaced by name."""
         return replace(self, instances=self.instances.set(instance.name, instance))
 
     def without_instance(self, name: str) -> State:
@@ -77,7 +94,7 @@
         return replace(self, instances=self.instances.discard(name), removed=self.removed - {name})
 
     def persistent(self) -> PersistentState:
-        """Return the part that outlasts the agent's process."""
+        """Return the part of the state that is stored."""
         return PersistentState(
             tuple(persistent_part(self.instances[name]) for name in sorted(self.instances)),
             self.roll,
--- a/juniperward/agent/state_codec.py
+++ b/juniperward/agent/state_codec.py
@@ -1,7 +1,6 @@
-"""The agent's state as JSON: the one place that maps the words of the state file to the classes' fields.
+"""Encodes the agent's state as JSON and decodes it.
 
-`encode` and `decode` are called by the store. The file's words are those of its first version and stay; a class
-whose fields have other names is listed in `STORED_NAMES`, field to word.
+The keys of the state file never change. `STORED_NAMES` maps the fields of a class to keys where they differ.
 """
 
 from __future__ import annotations
@@ -45,12 +44,12 @@
 
 
 def decode(body: bytes) -> PersistentState:
-    """Return the state that JSON holds; raises msgspec.DecodeError where it is none."""
+    """Return the state from JSON; raises msgspec.DecodeError if the JSON is not a valid state."""
     return msgspec.convert(_from_stored(msgspec.json.decode(body), PersistentState), PersistentState)
 
 
 def _to_stored(value: Any) -> Any:
-    """Return a value with its dataclasses as objects in the file's words, in the order of their fields."""
+    """Return a value with dataclasses as dicts with the file's keys, in the order of the fields."""
     if isinstance(value, tuple):
         return [_to_stored(item) for item in value]
     if not is_dataclass(value):
@@ -62,7 +61,7 @@
 
 
 def _from_stored(value: Any, kind: type) -> Any:
-    """Return decoded JSON with the fields' names of `kind` in place of the file's words."""
+    """Return decoded JSON with the file's keys replaced by the field names of `kind`."""
     if isinstance(value, list):
         return [_from_stored(item, kind) for item in value]
     if not isinstance(value, dict):
@@ -71,17 +70,17 @@
     nested = _nested_classes(kind)
     found = {}
     for field in fields(kind):
-        word = names.get(field.name, field.name)
-        if word not in value:
+        key = names.get(field.name, field.name)
+        if key not in value:
             continue
         inner = nested.get(field.name)
-        found[field.name] = value[word] if inner is None else _from_stored(value[word], inner)
+        found[field.name] = value[key] if inner is None else _from_stored(value[key], inner)
     return found
 
 
 @cache
 def _nested_classes(kind: type) -> dict[str, type]:
-    """Return the dataclass of each field that holds one, or a tuple of them."""
+    """Return the dataclass of each field that contains one, directly or as items of a tuple."""
     found = {}
     for name, hint in get_type_hints(kind).items():
         for candidate in (hint, *get_args(hint)):
--- a/juniperward/agent/store.py
+++ b/juniperward/agent/store.py
@@ -1,4 +1,4 @@
-"""The agent's state on disk: two generations of one checked file, so that a torn one loses nothing older."""
+"""Stores the agent's state in a file with a checksum, and keeps the previous file in case the newest is damaged."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from juniperward.agent.state import PersistentState
 from juniperward.fleet.model import Crashes
 
-VERSION = 1
+FORMAT_VERSION = 1
 
 
 class DamagedStateError(Exception):
-    """A file is not a complete state of ours; the text says why."""
+    """A state file is damaged; the message says why."""
 
 
 class StateVersionError(DamagedStateError):
-    """The file was written by a version of the agent that writes it in another form."""
+    """The state file has another format version."""
 
     def __init__(self, version: int) -> None:
-        """Tell the form's version."""
+        """Build the message from the version in the file."""
         self.version = version
-        super().__init__(f"version {version}; this agent reads {VERSION}")
+        super().__init__(f"unsupported format version {version}; this agent reads version {FORMAT_VERSION}")
 
 
 class StateChecksumError(DamagedStateError):
-    """The file was not written completely, or was changed."""
+    """The state file is incomplete or corrupt."""
 
     def __init__(self) -> None:
-        """Say so."""
-        super().__init__("its checksum does not match")
+        """Build the message."""
+        super().__init__("the checksum does not match")
 
 
 class Header(msgspec.Struct, frozen=True):
-    """The first line of the file."""
+    """The first line of a state file: format version, CRC-32 of the rest, and the boot id at the time of writing."""
 
     v: int
     crc: int
@@ -47,24 +47,27 @@
 
 
 class StateStore:
-    """The files `state.json` and `state.json.old` in the agent's folder."""
+    """Reads and writes `state.json` and `state.json.old` in the agent's folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Name the files; nothing is read or written yet."""
-        self.file, self.old = folder / "state.json", folder / "state.json.old"
-        self.fresh = folder / "state.json.new"
+        """Set the paths of the files, without access to them."""
+        self.file, self.previous_file = folder / "state.json", folder / "state.json.old"
+        self.temporary_file = folder / "state.json.new"
 
     def save(self, state: PersistentState) -> None:
-        """Write it so that it survives the machine; raises OSError, and then the file before still counts."""
+        """Write the state and sync it to disk.
+
+        Raises OSError; a failed write of the file leaves the previous state in place.
+        """
         body = state_codec.encode(state)
-        head = msgspec.json.encode(Header(VERSION, zlib.crc32(body), boot_id()))
-        with self.fresh.open("wb") as file:
+        head = msgspec.json.encode(Header(FORMAT_VERSION, zlib.crc32(body), boot_id()))
+        with self.temporary_file.open("wb") as file:
             file.write(head + b"\n" + body)
             file.flush()
             os.fsync(file.fileno())
         if self.file.exists():
-            self.file.replace(self.old)
-        self.fresh.replace(self.file)
+            self.file.replace(self.previous_file)
+        self.temporary_file.replace(self.file)
         folder = os.open(self.file.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -72,9 +75,9 @@
             os.close(folder)
 
     def load(self) -> tuple[PersistentState, list[str]]:
-        """The newest state that is complete, and what was wrong with others; an empty one where there is none."""
+        """Return the newest undamaged state, or an empty one, and the problems of damaged files."""
         problems: list[str] = []
-        for file in (self.file, self.old):
+        for file in (self.file, self.previous_file):
             try:
                 return self._read(file), problems
             except FileNotFoundError:
@@ -96,14 +99,14 @@
 
 
 def _check(header: Header, body: bytes) -> None:
-    if header.v != VERSION:
+    if header.v != FORMAT_VERSION:
         raise StateVersionError(header.v)
     if zlib.crc32(body) != header.crc:
         raise StateChecksumError
 
 
 def _after_reboot(state: PersistentState) -> PersistentState:
-    """Return the state without what means nothing on a machine started anew: its processes and its times."""
+    """Return the state without processes and monotonic times, which are invalid after a reboot."""
     instances = tuple(
         replace(
             instance, process=None, started_at=0.0, was_ready=False, stopping_since=None, crashes=Crashes()
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -1,4 +1,4 @@
-"""Watching instances: a thread for each that polls its status, sends it orders and sees it end."""
+"""Watches instances: one thread for each polls its status, sends its orders and detects its exit."""
 
 from __future__ import annotations
 
@@ -20,33 +20,40 @@
 from juniperward.fleet.model import Process, Reading
 
 ANSWER_TIMEOUT_S = 1.0
-POLL_STARTING_S = 0.05  # between polls of a process that does not answer yet
+UNANSWERED_POLL_INTERVAL_S = 0.05
 
 
 class Watcher:
-    """One instance's thread; `process` may be changed by the loop at any time."""
+    """Watches one instance on a thread of its own.
+
+    Attributes:
+        process: The process to poll, or None; the loop may change it at any time.
+        unanswered_since: The time of the first unanswered poll, in monotonic seconds; None after an answer.
+        reported_exit: The last process whose exit was posted.
+
+    """
 
     def __init__(self, name: str, path: Path, interval_s: float, post: Callable[[Event], None]) -> None:
-        """Poll at `path` every `interval_s` seconds; what is found goes to `post`."""
+        """Poll the control socket at `path` every `interval_s` seconds; pass events to `post`."""
         self.name, self.interval_s, self.post = name, interval_s, post
         self.client = ControlClient(path, ANSWER_TIMEOUT_S)
         self.orders: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.process: Process | None = None
-        self.since: float | None = None  # first polled in vain
-        self.reported: Process | None = None
+        self.unanswered_since: float | None = None
+        self.reported_exit: Process | None = None
         self.ended = False
 
     def start(self) -> None:
-        """Begin the thread; it watches nothing yet."""
+        """Start the thread; it polls nothing until `watch` is called."""
         threading.Thread(target=self._run, name=f"watch-{self.name}", daemon=True).start()
 
     def watch(self, process: Process | None) -> None:
-        """Poll this process from now on."""
-        self.process, self.since = process, None
+        """Poll this process from now on; with None, poll nothing."""
+        self.process, self.unanswered_since = process, None
         self.orders.put(None)
 
     def send_order(self, verb: str) -> None:
-        """Have an order sent before the next poll."""
+        """Queue an order, sent in place of the next poll of the status."""
         self.orders.put(verb)
 
     def _run(self) -> None:
@@ -62,49 +69,54 @@
         process = self.process
         if process is None:
             return
-        how = processes.reap(process)
-        if how is not None:
+        exit_reason = processes.reap(process)
+        if exit_reason is not None:
             self.client.close()
-            if self.reported != process:
-                self.reported = process
-                self.post(ProcessExited(self.name, process, how))
+            if self.reported_exit != process:
+                self.reported_exit = process
+                self.post(ProcessExited(self.name, process, exit_reason))
             return
         self._poll(process, Verb(order) if order else Verb.STATUS)
 
     def _next_order(self) -> str | None:
-        """Wait for an order, or until the next poll."""
-        unanswered = self.process is not None and self.since is not None
+        """Wait for the next order; return None when a poll is due or another process is to be watched."""
+        unanswered = self.process is not None and self.unanswered_since is not None
         try:
-            return self.orders.get(timeout=POLL_STARTING_S if unanswered else self.interval_s)
+            return self.orders.get(timeout=UNANSWERED_POLL_INTERVAL_S if unanswered else self.interval_s)
         except queue.Empty:
             return None
 
     def _poll(self, process: Process, verb: Verb) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             status = self.client.status() if verb is Verb.STATUS else self.client.order(verb)
         except ControlError as error:
             if self.process != process:
                 return
-            self.since = self.since if self.since is not None else began
-            self.post(InstanceUnanswered(self.name, process, self.since, str(error)))
+            self.unanswered_since = self.unanswered_since if self.unanswered_since is not None else started_at
+            self.post(InstanceUnanswered(self.name, process, self.unanswered_since, str(error)))
             if verb is not Verb.STATUS and isinstance(error, ControlUnreachableError):
-                time.sleep(POLL_STARTING_S)
+                time.sleep(UNANSWERED_POLL_INTERVAL_S)
             return
         if status.pid != process.pid:
-            # Another process has the socket: one started by hand, or one that is on its way out.
+            # The socket belongs to another process, such as one started by hand or an earlier one that still exits.
             self.client.close()
-            self.since = self.since if self.since is not None else began
+            self.unanswered_since = self.unanswered_since if self.unanswered_since is not None else started_at
             self.post(
-                InstanceUnanswered(self.name, process, self.since, f"process {status.pid} answers instead")
+                InstanceUnanswered(
+                    self.name,
+                    process,
+                    self.unanswered_since,
+                    f"another process answers on its socket: pid {status.pid}",
+                )
             )
             return
-        self.since = None
+        self.unanswered_since = None
         self.post(InstanceAnswered(self.name, reading(status, time.monotonic())))
 
 
 def reading(status: Status, now: float) -> Reading:
-    """Return what decisions need of a status."""
+    """Return the part of a status that decisions need, read at `now` in monotonic seconds."""
     return Reading(
         at=now,
         pid=status.pid,
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -207,7 +207,7 @@
             cwd=ROOT, capture_output=True, timeout=20.0,
         )  # fmt: skip
         assert second.returncode == 1
-        assert b"another agent looks after this fleet" in second.stderr
+        assert b"another agent is already running for this fleet" in second.stderr
 
     def test_a_crashed_forwarder_restarts_and_completes_accepted_messages(self) -> None:
         cluster = self.cluster(2)
