--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -61,14 +61,14 @@
 
 
 @dataclass
-class Machine:
+class SimulatedForwarder:
     """A forwarder's process as the machine has it."""
 
     process: Process
     configuration_version: str
     born: float
     drained: bool = False
-    stopped: bool = False  # by SIGSTOP
+    suspended: bool = False  # by SIGSTOP
     term_at: float | None = None
     delivered: int = 0
 
@@ -79,7 +79,7 @@
     def __init__(self, names: tuple[str, ...] = ("n0", "n1", "n2"), seed: int = 1) -> None:
         self.names, self.seed = names, seed
         self.now, self.pid, self.effects_done, self.saves = 1000.0, 100, 0, 0
-        self.machines: dict[str, Machine] = {}
+        self.forwarders: dict[str, SimulatedForwarder] = {}
         self.disk, self.old = b"", b""  # the state file and the one before
         self.replies: list[Reply] = []
         self.notes: list[LogEvent] = []
@@ -114,7 +114,7 @@
                 break
             except msgspec.DecodeError:
                 continue
-        running = tuple(RunningProcess(n, m.process, m.born) for n, m in sorted(self.machines.items()))
+        running = tuple(RunningProcess(n, m.process, m.born) for n, m in sorted(self.forwarders.items()))
         self.round([StateRestored(stored, running)])
         self.configure()
 
@@ -149,20 +149,22 @@
             case SpawnProcess(name=name, configuration_version=configuration_version):
                 if name in self.hopeless:
                     return [ProcessSpawned(name, configuration_version, None, "cannot be started")]
-                assert name not in self.machines, f"{name} runs already: started twice"
+                assert name not in self.forwarders, f"{name} runs already: started twice"
                 self.pid += 1
-                self.machines[name] = Machine(Process(self.pid, self.pid), configuration_version, self.now)
-                return [ProcessSpawned(name, configuration_version, self.machines[name].process)]
+                self.forwarders[name] = SimulatedForwarder(
+                    Process(self.pid, self.pid), configuration_version, self.now
+                )
+                return [ProcessSpawned(name, configuration_version, self.forwarders[name].process)]
             case SendSignal(name=name, process=process, signal=number):
-                m = self.machines.get(name)
+                m = self.forwarders.get(name)
                 if m is not None and m.process == process:
                     if number == signal.SIGKILL:
-                        self.end(name, "signal 9")
+                        self.exit_process(name, "signal 9")
                     elif name not in self.stubborn and m.term_at is None:
                         m.term_at = self.now
             case SendOrder(name=name, verb=verb):
-                m = self.machines.get(name)
-                if m is not None and not m.stopped:
+                m = self.forwarders.get(name)
+                if m is not None and not m.suspended:
                     m.drained = verb == "drain"
             case WatchInstance(name=name, process=watched):
                 self.watched[name] = watched
@@ -175,17 +177,17 @@
 
     # --- the machine ------------------------------------------------------------------------------------------
 
-    def end(self, name: str, how: str) -> None:
-        del self.machines[name]
+    def exit_process(self, name: str, how: str) -> None:
+        del self.forwarders[name]
         self.ends = {**getattr(self, "ends", {}), name: how}
 
     def ready(self) -> int:
         return sum(
-            self.now - m.born >= 0.3 and not m.drained and not m.stopped and m.term_at is None
-            for m in self.machines.values()
+            self.now - m.born >= 0.3 and not m.drained and not m.suspended and m.term_at is None
+            for m in self.forwarders.values()
         )
 
-    def reading(self, m: Machine) -> Reading:
+    def reading(self, m: SimulatedForwarder) -> Reading:
         up = self.now - m.born >= 0.3
         return replace(
             READY_READING, at=self.now, pid=m.process.pid, phase="drained" if m.drained else "serving",
@@ -195,22 +197,22 @@
     def step(self, seconds: float = 0.1) -> None:
         """Time passes; the machine's part of it, then the agent's."""
         self.now += seconds
-        for name, m in list(self.machines.items()):
+        for name, m in list(self.forwarders.items()):
             how = self.broken_versions.get(m.configuration_version)
             if how is not None and self.now - m.born >= 0.1:
-                self.end(name, how)
-            elif m.term_at is not None and not m.stopped and self.now - m.term_at >= 0.2:
-                self.end(name, "exit 0")
-            elif not m.drained and not m.stopped:
+                self.exit_process(name, how)
+            elif m.term_at is not None and not m.suspended and self.now - m.term_at >= 0.2:
+                self.exit_process(name, "exit 0")
+            elif not m.drained and not m.suspended:
                 m.delivered += 3
         events: list[Event] = []
         for name, process in self.watched.items():
             if process is None:
                 continue
-            m2 = self.machines.get(name)
+            m2 = self.forwarders.get(name)
             if m2 is None or m2.process != process:
                 events.append(ProcessExited(name, process, getattr(self, "ends", {}).get(name, "gone")))
-            elif m2.stopped:
+            elif m2.suspended:
                 since = self.unanswered.setdefault(name, self.now)
                 events.append(InstanceUnanswered(name, process, since, "no answer"))
             else:
@@ -235,7 +237,7 @@
 
     # --- orders -----------------------------------------------------------------------------------------------
 
-    def ask(self, verb: str, *names: str, **options: Any) -> Reply:
+    def request(self, verb: str, *names: str, **options: Any) -> Reply:
         """The reply to an order; an agent that dies of it is started again and asked once more."""
         before = len(self.replies)
         for _ in range(2):
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -16,7 +16,7 @@
 
 
 def rolled(world: World) -> bool:
-    return {m.configuration_version for m in world.machines.values()} == {"b"}
+    return {m.configuration_version for m in world.forwarders.values()} == {"b"}
 
 
 def configure_or_restart(world: World) -> None:
@@ -32,7 +32,7 @@
     """Settings change, and a roll to them is begun."""
     world.configuration_version = "b"
     world.configure()
-    reply = world.ask("roll", **options)
+    reply = world.request("roll", **options)
     assert reply.status == 200, reply
 
 
@@ -51,7 +51,7 @@
                 world.configuration_version = "b"
                 world.die_at = place
                 configure_or_restart(world)
-                assert world.ask("roll").status == 200
+                assert world.request("roll").status == 200
                 assert world.run(120.0, world.over), world.notes[-5:]
                 assert (world.mode, world.deaths, rolled(world)) == ("done", 1, True)
                 assert world.least >= 2
@@ -66,7 +66,7 @@
                 world.configuration_version = "b"
                 world.tear_at = place
                 configure_or_restart(world)
-                reply = world.ask("roll")
+                reply = world.request("roll")
                 assert reply.status == 200, reply
                 if not world.run(120.0, lambda w=world: w.over() and rolled(w)):  # type: ignore[misc]
                     # The roll itself was in the torn file: nobody was told that it was begun.
@@ -83,12 +83,12 @@
                 world.full = lambda n, p=place: n >= p  # type: ignore[misc]
                 world.configuration_version = "b"
                 world.configure()
-                begun = world.ask("roll")
+                begun = world.request("roll")
                 if begun.status != 200:
                     assert begun.status == 503
-                    assert {m.configuration_version for m in world.machines.values()} == {"a"}
+                    assert {m.configuration_version for m in world.forwarders.values()} == {"a"}
                     world.full = lambda _: False
-                    assert world.ask("roll").status == 200
+                    assert world.request("roll").status == 200
                     assert world.run(60.0, world.over)
                     continue
                 world.run(30.0, world.over)
@@ -98,7 +98,7 @@
                     assert "No space left" in world.reducer.state.roll.reason
                     world.full = lambda _: False
                     world.run(3.0)
-                    assert world.ask("roll_resume").status == 200
+                    assert world.request("roll_resume").status == 200
                 assert world.run(60.0, lambda w=world: w.over() and rolled(w))  # type: ignore[misc]
                 assert world.least >= 2
 
@@ -124,20 +124,20 @@
         for tick in range(150):
             for at, what, number in due:
                 name = f"n{number}"
-                if at != tick or name not in world.machines:
+                if at != tick or name not in world.forwarders:
                     continue
                 if what == "die":
                     world.begin()
                 elif what == "crash":
-                    world.end(name, "signal 11")
+                    world.exit_process(name, "signal 11")
                 else:
-                    world.machines[name].stopped = what == "stop"
+                    world.forwarders[name].suspended = what == "stop"
             world.step()
-        for m in world.machines.values():
-            m.stopped = False
+        for m in world.forwarders.values():
+            m.suspended = False
         world.run(40.0, world.over)
         if world.mode == "paused":
-            world.ask("roll_resume")
+            world.request("roll_resume")
         assert world.run(120.0, lambda: world.over() and world.ready() == 4), world.notes[-8:]
         assert rolled(world)
 
@@ -146,15 +146,15 @@
     def test_a_second_roll_is_rejected_while_one_is_in_progress(self) -> None:
         world = World()
         roll(world)
-        second = world.ask("roll")
+        second = world.request("roll")
         assert second.status == 409
         assert "roll r1 is under way" in second.body["error"]
         assert world.run(60.0, world.over)
-        assert world.ask("roll").status == 200
+        assert world.request("roll").status == 200
 
     def test_a_dry_run_changes_nothing(self) -> None:
         world = World()
-        reply = world.ask("roll", dry_run=True)
+        reply = world.request("roll", dry_run=True)
         assert [s["instance"] for s in reply.body["steps"]] == ["n0", "n1", "n2"]
         assert world.reducer.state.roll is None
 
@@ -162,21 +162,21 @@
         world = World()
         for options in ({"colour": 1}, {"at_once": "x"}, {"floor": -1}, {"floor": 3}, {"at_once": True}):
             with subtests.test(options=options):
-                assert world.ask("roll", **options).status == 409
-        assert world.ask("stop", "n9").status == 404
-        assert world.ask("roll_resume").status == 409
-        assert world.ask("dance").status == 409
+                assert world.request("roll", **options).status == 409
+        assert world.request("stop", "n9").status == 404
+        assert world.request("roll_resume").status == 409
+        assert world.request("dance").status == 409
 
     def test_a_stop_amid_its_roll_leaves_the_instance_stopped(self) -> None:
         world = World()
         roll(world, floor=0)
         world.run(0.3)
-        world.ask("stop", "n0")
+        world.request("stop", "n0")
         assert world.run(60.0, world.over)
         world.run(3.0)
-        assert "n0" not in world.machines
-        assert [m.configuration_version for _, m in sorted(world.machines.items())] == ["b", "b"]
-        world.ask("start", "n0")
+        assert "n0" not in world.forwarders
+        assert [m.configuration_version for _, m in sorted(world.forwarders.items())] == ["b", "b"]
+        world.request("start", "n0")
         assert world.run(5.0, lambda: world.ready() == 3)
 
     def test_settings_that_change_amid_a_roll_wait_for_the_next(self) -> None:
@@ -186,14 +186,14 @@
         world.configuration_version = "c"
         world.configure()
         assert world.run(60.0, world.over)
-        assert {m.configuration_version for m in world.machines.values()} == {"b"}
+        assert {m.configuration_version for m in world.forwarders.values()} == {"b"}
         changed = [n for n in world.notes if n.event == "settings changed"][-1]
         assert changed.fields["goes_on_to"] == "b"
 
     def test_an_instance_removed_from_the_settings_is_stopped_and_removed(self) -> None:
         world = World()
         world.configure(("n0", "n1"))
-        assert world.run(5.0, lambda: set(world.machines) == {"n0", "n1"})
+        assert world.run(5.0, lambda: set(world.forwarders) == {"n0", "n1"})
         world.step()
         assert set(world.reducer.state.instances) == {"n0", "n1"}
         world.configure(("n0", "n1", "n4"))
@@ -206,70 +206,70 @@
         assert world.run(30.0, lambda: world.mode == RollMode.PAUSED)
         assert world.reducer.state.roll is not None
         assert "n0 failed to start: exited before it was ready: exit 2" in world.reducer.state.roll.reason
-        assert world.ask("roll_undo").status == 200
+        assert world.request("roll_undo").status == 200
         assert world.run(60.0, world.over)
         assert world.run(10.0, lambda: world.ready() == 3)
-        assert {m.configuration_version for m in world.machines.values()} == {"a"}
+        assert {m.configuration_version for m in world.forwarders.values()} == {"a"}
         assert world.least >= 2
 
 
 class TestSupervision:
     def test_a_crashed_instance_restarts_and_a_crash_loop_is_failed(self) -> None:
         world = World()
-        world.end("n1", "signal 11")
+        world.exit_process("n1", "signal 11")
         assert world.run(3.0, lambda: world.ready() == 3)
         world.broken_versions["a"] = "exit 1"
-        for name in list(world.machines):
-            world.end(name, "exit 1")
+        for name in list(world.forwarders):
+            world.exit_process(name, "exit 1")
         world.run(40.0)
         assert {world.reducer.phase_of(i) for i in world.reducer.state.instances.values()} == {Phase.FAILED}
         world.broken_versions.clear()
-        world.ask("start")
+        world.request("start")
         assert world.run(5.0, lambda: world.ready() == 3)
 
     def test_an_instance_that_cannot_be_spawned_is_reported(self) -> None:
         world = World()
         world.hopeless.add("n1")
-        world.end("n1", "exit 1")
+        world.exit_process("n1", "exit 1")
         world.run(3.0)
-        row = next(r for r in world.ask("status").body["instances"] if r["name"] == "n1")
+        row = next(r for r in world.request("status").body["instances"] if r["name"] == "n1")
         assert row["state"] == "stopped"
         assert "cannot be started; starts again in" in row["why"]
 
     def test_one_that_ignores_sigterm_is_killed(self) -> None:
         world = World()
         world.stubborn.add("n1")
-        world.ask("stop", "n1")
+        world.request("stop", "n1")
         world.run(1.5)
-        assert "n1" in world.machines
-        assert world.run(2.0, lambda: "n1" not in world.machines)
+        assert "n1" in world.forwarders
+        assert world.run(2.0, lambda: "n1" not in world.forwarders)
         assert "stop timed out" in [n.event for n in world.notes]
 
     def test_an_unresponsive_instance_is_reported_and_recovers(self) -> None:
         world = World()
-        world.machines["n2"].stopped = True
+        world.forwarders["n2"].suspended = True
         world.run(2.0)
-        rows = {r["name"]: r for r in world.ask("status").body["instances"]}
+        rows = {r["name"]: r for r in world.request("status").body["instances"]}
         assert rows["n2"]["state"] == "silent"
         assert "no answer for" in rows["n2"]["why"]
-        world.machines["n2"].stopped = False
+        world.forwarders["n2"].suspended = False
         world.run(0.3)
-        assert world.ask("status").body["ready"] == 3
+        assert world.request("status").body["ready"] == 3
 
     def test_one_that_was_drained_by_order_is_drained_again_after_a_crash(self) -> None:
         world = World()
-        world.ask("drain", "n1")
+        world.request("drain", "n1")
         world.run(0.5)
-        world.end("n1", "signal 11")
+        world.exit_process("n1", "signal 11")
         world.run(3.0)
-        assert world.machines["n1"].drained
-        world.ask("resume", "n1")
+        assert world.forwarders["n1"].drained
+        world.request("resume", "n1")
         world.run(0.5)
         assert world.ready() == 3
 
     def test_what_ended_while_no_agent_looked_starts_again(self) -> None:
         world = World()
-        world.end("n1", "?")
+        world.exit_process("n1", "?")
         world.begin()
         assert world.run(3.0, lambda: world.ready() == 3)
 
@@ -277,14 +277,14 @@
         # Guards rolls whose agent is killed again and again: each new one began to count anew, and one that
         # was stopped by SIGSTOP was never killed.
         world = World()
-        world.machines["n0"].stopped = True
-        world.ask("stop", "n0")
+        world.forwarders["n0"].suspended = True
+        world.request("stop", "n0")
         for _ in range(6):
             world.run(0.5)
             world.begin()
-        assert "n0" not in world.machines
+        assert "n0" not in world.forwarders
         world.run(3.0)
-        world.ask("start", "n0")
+        world.request("start", "n0")
         assert world.run(5.0, lambda: world.ready() == 3)
 
     def test_a_reused_pid_is_not_adopted(self) -> None:
@@ -295,7 +295,7 @@
         state = world.reducer.state.persistent()
         instances = tuple(other if x.name == "n1" else x for x in state.instances)
         fresh = World()
-        fresh.machines.clear()
+        fresh.forwarders.clear()
         fresh.reducer = type(fresh.reducer)(1)
         fresh.watched.clear()
         fresh.round([StateRestored(replace(state, instances=instances), ())])
@@ -306,16 +306,16 @@
         from juniperward.agent.events import InstanceAnswered
 
         before = world.reducer.state.instances["n1"]
-        reading = replace(world.reading(world.machines["n1"]), pid=1)
+        reading = replace(world.reading(world.forwarders["n1"]), pid=1)
         world.round([InstanceAnswered("n1", reading)])
         assert world.reducer.state.instances["n1"] == before
 
     def test_a_stopped_instance_stays_stopped_over_the_agents_death(self) -> None:
         world = World()
-        world.ask("stop", "n1")
+        world.request("stop", "n1")
         world.run(1.0)
         world.begin()
         world.run(3.0)
-        assert "n1" not in world.machines
+        assert "n1" not in world.forwarders
         assert world.reducer.state.instances["n1"].desired_state == DesiredState.STOPPED
         assert isinstance(world.reducer.state.instances["n1"], Instance)
--- a/tests/test_agent_replies.py
+++ b/tests/test_agent_replies.py
@@ -15,7 +15,7 @@
     world = World()
     world.configuration_version = "b"
     world.configure()
-    assert world.ask("roll").status == 200
+    assert world.request("roll").status == 200
     body = json.loads(msgspec.json.encode(views.status(world.reducer.state, world.now)))
     assert list(body) == ["edition", "instances", "ready", "wanted", "service", "roll"]
     assert list(body["service"]) == ["good", "bad", "share", "seconds"]
@@ -32,10 +32,10 @@
 
 def test_an_instance_without_an_answer_has_the_same_keys() -> None:
     world = World()
-    with_answer = world.ask("status").body["instances"][0]
-    world.end("n0", "signal 9")
+    with_answer = world.request("status").body["instances"][0]
+    world.exit_process("n0", "signal 9")
     world.step()
-    without_answer = world.ask("status").body["instances"][0]
+    without_answer = world.request("status").body["instances"][0]
     assert list(without_answer) == list(with_answer)
     assert without_answer["held"] is None and without_answer["state"] == "stopped"
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -60,7 +60,7 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.world = World()
-        self.world.machines["n2"].stopped = True
+        self.world.forwarders["n2"].suspended = True
         self.world.run(1.5)
 
     def agent(self, name: str, **more: Callable[[dict[str, Any]], tuple[int, Any]]) -> Path:
@@ -182,7 +182,7 @@
 
     def test_a_dry_run_prints_the_plan(self) -> None:
         def plan(body: dict[str, Any]) -> tuple[int, Any]:
-            return 200, self.world.ask(
+            return 200, self.world.request(
                 "roll", **{k: v for k, v in body["options"].items() if v is not None}
             ).body
 
