--- a/juniperward/agent/loop.py
+++ b/juniperward/agent/loop.py
@@ -111,7 +111,7 @@
             self.round(self._next_events(tick_at))
 
     def _next_events(self, until: float) -> list[Event]:
-        """Wait for an event until that time, and return all that are queued, within MAX_EVENTS_PER_ROUND."""
+        """Wait for an event until `until`; return those queued by then, at most MAX_EVENTS_PER_ROUND."""
         events: list[Event] = []
         try:
             events.append(self.events.get(timeout=max(until - time.monotonic(), 0.0)))
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -1,8 +1,8 @@
 """Starts and identifies the processes of instances, and manages their logs; the processes outlive the agent.
 
-A process is identified by its pid and its start time, as the kernel reuses pids. The environment of an instance's
-process has the variable JUNIPERWARD_INSTANCE with a mark for the agent's folder and the name of the instance. An
-agent uses it to find a process that an earlier agent started but did not record before it was killed.
+A process is identified by its pid and its start time, as the kernel reuses pids. In the environment of
+an instance's process, the variable JUNIPERWARD_INSTANCE holds a mark for the agent's folder and the instance's name.
+By it an agent finds a process that an earlier agent started but did not record before it was killed.
 """
 
 from __future__ import annotations
--- a/juniperward/agent/state_codec.py
+++ b/juniperward/agent/state_codec.py
@@ -1,6 +1,6 @@
 """Encodes the agent's state as JSON and decodes it.
 
-The keys of the state file never change. `STORED_NAMES` maps the fields of a class to keys where they differ.
+The keys of the state file must not change. `STORED_NAMES` maps the fields of a class to keys where they differ.
 """
 
 from __future__ import annotations
--- a/juniperward/agent/watch.py
+++ b/juniperward/agent/watch.py
@@ -99,7 +99,7 @@
                 time.sleep(UNANSWERED_POLL_INTERVAL_S)
             return
         if status.pid != process.pid:
-            # The socket belongs to another process, such as one started by hand or an earlier one that still exits.
+            # The socket belongs to another process, such as one started by hand or an earlier one.
             self.client.close()
             self.unanswered_since = self.unanswered_since if self.unanswered_since is not None else started_at
             self.post(
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -1,8 +1,7 @@
-"""A simulated machine for the agent's reducer: processes, disk and time, all in memory and all in its hands.
+"""A machine simulated in memory that drives the agent's reducer as the agent's loop does.
 
-`World.run` drives the real reducer as the agent's loop does. It can kill the agent before its n-th effect, fail
-or tear its n-th save, and take processes away; what was promised is asserted all the time: never two processes of
-an instance, never fewer ready ones than the floor.
+It can crash the agent before its n-th effect, fail or tear its n-th save, and make processes exit. It asserts that
+an instance never has two processes, and records the least number of ready instances.
 """
 
 from __future__ import annotations
@@ -49,12 +48,12 @@
 )  # fmt: skip
 
 
-class AgentDiedError(Exception):
-    """The agent's process is gone."""
+class AgentCrashedError(Exception):
+    """The agent crashed."""
 
 
 class Reply(NamedTuple):
-    """A reply to a client: its HTTP status, and the object that its JSON body holds."""
+    """A reply to a client: the HTTP status and the decoded JSON body."""
 
     status: int
     body: dict[str, Any]
@@ -62,59 +61,77 @@
 
 @dataclass
 class SimulatedForwarder:
-    """A forwarder's process as the machine has it."""
+    """The process of an instance; `suspended` means stopped by SIGSTOP."""
 
     process: Process
     configuration_version: str
-    born: float
+    started_at: float
     drained: bool = False
-    suspended: bool = False  # by SIGSTOP
-    term_at: float | None = None
+    suspended: bool = False
+    sigterm_at: float | None = None
     delivered: int = 0
 
 
 class World:
-    """Time, processes and the agent's disk."""
+    """The time, the processes and the disk of the machine, and the agent on it.
+
+    Attributes:
+        effect_count: The effects executed so far; `save_count` counts the saves among them.
+        forwarders: The running processes by instance name.
+        exit_reasons: The reason of the last exit by instance name.
+        broken_versions: Exit reasons by configuration version; processes of these versions exit soon after the start.
+        unspawnable: Instances whose process cannot be started.
+        ignoring_sigterm: Instances whose process ignores SIGTERM.
+        crash_before_effect: The agent crashes when this many effects are executed; None: never.
+        save_fails: Returns whether the save of this number fails, as on a full disk.
+        torn_save: The number of the save that writes half of the file and crashes the agent; None: none.
+        min_ready: The least number of ready instances so far.
+
+    """
 
     def __init__(self, names: tuple[str, ...] = ("n0", "n1", "n2"), seed: int = 1) -> None:
         self.names, self.seed = names, seed
-        self.now, self.pid, self.effects_done, self.saves = 1000.0, 100, 0, 0
+        self.now, self.last_pid, self.effect_count, self.save_count = 1000.0, 100, 0, 0
         self.forwarders: dict[str, SimulatedForwarder] = {}
-        self.disk, self.old = b"", b""  # the state file and the one before
+        self.exit_reasons: dict[str, str] = {}
+        self.state_file, self.previous_state_file = b"", b""
         self.replies: list[Reply] = []
-        self.notes: list[LogEvent] = []
+        self.log_events: list[LogEvent] = []
         self.configuration_version = "a"
-        self.broken_versions: dict[str, str] = {}  # edition to how its processes end at once
-        self.hopeless: set[str] = set()  # instances that cannot be spawned
-        self.stubborn: set[str] = set()  # ignore SIGTERM
-        self.die_at: int | None = None  # effect before which the agent dies
-        self.full: Callable[[int], bool] = lambda _: False
-        self.tear_at: int | None = None  # save that is cut off half way, with the agent's death
-        self.deaths = 0
-        self.least = len(names)
+        self.broken_versions: dict[str, str] = {}
+        self.unspawnable: set[str] = set()
+        self.ignoring_sigterm: set[str] = set()
+        self.crash_before_effect: int | None = None
+        self.save_fails: Callable[[int], bool] = lambda _: False
+        self.torn_save: int | None = None
+        self.agent_crashes = 0
+        self.min_ready = len(names)
         self.watched: dict[str, Process | None] = {}
-        self.unanswered: dict[str, float] = {}
-        self.begin()
+        self.unanswered_since: dict[str, float] = {}
+        self.start_agent()
         self.run(4.0)
-        assert self.ready() == len(names), self.notes
-        self.effects_done = self.saves = 0
-        self.least = len(names)
+        assert self.ready() == len(names), self.log_events
+        self.effect_count = self.save_count = 0
+        self.min_ready = len(names)
 
-    # --- the agent's life ------------------------------------------------------------------------------------
+    # --- the agent --------------------------------------------------------------------------------------------
 
-    def begin(self) -> None:
-        """A new agent's process, with nothing but the disk and what runs."""
+    def start_agent(self) -> None:
+        """Start a new agent, which knows only the state files and the running processes."""
         self.reducer = Reducer(self.seed)
         self.watched.clear()
-        self.unanswered.clear()
+        self.unanswered_since.clear()
         stored = PersistentState()
-        for text in (self.disk, self.old):
+        for text in (self.state_file, self.previous_state_file):
             try:
                 stored = state_codec.decode(text)
                 break
             except msgspec.DecodeError:
                 continue
-        running = tuple(RunningProcess(n, m.process, m.born) for n, m in sorted(self.forwarders.items()))
+        running = tuple(
+            RunningProcess(name, forwarder.process, forwarder.started_at)
+            for name, forwarder in sorted(self.forwarders.items())
+        )
         self.round([StateRestored(stored, running)])
         self.configure()
 
@@ -124,128 +141,136 @@
 
     def round(self, events: list[Event]) -> None:
         while events:
-            follow: list[Event] = []
+            outcomes: list[Event] = []
             for effect in self.reducer.reduce(self.now, events):
-                if self.die_at is not None and self.effects_done >= self.die_at:
-                    self.die_at = None
-                    raise AgentDiedError
-                self.effects_done += 1
-                follow += self.perform(effect)
-            events = follow
-
-    def perform(self, effect: Effect) -> list[Event]:
+                if self.crash_before_effect is not None and self.effect_count >= self.crash_before_effect:
+                    self.crash_before_effect = None
+                    raise AgentCrashedError
+                self.effect_count += 1
+                outcomes += self.execute(effect)
+            events = outcomes
+
+    def execute(self, effect: Effect) -> list[Event]:
         match effect:
             case SaveState(state=stored):
-                self.saves += 1
-                if self.full(self.saves):
+                self.save_count += 1
+                if self.save_fails(self.save_count):
                     return [StateSaved(stored, "No space left on device")]
                 text = state_codec.encode(stored)
-                if self.tear_at == self.saves:
-                    self.tear_at = None
-                    self.old, self.disk = self.disk, text[: len(text) // 2]
-                    raise AgentDiedError
-                self.old, self.disk = self.disk, text
+                if self.torn_save == self.save_count:
+                    self.torn_save = None
+                    self.previous_state_file, self.state_file = self.state_file, text[: len(text) // 2]
+                    raise AgentCrashedError
+                self.previous_state_file, self.state_file = self.state_file, text
                 return [StateSaved(stored)]
             case SpawnProcess(name=name, configuration_version=configuration_version):
-                if name in self.hopeless:
+                if name in self.unspawnable:
                     return [ProcessSpawned(name, configuration_version, None, "cannot be started")]
-                assert name not in self.forwarders, f"{name} runs already: started twice"
-                self.pid += 1
+                assert name not in self.forwarders, f"{name} is already running: started twice"
+                self.last_pid += 1
                 self.forwarders[name] = SimulatedForwarder(
-                    Process(self.pid, self.pid), configuration_version, self.now
+                    Process(self.last_pid, self.last_pid), configuration_version, self.now
                 )
                 return [ProcessSpawned(name, configuration_version, self.forwarders[name].process)]
             case SendSignal(name=name, process=process, signal=number):
-                m = self.forwarders.get(name)
-                if m is not None and m.process == process:
+                forwarder = self.forwarders.get(name)
+                if forwarder is not None and forwarder.process == process:
                     if number == signal.SIGKILL:
                         self.exit_process(name, "signal 9")
-                    elif name not in self.stubborn and m.term_at is None:
-                        m.term_at = self.now
+                    elif name not in self.ignoring_sigterm and forwarder.sigterm_at is None:
+                        forwarder.sigterm_at = self.now
             case SendOrder(name=name, verb=verb):
-                m = self.forwarders.get(name)
-                if m is not None and not m.suspended:
-                    m.drained = verb == "drain"
+                forwarder = self.forwarders.get(name)
+                if forwarder is not None and not forwarder.suspended:
+                    forwarder.drained = verb == "drain"
             case WatchInstance(name=name, process=watched):
                 self.watched[name] = watched
-                self.unanswered.pop(name, None)
+                self.unanswered_since.pop(name, None)
             case ReplyToClient(response=response):
                 self.replies.append(Reply(response.status, msgspec.to_builtins(response.body)))
             case LogEvent():
-                self.notes.append(effect)
+                self.log_events.append(effect)
         return []
 
     # --- the machine ------------------------------------------------------------------------------------------
 
-    def exit_process(self, name: str, how: str) -> None:
+    def exit_process(self, name: str, exit_reason: str) -> None:
         del self.forwarders[name]
-        self.ends = {**getattr(self, "ends", {}), name: how}
+        self.exit_reasons = {**self.exit_reasons, name: exit_reason}
 
     def ready(self) -> int:
         return sum(
-            self.now - m.born >= 0.3 and not m.drained and not m.suspended and m.term_at is None
-            for m in self.forwarders.values()
+            self.now - forwarder.started_at >= 0.3
+            and not forwarder.drained
+            and not forwarder.suspended
+            and forwarder.sigterm_at is None
+            for forwarder in self.forwarders.values()
         )
 
-    def reading(self, m: SimulatedForwarder) -> Reading:
-        up = self.now - m.born >= 0.3
+    def reading(self, forwarder: SimulatedForwarder) -> Reading:
+        is_up = self.now - forwarder.started_at >= 0.3
         return replace(
-            READY_READING, at=self.now, pid=m.process.pid, phase="drained" if m.drained else "serving",
-            ready=up and not m.drained, discovery_synced=up, delivered=m.delivered,
+            READY_READING, at=self.now, pid=forwarder.process.pid,
+            phase="drained" if forwarder.drained else "serving",
+            ready=is_up and not forwarder.drained, discovery_synced=is_up, delivered=forwarder.delivered,
         )  # fmt: skip
 
     def step(self, seconds: float = 0.1) -> None:
-        """Time passes; the machine's part of it, then the agent's."""
+        """Advance the time: update the processes, then run a round of the agent with the events that follow."""
         self.now += seconds
-        for name, m in list(self.forwarders.items()):
-            how = self.broken_versions.get(m.configuration_version)
-            if how is not None and self.now - m.born >= 0.1:
-                self.exit_process(name, how)
-            elif m.term_at is not None and not m.suspended and self.now - m.term_at >= 0.2:
+        for name, forwarder in list(self.forwarders.items()):
+            exit_reason = self.broken_versions.get(forwarder.configuration_version)
+            if exit_reason is not None and self.now - forwarder.started_at >= 0.1:
+                self.exit_process(name, exit_reason)
+            elif (
+                forwarder.sigterm_at is not None
+                and not forwarder.suspended
+                and self.now - forwarder.sigterm_at >= 0.2
+            ):
                 self.exit_process(name, "exit 0")
-            elif not m.drained and not m.suspended:
-                m.delivered += 3
+            elif not forwarder.drained and not forwarder.suspended:
+                forwarder.delivered += 3
         events: list[Event] = []
         for name, process in self.watched.items():
             if process is None:
                 continue
-            m2 = self.forwarders.get(name)
-            if m2 is None or m2.process != process:
-                events.append(ProcessExited(name, process, getattr(self, "ends", {}).get(name, "gone")))
-            elif m2.suspended:
-                since = self.unanswered.setdefault(name, self.now)
+            running = self.forwarders.get(name)
+            if running is None or running.process != process:
+                events.append(ProcessExited(name, process, self.exit_reasons.get(name, "gone")))
+            elif running.suspended:
+                since = self.unanswered_since.setdefault(name, self.now)
                 events.append(InstanceUnanswered(name, process, since, "no answer"))
             else:
-                self.unanswered.pop(name, None)
-                events.append(InstanceAnswered(name, self.reading(m2)))
+                self.unanswered_since.pop(name, None)
+                events.append(InstanceAnswered(name, self.reading(running)))
         try:
             self.round([*events, Tick()])
-        except AgentDiedError:
-            self.deaths += 1
+        except AgentCrashedError:
+            self.agent_crashes += 1
             self.now += 0.5
-            self.begin()
+            self.start_agent()
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Go on for so long, or until something holds; whether it does."""
+        """Advance the time until `until` holds or `seconds` have passed; return whether it holds."""
         end = self.now + seconds
         while self.now < end:
             if until():
                 return True
             self.step()
-            self.least = min(self.least, self.ready())
+            self.min_ready = min(self.min_ready, self.ready())
         return until()
 
-    # --- orders -----------------------------------------------------------------------------------------------
+    # --- requests ---------------------------------------------------------------------------------------------
 
     def request(self, verb: str, *names: str, **options: Any) -> Reply:
-        """The reply to an order; an agent that dies of it is started again and asked once more."""
+        """Return the reply to a request; if the agent crashes, restart it and send the request once more."""
         before = len(self.replies)
         for _ in range(2):
             try:
                 self.round([ControlRequest(1, verb, names, options)])
-            except AgentDiedError:
-                self.deaths += 1
-                self.begin()
+            except AgentCrashedError:
+                self.agent_crashes += 1
+                self.start_agent()
                 roll = self.reducer.state.roll
                 if verb == "roll" and roll is not None and not roll.over:
                     return Reply(200, {})
@@ -254,10 +279,10 @@
         return self.replies[-1] if len(self.replies) > before else Reply(504, {})
 
     @property
-    def mode(self) -> str:
+    def roll_mode(self) -> str:
         roll = self.reducer.state.roll
         return roll.mode.value if roll is not None else ""
 
-    def over(self) -> bool:
+    def roll_is_over(self) -> bool:
         roll = self.reducer.state.roll
         return roll is not None and roll.over
--- a/tests/test_agent_parts.py
+++ b/tests/test_agent_parts.py
@@ -1,4 +1,4 @@
-"""The agent's hands: its file, its processes, its API."""
+"""Tests the agent's state store, its processes, its API and its folder lock."""
 
 from __future__ import annotations
 
@@ -32,51 +32,51 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.store = StateStore(Path(folder.name))
-        self.one = PersistentState(
+        self.first = PersistentState(
             (Instance("a", DesiredState.RUNNING, Process(5, 6), 1.5, "e1"),), None, 3, "e1"
         )
-        self.two = PersistentState((), None, 4, "e2")
+        self.second = PersistentState((), None, 4, "e2")
 
     def test_state_is_loaded_as_it_was_saved(self) -> None:
         self.assertEqual(self.store.load(), (PersistentState(), []))
-        self.store.save(self.one)
-        self.assertEqual(self.store.load(), (self.one, []))
+        self.store.save(self.first)
+        self.assertEqual(self.store.load(), (self.first, []))
 
-    def test_a_file_torn_at_any_byte_gives_the_state_before(self) -> None:
-        self.store.save(self.one)
-        self.store.save(self.two)
+    def test_a_file_torn_at_any_byte_gives_the_previous_state(self) -> None:
+        self.store.save(self.first)
+        self.store.save(self.second)
         whole = self.store.file.read_bytes()
         for length in range(len(whole)):
             self.store.file.write_bytes(whole[:length])
-            found, told = self.store.load()
-            self.assertEqual((found, len(told)), (self.one, 1), length)
+            found, problems = self.store.load()
+            self.assertEqual((found, len(problems)), (self.first, 1), length)
 
     def test_a_flipped_bit_is_detected(self) -> None:
-        self.store.save(self.one)
-        self.store.save(self.two)
+        self.store.save(self.first)
+        self.store.save(self.second)
         whole = bytearray(self.store.file.read_bytes())
-        for place in range(len(whole)):
+        for offset in range(len(whole)):
             damaged = bytearray(whole)
-            damaged[place] ^= 1
+            damaged[offset] ^= 1
             self.store.file.write_bytes(damaged)
-            self.assertIn(self.store.load()[0], (self.one, self.two), place)
+            self.assertIn(self.store.load()[0], (self.first, self.second), offset)
 
-    def test_a_full_disk_at_any_step_leaves_the_state_before(self) -> None:
-        self.store.save(self.one)
+    def test_a_full_disk_at_any_step_keeps_the_previous_state(self) -> None:
+        self.store.save(self.first)
         for name in ("os.fsync", "os.replace", "io.open"):
             full = mock.patch(name, side_effect=OSError(28, "No space left on device"))
             with full, self.assertRaises(OSError):
-                self.store.save(self.two)
-            self.assertEqual(self.store.load()[0], self.one, name)
+                self.store.save(self.second)
+            self.assertEqual(self.store.load()[0], self.first, name)
 
-    def test_another_version_is_reported(self) -> None:
-        self.store.save(self.one)
+    def test_another_format_version_is_reported(self) -> None:
+        self.store.save(self.first)
         text = self.store.file.read_bytes()
         self.store.file.write_bytes(text.replace(b'"v":1', b'"v":9'))
         self.assertIn("version 9", self.store.load()[1][0])
 
-    def test_after_another_boot_no_process_is_known(self) -> None:
-        self.store.save(self.one)
+    def test_processes_are_dropped_after_a_reboot(self) -> None:
+        self.store.save(self.first)
         with mock.patch.object(store, "boot_id", return_value="other"):
             found, _ = self.store.load()
         self.assertIsNone(found.instances[0].process)
@@ -84,10 +84,10 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def child(self, *more: str, **environment: str) -> subprocess.Popen[bytes]:
+    def start_child(self, *arguments: str, **environment: str) -> subprocess.Popen[bytes]:
         code = "import sys; sys.stdin.read()"
         child = subprocess.Popen(
-            [sys.executable, "-c", code, *more], stdin=subprocess.PIPE, env={**os.environ, **environment}
+            [sys.executable, "-c", code, *arguments], stdin=subprocess.PIPE, env={**os.environ, **environment}
         )
         self.addCleanup(child.stdin.close)  # type: ignore[union-attr]
         self.addCleanup(child.wait)
@@ -95,7 +95,7 @@
         return child
 
     def test_a_reused_pid_is_neither_alive_nor_signalled(self) -> None:
-        child = self.child()
+        child = self.start_child()
         process = processes.identify(child.pid)
         assert process is not None
         self.assertTrue(processes.alive(process))
@@ -104,34 +104,34 @@
         self.assertFalse(processes.send_signal(other, signal.SIGKILL))
         self.assertIsNone(child.poll())
         self.assertTrue(processes.send_signal(process, signal.SIGKILL))
-        while (how := processes.reap(process)) is None:
+        while (exit_reason := processes.reap(process)) is None:
             pass
-        self.assertEqual(how, "signal 9")
+        self.assertEqual(exit_reason, "signal 9")
         self.assertEqual(processes.reap(process), "gone")
         self.assertFalse(processes.send_signal(process, signal.SIGTERM))
 
-    def test_a_start_time_is_on_this_clock(self) -> None:
+    def test_start_times_are_on_the_monotonic_clock(self) -> None:
         before = time.monotonic()
-        process = processes.identify(self.child().pid)
+        process = processes.identify(self.start_child().pid)
         assert process is not None
         self.assertAlmostEqual(processes.started_at(process), before, delta=2.0)
 
     def test_marked_processes_are_found_again(self) -> None:
-        child = self.child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}:n1"})
-        self.child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}x:n2"})
+        child = self.start_child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}:n1"})
+        self.start_child(**{INSTANCE_VARIABLE: f"/some/{os.getpid()}x:n2"})
         while not (found := processes.find_instances(f"/some/{os.getpid()}")):
             pass
         self.assertEqual({name: p.pid for name, p in found.items()}, {"n1": child.pid})
 
-    def test_logs_rotate_under_their_writer(self) -> None:
+    def test_logs_rotate_while_their_writer_keeps_them_open(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             launcher = Launcher(Path(name))
             file = launcher.log_file("a")
             file.parent.mkdir()
             self.assertFalse(launcher.rotate("a", 10, 2))
             with file.open("ab", buffering=0) as writer:
-                for n in range(4):
-                    writer.write(b"line %d of the log\n" % n)
+                for number in range(4):
+                    writer.write(b"line %d of the log\n" % number)
                     self.assertTrue(launcher.rotate("a", 10, 2))
                 writer.write(b"last\n")
             self.assertEqual(file.read_text(), "last\n")
@@ -156,24 +156,24 @@
         self.api.start()
         self.addCleanup(self.api.close)
 
-    def answer(self) -> None:
-        """Do the loop's part for one order."""
+    def run_one_round(self) -> None:
+        """Run one round of the loop with the next request."""
         event = self.loop.events.get(timeout=5.0)
         assert isinstance(event, ControlRequest)
         self.loop.round([event])
 
-    def test_orders_pass_through_the_loop(self) -> None:
+    def test_requests_pass_through_the_loop(self) -> None:
         import threading
 
-        thread = threading.Thread(target=self.answer)
+        thread = threading.Thread(target=self.run_one_round)
         thread.start()
         found = request(self.settings.socket, "status")
         thread.join()
         self.assertEqual((found["instances"], found["agent"]["name"]), ([], "cluster"))
 
-    def test_errors_are_reported(self) -> None:
+    def test_invalid_requests_are_rejected(self) -> None:
         path = self.settings.socket
-        for verb, names, status in (("dance", [], 404), ("logs", [], 400), ("inspect", ["n9"], 404),
+        for verb, names, status in (("unknown", [], 404), ("logs", [], 400), ("inspect", ["n9"], 404),
                                     ("logs", ["n9"], 404), ("reload", [], 400)):  # fmt: skip
             with self.subTest(verb), self.assertRaises(AgentRejectedError) as caught:
                 request(path, verb, names)
@@ -192,20 +192,22 @@
         self.assertEqual(caught.exception.status, 403)
 
     def test_an_agent_that_does_not_answer_is_one_row(self) -> None:
-        mute = self.folder / "mute.sock"
+        unresponsive = self.folder / "unresponsive.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
-            listener.bind(str(mute))
+            listener.bind(str(unresponsive))
             listener.listen(8)
-            began = time.monotonic()
-            told = request_all([self.settings.socket, mute, self.folder / "none"], "agent", timeout_s=0.5)
-            self.assertLess(time.monotonic() - began, 3.0)
+            started_at = time.monotonic()
+            rows = request_all(
+                [self.settings.socket, unresponsive, self.folder / "none"], "agent", timeout_s=0.5
+            )
+            self.assertLess(time.monotonic() - started_at, 3.0)
         self.assertEqual(
-            [(bool(t.error), t.unreachable) for t in told], [(False, False), (True, True), (True, True)]
+            [(bool(row.error), row.unreachable) for row in rows], [(False, False), (True, True), (True, True)]
         )
         with self.assertRaises(AgentUnreachableError):
             request(self.folder / "none", "agent", timeout_s=0.2)
 
-    def test_one_agent_a_fleet(self) -> None:
+    def test_a_second_agent_of_a_fleet_is_rejected(self) -> None:
         lock = lock_folder(self.settings.folder)
         with self.assertRaises(AgentRunningError):
             lock_folder(self.settings.folder)
--- a/tests/test_agent_reducer.py
+++ b/tests/test_agent_reducer.py
@@ -1,4 +1,4 @@
-"""The agent's decisions and its memory, in a simulated world: every death, every failed write, every crash."""
+"""Tests the agent's reducer on a simulated machine: requests, crashes, failed writes and restarts of the agent."""
 
 from __future__ import annotations
 
@@ -15,21 +15,25 @@
 from tests.agent_world import World
 
 
-def rolled(world: World) -> bool:
-    return {m.configuration_version for m in world.forwarders.values()} == {"b"}
+def running_versions(world: World) -> set[str]:
+    return {forwarder.configuration_version for forwarder in world.forwarders.values()}
+
+
+def all_run_version_b(world: World) -> bool:
+    return running_versions(world) == {"b"}
 
 
 def configure_or_restart(world: World) -> None:
-    """Load the new settings; if the agent dies on the way, count the death and start a new agent from disk."""
+    """Load the new settings; if the agent crashes, count the crash and start a new agent from the state file."""
     try:
         world.configure()
     except Exception:
-        world.deaths += 1
-        world.begin()
+        world.agent_crashes += 1
+        world.start_agent()
 
 
-def roll(world: World, **options: object) -> None:
-    """Settings change, and a roll to them is begun."""
+def start_roll(world: World, **options: object) -> None:
+    """Load settings of version b, and start a roll to it."""
     world.configuration_version = "b"
     world.configure()
     reply = world.request("roll", **options)
@@ -38,156 +42,156 @@
 
 class TestCrashes:
     def test_the_agent_may_crash_before_any_effect_of_a_roll(self, subtests: pytest.Subtests) -> None:
-        # One run tells how many effects a roll has; then the agent dies before each of them in turn, and a
-        # new one takes up what is on disk. No instance may be started twice or left out.
-        calm = World()
-        roll(calm)
-        assert calm.run(120.0, calm.over)
-        total = calm.effects_done
-        assert total > 40
-        for place in range(total):
-            with subtests.test(place=place):
+        # An undisturbed roll gives the number of effects; then the agent crashes before each of them in turn.
+        # A new agent must complete the roll without starting an instance twice or leaving one out.
+        undisturbed = World()
+        start_roll(undisturbed)
+        assert undisturbed.run(120.0, undisturbed.roll_is_over)
+        effect_count = undisturbed.effect_count
+        assert effect_count > 40
+        for effect_number in range(effect_count):
+            with subtests.test(effect_number=effect_number):
                 world = World()
                 world.configuration_version = "b"
-                world.die_at = place
+                world.crash_before_effect = effect_number
                 configure_or_restart(world)
                 assert world.request("roll").status == 200
-                assert world.run(120.0, world.over), world.notes[-5:]
-                assert (world.mode, world.deaths, rolled(world)) == ("done", 1, True)
-                assert world.least >= 2
+                assert world.run(120.0, world.roll_is_over), world.log_events[-5:]
+                assert (world.roll_mode, world.agent_crashes, all_run_version_b(world)) == ("done", 1, True)
+                assert world.min_ready >= 2
 
     def test_a_save_may_be_torn_at_any_point_of_a_roll(self, subtests: pytest.Subtests) -> None:
-        calm = World()
-        roll(calm)
-        calm.run(120.0, calm.over)
-        for place in range(1, calm.saves + 1):
-            with subtests.test(place=place):
+        undisturbed = World()
+        start_roll(undisturbed)
+        undisturbed.run(120.0, undisturbed.roll_is_over)
+        for save_number in range(1, undisturbed.save_count + 1):
+            with subtests.test(save_number=save_number):
                 world = World()
                 world.configuration_version = "b"
-                world.tear_at = place
+                world.torn_save = save_number
                 configure_or_restart(world)
                 reply = world.request("roll")
                 assert reply.status == 200, reply
-                if not world.run(120.0, lambda w=world: w.over() and rolled(w)):  # type: ignore[misc]
-                    # The roll itself was in the torn file: nobody was told that it was begun.
-                    pytest.fail(str((world.mode, world.notes[-5:])))
-                assert world.least >= 2
-
-    def test_a_full_disk_pauses_a_roll_and_a_resume_ends_it(self, subtests: pytest.Subtests) -> None:
-        calm = World()
-        roll(calm)
-        calm.run(120.0, calm.over)
-        for place in range(2, calm.saves + 1):
-            with subtests.test(place=place):
+                if not world.run(120.0, lambda w=world: w.roll_is_over() and all_run_version_b(w)):  # type: ignore[misc]
+                    pytest.fail(str((world.roll_mode, world.log_events[-5:])))
+                assert world.min_ready >= 2
+
+    def test_a_full_disk_pauses_a_roll_and_a_resume_completes_it(self, subtests: pytest.Subtests) -> None:
+        undisturbed = World()
+        start_roll(undisturbed)
+        undisturbed.run(120.0, undisturbed.roll_is_over)
+        for first_failed_save in range(2, undisturbed.save_count + 1):
+            with subtests.test(first_failed_save=first_failed_save):
                 world = World()
-                world.full = lambda n, p=place: n >= p  # type: ignore[misc]
+                world.save_fails = lambda number, first=first_failed_save: number >= first  # type: ignore[misc]
                 world.configuration_version = "b"
                 world.configure()
-                begun = world.request("roll")
-                if begun.status != 200:
-                    assert begun.status == 503
-                    assert {m.configuration_version for m in world.forwarders.values()} == {"a"}
-                    world.full = lambda _: False
+                reply = world.request("roll")
+                if reply.status != 200:
+                    assert reply.status == 503
+                    assert running_versions(world) == {"a"}
+                    world.save_fails = lambda _: False
                     assert world.request("roll").status == 200
-                    assert world.run(60.0, world.over)
+                    assert world.run(60.0, world.roll_is_over)
                     continue
-                world.run(30.0, world.over)
-                if not world.over():
-                    assert world.mode == "paused"
+                world.run(30.0, world.roll_is_over)
+                if not world.roll_is_over():
+                    assert world.roll_mode == "paused"
                     assert world.reducer.state.roll is not None
                     assert "No space left" in world.reducer.state.roll.reason
-                    world.full = lambda _: False
+                    world.save_fails = lambda _: False
                     world.run(3.0)
                     assert world.request("roll_resume").status == 200
-                assert world.run(60.0, lambda w=world: w.over() and rolled(w))  # type: ignore[misc]
-                assert world.least >= 2
+                assert world.run(60.0, lambda w=world: w.roll_is_over() and all_run_version_b(w))  # type: ignore[misc]
+                assert world.min_ready >= 2
 
     def test_orders_wait_until_the_step_is_on_disk(self) -> None:
         world = World()
         world.configuration_version = "b"
         world.configure()
         effects = world.reducer.reduce(world.now, [ControlRequest(7, "roll")])
-        save = [e for e in effects if isinstance(e, SaveState)][0]
-        assert not [e for e in effects if isinstance(e, SendOrder | SendSignal | SpawnProcess)]
+        save = [effect for effect in effects if isinstance(effect, SaveState)][0]
+        assert not [effect for effect in effects if isinstance(effect, SendOrder | SendSignal | SpawnProcess)]
         effects = world.reducer.reduce(world.now, [StateSaved(save.state)])
         assert (effects[-1].client if hasattr(effects[-1], "client") else 7) == 7
 
     @settings(derandomize=True, max_examples=40, deadline=None)
-    @given(st.lists(st.tuples(st.integers(0, 120), st.sampled_from(["die", "stop", "cont", "crash"]),
+    @given(st.lists(st.tuples(st.integers(0, 120), st.sampled_from(["restart agent", "suspend", "continue", "crash"]),
                               st.integers(0, 3)), max_size=8))  # fmt: skip
     def test_all_instances_recover_from_any_sequence_of_faults(
-        self, troubles: list[tuple[int, str, int]]
+        self, faults: list[tuple[int, str, int]]
     ) -> None:
         world = World(("n0", "n1", "n2", "n3"))
-        roll(world)
-        due = sorted(troubles)
+        start_roll(world)
+        sorted_faults = sorted(faults)
         for tick in range(150):
-            for at, what, number in due:
+            for at, fault, number in sorted_faults:
                 name = f"n{number}"
                 if at != tick or name not in world.forwarders:
                     continue
-                if what == "die":
-                    world.begin()
-                elif what == "crash":
+                if fault == "restart agent":
+                    world.start_agent()
+                elif fault == "crash":
                     world.exit_process(name, "signal 11")
                 else:
-                    world.forwarders[name].suspended = what == "stop"
+                    world.forwarders[name].suspended = fault == "suspend"
             world.step()
-        for m in world.forwarders.values():
-            m.suspended = False
-        world.run(40.0, world.over)
-        if world.mode == "paused":
+        for forwarder in world.forwarders.values():
+            forwarder.suspended = False
+        world.run(40.0, world.roll_is_over)
+        if world.roll_mode == "paused":
             world.request("roll_resume")
-        assert world.run(120.0, lambda: world.over() and world.ready() == 4), world.notes[-8:]
-        assert rolled(world)
+        assert world.run(120.0, lambda: world.roll_is_over() and world.ready() == 4), world.log_events[-8:]
+        assert all_run_version_b(world)
 
 
 class TestOrders:
     def test_a_second_roll_is_rejected_while_one_is_in_progress(self) -> None:
         world = World()
-        roll(world)
+        start_roll(world)
         second = world.request("roll")
         assert second.status == 409
         assert "roll r1 is under way" in second.body["error"]
-        assert world.run(60.0, world.over)
+        assert world.run(60.0, world.roll_is_over)
         assert world.request("roll").status == 200
 
     def test_a_dry_run_changes_nothing(self) -> None:
         world = World()
         reply = world.request("roll", dry_run=True)
-        assert [s["instance"] for s in reply.body["steps"]] == ["n0", "n1", "n2"]
+        assert [step["instance"] for step in reply.body["steps"]] == ["n0", "n1", "n2"]
         assert world.reducer.state.roll is None
 
     def test_rules_of_a_roll_are_checked(self, subtests: pytest.Subtests) -> None:
         world = World()
-        for options in ({"colour": 1}, {"at_once": "x"}, {"floor": -1}, {"floor": 3}, {"at_once": True}):
+        for options in ({"unknown": 1}, {"at_once": "x"}, {"floor": -1}, {"floor": 3}, {"at_once": True}):
             with subtests.test(options=options):
                 assert world.request("roll", **options).status == 409
         assert world.request("stop", "n9").status == 404
         assert world.request("roll_resume").status == 409
-        assert world.request("dance").status == 409
+        assert world.request("unknown").status == 409
 
-    def test_a_stop_amid_its_roll_leaves_the_instance_stopped(self) -> None:
+    def test_an_instance_stopped_during_its_roll_stays_stopped(self) -> None:
         world = World()
-        roll(world, floor=0)
+        start_roll(world, floor=0)
         world.run(0.3)
         world.request("stop", "n0")
-        assert world.run(60.0, world.over)
+        assert world.run(60.0, world.roll_is_over)
         world.run(3.0)
         assert "n0" not in world.forwarders
-        assert [m.configuration_version for _, m in sorted(world.forwarders.items())] == ["b", "b"]
+        versions = [forwarder.configuration_version for _, forwarder in sorted(world.forwarders.items())]
+        assert versions == ["b", "b"]
         world.request("start", "n0")
         assert world.run(5.0, lambda: world.ready() == 3)
 
-    def test_settings_that_change_amid_a_roll_wait_for_the_next(self) -> None:
+    def test_settings_changed_during_a_roll_apply_to_the_next_roll(self) -> None:
         world = World()
-        roll(world)
+        start_roll(world)
         world.run(1.0)
         world.configuration_version = "c"
         world.configure()
-        assert world.run(60.0, world.over)
-        assert {m.configuration_version for m in world.forwarders.values()} == {"b"}
-        changed = [n for n in world.notes if n.event == "settings changed"][-1]
+        assert world.run(60.0, world.roll_is_over)
+        assert running_versions(world) == {"b"}
+        changed = [event for event in world.log_events if event.event == "settings changed"][-1]
         assert changed.fields["goes_on_to"] == "b"
 
     def test_an_instance_removed_from_the_settings_is_stopped_and_removed(self) -> None:
@@ -199,22 +203,22 @@
         world.configure(("n0", "n1", "n4"))
         assert world.run(5.0, lambda: world.ready() == 3)
 
-    def test_a_configuration_version_whose_processes_crash_is_rolled_back_by_order(self) -> None:
+    def test_a_configuration_version_whose_processes_crash_is_rolled_back_on_request(self) -> None:
         world = World()
         world.broken_versions["b"] = "exit 2"
-        roll(world)
-        assert world.run(30.0, lambda: world.mode == RollMode.PAUSED)
+        start_roll(world)
+        assert world.run(30.0, lambda: world.roll_mode == RollMode.PAUSED)
         assert world.reducer.state.roll is not None
         assert "n0 failed to start: exited before it was ready: exit 2" in world.reducer.state.roll.reason
         assert world.request("roll_undo").status == 200
-        assert world.run(60.0, world.over)
+        assert world.run(60.0, world.roll_is_over)
         assert world.run(10.0, lambda: world.ready() == 3)
-        assert {m.configuration_version for m in world.forwarders.values()} == {"a"}
-        assert world.least >= 2
+        assert running_versions(world) == {"a"}
+        assert world.min_ready >= 2
 
 
 class TestSupervision:
-    def test_a_crashed_instance_restarts_and_a_crash_loop_is_failed(self) -> None:
+    def test_a_crashed_instance_restarts_and_a_crash_loop_is_marked_failed(self) -> None:
         world = World()
         world.exit_process("n1", "signal 11")
         assert world.run(3.0, lambda: world.ready() == 3)
@@ -222,41 +226,43 @@
         for name in list(world.forwarders):
             world.exit_process(name, "exit 1")
         world.run(40.0)
-        assert {world.reducer.phase_of(i) for i in world.reducer.state.instances.values()} == {Phase.FAILED}
+        assert {world.reducer.phase_of(instance) for instance in world.reducer.state.instances.values()} == {
+            Phase.FAILED
+        }
         world.broken_versions.clear()
         world.request("start")
         assert world.run(5.0, lambda: world.ready() == 3)
 
     def test_an_instance_that_cannot_be_spawned_is_reported(self) -> None:
         world = World()
-        world.hopeless.add("n1")
+        world.unspawnable.add("n1")
         world.exit_process("n1", "exit 1")
         world.run(3.0)
-        row = next(r for r in world.request("status").body["instances"] if r["name"] == "n1")
+        row = next(row for row in world.request("status").body["instances"] if row["name"] == "n1")
         assert row["state"] == "stopped"
         assert "cannot be started; starts again in" in row["why"]
 
-    def test_one_that_ignores_sigterm_is_killed(self) -> None:
+    def test_an_instance_that_ignores_sigterm_is_killed(self) -> None:
         world = World()
-        world.stubborn.add("n1")
+        world.ignoring_sigterm.add("n1")
         world.request("stop", "n1")
         world.run(1.5)
         assert "n1" in world.forwarders
         assert world.run(2.0, lambda: "n1" not in world.forwarders)
-        assert "stop timed out" in [n.event for n in world.notes]
+        assert "stop timed out" in [event.event for event in world.log_events]
 
     def test_an_unresponsive_instance_is_reported_and_recovers(self) -> None:
         world = World()
         world.forwarders["n2"].suspended = True
         world.run(2.0)
-        rows = {r["name"]: r for r in world.request("status").body["instances"]}
+        rows = {row["name"]: row for row in world.request("status").body["instances"]}
         assert rows["n2"]["state"] == "silent"
         assert "no answer for" in rows["n2"]["why"]
         world.forwarders["n2"].suspended = False
         world.run(0.3)
         assert world.request("status").body["ready"] == 3
 
-    def test_one_that_was_drained_by_order_is_drained_again_after_a_crash(self) -> None:
+    def test_a_drained_instance_is_drained_again_after_a_crash(self) -> None:
         world = World()
         world.request("drain", "n1")
         world.run(0.5)
@@ -267,21 +273,21 @@
         world.run(0.5)
         assert world.ready() == 3
 
-    def test_what_ended_while_no_agent_looked_starts_again(self) -> None:
+    def test_an_instance_that_exited_while_no_agent_ran_is_restarted(self) -> None:
         world = World()
         world.exit_process("n1", "?")
-        world.begin()
+        world.start_agent()
         assert world.run(3.0, lambda: world.ready() == 3)
 
-    def test_the_time_to_kill_outlasts_the_agent(self) -> None:
-        # Guards rolls whose agent is killed again and again: each new one began to count anew, and one that
-        # was stopped by SIGSTOP was never killed.
+    def test_the_stop_timeout_continues_after_a_restart_of_the_agent(self) -> None:
+        # If each new agent restarted the stop timeout, frequent restarts of the agent would keep a suspended
+        # process from ever being killed.
         world = World()
         world.forwarders["n0"].suspended = True
         world.request("stop", "n0")
         for _ in range(6):
             world.run(0.5)
-            world.begin()
+            world.start_agent()
         assert "n0" not in world.forwarders
         world.run(3.0)
         world.request("start", "n0")
@@ -289,11 +295,11 @@
 
     def test_a_reused_pid_is_not_adopted(self) -> None:
         world = World()
-        i = world.reducer.state.instances["n1"]
-        assert i.process is not None
-        other = replace(i, process=Process(i.process.pid, 1))
+        instance = world.reducer.state.instances["n1"]
+        assert instance.process is not None
+        other = replace(instance, process=Process(instance.process.pid, 1))
         state = world.reducer.state.persistent()
-        instances = tuple(other if x.name == "n1" else x for x in state.instances)
+        instances = tuple(other if stored.name == "n1" else stored for stored in state.instances)
         fresh = World()
         fresh.forwarders.clear()
         fresh.reducer = type(fresh.reducer)(1)
@@ -310,11 +316,11 @@
         world.round([InstanceAnswered("n1", reading)])
         assert world.reducer.state.instances["n1"] == before
 
-    def test_a_stopped_instance_stays_stopped_over_the_agents_death(self) -> None:
+    def test_a_stopped_instance_stays_stopped_after_a_restart_of_the_agent(self) -> None:
         world = World()
         world.request("stop", "n1")
         world.run(1.0)
-        world.begin()
+        world.start_agent()
         world.run(3.0)
         assert "n1" not in world.forwarders
         assert world.reducer.state.instances["n1"].desired_state == DesiredState.STOPPED
