--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -24,7 +24,7 @@
 INSTANCE_VARIABLE = "JUNIPERWARD_INSTANCE"
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# Bytes read from the end of a log for each line requested; lines longer than this may be missing.
+# Bytes read from the end of a log per requested line; if lines are longer on average, fewer are returned.
 TAIL_BYTES_PER_LINE = 400
 PRIVATE_FOLDER_MODE = 0o700
 
--- a/juniperward/agent/program.py
+++ b/juniperward/agent/program.py
@@ -31,7 +31,7 @@
     """Reloaded settings name another folder."""
 
     def __init__(self) -> None:
-        """Build the message."""
+        """Build the message, which says what to do instead."""
         super().__init__("folder: cannot change on a reload; restart the agent to use another folder")
 
 
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -90,7 +90,10 @@
     # --- destinations --------------------------------------------------------------------------------------
 
     def destination_views(self, destination: int) -> list[DestinationView]:
-        """Return the view of a destination from each ready instance that answers."""
+        """Return the view of a destination from each ready instance that answers.
+
+        The view of an instance that does not list the destination has the health `unknown`.
+        """
         found = []
         for report, slots in self._poll_all():
             row = report.destinations.get(destination)
--- a/juniperward/agent/start.py
+++ b/juniperward/agent/start.py
@@ -35,7 +35,7 @@
     """Log each fault of a settings file with its file, line and field."""
     log = structlog.get_logger()
     for fault in error.faults:
-        log.error("settings", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
+        log.error("settings invalid", file=fault.file, line=fault.line, field=fault.field, why=fault.text)
 
 
 def main(file: Path, as_json: bool | None = None) -> int:
