--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -115,7 +115,7 @@
             "agent": lambda _: _ok(self._agent_row()),
             "shutdown": self._shut_down,
         }
-        loop.reply_through(self._handle_reply)
+        loop.set_reply_function(self._handle_reply)
 
     def answer(self, verb: str, request: ApiRequest, user_id: int) -> ApiResponse:
         """Return the response to one request; `user_id` is the user of the client's process."""
