--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -12,7 +12,9 @@
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net import sockets
 
-FIRST_REQUEST_S = 2.0  # from connecting, in which the first request must begin, and during a stop be complete
+FIRST_REQUEST_TIMEOUT_S = (
+    2.0  # from connecting, in which the first request must begin, and during a stop be complete
+)
 REQUEST_S = 2.0  # from its first byte, in which a request must be complete
 IDLE_S = 10.0  # after which a connection without a request is closed
 LINGER_S = 0.2  # to read on after a rejection, or a reset could overtake it
@@ -37,15 +39,17 @@
         self.served = (
             False  # a request of it has been read; one not served has the wait for its first request
         )
-        self.close = False  # after the present answer, as the client asked for
+        self.close_after_answer = False  # after the present answer, as the client asked for
         self.evicted = False  # to be closed for the sake of other clients
         self.idle_since = time.monotonic()  # when it connected, or became idle after an answer
-        self.read_by = self.idle_since + FIRST_REQUEST_S  # when what is being read must be complete
+        self.read_deadline = (
+            self.idle_since + FIRST_REQUEST_TIMEOUT_S
+        )  # when what is being read must be complete
         self._kernel_limit_s = 0.0
 
     def receive(self, size: int) -> bytes:
-        """Read until `read_by` at most; raises TimeoutError or BlockingIOError after it."""
-        left_s = self.read_by - time.monotonic()
+        """Read until `read_deadline` at most; raises TimeoutError or BlockingIOError after it."""
+        left_s = self.read_deadline - time.monotonic()
         if left_s <= 0:
             raise TimeoutError
         if not left_s <= self._kernel_limit_s <= left_s + LIMIT_TOLERANCE_S:
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -79,12 +79,12 @@
         received_at = time.monotonic()
         client.served = True
         if request.path == MESSAGE_PATH and request.method == "POST":
-            client.close = request.close
+            client.close_after_answer = request.close
             self._serve_message(client, request, received_at)
         else:
             ready = self._state.ready and not self._state.stopping
             client.write(answer_page(request, ready, request.close or self._state.stopping))
-        if request.close or client.close or self._state.stopping:
+        if request.close or client.close_after_answer or self._state.stopping:
             client.linger()
             return False
         return True
@@ -97,13 +97,13 @@
             raise ConnectionClosedError
         if client.served:
             client.idle_since = time.monotonic()
-            client.read_by = client.idle_since + IDLE_S
+            client.read_deadline = client.idle_since + IDLE_S
         while not stream.buffer:
             stream.buffer += _receive_first(client)
         with client.lock:
             client.idle = False
         if client.served or not self._state.stopping:
-            client.read_by = time.monotonic() + REQUEST_S
+            client.read_deadline = time.monotonic() + REQUEST_S
 
     def _serve_message(self, client: ClientConnection, request: HttpRequest, received_at: float) -> None:
         """Have the reducer answer a message, or reject it here where the reducer does not answer in time."""
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -106,7 +106,7 @@
             case SetTimer(at=at, event=event):
                 self._timers.set_timer(at, event)
             case DrainClients(draining=draining):
-                self.server.close_connections(draining)
+                self.server.set_draining(draining)
             case _:
                 self._perform_for_endpoints(effect)
         return None
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -1,6 +1,6 @@
 """The listener for clients and their connections, a thread with a small stack each.
 
-The loop calls `answer`, `close_connections` and `has_finished`, the main thread `start`, `stop` and `close`. Messages
+The loop calls `answer`, `set_draining` and `has_finished`, the main thread `start`, `stop` and `close`. Messages
 go to the reducer by the `post` that the server is given.
 """
 
@@ -61,7 +61,7 @@
         self.state.ready = True
         self._accepting.start()
 
-    def close_connections(self, closing: bool) -> None:
+    def set_draining(self, closing: bool) -> None:
         """Have the ready page say no and answers end their connections, or neither any more."""
         self.state.ready = not closing
         self.state.closing = closing
@@ -110,8 +110,8 @@
                 status, retry_after_s = HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER_S
                 increment("clients_disconnected")
             if client.evicted or self.state.closing or self.state.stopping:
-                client.close = True
-            written = client.write(encode_reply(status, retry_after_s, client.close))
+                client.close_after_answer = True
+            written = client.write(encode_reply(status, retry_after_s, client.close_after_answer))
             client.answered.set()
         return written and not disconnected
 
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -220,7 +220,7 @@
                 shut(sock, how)
 
             client = ClientConnection(99, ours)
-            client.served, client.read_by = served, client.idle_since + 0.01
+            client.served, client.read_deadline = served, client.idle_since + 0.01
             with (
                 subtests.test(served=served),
                 mock.patch.object(client_session, "IDLE_S", 0.01),
@@ -248,14 +248,14 @@
         # of its 2 s, and was answered 408, as failed.
         sock = self.connect()
         client = self.client()
-        client.read_by = (
+        client.read_deadline = (
             client.idle_since + 60.0
         )  # the thread reads without an end; the time counts from the first byte
         sock.sendall(request("n1")[:10])
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        left = client.read_by - time.monotonic()
+        left = client.read_deadline - time.monotonic()
         assert client_connection.REQUEST_S - 1.0 < left <= client_connection.REQUEST_S, left
         sock.sendall(request("n1")[10:])
         assert read_response(Stream(sock.recv)).status == 202
@@ -269,7 +269,7 @@
         until = time.monotonic() + WAIT
         while client.idle and time.monotonic() < until:
             time.sleep(0)
-        assert client.read_by == client.idle_since + client_connection.FIRST_REQUEST_S
+        assert client.read_deadline == client.idle_since + client_connection.FIRST_REQUEST_TIMEOUT_S
 
 
 class TestKill(UsesResources):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -192,7 +192,7 @@
             True  # its call was read after we had shut its connection for others' sake
         )
         assert not server.answer(1, 202)
-        assert client.close
+        assert client.close_after_answer
         client.pending, client.evicted = True, False
         theirs.shutdown(socket.SHUT_WR)
         assert not server.answer(1, 202)
@@ -293,10 +293,10 @@
             self.resources.callback(theirs.close)
             theirs.sendall(sent)
             client = ClientConnection(1, ours)
-            client.read_by = client.idle_since + 0.05
+            client.read_deadline = client.idle_since + 0.05
             server._serve(client)
             assert theirs.recv(13) == told
-        assert client_connection.FIRST_REQUEST_S <= 2.5
+        assert client_connection.FIRST_REQUEST_TIMEOUT_S <= 2.5
 
 
 class TestEndpointClient(EndpointClientRig):
