--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -1,6 +1,7 @@
-"""One connection of a client: its state, and reads and writes within their time limits.
+"""The state of one client connection, and its reads and writes with their time limits.
 
-A thread of its own reads requests from it (`client_session.py`); the loop's thread writes answers (`server.py`).
+Each connection has a thread that reads its requests (`client_session.py`). The loop's thread writes the answers
+(`server.py`).
 """
 
 from __future__ import annotations
@@ -12,55 +13,67 @@
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net import sockets
 
-FIRST_REQUEST_TIMEOUT_S = (
-    2.0  # from connecting, in which the first request must begin, and during a stop be complete
-)
-REQUEST_S = 2.0  # from its first byte, in which a request must be complete
-IDLE_S = 10.0  # after which a connection without a request is closed
-LINGER_S = 0.2  # to read on after a rejection, or a reset could overtake it
-LINGER_BYTES = 262144  # to read on at most: some clients send 60 MB
+# The first byte of the first request must arrive within this time after the connection is accepted. While the
+# forwarder stops, the whole request must.
+FIRST_REQUEST_TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0  # from the first byte of a request to its last
+IDLE_TIMEOUT_S = 10.0  # between an answer and the next request
+# Before a connection is closed, unread input is discarded within these limits. A close with unread input resets the
+# connection, and the client may lose the answer.
+LINGER_TIMEOUT_S = 0.2
+MAX_LINGER_BYTES = 262144
 READ_BYTES = 16384
-# The kernel's time limit of a read is set a little longer than needed, and stays while it is close enough: one
-# system call fewer for most reads.
-LIMIT_SLACK_S = 0.02
-LIMIT_TOLERANCE_S = 0.05
+# SO_RCVTIMEO is set a little longer than needed and kept while it is close enough, which saves most reads a system
+# call.
+KERNEL_TIMEOUT_MARGIN_S = 0.02
+KERNEL_TIMEOUT_TOLERANCE_S = 0.05
 
 
 class ClientConnection:
-    """A connection of a client. `lock` guards `pending` and who writes."""
+    """A client's connection.
+
+    Attributes:
+        number: Identifies the connection in events and effects.
+        lock: Guards `pending` and changes of `idle`; whoever clears `pending` writes the answer.
+        answered: Set when the loop has written the answer to the pending message.
+        pending: Whether a message waits for the reducer's answer.
+        idle: Whether no request has begun since the last one was answered.
+        served: Whether a complete request has been read.
+        close_after_answer: Whether the answer that is written next ends the connection.
+        evicted: Whether the connection is being closed to make room for another.
+        idle_since: When the connection was accepted or became idle after an answer (monotonic seconds).
+        read_deadline: When the current wait for input ends (monotonic seconds).
+
+    """
 
     def __init__(self, number: int, sock: socket.socket) -> None:
-        """Begin with a socket that was just accepted."""
+        """Wrap a socket that was just accepted; the time limit of the first request begins now."""
         self.number, self.sock = number, sock
         self.lock = threading.Lock()
         self.answered = threading.Event()
-        self.pending = False  # a message of it waits for the reducer's answer
-        self.idle = True  # no request has begun
-        self.served = (
-            False  # a request of it has been read; one not served has the wait for its first request
-        )
-        self.close_after_answer = False  # after the present answer, as the client asked for
-        self.evicted = False  # to be closed for the sake of other clients
-        self.idle_since = time.monotonic()  # when it connected, or became idle after an answer
-        self.read_deadline = (
-            self.idle_since + FIRST_REQUEST_TIMEOUT_S
-        )  # when what is being read must be complete
-        self._kernel_limit_s = 0.0
+        self.pending = False
+        self.idle = True
+        self.served = False
+        self.close_after_answer = False
+        self.evicted = False
+        self.idle_since = time.monotonic()
+        self.read_deadline = self.idle_since + FIRST_REQUEST_TIMEOUT_S
+        self._kernel_timeout_s = 0.0
 
     def receive(self, size: int) -> bytes:
-        """Read until `read_deadline` at most; raises TimeoutError or BlockingIOError after it."""
-        left_s = self.read_deadline - time.monotonic()
-        if left_s <= 0:
+        """Return the next bytes, empty at end of input; raises TimeoutError or BlockingIOError at `read_deadline`."""
+        remaining_s = self.read_deadline - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError
-        if not left_s <= self._kernel_limit_s <= left_s + LIMIT_TOLERANCE_S:
-            self._kernel_limit_s = left_s + LIMIT_SLACK_S
-            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self._kernel_limit_s)
+        if not remaining_s <= self._kernel_timeout_s <= remaining_s + KERNEL_TIMEOUT_TOLERANCE_S:
+            self._kernel_timeout_s = remaining_s + KERNEL_TIMEOUT_MARGIN_S
+            sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, self._kernel_timeout_s)
         return self.sock.recv(size)
 
     def write(self, data: bytes) -> bool:
-        """Write a complete answer without blocking, or end the connection; return whether it was written.
+        """Write an answer without blocking and return whether all of it was written.
 
-        A client must not wait for the rest of an answer that is written in part.
+        Otherwise the connection is shut down, so that the client does not wait for the rest of a partial answer.
         """
         try:
             if self.sock.send(data, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL) == len(data):
@@ -72,21 +85,21 @@
         return False
 
     def end_reading(self) -> None:
-        """End reading after what has arrived: a request that crosses this is still answered."""
+        """Shut down the receiving side; a request that has already arrived is still read and answered."""
         sockets.shutdown(self.sock, socket.SHUT_RD)
 
     def linger(self) -> None:
-        """End writing, then read on a little: a close with bytes unread would reset the answer just written."""
+        """Shut down the sending side, then discard input for a short time so that a close does not reset it."""
         check_invariant(not self.pending, "no_close_before_an_answer")
         sockets.shutdown(self.sock, socket.SHUT_WR)
-        sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, LINGER_S)
-        until = time.monotonic() + LINGER_S
-        left_bytes = LINGER_BYTES
+        sockets.set_timeout(self.sock, socket.SO_RCVTIMEO, LINGER_TIMEOUT_S)
+        until = time.monotonic() + LINGER_TIMEOUT_S
+        remaining_bytes = MAX_LINGER_BYTES
         try:
-            while time.monotonic() < until and left_bytes > 0:
+            while time.monotonic() < until and remaining_bytes > 0:
                 data = self.sock.recv(READ_BYTES)
                 if not data:
                     return
-                left_bytes -= len(data)
+                remaining_bytes -= len(data)
         except OSError:
             pass
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -1,7 +1,7 @@
-"""The requests of one client connection, read one after another on its own thread, each answered once.
+"""Reads and answers the requests of a client connection, one at a time, on the connection's thread.
 
-A message goes to the reducer as `MessageReceived`; the loop writes its answer (`server.py`). Other requests are
-answered here.
+A message is posted to the reducer as `MessageReceived`, and the loop writes its answer (`server.py`). All other
+requests, and messages that the reducer does not answer in time, are answered here.
 """
 
 from __future__ import annotations
@@ -10,7 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from juniperward.forwarder.client_connection import IDLE_S, READ_BYTES, REQUEST_S, ClientConnection
+from juniperward.forwarder.client_connection import (
+    IDLE_TIMEOUT_S,
+    READ_BYTES,
+    REQUEST_TIMEOUT_S,
+    ClientConnection,
+)
 from juniperward.forwarder.codec import MESSAGE_PATH, UnreadableMessageError, decode_message, encode_reply
 from juniperward.forwarder.events import Event, MessageReceived
 from juniperward.forwarder.health_page import answer_page
@@ -28,29 +33,36 @@
 from juniperward.net.http_values import HttpRequest
 from juniperward.net.stream import Stream
 
-ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; the client waits for 0.4
-RETRY_AFTER_S = 1.0  # after which a client that was rejected here may come again
+ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; shorter than the 0.4 s that clients wait
+RETRY_AFTER_S = 1.0  # the Retry-After of rejections outside the reducer
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """The state of the process that all connections read."""
+    """The service's state, which all connections read.
+
+    Attributes:
+        ready: Whether the readiness check succeeds while the forwarder is not stopping.
+        stopping: Whether the process is shutting down.
+        draining: Whether each answer to a message ends its connection, so that clients connect elsewhere.
+
+    """
 
-    ready: bool = False  # the ready page says yes
+    ready: bool = False
     stopping: bool = False
-    closing: bool = False  # answers end their connections, so that clients connect elsewhere
+    draining: bool = False
 
 
 class ClientSessions:
-    """Serves connections; `serve` is called on a thread for each."""
+    """Serves client connections; `serve` is called on a separate thread for each connection."""
 
     def __init__(self, names: SettingsNames, state: ServiceState, post: Callable[[Event], None]) -> None:
-        """Post messages to the reducer; `names` are those of the settings."""
+        """Decode messages with the names of the settings, and submit them to the reducer with `post`."""
         self._names, self._state, self._post = names, state, post
 
     def serve(self, client: ClientConnection) -> None:
-        """Answer requests until the connection ends; the caller closes it."""
+        """Answer requests until the connection ends; the caller closes the socket."""
         stream = Stream(client.receive)
         try:
             while self._serve_next(client, stream):
@@ -64,7 +76,7 @@
             client.write(encode_reply(HttpStatus.INTERNAL_SERVER_ERROR, 0.0, True, "internal error"))
 
     def _serve_next(self, client: ClientConnection, stream: Stream) -> bool:
-        """Read one request and have it answered; return whether the connection stays open."""
+        """Read one request and wait until it is answered; return whether the connection stays open."""
         self._wait_for_request(client, stream)
         try:
             request = read_request(stream, lambda: client.sock.sendall(CONTINUE))
@@ -90,23 +102,23 @@
         return True
 
     def _wait_for_request(self, client: ClientConnection, stream: Stream) -> None:
-        """Wait for the first byte of a request; raises ConnectionClosedError where none comes."""
+        """Wait for the first byte of a request; raises ConnectionClosedError if the connection ends before it."""
         with client.lock:
             client.idle = True
         if self._state.stopping and client.served and not stream.buffer and sockets.is_reusable(client.sock):
             raise ConnectionClosedError
         if client.served:
             client.idle_since = time.monotonic()
-            client.read_deadline = client.idle_since + IDLE_S
+            client.read_deadline = client.idle_since + IDLE_TIMEOUT_S
         while not stream.buffer:
             stream.buffer += _receive_first(client)
         with client.lock:
             client.idle = False
         if client.served or not self._state.stopping:
-            client.read_deadline = time.monotonic() + REQUEST_S
+            client.read_deadline = time.monotonic() + REQUEST_TIMEOUT_S
 
     def _serve_message(self, client: ClientConnection, request: HttpRequest, received_at: float) -> None:
-        """Have the reducer answer a message, or reject it here where the reducer does not answer in time."""
+        """Submit a message to the reducer, and reject it if the reducer does not answer in time."""
         close = request.close or self._state.stopping
         try:
             message = decode_message(request, self._names)
@@ -123,7 +135,7 @@
         with client.lock:
             if not client.pending:
                 return
-            # An answer of the reducer that comes later finds nothing pending, and the message is withdrawn.
+            # `Server.answer` then returns False for a late answer of the reducer, and the message is withdrawn.
             client.pending = False
             increment("rejections_overdue")
             close = request.close or self._state.stopping
@@ -131,18 +143,18 @@
 
 
 def _reject(client: ClientConnection, status: int, text: str) -> None:
-    """Answer a request that cannot be read, and end the connection."""
+    """Reject a request that cannot be read, and prepare the connection for its close."""
     client.write(encode_reply(status, 0.0, True, text))
     client.linger()
 
 
 def _receive_first(client: ClientConnection) -> bytes:
-    """Return the first bytes of a request; raises ConnectionClosedError where none come."""
+    """Return the first bytes of a request; raises ConnectionClosedError at end of input or after the time limit."""
     try:
         data = client.receive(READ_BYTES)
     except (BlockingIOError, TimeoutError):
         increment("clients_idle" if client.served else "clients_without_request")
-        # A request may cross this: a close over it would reset the connection.
+        # A request may arrive now; closing with it unread would reset the connection.
         client.linger()
         raise ConnectionClosedError from None
     except ConnectionError as error:
--- a/juniperward/forwarder/client_table.py
+++ b/juniperward/forwarder/client_table.py
@@ -1,7 +1,7 @@
-"""The table of clients' connections: which one gets a place, and which one is evicted for it.
+"""The table of client connections, with admission and eviction.
 
-Used by `server.py` only. A table has `max_clients` places; connections that were evicted keep theirs until they are
-closed, up to `max_evicted` beside the table.
+The table holds `max_clients` connections. When it is full, a new connection evicts an idle one. Evicted connections
+stay in the table until they are closed, so it may exceed `max_clients` by up to `max_evicted`.
 """
 
 from __future__ import annotations
@@ -13,59 +13,60 @@
 from juniperward.forwarder.client_connection import ClientConnection
 from juniperward.forwarder.telemetry import increment
 
-# For how long a connection must have been idle to be evicted from a full table.
-MIN_IDLE_SERVED_S = 0.1  # after an answer
-MIN_IDLE_UNSERVED_S = 0.25  # before a first request
+# The idle time after which a connection may be evicted: since its last answer, or since it was accepted if no request
+# has been read.
+MIN_IDLE_SERVED_S = 0.1
+MIN_IDLE_UNSERVED_S = 0.25
 
 
 class ClientTable:
-    """Connections by number; any thread may call it."""
+    """Client connections by number; safe to call from any thread."""
 
     def __init__(self, max_clients: int, max_evicted: int) -> None:
-        """Begin empty; `max_evicted` is how many may be closing beside `max_clients`."""
+        """Create an empty table; up to `max_evicted` evicted connections are allowed beyond `max_clients`."""
         self.max_clients, self.max_evicted = max_clients, max_evicted
         self.clients: dict[int, ClientConnection] = {}
         self._lock = threading.Lock()
         self._last_number = 0
 
     def __len__(self) -> int:
-        """Return how many connections there are."""
+        """Return the number of connections, including evicted ones that are not closed yet."""
         with self._lock:
             return len(self.clients)
 
     def get(self, number: int) -> ClientConnection | None:
-        """Return a connection, None where it has been removed."""
+        """Return a connection by its number, or None if it is not in the table."""
         with self._lock:
             return self.clients.get(number)
 
     def all(self) -> list[ClientConnection]:
-        """Return all connections."""
+        """Return a snapshot of all connections."""
         with self._lock:
             return list(self.clients.values())
 
     def add(self, sock: socket.socket) -> tuple[ClientConnection, bool]:
-        """Return a connection for a socket, and whether it got a place."""
+        """Create a connection for a socket and return it with whether the table had room for it."""
         with self._lock:
             self._last_number += 1
             client = ClientConnection(self._last_number, sock)
-            has_place = self._has_place()
-            if has_place:
+            admitted = self._ensure_capacity()
+            if admitted:
                 self.clients[client.number] = client
         increment("clients_accepted")
-        return client, has_place
+        return client, admitted
 
     def remove(self, client: ClientConnection) -> None:
-        """Free a connection's place."""
+        """Remove a connection that has been closed."""
         with self._lock:
             self.clients.pop(client.number, None)
 
     def evict_one(self) -> bool:
-        """Have the connection close that has been idle for the longest; return whether there was one to evict."""
+        """Evict the connection that is the best candidate; return whether there was one."""
         with self._lock:
             return self._evict_one()
 
-    def _has_place(self) -> bool:
-        """Return whether another connection may be added, if need be after an eviction; the lock is held."""
+    def _ensure_capacity(self) -> bool:
+        """Return whether a connection may be added, evicting another if needed; the caller holds the lock."""
         count = len(self.clients)
         if count < self.max_clients:
             return True
@@ -78,7 +79,8 @@
         candidates = [client for client in self.clients.values() if _may_be_evicted(client, now)]
         if not candidates:
             return False
-        # A client that has been answered sends again elsewhere; the first request of another would have failed.
+        # Connections that have been served go first: their clients send again elsewhere, but the first request of an
+        # unserved connection would fail.
         client = min(candidates, key=lambda candidate: (not candidate.served, candidate.idle_since))
         client.evicted = True
         increment("clients_evicted")
--- a/juniperward/forwarder/control_output.py
+++ b/juniperward/forwarder/control_output.py
@@ -1,6 +1,6 @@
-"""The forwarder's output to its control channel: answers to requests, and the end of the process by an order.
+"""Executes the reducer's effects on the control channel: answers to its clients, and an ordered shutdown.
 
-Called by `effect_executor.py`; an answer gets the fields that only the process knows, not the reducer.
+Fields of an answer that the reducer does not know, such as the journal's size, are filled in here.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 class ControlChannelOutput(ControlOutput):
-    """Answers on the control channel, and shuts the process down as SIGTERM does."""
+    """Answers clients of the control channel, and shuts the process down with SIGTERM."""
 
     def __init__(
         self, control: ControlServer, executor: EffectExecutor, name: str, started_at: float
     ) -> None:
-        """Answer by a channel; `name` and `started_at` (Unix time) are those of the process."""
+        """Answer with `control`; status answers include `name` and `started_at` (the start's Unix time)."""
         self._control, self._executor = control, executor
         self._name, self._started_at = name, started_at
 
     def reply(self, client: int, answer: Answer) -> None:
-        """Answer a client of the channel."""
+        """Complete an answer and send it to a client of the control channel."""
         self._control.answer(client, replace(answer, body=self._complete(answer)))
 
     def _complete(self, answer: Answer) -> Body | None:
-        """Return the body with what the reducer does not know: the name, the journal's size, the spool's outcomes."""
+        """Return the answer's body with the process's name, the journal's size or the spool's outcomes filled in."""
         body = answer.body
         dead_letters = self._executor.dead_letters
         journal = self._executor.journal
@@ -46,5 +46,5 @@
         return body
 
     def begin_shutdown(self) -> None:
-        """Send SIGTERM to this process, for the main thread's handler."""
+        """Send SIGTERM to this process; the main thread's handler then shuts it down."""
         os.kill(os.getpid(), signal.SIGTERM)
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -1,7 +1,7 @@
-"""The listener for clients and their connections, a thread with a small stack each.
+"""The server for clients: a listener thread, and one thread with a small stack for each connection.
 
-The loop calls `answer`, `set_draining` and `has_finished`, the main thread `start`, `stop` and `close`. Messages
-go to the reducer by the `post` that the server is given.
+`answer`, `set_draining` and `has_finished` are called by the loop's thread; `start`, `stop` and `close` by the main
+thread.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 from juniperward.net.http_status import HttpStatus
 
 BACKLOG = 512
-ADMISSION_TIMEOUT_S = 0.5  # for the listener's thread to admit the connections that it has accepted
-ACCEPT_RETRY_S = 0.05  # after accepting has failed
+LISTENER_JOIN_TIMEOUT_S = 0.5
+ACCEPT_RETRY_DELAY_S = 0.05
 
 
 class Server:
-    """Owns the listener and every client connection."""
+    """Owns the listener and all client connections."""
 
     def __init__(
         self,
@@ -43,7 +43,19 @@
         post: Callable[[Event], None],
         max_closing_clients: int = MAX_CLOSING_CLIENTS,
     ) -> None:
-        """Bind and listen; no connection is accepted before `start`. Raises OSError."""
+        """Bind and listen; connections are accepted from `start` on.
+
+        Args:
+            listen: The address to bind; port 0 lets the system choose one.
+            names: The names of the settings, for decoding messages.
+            max_clients: The number of connections above which idle ones are evicted.
+            post: Submits an event to the reducer.
+            max_closing_clients: How many evicted connections may be open beyond `max_clients`.
+
+        Raises:
+            OSError: if the address cannot be bound.
+
+        """
         self.table = ClientTable(max_clients, max_closing_clients)
         self.state = ServiceState()
         self.sessions = ClientSessions(names, self.state, post)
@@ -54,20 +66,20 @@
         self.listener.bind(listen)
         self.listener.listen(BACKLOG)
 
-    # --- called by the loop and by the main thread ------------------------------------------------------
+    # --- called by the loop's thread and the main thread ------------------------------------------------
 
     def start(self) -> None:
-        """Begin to accept; the ready page says yes from here on."""
+        """Start accepting connections; from now on the readiness check succeeds."""
         self.state.ready = True
         self._accepting.start()
 
-    def set_draining(self, closing: bool) -> None:
-        """Have the ready page say no and answers end their connections, or neither any more."""
-        self.state.ready = not closing
-        self.state.closing = closing
+    def set_draining(self, draining: bool) -> None:
+        """Start or stop draining; while draining, the readiness check fails and answers end their connections."""
+        self.state.ready = not draining
+        self.state.draining = draining
 
     def stop(self) -> None:
-        """Close served connections once they are idle; new ones are still answered until `close`."""
+        """Close idle connections that have been served; first requests are still answered until `close`."""
         self.state.stopping = True
         for client in self.table.all():
             with client.lock:
@@ -75,7 +87,7 @@
                     client.end_reading()
 
     def close(self) -> None:
-        """Accept no more; connections in the kernel's backlog are still answered, a close would reset them."""
+        """Close the listener, after accepting what waits in its backlog: its close would reset those connections."""
         self.listener.setblocking(False)
         with contextlib.suppress(OSError):
             while True:
@@ -84,19 +96,19 @@
         sockets.shutdown(self.listener)
         self.listener.close()
         if self._accepting.is_alive():
-            # Until it has ended, a connection that it has accepted may be missing in the table.
-            self._accepting.join(ADMISSION_TIMEOUT_S)
+            # The thread may have accepted a connection that is not in the table yet.
+            self._accepting.join(LISTENER_JOIN_TIMEOUT_S)
         self._closed = True
 
     def has_finished(self) -> bool:
-        """Return whether the listener is closed and no client is connected."""
+        """Return whether the listener is closed and all connections are closed."""
         return self._closed and not len(self.table)
 
     def answer(self, number: int, status: int, retry_after_s: float = 0.0) -> bool:
-        """Write the answer to a client's pending message; return whether the client got it.
+        """Answer a client's pending message and return whether the answer was written as given.
 
-        A client whose sending has ended, by itself or by an eviction, gets 503: no message is accepted from a client
-        that may be gone.
+        A client that was evicted or has ended its side of the connection gets status 503 instead, because no message
+        may be accepted from a client that may be gone.
         """
         client = self.table.get(number)
         if client is None:
@@ -109,7 +121,7 @@
             if disconnected:
                 status, retry_after_s = HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER_S
                 increment("clients_disconnected")
-            if client.evicted or self.state.closing or self.state.stopping:
+            if client.evicted or self.state.draining or self.state.stopping:
                 client.close_after_answer = True
             written = client.write(encode_reply(status, retry_after_s, client.close_after_answer))
             client.answered.set()
@@ -125,9 +137,9 @@
                 if self.listener.fileno() < 0 or self.state.stopping:
                     return
                 increment("accepts_failed")
-                log("listener", "accept failed", error=error)
-                self.table.evict_one()  # mostly for want of descriptors
-                time.sleep(ACCEPT_RETRY_S)
+                log("listener", "accept failed; retrying", error=error)
+                self.table.evict_one()  # frees a descriptor: running out of them is the usual cause
+                time.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             self._admit_or_close(sock)
 
@@ -139,10 +151,10 @@
             sock.close()
 
     def _admit(self, sock: socket.socket) -> None:
-        """Serve a connection on a thread, or reject it where the table is full."""
+        """Start a thread that serves a connection, or reject the connection if the table is full."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client, has_place = self.table.add(sock)
-        if not has_place:
+        client, admitted = self.table.add(sock)
+        if not admitted:
             increment("rejections_connections")
             _reject_connection(client)
             sock.close()
@@ -158,7 +170,7 @@
         try:
             self.sessions.serve(client)
         finally:
-            # Closed before its place is given to another connection, or both would hold a descriptor.
+            # The socket is closed first, so that connections in the table bound the number of open descriptors.
             client.sock.close()
             self.table.remove(client)
 
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -223,7 +223,7 @@
             client.served, client.read_deadline = served, client.idle_since + 0.01
             with (
                 subtests.test(served=served),
-                mock.patch.object(client_session, "IDLE_S", 0.01),
+                mock.patch.object(client_session, "IDLE_TIMEOUT_S", 0.01),
                 mock.patch("juniperward.net.sockets.shutdown", crossed),
             ):
                 self.server._serve(client)
@@ -256,7 +256,7 @@
         while client.idle and time.monotonic() < until:
             time.sleep(0)
         left = client.read_deadline - time.monotonic()
-        assert client_connection.REQUEST_S - 1.0 < left <= client_connection.REQUEST_S, left
+        assert client_connection.REQUEST_TIMEOUT_S - 1.0 < left <= client_connection.REQUEST_TIMEOUT_S, left
         sock.sendall(request("n1")[10:])
         assert read_response(Stream(sock.recv)).status == 202
 
