--- a/juniperward/benchmarks/reducer_rig.py
+++ b/juniperward/benchmarks/reducer_rig.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from juniperward.forwarder.discovery_stream import JsonObjects
+from juniperward.forwarder.discovery_stream import JsonObjectParser
 from juniperward.forwarder.effects import AcceptMessage, Effect, SetTimer, StartAttempt
 from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import (
@@ -72,7 +72,7 @@
 
     def receive_list(self) -> None:
         """Receive the complete list, as it comes over a watch."""
-        objects = JsonObjects()
+        objects = JsonObjectParser()
         for first in range(0, len(self.list_text), READ_SIZE):
             for value in objects.feed(self.list_text[first : first + READ_SIZE]):
                 update = read_endpoint_list_update(value, NAMES)
--- a/juniperward/forwarder/discovery_stream.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -31,7 +31,7 @@
         super().__init__("an object that breaks off")
 
 
-class JsonObjects:
+class JsonObjectParser:
     """Collects objects of one line or of several; an empty line between two of them is a heartbeat."""
 
     def __init__(self) -> None:
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -15,7 +15,7 @@
 
 from juniperward.forwarder.address import format_address
 from juniperward.forwarder.discovery_address import AddressChangedError, ConnectionUse, DiscoveryAddress
-from juniperward.forwarder.discovery_stream import JsonObjects
+from juniperward.forwarder.discovery_stream import JsonObjectParser
 from juniperward.forwarder.endpoint_list_codec import read_endpoint_list_update
 from juniperward.forwarder.events import EndpointsUpdated, Event, WatchLost
 from juniperward.forwarder.settings_names import SettingsNames
@@ -130,7 +130,7 @@
         increment("watches_begun")
         self._answered_at = time.monotonic()
         reader.restart()  # after `_answered_at`: a stream without a byte behind its head was established
-        objects = JsonObjects()
+        objects = JsonObjectParser()
         for chunk in read_chunks(stream):
             was_between_objects = not objects.begun
             complete = objects.feed(chunk)
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from juniperward.forwarder.discovery_stream import MAX_OBJECT_BYTES, JsonObjects
+from juniperward.forwarder.discovery_stream import MAX_OBJECT_BYTES, JsonObjectParser
 
 ROWS: list[Any] = [
     {
@@ -21,7 +21,7 @@
 
 
 def feed(text: bytes, *cuts: int) -> list[Any]:
-    objects, found = JsonObjects(), []
+    objects, found = JsonObjectParser(), []
     for first, last in zip((0, *cuts), (*cuts, len(text)), strict=True):
         found += objects.feed(text[first:last])
     return found
@@ -51,7 +51,7 @@
 
 
 def test_an_endless_object_is_not_buffered() -> None:
-    objects = JsonObjects()
+    objects = JsonObjectParser()
     with pytest.raises(ValueError):
         for _ in range(MAX_OBJECT_BYTES // 65536 + 2):
             objects.feed(b'"' + b"x" * 65536)
