--- a/juniperward/forwarder/discovery_address.py
+++ b/juniperward/forwarder/discovery_address.py
@@ -1,6 +1,7 @@
-"""The address of discovery and the platform, which may change while connections to it are open.
+"""The address that discovery and the platform share, which may change while connections to it are open.
 
-`discovery_client.py` changes it by the loop's thread; the watch and the sender of notifications connect by it.
+The loop's thread changes it (`discovery_client.py`); the threads of the watch and of the notification sender open
+connections to it.
 """
 
 from __future__ import annotations
@@ -13,32 +14,38 @@
 
 
 class ConnectionUse(Enum):
-    """What a connection to the address is for; there is one of each at a time."""
+    """The purpose of a connection to the address; at most one connection of each is open."""
 
     WATCH = "watch"
     NOTIFICATIONS = "notifications"
 
 
 class AddressChangedError(Exception):
-    """The address changed before a connection to the former one was established."""
+    """The address changed before a connection to the previous one was established."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("discovery has moved")
+        """Create the error with its message."""
+        super().__init__("discovery address changed")
 
 
 class DiscoveryAddress:
-    """The present address, and the open connections to it by their use; any thread may call it."""
+    """The current address and the sockets opened for it; safe to use from any thread.
+
+    Attributes:
+        address: The current host and port.
+        epoch: The number of address changes; tells requests and events of different addresses apart.
+
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Begin with an address."""
+        """Start with an address, in epoch 0."""
         self.address = address
-        self.epoch = 0  # how often the address has changed
+        self.epoch = 0
         self._lock = threading.Lock()
         self._sockets: dict[ConnectionUse, socket.socket] = {}
 
     def change(self, address: tuple[str, int], epoch: int) -> None:
-        """Set the address, and end the connections to the former one, also those that are being established."""
+        """Set the address and its epoch, and shut down open and pending connections to the previous address."""
         with self._lock:
             self.address, self.epoch = address, epoch
             for sock in self._sockets.values():
@@ -47,11 +54,11 @@
     def open_socket(
         self, use: ConnectionUse, epoch: int | None = None
     ) -> tuple[socket.socket, tuple[str, int]]:
-        """Return a new socket that `change` will shut down, and the address to connect it to.
+        """Return a new unconnected socket, which `change` shuts down, and the address to connect it to.
 
         Raises:
-            AddressChangedError: where `epoch` is given and is not the present one any more.
-            OSError: where there is no descriptor.
+            AddressChangedError: if `epoch` is given and is no longer current.
+            OSError: if no socket can be created.
 
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/juniperward/forwarder/discovery_client.py
+++ b/juniperward/forwarder/discovery_client.py
@@ -1,6 +1,6 @@
-"""Discovery as the loop sees it: the watch on the endpoint list, and notifications, which go to the same address.
+"""The loop's client of discovery: the watch on the endpoint list, and notifications to the platform.
 
-Called by `effect_executor.py`; updates, the end of a watch and acknowledgements come back as events by `post`.
+Both use the same address. Endpoint list updates, the end of a watch and acknowledgements are posted as events.
 """
 
 from __future__ import annotations
@@ -16,27 +16,34 @@
 
 
 class DiscoveryClient:
-    """Owns the watch and the sender of notifications, a thread each."""
+    """Owns the discovery watch and the notification sender, each with its own thread."""
 
     def __init__(self, address: tuple[str, int], names: SettingsNames, post: Callable[[Event], None]) -> None:
-        """Begin at an address; no connection is opened before `start`."""
+        """Create the client for an address.
+
+        Args:
+            address: The host and port of discovery and the platform.
+            names: The names of the settings, for reading endpoint lists.
+            post: Submits an event to the reducer.
+
+        """
         self.address = DiscoveryAddress(address)
         self.watcher = DiscoveryWatch(self.address, names, post)
         self.notifications = NotificationSender(self.address, post)
 
     def start(self) -> None:
-        """Start the threads, which wait for work."""
+        """Start both threads; they open connections only on request."""
         self.watcher.start_thread()
         self.notifications.start_thread()
 
     def watch(self, version: int, epoch: int) -> None:
-        """Watch for changes after a version; `WatchLost` reports the end."""
+        """Start a watch for changes after a version; `WatchLost` is posted when it ends."""
         self.watcher.request(version, epoch)
 
     def change_address(self, address: tuple[str, int], epoch: int) -> None:
-        """End what is open to the former address; notifications without acknowledgement go to the new one."""
+        """Close connections to the previous address; unacknowledged notifications are sent to the new one."""
         self.address.change(address, epoch)
 
     def notify(self, notifications: tuple[OutcomeNotification, ...]) -> None:
-        """Send notifications until they are acknowledged."""
+        """Queue notifications; each is sent until the platform has acknowledged it."""
         self.notifications.send(notifications)
--- a/juniperward/forwarder/discovery_stream.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -1,6 +1,6 @@
-"""The JSON objects of discovery's stream, in any layout and cut at any byte. No I/O.
+"""An incremental parser for the JSON objects of discovery's stream; it does no I/O.
 
-`discovery_watch.py` feeds the chunks of the stream in, and gets the objects that they complete.
+Objects may be formatted in any way and be split between chunks at any byte.
 """
 
 from __future__ import annotations
@@ -9,51 +9,57 @@
 import re
 from typing import Any
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # some 10,000 servers, indented
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON has no line end inside a string
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # about 10,000 servers in indented JSON
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string contains no line break
 DECODER = json.JSONDecoder()
 
 
 class ObjectTooLargeError(ValueError):
-    """An object is larger than an endpoint list can be; `max_bytes` is the limit."""
+    """A JSON object is larger than `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Name the limit."""
-        super().__init__(f"an object of more than {max_bytes} bytes")
+        """Create the error for a limit."""
+        super().__init__(f"JSON object is larger than {max_bytes} bytes")
         self.max_bytes = max_bytes
 
 
-class BrokenObjectError(ValueError):
-    """An object is not complete, and an empty line follows."""
+class IncompleteObjectError(ValueError):
+    """An empty line arrived inside a JSON object."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("an object that breaks off")
+        """Create the error with its message."""
+        super().__init__("JSON object is not complete before an empty line")
 
 
 class JsonObjectParser:
-    """Collects objects of one line or of several; an empty line between two of them is a heartbeat."""
+    """Splits a stream into JSON objects, each of one or more lines; empty lines between objects are heartbeats."""
 
     def __init__(self) -> None:
-        """Begin between two objects."""
-        self._lines: list[bytes] = []  # the complete lines of an object that is not complete
-        self._depth = 0  # of braces that are open in them
-        self._size = 0  # of them, in bytes
+        """Create a parser at the start of a stream."""
+        # The complete lines of the partial object, their number of unclosed braces, and their total size.
+        self._lines: list[bytes] = []
+        self._open_brace_count = 0
+        self._size_bytes = 0
         self._partial_line = b""
 
     @property
-    def begun(self) -> bool:
-        """Whether an object has begun that is not complete."""
+    def has_partial_object(self) -> bool:
+        """Whether the input so far ends inside an object."""
         return bool(self._lines or self._partial_line)
 
     def feed(self, data: bytes) -> list[Any]:
-        """Return the objects that these bytes complete; raises ValueError for bytes that are not JSON."""
+        """Add bytes and return the objects that they complete.
+
+        Raises:
+            ValueError: if the input is not valid JSON, or an object is too large or incomplete.
+
+        """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         complete: list[Any] = []
         for line in lines:
             complete += self._add_line(line)
         complete += self._decode_partial_line()
-        if self._size + len(self._partial_line) > MAX_OBJECT_BYTES:
+        if self._size_bytes + len(self._partial_line) > MAX_OBJECT_BYTES:
             raise ObjectTooLargeError(MAX_OBJECT_BYTES)
         return complete
 
@@ -61,45 +67,45 @@
         """Add a line and return the objects that it completes."""
         if not line.strip():
             if self._lines:
-                raise BrokenObjectError
+                raise IncompleteObjectError
             return []
         self._lines.append(line)
-        self._size += len(line)
-        self._depth += _open_braces(line)
-        if self._depth > 0:
+        self._size_bytes += len(line)
+        self._open_brace_count += _count_open_braces(line)
+        if self._open_brace_count > 0:
             return []
         text = b"".join(self._lines)
         self._clear()
         return _decode(text)
 
     def _decode_partial_line(self) -> list[Any]:
-        """Return the objects that end without a line end, which may be as far away as the next heartbeat."""
+        """Return objects that end in the partial line: its line break may arrive only with the next heartbeat."""
         if not self._partial_line.rstrip().endswith(b"}"):
             return []
-        if self._depth + _open_braces(self._partial_line) != 0:
+        if self._open_brace_count + _count_open_braces(self._partial_line) != 0:
             return []
         try:
             complete = _decode(b"".join((*self._lines, self._partial_line)))
         except ValueError:
-            return []  # the brace is inside a string that is not complete
+            return []  # the last brace is inside an incomplete string
         self._clear()
         self._partial_line = b""
         return complete
 
     def _clear(self) -> None:
         self._lines = []
-        self._depth = 0
-        self._size = 0
+        self._open_brace_count = 0
+        self._size_bytes = 0
 
 
-def _open_braces(line: bytes) -> int:
-    """Return how many braces of a line are open at its end; negative where it closes earlier ones."""
-    without_strings = STRING.sub(b"", line)
+def _count_open_braces(line: bytes) -> int:
+    """Return the number of opening minus closing braces in a line, ignoring those in strings."""
+    without_strings = JSON_STRING.sub(b"", line)
     return without_strings.count(b"{") - without_strings.count(b"}")
 
 
 def _decode(data: bytes) -> list[Any]:
-    """Return the objects of a text, one after another; raises ValueError."""
+    """Return the consecutive JSON values of a text; raises ValueError if it is not valid JSON."""
     text = data.decode().strip()
     position = 0
     objects = []
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -1,7 +1,7 @@
-"""The watch on discovery's endpoint list: one stream at a time, on a thread of its own.
+"""Watches discovery's endpoint list over one HTTP stream at a time, on a separate thread.
 
-`discovery_client.py` requests a watch from a version on; each update of the stream is posted as `EndpointsUpdated`,
-the stream's end as `WatchLost`.
+Each update of the stream is posted as `EndpointsUpdated`, and its end as `WatchLost`. The reducer then requests the
+next watch.
 """
 
 from __future__ import annotations
@@ -27,22 +27,23 @@
 from juniperward.net.http_status import HttpStatus
 from juniperward.net.stream import Stream
 
-# After which a watch has ended that sent no bytes, or no complete object: discovery sends a line every 2 s. The dial
-# and the head of the answer have as long together: docs/design/discovery-deadline.md adds up the worst cases.
+# A watch ends when for this time no object is completed and no byte arrives between objects; discovery sends a line
+# every 2 s. The same limit covers the dial and the response head together. The worst cases are added up in
+# docs/design/discovery-deadline.md.
 STREAM_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_S = 1.0
 
 
 class WatchError(Exception):
-    """A watch cannot be started, or ended."""
+    """A watch could not be started, or its stream ended."""
 
 
 class WatchRejectedError(WatchError):
-    """Discovery answered with something else than a stream; `status` is that of the answer."""
+    """Discovery's response was not a chunked stream; `status` is its HTTP status."""
 
     def __init__(self, status: int) -> None:
-        """Name the status."""
-        super().__init__(f"it was answered {status}")
+        """Create the error for a response's status."""
+        super().__init__(f"discovery answered with status {status} instead of a stream")
         self.status = status
 
 
@@ -50,47 +51,47 @@
     """Discovery ended the stream."""
 
     def __init__(self) -> None:
-        """Describe it."""
-        super().__init__("it came to its end")
+        """Create the error with its message."""
+        super().__init__("discovery ended the stream")
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """A watch for changes after a version, on the address of an epoch."""
+    """A request to watch for changes after a version, valid for the address of one epoch."""
 
     version: int
     epoch: int
 
 
 class DiscoveryWatch:
-    """Posts updates of the endpoint list, and `WatchLost` at the end of each watch."""
+    """Runs the requested watches; posts endpoint list updates, and `WatchLost` at the end of each watch."""
 
     def __init__(
         self, address: DiscoveryAddress, names: SettingsNames, post: Callable[[Event], None]
     ) -> None:
-        """Connect to an address at each request; `names` are those of the settings."""
+        """Watch discovery at an address; `names` are those of the settings, for reading endpoint lists."""
         self._address, self._names, self._post = address, names, post
         self._requests: queue.SimpleQueue[WatchRequest] = queue.SimpleQueue()
-        self._answered_at = math.inf  # of the present watch
+        self._streaming_since = math.inf  # when the current watch received its response head
 
     def start_thread(self) -> None:
-        """Start the thread that serves requests."""
+        """Start the thread that runs requested watches."""
         threading.Thread(target=self._work, name="discovery", daemon=True).start()
 
     def request(self, version: int, epoch: int) -> None:
-        """Have the thread watch for changes after a version."""
+        """Queue a watch for changes after a version."""
         self._requests.put(WatchRequest(version, epoch))
 
     def _work(self) -> None:
         while True:
             request = self._requests.get()
-            self._answered_at = math.inf
+            self._streaming_since = math.inf
             self._watch(request)
-            established = time.monotonic() - self._answered_at >= STREAM_TIMEOUT_S
+            established = time.monotonic() - self._streaming_since >= STREAM_TIMEOUT_S
             self._post(WatchLost(request.epoch, established))
 
     def _watch(self, request: WatchRequest) -> None:
-        """Watch until the stream ends, and log why it did."""
+        """Watch until the stream ends, and log the reason."""
         try:
             self.run(request)
         except (
@@ -100,18 +101,18 @@
             WatchError,
             AddressChangedError,
         ) as error:
-            log("discovery", "watch ended", error=error)
+            log("discovery", "watch ended; reconnecting", error=error)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             increment("endpoint_lists_unreadable")
-            log("discovery", "list unreadable", type=type(error).__name__, error=error)
+            log("discovery", "endpoint list unreadable; reconnecting", type=type(error).__name__, error=error)
         except Exception as error:
             report_fault("discovery", error)
 
     def run(self, request: WatchRequest) -> None:
-        """Watch until the stream ends; always raises, at its end WatchEndedError."""
+        """Watch until the stream ends or fails; always raises, WatchEndedError if discovery ended the stream."""
         sock, address = self._address.open_socket(ConnectionUse.WATCH, request.epoch)
         with sock:
-            reader = sockets.DeadlineReader(sock, STREAM_TIMEOUT_S)  # from here: the dial's time counts, too
+            reader = sockets.DeadlineReader(sock, STREAM_TIMEOUT_S)  # its time includes the dial
             sockets.connect(*address, DIAL_TIMEOUT_S, sock)
             if request.epoch != self._address.epoch:
                 raise AddressChangedError
@@ -122,18 +123,18 @@
         raise WatchEndedError
 
     def _updates(self, reader: sockets.DeadlineReader, epoch: int) -> Iterator[EndpointsUpdated]:
-        """Yield the updates of a stream; the time limit begins anew with each object, or line between two."""
+        """Yield the updates of a stream; completed objects and bytes between objects restart the time limit."""
         stream = Stream(reader.receive)
         status, headers, _ = read_head(stream)
         if status != HttpStatus.OK or "chunked" not in headers.get("transfer-encoding", "").lower():
             raise WatchRejectedError(status)
         increment("watches_begun")
-        self._answered_at = time.monotonic()
-        reader.restart()  # after `_answered_at`: a stream without a byte behind its head was established
-        objects = JsonObjectParser()
+        self._streaming_since = time.monotonic()
+        reader.restart()  # after `_streaming_since` is set, so that a stream that times out counts as established
+        parser = JsonObjectParser()
         for chunk in read_chunks(stream):
-            was_between_objects = not objects.begun
-            complete = objects.feed(chunk)
+            was_between_objects = not parser.has_partial_object
+            complete = parser.feed(chunk)
             if was_between_objects or complete:
                 reader.restart()
             for value in complete:
