--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -1,6 +1,6 @@
-"""Sends notifications to the platform until they are acknowledged, on a thread and a connection of its own.
+"""Sends notifications to the platform until they are acknowledged, on a separate thread and connection.
 
-`discovery_client.py` submits notifications; `NotificationAcknowledged` is posted for what the platform accepted.
+`NotificationAcknowledged` is posted for notifications that the platform accepted, and for those that it cannot read.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 from juniperward.net.http_status import HttpStatus
 
-FIRST_BACKOFF_S = 0.05  # before notifications are sent again, doubling
+FIRST_BACKOFF_S = 0.05  # doubles with each failed attempt
 MAX_BACKOFF_S = 0.4
-MAX_PER_REQUEST = 200
+MAX_NOTIFICATIONS_PER_REQUEST = 200
 
 
 class NotificationsRejectedError(Exception):
-    """The platform did not accept notifications, and may later; `status` is that of its answer."""
+    """The platform rejected notifications with an HTTP status that allows a retry."""
 
     def __init__(self, status: int) -> None:
-        """Name the status."""
-        super().__init__(f"answered {status}")
+        """Create the error for a response's status."""
+        super().__init__(f"platform answered with status {status}")
         self.status = status
 
 
 class NotificationSender:
-    """A queue of notifications and the thread that sends them."""
+    """Sends queued notifications in batches on its own thread, retrying until each is acknowledged."""
 
     def __init__(self, address: DiscoveryAddress, post: Callable[[Event], None]) -> None:
-        """Send to an address; no connection is opened before the first notification."""
+        """Send to the platform at an address; the connection is opened for the first notification."""
         self._address, self._post = address, post
         self._queued: queue.SimpleQueue[OutcomeNotification] = queue.SimpleQueue()
         self._connection: PlatformConnection | None = None
 
     def start_thread(self) -> None:
-        """Start the thread that sends."""
+        """Start the thread that sends queued notifications."""
         threading.Thread(target=self._work, name="notifications", daemon=True).start()
 
     def send(self, notifications: tuple[OutcomeNotification, ...]) -> None:
-        """Have the thread send notifications until they are acknowledged."""
+        """Queue notifications for delivery."""
         for notification in notifications:
             self._queued.put(notification)
 
@@ -55,24 +55,24 @@
         while True:
             batch = self._next_batch()
             backoff_s = FIRST_BACKOFF_S
-            while not self._attempt(batch):
+            while not self._try_deliver(batch):
                 increment("notifications_retried")
                 self._drop_connection()
                 time.sleep(backoff_s)
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     def _next_batch(self) -> list[OutcomeNotification]:
-        """Wait for a notification; return it with those queued behind it."""
+        """Wait for a notification, and return it with others that are queued."""
         batch = [self._queued.get()]
         try:
-            while len(batch) < MAX_PER_REQUEST:
+            while len(batch) < MAX_NOTIFICATIONS_PER_REQUEST:
                 batch.append(self._queued.get_nowait())
         except queue.Empty:
             pass
         return batch
 
-    def _attempt(self, batch: list[OutcomeNotification]) -> bool:
-        """Deliver a batch and return whether all of it was; what was delivered is removed from it."""
+    def _try_deliver(self, batch: list[OutcomeNotification]) -> bool:
+        """Send a batch and remove what was delivered from it; return whether nothing is left."""
         try:
             self._deliver(batch)
         except (
@@ -82,7 +82,7 @@
             AddressChangedError,
             NotificationsRejectedError,
         ) as error:
-            log("notifications", "not acknowledged", error=error)
+            log("notifications", "not acknowledged; sending again", error=error)
         except Exception as error:
             report_fault("notifications", error)
         return not batch
@@ -94,7 +94,7 @@
             return
         if status == HttpStatus.BAD_REQUEST:
             increment("notifications_dropped")
-            log("notifications", "dropped", message=batch[0].id)
+            log("notifications", "rejected with status 400; dropped", message=batch[0].id)
         elif status == HttpStatus.NO_CONTENT:
             increment("notifications_acknowledged", len(batch))
         else:
@@ -103,13 +103,13 @@
         batch.clear()
 
     def _deliver_one_by_one(self, batch: list[OutcomeNotification]) -> None:
-        """Deliver a batch with a notification that the platform cannot read: it must not block the others."""
+        """Deliver notifications separately, so that one that the platform cannot read does not block the others."""
         for notification in list(batch):
             self._deliver([notification])
             batch.remove(notification)
 
     def _request(self, batch: list[OutcomeNotification]) -> int:
-        """Post a batch and return the status of the answer."""
+        """Post a batch on an open or a new connection, and return the response's status."""
         if self._connection is not None and not self._connection.is_reusable():
             self._drop_connection()
         if self._connection is None:
--- a/juniperward/forwarder/platform_connection.py
+++ b/juniperward/forwarder/platform_connection.py
@@ -1,4 +1,4 @@
-"""A connection to the platform for notifications, one request after another; used by `notification_sender.py`."""
+"""An HTTP connection to the platform that carries one notification request at a time."""
 
 from __future__ import annotations
 
@@ -11,16 +11,22 @@
 from juniperward.net.stream import Stream
 
 NOTIFICATION_PATH = "/status"
-# For a connection, and for an answer, which usually comes at once. After it notifications are sent again on another
-# connection: twice this fits between a message's last moment and 0.3 s after its deadline.
+# The time limit of connecting, and of each answer. After it, notifications are sent again on a new connection: two
+# such attempts must fit between the last moment to answer a message and 0.3 s after its deadline.
 ANSWER_TIMEOUT_S = 0.3
 
 
 class PlatformConnection:
-    """A connection to the platform; used by one thread."""
+    """A connection to the platform; for use by a single thread."""
 
     def __init__(self, address: DiscoveryAddress) -> None:
-        """Connect; raises OSError or AddressChangedError."""
+        """Connect to the platform.
+
+        Raises:
+            OSError: if the connection cannot be established in time.
+            AddressChangedError: if the address changes meanwhile.
+
+        """
         sock, connected = address.open_socket(ConnectionUse.NOTIFICATIONS)
         try:
             sockets.connect(*connected, ANSWER_TIMEOUT_S, sock)
@@ -36,11 +42,18 @@
         self._host = format_address(connected)
 
     def is_reusable(self) -> bool:
-        """Return whether another request may be sent on it."""
+        """Return whether another request may be sent on this connection."""
         return sockets.is_reusable(self._sock)
 
     def post(self, body: bytes) -> HttpResponse:
-        """Post notifications; raises OSError, IncompleteMessageError or MalformedMessageError."""
+        """Post a body of encoded notifications and return the response.
+
+        Raises:
+            OSError: if sending or reading fails, or no complete response arrives in time.
+            IncompleteMessageError: if the connection ends within the response.
+            MalformedMessageError: if the response is not valid HTTP.
+
+        """
         self._reader.restart()
         self._sock.sendall(encode_request("POST", NOTIFICATION_PATH, self._host, {}, body))
         return read_response(self._stream)
