--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -78,7 +78,7 @@
         self.serial = 0
         if endpoints is None:
             endpoints = tuple(EndpointEntry(10 * d, d) for d in (1, 2, 3))
-        self.listed(*endpoints, scope=ListScope.CACHED)
+        self.update_endpoints(*endpoints, scope=ListScope.CACHED)
 
     @property
     def messages(self) -> dict[int, Message]:
@@ -102,7 +102,7 @@
         """The messages with an attempt in flight."""
         return [message.id for message in self.messages.values() if message.in_flight]
 
-    def do(self, *events: Event) -> list[Action]:
+    def handle(self, *events: Event) -> list[Action]:
         actions = self.scheduler.handle(self.now, events)
         for action in actions:
             self.log.append((self.now, action))
@@ -122,12 +122,12 @@
             at, token = min(self.timers)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
-            seen += self.do(TimerFired(token))
+            seen += self.handle(TimerFired(token))
         self.now = end
         return seen
 
-    def listed(self, *entries: EndpointEntry, scope: ListScope = ListScope.DELTA) -> list[Action]:
-        return self.do(EndpointListUpdated(scope, entries))
+    def update_endpoints(self, *entries: EndpointEntry, scope: ListScope = ListScope.DELTA) -> list[Action]:
+        return self.handle(EndpointListUpdated(scope, entries))
 
     def arrive(self, destination: int = 1, count: int = 1, **fields: Any) -> list[Action]:
         events = []
@@ -135,13 +135,13 @@
             self.serial += 1
             values: dict[str, Any] = {"class_index": 0, "time_left_s": 20.0, **fields}
             events.append(MessageAdmitted(message=self.serial, destination=destination, **values))
-        return self.do(*events)
+        return self.handle(*events)
 
-    def settle(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
+    def finish_attempt(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
         """The outcome of a message's latest attempt."""
         attempt = self.attempts[message] - 1
         values: dict[str, Any] = {"message_ended": outcome is Outcome.OK, **fields}
-        return self.do(
+        return self.handle(
             AttemptFinished(
                 message,
                 attempt,
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -24,7 +24,7 @@
             for (m, n), at in node.sent_at.items()
             if m in node.messages and node.messages[m].in_flight
         )[1]
-        for m in attempted(node.settle(oldest)):
+        for m in attempted(node.finish_attempt(oldest)):
             if m > 4:
                 served[node.messages[m].destination.id] += 1
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
@@ -36,7 +36,7 @@
         for _ in range(30):
             node.arrive(destination=d)
             node.run(latency)
-            node.settle(node.serial)
+            node.finish_attempt(node.serial)
     node.arrive(destination=1, count=60)
     node.arrive(destination=2, count=60)
     start, served = node.now, {1: 0, 2: 0}
@@ -47,7 +47,7 @@
             n = node.attempts[m] - 1
             if node.now - node.sent_at[m, n] >= (0.2 if d == 1 else 2.0) - 1e-6:
                 served[d] += 1
-                node.settle(m)
+                node.finish_attempt(m)
     assert served[1] > 3 * served[2] > 0
 
 
@@ -70,29 +70,29 @@
     for _ in range(10):
         node.arrive()
         node.run(0.05)
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
         node.run(0.05)
     route = node.route(1)
     assert route.rate_limit is None
     node.arrive()
     node.run(0.05)
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.serial, Outcome.OVERLOADED)
     assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the last second's calls
     before = route.rate_limit
-    node.do()
+    node.handle()
     node.arrive(count=20)
     node.run(0.3)
     out = node.in_flight()
-    node.settle(out[0])
+    node.finish_attempt(out[0])
     assert route.rate_limit == before
     node.run(1.05)
     assert route.rate_limit is not None and route.rate_limit == pytest.approx(before + 1.0)
     for m in node.in_flight():
-        node.settle(m)
+        node.finish_attempt(m)
     for _ in range(60):  # nothing held any more: the pace no longer binds and is dropped
         node.run(0.2)
         for m in node.in_flight():
-            node.settle(m)
+            node.finish_attempt(m)
     assert route.rate_limit is None
 
 
@@ -101,13 +101,13 @@
     node.arrive(count=3)
     node.run(0.05)
     for m in (1, 2, 3):
-        node.settle(m, Outcome.OVERLOADED)
+        node.finish_attempt(m, Outcome.OVERLOADED)
     route = node.route(1)
     assert route.rate_limit == pytest.approx(1.5)
     for _ in range(20):
         node.run(0.5)
         for m in node.in_flight():
-            node.settle(m, Outcome.OVERLOADED)
+            node.finish_attempt(m, Outcome.OVERLOADED)
     assert route.rate_limit == 1.0
 
 
@@ -117,7 +117,7 @@
     node = Node(settings(SAFE, slots=40))
     node.arrive(count=4)
     node.run(0.05)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=9.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=9.0)
     node.arrive(count=30)
     assert attempted(node.run(8.9)) == []
     assert len(attempted(node.run(0.3))) <= 1
@@ -127,7 +127,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1)
+    node.finish_attempt(1)
     assert node.destination(1).mean_latency_s is not None
     node.run(59.0)
     assert node.destination(1).mean_latency_s is not None
@@ -153,8 +153,8 @@
     assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
     for m in range(1, 5):
-        assert attempted(node.settle(m)) == []
-    assert attempted(node.settle(5)) == [6, 7]
+        assert attempted(node.finish_attempt(m)) == []
+    assert attempted(node.finish_attempt(5)) == [6, 7]
 
 
 def test_non_idempotent_messages_are_batched() -> None:
@@ -166,9 +166,9 @@
 def test_a_non_idempotent_message_is_not_retried_in_a_batch() -> None:
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive(count=3)
-    node.settle(1, Outcome.RESET)
-    node.settle(2, Outcome.OVERLOADED)
-    assert attempted(node.settle(3, Outcome.OVERLOADED)) == [2, 3]
+    node.finish_attempt(1, Outcome.RESET)
+    node.finish_attempt(2, Outcome.OVERLOADED)
+    assert attempted(node.finish_attempt(3, Outcome.OVERLOADED)) == [2, 3]
     assert 1 not in node.messages
 
 
@@ -178,8 +178,8 @@
     node.arrive()
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=10.0)
-    assert attempted(node.settle(1)) == [2]
-    shared = [a for a in node.settle(2) if isinstance(a, StartAttempt)]
+    assert attempted(node.finish_attempt(1)) == [2]
+    shared = [a for a in node.finish_attempt(2) if isinstance(a, StartAttempt)]
     assert [a.message for a in shared] == [3, 4]
     # Behind a connection that comes up late a message of a shared call has to have that time as well.
     assert [a.start_within_s for a in shared] == [pytest.approx(9.0)] * 2
@@ -194,9 +194,9 @@
     node.arrive()
     for size in (60, 50, 40, 120, 10):
         node.arrive(batch_bytes=size)
-    assert attempted(node.settle(1)) == [2, 4]  # the next that fits, also behind one that does not
-    assert [attempted(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
-    assert [attempted(node.settle(m)) for m in (3, 6)] == [
+    assert attempted(node.finish_attempt(1)) == [2, 4]  # the next that fits, also behind one that does not
+    assert [attempted(node.finish_attempt(m)) for m in (2, 4)] == [[], [3, 6]]
+    assert [attempted(node.finish_attempt(m)) for m in (3, 6)] == [
         [],
         [5],
     ]  # one that is too large for any goes alone
@@ -208,8 +208,8 @@
     node.arrive(time_left_s=3.0)
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=3.0)
-    assert attempted(node.settle(1)) == [2, 4, 5]
-    assert [attempted(node.settle(m)) for m in (2, 4, 5)] == [[], [], [3]]
+    assert attempted(node.finish_attempt(1)) == [2, 4, 5]
+    assert [attempted(node.finish_attempt(m)) for m in (2, 4, 5)] == [[], [], [3]]
 
 
 def test_a_slow_destination_fills_half_of_the_slots() -> None:
@@ -217,7 +217,7 @@
     for latency in [0.2] * 20 + [2.0] * 8:
         node.arrive()
         node.run(latency)
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
     assert not node.route(1).ejected
     assert len(attempted(node.arrive(count=20))) == 4
 
@@ -226,7 +226,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=90.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=90.0)
     node.run(70.0)
     assert attempted(node.arrive()) == []
 
@@ -276,7 +276,7 @@
         node.arrive()
         node.run(0.1)
         for message in node.in_flight():
-            node.settle(message)
+            node.finish_attempt(message)
     endpoint = node.scheduler.state.table.endpoints[10]
     assert node.scheduler.batching.spacing(endpoint) < 0.2
     node.route(1).rate_limit_cut_at = node.now
@@ -288,7 +288,7 @@
     node = gathering()
     node.arrive(count=5)
     for message in range(1, 6):
-        node.settle(message, Outcome.RESET)
+        node.finish_attempt(message, Outcome.RESET)
     assert sorted(attempted(node.run(1.0))) == [1, 2, 3, 4, 5]
     assert len({c.serial for c in node.scheduler.state.backlog.in_flight.values()}) == 1
 
@@ -298,7 +298,7 @@
     node = Node()
     for _ in range(50):
         node.arrive()
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
     timers = node.scheduler.state.round.timers
     assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
@@ -314,7 +314,7 @@
     for rating, pace in ((400.0, 180.0), (0.0, 1.0)):
         node = listed(rating)
         node.arrive()
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.serial, Outcome.OVERLOADED)
         assert node.route(1).rate_limit == pytest.approx(pace)
 
 
@@ -326,10 +326,10 @@
         node.arrive()
         node.run(0.1)
         if node.serial != lost:
-            node.settle(node.serial)
+            node.finish_attempt(node.serial)
     assert [a.message for _, a in node.log if isinstance(a, CancelAttempt)] == [lost]
     assert not node.route(1).ejected
-    node.settle(lost, Outcome.CANCELLED)
+    node.finish_attempt(lost, Outcome.CANCELLED)
     assert attempted(node.run(1.0)) == [lost]
 
 
@@ -341,17 +341,17 @@
         )
         node.arrive(count=4)
         for message in range(1, 5):
-            node.settle(message, Outcome.CONNECT_FAILED)
+            node.finish_attempt(message, Outcome.CONNECT_FAILED)
         for _ in range(4):
             for message in attempted(node.run(0.5)):
-                node.settle(message, Outcome.CONNECT_FAILED)
+                node.finish_attempt(message, Outcome.CONNECT_FAILED)
         assert node.route(1).ejected
         counted = []
         for outcome in (Outcome.CONNECT_FAILED, Outcome.OK):
             before = sum(node.attempts.values())
             for _ in range(300):
                 for message in attempted(node.arrive(time_left_s=60.0)) + attempted(node.run(0.02)):
-                    node.settle(message, outcome)
+                    node.finish_attempt(message, outcome)
             counted.append(sum(node.attempts.values()) - before)
         return counted[0], counted[1]
 
@@ -364,7 +364,7 @@
     # Guards a paced destination of full calls: each was charged as nearly six, and the queue grew.
     node = gathering()
     node.arrive()
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.serial, Outcome.OVERLOADED)
     node.arrive(count=200)
     sent = node.run(5.0)
     calls = len({at for at, a in node.log if isinstance(a, StartAttempt)})
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -55,7 +55,7 @@
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    seen = node.settle(1, outcome) + node.run(20.0)
+    seen = node.finish_attempt(1, outcome) + node.run(20.0)
     assert failed(seen) == [1] and attempted(seen) == [] and rejected(seen) == []
 
 
@@ -64,14 +64,14 @@
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    assert attempted(node.settle(1, outcome) + node.run(5.0)) == [1]
+    assert attempted(node.finish_attempt(1, outcome) + node.run(5.0)) == [1]
 
 
 def test_2_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
     node = Node(settings(KEYED))
     node.arrive()
     node.run(4.9)
-    seen = node.settle(1, Outcome.TIMEOUT) + node.run(20.0)
+    seen = node.finish_attempt(1, Outcome.TIMEOUT) + node.run(20.0)
     assert all(at < 105.0 for (m, n), at in node.sent_at.items())
     assert failed(seen) == [1]
 
@@ -81,7 +81,7 @@
     node = Node(settings(KEYED, ONCE))
     assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
     node.run(4.0)
-    again = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
+    again = [a for a in node.finish_attempt(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
     assert len(again) == 1
     assert node.sent_at[1, 1] + again[0].start_within_s == pytest.approx(105.0, abs=0.03)
     assert [a.start_within_s for a in node.arrive(class_index=1) if isinstance(a, StartAttempt)] == [math.inf]
@@ -92,11 +92,11 @@
     node = Node(settings(KEYED, slots=2))
     node.arrive(destination=1)
     node.run(0.01)
-    node.do(*[])
-    node.settle(1, Outcome.ERROR)
-    node.listed(draining_endpoint(10, 1))
+    node.handle(*[])
+    node.finish_attempt(1, Outcome.ERROR)
+    node.update_endpoints(draining_endpoint(10, 1))
     node.run(6.0)
-    node.listed(EndpointEntry(11, 1))
+    node.update_endpoints(EndpointEntry(11, 1))
     assert node.attempts[1] == 1 or max(node.sent_at.values()) < 105.0
     assert attempted(node.run(14.0)) == []
 
@@ -106,10 +106,10 @@
     node.arrive()
     first = node.endpoint[1, 0]
     node.run(0.05)
-    node.settle(1, Outcome.ERROR)
+    node.finish_attempt(1, Outcome.ERROR)
     node.run(2.0)
     assert node.endpoint[1, 1] == first
-    node.settle(1, Outcome.ERROR)
+    node.finish_attempt(1, Outcome.ERROR)
     seen = node.run(8.0)
     assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first}
     assert rejected(seen) == []
@@ -128,10 +128,10 @@
 
 def test_3_nothing_goes_to_a_draining_endpoint() -> None:
     node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
-    node.listed(draining_endpoint(10, 1))
+    node.update_endpoints(draining_endpoint(10, 1))
     node.arrive(count=6)
     assert set(node.endpoint.values()) == {11}
-    node.listed(draining_endpoint(11, 1))
+    node.update_endpoints(draining_endpoint(11, 1))
     assert attempted(node.arrive(count=3)) == []
 
 
@@ -140,13 +140,13 @@
     for _ in range(40):  # 4 delivered calls a second
         node.arrive()
         node.run(0.05)
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
         node.run(0.2)
     for _ in range(6):
         node.arrive()
         node.run(0.05)
         for m in node.in_flight():
-            node.settle(m, Outcome.ERROR)
+            node.finish_attempt(m, Outcome.ERROR)
     node.arrive(count=60)
     before = len(node.sent_at)
     answered = set()
@@ -157,7 +157,7 @@
             if (m, n) not in answered and at <= node.now - 0.05 and n == node.attempts[m] - 1:
                 answered.add((m, n))
                 if m in node.messages and node.messages[m].in_flight:
-                    node.settle(m, Outcome.OK if node.now >= back else Outcome.ERROR)
+                    node.finish_attempt(m, Outcome.OK if node.now >= back else Outcome.ERROR)
         node.run(0.05)
     times = [t for t in list(node.sent_at.values())[before:] if t >= back]
     assert times
@@ -173,10 +173,10 @@
     assert attempted(node.arrive(ordering_key="a")) == []
     assert attempted(node.arrive(ordering_key="b")) == [3]
     node.run(0.1)
-    assert attempted(node.settle(1)) == [2]
+    assert attempted(node.finish_attempt(1)) == [2]
     node.arrive(ordering_key="a")
     node.run(0.1)
-    node.settle(2, Outcome.TIMEOUT, message_ended=True)
+    node.finish_attempt(2, Outcome.TIMEOUT, message_ended=True)
     assert attempted(node.run(0.29)) == []
     assert attempted(node.run(0.02)) == [4]
 
@@ -185,7 +185,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the pace alone would hold
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the pace alone would hold
     assert attempted(node.arrive(count=3) + node.run(1.89)) == []
     assert attempted(node.arrive(destination=2)) != []
     assert attempted(node.run(1.0)) != []
@@ -198,7 +198,7 @@
     node.arrive()
     first = node.endpoint[1, 0]
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=5.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=5.0)
     node.run(0.5)
     node.arrive(count=2)
     later = {ep for key, ep in node.endpoint.items() if key != (1, 0)}
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -14,7 +14,7 @@
     for _ in range(count):
         node.arrive(destination=destination)
         node.run(latency)
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
 
 
 def cancelled(node: Node) -> list[int]:
@@ -33,7 +33,9 @@
     node.run(1.2)
     assert len(cancelled(node)) >= 1
     gone = cancelled(node)[0]
-    assert 5 in {node.messages[m].destination.id for m in attempted(node.settle(gone, Outcome.CANCELLED))}
+    assert 5 in {
+        node.messages[m].destination.id for m in attempted(node.finish_attempt(gone, Outcome.CANCELLED))
+    }
 
 
 def test_a_slow_message_is_not_cancelled_where_others_are_answered() -> None:
@@ -44,7 +46,7 @@
     heavy = node.serial
     node.arrive(destination=1)
     node.run(0.2)
-    node.settle(node.serial)
+    node.finish_attempt(node.serial)
     node.arrive(destination=2, count=4)
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) == 3 and heavy not in cancelled(node)
@@ -58,7 +60,7 @@
     node.run(1.5)
     assert len(attempted(node.arrive(count=5))) == 1
     node.run(0.2)
-    assert len(attempted(node.settle(node.serial - 4))) == 4  # an answer: the destination is alive
+    assert len(attempted(node.finish_attempt(node.serial - 4))) == 4  # an answer: the destination is alive
 
 
 def test_several_unresponsive_calls_lead_to_spaced_half_open_attempts() -> None:
@@ -76,9 +78,9 @@
     node = Node(settings(SAFE, slots=20))
     node.arrive(count=3)
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=8.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=8.0)
     assert node.route(1).ejected
-    node.settle(2)
+    node.finish_attempt(2)
     assert node.route(1).ejected
 
 
@@ -87,7 +89,7 @@
     for k in range(30):
         node.arrive()
         node.run(0.1)
-        node.settle(node.serial, Outcome.ERROR if k % 5 in (0, 2) else Outcome.OK)
+        node.finish_attempt(node.serial, Outcome.ERROR if k % 5 in (0, 2) else Outcome.OK)
     assert not node.route(1).ejected
 
 
@@ -96,7 +98,7 @@
     for _ in range(60):  # 4 a second
         node.arrive()
         node.run(0.25)
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
     node.arrive(count=4)
     node.run(3.5)
     route = node.route(1)
@@ -113,7 +115,7 @@
         node.run(0.05)
         for m in node.in_flight():
             if node.now - node.sent_at[m, node.attempts[m] - 1] > 0.04:
-                node.settle(m)
+                node.finish_attempt(m)
         if node.route(1).rate_limit is not None:
             break
     route = node.route(1)
@@ -130,7 +132,7 @@
     node.arrive()
     node.run(0.01)
     paid = d.deficit_s
-    node.settle(node.serial, Outcome.ERROR)
+    node.finish_attempt(node.serial, Outcome.ERROR)
     assert d.mean_latency_s == mean and d.deficit_s <= paid and deficit == 0.0
 
 
@@ -140,10 +142,10 @@
     node.arrive(count=8)
     node.run(0.1)
     for m in range(node.serial - 3, node.serial + 1):
-        node.settle(m, Outcome.CONNECT_FAILED)
+        node.finish_attempt(m, Outcome.CONNECT_FAILED)
     assert not node.route(1).ejected
     assert len(attempted(node.run(0.3))) == 0  # the open ones are all in use
-    assert len(attempted(node.settle(node.serial - 7) + node.run(0.3))) == 1
+    assert len(attempted(node.finish_attempt(node.serial - 7) + node.run(0.3))) == 1
 
 
 def test_a_non_idempotent_message_is_not_used_for_a_half_open_attempt() -> None:
@@ -152,7 +154,7 @@
     for _ in range(4):
         node.arrive(class_index=1)
         node.run(0.05)
-        node.settle(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.serial, Outcome.ERROR)
     assert node.route(1).ejected
     node.arrive(class_index=0)
     unsafe = node.serial
@@ -164,7 +166,7 @@
 def test_a_broken_watch_is_reopened() -> None:
     node = Node(settings(endpoints_polled=True))
     assert [a for _, a in node.log if isinstance(a, PollEndpointList)] == [PollEndpointList()]
-    node.do(EndpointListUpdated(ListScope.FAILED))
+    node.handle(EndpointListUpdated(ListScope.FAILED))
     assert any(isinstance(a, PollEndpointList) for a in node.run(1.0))
 
 
@@ -182,7 +184,7 @@
             node.arrive(destination=1 + k % 3, class_index=k % 2)
             node.run(0.07)
             for m in node.in_flight()[:2]:
-                node.settle(m, Outcome.OK if k % 4 else Outcome.TIMEOUT)
+                node.finish_attempt(m, Outcome.OK if k % 4 else Outcome.TIMEOUT)
         logs.append(node.log)
     assert logs[0] == logs[1]
 
@@ -206,7 +208,7 @@
         for _ in range(4):
             node.arrive(destination=d)
             node.run(0.02)
-            node.settle(node.serial, Outcome.RESET)
+            node.finish_attempt(node.serial, Outcome.RESET)
         assert node.route(d).ejected
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) <= 2
@@ -221,7 +223,7 @@
     node.arrive(count=12)
     node.run(9.0)
     for m in node.in_flight():
-        node.settle(m)
+        node.finish_attempt(m)
     assert not node.route(1).ejected
     node.run(13.0)
     node.arrive(count=4)
@@ -250,11 +252,11 @@
     node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
-        node.settle(node.serial, Outcome.CONNECT_FAILED, connection_table_full=True)
+        node.finish_attempt(node.serial, Outcome.CONNECT_FAILED, connection_table_full=True)
         assert node.attempts[node.serial] < 4 and not node.route(1).ejected
         node.run(0.45)  # it goes again within a fifth of a second, looked at every fifth
     assert node.attempts[node.serial] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
-    node.settle(node.serial)
+    node.finish_attempt(node.serial)
     seen = len(closed(node))
     node.run(0.03)
     assert len(closed(node)) == seen + 1  # 0.2 s halved three times, and a tenth more with the answer
@@ -281,7 +283,7 @@
             for message in node.in_flight():
                 overloaded = capacity < 1.0
                 capacity = max(capacity - 1.0, -limit / 2)
-                node.settle(message, Outcome.OVERLOADED if overloaded else Outcome.OK)
+                node.finish_attempt(message, Outcome.OVERLOADED if overloaded else Outcome.OK)
                 accepted += not overloaded
                 rejected_count += overloaded
             node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open_count))
@@ -319,11 +321,11 @@
     )
     node.arrive(time_left_s=1000.0)
     for _ in range(7):
-        node.settle(1, Outcome.OVERLOADED)
+        node.finish_attempt(1, Outcome.OVERLOADED)
         assert not node.route(1).ejected
         while not node.messages[1].in_flight:
             node.run(1.0)
-    node.settle(1, Outcome.OVERLOADED)
+    node.finish_attempt(1, Outcome.OVERLOADED)
     assert node.route(1).ejected
 
 
@@ -344,7 +346,7 @@
                 out.remove(call)
                 idle[n] += 1
                 in_time += now - came[n, call[2]] <= 3.0
-                node.settle(call[2])
+                node.finish_attempt(call[2])
             if dice.random() < 0.02:
                 node.arrive()
                 came[n, node.serial], asked = now, asked + 1
@@ -357,7 +359,7 @@
                     idle[n] -= idle[n] > 0
                     out.append((now + 0.05, n, action.message))
                 elif isinstance(action, StartAttempt):
-                    node.settle(action.message, Outcome.CONNECT_FAILED, connection_table_full=True)
+                    node.finish_attempt(action.message, Outcome.CONNECT_FAILED, connection_table_full=True)
     assert asked > 1400 and in_time > 0.95 * asked
 
 
@@ -368,7 +370,9 @@
     for seed in range(60):
         node = Node(settings(KEYED, instances=40, rates_listed=True), ())
         node.random.seed(seed)
-        node.listed(*(EndpointEntry(n, 1, listed_rate=200.0) for n in range(3)), scope=ListScope.CACHED)
+        node.update_endpoints(
+            *(EndpointEntry(n, 1, listed_rate=200.0) for n in range(3)), scope=ListScope.CACHED
+        )
         node.arrive()
         chosen[node.endpoint[1, 0]] += 1
     assert min(chosen) >= 10
@@ -385,7 +389,7 @@
             warm(node, 1, count=1)
             node.run(30.0)
         node.arrive()
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.serial, Outcome.OVERLOADED)
         assert node.route(1).ejected is sick
 
 
@@ -401,7 +405,7 @@
 def test_a_few_nodes_retain_their_connections() -> None:
     node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=3))
     node.arrive()
-    node.settle(1, Outcome.CONNECT_FAILED, message_ended=True)
+    node.finish_attempt(1, Outcome.CONNECT_FAILED, message_ended=True)
     node.run(2.0)
     warm(node, 1, count=1)
     assert closed(node) == []
@@ -417,11 +421,11 @@
             node.run(0.1)
             node.run(0.1)
             for m in node.in_flight():
-                node.settle(m, Outcome.ERROR)
+                node.finish_attempt(m, Outcome.ERROR)
         for _ in range(2):
             node.run(10.0)
             for m in node.in_flight():
-                node.settle(m, Outcome.ERROR)
+                node.finish_attempt(m, Outcome.ERROR)
         assert node.route(1).ejected
     tried = []
     for node in nodes:
@@ -430,7 +434,7 @@
             node.arrive(time_left_s=1.0)
             node.run(1.0)
             for m in node.in_flight():
-                node.settle(m, Outcome.ERROR, message_ended=True)
+                node.finish_attempt(m, Outcome.ERROR, message_ended=True)
         tried.append(sum(isinstance(a, StartAttempt) for _, a in node.log) - before)
     assert max(tried) <= 4 and 1 <= sum(tried) <= 45  # a call in 2 s of 50 nodes at most, and not none
 
@@ -441,7 +445,7 @@
     for k, node in enumerate(nodes):
         node.random.seed(k)
         node.arrive(count=3)
-        node.settle(1, Outcome.OVERLOADED, retry_after_s=1.0)
+        node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.0)
         node.run(0.99)
         at_once += len(attempted(node.run(0.1)))
     assert at_once <= 25
@@ -453,7 +457,7 @@
     for _ in range(6):
         node.run(3.0)
         for m in node.in_flight():
-            node.settle(m, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+            node.finish_attempt(m, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
     route = node.route(1)
     assert route.rate_limit is not None and route.rate_limit < 0.3 and not route.ejected
 
@@ -465,11 +469,11 @@
         )
         node.arrive()
         node.run(0.1)
-        node.settle(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+        node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
         assert node.route(1).rate_limit is not None
         node.run(70.0)
         assert attempted(node.arrive()) == [2]
-        node.settle(2, Outcome.OVERLOADED)
+        node.finish_attempt(2, Outcome.OVERLOADED)
         assert 0 < node.scheduler.state.traffic.expected_rate(node.destination(1), node.route(1)) < math.inf
 
 
@@ -478,7 +482,7 @@
     node = Node(settings(SAFE, slots=3, instances=50))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     route = node.route(1)
     assert route.rate_limit == 10.0 / 50
     assert attempted(node.run(4.0)) == []  # two nodes' worth of calls would come every 5 s
@@ -489,7 +493,7 @@
     node = Node(settings(SAFE, slots=3, instances=200))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
     assert node.route(1).rate_limit == 0.5
 
 
@@ -504,7 +508,7 @@
             node.arrive()
             node.run(0.01)
             for message in node.in_flight():
-                node.settle(message)  # those that wait for a place in the spacing come later
+                node.finish_attempt(message)  # those that wait for a place in the spacing come later
             node.run(gap - 0.01)
         parts.append(node.scheduler.state.traffic.own_fraction())
     assert parts[0] > 0.3 and parts[1] < 0.02
@@ -516,7 +520,7 @@
     node.arrive(count=4)
     node.run(0.1)
     for message in (1, 2, 3, 4):
-        node.settle(message, Outcome.CONNECT_FAILED)
+        node.finish_attempt(message, Outcome.CONNECT_FAILED)
     node.arrive(count=5)
     seen = node.run(13.8)
     assert rejected(seen) == [] and failed(seen) == []
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -75,10 +75,10 @@
         while answers and answers[0][0] <= at:
             _, k, message, sent = answers.pop(0)
             if sent >= back:
-                nodes[k].settle(message)
+                nodes[k].finish_attempt(message)
             else:
                 notified.add(k)
-                nodes[k].settle(
+                nodes[k].finish_attempt(
                     message, outcome, retry_after_s=max(back - at, 0.01) if with_retry_after else 0.0
                 )
         while arrivals and arrivals[0][0] <= at:
@@ -124,12 +124,12 @@
     times: list[float] = []
     for node in nodes:
         node.arrive(count=3)
-        node.settle(in_flight(node)[0], Outcome.ERROR)
+        node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
         if count < 6:  # each of a few takes four failures in a row for an outage
             node.arrive(count=2)
-            node.settle(in_flight(node)[0], Outcome.ERROR)
+            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         start = node.now
         node.scheduler.state.traffic.admitted = 0  # its part is an even one
         assert node.route(1).ejected
@@ -138,7 +138,7 @@
             node.scheduler.state.traffic.admitted = 0
             node.run(1.0)
             for message in in_flight(node):
-                node.settle(message, Outcome.ERROR, message_ended=True)
+                node.finish_attempt(message, Outcome.ERROR, message_ended=True)
         times += [t - start for t, a in node.log if isinstance(a, StartAttempt) and t > start]
     assert 0 < max_calls_in_a_span(times) <= LEAST_BUDGET + CHANCE
     assert len(times) <= LEAST_BUDGET * 40 / SPAN_S
@@ -150,9 +150,9 @@
     for node in nodes:
         node.arrive(count=3)
         for _ in range(2):
-            node.settle(in_flight(node)[0], Outcome.ERROR)
+            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
         assert node.route(1).ejected
         node.route(1).next_call_at = node.now + 20.0
         node.run(40.0)
@@ -170,10 +170,10 @@
         node.arrive(time_left_s=19.0)
         node.run(20.0)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
     if not node.route(1).ejected:
         node.arrive()
-        node.settle(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.serial, Outcome.ERROR)
     route = node.route(1)
     route.next_call_at = node.now + 500.0
     node.run(70.0)
@@ -184,7 +184,7 @@
     staggered = 0
     for node in fleet()[:30]:
         node.arrive()
-        node.settle(1, Outcome.ERROR)
+        node.finish_attempt(1, Outcome.ERROR)
         route = node.route(1)
         assert not in_flight(node)
         if not route.staggered:
@@ -192,7 +192,7 @@
         staggered += 1
         node.run(WARM_UP_S + 0.1)
         assert in_flight(node) == [1]
-        node.settle(1)
+        node.finish_attempt(1)
         assert route.slow_start_since == node.now
     assert 5 <= staggered <= 18  # ColdShare x FallMultiple of 30 are 11
 
@@ -203,7 +203,9 @@
     early, late = 0, 0
     for node in nodes:
         node.arrive()
-        node.settle(1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0)
+        node.finish_attempt(
+            1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0
+        )
         assert node.route(1).ejected
         start = node.now
         node.run(1.5 + WARM_UP_S)
@@ -219,7 +221,7 @@
     node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
     node.arrive()
     node.route(1).ejected = True
-    node.settle(node.serial)
+    node.finish_attempt(node.serial)
     assert node.route(1).slow_start_since == node.now
     return node
 
@@ -231,11 +233,11 @@
     for _ in range(2):
         node.arrive()
         node.run(4.0)
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.serial, Outcome.OVERLOADED)
         assert not route.ejected and route.rate_limit is not None
         node.run(4.0)
         assert in_flight(node) == [node.serial]
-        node.settle(node.serial)
+        node.finish_attempt(node.serial)
     assert not route.ejected
 
 
@@ -243,10 +245,10 @@
     node = warming()
     node.arrive()
     node.run(4.0)
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.serial, Outcome.OVERLOADED)
     node.run(4.0)
     assert in_flight(node) == [node.serial]
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.serial, Outcome.OVERLOADED)
     assert node.route(1).ejected
 
 
@@ -256,9 +258,9 @@
     node.arrive(count=2)
     node.run(0.9)
     first, second = in_flight(node)
-    node.settle(first, Outcome.OVERLOADED)
+    node.finish_attempt(first, Outcome.OVERLOADED)
     node.run(0.05)
-    node.settle(second, Outcome.OVERLOADED)
+    node.finish_attempt(second, Outcome.OVERLOADED)
     assert not node.route(1).ejected
 
 
@@ -270,13 +272,13 @@
     route = node.route(1)
     for message in in_flight(node)[:2]:
         node.run(0.5)
-        node.settle(message, Outcome.OVERLOADED)
+        node.finish_attempt(message, Outcome.OVERLOADED)
     assert route.rate_limit is not None and route.rate_limit < 2.0
     limits = []
     for _ in range(12):
         node.run(1.0)
         for message in in_flight(node):
-            node.settle(message)
+            node.finish_attempt(message)
         limits.append(route.rate_limit)
     assert 2.0 in limits
     after = limits[limits.index(2.0) + 1 :][:2]
@@ -296,7 +298,7 @@
         node.arrive()
         node.run(3.0)
         for message in in_flight(node):
-            node.settle(message, Outcome.CONNECT_FAILED, message_ended=True)
+            node.finish_attempt(message, Outcome.CONNECT_FAILED, message_ended=True)
             failed_connections += 1
         assert failed_connections <= 8
     assert failed_connections >= needed
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -27,7 +27,7 @@
     sent = attempted(node.arrive(destination=destination))
     assert sent, "the destination may be called"
     node.run(0.05)
-    node.settle(sent[0], outcome, **told)
+    node.finish_attempt(sent[0], outcome, **told)
     return node.destination(destination).endpoint_order[0].route
 
 
@@ -81,7 +81,7 @@
         node.arrive(destination=1)
         node.run(3.0)
         for m in node.in_flight():
-            node.settle(m, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
+            node.finish_attempt(m, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
     assert route.ejected
 
 
@@ -113,6 +113,6 @@
     while route.rate_limit is not None and route.rate_limit < 1.15 * start:
         node.run(0.5)
         for message in node.in_flight():
-            node.settle(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
+            node.finish_attempt(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
         assert node.now < began + 20.0
     assert (node.now - began <= 2.0) == quickly
