--- a/tests/player.py
+++ b/tests/player.py
@@ -29,7 +29,7 @@
 
 ROOT = Path(__file__).parent.parent
 BLOCKS = Path(__file__).parent / "exchanges"
-WAIT = 10.0
+WAIT_S = 10.0
 
 SETTINGS: dict[str, Any] = {
     "Services": [
@@ -55,7 +55,7 @@
 
 def listener() -> socket.socket:
     sock = socket.create_server(("127.0.0.1", 0))
-    sock.settimeout(WAIT)
+    sock.settimeout(WAIT_S)
     return sock
 
 
@@ -112,27 +112,27 @@
                 return
         raise AssertionError("it did not start")
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill it, if it still runs."""
         assert self.process is not None and self.process.stderr is not None
         self.process.kill()
-        self.process.wait(WAIT)
+        self.process.wait(WAIT_S)
         self.process.stderr.close()
         self.process = None
 
     def close(self) -> None:
         if self.process is not None:
-            self.end()
+            self.kill()
         self.worker.close()
         self.registry.close()
 
 
-class Line:
+class LineConnection:
     """One connection of an exchange, read line by line."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.buffer = sock, b""
-        sock.settimeout(WAIT)
+        sock.settimeout(WAIT_S)
 
     def take(self, length: int) -> bytes:
         while len(self.buffer) < length:
@@ -157,10 +157,10 @@
 
     def __init__(self, program: Program) -> None:
         self.program = program
-        self.lines: dict[str, Line] = {}
+        self.lines: dict[str, LineConnection] = {}
         self.parked: list[socket.socket] = []
         self.moved: list[socket.socket] = []
-        self.line: Line | None = None
+        self.line: LineConnection | None = None
 
     def play(self, text: str) -> None:
         for number, row in enumerate(text.splitlines(), 1):
@@ -185,7 +185,7 @@
         if sign == "@":
             name, _, who = rest.partition(" ")
             if name not in self.lines:
-                self.lines[name] = Line(self._connect(who))
+                self.lines[name] = LineConnection(self._connect(who))
             self.line = self.lines[name]
         elif sign == "!":
             self._signal(rest)
@@ -193,7 +193,7 @@
             assert self.line is not None
             self._exchange(self.line, sign, rest)
 
-    def _exchange(self, line: Line, sign: str, rest: str) -> None:
+    def _exchange(self, line: LineConnection, sign: str, rest: str) -> None:
         if sign == ">":
             line.sock.sendall(_bytes(rest))
         elif sign == "<":
@@ -214,15 +214,15 @@
 
     def _connect(self, who: str) -> socket.socket:
         if who == "client":
-            return socket.create_connection(self.program.address, WAIT)
+            return socket.create_connection(self.program.address, WAIT_S)
         if who == "worker":
             return self.program.worker.accept()[0]
         letter = who.removeprefix("registry ")[:1].encode()
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while not (found := [s for s in self.parked if s.recv(1, socket.MSG_PEEK) == letter]):
             assert time.monotonic() < until, "no such connection comes"
             self.parked.append(self.program.registry.accept()[0])
-            self.parked[-1].settimeout(WAIT)
+            self.parked[-1].settimeout(WAIT_S)
         self.parked.remove(found[0])
         return found[0]
 
@@ -232,7 +232,7 @@
             return
         assert self.program.process is not None
         if what == "restart":
-            self.program.end()
+            self.program.kill()
             self.program.start()
         elif what == "stop":
             self.program.process.send_signal(signal.SIGTERM)
@@ -246,16 +246,16 @@
             (program.folder / "config.json").write_text(text)
             process.send_signal(signal.SIGHUP)
         elif what == "closed":
-            until = time.monotonic() + WAIT
+            until = time.monotonic() + WAIT_S
             try:
                 while time.monotonic() < until:
-                    socket.create_connection(self.program.address, WAIT).close()
+                    socket.create_connection(self.program.address, WAIT_S).close()
             except ConnectionRefusedError:
                 return
             raise AssertionError("it still takes connections")
         elif what == "ended":
             assert self.program.process.wait(3.7) == 0, "it did not exit with 0"
-            self.program.end()
+            self.program.kill()
 
 
 def _bytes(text: str) -> bytes:
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -27,7 +27,7 @@
 from juniperward.net.http_responses import read_response
 from juniperward.net.stream import Stream
 from tests.helpers import open_descriptors
-from tests.player import WAIT, Line, Program
+from tests.player import WAIT_S, LineConnection, Program
 from tests.resources import Resources, UsesResources
 
 NAMES = SettingsNames(("c",), (12.0,), ("acme",), (), ())
@@ -109,14 +109,14 @@
         self.server.answer(event.client, 503 if self.server.state.stopping else 202)
 
     def connect(self) -> socket.socket:
-        sock = socket.create_connection(self.address, WAIT)
-        sock.settimeout(WAIT)
+        sock = socket.create_connection(self.address, WAIT_S)
+        sock.settimeout(WAIT_S)
         self.resources.callback(sock.close)
         return sock
 
     def client(self) -> ClientConnection:
         """The server's side of the one connection that there is."""
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while not self.server.table.clients and time.monotonic() < until:
             time.sleep(0)
         (client,) = self.server.table.clients.values()
@@ -124,7 +124,7 @@
 
     def all_connections_end(self) -> bool:
         """Whether every connection ends, each with its thread."""
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while time.monotonic() < until:
             threads = [t for t in threading.enumerate() if t.name == "client"]
             if not threads and not self.server.table.clients:
@@ -136,7 +136,7 @@
 
     def descriptors(self, most: int) -> int:
         """How many descriptors are open, once every connection has ended and there are so few."""
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while (found := open_descriptors()) > most and time.monotonic() < until:
             self.all_connections_end()
         return found
@@ -209,7 +209,7 @@
         shut = sockets.shutdown
         for served in (False, True):
             with socket.create_server(("127.0.0.1", 0)) as listener:
-                theirs = socket.create_connection(listener.getsockname(), WAIT)
+                theirs = socket.create_connection(listener.getsockname(), WAIT_S)
                 ours, _ = listener.accept()
             self.resources.callback(theirs.close)
 
@@ -252,7 +252,7 @@
             client.idle_since + 60.0
         )  # the thread reads without an end; the time counts from the first byte
         sock.sendall(request("n1")[:10])
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while client.idle and time.monotonic() < until:
             time.sleep(0)
         left = client.read_deadline - time.monotonic()
@@ -266,7 +266,7 @@
         sock = self.connect()
         client = self.client()
         sock.sendall(b"POST")
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while client.idle and time.monotonic() < until:
             time.sleep(0)
         assert client.read_deadline == client.idle_since + client_connection.FIRST_REQUEST_TIMEOUT_S
@@ -280,16 +280,16 @@
             program = self.resources.closing(Program(Path(folder)))
             program.start()
             for life in range(3):
-                with socket.create_connection(program.address, WAIT) as client:
+                with socket.create_connection(program.address, WAIT_S) as client:
                     text = request(f"m-{life}").replace(b"Class: c", b"Class: booking-update")
                     client.sendall(text.replace(b"0.480", b"15.00"))
-                    Line(client).take(len(b"HTTP/1.1 202 Accepted\r\n"))
-                    program.end()
+                    LineConnection(client).take(len(b"HTTP/1.1 202 Accepted\r\n"))
+                    program.kill()
                 journal = b"".join(p.read_bytes() for p in program.state.iterdir() if p.is_file())
                 assert f'"m-{life}"'.encode() in journal
                 program.start()
             found: set[str] = set()
-            until = time.monotonic() + WAIT
+            until = time.monotonic() + WAIT_S
             while len(found) < 3 and time.monotonic() < until:
                 sock, _ = program.worker.accept()
                 with sock:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -33,7 +33,7 @@
 from juniperward.control.protocol import Answer, Counters, DestinationRow, Request, Rows, Verb
 from juniperward.control.server import ControlServer
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
-from tests.player import ROOT, WAIT, Line, Player, Program
+from tests.player import ROOT, WAIT_S, LineConnection, Player, Program
 from tests.resources import Resources
 
 
@@ -126,8 +126,8 @@
             ControlUnreachableError
         ):  # it hears nothing before its turn to be admitted, then is served
             ControlClient(self.folder / "none", 0.1).counters()
-        assert ControlClient(self.path, WAIT).counters() == {}
-        silent[0].settimeout(WAIT)
+        assert ControlClient(self.path, WAIT_S).counters() == {}
+        silent[0].settimeout(WAIT_S)
         assert silent[0].recv(1) == b""
         assert len(mine.clients) <= server.MAX_CLIENTS
         for sock in silent:
@@ -142,7 +142,7 @@
             mine.answer(client, Answer(request.id, Counters({})))
 
         self.serve(ask)
-        client = ControlClient(self.path, WAIT)
+        client = ControlClient(self.path, WAIT_S)
         with (
             mock.patch.object(server_connection, "REQUEST_BURST", 3.0),
             mock.patch.object(server_connection, "REQUESTS_PER_S", 50.0),
@@ -159,10 +159,12 @@
         self.serve(lambda _mine, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
             with subtests.test(text=text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-                sock.settimeout(WAIT)
+                sock.settimeout(WAIT_S)
                 sock.connect(str(self.path))
                 sock.sendall(text)
-                answer = decode_answer(codec.read_frame(Line(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS)
+                answer = decode_answer(
+                    codec.read_frame(LineConnection(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS
+                )
                 assert answer.body is None
 
 
@@ -186,7 +188,7 @@
         path = tmp_path / "run" / "n0"
         self.program.config["control"] = str(path)
         self.program.start()
-        self.client = self.resources.closing(ControlClient(path, WAIT))
+        self.client = self.resources.closing(ControlClient(path, WAIT_S))
         self.player = self.resources.closing(Player(self.program))
 
     def test_it_drains_reports_draining_and_resumes(self) -> None:
@@ -218,7 +220,7 @@
     def test_stop_is_a_graceful_shutdown(self) -> None:
         self.client.order(Verb.STOP)
         assert self.program.process is not None
-        assert self.program.process.wait(WAIT) == 0
+        assert self.program.process.wait(WAIT_S) == 0
         assert not self.client.path.exists()
         with pytest.raises(ControlUnreachableError):
             self.client.status()
@@ -228,7 +230,7 @@
                        "ROUTER_STATE": str(self.program.state)}  # fmt: skip
         second = subprocess.run(
             [sys.executable, "-m", "juniperward"],
-            cwd=ROOT, env=environment, capture_output=True, timeout=WAIT,
+            cwd=ROOT, env=environment, capture_output=True, timeout=WAIT_S,
         )  # fmt: skip
         assert second.returncode == 1
         assert b"another forwarder works in this folder" in second.stderr
@@ -280,5 +282,5 @@
             mine = ControlServer(path, lambda c, r: mine.answer(c, Answer(r.id, None, "no")), say, say)
             mine.start()
             with pytest.raises(ControlRejectedError, match="no"):
-                ControlClient(path, WAIT).status()
+                ControlClient(path, WAIT_S).status()
             mine.close()
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -201,7 +201,7 @@
             ]
             assert ([a.possibly_executed for a in found[0].attempts] if found[0] else []) == [True]
             player.close()
-            program.end()
+            program.kill()
 
 
 class TestLocalCluster(UsesResources):
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -239,7 +239,7 @@
         # The window must end in real time.
         while (remaining_s := attempts[0].at + WINDOW_S - time.monotonic()) > 0:
             time.sleep(remaining_s)
-        program.end()
+        program.kill()
         program.step_s = step_s
         program.start()
         self.wait_for(recorder, NotificationReceived)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -12,7 +12,7 @@
 import pytest
 
 from juniperward.forwarder.state_folder import lock_folder
-from tests.player import WAIT, Program, play
+from tests.player import WAIT_S, Program, play
 from tests.resources import UsesResources
 
 FILES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
@@ -28,7 +28,7 @@
             program = self.resources.closing(Program(Path(folder)))
             lock = lock_folder(program.state)
             process = program.spawn()
-            until = time.monotonic() + WAIT
+            until = time.monotonic() + WAIT_S
             blocked = 0
             while not blocked >> (signal.SIGTERM - 1) & 1:  # it waits for the folder now, or is about to
                 assert time.monotonic() < until
@@ -37,7 +37,7 @@
                 blocked = int(found, 16)
             process.send_signal(signal.SIGTERM)
             os.close(lock)
-            assert process.wait(WAIT) == 0
+            assert process.wait(WAIT_S) == 0
             assert process.stderr is not None
             assert b"stop: ended" in process.stderr.read()
 
