--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; each file says in its name the behaviour that it holds."""
+"""Tests; each file is named after the behavior or the module that it tests."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that every test may request."""
+"""Fixtures that are available to all tests."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 @pytest.fixture
 def resources() -> Iterator[Resources]:
-    """Close what the test opened, the last first."""
+    """Provide a stack of resources, and close them after the test in reverse order."""
     with Resources() as opened:
         yield opened
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for tests: one scheduler, a clock, and shorthand for events."""
+"""Helpers for tests: a driver for one delivery scheduler, settings, and filters for its actions."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """Drives a scheduler; timers fire by themselves as the clock is moved."""
+    """The delivery scheduler of one forwarder, on a simulated clock; `run` moves the clock and fires timers."""
 
     def __init__(
         self, config: SchedulerSettings | None = None, endpoints: tuple[EndpointEntry, ...] | None = None
@@ -82,24 +82,24 @@
 
     @property
     def messages(self) -> dict[int, Message]:
-        """The messages that the scheduler holds."""
+        """The messages in the scheduler's backlog, by id."""
         return self.scheduler.state.backlog.messages
 
     @property
     def random(self) -> Random:
-        """The scheduler's random numbers."""
+        """The scheduler's random generator."""
         return self.scheduler.state.round.random
 
     def destination(self, number: int) -> Destination:
-        """What the scheduler knows of a destination."""
+        """Return the scheduler's state of a destination."""
         return self.scheduler.state.table.destinations[number]
 
     def route(self, number: int) -> RouteState:
-        """What the endpoints of a destination share."""
+        """Return the route state that a destination's endpoints share."""
         return self.destination(number).shared_route
 
     def in_flight(self) -> list[int]:
-        """The messages with an attempt in flight."""
+        """Return the ids of the messages with an attempt in flight."""
         return [message.id for message in self.messages.values() if message.in_flight]
 
     def handle(self, *events: Event) -> list[Action]:
@@ -116,7 +116,7 @@
         return actions
 
     def run(self, seconds: float) -> list[Action]:
-        """Move the clock on, firing timers; all actions on the way."""
+        """Advance the clock, fire the timers that are due, and return all resulting actions."""
         end, seen = self.now + seconds, []
         while self.timers and min(self.timers)[0] <= end:
             at, token = min(self.timers)
@@ -138,7 +138,7 @@
         return self.handle(*events)
 
     def finish_attempt(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
-        """The outcome of a message's latest attempt."""
+        """Report the outcome of a message's latest attempt."""
         attempt = self.attempts[message] - 1
         values: dict[str, Any] = {"message_ended": outcome is Outcome.OK, **fields}
         return self.handle(
@@ -154,25 +154,25 @@
 
 
 def attempted(actions: list[Action]) -> list[int]:
-    """The messages with an attempt started by these actions."""
+    """Return the ids of the messages for which these actions start an attempt."""
     return [action.message for action in actions if isinstance(action, StartAttempt)]
 
 
 def rejected(actions: list[Action]) -> list[int]:
-    """The messages rejected by these actions."""
+    """Return the ids of the messages that these actions reject."""
     return [action.message for action in actions if isinstance(action, Reject)]
 
 
 def failed(actions: list[Action]) -> list[int]:
-    """The messages failed by these actions."""
+    """Return the ids of the messages that these actions fail."""
     return [action.message for action in actions if isinstance(action, Fail)]
 
 
 def draining_endpoint(number: int, destination: int) -> EndpointEntry:
-    """The entry of an endpoint that is draining."""
+    """Return the list entry of a draining endpoint."""
     return EndpointEntry(number, destination, EndpointPhase.DRAINING)
 
 
 def open_descriptors(process: int | str = "self") -> int:
-    """Return how many descriptors a process has open, by its pid."""
+    """Return the number of open file descriptors of a process, given its pid."""
     return len(list(Path(f"/proc/{process}/fd").iterdir()))
--- a/tests/player.py
+++ b/tests/player.py
@@ -1,15 +1,27 @@
-"""Plays recorded byte exchanges against the program.
-
-An exchange is a text file. A line that starts with `#` is a comment. `@ NAME WHO` opens, or goes on with, a
-connection; WHO says who dials: `client` (we dial the forwarder) or `worker`, `registry` (the forwarder dials us;
-the registry's connections are told apart by the first letter they write: `registry GET` or `registry POST`). `>
-TEXT` is written to the forwarder, `< TEXT` is what it must write; both end with a line end (CR LF) unless the line
-closes with a backslash. `<~ REGEX` matches one line instead. `= end` expects the forwarder to end the connection,
-`= close` closes ours, `= silent` expects that nothing has come on it. `! stop` sends SIGTERM, `! closed` waits
-until nobody can connect any more, `! ended` expects that it exits with 0 in the time that it has, `! start` starts
-it in the same folder, and `! restart` kills it and does so. `! reload` moves the registry to another address,
-writes that to the configuration and sends SIGHUP; `! reload TEXT` writes TEXT in its place. `+ NAME ARGS` plays the
-file NAME.block with its arguments put in for $1, $2 and so on.
+"""Plays byte exchanges, which are recorded in text files, against a forwarder process.
+
+Each line of an exchange is a step:
+
+    # TEXT          a comment
+    @ NAME WHO      use the connection NAME; its first use opens it. WHO is `client` (connects to the forwarder), or
+                    `worker` (an endpoint), `registry GET` (discovery's watch) or `registry POST` (notifications),
+                    to which the forwarder connects
+    > TEXT          send TEXT to the forwarder
+    < TEXT          expect TEXT from the forwarder
+    <~ REGEX        expect one line that matches REGEX
+    = end           expect the forwarder to end the connection
+    = close         close the connection
+    = silent        expect that nothing has arrived on the connection
+    ! stop          send SIGTERM
+    ! closed        wait until the forwarder refuses connections
+    ! ended         expect the forwarder to exit with status 0 within its time limit
+    ! start         start the forwarder in the same folder
+    ! restart       kill the forwarder and start it in the same folder
+    ! reload        change discovery's address in the configuration and send SIGHUP
+    ! reload TEXT   write TEXT as the configuration and send SIGHUP
+    + NAME ARGS     play the file NAME.block with ARGS in place of $1, $2 and so on
+
+TEXT of `>` and `<` is followed by CR LF unless the step ends with a backslash.
 """
 
 from __future__ import annotations
@@ -30,6 +42,7 @@
 ROOT = Path(__file__).parent.parent
 BLOCKS = Path(__file__).parent / "exchanges"
 WAIT_S = 10.0
+EXIT_TIMEOUT_S = 3.7  # after SIGTERM
 
 SETTINGS: dict[str, Any] = {
     "Services": [
@@ -53,13 +66,14 @@
 }  # fmt: skip
 
 
-def listener() -> socket.socket:
+def open_listener() -> socket.socket:
     sock = socket.create_server(("127.0.0.1", 0))
     sock.settimeout(WAIT_S)
     return sock
 
 
-def name(sock: socket.socket) -> str:
+def address_of(sock: socket.socket) -> str:
+    """Return the address that a socket is bound to, as HOST:PORT."""
     return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
@@ -70,23 +84,23 @@
 
 
 class Program:
-    """The forwarder as a process, with a worker of each kind and a registry that the exchange plays."""
+    """A forwarder process, with listeners for an exchange that plays its endpoints and its discovery service."""
 
     def __init__(self, folder: Path, settings: dict[str, Any] | None = None) -> None:
         self.folder = folder
         self.state = folder / "state"
         self.state.mkdir()
-        self.worker, self.registry = listener(), listener()
+        self.endpoint_listener, self.discovery_listener = open_listener(), open_listener()
         self.address = ("127.0.0.1", free_port())
-        worker = name(self.worker)
+        endpoint = address_of(self.endpoint_listener)
         servers = [
-            {"id": f"s-{cell}", "addr": worker, "zone": "aluva", "kind": kind, "cell": cell, "state": "Ready",
+            {"id": f"s-{cell}", "addr": endpoint, "zone": "aluva", "kind": kind, "cell": cell, "state": "Ready",
              "weight": 5.0, "started_ms": 0}
             for cell, kind in ((7, "small-partners"), (8, "booking-sites"))
         ]  # fmt: skip
         self.config: dict[str, Any] = {
             "name": "n0", "listen": f"127.0.0.1:{self.address[1]}", "seed": "8c1f",
-            "discovery": name(self.registry),
+            "discovery": address_of(self.discovery_listener),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
             "known": {"version": 41, "full": True, "servers": servers},
             "settings": settings or SETTINGS,
@@ -94,7 +108,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def spawn(self) -> subprocess.Popen[bytes]:
-        """Start it."""
+        """Write the configuration and start the process."""
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config))
         environment = {**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_STATE": str(self.state)}
@@ -104,16 +118,16 @@
         return self.process
 
     def start(self) -> None:
-        """Start it and wait for its line that says that it serves."""
+        """Start the process and wait until it logs that it serves clients."""
         process = self.spawn()
         assert process.stderr is not None
         for line in process.stderr:
             if b": serving " in line:
                 return
-        raise AssertionError("it did not start")
+        raise AssertionError("the forwarder did not start serving")
 
     def kill(self) -> None:
-        """Kill it, if it still runs."""
+        """Kill the process and wait for its end."""
         assert self.process is not None and self.process.stderr is not None
         self.process.kill()
         self.process.wait(WAIT_S)
@@ -123,12 +137,12 @@
     def close(self) -> None:
         if self.process is not None:
             self.kill()
-        self.worker.close()
-        self.registry.close()
+        self.endpoint_listener.close()
+        self.discovery_listener.close()
 
 
 class LineConnection:
-    """One connection of an exchange, read line by line."""
+    """A connection of an exchange, read by length or line by line."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.buffer = sock, b""
@@ -148,19 +162,21 @@
     def _more(self) -> None:
         data = self.sock.recv(65536)
         if not data:
-            raise AssertionError(f"it ended the connection after {self.buffer!r}")
+            raise AssertionError(f"the forwarder ended the connection after {self.buffer!r}")
         self.buffer += data
 
 
 class Player:
-    """Plays one exchange."""
+    """Plays one exchange against a forwarder that is running."""
 
     def __init__(self, program: Program) -> None:
         self.program = program
-        self.lines: dict[str, LineConnection] = {}
-        self.parked: list[socket.socket] = []
-        self.moved: list[socket.socket] = []
-        self.line: LineConnection | None = None
+        self.connections: dict[str, LineConnection] = {}
+        self.current: LineConnection | None = None
+        self.unclaimed: list[
+            socket.socket
+        ] = []  # accepted by discovery's listener, not yet used by the exchange
+        self.former_listeners: list[socket.socket] = []
 
     def play(self, text: str) -> None:
         for number, row in enumerate(text.splitlines(), 1):
@@ -177,56 +193,62 @@
                     raise AssertionError(f"line {number}: {row}\n{error}") from error
 
     def close(self) -> None:
-        for sock in [*self.parked, *self.moved, *(line.sock for line in self.lines.values())]:
+        for sock in [
+            *self.unclaimed,
+            *self.former_listeners,
+            *(connection.sock for connection in self.connections.values()),
+        ]:
             sock.close()
 
     def _step(self, row: str) -> None:
         sign, _, rest = row.partition(" ")
         if sign == "@":
             name, _, who = rest.partition(" ")
-            if name not in self.lines:
-                self.lines[name] = LineConnection(self._connect(who))
-            self.line = self.lines[name]
+            if name not in self.connections:
+                self.connections[name] = LineConnection(self._connect(who))
+            self.current = self.connections[name]
         elif sign == "!":
-            self._signal(rest)
+            self.control(rest)
         else:
-            assert self.line is not None
-            self._exchange(self.line, sign, rest)
+            assert self.current is not None
+            self._exchange(self.current, sign, rest)
 
-    def _exchange(self, line: LineConnection, sign: str, rest: str) -> None:
+    def _exchange(self, connection: LineConnection, sign: str, rest: str) -> None:
         if sign == ">":
-            line.sock.sendall(_bytes(rest))
+            connection.sock.sendall(_encode(rest))
         elif sign == "<":
-            want = _bytes(rest)
-            got = line.take(len(want))
-            assert got == want, f"it wrote {got + line.buffer!r}"
+            expected = _encode(rest)
+            received = connection.take(len(expected))
+            assert received == expected, f"the forwarder sent {received + connection.buffer!r}"
         elif sign == "<~":
-            got = line.take_line().rstrip(b"\r\n")
-            assert re.fullmatch(rest, got.decode("latin-1")), f"it wrote {got!r}"
+            received = connection.take_line().rstrip(b"\r\n")
+            assert re.fullmatch(rest, received.decode("latin-1")), f"the forwarder sent {received!r}"
         elif rest == "end":
-            assert not line.buffer and line.sock.recv(1) == b"", "the connection goes on"
+            assert not connection.buffer and connection.sock.recv(1) == b"", "the connection is still open"
         elif rest == "close":
-            line.sock.close()
+            connection.sock.close()
         elif rest == "silent":
-            assert not line.buffer and not select.select([line.sock], [], [], 0)[0], "something came"
+            readable = select.select([connection.sock], [], [], 0)[0]
+            assert not connection.buffer and not readable, "the forwarder sent something"
         else:
-            raise AssertionError("not a step")
+            raise AssertionError("unknown step")
 
     def _connect(self, who: str) -> socket.socket:
         if who == "client":
             return socket.create_connection(self.program.address, WAIT_S)
         if who == "worker":
-            return self.program.worker.accept()[0]
-        letter = who.removeprefix("registry ")[:1].encode()
+            return self.program.endpoint_listener.accept()[0]
+        first_byte = who.removeprefix("registry ")[:1].encode()  # of the request's method
         until = time.monotonic() + WAIT_S
-        while not (found := [s for s in self.parked if s.recv(1, socket.MSG_PEEK) == letter]):
-            assert time.monotonic() < until, "no such connection comes"
-            self.parked.append(self.program.registry.accept()[0])
-            self.parked[-1].settimeout(WAIT_S)
-        self.parked.remove(found[0])
+        while not (found := [s for s in self.unclaimed if s.recv(1, socket.MSG_PEEK) == first_byte]):
+            assert time.monotonic() < until, f"no connection for {who}"
+            self.unclaimed.append(self.program.discovery_listener.accept()[0])
+            self.unclaimed[-1].settimeout(WAIT_S)
+        self.unclaimed.remove(found[0])
         return found[0]
 
-    def _signal(self, what: str) -> None:
+    def control(self, what: str) -> None:
+        """Perform a `!` step."""
         if what == "start":
             self.program.start()
             return
@@ -239,9 +261,9 @@
         elif what.startswith("reload"):
             program, process = self.program, self.program.process
             if what == "reload":
-                self.moved.append(program.registry)
-                program.registry = listener()
-                program.config["discovery"] = name(program.registry)
+                self.former_listeners.append(program.discovery_listener)
+                program.discovery_listener = open_listener()
+                program.config["discovery"] = address_of(program.discovery_listener)
             text = what.removeprefix("reload").strip() or json.dumps(program.config)
             (program.folder / "config.json").write_text(text)
             process.send_signal(signal.SIGHUP)
@@ -252,19 +274,19 @@
                     socket.create_connection(self.program.address, WAIT_S).close()
             except ConnectionRefusedError:
                 return
-            raise AssertionError("it still takes connections")
+            raise AssertionError("the forwarder still accepts connections")
         elif what == "ended":
-            assert self.program.process.wait(3.7) == 0, "it did not exit with 0"
+            assert self.program.process.wait(EXIT_TIMEOUT_S) == 0, "the exit status is not 0"
             self.program.kill()
 
 
-def _bytes(text: str) -> bytes:
+def _encode(text: str) -> bytes:
     data = text.removesuffix("\\").encode("latin-1")
     return data if text.endswith("\\") else data + b"\r\n"
 
 
 def play(path: Path) -> None:
-    """Play a file against a fresh forwarder."""
+    """Play the exchange of a file against a new forwarder."""
     with tempfile.TemporaryDirectory() as folder:
         program = Program(Path(folder))
         player = Player(program)
--- a/tests/resources.py
+++ b/tests/resources.py
@@ -1,4 +1,4 @@
-"""What a test opens and pytest closes after it, the last first."""
+"""Resources that a test opens; they are closed after the test in reverse order."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class Resources(ExitStack):
-    """The resources of one test; the fixture `resources` closes them."""
+    """The open resources of one test; the fixture `resources` closes them."""
 
     def closing(self, opened: Opened) -> Opened:
-        """Return what was opened, and close it after the test."""
+        """Register an object to be closed after the test, and return it."""
         self.callback(opened.close)
         return opened
 
 
 class UsesResources:
-    """A group of tests whose methods open resources."""
+    """Base class of test classes whose methods open resources."""
 
     resources: Resources
 
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -194,7 +194,7 @@
             player = self.resources.closing(Player(program))
             text = (Path(__file__).parent / "exchanges" / "reload.txt").read_text()
             player.play(text[text.index("@ c client") : text.index("! reload")])
-            player._signal("restart")
+            player.control("restart")
             found = [k for _, p in segments(Path(name) / "spool") for k, _ in read(p, 0)]
             assert [(k.id, k.idempotency, k.account) for k in found if k is not None] == [
                 ("m1", Idempotency.NON_IDEMPOTENT, "acme")
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange in tests/exchanges, played against the program."""
+"""Plays each recorded exchange of tests/exchanges against a forwarder process."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 
 
 class TestExchanges(UsesResources):
-    def test_there_are_exchanges(self) -> None:
+    def test_the_recorded_exchanges_are_found(self) -> None:
         assert len(FILES) > 10
 
-    def test_a_sigterm_before_it_serves_ends_it_as_one_after_it(self) -> None:
-        # Guards a roll that is called back: it must not be a crash, nor a process that never heard of it.
+    def test_sigterm_during_startup_shuts_down_cleanly(self) -> None:
+        # A cancelled roll stops instances that are still starting: these must neither crash nor miss the signal.
         with tempfile.TemporaryDirectory() as folder:
             program = self.resources.closing(Program(Path(folder)))
             lock = lock_folder(program.state)
             process = program.spawn()
             until = time.monotonic() + WAIT_S
             blocked = 0
-            while not blocked >> (signal.SIGTERM - 1) & 1:  # it waits for the folder now, or is about to
+            while (
+                not blocked >> (signal.SIGTERM - 1) & 1
+            ):  # blocked just before the process waits for the lock
                 assert time.monotonic() < until
                 status = Path(f"/proc/{process.pid}/status").read_text()
                 (found,) = re.findall(r"^SigBlk:\s*(\w+)$", status, re.M)
@@ -43,5 +45,5 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_the_program_answers_as_recorded(path: Path) -> None:
+def test_the_forwarder_behaves_as_recorded(path: Path) -> None:
     play(path)
