--- a/tests/discovery_fixture.py
+++ b/tests/discovery_fixture.py
@@ -1,8 +1,7 @@
-"""A scripted discovery service on loopback, and a forwarder's discovery client run against it.
+"""A scripted discovery service on loopback, and the discovery client of a forwarder that runs against it.
 
-The client is the real one: `DiscoveryClient` with its sockets, the `Reducer` with the module that spaces its
-polls, and the `Loop` with its timers. Only the module's random spread is fixed at its longest, so that each wait
-is a worst case.
+The client consists of the real `DiscoveryClient`, `Reducer` and `Loop`. Only the random spread of waits is replaced
+by its maximum, so that each wait is a worst case.
 """
 
 from __future__ import annotations
@@ -36,10 +35,11 @@
 
 NAMES = SettingsNames(("c",), (12.0,), (), ("m2",), ("a",))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-LONGEST_CASE = 30.0  # seconds after which a case counts as never known
+CASE_TIMEOUT_S = 30.0
 
 
-def entry(name: str, state: str) -> dict[str, object]:
+def server_entry(name: str, state: str) -> dict[str, object]:
+    """Return an entry of an endpoint list."""
     return {
         "id": name, "addr": "127.0.0.1:9", "zone": "a", "kind": "m2", "cell": 1,
         "state": state, "weight": 1.0, "started_ms": 0,
@@ -47,61 +47,69 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """Return data as a chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def endpoint_list(version: int, full: bool, **states: str) -> bytes:
-    """One piece of list news as a chunk; underscores of the names stand for hyphens."""
-    servers = [entry(name.replace("_", "-"), state) for name, state in states.items()]
+    """Return an update of the endpoint list as a chunk; underscores in names become hyphens."""
+    servers = [server_entry(name.replace("_", "-"), state) for name, state in states.items()]
     return chunk(json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n")
 
 
 @dataclass(frozen=True)
 class Reply:
-    """What the service writes once a call has been read, and whether it then closes; no bytes are silence."""
+    """The service accepts a connection, reads a request and sends `data`.
+
+    Attributes:
+        data: What is sent; empty for no answer.
+        closes: Whether the connection is closed afterwards.
+        dial_delay_s: By how much the connection is established late.
+
+    """
 
     data: bytes = b""
     closes: bool = False
-    dial_delay: float = 0.0  # seconds by which the connection comes up late
+    dial_delay_s: float = 0.0
 
 
 class Unreachable(Enum):
-    """How a call fails before it is accepted."""
+    """Why a connection to the service fails."""
 
     REFUSED = "refused"
-    BLACKHOLED = "blackholed"  # the accept queue is full: the kernel drops what would open a connection
+    BLACKHOLED = "blackholed"  # the accept queue is full, so that the kernel drops connection requests
 
 
-Call = Reply | Unreachable
-DRAIN = endpoint_list(42, False, s_1="Terminating")
-SERVES = Reply(HEAD + DRAIN)
+Behavior = Reply | Unreachable
+DRAIN_UPDATE = endpoint_list(42, False, s_1="Terminating")
+SEND_DRAIN = Reply(HEAD + DRAIN_UPDATE)
 
 
-class Discovery:
-    """Listens at one port and treats one call after another as it is told to by `prepare`."""
+class DiscoveryService:
+    """A service on one port whose behavior for the next connection is set with `prepare`."""
 
     def __init__(self) -> None:
-        # Bound and never listening: it keeps the port for this service, and alone it refuses connections.
+        # Bound but never listening: it reserves the port, and connections are refused while nothing listens.
         self.reservation = self._bound(0)
         self.address: tuple[str, int] = self.reservation.getsockname()
         self.listener: socket.socket | None = None
         self.open: list[socket.socket] = []
         self.requests: queue.Queue[str] = queue.Queue()
 
-    def prepare(self, call: Call) -> None:
-        """From now on calls fare like this."""
+    def prepare(self, behavior: Behavior) -> None:
+        """Set the behavior for the next connection."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        if call is Unreachable.REFUSED:
+        if behavior is Unreachable.REFUSED:
             return
         self.listener = listener = self._bound(self.address[1])
-        if isinstance(call, Reply):
+        if isinstance(behavior, Reply):
             listener.listen(8)
-            threading.Thread(target=self._answer, args=(listener, call), daemon=True).start()
+            threading.Thread(target=self._answer, args=(listener, behavior), daemon=True).start()
         else:
             listener.listen(0)
-            self.open.append(socket.create_connection(self.address, 5.0))  # fills the queue
+            self.open.append(socket.create_connection(self.address, 5.0))  # fills the accept queue
 
     def close(self) -> None:
         for sock in (self.listener, self.reservation, *self.open):
@@ -130,14 +138,14 @@
 
 
 class LongestWaits(random.Random):
-    """The random spread of a wait at its upper end."""
+    """Random numbers at the upper end of their range."""
 
     def uniform(self, a: float, b: float) -> float:
         return max(a, b)
 
 
 class RecordingReducer(Reducer):
-    """Tells when s-1 is known to be drained or gone here."""
+    """Records when the reducer learns that s-1 is draining or removed."""
 
     drain_known_at: float | None = None
 
@@ -150,9 +158,9 @@
     def reduce(self, now: float, events: Iterable[Event]) -> list[Effect]:
         effects = super().reduce(now, events)
         ready = {
-            w.id
-            for n, w in self.state.directory.endpoints.items()
-            if w.phase is EndpointPhase.READY and n not in self.state.directory.removed
+            endpoint.id
+            for number, endpoint in self.state.directory.endpoints.items()
+            if endpoint.phase is EndpointPhase.READY and number not in self.state.directory.removed
         }
         if "s-1" not in ready and not self.drain_known.is_set():
             self.drain_known_at = time.monotonic()
@@ -161,41 +169,46 @@
 
 
 class RecordingClient(DiscoveryClient):
-    """Notes when each call begins, and opens connections late where the script says so."""
+    """Records when each watch starts, and delays its connection as scripted."""
 
     def __init__(self, forwarder: ScriptedForwarder) -> None:
         super().__init__(forwarder.services[0].address, NAMES, forwarder.post)
         self.forwarder = forwarder
-        self.begun_at: list[float] = []
-        self.open_at_once = self.address.open_socket
-        self.address.open_socket = self.open_late  # type: ignore[method-assign]
+        self.watch_started_at: list[float] = []
+        self.open_undelayed = self.address.open_socket
+        self.address.open_socket = self.open_delayed  # type: ignore[method-assign]
 
     def watch(self, version: int, epoch: int) -> None:
-        self.begun_at.append(time.monotonic())
-        self.forwarder.call_begins(len(self.begun_at) - 1)
+        self.watch_started_at.append(time.monotonic())
+        self.forwarder.on_watch(len(self.watch_started_at) - 1)
         super().watch(version, epoch)
 
-    def open_late(
+    def open_delayed(
         self, use: ConnectionUse, epoch: int | None = None
     ) -> tuple[socket.socket, tuple[str, int]]:
-        call = self.forwarder.call(len(self.begun_at) - 1)
-        if isinstance(call, Reply) and call.dial_delay:
-            threading.Event().wait(call.dial_delay)
-        return self.open_at_once(use, epoch)
+        behavior = self.forwarder.behavior(len(self.watch_started_at) - 1)
+        if isinstance(behavior, Reply) and behavior.dial_delay_s:
+            threading.Event().wait(behavior.dial_delay_s)
+        return self.open_undelayed(use, epoch)
 
 
 class ScriptedForwarder:
-    """A forwarder's client that makes the calls of a script, then ones that `finally_` answers.
+    """A forwarder whose watches meet the scripted behaviors in turn, and then always `last_behavior`.
 
-    `move_at` is the number of the call in the midst of which discovery moves to a second service, which answers the
-    calls after it.
+    During the watch with the number `move_at_watch`, discovery's address changes to that of a second service, which
+    serves the later watches.
     """
 
-    def __init__(self, calls: Sequence[Call], finally_: Call = SERVES, move_at: int | None = None) -> None:
-        self.calls, self.finally_, self.move_at = calls, finally_, move_at
-        self.services = [Discovery()] + ([Discovery()] if move_at is not None else [])
-        self.moved_at: float | None = None
-        self.over = threading.Event()
+    def __init__(
+        self,
+        behaviors: Sequence[Behavior],
+        last_behavior: Behavior = SEND_DRAIN,
+        move_at_watch: int | None = None,
+    ) -> None:
+        self.behaviors, self.last_behavior, self.move_at_watch = behaviors, last_behavior, move_at_watch
+        self.services = [DiscoveryService()] + ([DiscoveryService()] if move_at_watch is not None else [])
+        self.address_changed_at: float | None = None
+        self.stopped = threading.Event()
         self.reducer = RecordingReducer(1)
         parts = mock.Mock()
         queue = EventQueue()
@@ -204,39 +217,40 @@
             cast(Journal, mock.Mock()), parts.server, parts.endpoint_client, self.discovery, queue
         )
         self.loop = Loop(self.reducer, executor, queue)
-        self.services[0].prepare(self.call(0))
+        self.services[0].prepare(self.behavior(0))
 
-    def call(self, number: int) -> Call:
-        return self.calls[number] if number < len(self.calls) else self.finally_
+    def behavior(self, number: int) -> Behavior:
+        """Return the behavior that the watch with this number meets."""
+        return self.behaviors[number] if number < len(self.behaviors) else self.last_behavior
 
-    def call_begins(self, number: int) -> None:
-        """Where the script says so, discovery moves while this call is under way."""
-        if number == self.move_at:
-            self.services[1].prepare(self.call(number + 1))
-            self.moved_at = time.monotonic()
+    def on_watch(self, number: int) -> None:
+        """Change discovery's address during this watch if the script says so."""
+        if number == self.move_at_watch:
+            self.services[1].prepare(self.behavior(number + 1))
+            self.address_changed_at = time.monotonic()
             self.loop.queue.post(DiscoveryAddressChanged(self.services[1].address))
 
     def post(self, event: Event) -> None:
-        """What the registry tells; before the loop hears of a call's end, the next one is prepared."""
-        if self.over.is_set():
+        """Pass an event of the discovery client to the loop; when a watch ends, first prepare the next behavior."""
+        if self.stopped.is_set():
             return
         if isinstance(event, WatchLost) and event.epoch == self.discovery.address.epoch:
-            service = self.services[-1 if self.moved_at is not None else 0]
-            service.prepare(self.call(len(self.discovery.begun_at)))
+            service = self.services[-1 if self.address_changed_at is not None else 0]
+            service.prepare(self.behavior(len(self.discovery.watch_started_at)))
         self.loop.queue.post(event)
 
-    def run(self, seconds: float = LONGEST_CASE) -> bool:
-        """Run until the drain of s-1 is known; whether it was in this time."""
+    def run(self, timeout_s: float = CASE_TIMEOUT_S) -> bool:
+        """Run until the reducer knows that s-1 is draining; return whether that was within the time limit."""
         known = (
             Endpoint("s-1", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
             Endpoint("s-2", "127.0.0.1", 9, 1, EndpointPhase.READY, 0, 0, 0.0),
         )
         self.discovery.start()
         self.loop.round([EndpointsUpdated(41, True, known, cached=True)])
-        thread = threading.Thread(target=self.loop.run, args=(self.over.is_set,), daemon=True)
+        thread = threading.Thread(target=self.loop.run, args=(self.stopped.is_set,), daemon=True)
         thread.start()
-        found = self.reducer.drain_known.wait(seconds)
-        self.over.set()
+        found = self.reducer.drain_known.wait(timeout_s)
+        self.stopped.set()
         thread.join(5.0)
         for service in self.services:
             service.close()
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -1,4 +1,4 @@
-"""Notices over connections that fail in each way: every end arrives, whole and soon."""
+"""Delivery of notifications to the platform over connections that fail in different ways."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
 from tests.resources import UsesResources
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
-COUNT = 450  # messages that end in the same moment: more than go at once
+NOTIFICATION_COUNT = 450  # more than fit in one request
+MAX_BACKOFF_S = 0.4
 
 
 class Platform:
-    """Takes notices; each connection has an answer of its own, the last one's is whole."""
+    """A platform that gives each connection one of the scripted answers, then accepts everything.
+
+    An answer of None closes the connection after a request.
+    """
 
     def __init__(self, *answers: bytes | None) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.answers, self.taken, self.socks = list(answers), set[str](), list[socket.socket]()
+        self.answers, self.accepted_ids, self.socks = list(answers), set[str](), list[socket.socket]()
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
@@ -46,9 +50,9 @@
         stream = Stream(sock.recv)
         try:
             while True:
-                call = read_request(stream)
+                request = read_request(stream)
                 if answer == OK:
-                    self.taken |= {json.loads(line)["id"] for line in call.body.splitlines()}
+                    self.accepted_ids |= {json.loads(line)["id"] for line in request.body.splitlines()}
                 if answer is None:
                     sock.close()
                     return
@@ -57,25 +61,25 @@
             sock.close()
 
     def close(self) -> None:
-        """End everything."""
+        """Close the listener and all connections."""
         for sock in (self.listener, *self.socks):
             sock.close()
 
 
 class TestNotifications(UsesResources):
     def test_an_answer_byte_by_byte_does_not_delay_a_notification(self) -> None:
-        # Guards rule 1: each byte of an answer that never ends had its 0.3 s anew, and no notice went out meanwhile.
+        # Single bytes of an answer that never ends must not extend its time limit.
         platform = Platform()
         platform.answers = [b"HTTP/1.1 2"]
         self.resources.callback(platform.close)
         over = threading.Event()
         self.resources.callback(over.set)
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(
+        client = DiscoveryClient(
             platform.listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
         )
-        registry.start()
-        registry.notify((OutcomeNotification("m0"),))
+        client.start()
+        client.notify((OutcomeNotification("m0"),))
 
         def drip() -> None:
             with contextlib.suppress(OSError):
@@ -87,23 +91,25 @@
         assert events.get(timeout=5.0) == NotificationAcknowledged(("m0",))
 
     def test_every_notification_arrives_over_failing_connections(self) -> None:
-        # Guards rule 1: reset after writing, never answered, half answered, refused; many ends at once.
+        # The connections are closed after a request, never answered, answered in part, and answered with 503.
         platform = self.resources.closing(
             Platform(None, b"", b"HTTP/1.1 20", b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         )
         events: queue.Queue[Event] = queue.Queue()
-        registry = DiscoveryClient(
+        client = DiscoveryClient(
             platform.listener.getsockname(), SettingsNames((), (), (), (), ()), events.put
         )
-        registry.start()
+        client.start()
         began = time.monotonic()
-        registry.notify(tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(COUNT)))
-        told: set[str] = set()
-        while len(told) < COUNT:
+        client.notify(
+            tuple(OutcomeNotification(f"m{n}", 0.5 if n % 2 else None) for n in range(NOTIFICATION_COUNT))
+        )
+        acknowledged: set[str] = set()
+        while len(acknowledged) < NOTIFICATION_COUNT:
             event = events.get(timeout=10.0)
             assert isinstance(event, NotificationAcknowledged)
-            told |= set(event.ids)
-        assert platform.taken == {f"m{n}" for n in range(COUNT)}
-        # Two of the four cost a wait for an answer, each of them a pause of 0.4 s at most.
-        assert time.monotonic() - began < 2 * ANSWER_TIMEOUT_S + 4 * 0.4 + 1.0
+            acknowledged |= set(event.ids)
+        assert platform.accepted_ids == {f"m{n}" for n in range(NOTIFICATION_COUNT)}
+        # Two of the four failures take the time limit of an answer, and each is followed by a backoff.
+        assert time.monotonic() - began < 2 * ANSWER_TIMEOUT_S + 4 * MAX_BACKOFF_S + 1.0
         assert ANSWER_TIMEOUT_S <= 0.3
