--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -75,7 +75,7 @@
         self.attempts: dict[int, int] = {}
         self.sent_at: dict[tuple[int, int], float] = {}
         self.endpoint: dict[tuple[int, int], int] = {}
-        self.serial = 0
+        self.last_message_id = 0
         if endpoints is None:
             endpoints = tuple(EndpointEntry(10 * d, d) for d in (1, 2, 3))
         self.update_endpoints(*endpoints, scope=ListScope.CACHED)
@@ -132,9 +132,9 @@
     def arrive(self, destination: int = 1, count: int = 1, **fields: Any) -> list[Action]:
         events = []
         for _ in range(count):
-            self.serial += 1
+            self.last_message_id += 1
             values: dict[str, Any] = {"class_index": 0, "time_left_s": 20.0, **fields}
-            events.append(MessageAdmitted(message=self.serial, destination=destination, **values))
+            events.append(MessageAdmitted(message=self.last_message_id, destination=destination, **values))
         return self.handle(*events)
 
     def finish_attempt(self, message: int, outcome: Outcome = Outcome.OK, **fields: Any) -> list[Action]:
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -36,7 +36,7 @@
         for _ in range(30):
             node.arrive(destination=d)
             node.run(latency)
-            node.finish_attempt(node.serial)
+            node.finish_attempt(node.last_message_id)
     node.arrive(destination=1, count=60)
     node.arrive(destination=2, count=60)
     start, served = node.now, {1: 0, 2: 0}
@@ -70,13 +70,13 @@
     for _ in range(10):
         node.arrive()
         node.run(0.05)
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
         node.run(0.05)
     route = node.route(1)
     assert route.rate_limit is None
     node.arrive()
     node.run(0.05)
-    node.finish_attempt(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the last second's calls
     before = route.rate_limit
     node.handle()
@@ -217,7 +217,7 @@
     for latency in [0.2] * 20 + [2.0] * 8:
         node.arrive()
         node.run(latency)
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
     assert not node.route(1).ejected
     assert len(attempted(node.arrive(count=20))) == 4
 
@@ -298,7 +298,7 @@
     node = Node()
     for _ in range(50):
         node.arrive()
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
     timers = node.scheduler.state.round.timers
     assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
@@ -314,7 +314,7 @@
     for rating, pace in ((400.0, 180.0), (0.0, 1.0)):
         node = listed(rating)
         node.arrive()
-        node.finish_attempt(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert node.route(1).rate_limit == pytest.approx(pace)
 
 
@@ -325,8 +325,8 @@
     for _ in range(30):
         node.arrive()
         node.run(0.1)
-        if node.serial != lost:
-            node.finish_attempt(node.serial)
+        if node.last_message_id != lost:
+            node.finish_attempt(node.last_message_id)
     assert [a.message for _, a in node.log if isinstance(a, CancelAttempt)] == [lost]
     assert not node.route(1).ejected
     node.finish_attempt(lost, Outcome.CANCELLED)
@@ -364,7 +364,7 @@
     # Guards a paced destination of full calls: each was charged as nearly six, and the queue grew.
     node = gathering()
     node.arrive()
-    node.finish_attempt(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     node.arrive(count=200)
     sent = node.run(5.0)
     calls = len({at for at, a in node.log if isinstance(a, StartAttempt)})
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -140,7 +140,7 @@
     for _ in range(40):  # 4 delivered calls a second
         node.arrive()
         node.run(0.05)
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
         node.run(0.2)
     for _ in range(6):
         node.arrive()
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -14,7 +14,7 @@
     for _ in range(count):
         node.arrive(destination=destination)
         node.run(latency)
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
 
 
 def cancelled(node: Node) -> list[int]:
@@ -43,10 +43,10 @@
     warm(node, 1)
     warm(node, 2)
     node.arrive(destination=1)
-    heavy = node.serial
+    heavy = node.last_message_id
     node.arrive(destination=1)
     node.run(0.2)
-    node.finish_attempt(node.serial)
+    node.finish_attempt(node.last_message_id)
     node.arrive(destination=2, count=4)
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) == 3 and heavy not in cancelled(node)
@@ -60,7 +60,9 @@
     node.run(1.5)
     assert len(attempted(node.arrive(count=5))) == 1
     node.run(0.2)
-    assert len(attempted(node.finish_attempt(node.serial - 4))) == 4  # an answer: the destination is alive
+    assert (
+        len(attempted(node.finish_attempt(node.last_message_id - 4))) == 4
+    )  # an answer: the destination is alive
 
 
 def test_several_unresponsive_calls_lead_to_spaced_half_open_attempts() -> None:
@@ -89,7 +91,7 @@
     for k in range(30):
         node.arrive()
         node.run(0.1)
-        node.finish_attempt(node.serial, Outcome.ERROR if k % 5 in (0, 2) else Outcome.OK)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR if k % 5 in (0, 2) else Outcome.OK)
     assert not node.route(1).ejected
 
 
@@ -98,7 +100,7 @@
     for _ in range(60):  # 4 a second
         node.arrive()
         node.run(0.25)
-        node.finish_attempt(node.serial)
+        node.finish_attempt(node.last_message_id)
     node.arrive(count=4)
     node.run(3.5)
     route = node.route(1)
@@ -132,7 +134,7 @@
     node.arrive()
     node.run(0.01)
     paid = d.deficit_s
-    node.finish_attempt(node.serial, Outcome.ERROR)
+    node.finish_attempt(node.last_message_id, Outcome.ERROR)
     assert d.mean_latency_s == mean and d.deficit_s <= paid and deficit == 0.0
 
 
@@ -141,11 +143,11 @@
     warm(node, 1)
     node.arrive(count=8)
     node.run(0.1)
-    for m in range(node.serial - 3, node.serial + 1):
+    for m in range(node.last_message_id - 3, node.last_message_id + 1):
         node.finish_attempt(m, Outcome.CONNECT_FAILED)
     assert not node.route(1).ejected
     assert len(attempted(node.run(0.3))) == 0  # the open ones are all in use
-    assert len(attempted(node.finish_attempt(node.serial - 7) + node.run(0.3))) == 1
+    assert len(attempted(node.finish_attempt(node.last_message_id - 7) + node.run(0.3))) == 1
 
 
 def test_a_non_idempotent_message_is_not_used_for_a_half_open_attempt() -> None:
@@ -154,10 +156,10 @@
     for _ in range(4):
         node.arrive(class_index=1)
         node.run(0.05)
-        node.finish_attempt(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR)
     assert node.route(1).ejected
     node.arrive(class_index=0)
-    unsafe = node.serial
+    unsafe = node.last_message_id
     node.arrive(class_index=1, count=3)
     tried = attempted(node.run(5.0))
     assert tried and unsafe not in tried
@@ -208,7 +210,7 @@
         for _ in range(4):
             node.arrive(destination=d)
             node.run(0.02)
-            node.finish_attempt(node.serial, Outcome.RESET)
+            node.finish_attempt(node.last_message_id, Outcome.RESET)
         assert node.route(d).ejected
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) <= 2
@@ -252,11 +254,11 @@
     node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
-        node.finish_attempt(node.serial, Outcome.CONNECT_FAILED, connection_table_full=True)
-        assert node.attempts[node.serial] < 4 and not node.route(1).ejected
+        node.finish_attempt(node.last_message_id, Outcome.CONNECT_FAILED, connection_table_full=True)
+        assert node.attempts[node.last_message_id] < 4 and not node.route(1).ejected
         node.run(0.45)  # it goes again within a fifth of a second, looked at every fifth
-    assert node.attempts[node.serial] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
-    node.finish_attempt(node.serial)
+    assert node.attempts[node.last_message_id] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
+    node.finish_attempt(node.last_message_id)
     seen = len(closed(node))
     node.run(0.03)
     assert len(closed(node)) == seen + 1  # 0.2 s halved three times, and a tenth more with the answer
@@ -349,7 +351,7 @@
                 node.finish_attempt(call[2])
             if dice.random() < 0.02:
                 node.arrive()
-                came[n, node.serial], asked = now, asked + 1
+                came[n, node.last_message_id], asked = now, asked + 1
             while seen[n] < len(node.log):
                 action = node.log[seen[n]][1]
                 seen[n] += 1
@@ -389,7 +391,7 @@
             warm(node, 1, count=1)
             node.run(30.0)
         node.arrive()
-        node.finish_attempt(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert node.route(1).ejected is sick
 
 
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -173,7 +173,7 @@
             node.finish_attempt(message, Outcome.ERROR)
     if not node.route(1).ejected:
         node.arrive()
-        node.finish_attempt(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR)
     route = node.route(1)
     route.next_call_at = node.now + 500.0
     node.run(70.0)
@@ -221,7 +221,7 @@
     node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
     node.arrive()
     node.route(1).ejected = True
-    node.finish_attempt(node.serial)
+    node.finish_attempt(node.last_message_id)
     assert node.route(1).slow_start_since == node.now
     return node
 
@@ -233,11 +233,11 @@
     for _ in range(2):
         node.arrive()
         node.run(4.0)
-        node.finish_attempt(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert not route.ejected and route.rate_limit is not None
         node.run(4.0)
-        assert in_flight(node) == [node.serial]
-        node.finish_attempt(node.serial)
+        assert in_flight(node) == [node.last_message_id]
+        node.finish_attempt(node.last_message_id)
     assert not route.ejected
 
 
@@ -245,10 +245,10 @@
     node = warming()
     node.arrive()
     node.run(4.0)
-    node.finish_attempt(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     node.run(4.0)
-    assert in_flight(node) == [node.serial]
-    node.finish_attempt(node.serial, Outcome.OVERLOADED)
+    assert in_flight(node) == [node.last_message_id]
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     assert node.route(1).ejected
 
 
