--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -33,7 +33,7 @@
 from juniperward.control.protocol import Answer, Counters, DestinationRow, Request, Rows, Verb
 from juniperward.control.server import ControlServer
 from juniperward.forwarder.state_folder import FolderInUseError, lock_folder
-from tests.player import ROOT, WAIT, Line, Player, Program
+from tests.player import ROOT, WAIT_S, LineConnection, Player, Program
 from tests.resources import Resources
 
 
@@ -135,8 +135,8 @@
             idle[-1].connect(str(self.path))
         with pytest.raises(ControlUnreachableError):
             ControlClient(self.folder / "none", 0.1).counters()
-        assert ControlClient(self.path, WAIT).counters() == {}
-        idle[0].settimeout(WAIT)
+        assert ControlClient(self.path, WAIT_S).counters() == {}
+        idle[0].settimeout(WAIT_S)
         assert idle[0].recv(1) == b""
         assert len(control_server.clients) <= server.MAX_CLIENTS
         for sock in idle:
@@ -151,7 +151,7 @@
             control_server.answer(client, Answer(request.id, Counters({})))
 
         self.serve(answer_request)
-        client = ControlClient(self.path, WAIT)
+        client = ControlClient(self.path, WAIT_S)
         with (
             mock.patch.object(server_connection, "REQUEST_BURST", 3.0),
             mock.patch.object(server_connection, "REQUESTS_PER_S", 50.0),
@@ -168,10 +168,12 @@
         self.serve(lambda _server, _client, _request: None)
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\2{]", b"\0\0\0\0"):
             with subtests.test(text=text), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-                sock.settimeout(WAIT)
+                sock.settimeout(WAIT_S)
                 sock.connect(str(self.path))
                 sock.sendall(text)
-                answer = decode_answer(codec.read_frame(Line(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS)
+                answer = decode_answer(
+                    codec.read_frame(LineConnection(sock).take, codec.MAX_ANSWER_BYTES), Verb.STATUS
+                )
                 assert answer.body is None
 
 
@@ -195,7 +197,7 @@
         path = tmp_path / "run" / "n0"
         self.program.config["control"] = str(path)
         self.program.start()
-        self.client = self.resources.closing(ControlClient(path, WAIT))
+        self.client = self.resources.closing(ControlClient(path, WAIT_S))
         self.player = self.resources.closing(Player(self.program))
 
     def test_it_drains_reports_draining_and_resumes(self) -> None:
@@ -227,7 +229,7 @@
     def test_stop_is_a_graceful_shutdown(self) -> None:
         self.client.order(Verb.STOP)
         assert self.program.process is not None
-        assert self.program.process.wait(WAIT) == 0
+        assert self.program.process.wait(WAIT_S) == 0
         assert not self.client.path.exists()
         with pytest.raises(ControlUnreachableError):
             self.client.status()
@@ -237,7 +239,7 @@
                        "ROUTER_STATE": str(self.program.state)}  # fmt: skip
         second = subprocess.run(
             [sys.executable, "-m", "juniperward"],
-            cwd=ROOT, env=environment, capture_output=True, timeout=WAIT,
+            cwd=ROOT, env=environment, capture_output=True, timeout=WAIT_S,
         )  # fmt: skip
         assert second.returncode == 1
         assert b"another forwarder works in this folder" in second.stderr
@@ -293,5 +295,5 @@
             )
             control_server.start()
             with pytest.raises(ControlRejectedError, match="no"):
-                ControlClient(path, WAIT).status()
+                ControlClient(path, WAIT_S).status()
             control_server.close()
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -24,7 +24,7 @@
             for (message, _), sent_at in node.sent_at.items()
             if message in node.messages and node.messages[message].in_flight
         )[1]
-        for message in attempted(node.settle(oldest)):
+        for message in attempted(node.finish_attempt(oldest)):
             if message > 4:
                 served[node.messages[message].destination.id] += 1
     assert min(served.values()) >= 2 and abs(served[1] - served[2]) <= 2
@@ -37,7 +37,7 @@
         for _ in range(30):
             node.arrive(destination=destination)
             node.run(latency_s)
-            node.settle(node.serial)
+            node.finish_attempt(node.last_message_id)
     node.arrive(destination=1, count=60)
     node.arrive(destination=2, count=60)
     start, served = node.now, {1: 0, 2: 0}
@@ -48,7 +48,7 @@
             attempt = node.attempts[message] - 1
             if node.now - node.sent_at[message, attempt] >= latencies_s[destination] - 1e-6:
                 served[destination] += 1
-                node.settle(message)
+                node.finish_attempt(message)
     assert served[1] > 3 * served[2] > 0
 
 
@@ -71,28 +71,28 @@
     for _ in range(10):
         node.arrive()
         node.run(0.05)
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
         node.run(0.05)
     route = node.route(1)
     assert route.rate_limit is None
     node.arrive()
     node.run(0.05)
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the rate of the last second
     first_limit = route.rate_limit
-    node.do()
+    node.handle()
     node.arrive(count=20)
     node.run(0.3)
-    node.settle(node.in_flight()[0])
+    node.finish_attempt(node.in_flight()[0])
     assert route.rate_limit == first_limit
     node.run(1.05)
     assert route.rate_limit is not None and route.rate_limit == pytest.approx(first_limit + 1.0)
     for message in node.in_flight():
-        node.settle(message)
+        node.finish_attempt(message)
     for _ in range(60):  # an empty queue does not need the limit, which is then dropped
         node.run(0.2)
         for message in node.in_flight():
-            node.settle(message)
+            node.finish_attempt(message)
     assert route.rate_limit is None
 
 
@@ -101,13 +101,13 @@
     node.arrive(count=3)
     node.run(0.05)
     for message in (1, 2, 3):
-        node.settle(message, Outcome.OVERLOADED)
+        node.finish_attempt(message, Outcome.OVERLOADED)
     route = node.route(1)
     assert route.rate_limit == pytest.approx(1.5)
     for _ in range(20):
         node.run(0.5)
         for message in node.in_flight():
-            node.settle(message, Outcome.OVERLOADED)
+            node.finish_attempt(message, Outcome.OVERLOADED)
     assert route.rate_limit == 1.0
 
 
@@ -116,7 +116,7 @@
     node = Node(settings(SAFE, slots=40))
     node.arrive(count=4)
     node.run(0.05)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=9.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=9.0)
     node.arrive(count=30)
     assert attempted(node.run(8.9)) == []
     assert len(attempted(node.run(0.3))) <= 1
@@ -126,7 +126,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1)
+    node.finish_attempt(1)
     assert node.destination(1).mean_latency_s is not None
     node.run(59.0)
     assert node.destination(1).mean_latency_s is not None
@@ -153,8 +153,8 @@
     assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
     for message in range(1, 5):
-        assert attempted(node.settle(message)) == []
-    assert attempted(node.settle(5)) == [6, 7]
+        assert attempted(node.finish_attempt(message)) == []
+    assert attempted(node.finish_attempt(5)) == [6, 7]
 
 
 def test_non_idempotent_messages_are_batched() -> None:
@@ -166,9 +166,9 @@
 def test_a_non_idempotent_message_is_not_retried_in_a_batch() -> None:
     node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
     node.arrive(count=3)
-    node.settle(1, Outcome.RESET)
-    node.settle(2, Outcome.OVERLOADED)
-    assert attempted(node.settle(3, Outcome.OVERLOADED)) == [2, 3]
+    node.finish_attempt(1, Outcome.RESET)
+    node.finish_attempt(2, Outcome.OVERLOADED)
+    assert attempted(node.finish_attempt(3, Outcome.OVERLOADED)) == [2, 3]
     assert 1 not in node.messages
 
 
@@ -178,8 +178,8 @@
     node.arrive()
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=10.0)
-    assert attempted(node.settle(1)) == [2]
-    shared = [a for a in node.settle(2) if isinstance(a, StartAttempt)]
+    assert attempted(node.finish_attempt(1)) == [2]
+    shared = [a for a in node.finish_attempt(2) if isinstance(a, StartAttempt)]
     assert [a.message for a in shared] == [3, 4]
     # The time left must also suffice if the call first waits for a connection.
     assert [a.start_within_s for a in shared] == [pytest.approx(9.0)] * 2
@@ -194,10 +194,10 @@
     node.arrive()
     for size in (60, 50, 40, 120, 10):
         node.arrive(batch_bytes=size)
-    assert attempted(node.settle(1)) == [2, 4]  # message 3 does not fit, message 4 does
-    assert [attempted(node.settle(m)) for m in (2, 4)] == [[], [3, 6]]
+    assert attempted(node.finish_attempt(1)) == [2, 4]  # message 3 does not fit, message 4 does
+    assert [attempted(node.finish_attempt(m)) for m in (2, 4)] == [[], [3, 6]]
     # Message 5 exceeds the limit by itself and is sent alone.
-    assert [attempted(node.settle(m)) for m in (3, 6)] == [[], [5]]
+    assert [attempted(node.finish_attempt(m)) for m in (3, 6)] == [[], [5]]
 
 
 def test_an_unbatched_message_does_not_block_batches() -> None:
@@ -206,8 +206,8 @@
     node.arrive(time_left_s=3.0)
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=3.0)
-    assert attempted(node.settle(1)) == [2, 4, 5]
-    assert [attempted(node.settle(m)) for m in (2, 4, 5)] == [[], [], [3]]
+    assert attempted(node.finish_attempt(1)) == [2, 4, 5]
+    assert [attempted(node.finish_attempt(m)) for m in (2, 4, 5)] == [[], [], [3]]
 
 
 def test_a_slow_destination_fills_half_of_the_slots() -> None:
@@ -215,7 +215,7 @@
     for latency_s in [0.2] * 20 + [2.0] * 8:
         node.arrive()
         node.run(latency_s)
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
     assert not node.route(1).ejected
     assert len(attempted(node.arrive(count=20))) == 4
 
@@ -224,7 +224,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=90.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=90.0)
     node.run(70.0)
     assert attempted(node.arrive()) == []
 
@@ -273,7 +273,7 @@
         node.arrive()
         node.run(0.1)
         for message in node.in_flight():
-            node.settle(message)
+            node.finish_attempt(message)
     endpoint = node.scheduler.state.table.endpoints[10]
     assert node.scheduler.batching.call_spacing_s(endpoint) < 0.2
     node.route(1).rate_limit_cut_at = node.now
@@ -285,7 +285,7 @@
     node = node_with_batches()
     node.arrive(count=5)
     for message in range(1, 6):
-        node.settle(message, Outcome.RESET)
+        node.finish_attempt(message, Outcome.RESET)
     assert sorted(attempted(node.run(1.0))) == [1, 2, 3, 4, 5]
     assert len({c.serial for c in node.scheduler.state.backlog.in_flight.values()}) == 1
 
@@ -295,7 +295,7 @@
     node = Node()
     for _ in range(50):
         node.arrive()
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
     timers = node.scheduler.state.round.timers
     assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
@@ -311,7 +311,7 @@
     for listed_rate, rate_limit in ((400.0, 180.0), (0.0, 1.0)):
         node = node_with_listed_rate(listed_rate)
         node.arrive()
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert node.route(1).rate_limit == pytest.approx(rate_limit)
 
 
@@ -322,11 +322,11 @@
     for _ in range(30):
         node.arrive()
         node.run(0.1)
-        if node.serial != lost:
-            node.settle(node.serial)
+        if node.last_message_id != lost:
+            node.finish_attempt(node.last_message_id)
     assert [a.message for _, a in node.log if isinstance(a, CancelAttempt)] == [lost]
     assert not node.route(1).ejected
-    node.settle(lost, Outcome.CANCELLED)
+    node.finish_attempt(lost, Outcome.CANCELLED)
     assert attempted(node.run(1.0)) == [lost]
 
 
@@ -342,17 +342,17 @@
         )
         node.arrive(count=4)
         for message in range(1, 5):
-            node.settle(message, Outcome.CONNECT_FAILED)
+            node.finish_attempt(message, Outcome.CONNECT_FAILED)
         for _ in range(4):
             for message in attempted(node.run(0.5)):
-                node.settle(message, Outcome.CONNECT_FAILED)
+                node.finish_attempt(message, Outcome.CONNECT_FAILED)
         assert node.route(1).ejected
         counts = []
         for outcome in (Outcome.CONNECT_FAILED, Outcome.OK):
             attempts_before = sum(node.attempts.values())
             for _ in range(300):
                 for message in attempted(node.arrive(time_left_s=60.0)) + attempted(node.run(0.02)):
-                    node.settle(message, outcome)
+                    node.finish_attempt(message, outcome)
             counts.append(sum(node.attempts.values()) - attempts_before)
         return counts[0], counts[1]
 
@@ -367,7 +367,7 @@
     # Guards the throughput of a rate-limited destination with full batches.
     node = node_with_batches()
     node.arrive()
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     node.arrive(count=200)
     sent = attempted(node.run(5.0))
     call_count = len({at for at, action in node.log if isinstance(action, StartAttempt)})
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -55,7 +55,7 @@
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    actions = node.settle(1, outcome) + node.run(20.0)
+    actions = node.finish_attempt(1, outcome) + node.run(20.0)
     assert failed(actions) == [1] and attempted(actions) == [] and rejected(actions) == []
 
 
@@ -64,14 +64,14 @@
     node = Node(settings(ONCE))
     node.arrive()
     node.run(0.1)
-    assert attempted(node.settle(1, outcome) + node.run(5.0)) == [1]
+    assert attempted(node.finish_attempt(1, outcome) + node.run(5.0)) == [1]
 
 
 def test_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
     node = Node(settings(KEYED))
     node.arrive()
     node.run(4.9)
-    actions = node.settle(1, Outcome.TIMEOUT) + node.run(20.0)
+    actions = node.finish_attempt(1, Outcome.TIMEOUT) + node.run(20.0)
     assert all(at < 105.0 for at in node.sent_at.values())
     assert failed(actions) == [1]
 
@@ -81,7 +81,9 @@
     node = Node(settings(KEYED, ONCE))
     assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
     node.run(4.0)
-    retries = [a for a in node.settle(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)]
+    retries = [
+        a for a in node.finish_attempt(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)
+    ]
     assert len(retries) == 1
     assert node.sent_at[1, 1] + retries[0].start_within_s == pytest.approx(105.0, abs=0.03)
     assert [a.start_within_s for a in node.arrive(class_index=1) if isinstance(a, StartAttempt)] == [math.inf]
@@ -92,11 +94,11 @@
     node = Node(settings(KEYED, slots=2))
     node.arrive(destination=1)
     node.run(0.01)
-    node.do(*[])
-    node.settle(1, Outcome.ERROR)
-    node.listed(draining_endpoint(10, 1))
+    node.handle(*[])
+    node.finish_attempt(1, Outcome.ERROR)
+    node.update_endpoints(draining_endpoint(10, 1))
     node.run(6.0)
-    node.listed(EndpointEntry(11, 1))
+    node.update_endpoints(EndpointEntry(11, 1))
     assert node.attempts[1] == 1 or max(node.sent_at.values()) < 105.0
     assert attempted(node.run(14.0)) == []
 
@@ -106,10 +108,10 @@
     node.arrive()
     first_endpoint = node.endpoint[1, 0]
     node.run(0.05)
-    node.settle(1, Outcome.ERROR)
+    node.finish_attempt(1, Outcome.ERROR)
     node.run(2.0)
     assert node.endpoint[1, 1] == first_endpoint
-    node.settle(1, Outcome.ERROR)
+    node.finish_attempt(1, Outcome.ERROR)
     actions = node.run(8.0)
     assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first_endpoint}
     assert rejected(actions) == []
@@ -127,10 +129,10 @@
 
 def test_a_draining_endpoint_gets_no_attempts() -> None:
     node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
-    node.listed(draining_endpoint(10, 1))
+    node.update_endpoints(draining_endpoint(10, 1))
     node.arrive(count=6)
     assert set(node.endpoint.values()) == {11}
-    node.listed(draining_endpoint(11, 1))
+    node.update_endpoints(draining_endpoint(11, 1))
     assert attempted(node.arrive(count=3)) == []
 
 
@@ -139,13 +141,13 @@
     for _ in range(40):  # 4 deliveries per second
         node.arrive()
         node.run(0.05)
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
         node.run(0.2)
     for _ in range(6):
         node.arrive()
         node.run(0.05)
         for message in node.in_flight():
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
     node.arrive(count=60)
     attempts_before = len(node.sent_at)
     answered = set()
@@ -156,7 +158,7 @@
             if (message, attempt) not in answered and at <= node.now - 0.05 and is_latest:
                 answered.add((message, attempt))
                 if message in node.messages and node.messages[message].in_flight:
-                    node.settle(message, Outcome.OK if node.now >= recovers_at else Outcome.ERROR)
+                    node.finish_attempt(message, Outcome.OK if node.now >= recovers_at else Outcome.ERROR)
         node.run(0.05)
     times = [at for at in list(node.sent_at.values())[attempts_before:] if at >= recovers_at]
     assert times
@@ -172,10 +174,10 @@
     assert attempted(node.arrive(ordering_key="a")) == []
     assert attempted(node.arrive(ordering_key="b")) == [3]
     node.run(0.1)
-    assert attempted(node.settle(1)) == [2]
+    assert attempted(node.finish_attempt(1)) == [2]
     node.arrive(ordering_key="a")
     node.run(0.1)
-    node.settle(2, Outcome.TIMEOUT, message_ended=True)
+    node.finish_attempt(2, Outcome.TIMEOUT, message_ended=True)
     assert attempted(node.run(0.29)) == []
     assert attempted(node.run(0.02)) == [4]
 
@@ -184,7 +186,7 @@
     node = Node()
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the wait by the rate limit
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the wait by the rate limit
     assert attempted(node.arrive(count=3) + node.run(1.89)) == []
     assert attempted(node.arrive(destination=2)) != []
     assert attempted(node.run(1.0)) != []
@@ -197,7 +199,7 @@
     node.arrive()
     first_endpoint = node.endpoint[1, 0]
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=5.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=5.0)
     node.run(0.5)
     node.arrive(count=2)
     later_endpoints = {endpoint for key, endpoint in node.endpoint.items() if key != (1, 0)}
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -14,7 +14,7 @@
     for _ in range(count):
         node.arrive(destination=destination)
         node.run(latency)
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
 
 
 def cancelled_messages(node: Node) -> list[int]:
@@ -34,7 +34,7 @@
     node.run(1.2)
     assert len(cancelled_messages(node)) >= 1
     cancelled_message = cancelled_messages(node)[0]
-    started = attempted(node.settle(cancelled_message, Outcome.CANCELLED))
+    started = attempted(node.finish_attempt(cancelled_message, Outcome.CANCELLED))
     assert 5 in {node.messages[message].destination.id for message in started}
 
 
@@ -43,10 +43,10 @@
     deliver(node, 1)
     deliver(node, 2)
     node.arrive(destination=1)
-    slow_message = node.serial
+    slow_message = node.last_message_id
     node.arrive(destination=1)
     node.run(0.2)
-    node.settle(node.serial)
+    node.finish_attempt(node.last_message_id)
     node.arrive(destination=2, count=4)
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) == 3 and slow_message not in cancelled_messages(node)
@@ -60,7 +60,7 @@
     node.run(1.5)
     assert len(attempted(node.arrive(count=5))) == 1
     node.run(0.2)
-    assert len(attempted(node.settle(node.serial - 4))) == 4  # the destination has answered
+    assert len(attempted(node.finish_attempt(node.last_message_id - 4))) == 4  # the destination has answered
 
 
 def test_several_unresponsive_calls_lead_to_spaced_trials() -> None:
@@ -78,9 +78,9 @@
     node = Node(settings(SAFE, slots=20))
     node.arrive(count=3)
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, retry_after_s=8.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=8.0)
     assert node.route(1).ejected
-    node.settle(2)
+    node.finish_attempt(2)
     assert node.route(1).ejected
 
 
@@ -89,7 +89,7 @@
     for index in range(30):
         node.arrive()
         node.run(0.1)
-        node.settle(node.serial, Outcome.ERROR if index % 5 in (0, 2) else Outcome.OK)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR if index % 5 in (0, 2) else Outcome.OK)
     assert not node.route(1).ejected
 
 
@@ -98,7 +98,7 @@
     for _ in range(60):  # four calls a second
         node.arrive()
         node.run(0.25)
-        node.settle(node.serial)
+        node.finish_attempt(node.last_message_id)
     node.arrive(count=4)
     node.run(3.5)
     route = node.route(1)
@@ -115,7 +115,7 @@
         node.run(0.05)
         for message in node.in_flight():
             if node.now - node.sent_at[message, node.attempts[message] - 1] > 0.04:
-                node.settle(message)
+                node.finish_attempt(message)
         if node.route(1).rate_limit is not None:
             break
     route = node.route(1)
@@ -132,7 +132,7 @@
     node.arrive()
     node.run(0.01)
     deficit_s = destination.deficit_s
-    node.settle(node.serial, Outcome.ERROR)
+    node.finish_attempt(node.last_message_id, Outcome.ERROR)
     assert (
         destination.mean_latency_s == mean_latency_s
         and destination.deficit_s <= deficit_s
@@ -145,11 +145,11 @@
     deliver(node, 1)
     node.arrive(count=8)
     node.run(0.1)
-    for message in range(node.serial - 3, node.serial + 1):
-        node.settle(message, Outcome.CONNECT_FAILED)
+    for message in range(node.last_message_id - 3, node.last_message_id + 1):
+        node.finish_attempt(message, Outcome.CONNECT_FAILED)
     assert not node.route(1).ejected
     assert len(attempted(node.run(0.3))) == 0  # all open connections are in use
-    assert len(attempted(node.settle(node.serial - 7) + node.run(0.3))) == 1
+    assert len(attempted(node.finish_attempt(node.last_message_id - 7) + node.run(0.3))) == 1
 
 
 def test_a_non_idempotent_message_is_not_used_for_a_trial() -> None:
@@ -158,10 +158,10 @@
     for _ in range(4):
         node.arrive(class_index=1)
         node.run(0.05)
-        node.settle(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR)
     assert node.route(1).ejected
     node.arrive(class_index=0)
-    non_idempotent = node.serial
+    non_idempotent = node.last_message_id
     node.arrive(class_index=1, count=3)
     trials = attempted(node.run(5.0))
     assert trials and non_idempotent not in trials
@@ -170,7 +170,7 @@
 def test_the_endpoint_list_is_polled_again_after_a_failure() -> None:
     node = Node(settings(endpoints_polled=True))
     assert [action for _, action in node.log if isinstance(action, PollEndpointList)] == [PollEndpointList()]
-    node.do(EndpointListUpdated(ListScope.FAILED))
+    node.handle(EndpointListUpdated(ListScope.FAILED))
     assert any(isinstance(action, PollEndpointList) for action in node.run(1.0))
 
 
@@ -188,7 +188,7 @@
             node.arrive(destination=1 + index % 3, class_index=index % 2)
             node.run(0.07)
             for message in node.in_flight()[:2]:
-                node.settle(message, Outcome.OK if index % 4 else Outcome.TIMEOUT)
+                node.finish_attempt(message, Outcome.OK if index % 4 else Outcome.TIMEOUT)
         logs.append(node.log)
     assert logs[0] == logs[1]
 
@@ -213,7 +213,7 @@
         for _ in range(4):
             node.arrive(destination=destination)
             node.run(0.02)
-            node.settle(node.serial, Outcome.RESET)
+            node.finish_attempt(node.last_message_id, Outcome.RESET)
         assert node.route(destination).ejected
     node.run(3.0)
     assert len(node.scheduler.state.backlog.in_flight) <= 2
@@ -227,7 +227,7 @@
     node.arrive(count=12)
     node.run(9.0)
     for message in node.in_flight():
-        node.settle(message)
+        node.finish_attempt(message)
     assert not node.route(1).ejected
     node.run(13.0)
     node.arrive(count=4)
@@ -256,11 +256,11 @@
     node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
-        node.settle(node.serial, Outcome.CONNECT_FAILED, connection_table_full=True)
-        assert node.attempts[node.serial] < 4 and not node.route(1).ejected
+        node.finish_attempt(node.last_message_id, Outcome.CONNECT_FAILED, connection_table_full=True)
+        assert node.attempts[node.last_message_id] < 4 and not node.route(1).ejected
         node.run(0.45)  # the message is sent again within a fifth of a second
-    assert node.attempts[node.serial] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
-    node.settle(node.serial)
+    assert node.attempts[node.last_message_id] == 4 and not node.scheduler.state.table.endpoints[10].unhealthy
+    node.finish_attempt(node.last_message_id)
     closed_count = len(closed_endpoints(node))
     node.run(0.03)  # the timeout of 0.2 s is halved three times, and raised by a tenth with the answer
     assert len(closed_endpoints(node)) == closed_count + 1
@@ -287,7 +287,7 @@
             for message in node.in_flight():
                 overloaded = capacity < 1.0
                 capacity = max(capacity - 1.0, -limit_per_s / 2)
-                node.settle(message, Outcome.OVERLOADED if overloaded else Outcome.OK)
+                node.finish_attempt(message, Outcome.OVERLOADED if overloaded else Outcome.OK)
                 accepted_count += not overloaded
                 rejected_count += overloaded
             node.arrive(count=max(0, 20 - node.scheduler.state.backlog.open_count))
@@ -321,11 +321,11 @@
     )
     node.arrive(time_left_s=1000.0)
     for _ in range(7):
-        node.settle(1, Outcome.OVERLOADED)
+        node.finish_attempt(1, Outcome.OVERLOADED)
         assert not node.route(1).ejected
         while not node.messages[1].in_flight:
             node.run(1.0)
-    node.settle(1, Outcome.OVERLOADED)
+    node.finish_attempt(1, Outcome.OVERLOADED)
     assert node.route(1).ejected
 
 
@@ -346,10 +346,10 @@
                 calls_in_flight.remove(call)
                 idle_connections[index] += 1
                 in_time_count += now - arrived_at[index, call[2]] <= 3.0
-                node.settle(call[2])
+                node.finish_attempt(call[2])
             if rng.random() < 0.02:
                 node.arrive()
-                arrived_at[index, node.serial], arrival_count = now, arrival_count + 1
+                arrived_at[index, node.last_message_id], arrival_count = now, arrival_count + 1
             while log_positions[index] < len(node.log):
                 action = node.log[log_positions[index]][1]
                 log_positions[index] += 1
@@ -361,7 +361,7 @@
                     idle_connections[index] -= idle_connections[index] > 0
                     calls_in_flight.append((now + 0.05, index, action.message))
                 elif isinstance(action, StartAttempt):
-                    node.settle(action.message, Outcome.CONNECT_FAILED, connection_table_full=True)
+                    node.finish_attempt(action.message, Outcome.CONNECT_FAILED, connection_table_full=True)
     assert arrival_count > 1400 and in_time_count > 0.95 * arrival_count
 
 
@@ -371,7 +371,7 @@
     for seed in range(60):
         node = Node(settings(KEYED, instances=40, rates_listed=True), ())
         node.random.seed(seed)
-        node.listed(
+        node.update_endpoints(
             *(EndpointEntry(index, 1, listed_rate=200.0) for index in range(3)), scope=ListScope.CACHED
         )
         node.arrive()
@@ -394,7 +394,7 @@
             deliver(node, 1, count=1)
             node.run(30.0)
         node.arrive()
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert node.route(1).ejected is expected
 
 
@@ -415,7 +415,7 @@
 def test_a_small_fleet_keeps_its_idle_connections() -> None:
     node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=3))
     node.arrive()
-    node.settle(1, Outcome.CONNECT_FAILED, message_ended=True)
+    node.finish_attempt(1, Outcome.CONNECT_FAILED, message_ended=True)
     node.run(2.0)
     deliver(node, 1, count=1)
     assert closed_endpoints(node) == []
@@ -431,11 +431,11 @@
             node.run(0.1)
             node.run(0.1)
             for message in node.in_flight():
-                node.settle(message, Outcome.ERROR)
+                node.finish_attempt(message, Outcome.ERROR)
         for _ in range(2):
             node.run(10.0)
             for message in node.in_flight():
-                node.settle(message, Outcome.ERROR)
+                node.finish_attempt(message, Outcome.ERROR)
         assert node.route(1).ejected
     trials = []
     for node in nodes:
@@ -444,7 +444,7 @@
             node.arrive(time_left_s=1.0)
             node.run(1.0)
             for message in node.in_flight():
-                node.settle(message, Outcome.ERROR, message_ended=True)
+                node.finish_attempt(message, Outcome.ERROR, message_ended=True)
         trials.append(sum(isinstance(action, StartAttempt) for _, action in node.log) - before)
     assert max(trials) <= 4 and 1 <= sum(trials) <= 45  # at most one call in 2 s, and at least one in total
 
@@ -455,7 +455,7 @@
     for index, node in enumerate(nodes):
         node.random.seed(index)
         node.arrive(count=3)
-        node.settle(1, Outcome.OVERLOADED, retry_after_s=1.0)
+        node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.0)
         node.run(0.99)
         early_count += len(attempted(node.run(0.1)))
     assert early_count <= 25
@@ -467,7 +467,7 @@
     for _ in range(6):
         node.run(3.0)
         for message in node.in_flight():
-            node.settle(message, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+            node.finish_attempt(message, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
     route = node.route(1)
     assert route.rate_limit is not None and route.rate_limit < 0.3 and not route.ejected
 
@@ -479,11 +479,11 @@
         )
         node.arrive()
         node.run(0.1)
-        node.settle(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
+        node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
         assert node.route(1).rate_limit is not None
         node.run(70.0)
         assert attempted(node.arrive()) == [2]
-        node.settle(2, Outcome.OVERLOADED)
+        node.finish_attempt(2, Outcome.OVERLOADED)
         assert 0 < node.scheduler.state.traffic.expected_rate(node.destination(1), node.route(1)) < math.inf
 
 
@@ -492,7 +492,7 @@
     node = Node(settings(SAFE, slots=3, instances=50))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     route = node.route(1)
     assert route.rate_limit == 10.0 / 50
     assert attempted(node.run(4.0)) == []  # the quota is one call in 5 s
@@ -503,7 +503,7 @@
     node = Node(settings(SAFE, slots=3, instances=200))
     node.arrive()
     node.run(0.1)
-    node.settle(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
+    node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
     assert node.route(1).rate_limit == 0.5
 
 
@@ -518,7 +518,7 @@
             node.arrive()
             node.run(0.01)
             for message in node.in_flight():
-                node.settle(message)  # further messages wait for the call spacing
+                node.finish_attempt(message)  # further messages wait for the call spacing
             node.run(interval_s - 0.01)
         fractions.append(node.scheduler.state.traffic.own_fraction())
     assert fractions[0] > 0.3 and fractions[1] < 0.02
@@ -530,7 +530,7 @@
     node.arrive(count=4)
     node.run(0.1)
     for message in (1, 2, 3, 4):
-        node.settle(message, Outcome.CONNECT_FAILED)
+        node.finish_attempt(message, Outcome.CONNECT_FAILED)
     node.arrive(count=5)
     actions = node.run(13.8)
     assert rejected(actions) == [] and failed(actions) == []
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -80,10 +80,10 @@
         while answers and answers[0][0] <= now:
             _, index, message, sent_at = answers.pop(0)
             if sent_at >= returned_at:
-                nodes[index].settle(message)
+                nodes[index].finish_attempt(message)
             else:
                 failed_nodes.add(index)
-                nodes[index].settle(
+                nodes[index].finish_attempt(
                     message, outcome, retry_after_s=max(returned_at - now, 0.01) if with_retry_after else 0.0
                 )
         while arrivals and arrivals[0][0] <= now:
@@ -131,12 +131,12 @@
     times: list[float] = []
     for node in nodes:
         node.arrive(count=3)
-        node.settle(in_flight(node)[0], Outcome.ERROR)
+        node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
         if count < 6:  # a small fleet ejects after four failures in a row
             node.arrive(count=2)
-            node.settle(in_flight(node)[0], Outcome.ERROR)
+            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         started_at = node.now
         node.scheduler.state.traffic.admitted_count = 0  # makes the fraction of the traffic even
         assert node.route(1).ejected
@@ -145,7 +145,7 @@
             node.scheduler.state.traffic.admitted_count = 0
             node.run(1.0)
             for message in in_flight(node):
-                node.settle(message, Outcome.ERROR, message_ended=True)
+                node.finish_attempt(message, Outcome.ERROR, message_ended=True)
         times += [t - started_at for t, a in node.log if isinstance(a, StartAttempt) and t > started_at]
     assert 0 < max_calls_in_span(times) <= MIN_BUDGET + CHANCE_MARGIN
     assert len(times) <= MIN_BUDGET * 40 / SPAN_S
@@ -157,9 +157,9 @@
     for node in nodes:
         node.arrive(count=3)
         for _ in range(2):
-            node.settle(in_flight(node)[0], Outcome.ERROR)
+            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
         assert node.route(1).ejected
         node.route(1).next_call_at = node.now + 20.0
         node.run(40.0)
@@ -177,10 +177,10 @@
         node.arrive(time_left_s=19.0)
         node.run(20.0)
         for message in in_flight(node):
-            node.settle(message, Outcome.ERROR)
+            node.finish_attempt(message, Outcome.ERROR)
     if not node.route(1).ejected:
         node.arrive()
-        node.settle(node.serial, Outcome.ERROR)
+        node.finish_attempt(node.last_message_id, Outcome.ERROR)
     route = node.route(1)
     route.next_call_at = node.now + 500.0
     node.run(70.0)
@@ -191,7 +191,7 @@
     staggered_count = 0
     for node in create_fleet()[:30]:
         node.arrive()
-        node.settle(1, Outcome.ERROR)
+        node.finish_attempt(1, Outcome.ERROR)
         route = node.route(1)
         assert not in_flight(node)
         if not route.staggered:
@@ -199,7 +199,7 @@
         staggered_count += 1
         node.run(WARM_UP_S + 0.1)
         assert in_flight(node) == [1]
-        node.settle(1)
+        node.finish_attempt(1)
         assert route.slow_start_since == node.now
     # The expected count is SLOW_START_FRACTION * MULTIPLE * 30, which is about 11.
     assert 5 <= staggered_count <= 18
@@ -211,7 +211,9 @@
     early_count, late_count = 0, 0
     for node in nodes:
         node.arrive()
-        node.settle(1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0)
+        node.finish_attempt(
+            1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0
+        )
         assert node.route(1).ejected
         started_at = node.now
         node.run(1.5 + WARM_UP_S)
@@ -227,7 +229,7 @@
     node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
     node.arrive()
     node.route(1).ejected = True
-    node.settle(node.serial)
+    node.finish_attempt(node.last_message_id)
     assert node.route(1).slow_start_since == node.now
     return node
 
@@ -239,11 +241,11 @@
     for _ in range(2):
         node.arrive()
         node.run(4.0)
-        node.settle(node.serial, Outcome.OVERLOADED)
+        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
         assert not route.ejected and route.rate_limit is not None
         node.run(4.0)
-        assert in_flight(node) == [node.serial]
-        node.settle(node.serial)
+        assert in_flight(node) == [node.last_message_id]
+        node.finish_attempt(node.last_message_id)
     assert not route.ejected
 
 
@@ -251,10 +253,10 @@
     node = create_warming_up_node()
     node.arrive()
     node.run(4.0)
-    node.settle(node.serial, Outcome.OVERLOADED)
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     node.run(4.0)
-    assert in_flight(node) == [node.serial]
-    node.settle(node.serial, Outcome.OVERLOADED)
+    assert in_flight(node) == [node.last_message_id]
+    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
     assert node.route(1).ejected
 
 
@@ -264,9 +266,9 @@
     node.arrive(count=2)
     node.run(0.9)
     first, second = in_flight(node)
-    node.settle(first, Outcome.OVERLOADED)
+    node.finish_attempt(first, Outcome.OVERLOADED)
     node.run(0.05)
-    node.settle(second, Outcome.OVERLOADED)
+    node.finish_attempt(second, Outcome.OVERLOADED)
     assert not node.route(1).ejected
 
 
@@ -278,13 +280,13 @@
     route = node.route(1)
     for message in in_flight(node)[:2]:
         node.run(0.5)
-        node.settle(message, Outcome.OVERLOADED)
+        node.finish_attempt(message, Outcome.OVERLOADED)
     assert route.rate_limit is not None and route.rate_limit < 2.0
     limits = []
     for _ in range(12):
         node.run(1.0)
         for message in in_flight(node):
-            node.settle(message)
+            node.finish_attempt(message)
         limits.append(route.rate_limit)
     assert 2.0 in limits
     after = limits[limits.index(2.0) + 1 :][:2]
@@ -304,7 +306,7 @@
         node.arrive()
         node.run(3.0)
         for message in in_flight(node):
-            node.settle(message, Outcome.CONNECT_FAILED, message_ended=True)
+            node.finish_attempt(message, Outcome.CONNECT_FAILED, message_ended=True)
             failed_connections += 1
         assert failed_connections <= 8
     assert failed_connections >= needed
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -29,7 +29,7 @@
     sent = attempted(node.arrive(destination=destination))
     assert sent, "no attempt was started"
     node.run(0.05)
-    node.settle(sent[0], outcome, **report)
+    node.finish_attempt(sent[0], outcome, **report)
     return node.destination(destination).endpoint_order[0].route
 
 
@@ -85,7 +85,7 @@
         node.arrive(destination=1)
         node.run(3.0)
         for message in node.in_flight():
-            node.settle(message, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
+            node.finish_attempt(message, Outcome.OVERLOADED, capacity_left=0.98, reported_limit_per_s=10.0)
     assert route.ejected
 
 
@@ -119,6 +119,6 @@
     while route.rate_limit is not None and route.rate_limit < 1.15 * initial_limit:
         node.run(0.5)
         for message in node.in_flight():
-            node.settle(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
+            node.finish_attempt(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
         assert node.now < started_at + 20.0
     assert (node.now - started_at <= 2.0) == quickly
