--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -15,13 +15,13 @@
 from juniperward.agent.redrive_preview import preview_redrives, redrive_settings
 from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.running_fleet import RunningFleet
-from juniperward.dead_letters.clock import certain_now
+from juniperward.dead_letters.clock import latest_possible_time
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
-from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.operator_actions import ManualSettlement
 from juniperward.dead_letters.redrive_rules import requested_by
-from juniperward.dead_letters.redrive_safety import judge_redrive
+from juniperward.dead_letters.redrive_safety import assess_redrive
 from juniperward.dead_letters.redriver import Redriver
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.dead_letters.store_errors import LeaseLostError
 
@@ -105,14 +105,14 @@
         if not why:
             raise ReasonMissingError
         message = str(options["id"])
-        statement = Statement(bool(options["delivered"]), who, why)
+        statement = ManualSettlement(bool(options["delivered"]), who, why)
         self._store.settle(message, statement, self._now())
         return {"settled": message}
 
     # --- reads --------------------------------------------------------------------------------------------
 
     def _now(self) -> float:
-        return certain_now(self._fleet.clock(), self._store.recorded_clock())
+        return latest_possible_time(self._fleet.clock(), self._store.recorded_clock())
 
     def _show(self, options: Options, who: str) -> ApiResponse:
         message = str(options["id"])
@@ -134,7 +134,7 @@
         """Return a page of messages, each with its judgement; `next` begins the page after, null at the end."""
         chosen = {field: options[key] for key, field in FILTERS.items() if options.get(key) is not None}
         limit = min(int(options.get("limit", DEFAULT_PAGE)), MAX_PAGE)
-        given_up_at, last_id = options.get("after") or BEFORE_ALL
+        given_up_at, last_id = options.get("after") or START_POSITION
         after = Position(float(given_up_at), str(last_id))
         selected = Filter(tuple(options.get("ids", ())), **chosen)
         messages = self._store.select(selected, limit, after)
@@ -149,13 +149,13 @@
 
     def _row(self, message: DeadLetter, now: float, listed: frozenset[str] | None) -> dict[str, Any]:
         settings = self._redriver.settings
-        judgement = judge_redrive(message, now, listed, settings.clock_allowance_s)
+        judgement = assess_redrive(message, now, listed, settings.clock_allowance_s)
         is_stored = message.status is Status.STORED
         return {
             "id": message.id,
             "stand": message.status.value,
             "kind": judgement.kind.value,
-            "may_go": judgement.may_go,
+            "may_go": judgement.is_allowed,
             "why": judgement.why,
             "wanted_by": requested_by(message, settings.rules, now) if is_stored else "",
             "destination": message.destination,
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -63,7 +63,7 @@
     def _progress(self) -> dict[str, Any]:
         return {
             "trouble": self.fault,
-            "lost_memory": self.latest.forgotten,
+            "lost_memory": self.latest.unresolved,
             "damaged_lines": self.fleet.damaged_lines,
         }
 
--- a/juniperward/agent/redrive_preview.py
+++ b/juniperward/agent/redrive_preview.py
@@ -9,9 +9,9 @@
 from juniperward.agent.running_fleet import RunningFleet
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.redrive_rules import requested_by
-from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
+from juniperward.dead_letters.redrive_safety import RedriveSafety, assess_redrive
 from juniperward.dead_letters.redrive_settings import RedriveSettings
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.settings.load import SettingsError, load
 
@@ -59,7 +59,7 @@
 ) -> RedrivePreview:
     """Return what these settings would do with the stored messages at `now`; nothing is sent."""
     preview = RedrivePreview()
-    after = BEFORE_ALL
+    after = START_POSITION
     while page := store.select(Filter(status=Status.STORED), PAGE_SIZE, after):
         after = Position(page[-1].given_up_at, page[-1].id)
         for message in page:
@@ -74,8 +74,8 @@
     settings: RedriveSettings,
     now: float,
 ) -> None:
-    judgement = judge_redrive(message, now, endpoints, settings.clock_allowance_s)
-    if not judgement.may_go:
+    judgement = assess_redrive(message, now, endpoints, settings.clock_allowance_s)
+    if not judgement.is_allowed:
         uncertain = judgement.kind is RedriveSafety.UNCERTAIN
         preview.count_retained(judgement.kind.value if uncertain else judgement.why)
         return
--- a/juniperward/agent/running_fleet.py
+++ b/juniperward/agent/running_fleet.py
@@ -12,7 +12,7 @@
 from juniperward.control.errors import ControlError
 from juniperward.control.protocol import DestinationRow, EndpointRow, Verb
 from juniperward.dead_letters import spool_files
-from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.clock import ClockReading
 from juniperward.dead_letters.fleet import ReportedOutcome
 from juniperward.dead_letters.redrive_rate import DestinationView
 from juniperward.dead_letters.resubmission import (
@@ -61,9 +61,9 @@
         self._boot_id = processes.boot_id()
         self._clients: dict[str, ControlClient] = {}
 
-    def clock(self) -> Clock:
+    def clock(self) -> ClockReading:
         """Return the present moment."""
-        return Clock(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), self._boot_id)
+        return ClockReading(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), self._boot_id)
 
     def forwarders(self) -> list[str]:
         """Return the names of those that take messages now."""
--- a/juniperward/benchmarks/dead_letter_store_rates.py
+++ b/juniperward/benchmarks/dead_letter_store_rates.py
@@ -12,7 +12,7 @@
 
 from juniperward.benchmarks.report import Report, Row
 from juniperward.dead_letters.dead_letter import Status
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position, SpoolPosition
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position, SpoolPosition
 from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.scheduler.settings import Idempotency
@@ -74,7 +74,7 @@
     def _list_all(self) -> None:
         began = time.monotonic()
         listed = 0
-        after = BEFORE_ALL
+        after = START_POSITION
         while page := self._store.select(Filter(status=Status.STORED), PAGE, after):
             listed += len(page)
             after = Position(page[-1].given_up_at, page[-1].id)
--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -7,21 +7,21 @@
 from juniperward.dead_letters import redrive_safety
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.redrive_rules import requested_by
-from juniperward.dead_letters.redrive_safety import Judgement
+from juniperward.dead_letters.redrive_safety import RedriveAssessment
 from juniperward.dead_letters.redrive_settings import RedriveSettings
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 
 PAGE_SIZE = 500  # messages read at once
-MAX_PAGES = 4  # for one destination in a round
+MAX_PAGES_PER_ROUND = 4  # for one destination in a round
 MAX_DEDUPLICATION_WINDOW_S = 3600.0  # no class has a longer one
 
 
 @dataclass(frozen=True, slots=True)
-class Conditions:
+class SelectionContext:
     """What candidates are judged by."""
 
-    listed: frozenset[str] | None  # the endpoints that the destination has now; None: not known
+    current_endpoints: frozenset[str] | None  # the endpoints that the destination has now; None: not known
     now: float  # Unix time
     settings: RedriveSettings
 
@@ -38,15 +38,15 @@
         """Begin a destination anew."""
         self._positions.pop(destination, None)
 
-    def select(self, destination: int, max_count: int, conditions: Conditions) -> list[DeadLetter]:
+    def select(self, destination: int, max_count: int, conditions: SelectionContext) -> list[DeadLetter]:
         """Return messages to redrive: those whose window is closing first, then the oldest.
 
         A few pages are read in a round, and the next round goes on behind them: what may not be redriven
         must not hide what may.
         """
         chosen = self._closing(destination, conditions)
-        position = self._positions.get(destination, BEFORE_ALL)
-        for _ in range(MAX_PAGES):
+        position = self._positions.get(destination, START_POSITION)
+        for _ in range(MAX_PAGES_PER_ROUND):
             if len(chosen) >= max_count:
                 break
             stored = Filter(status=Status.STORED, destination=destination)
@@ -55,14 +55,14 @@
             requested = self._requested(page, conditions)
             chosen += [message for message, _ in requested if message.id not in known]
             if len(page) < PAGE_SIZE:
-                position = BEFORE_ALL
+                position = START_POSITION
                 break
             if len(chosen) < max_count:
                 position = Position(page[-1].given_up_at, page[-1].id)
         self._positions[destination] = position
         return chosen[:max_count]
 
-    def _closing(self, destination: int, conditions: Conditions) -> list[DeadLetter]:
+    def _closing(self, destination: int, conditions: SelectionContext) -> list[DeadLetter]:
         """Return the messages whose deduplication window is closing, the first to close first."""
         since = conditions.now - MAX_DEDUPLICATION_WINDOW_S
         closing = Filter(status=Status.STORED, destination=destination, executed_since=since)
@@ -71,14 +71,14 @@
         return [message for message, _ in found]
 
     def _requested(
-        self, page: list[DeadLetter], conditions: Conditions
-    ) -> list[tuple[DeadLetter, Judgement]]:
+        self, page: list[DeadLetter], conditions: SelectionContext
+    ) -> list[tuple[DeadLetter, RedriveAssessment]]:
         """Return those of a page that may be redriven and that a person or a rule requests."""
         found = []
         for message in page:
-            judgement = redrive_safety.judge_redrive(
-                message, conditions.now, conditions.listed, conditions.settings.clock_allowance_s
+            judgement = redrive_safety.assess_redrive(
+                message, conditions.now, conditions.current_endpoints, conditions.settings.clock_allowance_s
             )
-            if judgement.may_go and requested_by(message, conditions.settings.rules, conditions.now):
+            if judgement.is_allowed and requested_by(message, conditions.settings.rules, conditions.now):
                 found.append((message, judgement))
         return found
--- a/juniperward/dead_letters/clock.py
+++ b/juniperward/dead_letters/clock.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class ClockReading:
     """A moment: `wall` (Unix time) can be set, `boot` (seconds since `boot_id` began) cannot."""
 
     wall: float
@@ -15,7 +15,7 @@
     boot_id: str
 
 
-def certain_now(clock: Clock, recorded: Clock | None) -> float:
+def latest_possible_time(clock: ClockReading, recorded: ClockReading | None) -> float:
     """Return the latest Unix time that it can be: never earlier than the recorded one and what has passed since.
 
     A deduplication window that has closed must not open again because a clock was set back. Where the machine was
--- a/juniperward/dead_letters/database.py
+++ b/juniperward/dead_letters/database.py
@@ -12,8 +12,8 @@
 from juniperward.dead_letters.store_errors import StoreDamagedError, StoreVersionError
 
 BUSY_TIMEOUT_S = 10.0
-BACKUP_PAGES = 1000  # copied at a time
-PRIVATE_FOLDER = 0o700
+BACKUP_STEP_PAGES = 1000  # copied at a time
+PRIVATE_FOLDER_MODE = 0o700
 
 
 class Database:
@@ -25,7 +25,7 @@
         self._synchronous = synchronous
         self._local = threading.local()
         self._write_lock = threading.Lock()  # one writer at a time, without SQLite's busy waits
-        file.parent.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+        file.parent.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
         try:
             self._migrate()
         except sqlite3.DatabaseError as error:
@@ -84,4 +84,4 @@
         """Write a consistent copy, while in use."""
         # A connection's own `with` commits but does not close; `closing` does.
         with closing(sqlite3.connect(target)) as copy:
-            self.db.backup(copy, pages=BACKUP_PAGES)
+            self.db.backup(copy, pages=BACKUP_STEP_PAGES)
--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.clock import ClockReading
 from juniperward.dead_letters.redrive_rate import DestinationView
 from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
 from juniperward.dead_letters.store import DeadLetterStore
@@ -23,7 +23,7 @@
 class Fleet(Protocol):
     """What a round needs of the forwarders."""
 
-    def clock(self) -> Clock:
+    def clock(self) -> ClockReading:
         """Return the present moment."""
 
     def forwarders(self) -> list[str]:
--- a/juniperward/dead_letters/operator_actions.py
+++ b/juniperward/dead_letters/operator_actions.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Statement:
+class ManualSettlement:
     """What a person says of a message: whether it took effect, and how that is known."""
 
     delivered: bool
@@ -41,7 +41,7 @@
     why: str
 
 
-def settle(db: sqlite3.Connection, message: str, statement: Statement, now: float) -> None:
+def settle(db: sqlite3.Connection, message: str, statement: ManualSettlement, now: float) -> None:
     """Take a person's statement for the message's outcome; raises MessageChangedError where it has one."""
     row = db.execute("SELECT stand FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
--- a/juniperward/dead_letters/outcome_log.py
+++ b/juniperward/dead_letters/outcome_log.py
@@ -18,7 +18,7 @@
 
 MAX_OUTCOMES = 100_000  # remembered; beyond it the oldest half is forgotten, and `complete_since` says so
 FILE = "fates"
-FRESH_FILE = "fates.new"
+NEW_FILE = "fates.new"
 
 
 class OutcomeLog(Mapping[str, RedriveOutcome]):
@@ -83,7 +83,7 @@
         return True
 
     def _rewrite(self, data: bytes) -> None:
-        fresh = self._folder / FRESH_FILE
+        fresh = self._folder / NEW_FILE
         fresh.write_bytes(data)
         fresh.replace(self._folder / FILE)
         self.close()
--- a/juniperward/dead_letters/ownership.py
+++ b/juniperward/dead_letters/ownership.py
@@ -11,7 +11,7 @@
     return message_id.startswith(REDRIVE_PREFIX)
 
 
-def is_stored(time_left_s: float, retry_after_s: float | None) -> bool:
+def should_dead_letter(time_left_s: float, retry_after_s: float | None) -> bool:
     """Return whether a message that is given up is stored, and its client is notified that it is undeliverable.
 
     Both together or neither: a client that retries while its message is stored would have it delivered twice. A
--- a/juniperward/dead_letters/redrive_rate.py
+++ b/juniperward/dead_letters/redrive_rate.py
@@ -9,15 +9,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-TRIAL_INTERVAL_S = 3.0  # between redrives that try a failing destination which no live message tries
+PROBE_INTERVAL_S = 3.0  # between redrives that try a failing destination which no live message tries
 RATE_LIFETIME_S = 10.0  # after which a rate says nothing of now, and begins anew
-MAX_STEP_S = 1.0  # of time that one adjustment counts
+MAX_ADJUSTMENT_INTERVAL_S = 1.0  # of time that one adjustment counts
 DECREASE_INTERVAL_S = 1.0  # least time between two decreases, and from one to the next increase
-FAILING, WARMING = "failing", "warming"  # healths with which a destination gets no redrives
-NO_INSTANCE = "no instance answers"
-TRIAL = "it is failing; one goes to try it"
-RETRY_AFTER = "its Retry-After is not over"
-LIVE_FIRST = "live messages wait for it"
+HEALTH_FAILING, HEALTH_WARMING_UP = "failing", "warming"  # healths with which a destination gets no redrives
+REASON_NO_ANSWER = "no instance answers"
+REASON_PROBE = "it is failing; one goes to try it"
+REASON_RETRY_AFTER = "its Retry-After is not over"
+REASON_LIVE_TRAFFIC = "live messages wait for it"
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     adjusted_at: float = 0.0
     tokens: float = 0.0
     decreased_at: float = -math.inf
-    trial_at: float = -math.inf
+    probed_at: float = -math.inf
     reason: str = "not adjusted yet"
 
 
@@ -65,25 +65,25 @@
     for live traffic. A Retry-After that any instance got binds all. Live messages that wait for it go first.
     """
     if now - rate.adjusted_at > RATE_LIFETIME_S:
-        rate = RedriveRate(decreased_at=rate.decreased_at, trial_at=rate.trial_at)
+        rate = RedriveRate(decreased_at=rate.decreased_at, probed_at=rate.probed_at)
     if not views:
-        return _stopped(rate, now, NO_INSTANCE)
-    unhealthy = [view.health for view in views if view.health in (FAILING, WARMING)]
+        return _stopped(rate, now, REASON_NO_ANSWER)
+    unhealthy = [view.health for view in views if view.health in (HEALTH_FAILING, HEALTH_WARMING_UP)]
     if unhealthy:
         return _unhealthy(rate, views, unhealthy, now)
     if any(view.retry_after_s > 0 for view in views):
         decreased = rate.per_s * limits.decrease_factor
-        return RedriveRate(decreased, now, 0.0, now, rate.trial_at, RETRY_AFTER)
+        return RedriveRate(decreased, now, 0.0, now, rate.probed_at, REASON_RETRY_AFTER)
     rate_limited = rejected or any(view.rate_limited for view in views)
     adjusted = _increased_or_decreased(rate, rate_limited, _max_per_s(views, limits), now, limits)
     if sum(view.waiting for view in views) > sum(view.slots for view in views):
-        return replace(adjusted, tokens=0.0, reason=LIVE_FIRST)
-    tokens = min(rate.tokens + adjusted.per_s * _passed_s(rate, now), max(adjusted.per_s, 1.0))
+        return replace(adjusted, tokens=0.0, reason=REASON_LIVE_TRAFFIC)
+    tokens = min(rate.tokens + adjusted.per_s * _elapsed_s(rate, now), max(adjusted.per_s, 1.0))
     return replace(adjusted, tokens=tokens, reason=f"{adjusted.per_s:.1f} a second")
 
 
 def _stopped(rate: RedriveRate, now: float, reason: str) -> RedriveRate:
-    return RedriveRate(0.0, now, 0.0, rate.decreased_at, rate.trial_at, reason)
+    return RedriveRate(0.0, now, 0.0, rate.decreased_at, rate.probed_at, reason)
 
 
 def _unhealthy(
@@ -94,9 +94,9 @@
     There are no health checks: with no live message for it, an outage would never be seen to end. When the
     forwarders make the attempt is theirs to decide.
     """
-    untried = WARMING not in unhealthy and all(view.waiting == 0 for view in views)
-    if untried and now - rate.trial_at >= TRIAL_INTERVAL_S:
-        return RedriveRate(0.0, now, 1.0, rate.decreased_at, now, TRIAL)
+    untried = HEALTH_WARMING_UP not in unhealthy and all(view.waiting == 0 for view in views)
+    if untried and now - rate.probed_at >= PROBE_INTERVAL_S:
+        return RedriveRate(0.0, now, 1.0, rate.decreased_at, now, REASON_PROBE)
     return _stopped(rate, now, f"it is {unhealthy[0]}")
 
 
@@ -117,16 +117,16 @@
             per_s *= limits.decrease_factor
             decreased_at = now
         else:
-            per_s += limits.increase_per_s * _passed_s(rate, now)
-    return RedriveRate(min(per_s, max_per_s), now, 0.0, decreased_at, rate.trial_at)
+            per_s += limits.increase_per_s * _elapsed_s(rate, now)
+    return RedriveRate(min(per_s, max_per_s), now, 0.0, decreased_at, rate.probed_at)
 
 
-def _passed_s(rate: RedriveRate, now: float) -> float:
+def _elapsed_s(rate: RedriveRate, now: float) -> float:
     """Return the seconds since the rate was adjusted, as far as one adjustment counts them; 0 for a new rate."""
-    return min(max(now - rate.adjusted_at, 0.0), MAX_STEP_S) if rate.adjusted_at else 0.0
+    return min(max(now - rate.adjusted_at, 0.0), MAX_ADJUSTMENT_INTERVAL_S) if rate.adjusted_at else 0.0
 
 
-def spend(rate: RedriveRate, count: int) -> RedriveRate:
+def consume_tokens(rate: RedriveRate, count: int) -> RedriveRate:
     """Return the rate after so many redrives."""
     return replace(rate, tokens=rate.tokens - count)
 
--- a/juniperward/dead_letters/redrive_rules.py
+++ b/juniperward/dead_letters/redrive_rules.py
@@ -8,9 +8,9 @@
 
 from juniperward.dead_letters.dead_letter import DeadLetter
 
-A_PERSON = "a person"  # in the place of a rule's name
-SECONDS_AN_HOUR = 3600.0
-HOURS_A_DAY = 24.0
+OPERATOR_REQUEST = "a person"  # in the place of a rule's name
+SECONDS_PER_HOUR = 3600.0
+HOURS_PER_DAY = 24.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     max_age_s: float = math.inf
     max_redrives: int = 3
     from_hour: float = 0.0
-    to_hour: float = HOURS_A_DAY  # before `from_hour`: over midnight
+    to_hour: float = HOURS_PER_DAY  # before `from_hour`: over midnight
 
 
 def matches(rule: Rule, message: DeadLetter, now: float) -> bool:
@@ -41,14 +41,14 @@
 
 
 def _in_hours(rule: Rule, now: float) -> bool:
-    hour = now / SECONDS_AN_HOUR % HOURS_A_DAY if math.isfinite(now) else 0.0
+    hour = now / SECONDS_PER_HOUR % HOURS_PER_DAY if math.isfinite(now) else 0.0
     if rule.from_hour > rule.to_hour:  # over midnight
         return hour >= rule.from_hour or hour < rule.to_hour
     return rule.from_hour <= hour < rule.to_hour
 
 
 def requested_by(message: DeadLetter, rules: Iterable[Rule], now: float) -> str:
-    """Return who requests a redrive: A_PERSON, the first matching rule's name, or nobody (empty)."""
+    """Return who requests a redrive: OPERATOR_REQUEST, the first matching rule's name, or nobody (empty)."""
     if message.redrive_requested:
-        return A_PERSON
+        return OPERATOR_REQUEST
     return next((rule.name for rule in rules if matches(rule, message, now)), "")
--- a/juniperward/dead_letters/redrive_safety.py
+++ b/juniperward/dead_letters/redrive_safety.py
@@ -1,7 +1,7 @@
 """Whether a dead letter may be redriven, until when, and why or why not. Pure: no clock, no I/O.
 
 All times are Unix time by the clock of the machine on which the message was given up. Callers pass a `now` from
-`clock.certain_now`: a window that has closed must not open again because a clock was set back.
+`clock.latest_possible_time`: a window that has closed must not open again because a clock was set back.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class RedriveAssessment:
     """Whether a message may be redriven, until when (Unix time), and why or why not."""
 
     kind: RedriveSafety
-    may_go: bool
+    is_allowed: bool
     until: float = math.inf  # a redrive must be over by then
     why: str = ""
 
@@ -44,30 +44,30 @@
     why: str
 
 
-def judge_redrive(
-    message: DeadLetter, now: float, listed: frozenset[str] | None, clock_allowance_s: float
-) -> Judgement:
+def assess_redrive(
+    message: DeadLetter, now: float, current_endpoints: frozenset[str] | None, clock_allowance_s: float
+) -> RedriveAssessment:
     """Return the judgement on one message.
 
     `listed` are the endpoints that its destination has now (None: not known), `clock_allowance_s` is how far the
     clocks that took part may differ.
     """
     safety = _safety(message, now, clock_allowance_s)
-    reason = _why_not(message, safety, listed)
-    return Judgement(safety.kind, not reason, safety.until, reason or safety.why)
+    reason = _why_not(message, safety, current_endpoints)
+    return RedriveAssessment(safety.kind, not reason, safety.until, reason or safety.why)
 
 
-def _why_not(message: DeadLetter, safety: _Safety, listed: frozenset[str] | None) -> str:
+def _why_not(message: DeadLetter, safety: _Safety, current_endpoints: frozenset[str] | None) -> str:
     """Return what forbids a redrive; empty where nothing does."""
     if message.status is not Status.STORED:
         return f"it is {message.status.value}"
     if safety.kind is RedriveSafety.UNCERTAIN:
         return safety.why
-    if listed is None:
+    if current_endpoints is None:
         return "no forwarder has reported the endpoints of its destination"
-    if not listed:
+    if not current_endpoints:
         return f"destination {message.destination} has no endpoints"
-    same_destination = not message.endpoints or not listed.isdisjoint(message.endpoints)
+    same_destination = not message.endpoints or not current_endpoints.isdisjoint(message.endpoints)
     if not same_destination and not message.destination_confirmed:
         return (
             f"no endpoint of destination {message.destination} is left from then:"
--- a/juniperward/dead_letters/redrive_settings.py
+++ b/juniperward/dead_letters/redrive_settings.py
@@ -7,8 +7,8 @@
 from juniperward.dead_letters.redrive_rate import RedriveRateLimits
 from juniperward.dead_letters.redrive_rules import Rule
 
-SECONDS_A_DAY = 86400.0
-DEFAULT_MAX_AGE_S = 30 * SECONDS_A_DAY
+SECONDS_PER_DAY = 86400.0
+DEFAULT_MAX_AGE_S = 30 * SECONDS_PER_DAY
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -14,17 +14,17 @@
 from enum import Enum, auto
 
 from juniperward.dead_letters import redrive_safety
-from juniperward.dead_letters.candidates import Candidates, Conditions
-from juniperward.dead_letters.clock import Clock, certain_now
+from juniperward.dead_letters.candidates import Candidates, SelectionContext
+from juniperward.dead_letters.clock import ClockReading, latest_possible_time
 from juniperward.dead_letters.dead_letter import DeadLetter
 from juniperward.dead_letters.fleet import Fleet
 from juniperward.dead_letters.outcome import RedriveResult
-from juniperward.dead_letters.redrive_rate import RedriveRate, adjust_rate, max_in_flight, spend
+from juniperward.dead_letters.redrive_rate import RedriveRate, adjust_rate, consume_tokens, max_in_flight
 from juniperward.dead_letters.redrive_rules import requested_by
 from juniperward.dead_letters.redrive_safety import RedriveSafety
 from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.dead_letters.resubmission import NO_ANSWER, Resubmission
-from juniperward.dead_letters.retention import Limits
+from juniperward.dead_letters.retention import RetentionLimits
 from juniperward.dead_letters.selection import Lease
 from juniperward.dead_letters.settlement import RedriveSettler
 from juniperward.dead_letters.store import DeadLetterStore
@@ -52,7 +52,7 @@
     begun: int = 0
     settled: int = 0
     open: int = 0
-    forgotten: list[str] = field(default_factory=list)  # redrives that their forwarder does not remember
+    unresolved: list[str] = field(default_factory=list)  # redrives that their forwarder does not remember
 
 
 class Redriver:
@@ -70,20 +70,20 @@
     def round(self) -> Round:
         """Do all that can be done now."""
         clock = self.fleet.clock()
-        now = certain_now(clock, self.store.recorded_clock())
-        self.store.record_clock(Clock(now, clock.boot, clock.boot_id))
+        now = latest_possible_time(clock, self.store.recorded_clock())
+        self.store.record_clock(ClockReading(now, clock.boot, clock.boot_id))
         stored = self.fleet.read_spools(self.store)
         settlement = self._settler.settle(now)
-        done = Round(stored, 0, settlement.settled, settlement.open, settlement.forgotten)
+        done = Round(stored, 0, settlement.settled, settlement.open, settlement.unresolved)
         self._begin(done, now, clock.boot)
         return done
 
     def sweep(self) -> int:
         """Drop what the settings do not have stored any longer; return how many messages."""
-        now = certain_now(self.fleet.clock(), self.store.recorded_clock())
+        now = latest_possible_time(self.fleet.clock(), self.store.recorded_clock())
         if not math.isfinite(now):
             return 0
-        limits = Limits(self.settings.max_age_s, self.settings.max_messages, self.settings.max_bytes)
+        limits = RetentionLimits(self.settings.max_age_s, self.settings.max_messages, self.settings.max_bytes)
         return self.store.sweep(now, limits)
 
     def _begin(self, done: Round, now: float, boot_s: float) -> None:
@@ -108,14 +108,14 @@
         max_count = min(int(rate.tokens), capacity)
         candidates: list[DeadLetter] = []
         if max_count > 0:
-            conditions = Conditions(self.fleet.endpoints(destination), now, self.settings)
+            conditions = SelectionContext(self.fleet.endpoints(destination), now, self.settings)
             candidates = self._candidates.select(destination, max_count, conditions)
         count = 0
         for message in candidates:
             result = self._send(message, now)
             if result is SendResult.NO_FORWARDER:
                 break
-            rate = spend(rate, 1)
+            rate = consume_tokens(rate, 1)
             count += 1
             if result is SendResult.REJECTED:
                 break
@@ -146,9 +146,11 @@
     def _send_leased(self, message: DeadLetter, lease: Lease) -> SendResult:
         body = self.store.stored_body(message.id)
         # What has been read may be older than the lease: read the clock once more, and judge by that.
-        now = certain_now(self.fleet.clock(), self.store.recorded_clock())
-        listed = frozenset(message.endpoints) or frozenset("?")
-        judgement = redrive_safety.judge_redrive(message, now, listed, self.settings.clock_allowance_s)
+        now = latest_possible_time(self.fleet.clock(), self.store.recorded_clock())
+        current_endpoints = frozenset(message.endpoints) or frozenset("?")
+        judgement = redrive_safety.assess_redrive(
+            message, now, current_endpoints, self.settings.clock_allowance_s
+        )
         if judgement.kind is RedriveSafety.UNCERTAIN:
             self._release(lease, RedriveResult.NEVER_ACCEPTED, now)
             return SendResult.BEGUN
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -11,7 +11,7 @@
 from juniperward.net.http_responses import read_response
 from juniperward.net.stream import Stream
 
-ANSWER_TIMEOUT_S = 0.4  # for the forwarder's answer
+RESPONSE_TIMEOUT_S = 0.4  # for the forwarder's answer
 NOT_CONNECTED = -1  # in the place of a status: it was never accepted
 NO_ANSWER = 0  # in the place of a status: what became of it is not known
 
@@ -56,7 +56,7 @@
 
 
 def resubmit(
-    address: tuple[str, int], message: Resubmission, timeout_s: float = ANSWER_TIMEOUT_S
+    address: tuple[str, int], message: Resubmission, timeout_s: float = RESPONSE_TIMEOUT_S
 ) -> SubmissionAnswer:
     """Submit a message; return the HTTP status and the Retry-After in seconds.
 
--- a/juniperward/dead_letters/retention.py
+++ b/juniperward/dead_letters/retention.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RetentionLimits:
     """What the settings let the store have."""
 
     max_age_s: float
@@ -20,7 +20,7 @@
     max_bytes: int
 
 
-def drop_oldest(db: sqlite3.Connection, now: float, limits: Limits) -> int:
+def drop_oldest(db: sqlite3.Connection, now: float, limits: RetentionLimits) -> int:
     """Drop messages in the transaction of `db` until the limits hold; return how many.
 
     Messages whose redrive is under way are never dropped.
@@ -43,7 +43,7 @@
     return dropped
 
 
-def _why_dropped(age_s: float, count: int, size_bytes: int, limits: Limits) -> str:
+def _why_dropped(age_s: float, count: int, size_bytes: int, limits: RetentionLimits) -> str:
     if age_s > limits.max_age_s:
         return "its age"
     if count > limits.max_messages:
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -18,13 +18,13 @@
     "id, stand, effect, window, ran_at, destination, cls, account, given_up_at, resends, wished, partner_sure, "
     "workers, key"
 )
-ROW_BYTES = 500  # of a message beside its body, at a guess
-REDRIVE_ID_DIGITS = 20  # of the hash
+ROW_OVERHEAD_BYTES = 500  # of a message beside its body, at a guess
+REDRIVE_ID_HASH_DIGITS = 20  # of the hash
 
 
 def redrive_id(message: str, fence: int) -> str:
     """Return the id of a message's redrive with this fence: the same for whoever makes it."""
-    digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_DIGITS]
+    digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_HASH_DIGITS]
     return f"{REDRIVE_PREFIX}{digest}-{fence}"
 
 
@@ -67,7 +67,7 @@
         "window": message.deduplication_window_s,
         "workers": json.dumps(message.endpoints),
         "ran_at": executed_at,
-        "bytes": len(message.body) + ROW_BYTES,
+        "bytes": len(message.body) + ROW_OVERHEAD_BYTES,
     }
     marks = ", ".join(f":{column}" for column in row)
     inserted = db.execute(f"INSERT OR IGNORE INTO message ({', '.join(row)}) VALUES ({marks})", row)
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -20,7 +20,7 @@
     id: str
 
 
-BEFORE_ALL = Position(-1.0, "")
+START_POSITION = Position(-1.0, "")
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/settlement.py
+++ b/juniperward/dead_letters/settlement.py
@@ -10,7 +10,7 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.dead_letters.store_errors import LeaseLostError
 
-MAX_IDS_A_REQUEST = 100
+MAX_IDS_PER_REQUEST = 100
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
 
     settled: int = 0
     open: int = 0
-    forgotten: list[str] = field(default_factory=list)  # ids; their forwarder does not remember so far back
+    unresolved: list[str] = field(default_factory=list)  # ids; their forwarder does not remember so far back
 
 
 class RedriveSettler:
@@ -37,8 +37,8 @@
             by_forwarder.setdefault(lease.forwarder, []).append(lease)
             settlement.open += 1
         for forwarder, leases in by_forwarder.items():
-            for first in range(0, len(leases), MAX_IDS_A_REQUEST):
-                part = leases[first : first + MAX_IDS_A_REQUEST]
+            for first in range(0, len(leases), MAX_IDS_PER_REQUEST):
+                part = leases[first : first + MAX_IDS_PER_REQUEST]
                 self._settle_part(settlement, forwarder, part, now)
         return settlement
 
@@ -57,7 +57,7 @@
         result = reported.result
         if result == RedriveResult.UNKNOWN:
             if reported.complete_since > lease.leased_at:
-                settlement.forgotten.append(lease.redrive_id)  # a person must settle it
+                settlement.unresolved.append(lease.redrive_id)  # a person must settle it
                 return
             # Having said so, the forwarder never will accept it.
             result = RedriveResult.NEVER_ACCEPTED
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -18,9 +18,9 @@
 from juniperward.dead_letters.spool_files import acknowledged_segment, read, segment_path, segments
 from juniperward.dead_letters.spool_format import SpooledMessage, encode_message
 
-SEGMENT_BYTES = 1_000_000  # of a segment before the next one is begun
-PRIVATE_FOLDER = 0o700
-PRIVATE_FILE = 0o600
+MAX_SEGMENT_BYTES = 1_000_000  # of a segment before the next one is begun
+PRIVATE_FOLDER_MODE = 0o700
+PRIVATE_FILE_MODE = 0o600
 
 
 class SpoolFullError(OSError):
@@ -37,7 +37,7 @@
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
         """Read which messages are in the spool, and delete what the agent has stored; raises OSError."""
-        folder.mkdir(mode=PRIVATE_FOLDER, parents=True, exist_ok=True)
+        folder.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
         self._folder, self._max_bytes = folder, max_bytes
         self.ids: set[str] = set()  # that the segments name: a message among them was given up already
         self._number = self._read_ids()  # of the newest segment
@@ -65,7 +65,7 @@
             self._delete_acknowledged()
         if self._bytes + len(data) > self._max_bytes:
             raise SpoolFullError(self._max_bytes)
-        if self._descriptor < 0 or self._size > SEGMENT_BYTES:
+        if self._descriptor < 0 or self._size > MAX_SEGMENT_BYTES:
             self.begin_segment()
         try:
             write_all(self._descriptor, data)
@@ -85,7 +85,7 @@
             self._delete_acknowledged()
         self._number += 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-        self._descriptor = os.open(segment_path(self._folder, self._number), flags, PRIVATE_FILE)
+        self._descriptor = os.open(segment_path(self._folder, self._number), flags, PRIVATE_FILE_MODE)
         self._size = 0
 
     def close(self) -> None:
--- a/juniperward/dead_letters/spool_files.py
+++ b/juniperward/dead_letters/spool_files.py
@@ -13,7 +13,7 @@
 
 SEGMENT_SUFFIX = ".kept"
 ACKNOWLEDGED_FILE = "acked"
-FRESH_ACKNOWLEDGED_FILE = "acked.new"
+NEW_ACKNOWLEDGED_FILE = "acked.new"
 
 
 def segment_path(folder: Path, number: int) -> Path:
@@ -55,6 +55,6 @@
 
 def acknowledge_segment(folder: Path, number: int) -> None:
     """Write down that all segments up to this one are in the store."""
-    fresh = folder / FRESH_ACKNOWLEDGED_FILE
+    fresh = folder / NEW_ACKNOWLEDGED_FILE
     fresh.write_text(str(number))
     fresh.replace(folder / ACKNOWLEDGED_FILE)
--- a/juniperward/dead_letters/spool_format.py
+++ b/juniperward/dead_letters/spool_format.py
@@ -15,7 +15,7 @@
 from juniperward.dead_letters.outcome import RedriveOutcome
 from juniperward.scheduler.settings import Idempotency
 
-OUTCOME_FIELDS = 3  # of a line of the file `fates`
+OUTCOME_FIELD_COUNT = 3  # of a line of the file `fates`
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -128,7 +128,7 @@
 
 def decode_outcome(row: list[Any]) -> tuple[str, RedriveOutcome] | None:
     """Return the redrive's id and outcome of a decoded line, or None for one that is not ours."""
-    if len(row) != OUTCOME_FIELDS:
+    if len(row) != OUTCOME_FIELD_COUNT:
         return None
     redrive_id, result, executed_at = row
     return redrive_id, RedriveOutcome(result, executed_at)
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 from juniperward.dead_letters import leases, operator_actions, queries
-from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.clock import ClockReading
 from juniperward.dead_letters.database import Database
 from juniperward.dead_letters.dead_letter import DeadLetter
 from juniperward.dead_letters.leases import LeaseTerms
-from juniperward.dead_letters.operator_actions import Statement
-from juniperward.dead_letters.retention import Limits, drop_oldest
+from juniperward.dead_letters.operator_actions import ManualSettlement
+from juniperward.dead_letters.retention import RetentionLimits, drop_oldest
 from juniperward.dead_letters.rows import append_audit, insert_message
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Lease, Position, SpoolPosition
+from juniperward.dead_letters.selection import START_POSITION, Filter, Lease, Position, SpoolPosition
 from juniperward.dead_letters.spool_format import SpooledMessage
 
 PAGE_SIZE = 1000
@@ -29,12 +29,12 @@
 
     # --- the clock -----------------------------------------------------------------------------------------
 
-    def recorded_clock(self) -> Clock | None:
+    def recorded_clock(self) -> ClockReading | None:
         """Return the latest moment that was recorded."""
         row = self.db.execute("SELECT wall, boot, boot_id FROM clock").fetchone()
-        return Clock(*row) if row is not None else None
+        return ClockReading(*row) if row is not None else None
 
-    def record_clock(self, clock: Clock) -> None:
+    def record_clock(self, clock: ClockReading) -> None:
         """Record a moment; one that cannot be known (an infinite wall clock) is not."""
         if not math.isfinite(clock.wall):
             return
@@ -62,7 +62,7 @@
     # --- queries -------------------------------------------------------------------------------------------
 
     def select(
-        self, chosen: Filter, limit: int = PAGE_SIZE, after: Position = BEFORE_ALL
+        self, chosen: Filter, limit: int = PAGE_SIZE, after: Position = START_POSITION
     ) -> list[DeadLetter]:
         """Return a page of the selected messages, in the order in which they were given up."""
         return queries.select(self.db, chosen, limit, after)
@@ -120,7 +120,7 @@
         with self.transaction() as db:
             return operator_actions.request_redrive(db, ids, who, destination_confirmed)
 
-    def settle(self, message: str, statement: Statement, now: float) -> None:
+    def settle(self, message: str, statement: ManualSettlement, now: float) -> None:
         """Take a person's statement on whether a message took effect; raises LeaseLostError where it is over."""
         with self.transaction() as db:
             operator_actions.settle(db, message, statement, now)
@@ -140,7 +140,7 @@
 
     # --- retention -----------------------------------------------------------------------------------------
 
-    def sweep(self, now: float, limits: Limits) -> int:
+    def sweep(self, now: float, limits: RetentionLimits) -> int:
         """Drop what is beyond the limits, the oldest first, nothing under way; return how many messages."""
         with self.transaction() as db:
             return drop_oldest(db, now, limits)
--- a/juniperward/forwarder/reducer/dead_letters.py
+++ b/juniperward/forwarder/reducer/dead_letters.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from juniperward.dead_letters.ownership import is_redrive_id, is_stored
+from juniperward.dead_letters.ownership import is_redrive_id, should_dead_letter
 from juniperward.forwarder.effects import RecordRedriveOutcome, StoreDeadLetter
 from juniperward.forwarder.model import Endpoint, ItemOutcome, PastAttempt
 from juniperward.forwarder.records import RecordedAttempt
@@ -57,7 +57,7 @@
         if not self._enabled or is_redrive(pending):
             return retry_after_s
         time_left_s = pending.expires_at - self._round.now
-        return None if is_stored(time_left_s, retry_after_s) else retry_after_s
+        return None if should_dead_letter(time_left_s, retry_after_s) else retry_after_s
 
     def given_up(self, pending: PendingMessage, retry_after_s: float | None) -> None:
         """Store a failed message as a dead letter, or record the outcome if it is a redrive."""
--- a/juniperward/settings/redrive_checker.py
+++ b/juniperward/settings/redrive_checker.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping, Sequence
 
 from juniperward.dead_letters.redrive_rate import RedriveRateLimits
-from juniperward.dead_letters.redrive_rules import HOURS_A_DAY, Rule
-from juniperward.dead_letters.redrive_settings import DEFAULT_MAX_AGE_S, SECONDS_A_DAY, RedriveSettings
+from juniperward.dead_letters.redrive_rules import HOURS_PER_DAY, Rule
+from juniperward.dead_letters.redrive_settings import DEFAULT_MAX_AGE_S, SECONDS_PER_DAY, RedriveSettings
 from juniperward.settings import fleet_pb2
 from juniperward.settings.fault_collector import FaultCollector
 from juniperward.settings.value_checks import check_name, numbers
@@ -38,7 +38,7 @@
     rules = tuple(_rule(faults, number, rule) for number, rule in enumerate(given.rule))
     _check_names(faults, [rule.name for rule in rules])
     defaults = RedriveSettings()
-    max_days = values.get("most_days", DEFAULT_MAX_AGE_S / SECONDS_A_DAY)
+    max_days = values.get("most_days", DEFAULT_MAX_AGE_S / SECONDS_PER_DAY)
     return RedriveSettings(
         rules=rules,
         rate_limits=RedriveRateLimits(**{RATE_KEYS[key]: value for key, value in rate.items()}),
@@ -47,7 +47,7 @@
             name: min(values.get("time_left", deadline_s), deadline_s)
             for name, deadline_s in deadlines_s.items()
         },
-        max_age_s=max_days * SECONDS_A_DAY,
+        max_age_s=max_days * SECONDS_PER_DAY,
         max_messages=values.get("most", defaults.max_messages),
         max_bytes=values.get("most_bytes", defaults.max_bytes),
     )
@@ -64,8 +64,8 @@
     place = f"kept.rule[{number}]"
     values = {descriptor.name: value for descriptor, value in given.ListFields()}
     for key in ("from_hour", "to_hour"):
-        if not 0 <= values.get(key, 0) <= HOURS_A_DAY:
-            why = f"an hour of the day is needed, from 0 to {HOURS_A_DAY:g}, not {values[key]:g}"
+        if not 0 <= values.get(key, 0) <= HOURS_PER_DAY:
+            why = f"an hour of the day is needed, from 0 to {HOURS_PER_DAY:g}, not {values[key]:g}"
             faults.add(f"{place}.{key}", why)
     if values.get("least_age", 0) > values.get("most_age", math.inf):
         faults.add(f"{place}.most_age", "below least_age: no message is ever of such an age")
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -14,8 +14,8 @@
 
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
-from juniperward.dead_letters.clock import Clock
-from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.clock import ClockReading
+from juniperward.dead_letters.operator_actions import ManualSettlement
 from juniperward.dead_letters.outcome import RedriveOutcome
 from juniperward.dead_letters.selection import SpoolPosition
 from juniperward.dead_letters.spool import Spool
@@ -129,8 +129,8 @@
             store.settle_redrive(lease, outcome, WRITTEN_AT + 2.5, WRITTEN_AT + 3.0)
         store.discard(["m-discarded"], "anna")
         store.acquire_lease("m-settled", None, "n1", WRITTEN_AT + 4.0, "rule")
-        store.settle("m-settled", Statement(True, "anna", "seen at the partner"), WRITTEN_AT + 9.0)
-        store.record_clock(Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
+        store.settle("m-settled", ManualSettlement(True, "anna", "seen at the partner"), WRITTEN_AT + 9.0)
+        store.record_clock(ClockReading(WRITTEN_AT + 10.0, 500.0, BOOT_ID))
         store.close()
     with sqlite3.connect(folder / "store.db") as database:  # leaves one file, without a write-ahead log
         database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -13,13 +13,13 @@
 
 from juniperward.dead_letters import outcome_log
 from juniperward.dead_letters import spool as spools
-from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.clock import ClockReading
 from juniperward.dead_letters.dead_letter import Status
-from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.operator_actions import ManualSettlement
 from juniperward.dead_letters.outcome import RedriveOutcome
-from juniperward.dead_letters.retention import Limits
+from juniperward.dead_letters.retention import RetentionLimits
 from juniperward.dead_letters.schema import MIGRATIONS, statements
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position, SpoolPosition
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position, SpoolPosition
 from juniperward.dead_letters.spool import Spool, SpoolFullError
 from juniperward.dead_letters.spool_files import acknowledge_segment, read, segments
 from juniperward.dead_letters.spool_format import SpooledAttempt, SpooledMessage
@@ -142,7 +142,7 @@
         assert self.messages() == ["a", "d"]
 
     def test_capacity_is_freed_once_the_agent_has_ingested(self) -> None:
-        with mock.patch.object(spools, "SEGMENT_BYTES", 100):
+        with mock.patch.object(spools, "MAX_SEGMENT_BYTES", 100):
             mine = self.spool(1000)
             mine.append(spooled_message("a"))
             mine.append(spooled_message("b"))
@@ -225,11 +225,11 @@
     def test_operators_settle_discard_and_undo_and_all_is_audited(self) -> None:
         self.fill(3)
         lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        self.store.settle("m0", Statement(True, "ann", "the partner has it"), 2.0)
+        self.store.settle("m0", ManualSettlement(True, "ann", "the partner has it"), 2.0)
         with pytest.raises(LeaseLostError):
             self.store.settle_redrive(lease, "undeliverable", None, 3.0)
         with pytest.raises(LeaseLostError):
-            self.store.settle("m0", Statement(False, "bob", "no"), 3.0)
+            self.store.settle("m0", ManualSettlement(False, "bob", "no"), 3.0)
         assert self.store.request_redrive(["m1", "m0", "none"], "ann") == 1
         assert self.store.request_redrive(["m1"], "bob") == 0
         assert self.store.discard(["m1", "m2"], "bob") == 2
@@ -250,7 +250,7 @@
     def test_pages_and_filters(self) -> None:
         self.fill(25)
         seen: list[str] = []
-        after = BEFORE_ALL
+        after = START_POSITION
         while page := self.store.select(Filter(destination=2), 2, after):
             seen += [f.id for f in page]
             after = Position(page[-1].given_up_at, page[-1].id)
@@ -262,9 +262,9 @@
     def test_retention_deletes_the_oldest_and_reports_it(self) -> None:
         self.fill(10)
         self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        assert self.store.sweep(1010.0, Limits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is under way
-        assert self.store.sweep(1010.0, Limits(1e9, 4, 10**9)) == 2
-        assert self.store.sweep(1010.0, Limits(1e9, 100, 1100)) == 2
+        assert self.store.sweep(1010.0, RetentionLimits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is under way
+        assert self.store.sweep(1010.0, RetentionLimits(1e9, 4, 10**9)) == 2
+        assert self.store.sweep(1010.0, RetentionLimits(1e9, 100, 1100)) == 2
         assert {f.id for f in self.store.select(Filter())} == {"m0", "m9"}
         details = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
         assert len(details) == 8
@@ -311,9 +311,9 @@
         assert self.store.select(Filter(redrive_requested=True)) == []
 
     def test_timestamps_are_stored_and_threads_have_their_own_connections(self) -> None:
-        self.store.record_clock(Clock(5.0, 6.0, "b"))
-        self.store.record_clock(Clock(float("inf"), 7.0, "b"))
-        assert self.store.recorded_clock() == Clock(5.0, 6.0, "b")
+        self.store.record_clock(ClockReading(5.0, 6.0, "b"))
+        self.store.record_clock(ClockReading(float("inf"), 7.0, "b"))
+        assert self.store.recorded_clock() == ClockReading(5.0, 6.0, "b")
         found: list[object] = []
         thread = threading.Thread(target=lambda: found.append(self.store.stats()["messages"]))
         thread.start()
--- a/tests/test_redrive_decisions.py
+++ b/tests/test_redrive_decisions.py
@@ -9,22 +9,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.dead_letters.clock import Clock, certain_now
+from juniperward.dead_letters.clock import ClockReading, latest_possible_time
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.dead_letters.redrive_rate import (
     DestinationView,
     RedriveRate,
     RedriveRateLimits,
     adjust_rate,
+    consume_tokens,
     max_in_flight,
-    spend,
 )
 from juniperward.dead_letters.redrive_rules import Rule, matches, requested_by
 from juniperward.dead_letters.redrive_safety import (
     MIN_WINDOW_LEFT_S,
     WINDOW_MARGIN_S,
     RedriveSafety,
-    judge_redrive,
+    assess_redrive,
 )
 from juniperward.scheduler.settings import Idempotency
 
@@ -76,11 +76,11 @@
         ]
         for facts, kind, may, why in cases:
             with subtests.test(why=why):
-                j = judge_redrive(facts, NOW, HERE, 0.5)
-                assert (j.kind, j.may_go) == (kind, may), j
+                j = assess_redrive(facts, NOW, HERE, 0.5)
+                assert (j.kind, j.is_allowed) == (kind, may), j
                 assert why in j.why
-        assert "has no endpoints" in judge_redrive(BASE, NOW, frozenset(), 0.5).why
-        assert "no forwarder" in judge_redrive(BASE, NOW, None, 0.5).why
+        assert "has no endpoints" in assess_redrive(BASE, NOW, frozenset(), 0.5).why
+        assert "no forwarder" in assess_redrive(BASE, NOW, None, 0.5).why
 
     @settings(derandomize=True, max_examples=500)
     @given(
@@ -93,37 +93,37 @@
         self, ran: float, window: float, allowance: float, idempotency: Idempotency
     ) -> None:
         facts = replace(BASE, executed_at=NOW + ran, deduplication_window_s=window, idempotency=idempotency)
-        j = judge_redrive(facts, NOW, HERE, allowance)
-        if j.may_go and idempotency is not Idempotency.IDEMPOTENT:
+        j = assess_redrive(facts, NOW, HERE, allowance)
+        if j.is_allowed and idempotency is not Idempotency.IDEMPOTENT:
             assert idempotency == Idempotency.IDEMPOTENCY_KEY
             # Even where the clocks differ by all of the allowance, it is over inside the window.
             assert j.until + allowance + WINDOW_MARGIN_S <= NOW + ran + window + 1e-6
             assert j.until - NOW >= MIN_WINDOW_LEFT_S - 1e-6
 
     def test_the_window_counts_from_the_first_possible_execution(self) -> None:
-        assert judge_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until == pytest.approx(
+        assert assess_redrive(replace(BASE, executed_at=NOW - 4.0), NOW, HERE, 0.5).until == pytest.approx(
             NOW + 8.0 - 0.75, abs=5e-8
         )
 
 
 class TestClock:
     def test_a_clock_that_is_set_back_opens_no_window(self) -> None:
-        seen = Clock(NOW, 500.0, "b1")
-        assert certain_now(Clock(NOW + 9.0, 509.0, "b1"), seen) == NOW + 9.0
-        assert certain_now(Clock(NOW - 3600.0 + 30.0, 530.0, "b1"), seen) == NOW + 30.0
-        assert certain_now(Clock(NOW - 3600.0, 5.0, "b2"), seen) == math.inf
-        assert certain_now(Clock(NOW + 60.0, 5.0, "b2"), seen) == NOW + 60.0
-        assert certain_now(Clock(NOW, 5.0, "b2"), None) == NOW
+        seen = ClockReading(NOW, 500.0, "b1")
+        assert latest_possible_time(ClockReading(NOW + 9.0, 509.0, "b1"), seen) == NOW + 9.0
+        assert latest_possible_time(ClockReading(NOW - 3600.0 + 30.0, 530.0, "b1"), seen) == NOW + 30.0
+        assert latest_possible_time(ClockReading(NOW - 3600.0, 5.0, "b2"), seen) == math.inf
+        assert latest_possible_time(ClockReading(NOW + 60.0, 5.0, "b2"), seen) == NOW + 60.0
+        assert latest_possible_time(ClockReading(NOW, 5.0, "b2"), None) == NOW
         ran = replace(BASE, executed_at=NOW - 1.0)
-        assert judge_redrive(ran, math.inf, HERE, 0.5).kind == RedriveSafety.UNCERTAIN
-        assert judge_redrive(BASE, math.inf, HERE, 0.5).may_go
+        assert assess_redrive(ran, math.inf, HERE, 0.5).kind == RedriveSafety.UNCERTAIN
+        assert assess_redrive(BASE, math.inf, HERE, 0.5).is_allowed
 
     def test_two_machines_that_differ_by_two_seconds(self) -> None:
         # The partner saw the attempt at NOW - 11.6; the clock here is two seconds behind. With an allowance of
         # two seconds nothing is sent that would arrive outside; with none it would be.
         ran = replace(BASE, executed_at=NOW - 11.6)
-        assert not judge_redrive(ran, NOW - 2.0, HERE, 2.0).may_go
-        assert judge_redrive(ran, NOW - 2.0, HERE, 0.0).may_go
+        assert not assess_redrive(ran, NOW - 2.0, HERE, 2.0).is_allowed
+        assert assess_redrive(ran, NOW - 2.0, HERE, 0.0).is_allowed
 
 
 class TestRules:
@@ -163,7 +163,7 @@
         for _ in range(int(seconds * 4)):
             now += 0.25
             rate = adjust_rate(rate, views, rejected, now, RedriveRateLimits())
-            rate = spend(rate, int(rate.tokens))
+            rate = consume_tokens(rate, int(rate.tokens))
         return rate
 
     def test_it_increases_additively_to_its_fraction_of_the_rate(self) -> None:
@@ -187,7 +187,7 @@
             now += 0.25
             rate = adjust_rate(rate, [WELL, sick], False, now, RedriveRateLimits())
             sent += int(rate.tokens)
-            rate = spend(rate, int(rate.tokens))
+            rate = consume_tokens(rate, int(rate.tokens))
         assert sent == 4
         warming = replace(WELL, health="warming")
         assert adjust_rate(RedriveRate(), [sick, warming], False, now, RedriveRateLimits()).tokens == 0.0
@@ -227,7 +227,7 @@
             view = replace(WELL, health=health, retry_after_s=wait if wait > 1.9 else 0.0)
             rate = adjust_rate(rate, [view], rejected, now, rules)
             sent += [now] * int(rate.tokens)
-            rate = spend(rate, int(rate.tokens))
+            rate = consume_tokens(rate, int(rate.tokens))
             assert rate.per_s <= 25.0
             assert rate.per_s >= 0.0
             assert sum(now - t <= 1.0 for t in sent) <= 2 * 25 + 1
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -16,13 +16,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from juniperward.dead_letters.clock import Clock
+from juniperward.dead_letters.clock import ClockReading
 from juniperward.dead_letters.dead_letter import DeadLetter
 from juniperward.dead_letters.fleet import ReportedOutcome
-from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.operator_actions import ManualSettlement
 from juniperward.dead_letters.redrive_rate import DestinationView, RedriveRateLimits
 from juniperward.dead_letters.redrive_rules import Rule
-from juniperward.dead_letters.redrive_safety import Judgement, RedriveSafety
+from juniperward.dead_letters.redrive_safety import RedriveAssessment, RedriveSafety
 from juniperward.dead_letters.redrive_settings import RedriveSettings
 from juniperward.dead_letters.redriver import Redriver
 from juniperward.dead_letters.resubmission import Resubmission, SubmissionAnswer
@@ -116,8 +116,8 @@
 
     # --- what the redriver sees ----------------------------------------------------------------------------------
 
-    def clock(self) -> Clock:
-        return Clock(self.now, self.now, "b")
+    def clock(self) -> ClockReading:
+        return ClockReading(self.now, self.now, "b")
 
     def forwarders(self) -> list[str]:
         return sorted(n for n, alive in self.alive.items() if alive)
@@ -322,13 +322,13 @@
 
     def test_it_detects_an_ignored_deduplication_window(self) -> None:
         # Two hold it: the redriver's judgement, and the forwarder's module, which is told when it may have run.
-        def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> Judgement:
-            return Judgement(RedriveSafety.SAFE, m.status == "kept")
+        def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> RedriveAssessment:
+            return RedriveAssessment(RedriveSafety.SAFE, m.status == "kept")
 
         def hasty(sim: Sim) -> None:
             sim.now += 20.0
 
-        judging = mock.patch("juniperward.dead_letters.redrive_safety.judge_redrive", always)
+        judging = mock.patch("juniperward.dead_letters.redrive_safety.assess_redrive", always)
         with judging:
             alone = self.sim()
             hasty(alone)
@@ -403,10 +403,10 @@
 
         sim.outcomes = forgot  # type: ignore[method-assign]
         sim.run(20)
-        assert lease.redrive_id in sim.redriver.round().forgotten
+        assert lease.redrive_id in sim.redriver.round().unresolved
         (facts,) = sim.store.select(Filter(ids=(lease.message,)))
         assert facts.status == "claimed"
-        statement = Statement(False, "ann", "the partner never saw it")
+        statement = ManualSettlement(False, "ann", "the partner never saw it")
         sim.store.settle(lease.message, statement, sim.now)
         sim.outcomes = real  # type: ignore[method-assign]
         sim.finish()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -19,8 +19,8 @@
 from juniperward.agent import state_codec
 from juniperward.agent.state import PersistentState
 from juniperward.agent.store import StateStore
-from juniperward.dead_letters.clock import Clock
-from juniperward.dead_letters.redrive_safety import RedriveSafety, judge_redrive
+from juniperward.dead_letters.clock import ClockReading
+from juniperward.dead_letters.redrive_safety import RedriveSafety, assess_redrive
 from juniperward.dead_letters.selection import Filter
 from juniperward.dead_letters.spool import Spool
 from juniperward.dead_letters.spool_files import segments
@@ -272,7 +272,7 @@
     )
     assert store.spool_position("n1") == (2, 345)
     recorded_clock = store.recorded_clock()
-    assert recorded_clock == Clock(WRITTEN_AT + 10.0, 500.0, BOOT_ID)
+    assert recorded_clock == ClockReading(WRITTEN_AT + 10.0, 500.0, BOOT_ID)
     store.settle_redrive(lease, "delivered", WRITTEN_AT + 2.0, WRITTEN_AT + 11.0)
     assert {f.id for f in store.select(Filter(status="claimed"))} == set()
     store.close()
@@ -288,8 +288,8 @@
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
     (letter,) = [each for each in store.select(Filter()) if each.id == "m-wished"]
     store.close()
-    judgement = judge_redrive(letter, WRITTEN_AT, frozenset(letter.endpoints), 0.0)
-    assert judgement.kind is RedriveSafety.UNCERTAIN and not judgement.may_go
+    judgement = assess_redrive(letter, WRITTEN_AT, frozenset(letter.endpoints), 0.0)
+    assert judgement.kind is RedriveSafety.UNCERTAIN and not judgement.is_allowed
 
 
 def test_the_agent_reads_an_old_state(folder: Path) -> None:
