--- a/juniperward/dead_letters/__init__.py
+++ b/juniperward/dead_letters/__init__.py
@@ -1,1 +1,1 @@
-"""Dead letters: messages that were given up: their spool, their store, and their redrives."""
+"""Dead letters, messages that were given up: the forwarder's spool, the agent's store, and redrives."""
--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -1,4 +1,4 @@
-"""Which dead letters of a destination are redriven next. Called by the redriver; reads the store, changes nothing."""
+"""Selects the dead letters of a destination that are redriven next. Reads the store and changes nothing."""
 
 from __future__ import annotations
 
@@ -12,37 +12,43 @@
 from juniperward.dead_letters.selection import START_POSITION, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 
-PAGE_SIZE = 500  # messages read at once
-MAX_PAGES_PER_ROUND = 4  # for one destination in a round
-MAX_DEDUPLICATION_WINDOW_S = 3600.0  # no class has a longer one
+PAGE_SIZE = 500
+MAX_PAGES_PER_ROUND = 4  # for each destination
+MAX_DEDUPLICATION_WINDOW_S = 3600.0  # upper limit of the setting
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionContext:
-    """What candidates are judged by."""
+    """What the selection depends on besides the store.
 
-    current_endpoints: frozenset[str] | None  # the endpoints that the destination has now; None: not known
-    now: float  # Unix time
+    Attributes:
+        current_endpoints: the endpoints now listed for the destination; None if no forwarder reports them.
+        now: Unix time.
+        settings: the operator's settings for redrives.
+    """
+
+    current_endpoints: frozenset[str] | None
+    now: float
     settings: RedriveSettings
 
 
 class Candidates:
-    """Selects page by page; owns how far each destination's messages were looked through."""
+    """Scans the stored messages of each destination page by page, and remembers the position of each scan."""
 
     def __init__(self, store: DeadLetterStore) -> None:
-        """Begin each destination at its oldest message."""
+        """Start every scan at the destination's oldest message."""
         self._store = store
         self._positions: dict[int, Position] = {}
 
     def forget(self, destination: int) -> None:
-        """Begin a destination anew."""
+        """Restart a destination's scan at its oldest message."""
         self._positions.pop(destination, None)
 
     def select(self, destination: int, max_count: int, conditions: SelectionContext) -> list[DeadLetter]:
-        """Return messages to redrive: those whose window is closing first, then the oldest.
+        """Return at most `max_count` messages to redrive, those with an open deduplication window first.
 
-        A few pages are read in a round, and the next round goes on behind them: what may not be redriven
-        must not hide what may.
+        A call reads at most MAX_PAGES_PER_ROUND pages, and the next call continues after them. Messages that
+        must not be redriven therefore never block those that may.
         """
         chosen = self._closing(destination, conditions)
         position = self._positions.get(destination, START_POSITION)
@@ -63,7 +69,7 @@
         return chosen[:max_count]
 
     def _closing(self, destination: int, conditions: SelectionContext) -> list[DeadLetter]:
-        """Return the messages whose deduplication window is closing, the first to close first."""
+        """Return messages with an open deduplication window, in the order in which the windows close."""
         since = conditions.now - MAX_DEDUPLICATION_WINDOW_S
         closing = Filter(status=Status.STORED, destination=destination, executed_since=since)
         found = self._requested(self._store.select(closing, PAGE_SIZE), conditions)
@@ -73,7 +79,7 @@
     def _requested(
         self, page: list[DeadLetter], conditions: SelectionContext
     ) -> list[tuple[DeadLetter, RedriveAssessment]]:
-        """Return those of a page that may be redriven and that a person or a rule requests."""
+        """Return the messages of a page that are safe to redrive and requested by an operator or a rule."""
         found = []
         for message in page:
             judgement = redrive_safety.assess_redrive(
--- a/juniperward/dead_letters/clock.py
+++ b/juniperward/dead_letters/clock.py
@@ -1,4 +1,4 @@
-"""A moment by two clocks, and the latest that it can be. Pure: the caller reads the clocks."""
+"""Wall-clock time that does not run backwards, derived from two clocks. Pure: the caller reads the clocks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """A moment: `wall` (Unix time) can be set, `boot` (seconds since `boot_id` began) cannot."""
+    """One reading of the machine's clocks.
+
+    Attributes:
+        wall: Unix time, which can be set back.
+        boot: seconds since the machine booted; monotonic until the next boot.
+        boot_id: identifies the boot that `boot` counts from.
+    """
 
     wall: float
     boot: float
@@ -16,15 +22,15 @@
 
 
 def latest_possible_time(clock: ClockReading, recorded: ClockReading | None) -> float:
-    """Return the latest Unix time that it can be: never earlier than the recorded one and what has passed since.
+    """Return the latest Unix time that `clock` may stand for, given an earlier recorded reading.
 
-    A deduplication window that has closed must not open again because a clock was set back. Where the machine was
-    started anew and its wall clock is before the recorded one, what passed meanwhile cannot be known: infinity,
-    with which every window is closed.
+    The result is never before the recorded time plus the time elapsed since, so a wall clock that is set back
+    does not reopen a deduplication window. If the machine has rebooted and its wall clock is before the
+    recorded time, the elapsed time is unknown: the result is infinity, which closes every window.
     """
     if recorded is None:
         return clock.wall
     if clock.boot_id == recorded.boot_id:
-        passed_s = max(clock.boot - recorded.boot, 0.0)
-        return max(clock.wall, recorded.wall + passed_s)
+        elapsed_s = max(clock.boot - recorded.boot, 0.0)
+        return max(clock.wall, recorded.wall + elapsed_s)
     return clock.wall if clock.wall >= recorded.wall else math.inf
--- a/juniperward/dead_letters/database.py
+++ b/juniperward/dead_letters/database.py
@@ -1,4 +1,4 @@
-"""The SQLite file of the dead letter store: connections, transactions, and the schema's versions."""
+"""The SQLite file of the dead letter store: connections, transactions and schema migrations."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from juniperward.dead_letters.store_errors import StoreDamagedError, StoreVersionError
 
 BUSY_TIMEOUT_S = 10.0
-BACKUP_STEP_PAGES = 1000  # copied at a time
+BACKUP_STEP_PAGES = 1000  # copied between two releases of the source's lock
 PRIVATE_FOLDER_MODE = 0o700
 
 
 class Database:
-    """A file in WAL mode; any thread may use it, each has a connection of its own."""
+    """A SQLite file in WAL mode that any thread may use; each thread has its own connection."""
 
     def __init__(self, file: Path, synchronous: str = "FULL") -> None:
-        """Open the file and bring its schema to the present version; raises StoreError."""
+        """Open the file, creating it if necessary, and migrate its schema; raises StoreError."""
         self.file = file
         self._synchronous = synchronous
         self._local = threading.local()
-        self._write_lock = threading.Lock()  # one writer at a time, without SQLite's busy waits
+        self._write_lock = threading.Lock()  # avoids SQLite's busy waits between threads
         file.parent.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
         try:
             self._migrate()
@@ -33,7 +33,7 @@
 
     @property
     def db(self) -> sqlite3.Connection:
-        """This thread's connection."""
+        """The connection of the calling thread, opened at its first use."""
         found: sqlite3.Connection | None = getattr(self._local, "db", None)
         if found is None:
             found = sqlite3.connect(self.file, timeout=BUSY_TIMEOUT_S, isolation_level=None)
@@ -45,7 +45,7 @@
         return found
 
     def close(self) -> None:
-        """Close this thread's connection."""
+        """Close the connection of the calling thread."""
         found = getattr(self._local, "db", None)
         if found is not None:
             found.close()
@@ -53,7 +53,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[sqlite3.Connection]:
-        """Begin a transaction, and commit it at the end; an error rolls all of it back."""
+        """Run the block in a write transaction: commit at its end, roll back if it raises."""
         with self._write_lock:
             db = self.db
             db.execute("BEGIN IMMEDIATE")
@@ -76,12 +76,12 @@
                 db.execute(f"PRAGMA user_version={number + 1}")
 
     def check(self) -> list[str]:
-        """Return what SQLite finds wrong with the file; empty where it is complete."""
+        """Return the problems that SQLite's integrity check reports; empty if the file is intact."""
         rows = [row[0] for row in self.db.execute("PRAGMA integrity_check")]
         return [] if rows == ["ok"] else rows
 
     def backup(self, target: Path) -> None:
-        """Write a consistent copy, while in use."""
-        # A connection's own `with` commits but does not close; `closing` does.
+        """Write a consistent copy of the store to `target`; the store stays usable meanwhile."""
+        # `with` on a connection only commits; `closing` also closes it.
         with closing(sqlite3.connect(target)) as copy:
             self.db.backup(copy, pages=BACKUP_STEP_PAGES)
--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -1,4 +1,4 @@
-"""What the redriver needs of the forwarders: the agent's `RunningFleet` is the real one."""
+"""The interface through which the redriver reaches the forwarders; the agent's `RunningFleet` implements it."""
 
 from __future__ import annotations
 
@@ -13,36 +13,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedOutcome:
-    """What a forwarder reports of a redrive; an unknown id of before `complete_since` says nothing."""
+    """What a forwarder reports about a redrive; times are Unix time.
 
-    result: str  # one of RedriveResult, as the forwarder sent it
-    executed_at: float | None  # when it first may have executed (Unix time); None: never
-    complete_since: float  # Unix time since which the forwarder remembers every outcome
+    Attributes:
+        result: a value of RedriveResult, as the forwarder sent it.
+        executed_at: the earliest time at which the message may have executed; None if it cannot have.
+        complete_since: the forwarder knows all outcomes since then. An UNKNOWN result for a redrive that was
+            leased earlier does not show that the redrive was never accepted.
+    """
+
+    result: str
+    executed_at: float | None
+    complete_since: float
 
 
 class Fleet(Protocol):
-    """What a round needs of the forwarders."""
+    """The forwarders, as the redriver sees them."""
 
     def clock(self) -> ClockReading:
-        """Return the present moment."""
+        """Return a reading of the machine's clocks."""
 
     def forwarders(self) -> list[str]:
-        """Return the names of those that accept messages now."""
+        """Return the names of the forwarders that accept messages now."""
 
     def destination_views(self, destination: int) -> list[DestinationView]:
-        """Return what each forwarder that answers reports of a destination."""
+        """Return the report of each responding forwarder on a destination."""
 
     def endpoints(self, destination: int) -> frozenset[str] | None:
-        """Return the endpoints listed for a destination; None where no forwarder answers."""
+        """Return the endpoints now listed for a destination; None if no forwarder responds."""
 
     def slots(self) -> int:
-        """Return how many attempts the fleet can have in flight."""
+        """Return how many attempts the whole fleet can have in flight."""
 
     def read_spools(self, store: DeadLetterStore) -> int:
-        """Read on in the spools; return how many messages were new."""
+        """Copy new messages from the spools into the store; return how many were new."""
 
     def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
-        """Return the answer of a forwarder's front door, as `resubmission.resubmit` does."""
+        """Submit a redrive to a forwarder and return its answer, as `resubmission.resubmit` does."""
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
-        """Return the outcomes of redrives, by id; None where the forwarder does not answer."""
+        """Return the outcomes of redrives by id; None if the forwarder does not respond."""
--- a/juniperward/dead_letters/leases.py
+++ b/juniperward/dead_letters/leases.py
@@ -1,7 +1,7 @@
-"""Leases of dead letters: the right to one redrive of a message, and how that redrive ended.
+"""Leases of dead letters: the right to redrive a message once, and the outcome of that redrive.
 
-A lease is a compare-and-set on the message's status and fence: whoever comes second changes nothing and gets a
-LeaseLostError. Each function works in the transaction of its `db`; `DeadLetterStore` calls them.
+Acquiring or settling a lease is a compare-and-set on the message's status and fence. The loser of a race changes
+nothing and gets a LeaseLostError. Each function runs in the caller's transaction on `db`.
 """
 
 from __future__ import annotations
@@ -18,15 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """For whom a message is leased."""
+    """The terms of a lease.
 
-    forwarder: str  # that the redrive is submitted to
-    leased_at: float  # Unix time
-    by: str  # a person or a rule
+    Attributes:
+        forwarder: the forwarder to which the redrive is submitted.
+        leased_at: Unix time.
+        by: who requested the redrive, as `redrive_rules.requested_by` returns it.
+    """
+
+    forwarder: str
+    leased_at: float
+    by: str
 
 
 def acquire(db: sqlite3.Connection, message: str, fence: int | None, terms: LeaseTerms) -> Lease:
-    """Lease a stored message, of this fence if one is given. Raises MessageChangedError."""
+    """Lease a stored message; raises MessageChangedError if it is not stored or `fence` is given and differs."""
     row = db.execute("SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
         raise MessageChangedError(message, None)
@@ -47,7 +53,7 @@
 
 
 def open_redrives(db: sqlite3.Connection) -> list[Lease]:
-    """Return the leases whose outcome is not known, the oldest first."""
+    """Return the leases whose outcome is not recorded, the oldest first."""
     rows = db.execute(
         "SELECT r.id, r.message, r.fence, r.forwarder, r.claimed_at, m.ran_at FROM resend r"
         " JOIN message m ON m.id = r.message WHERE r.end IS NULL ORDER BY r.claimed_at"
@@ -56,9 +62,9 @@
 
 
 def settle(db: sqlite3.Connection, lease: Lease, result: str, executed_at: float | None, now: float) -> None:
-    """Write down how a redrive ended, and make its message stored again or delivered.
+    """Record the outcome of a redrive, and mark its message as delivered or as stored again.
 
-    Raises LeaseSettledError where the lease is not the message's latest or was settled already.
+    Raises LeaseSettledError if the lease is already settled or is not the message's latest.
     """
     updated = db.execute(
         "UPDATE resend SET end = ?, ended_at = ?, ran_at = ? WHERE id = ? AND end IS NULL",
@@ -71,7 +77,7 @@
     delivered = result == RedriveResult.DELIVERED
     status = Status.DELIVERED if delivered else Status.STORED
     executions = [at for at in (row["ran_at"], executed_at) if at is not None]
-    # A redrive that cannot have reached the destination does not count, and the request for it stays.
+    # A redrive that did not reach the destination is not counted, and the request for it remains.
     not_executed = not delivered and (executed_at is None or executed_at == row["ran_at"])
     counted = "resends = resends - 1" if not_executed else "wished = NULL"
     db.execute(
--- a/juniperward/dead_letters/operator_actions.py
+++ b/juniperward/dead_letters/operator_actions.py
@@ -1,6 +1,6 @@
-"""What people order for dead letters: request a redrive, settle, discard, undo. Each is recorded in the audit trail.
+"""Operators' actions on dead letters: request a redrive, settle, discard, undo. Each is added to the audit trail.
 
-Each function works in the transaction of its `db`; `DeadLetterStore` calls them.
+Each function runs in the caller's transaction on `db`. `who` is the operator's name for the audit trail.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def request_redrive(db: sqlite3.Connection, ids: Iterable[str], who: str, destination_confirmed: bool) -> int:
-    """Request redrives of stored messages; return how many were not requested already."""
+    """Request redrives of stored messages; return how many requests are new or newly confirm the destination."""
     count = 0
     detail = "the partner is the same" if destination_confirmed else ""
     confirmed = int(destination_confirmed)
@@ -34,7 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualSettlement:
-    """What a person says of a message: whether it took effect, and how that is known."""
+    """The outcome of a message as an operator states it.
+
+    Attributes:
+        delivered: the message has taken effect at its destination.
+        who: the operator.
+        why: how the operator knows.
+    """
 
     delivered: bool
     who: str
@@ -42,7 +48,7 @@
 
 
 def settle(db: sqlite3.Connection, message: str, statement: ManualSettlement, now: float) -> None:
-    """Take a person's statement for the message's outcome; raises MessageChangedError where it has one."""
+    """Set a message's outcome and end its open redrive; raises MessageChangedError if it has an outcome."""
     row = db.execute("SELECT stand FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
         raise MessageChangedError(message, None)
@@ -65,7 +71,7 @@
 class _StatusChange:
     old: Status
     new: Status
-    what: str  # in the audit trail
+    what: str  # the action's name in the audit trail
 
 
 _DISCARD = _StatusChange(Status.STORED, Status.DISCARDED, "discarded")
@@ -73,17 +79,17 @@
 
 
 def discard(db: sqlite3.Connection, ids: Iterable[str], who: str) -> int:
-    """Discard stored messages; return how many."""
+    """Discard stored messages; return how many were discarded."""
     return _change_status(db, ids, who, _DISCARD)
 
 
 def undo_discard(db: sqlite3.Connection, ids: Iterable[str], who: str) -> int:
-    """Make discarded messages stored again; return how many."""
+    """Restore discarded messages; return how many were restored."""
     return _change_status(db, ids, who, _UNDO_DISCARD)
 
 
 def withdraw_request(db: sqlite3.Connection, ids: Iterable[str], who: str) -> int:
-    """Withdraw requests of redrives that have not begun; return how many."""
+    """Withdraw requests for redrives that have not begun; return how many were withdrawn."""
     count = 0
     for message in ids:
         updated = db.execute(
--- a/juniperward/dead_letters/outcome.py
+++ b/juniperward/dead_letters/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of one redrive: a forwarder records it in its spool, the redriver writes it into the store."""
+"""The outcome of a redrive, which the forwarder records in its spool and the redriver in the store."""
 
 from __future__ import annotations
 
@@ -7,21 +7,26 @@
 
 
 class RedriveResult(StrEnum):
-    """What became of a redrive; the values are those of the control channel, the spool and the store."""
+    """The result of a redrive; the values are those of the control channel, the spool and the store."""
 
-    PENDING = "held"  # the forwarder has it and goes on with it
-    UNKNOWN = "unknown"  # the forwarder never accepted it, or does not remember
+    PENDING = "held"  # accepted by the forwarder and not yet decided
+    UNKNOWN = "unknown"  # the forwarder never accepted it or no longer knows its outcome
     DELIVERED = "delivered"
     UNDELIVERABLE = "undeliverable"
     DEFERRED = "deferred"
-    REJECTED = "refused"  # at the forwarder's front door
+    REJECTED = "refused"  # by the forwarder, at its submission
     NEVER_ACCEPTED = "never taken"
-    SETTLED = "settled"  # by a person
+    SETTLED = "settled"  # by an operator
 
 
 @dataclass(frozen=True, slots=True)
 class RedriveOutcome:
-    """A redrive's result, and when it first may have executed (Unix time; None: never)."""
+    """The outcome of a redrive.
 
-    result: str  # one of RedriveResult, as it was written
+    Attributes:
+        result: a value of RedriveResult, as it was written.
+        executed_at: Unix time at which the message may first have executed; None if it cannot have.
+    """
+
+    result: str
     executed_at: float | None = None
--- a/juniperward/dead_letters/outcome_log.py
+++ b/juniperward/dead_letters/outcome_log.py
@@ -1,7 +1,7 @@
-"""The outcomes of redrives that a forwarder remembers, in its spool's file `fates`. Standard library only.
+"""A forwarder's log of redrive outcomes: the file `fates` in its spool. Standard library only.
 
-An outcome that is not written down before the message is over could only be guessed later. The first line that is
-a number is the Unix time since which the log is complete.
+An outcome is written before its message is completed, so that it survives a crash. A line with a single number is
+the Unix time since which the log is complete.
 """
 
 from __future__ import annotations
@@ -16,62 +16,65 @@
 from juniperward.dead_letters.outcome import RedriveOutcome
 from juniperward.dead_letters.spool_format import decode_line, decode_outcome, encode_line, encode_outcome
 
-MAX_OUTCOMES = 100_000  # remembered; beyond it the oldest half is forgotten, and `complete_since` says so
+MAX_OUTCOMES = 100_000  # beyond it the oldest half is dropped and `complete_since` advances
 FILE = "fates"
 NEW_FILE = "fates.new"
 
 
 class OutcomeLog(Mapping[str, RedriveOutcome]):
-    """The remembered outcomes by redrive id; used by the forwarder's loop only."""
+    """The logged outcomes by redrive id. Not thread-safe: only the forwarder's loop uses it."""
 
     def __init__(self, folder: Path) -> None:
-        """Read the outcomes of earlier processes; raises OSError."""
-        self.complete_since = time.time()  # Unix time; of before it an unknown id says nothing
+        """Read the outcomes that earlier processes logged; raises OSError.
+
+        `complete_since` is the Unix time since which no outcome is missing.
+        """
+        self.complete_since = time.time()
         self._folder = folder
         self._descriptor = -1
         self._outcomes: dict[str, RedriveOutcome] = {}
         self._load()
 
     def __len__(self) -> int:
-        """Return how many outcomes are remembered."""
+        """Return how many outcomes are in the log."""
         return len(self._outcomes)
 
     def __iter__(self) -> Iterator[str]:
-        """Yield the redrives' ids, the first recorded first."""
+        """Yield the ids of redrives in the order of recording."""
         return iter(self._outcomes)
 
     def __getitem__(self, redrive_id: str) -> RedriveOutcome:
-        """Return the outcome of a redrive; raises KeyError."""
+        """Return the outcome of a redrive; raises KeyError if none is recorded."""
         return self._outcomes[redrive_id]
 
     def record(self, redrive_id: str, outcome: RedriveOutcome) -> None:
-        """Write down the outcome of a redrive; the first one that is known of it stays. Raises OSError."""
+        """Append the outcome of a redrive unless it already has one; raises OSError."""
         if redrive_id in self._outcomes:
             return
         write_all(self._descriptor, encode_outcome(redrive_id, outcome))
         self._outcomes[redrive_id] = outcome
         if len(self._outcomes) > MAX_OUTCOMES:
-            self._forget_oldest_half()
+            self._drop_oldest_half()
 
     def mark_incomplete(self) -> None:
-        """Have nothing concluded from an outcome's absence any more: one could not be written."""
+        """Declare the log incomplete for good, because an outcome could not be written."""
         self.complete_since = math.inf
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the log file."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
 
     def _load(self) -> None:
-        good = b""
+        valid_lines = b""
         with contextlib.suppress(FileNotFoundError):
             for data in (self._folder / FILE).read_bytes().split(b"\n"):
                 if self._load_line(data):
-                    good += data + b"\n"
-        self._rewrite(good or encode_line(self.complete_since))
+                    valid_lines += data + b"\n"
+        self._rewrite(valid_lines or encode_line(self.complete_since))
 
     def _load_line(self, data: bytes) -> bool:
-        """Take a line in; return whether it is one of ours."""
+        """Load one line; return False if it is damaged or of an unknown form."""
         row = decode_line(data)
         if isinstance(row, float | int):
             self.complete_since = float(row)
@@ -83,14 +86,14 @@
         return True
 
     def _rewrite(self, data: bytes) -> None:
-        fresh = self._folder / NEW_FILE
-        fresh.write_bytes(data)
-        fresh.replace(self._folder / FILE)
+        new_file = self._folder / NEW_FILE
+        new_file.write_bytes(data)
+        new_file.replace(self._folder / FILE)
         self.close()
         flags = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC
         self._descriptor = os.open(self._folder / FILE, flags)
 
-    def _forget_oldest_half(self) -> None:
+    def _drop_oldest_half(self) -> None:
         for redrive_id in list(self._outcomes)[: MAX_OUTCOMES // 2]:
             del self._outcomes[redrive_id]
         self.complete_since = time.time()
@@ -99,7 +102,7 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of it; raises OSError, and then a part may be written."""
+    """Write all of `data`; raises OSError, after which a part of it may have been written."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
--- a/juniperward/dead_letters/queries.py
+++ b/juniperward/dead_letters/queries.py
@@ -1,6 +1,6 @@
-"""What the dead letter store is read for: pages of messages, one message's record, counts. Changes nothing.
+"""Read-only queries on the dead letter store: pages of messages, one message's record, counts.
 
-Each function takes the caller's connection; `DeadLetterStore` calls them.
+Each function uses the caller's connection.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 BODY_COLUMN = "body"
 
 
-def select(db: sqlite3.Connection, chosen: Filter, limit: int, after: Position) -> list[DeadLetter]:
-    """Return a page of the selected messages, in the order in which they were given up."""
-    where, values = chosen.sql()
+def select(db: sqlite3.Connection, criteria: Filter, limit: int, after: Position) -> list[DeadLetter]:
+    """Return at most `limit` matching messages after a position, in the order in which they were given up."""
+    where, values = criteria.sql()
     rows = db.execute(
         f"SELECT {COLUMNS} FROM message WHERE {where} AND (given_up_at, id) > (?, ?)"
         " ORDER BY given_up_at, id LIMIT ?",
@@ -28,7 +28,7 @@
 
 
 def complete_record(db: sqlite3.Connection, message: str) -> dict[str, Any] | None:
-    """Return the columns of a message but its body, and the rows of its attempts, redrives and audit trail."""
+    """Return a message's columns except its body, with its attempts, redrives and audit trail; None if absent."""
     row = db.execute("SELECT * FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
         return None
@@ -49,22 +49,22 @@
 
 
 def body(db: sqlite3.Connection, message: str) -> bytes | None:
-    """Return the body of a message; None where it is not in the store."""
+    """Return the body of a message; None if it is not in the store."""
     row = db.execute("SELECT body FROM message WHERE id = ?", (message,)).fetchone()
     return bytes(row[0]) if row is not None else None
 
 
 def destinations(db: sqlite3.Connection, redrive_requested: bool) -> dict[int, int]:
-    """Return how many messages with the status STORED each destination has."""
-    more = " AND wished IS NOT NULL" if redrive_requested else ""
+    """Return the number of STORED messages by destination; with the flag, only of those requested by operators."""
+    request_condition = " AND wished IS NOT NULL" if redrive_requested else ""
     rows = db.execute(
-        f"SELECT destination, count(*) FROM message WHERE stand = 'kept'{more} GROUP BY destination"
+        f"SELECT destination, count(*) FROM message WHERE stand = 'kept'{request_condition} GROUP BY destination"
     )
     return {row[0]: row[1] for row in rows}
 
 
 def stats(db: sqlite3.Connection) -> dict[str, Any]:
-    """Return counts by status, the bytes, and the oldest, with the keys of the agent's answer."""
+    """Return the counts, the size and the oldest time of the store, with the keys of the agent's API."""
     statuses = {row[0]: row[1] for row in db.execute("SELECT stand, count(*) FROM message GROUP BY stand")}
     count, size_bytes, oldest = db.execute(
         "SELECT count(*), coalesce(sum(bytes), 0), min(given_up_at) FROM message"
@@ -80,6 +80,6 @@
 
 
 def audit(db: sqlite3.Connection, since: int, limit: int) -> list[dict[str, Any]]:
-    """Return the audit trail after a sequence number."""
+    """Return at most `limit` audit entries after a sequence number, in order."""
     rows = db.execute("SELECT * FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (since, limit))
     return [dict(row) for row in rows]
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -11,7 +11,7 @@
 import time
 
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
-from juniperward.dead_letters.ownership import REDRIVE_PREFIX
+from juniperward.dead_letters.ownership import REDRIVE_ID_PREFIX
 from juniperward.dead_letters.spool_format import SpooledMessage, read_idempotency
 
 COLUMNS = (
@@ -25,7 +25,7 @@
 def redrive_id(message: str, fence: int) -> str:
     """Return the id of a message's redrive with this fence: the same for whoever makes it."""
     digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_HASH_DIGITS]
-    return f"{REDRIVE_PREFIX}{digest}-{fence}"
+    return f"{REDRIVE_ID_PREFIX}{digest}-{fence}"
 
 
 def dead_letter(row: sqlite3.Row) -> DeadLetter:
