--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -149,14 +149,14 @@
 
     def _row(self, message: DeadLetter, now: float, listed: frozenset[str] | None) -> dict[str, Any]:
         settings = self._redriver.settings
-        judgement = assess_redrive(message, now, listed, settings.clock_allowance_s)
+        assessment = assess_redrive(message, now, listed, settings.clock_allowance_s)
         is_stored = message.status is Status.STORED
         return {
             "id": message.id,
             "stand": message.status.value,
-            "kind": judgement.kind.value,
-            "may_go": judgement.is_allowed,
-            "why": judgement.why,
+            "kind": assessment.safety.value,
+            "may_go": assessment.is_allowed,
+            "why": assessment.reason,
             "wanted_by": requested_by(message, settings.rules, now) if is_stored else "",
             "destination": message.destination,
             "class": message.class_name,
--- a/juniperward/agent/redrive_preview.py
+++ b/juniperward/agent/redrive_preview.py
@@ -74,10 +74,10 @@
     settings: RedriveSettings,
     now: float,
 ) -> None:
-    judgement = assess_redrive(message, now, endpoints, settings.clock_allowance_s)
-    if not judgement.is_allowed:
-        uncertain = judgement.kind is RedriveSafety.UNCERTAIN
-        preview.count_retained(judgement.kind.value if uncertain else judgement.why)
+    assessment = assess_redrive(message, now, endpoints, settings.clock_allowance_s)
+    if not assessment.is_allowed:
+        uncertain = assessment.safety is RedriveSafety.UNCERTAIN
+        preview.count_retained(assessment.safety.value if uncertain else assessment.reason)
         return
     rule = requested_by(message, settings.rules, now)
     if rule:
--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -73,7 +73,7 @@
         since = conditions.now - MAX_DEDUPLICATION_WINDOW_S
         closing = Filter(status=Status.STORED, destination=destination, executed_since=since)
         found = self._requested(self._store.select(closing, PAGE_SIZE), conditions)
-        found.sort(key=lambda pair: (pair[1].until, pair[0].given_up_at))
+        found.sort(key=lambda pair: (pair[1].deadline, pair[0].given_up_at))
         return [message for message, _ in found]
 
     def _requested(
@@ -82,9 +82,9 @@
         """Return the messages of a page that are safe to redrive and requested by an operator or a rule."""
         found = []
         for message in page:
-            judgement = redrive_safety.assess_redrive(
+            assessment = redrive_safety.assess_redrive(
                 message, conditions.now, conditions.current_endpoints, conditions.settings.clock_allowance_s
             )
-            if judgement.is_allowed and requested_by(message, conditions.settings.rules, conditions.now):
-                found.append((message, judgement))
+            if assessment.is_allowed and requested_by(message, conditions.settings.rules, conditions.now):
+                found.append((message, assessment))
         return found
--- a/juniperward/dead_letters/dead_letter.py
+++ b/juniperward/dead_letters/dead_letter.py
@@ -29,7 +29,7 @@
         status: where the message is in its life cycle.
         idempotency: the idempotency of the message's class.
         deduplication_window_s: how long the destination drops repeats with the same idempotency key.
-        executed_at: the earliest time at which an attempt or redrive may have executed; None if none may have.
+        executed_at: when an attempt or redrive may first have executed; None if none can have.
         destination: the number of the destination.
         class_name: the name of the message class.
         account: the tenant's account.
--- a/juniperward/dead_letters/fleet.py
+++ b/juniperward/dead_letters/fleet.py
@@ -1,4 +1,4 @@
-"""The interface through which the redriver reaches the forwarders; the agent's `RunningFleet` implements it."""
+"""The redriver's interface to the forwarders; the agent's `RunningFleet` implements it."""
 
 from __future__ import annotations
 
--- a/juniperward/dead_letters/leases.py
+++ b/juniperward/dead_letters/leases.py
@@ -1,7 +1,7 @@
 """Leases of dead letters: the right to redrive a message once, and the outcome of that redrive.
 
-Acquiring or settling a lease is a compare-and-set on the message's status and fence. The loser of a race changes
-nothing and gets a LeaseLostError. Each function runs in the caller's transaction on `db`.
+Acquiring or settling a lease is a compare-and-set on the message's status and fence. The loser of a race
+changes nothing and gets a LeaseLostError. Each function runs in the caller's transaction on `db`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def acquire(db: sqlite3.Connection, message: str, fence: int | None, terms: LeaseTerms) -> Lease:
-    """Lease a stored message; raises MessageChangedError if it is not stored or `fence` is given and differs."""
+    """Lease a stored message; raises MessageChangedError if its status or a given `fence` differs."""
     row = db.execute("SELECT stand, fence, resends, ran_at FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
         raise MessageChangedError(message, None)
--- a/juniperward/dead_letters/operator_actions.py
+++ b/juniperward/dead_letters/operator_actions.py
@@ -1,4 +1,4 @@
-"""Operators' actions on dead letters: request a redrive, settle, discard, undo. Each is added to the audit trail.
+"""Operators' actions on dead letters: request a redrive, settle, discard, undo. All are audited.
 
 Each function runs in the caller's transaction on `db`. `who` is the operator's name for the audit trail.
 """
@@ -16,7 +16,7 @@
 
 
 def request_redrive(db: sqlite3.Connection, ids: Iterable[str], who: str, destination_confirmed: bool) -> int:
-    """Request redrives of stored messages; return how many requests are new or newly confirm the destination."""
+    """Request redrives of stored messages; return how many requests are new or newly confirmed."""
     count = 0
     detail = "the partner is the same" if destination_confirmed else ""
     confirmed = int(destination_confirmed)
--- a/juniperward/dead_letters/outcome_log.py
+++ b/juniperward/dead_letters/outcome_log.py
@@ -1,7 +1,7 @@
 """A forwarder's log of redrive outcomes: the file `fates` in its spool. Standard library only.
 
-An outcome is written before its message is completed, so that it survives a crash. A line with a single number is
-the Unix time since which the log is complete.
+An outcome is written before its message is completed, so that it survives a crash. A line with a single
+number is the Unix time since which the log is complete.
 """
 
 from __future__ import annotations
--- a/juniperward/dead_letters/queries.py
+++ b/juniperward/dead_letters/queries.py
@@ -28,7 +28,7 @@
 
 
 def complete_record(db: sqlite3.Connection, message: str) -> dict[str, Any] | None:
-    """Return a message's columns except its body, with its attempts, redrives and audit trail; None if absent."""
+    """Return a message without its body, with its attempts, redrives and audit trail; None if absent."""
     row = db.execute("SELECT * FROM message WHERE id = ?", (message,)).fetchone()
     if row is None:
         return None
@@ -55,10 +55,10 @@
 
 
 def destinations(db: sqlite3.Connection, redrive_requested: bool) -> dict[int, int]:
-    """Return the number of STORED messages by destination; with the flag, only of those requested by operators."""
-    request_condition = " AND wished IS NOT NULL" if redrive_requested else ""
+    """Return the number of STORED messages by destination; with the flag, of requested ones only."""
+    requested = " AND wished IS NOT NULL" if redrive_requested else ""
     rows = db.execute(
-        f"SELECT destination, count(*) FROM message WHERE stand = 'kept'{request_condition} GROUP BY destination"
+        f"SELECT destination, count(*) FROM message WHERE stand = 'kept'{requested} GROUP BY destination"
     )
     return {row[0]: row[1] for row in rows}
 
--- a/juniperward/dead_letters/redrive_safety.py
+++ b/juniperward/dead_letters/redrive_safety.py
@@ -1,7 +1,7 @@
-"""Whether a dead letter may be redriven, until when, and why or why not. Pure: no clock, no I/O.
+"""Decides whether and until when a dead letter may be redriven, with the reason. Pure: no clock, no I/O.
 
-All times are Unix time by the clock of the machine on which the message was given up. Callers pass a `now` from
-`clock.latest_possible_time`: a window that has closed must not open again because a clock was set back.
+All times are Unix time by the clock of the machine on which the message was given up. Callers take `now` from
+`clock.latest_possible_time`, so that a clock that is set back does not reopen a deduplication window.
 """
 
 from __future__ import annotations
@@ -13,56 +13,63 @@
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.scheduler.settings import Idempotency
 
-WINDOW_MARGIN_S = 0.25  # kept clear of a deduplication window's end
-MIN_WINDOW_LEFT_S = 0.5  # that must be left of a window for a redrive to begin
+WINDOW_MARGIN_S = 0.25  # before the end of a deduplication window
+MIN_WINDOW_LEFT_S = 0.5  # no redrive begins with less
 
 
 class RedriveSafety(StrEnum):
-    """What is known of whether a message has taken effect."""
+    """Whether a redrive could make a message take effect twice."""
 
-    SAFE = "safe"  # no attempt may have executed, or a repeat does no harm
-    IN_WINDOW = "in window"  # one may have executed, and the destination still drops a repeat
-    UNCERTAIN = "uncertain"  # one may have executed, and a repeat could take effect a second time
+    SAFE = "safe"  # no attempt can have executed, or the message is idempotent
+    IN_WINDOW = "in window"  # an attempt may have executed; the destination still drops repeats
+    UNCERTAIN = "uncertain"  # an attempt may have executed; a repeat could take effect again
 
 
 @dataclass(frozen=True, slots=True)
 class RedriveAssessment:
-    """Whether a message may be redriven, until when (Unix time), and why or why not."""
+    """Whether a message may be redriven.
 
-    kind: RedriveSafety
+    Attributes:
+        safety: whether a redrive could duplicate the message's effect.
+        is_allowed: a redrive may begin now.
+        deadline: Unix time by which a redrive must have ended.
+        reason: explains the decision to an operator.
+    """
+
+    safety: RedriveSafety
     is_allowed: bool
-    until: float = math.inf  # a redrive must be over by then
-    why: str = ""
+    deadline: float = math.inf
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class _Safety:
-    """The part of a judgement that depends on the message and the time alone."""
+    """The part of an assessment that depends only on the message and the time."""
 
-    kind: RedriveSafety
-    until: float
-    why: str
+    safety: RedriveSafety
+    deadline: float
+    reason: str
 
 
 def assess_redrive(
     message: DeadLetter, now: float, current_endpoints: frozenset[str] | None, clock_allowance_s: float
 ) -> RedriveAssessment:
-    """Return the judgement on one message.
+    """Return whether a message may be redriven at `now`.
 
-    `listed` are the endpoints that its destination has now (None: not known), `clock_allowance_s` is how far the
-    clocks that took part may differ.
+    `current_endpoints` are the endpoints now listed for its destination (None: not known).
+    `clock_allowance_s` is the largest difference between the clocks of the machines involved.
     """
-    safety = _safety(message, now, clock_allowance_s)
-    reason = _why_not(message, safety, current_endpoints)
-    return RedriveAssessment(safety.kind, not reason, safety.until, reason or safety.why)
+    assessed = _safety(message, now, clock_allowance_s)
+    objection = _objection(message, assessed, current_endpoints)
+    return RedriveAssessment(assessed.safety, not objection, assessed.deadline, objection or assessed.reason)
 
 
-def _why_not(message: DeadLetter, safety: _Safety, current_endpoints: frozenset[str] | None) -> str:
-    """Return what forbids a redrive; empty where nothing does."""
+def _objection(message: DeadLetter, assessed: _Safety, current_endpoints: frozenset[str] | None) -> str:
+    """Return why a redrive is forbidden; empty if it is allowed."""
     if message.status is not Status.STORED:
-        return f"it is {message.status.value}"
-    if safety.kind is RedriveSafety.UNCERTAIN:
-        return safety.why
+        return f"the message is {message.status.value}"
+    if assessed.safety is RedriveSafety.UNCERTAIN:
+        return assessed.reason
     if current_endpoints is None:
         return "no forwarder has reported the endpoints of its destination"
     if not current_endpoints:
@@ -70,32 +77,32 @@
     same_destination = not message.endpoints or not current_endpoints.isdisjoint(message.endpoints)
     if not same_destination and not message.destination_confirmed:
         return (
-            f"no endpoint of destination {message.destination} is left from then:"
-            " the number may mean another destination now"
+            f"destination {message.destination} has none of its former endpoints:"
+            " the number may now denote another destination"
         )
     return ""
 
 
 def _safety(message: DeadLetter, now: float, clock_allowance_s: float) -> _Safety:
     if message.idempotency is Idempotency.IDEMPOTENT:
-        return _Safety(RedriveSafety.SAFE, math.inf, "its class may be repeated")
+        return _Safety(RedriveSafety.SAFE, math.inf, "messages of its class are idempotent")
     if message.executed_at is None:
-        return _Safety(RedriveSafety.SAFE, math.inf, "no attempt may have run")
+        return _Safety(RedriveSafety.SAFE, math.inf, "no attempt can have executed")
     has_key = message.idempotency is Idempotency.IDEMPOTENCY_KEY and message.idempotency_key is not None
     if not has_key:
-        why = "an attempt may have run, and its class may not be repeated"
-        return _Safety(RedriveSafety.UNCERTAIN, 0.0, why)
+        reason = "an attempt may have executed, and the destination cannot deduplicate a repeat"
+        return _Safety(RedriveSafety.UNCERTAIN, 0.0, reason)
     return _safety_in_window(message.executed_at, message.deduplication_window_s, now, clock_allowance_s)
 
 
 def _safety_in_window(executed_at: float, window_s: float, now: float, clock_allowance_s: float) -> _Safety:
-    """Judge by the window in which the destination drops a repeat with the same idempotency key."""
+    """Assess a message whose repeats the destination drops by idempotency key for a limited time."""
     if now < executed_at - clock_allowance_s:
-        why = "an attempt may have run, at a time that this clock has not reached"
-        return _Safety(RedriveSafety.UNCERTAIN, 0.0, why)
-    until = executed_at + window_s - WINDOW_MARGIN_S - clock_allowance_s
-    if now + MIN_WINDOW_LEFT_S >= until:
-        why = "an attempt may have run, and its destination may not drop a repeat any more"
-        return _Safety(RedriveSafety.UNCERTAIN, until, why)
-    why = f"an attempt may have run; a repeat is dropped for {until - now:.1f} s more"
-    return _Safety(RedriveSafety.IN_WINDOW, until, why)
+        reason = "an attempt may have executed at a time in the future of this machine's clock"
+        return _Safety(RedriveSafety.UNCERTAIN, 0.0, reason)
+    deadline = executed_at + window_s - WINDOW_MARGIN_S - clock_allowance_s
+    if now + MIN_WINDOW_LEFT_S >= deadline:
+        reason = "an attempt may have executed, and the deduplication window is over or about to end"
+        return _Safety(RedriveSafety.UNCERTAIN, deadline, reason)
+    reason = f"an attempt may have executed; the destination drops repeats for {deadline - now:.1f} s more"
+    return _Safety(RedriveSafety.IN_WINDOW, deadline, reason)
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -1,9 +1,8 @@
-"""Redriving dead letters, one round at a time. The agent's `DeadLetterService` runs a round every 0.25 s.
+"""Redrives dead letters in rounds; the agent's `DeadLetterService` runs one every 0.25 s.
 
-A round reads the spools, settles open redrives, looks at the destinations, and begins as many redrives as their
-rates allow. Everything that outlasts a crash is in the store before it is acted on, so a round that was cut off
-anywhere is simply begun again. The forwarders are reached through `Fleet` alone: the agent's is real, the model
-check's is not.
+A round reads the spools, settles open redrives, adjusts the rate of each destination, and begins as many
+redrives as the rates allow. Each step is committed to the store before it takes effect outside, so after a
+crash at any point the next round continues from the store.
 """
 
 from __future__ import annotations
@@ -31,79 +30,88 @@
 from juniperward.dead_letters.store_errors import LeaseLostError
 from juniperward.scheduler.settings import Idempotency
 
-ROTATION_MODULUS = 1009  # a prime: each destination is the first in some round
-DEFAULT_TIME_LEFT_S = 20.0  # of a class without its own
+ROTATION_MODULUS = 1009  # a prime, so that every destination comes first in some round
+DEFAULT_TIME_LEFT_S = 20.0  # for classes without a setting
 ACCEPTED_OR_UNKNOWN = (200, 202, NO_ANSWER)
 
 
 class SendResult(Enum):
-    """What became of one candidate."""
+    """The result of submitting one candidate."""
 
-    BEGUN = auto()  # accepted, possibly accepted, or no longer to be redriven
-    REJECTED = auto()  # by the forwarder; no more go to this destination in this round
+    BEGUN = auto()  # accepted, possibly accepted, or no longer eligible
+    REJECTED = auto()  # by the forwarder; ends this round for the destination
     NO_FORWARDER = auto()
 
 
 @dataclass(slots=True)
 class Round:
-    """What one round did."""
-
-    stored: int = 0  # new messages from the spools
+    """What one round did.
+
+    Attributes:
+        stored: how many messages it added to the store from the spools.
+        begun: how many redrives it began.
+        settled: how many redrives it settled.
+        open: how many earlier redrives are still unsettled.
+        unresolved: ids of redrives whose outcome their forwarder no longer knows. An operator must
+            settle them.
+    """
+
+    stored: int = 0
     begun: int = 0
     settled: int = 0
     open: int = 0
-    unresolved: list[str] = field(default_factory=list)  # redrives that their forwarder does not remember
+    unresolved: list[str] = field(default_factory=list)
 
 
 class Redriver:
-    """Owns the redrive rate of each destination; everything else is in the store."""
+    """Runs the rounds. The rates are kept in memory only; everything else is in the store."""
 
     def __init__(self, store: DeadLetterStore, fleet: Fleet, settings: RedriveSettings) -> None:
-        """Begin with no rate to any destination; `settings` may be replaced between rounds."""
+        """Create a redriver without rates; `settings` may be replaced between rounds."""
         self.store, self.fleet, self.settings = store, fleet, settings
         self.rates: dict[int, RedriveRate] = {}
         self._settler = RedriveSettler(store, fleet)
         self._candidates = Candidates(store)
-        self._rejected: set[int] = set()  # destinations whose redrive was rejected since the last look
+        self._rejected: set[int] = set()  # destinations with a rejection since their rate was adjusted
         self._rotation = 0
 
     def round(self) -> Round:
-        """Do all that can be done now."""
+        """Run one round and return what it did."""
         clock = self.fleet.clock()
         now = latest_possible_time(clock, self.store.recorded_clock())
         self.store.record_clock(ClockReading(now, clock.boot, clock.boot_id))
         stored = self.fleet.read_spools(self.store)
         settlement = self._settler.settle(now)
-        done = Round(stored, 0, settlement.settled, settlement.open, settlement.unresolved)
-        self._begin(done, now, clock.boot)
-        return done
+        summary = Round(stored, 0, settlement.settled, settlement.open, settlement.unresolved)
+        self._begin(summary, now, clock.boot)
+        return summary
 
     def sweep(self) -> int:
-        """Drop what the settings do not have stored any longer; return how many messages."""
+        """Drop messages beyond the limits, or none while the time is unknown; return how many."""
         now = latest_possible_time(self.fleet.clock(), self.store.recorded_clock())
         if not math.isfinite(now):
             return 0
         limits = RetentionLimits(self.settings.max_age_s, self.settings.max_messages, self.settings.max_bytes)
         return self.store.sweep(now, limits)
 
-    def _begin(self, done: Round, now: float, boot_s: float) -> None:
-        """Begin redrives of every destination; `boot_s` is the clock that rates are counted by."""
+    def _begin(self, summary: Round, now: float, boot_s: float) -> None:
+        """Begin redrives to all destinations; `now` is Unix time, `boot_s` a monotonic clock."""
         waiting = self.store.destinations()
         requested = self.store.destinations(redrive_requested=True)
-        capacity = max_in_flight(self.fleet.slots(), self.settings.rate_limits) - done.open
+        capacity = max_in_flight(self.fleet.slots(), self.settings.rate_limits) - summary.open
         for destination in sorted(waiting, key=lambda number: (number + self._rotation) % ROTATION_MODULUS):
             if not self.settings.rules and destination not in requested:
-                continue  # nobody requests any of them
+                continue  # without rules, only requested messages are redriven
             begun = self._begin_destination(destination, capacity, now, boot_s)
             capacity -= begun
-            done.begun += begun
+            summary.begun += begun
         for destination in set(self.rates) - set(waiting):
             del self.rates[destination]
             self._candidates.forget(destination)
         self._rotation += 1
 
     def _begin_destination(self, destination: int, capacity: int, now: float, boot_s: float) -> int:
-        """Redrive as many of one destination's as its rate and `capacity` allow; return how many."""
+        """Begin at most `capacity` redrives to one destination, as its rate allows; return how many."""
         rate = self._adjusted_rate(destination, boot_s)
         max_count = min(int(rate.tokens), capacity)
         candidates: list[DeadLetter] = []
@@ -130,7 +138,7 @@
         return adjust_rate(latest, views, rejected, boot_s, self.settings.rate_limits)
 
     def _send(self, message: DeadLetter, now: float) -> SendResult:
-        """Lease a message and submit it."""
+        """Lease a message and submit it to the next forwarder in rotation."""
         forwarders = self.fleet.forwarders()
         if not forwarders:
             return SendResult.NO_FORWARDER
@@ -140,30 +148,30 @@
         try:
             lease = self.store.acquire_lease(message.id, None, forwarder, now, by)
         except LeaseLostError:
-            return SendResult.BEGUN  # another change came first; go on with the next candidate
+            return SendResult.BEGUN  # the message has changed since it was selected
         return self._send_leased(message, lease)
 
     def _send_leased(self, message: DeadLetter, lease: Lease) -> SendResult:
         body = self.store.stored_body(message.id)
-        # What has been read may be older than the lease: read the clock once more, and judge by that.
+        # Time has passed since the message was selected: check again that its redrive is safe.
         now = latest_possible_time(self.fleet.clock(), self.store.recorded_clock())
         current_endpoints = frozenset(message.endpoints) or frozenset("?")
-        judgement = redrive_safety.assess_redrive(
+        assessment = redrive_safety.assess_redrive(
             message, now, current_endpoints, self.settings.clock_allowance_s
         )
-        if judgement.kind is RedriveSafety.UNCERTAIN:
+        if assessment.safety is RedriveSafety.UNCERTAIN:
             self._release(lease, RedriveResult.NEVER_ACCEPTED, now)
             return SendResult.BEGUN
-        resubmission = self._resubmission(message, lease, body, judgement.until, now)
+        resubmission = self._resubmission(message, lease, body, assessment.deadline, now)
         status = self.fleet.submit(lease.forwarder, resubmission).status
         if status in ACCEPTED_OR_UNKNOWN:
-            return SendResult.BEGUN  # where it is not known, the forwarder is polled in the next round
+            return SendResult.BEGUN  # the next round polls the forwarder for the outcome
         self._release(lease, RedriveResult.REJECTED if status > 0 else RedriveResult.NEVER_ACCEPTED, now)
         self._rejected.add(message.destination)
         return SendResult.REJECTED
 
     def _resubmission(
-        self, message: DeadLetter, lease: Lease, body: bytes, until: float, now: float
+        self, message: DeadLetter, lease: Lease, body: bytes, deadline: float, now: float
     ) -> Resubmission:
         class_time_left_s = self.settings.time_left_s.get(message.class_name, DEFAULT_TIME_LEFT_S)
         executed_ago_s = None
@@ -176,7 +184,7 @@
             message.destination,
             message.idempotency_key,
             body,
-            time_left_s=min(class_time_left_s, until - now),
+            time_left_s=min(class_time_left_s, deadline - now),
             executed_ago_s=executed_ago_s,
         )
 
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -1,4 +1,4 @@
-"""Submitting one redrive at a forwarder's front door, as any client does; the agent's `RunningFleet` calls it."""
+"""Submits a redrive to a forwarder through the same HTTP interface that clients use."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from juniperward.net.http_responses import read_response
 from juniperward.net.stream import Stream
 
-RESPONSE_TIMEOUT_S = 0.4  # for the forwarder's answer
-NOT_CONNECTED = -1  # in the place of a status: it was never accepted
-NO_ANSWER = 0  # in the place of a status: what became of it is not known
+RESPONSE_TIMEOUT_S = 0.4
+NOT_CONNECTED = -1  # instead of an HTTP status: the redrive was not accepted
+NO_ANSWER = 0  # instead of an HTTP status: the redrive may have been accepted
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionAnswer:
-    """What a forwarder's front door answered: HTTP status (or NOT_CONNECTED, NO_ANSWER), Retry-After in seconds."""
+    """A forwarder's answer: its HTTP status, NOT_CONNECTED or NO_ANSWER, and its Retry-After (0: none)."""
 
     status: int
     retry_after_s: float
@@ -26,7 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Resubmission:
-    """A redrive as it is submitted."""
+    """A redrive as it is submitted.
+
+    Attributes:
+        id: the redrive's id, which the forwarder treats as the message's id.
+        class_name: the name of the message class.
+        account: the tenant's account.
+        destination: the number of the destination.
+        idempotency_key: the key by which the destination detects a repeat.
+        body: the message's body.
+        time_left_s: the time in which the forwarder must complete the redrive.
+        executed_ago_s: time since the message may first have executed; None if that is irrelevant.
+    """
 
     id: str
     class_name: str
@@ -35,11 +46,11 @@
     idempotency_key: str | None
     body: bytes
     time_left_s: float
-    executed_ago_s: float | None  # since the message first may have executed; None: it never did
+    executed_ago_s: float | None
 
 
 def encode(message: Resubmission, host: str) -> bytes:
-    """Return the request; the forwarder counts the deduplication window from `X-Kept-Ran`."""
+    """Return the HTTP request; `X-Kept-Ran` tells the forwarder the end of the deduplication window."""
     headers = {
         "X-Correlation-Id": message.id,
         "X-Service-Class": message.class_name,
@@ -58,19 +69,16 @@
 def resubmit(
     address: tuple[str, int], message: Resubmission, timeout_s: float = RESPONSE_TIMEOUT_S
 ) -> SubmissionAnswer:
-    """Submit a message; return the HTTP status and the Retry-After in seconds.
-
-    NO_ANSWER and NOT_CONNECTED stand in the place of a status where there is none.
-    """
+    """Submit a redrive and return the forwarder's answer, or NOT_CONNECTED or NO_ANSWER if there is none."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
-        timed = sockets.DeadlineReader(sock, timeout_s)
+        reader = sockets.DeadlineReader(sock, timeout_s)
         try:
             sockets.connect(*address, timeout_s, sock)
         except OSError:
             return SubmissionAnswer(NOT_CONNECTED, 0.0)
         try:
             sock.sendall(encode(message, f"{address[0]}:{address[1]}"))
-            answer = read_response(Stream(timed.receive))
+            answer = read_response(Stream(reader.receive))
         except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
             return SubmissionAnswer(NO_ANSWER, 0.0)
     retry_after = answer.headers.get("retry-after", "")
--- a/juniperward/dead_letters/retention.py
+++ b/juniperward/dead_letters/retention.py
@@ -1,7 +1,4 @@
-"""The retention of dead letters: what is too old or too much is dropped, the oldest first.
-
-`DeadLetterStore.sweep` calls it in a transaction.
-"""
+"""Retention of dead letters: drops the oldest messages while the store exceeds its limits."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetentionLimits:
-    """What the settings let the store have."""
+    """The retention limits; the size counts bodies and a fixed overhead per message."""
 
     max_age_s: float
     max_messages: int
@@ -21,29 +18,29 @@
 
 
 def drop_oldest(db: sqlite3.Connection, now: float, limits: RetentionLimits) -> int:
-    """Drop messages in the transaction of `db` until the limits hold; return how many.
+    """Drop the oldest messages in the transaction of `db` until the limits hold; return how many.
 
-    Messages whose redrive is under way are never dropped.
+    Messages with an unsettled redrive are never dropped.
     """
     count, size_bytes = db.execute("SELECT count(*), coalesce(sum(bytes), 0) FROM message").fetchone()
     rows = db.execute(
         "SELECT id, given_up_at, bytes, stand FROM message WHERE stand != 'claimed' ORDER BY given_up_at"
     )
-    too_much = count > limits.max_messages or size_bytes > limits.max_bytes
+    exceeds_size = count > limits.max_messages or size_bytes > limits.max_bytes
     dropped = 0
-    for row in rows.fetchall() if too_much else rows:
-        why = _why_dropped(now - row["given_up_at"], count, size_bytes, limits)
-        if not why:
+    for row in rows.fetchall() if exceeds_size else rows:
+        reason = _drop_reason(now - row["given_up_at"], count, size_bytes, limits)
+        if not reason:
             break
         db.execute("DELETE FROM message WHERE id = ?", (row["id"],))
-        append_audit(db, "agent", "dropped", row["id"], f"{row['stand']}; for {why}")
+        append_audit(db, "agent", "dropped", row["id"], f"{row['stand']}; for {reason}")
         count -= 1
         size_bytes -= row["bytes"]
         dropped += 1
     return dropped
 
 
-def _why_dropped(age_s: float, count: int, size_bytes: int, limits: RetentionLimits) -> str:
+def _drop_reason(age_s: float, count: int, size_bytes: int, limits: RetentionLimits) -> str:
     if age_s > limits.max_age_s:
         return "its age"
     if count > limits.max_messages:
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -1,7 +1,4 @@
-"""Rows of the dead letter store: the one place where its column names become the names of our values.
-
-Used by the modules that read and change the store: `queries.py`, `leases.py`, `operator_actions.py`, `retention.py`.
-"""
+"""Converts rows of the dead letter store: the only mapping of column names to field names."""
 
 from __future__ import annotations
 
@@ -18,18 +15,18 @@
     "id, stand, effect, window, ran_at, destination, cls, account, given_up_at, resends, wished, partner_sure, "
     "workers, key"
 )
-ROW_OVERHEAD_BYTES = 500  # of a message beside its body, at a guess
-REDRIVE_ID_HASH_DIGITS = 20  # of the hash
+ROW_OVERHEAD_BYTES = 500  # approximate size of a message without its body
+REDRIVE_ID_HASH_DIGITS = 20
 
 
 def redrive_id(message: str, fence: int) -> str:
-    """Return the id of a message's redrive with this fence: the same for whoever makes it."""
+    """Return the id of a message's redrive with a fence; it depends on nothing else."""
     digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_HASH_DIGITS]
     return f"{REDRIVE_ID_PREFIX}{digest}-{fence}"
 
 
 def dead_letter(row: sqlite3.Row) -> DeadLetter:
-    """Return what decides about a message, from a row with COLUMNS."""
+    """Return the dead letter in a row that has the columns COLUMNS."""
     return DeadLetter(
         id=row["id"],
         status=Status(row["stand"]),
@@ -49,7 +46,7 @@
 
 
 def insert_message(db: sqlite3.Connection, forwarder: str, message: SpooledMessage) -> bool:
-    """Add a message with its attempts, in the transaction of `db`; return whether it was new."""
+    """Insert a message with its attempts, in the transaction of `db`; return False if it is already there."""
     executed_at = min(
         (attempt.started_at for attempt in message.attempts if attempt.possibly_executed), default=None
     )
@@ -69,8 +66,8 @@
         "ran_at": executed_at,
         "bytes": len(message.body) + ROW_OVERHEAD_BYTES,
     }
-    marks = ", ".join(f":{column}" for column in row)
-    inserted = db.execute(f"INSERT OR IGNORE INTO message ({', '.join(row)}) VALUES ({marks})", row)
+    placeholders = ", ".join(f":{column}" for column in row)
+    inserted = db.execute(f"INSERT OR IGNORE INTO message ({', '.join(row)}) VALUES ({placeholders})", row)
     if not inserted.rowcount:
         return False
     attempts = [
@@ -82,7 +79,7 @@
 
 
 def append_audit(db: sqlite3.Connection, who: str, what: str, message: str | None, detail: str = "") -> None:
-    """Append a line to the audit trail, in the transaction of the change that it records."""
+    """Append an entry to the audit trail, in the transaction of the change that it records."""
     db.execute(
         "INSERT INTO audit (at, who, what, message, detail) VALUES (?,?,?,?,?)",
         (time.time(), who, what, message, detail),
--- a/juniperward/dead_letters/schema.py
+++ b/juniperward/dead_letters/schema.py
@@ -1,6 +1,7 @@
-"""The schema of the dead letter store, as the migrations from each version to the next.
+"""The schema of the dead letter store, as a sequence of migrations.
 
-A step that was released is never changed: the version of a file is the number of steps that it has taken.
+The version of a file is the number of migrations that were applied to it. A released migration is never
+changed.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 from collections.abc import Iterator
 
 MIGRATIONS = (
-    # 1: messages, attempts, resends, the audit trail, how far each spool has been read
+    # Version 1: messages, attempts, redrives, the audit trail, spool positions and the latest clock reading.
     """
     CREATE TABLE message (
         id TEXT PRIMARY KEY, forwarder TEXT NOT NULL, cls TEXT NOT NULL, account TEXT NOT NULL,
@@ -37,7 +38,7 @@
     CREATE TABLE spool (forwarder TEXT PRIMARY KEY, segment INTEGER NOT NULL, offset INTEGER NOT NULL);
     CREATE TABLE clock (one INTEGER PRIMARY KEY CHECK (one = 1), wall REAL, boot REAL, boot_id TEXT);
     """,
-    # 2: wishes of people, and their word that a number still means the same partner
+    # Version 2: operators' requests for redrives, and confirmations that a destination is still the same.
     """
     ALTER TABLE message ADD COLUMN wished TEXT;
     ALTER TABLE message ADD COLUMN partner_sure INTEGER NOT NULL DEFAULT 0;
@@ -47,7 +48,7 @@
     CREATE INDEX message_ran ON message (stand, destination, ran_at);
     CREATE INDEX message_wished ON message (wished) WHERE wished IS NOT NULL;
     """,
-    # 3: what people look for: a partner's, an account's or a key's messages, whatever their stand
+    # Version 3: indexes to find the messages of a destination, an account or a key in any status.
     """
     CREATE INDEX message_destination_order ON message (destination, given_up_at, id);
     CREATE INDEX message_account_order ON message (account, given_up_at, id);
@@ -57,7 +58,7 @@
 
 
 def statements(script: str) -> Iterator[str]:
-    """Yield the statements of a step; a trigger's body has semicolons of its own."""
+    """Yield the statements of a migration; semicolons inside a trigger's body do not end a statement."""
     statement = ""
     for part in script.split(";"):
         statement += part + ";"
--- a/juniperward/dead_letters/selection.py
+++ b/juniperward/dead_letters/selection.py
@@ -1,4 +1,4 @@
-"""The values that the dead letter store is queried with, and the leases that it gives."""
+"""Parameters and results of the dead letter store: positions, filters and leases."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class SpoolPosition(NamedTuple):
-    """How far a forwarder's spool is in the store: the segment's number and the byte offset in it."""
+    """How far a forwarder's spool was read into the store: a segment number and a byte offset in it."""
 
     segment: int
     offset: int
 
 
 class Position(NamedTuple):
-    """A place in the order of messages; a page begins behind it."""
+    """A position in the order of messages; a page begins after it."""
 
     given_up_at: float  # Unix time
     id: str
@@ -25,19 +25,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right to one redrive of a message; it is durable before anything is submitted."""
+    """The right to redrive a message once; it is durable before the redrive is submitted.
+
+    Attributes:
+        redrive_id: the id under which the redrive is submitted.
+        message: the id of the message.
+        fence: increases with each lease of the message, so that an earlier lease is recognized.
+        forwarder: the forwarder to which the redrive is submitted.
+        leased_at: Unix time; column `claimed_at` of the store.
+        executed_at: Unix time at which the message may first have executed; None if it cannot have.
+    """
 
     redrive_id: str
     message: str
     fence: int
     forwarder: str
-    leased_at: float  # Unix time; the store's column is `claimed_at`
-    executed_at: float | None  # when the message first may have executed; None: never
+    leased_at: float
+    executed_at: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """Which messages are selected; None (and no ids) selects all. Times are Unix time."""
+    """Criteria that all must match; None, or no ids, matches every message.
+
+    Attributes:
+        ids: ids of messages.
+        status: a value of Status.
+        destination: the number of the destination.
+        class_name: the name of the message class.
+        account: the tenant's account.
+        idempotency_key: the message's idempotency key.
+        since: Unix time; matches messages that were given up at or after it.
+        until: Unix time; matches messages that were given up before it.
+        redrive_requested: whether an operator has requested a redrive.
+        executed_since: Unix time; matches messages that may first have executed at or after it.
+    """
 
     ids: tuple[str, ...] = ()
     status: str | None = None
@@ -45,13 +67,13 @@
     class_name: str | None = None
     account: str | None = None
     idempotency_key: str | None = None
-    since: float | None = None  # given up at or after
-    until: float | None = None  # given up before
+    since: float | None = None
+    until: float | None = None
     redrive_requested: bool | None = None
-    executed_since: float | None = None  # first may have executed at or after
+    executed_since: float | None = None
 
     def sql(self) -> tuple[str, list[Any]]:
-        """Return a condition in the store's column names, and its values."""
+        """Return an SQL condition with placeholders, and the values for them."""
         conditions = (
             ("stand = ?", self.status),
             ("destination = ?", self.destination),
--- a/juniperward/dead_letters/settlement.py
+++ b/juniperward/dead_letters/settlement.py
@@ -1,4 +1,4 @@
-"""Finding out what became of open redrives, and writing it into the store. Called by the redriver each round."""
+"""Settles open redrives: polls the forwarders for their outcomes and records these in the store."""
 
 from __future__ import annotations
 
@@ -15,18 +15,24 @@
 
 @dataclass(slots=True)
 class Settlement:
-    """What one look at the open redrives found."""
+    """The result of polling for all open redrives.
+
+    Attributes:
+        settled: how many redrives were settled.
+        open: how many remain unsettled.
+        unresolved: ids of redrives whose outcome their forwarder no longer knows.
+    """
 
     settled: int = 0
     open: int = 0
-    unresolved: list[str] = field(default_factory=list)  # ids; their forwarder does not remember so far back
+    unresolved: list[str] = field(default_factory=list)
 
 
 class RedriveSettler:
-    """Polls the forwarders for outcomes; a lease stays as it is until its outcome is certain."""
+    """Polls the forwarders for outcomes. A lease remains open until its outcome is certain."""
 
     def __init__(self, store: DeadLetterStore, fleet: Fleet) -> None:
-        """Take the store with the leases, and the forwarders to poll."""
+        """Use the leases in `store` and poll the forwarders of `fleet`."""
         self._store, self._fleet = store, fleet
 
     def settle(self, now: float) -> Settlement:
@@ -38,14 +44,14 @@
             settlement.open += 1
         for forwarder, leases in by_forwarder.items():
             for first in range(0, len(leases), MAX_IDS_PER_REQUEST):
-                part = leases[first : first + MAX_IDS_PER_REQUEST]
-                self._settle_part(settlement, forwarder, part, now)
+                batch = leases[first : first + MAX_IDS_PER_REQUEST]
+                self._settle_batch(settlement, forwarder, batch, now)
         return settlement
 
-    def _settle_part(self, settlement: Settlement, forwarder: str, leases: list[Lease], now: float) -> None:
+    def _settle_batch(self, settlement: Settlement, forwarder: str, leases: list[Lease], now: float) -> None:
         reported = self._fleet.outcomes(forwarder, tuple(lease.redrive_id for lease in leases))
         if reported is None:
-            return  # the leases stay: nothing is concluded from an unresponsive forwarder
+            return  # an unresponsive forwarder may still be processing the redrives
         for lease in leases:
             self._settle_one(settlement, lease, reported.get(lease.redrive_id), now)
 
@@ -57,13 +63,13 @@
         result = reported.result
         if result == RedriveResult.UNKNOWN:
             if reported.complete_since > lease.leased_at:
-                settlement.unresolved.append(lease.redrive_id)  # a person must settle it
+                settlement.unresolved.append(lease.redrive_id)  # an operator must settle it
                 return
-            # Having said so, the forwarder never will accept it.
+            # After this report, the forwarder rejects a late submission with this id.
             result = RedriveResult.NEVER_ACCEPTED
         try:
             self._store.settle_redrive(lease, result, reported.executed_at, now)
         except LeaseLostError:
-            return  # a person settled it meanwhile
+            return  # an operator settled it meanwhile
         settlement.settled += 1
         settlement.open -= 1
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -1,10 +1,9 @@
-"""The forwarder's end of its spool: messages that were given up, appended for the agent. Standard library only.
+"""The spool, in which a forwarder appends messages that it gives up for the agent. Standard library only.
 
-A forwarder appends to segments `00000001.kept`, …: a line a message, with a checksum as in the journal. A new
-process begins a new segment. The agent reads segments in order and says in the file `acked` which of them are in
-its store; only the forwarder deletes, after it has read at a start which messages the segments name. So neither
-needs the other to run, a segment is never deleted before both have read it, and one that is read twice says the
-same. `OutcomeLog` writes the outcomes of redrives beside them.
+The messages are checksummed lines in segments `00000001.kept`, …; a new process begins a new segment. The
+agent reads the segments in order and writes to the file `acked` the last one that is in its store. Only the
+forwarder deletes segments. At its start it first reads the ids in all of them, so that it does not append a
+message again that an earlier process has appended. `OutcomeLog` is in the same folder.
 """
 
 from __future__ import annotations
@@ -18,36 +17,39 @@
 from juniperward.dead_letters.spool_files import acknowledged_segment, read, segment_path, segments
 from juniperward.dead_letters.spool_format import SpooledMessage, encode_message
 
-MAX_SEGMENT_BYTES = 1_000_000  # of a segment before the next one is begun
+MAX_SEGMENT_BYTES = 1_000_000  # a larger segment is followed by a new one
 PRIVATE_FOLDER_MODE = 0o700
 PRIVATE_FILE_MODE = 0o600
 
 
 class SpoolFullError(OSError):
-    """The spool has all the bytes that the settings give it."""
+    """The spool has reached its size limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Take the limit."""
+        """Describe the limit that was reached."""
         self.max_bytes = max_bytes
-        super().__init__(errno.ENOSPC, f"the spool has its {max_bytes} bytes")
+        super().__init__(errno.ENOSPC, f"the spool has reached its limit of {max_bytes} bytes")
 
 
 class Spool:
-    """Used by the forwarder's loop only."""
+    """A forwarder's spool. Not thread-safe: only the forwarder's loop uses it."""
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
-        """Read which messages are in the spool, and delete what the agent has stored; raises OSError."""
+        """Read the ids of the spooled messages, then delete acknowledged segments; raises OSError.
+
+        `ids` are the messages that an earlier process has appended.
+        """
         folder.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True, exist_ok=True)
         self._folder, self._max_bytes = folder, max_bytes
-        self.ids: set[str] = set()  # that the segments name: a message among them was given up already
-        self._number = self._read_ids()  # of the newest segment
-        self._bytes = sum(path.stat().st_size for _, path in segments(folder))  # of all segments
-        self._descriptor = -1  # of the open segment; -1: none is open
-        self._size = 0  # of the open segment
+        self.ids: set[str] = set()
+        self._segment_number = self._read_ids()
+        self._total_bytes = sum(path.stat().st_size for _, path in segments(folder))
+        self._descriptor = -1  # -1: no segment is open
+        self._segment_bytes = 0
         self.outcomes = OutcomeLog(folder)
 
     def _read_ids(self) -> int:
-        """Read the ids of all segments, delete those that are acknowledged; return the newest segment's number."""
+        """Read the ids in all segments, delete acknowledged ones, and return the newest one's number."""
         acknowledged = acknowledged_segment(self._folder)
         found = segments(self._folder)
         for number, path in found:
@@ -57,25 +59,25 @@
         return found[-1][0] if found else acknowledged
 
     def append(self, message: SpooledMessage) -> None:
-        """Write a message down; raises OSError (SpoolFullError among them), and then nothing of it is there."""
+        """Append a message unless an earlier process has; appends nothing if it raises OSError."""
         if message.id in self.ids:
             return
         data = encode_message(message)
-        if self._bytes + len(data) > self._max_bytes:
+        if self._total_bytes + len(data) > self._max_bytes:
             self._delete_acknowledged()
-        if self._bytes + len(data) > self._max_bytes:
+        if self._total_bytes + len(data) > self._max_bytes:
             raise SpoolFullError(self._max_bytes)
-        if self._descriptor < 0 or self._size > MAX_SEGMENT_BYTES:
+        if self._descriptor < 0 or self._segment_bytes > MAX_SEGMENT_BYTES:
             self.begin_segment()
         try:
             write_all(self._descriptor, data)
         except OSError:
-            # What was written of it must not stand in front of the next line.
+            # Remove a partial line, which would damage the next one.
             with contextlib.suppress(OSError):
-                os.ftruncate(self._descriptor, self._size)
+                os.ftruncate(self._descriptor, self._segment_bytes)
             raise
-        self._size += len(data)
-        self._bytes += len(data)
+        self._segment_bytes += len(data)
+        self._total_bytes += len(data)
 
     def begin_segment(self) -> None:
         """Close the open segment and begin the next one; raises OSError."""
@@ -83,22 +85,22 @@
             os.close(self._descriptor)
             self._descriptor = -1
             self._delete_acknowledged()
-        self._number += 1
+        self._segment_number += 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-        self._descriptor = os.open(segment_path(self._folder, self._number), flags, PRIVATE_FILE_MODE)
-        self._size = 0
+        self._descriptor = os.open(segment_path(self._folder, self._segment_number), flags, PRIVATE_FILE_MODE)
+        self._segment_bytes = 0
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the open segment and the outcome log."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
         self.outcomes.close()
 
     def _delete_acknowledged(self) -> None:
-        """Delete segments that the agent has stored, but for the one that is open."""
+        """Delete the segments that the agent has acknowledged, except the open one."""
         acknowledged = acknowledged_segment(self._folder)
         for number, path in segments(self._folder):
-            is_open = number == self._number and self._descriptor >= 0
+            is_open = number == self._segment_number and self._descriptor >= 0
             if number <= acknowledged and not is_open:
-                self._bytes -= path.stat().st_size
+                self._total_bytes -= path.stat().st_size
                 path.unlink()
--- a/juniperward/dead_letters/spool_files.py
+++ b/juniperward/dead_letters/spool_files.py
@@ -1,6 +1,6 @@
-"""The files of a spool's folder, as both its ends see them: segments, and which of them the agent has stored.
+"""The files of a spool, shared by its writer and its reader: segments and the acknowledgement file.
 
-The forwarder's end is `spool.Spool`; the agent's is `agent.running_fleet`. Standard library only.
+`spool.Spool` in the forwarder writes the segments; `agent.running_fleet` reads them. Standard library only.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 def segment_path(folder: Path, number: int) -> Path:
-    """Return the file of a segment."""
+    """Return the path of the segment with a number."""
     return folder / f"{number:08d}{SEGMENT_SUFFIX}"
 
 
 def segments(folder: Path) -> list[tuple[int, Path]]:
-    """Return all segments with their numbers, the oldest first."""
+    """Return the number and path of each segment, the oldest first; empty if there is no folder."""
     found = []
     with contextlib.suppress(FileNotFoundError):
         for path in folder.glob(f"*{SEGMENT_SUFFIX}"):
@@ -32,9 +32,9 @@
 
 
 def read(path: Path, offset: int) -> Iterator[tuple[SpooledMessage | None, int]]:
-    """Yield the messages of a segment from an offset on, each with the offset behind it; None for a damaged line.
+    """Yield each message of a segment from an offset on, with the offset after it; None for a damaged line.
 
-    A last line without its end is not yielded: it is being written, or was torn; the next read decides.
+    A last line without a line end is not yielded, because it may still be being written.
     """
     with path.open("rb") as file:
         file.seek(offset)
@@ -46,7 +46,7 @@
 
 
 def acknowledged_segment(folder: Path) -> int:
-    """Return the last segment that is completely in the agent's store; 0 where none is."""
+    """Return the number of the last segment that is completely in the agent's store; 0 if none is."""
     try:
         return int((folder / ACKNOWLEDGED_FILE).read_text())
     except (FileNotFoundError, ValueError):
@@ -54,7 +54,7 @@
 
 
 def acknowledge_segment(folder: Path, number: int) -> None:
-    """Write down that all segments up to this one are in the store."""
-    fresh = folder / NEW_ACKNOWLEDGED_FILE
-    fresh.write_text(str(number))
-    fresh.replace(folder / ACKNOWLEDGED_FILE)
+    """Record that all segments up to this number are in the agent's store."""
+    new_file = folder / NEW_ACKNOWLEDGED_FILE
+    new_file.write_text(str(number))
+    new_file.replace(folder / ACKNOWLEDGED_FILE)
--- a/juniperward/dead_letters/spool_format.py
+++ b/juniperward/dead_letters/spool_format.py
@@ -1,7 +1,6 @@
-"""The spool's file formats: checksummed JSON lines, and the fields of a message in them. Standard library only.
+"""The file formats of the spool: messages and outcomes as checksummed JSON lines. Standard library only.
 
-The one place where the names that are on disk (`taken_at`, `effect`, `workers` …) become the names of our values.
-Used by `spool.py`, `spool_files.py` and `outcome_log.py`.
+This is the only module that maps keys on disk (`taken_at`, `effect`, `workers`, …) to field names.
 """
 
 from __future__ import annotations
@@ -15,24 +14,46 @@
 from juniperward.dead_letters.outcome import RedriveOutcome
 from juniperward.scheduler.settings import Idempotency
 
-OUTCOME_FIELD_COUNT = 3  # of a line of the file `fates`
+OUTCOME_FIELD_COUNT = 3
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
 @dataclass(frozen=True, slots=True)
 class SpooledAttempt:
-    """One attempt of a message."""
+    """One attempt of a message.
+
+    Attributes:
+        endpoint: the endpoint's id.
+        started_at: Unix time.
+        outcome: the name of the attempt's outcome.
+        possibly_executed: the attempt may have taken effect.
+    """
 
     endpoint: str
-    started_at: float  # Unix time
+    started_at: float
     outcome: str
     possibly_executed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SpooledMessage:
-    """A message that was given up, complete; times are Unix time, by the forwarder's clock."""
+    """A complete message that was given up; times are Unix time by the forwarder's clock.
+
+    Attributes:
+        id: the message's id.
+        class_name: the name of the message class.
+        account: the tenant's account.
+        destination: the number of the destination.
+        idempotency_key: the key by which the destination detects a repeat.
+        body: the message's body.
+        received_at: when the forwarder received the message.
+        given_up_at: when the forwarder gave it up.
+        attempts: the attempts to deliver it, in order.
+        idempotency: the idempotency of the message's class.
+        deduplication_window_s: how long the destination drops repeats with the same idempotency key.
+        endpoints: the destination's endpoints when the message was given up.
+    """
 
     id: str
     class_name: str
@@ -43,12 +64,12 @@
     received_at: float
     given_up_at: float
     attempts: tuple[SpooledAttempt, ...]
-    idempotency: Idempotency  # of its class
-    deduplication_window_s: float  # for which its destination drops a repeat
-    endpoints: tuple[str, ...]  # listed for its destination then: who the number meant
+    idempotency: Idempotency
+    deduplication_window_s: float
+    endpoints: tuple[str, ...]
 
 
-# The keys on disk, in their order, and the fields that they are.
+# Field names by key on disk, in the order on disk.
 ATTEMPT_KEYS = {
     "worker": "endpoint",
     "at": "started_at",
@@ -72,13 +93,13 @@
 
 
 def encode_line(value: Any) -> bytes:
-    """Return a value as a line with its checksum."""
+    """Encode a value as a line that begins with its checksum."""
     text = _encode_json(value).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
 def decode_line(data: bytes) -> Any:
-    """Return the value of a line (without its end), or None for one that is damaged."""
+    """Decode a line without its line end; None if it is damaged."""
     try:
         checksum, text = data.split(b" ", 1)
         return json.loads(text) if int(checksum, 16) == zlib.crc32(text) else None
@@ -86,16 +107,16 @@
         return None
 
 
-def read_idempotency(word: str) -> Idempotency:
-    """Return the idempotency that a word on disk stands for; an unknown word is read as the most cautious one."""
+def read_idempotency(name: str) -> Idempotency:
+    """Return the idempotency for its name on disk; NON_IDEMPOTENT, the safest, for an unknown name."""
     try:
-        return Idempotency(word)
+        return Idempotency(name)
     except ValueError:
         return Idempotency.NON_IDEMPOTENT
 
 
 def encode_message(message: SpooledMessage) -> bytes:
-    """Return a message as a line of a segment."""
+    """Encode a message as a line of a segment."""
     row = {key: getattr(message, field) for key, field in MESSAGE_KEYS.items()}
     row["body"] = base64.b64encode(message.body).decode()
     row["effect"] = message.idempotency.value
@@ -106,7 +127,7 @@
 
 
 def decode_message(data: bytes) -> SpooledMessage | None:
-    """Return the message of a line (without its end), or None for one that is damaged or not ours."""
+    """Decode a segment's line without its line end; None if it is damaged or of an unknown form."""
     row = decode_line(data)
     try:
         row["body"] = base64.b64decode(row["body"])
@@ -122,12 +143,12 @@
 
 
 def encode_outcome(redrive_id: str, outcome: RedriveOutcome) -> bytes:
-    """Return a redrive's outcome as a line of the file `fates`."""
+    """Encode a redrive's outcome as a line of the file `fates`."""
     return encode_line([redrive_id, outcome.result, outcome.executed_at])
 
 
 def decode_outcome(row: list[Any]) -> tuple[str, RedriveOutcome] | None:
-    """Return the redrive's id and outcome of a decoded line, or None for one that is not ours."""
+    """Return the redrive's id and outcome from a decoded line; None if it has another number of fields."""
     if len(row) != OUTCOME_FIELD_COUNT:
         return None
     redrive_id, result, executed_at = row
--- a/juniperward/dead_letters/store.py
+++ b/juniperward/dead_letters/store.py
@@ -1,7 +1,7 @@
-"""The store of dead letters: SQLite in WAL mode, owned by the agent; any of its threads may use it.
+"""The agent's store of dead letters, a SQLite database that any thread may use.
 
-Every change is one transaction with its lines in the audit trail. The statements are in `queries.py`, `leases.py`,
-`operator_actions.py` and `retention.py`; this class gives each its connection or transaction.
+Every change and its audit entries are one transaction. `DeadLetterStore` opens the connection or transaction;
+the statements are in `queries.py`, `leases.py`, `operator_actions.py` and `retention.py`.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class DeadLetterStore(Database):
-    """The messages, what happened to each, and the latest recorded clock."""
+    """Dead letters with their history and audit trail, spool positions, and the latest clock reading."""
 
     # --- the clock -----------------------------------------------------------------------------------------
 
     def recorded_clock(self) -> ClockReading | None:
-        """Return the latest moment that was recorded."""
+        """Return the recorded clock reading; None if there is none."""
         row = self.db.execute("SELECT wall, boot, boot_id FROM clock").fetchone()
         return ClockReading(*row) if row is not None else None
 
     def record_clock(self, clock: ClockReading) -> None:
-        """Record a moment; one that cannot be known (an infinite wall clock) is not."""
+        """Replace the recorded clock reading, unless the new wall-clock time is unknown (infinite)."""
         if not math.isfinite(clock.wall):
             return
         with self.transaction() as db:
@@ -43,17 +43,17 @@
                 "INSERT OR REPLACE INTO clock VALUES (1, ?, ?, ?)", (clock.wall, clock.boot, clock.boot_id)
             )
 
-    # --- from the spools -----------------------------------------------------------------------------------
+    # --- spools --------------------------------------------------------------------------------------------
 
     def spool_position(self, forwarder: str) -> SpoolPosition:
-        """Return up to where a forwarder's spool is in the store."""
+        """Return how far a forwarder's spool was read; the beginning if it never was."""
         row = self.db.execute(
             "SELECT segment, offset FROM spool WHERE forwarder = ?", (forwarder,)
         ).fetchone()
         return SpoolPosition(row[0], row[1]) if row is not None else SpoolPosition(0, 0)
 
     def add(self, forwarder: str, messages: Iterable[SpooledMessage], position: SpoolPosition) -> int:
-        """Add messages, and how far the spool is read, in one transaction; return how many were new."""
+        """Add messages and the spool position after them in one transaction; return how many were new."""
         with self.transaction() as db:
             new = sum(insert_message(db, forwarder, message) for message in messages)
             db.execute("INSERT OR REPLACE INTO spool VALUES (?, ?, ?)", (forwarder, *position))
@@ -62,23 +62,23 @@
     # --- queries -------------------------------------------------------------------------------------------
 
     def select(
-        self, chosen: Filter, limit: int = PAGE_SIZE, after: Position = START_POSITION
+        self, criteria: Filter, limit: int = PAGE_SIZE, after: Position = START_POSITION
     ) -> list[DeadLetter]:
-        """Return a page of the selected messages, in the order in which they were given up."""
-        return queries.select(self.db, chosen, limit, after)
+        """Return at most `limit` matching messages after a position, the first given up first."""
+        return queries.select(self.db, criteria, limit, after)
 
     def complete_record(self, message: str) -> dict[str, Any] | None:
-        """Return all about one message but its body; None where it is not in the store."""
+        """Return a message's columns except its body, with its history; None if it is not in the store."""
         return queries.complete_record(self.db, message)
 
     def stored_body(self, message: str) -> bytes:
-        """Return the body of a message that is in the store, for its redrive."""
+        """Return the body of a message that must be in the store."""
         body = queries.body(self.db, message)
         assert body is not None
         return body
 
     def show_body(self, message: str, who: str) -> bytes | None:
-        """Return a message's body to a person; that it was shown, and to whom, is recorded first."""
+        """Return a message's body (None: absent) and record in the audit trail that `who` read it."""
         with self.transaction() as db:
             body = queries.body(db, message)
             if body is not None:
@@ -86,52 +86,52 @@
         return body
 
     def destinations(self, redrive_requested: bool = False) -> dict[int, int]:
-        """Return how many messages are stored for each destination; with the flag, only requested ones."""
+        """Return the number of STORED messages by destination; with the flag, of requested ones only."""
         return queries.destinations(self.db, redrive_requested)
 
     def stats(self) -> dict[str, Any]:
-        """Return counts by status, the bytes, and the oldest."""
+        """Return the store's counts, size and oldest time, with the keys of the agent's API."""
         return queries.stats(self.db)
 
     def audit(self, since: int = 0, limit: int = PAGE_SIZE) -> list[dict[str, Any]]:
-        """Return the audit trail after a sequence number."""
+        """Return at most `limit` audit entries after a sequence number, in order."""
         return queries.audit(self.db, since, limit)
 
     # --- redrives ------------------------------------------------------------------------------------------
 
     def acquire_lease(self, message: str, fence: int | None, forwarder: str, now: float, by: str) -> Lease:
-        """Lease a stored message for a redrive; durable when this returns. Raises LeaseLostError."""
+        """Lease a stored message and commit the lease; raises LeaseLostError if it has changed."""
         with self.transaction() as db:
             return leases.acquire(db, message, fence, LeaseTerms(forwarder, now, by))
 
     def open_redrives(self) -> list[Lease]:
-        """Return the leases whose outcome is not known."""
+        """Return the leases whose outcome is not recorded, the oldest first."""
         return leases.open_redrives(self.db)
 
     def settle_redrive(self, lease: Lease, result: str, executed_at: float | None, now: float) -> None:
-        """Write down how a redrive ended (a RedriveResult); raises LeaseLostError where that is written already."""
+        """Record a redrive's RedriveResult; raises LeaseLostError if the lease is settled or superseded."""
         with self.transaction() as db:
             leases.settle(db, lease, result, executed_at, now)
 
-    # --- orders of people ----------------------------------------------------------------------------------
+    # --- operator actions ----------------------------------------------------------------------------------
 
     def request_redrive(self, ids: Iterable[str], who: str, destination_confirmed: bool = False) -> int:
-        """Request redrives; messages under way or over stay as they are. Return how many it concerned."""
+        """Request redrives of those messages that are STORED; return how many requests are new or changed."""
         with self.transaction() as db:
             return operator_actions.request_redrive(db, ids, who, destination_confirmed)
 
     def settle(self, message: str, statement: ManualSettlement, now: float) -> None:
-        """Take a person's statement on whether a message took effect; raises LeaseLostError where it is over."""
+        """Set the outcome that an operator states; raises LeaseLostError if there already is one."""
         with self.transaction() as db:
             operator_actions.settle(db, message, statement, now)
 
     def discard(self, ids: Iterable[str], who: str) -> int:
-        """Have messages never redriven; `undo` reverts it. Return how many it concerned."""
+        """Discard stored messages, which excludes them from redrives; return how many were discarded."""
         with self.transaction() as db:
             return operator_actions.discard(db, ids, who)
 
     def undo(self, ids: Iterable[str], who: str) -> int:
-        """Revert a discard, or withdraw a request that has not begun. Return how many it concerned."""
+        """Restore discarded messages, withdraw requests of stored ones; return how many changed."""
         messages = list(ids)
         with self.transaction() as db:
             reverted = operator_actions.undo_discard(db, messages, who)
@@ -141,6 +141,6 @@
     # --- retention -----------------------------------------------------------------------------------------
 
     def sweep(self, now: float, limits: RetentionLimits) -> int:
-        """Drop what is beyond the limits, the oldest first, nothing under way; return how many messages."""
+        """Drop the oldest messages without an open redrive until the limits hold; return how many."""
         with self.transaction() as db:
             return drop_oldest(db, now, limits)
--- a/juniperward/dead_letters/store_errors.py
+++ b/juniperward/dead_letters/store_errors.py
@@ -1,4 +1,4 @@
-"""Why the dead letter store cannot be used, or rejects a change; the agent turns these into answers."""
+"""Errors of the dead letter store, which the agent maps to HTTP responses."""
 
 from __future__ import annotations
 
@@ -6,44 +6,48 @@
 
 
 class StoreError(Exception):
-    """The store cannot be used: damaged, or of a newer version; the text says which and what to do."""
+    """The store cannot be used; the message says why."""
 
 
 class StoreDamagedError(StoreError):
-    """SQLite cannot use the file."""
+    """SQLite cannot read or write the file."""
 
     def __init__(self, file: Path, error: Exception) -> None:
-        """Take the file and SQLite's error; the text says what to do."""
+        """Describe the file, SQLite's error and the remedy."""
         self.file = file
-        super().__init__(f"{file}: {error}; restore a backup, or move the file away to begin anew")
+        super().__init__(
+            f"{file}: {error}; restore a backup, or move the file away to start with an empty store"
+        )
 
 
 class StoreVersionError(StoreError):
     """A newer version of the program wrote the file."""
 
-    def __init__(self, file: Path, version: int, known: int) -> None:
-        """Take the file's version, and the latest that is known here."""
-        self.file, self.version, self.known = file, version, known
-        super().__init__(f"{file}: schema {version}; this program knows {known} at most")
+    def __init__(self, file: Path, version: int, supported: int) -> None:
+        """Describe the file's schema version and the latest supported one."""
+        self.file, self.version, self.supported = file, version, supported
+        super().__init__(
+            f"{file}: schema {version} is newer than {supported}, the latest that this version supports"
+        )
 
 
 class LeaseLostError(Exception):
-    """Another change came first: the message does not have the status or fence any more that was expected."""
+    """Another change came first: the message no longer has the expected status or fence."""
 
 
 class MessageChangedError(LeaseLostError):
-    """The message does not have the status that was expected."""
+    """The message does not have the expected status or fence."""
 
     def __init__(self, message: str, status: str | None) -> None:
-        """Take the message and its status; None where it is not in the store."""
+        """Describe the message and its status; None if it is not in the store."""
         self.message, self.status = message, status
-        super().__init__(f"{message} is {status if status is not None else 'not here'}")
+        super().__init__(f"{message} is {status if status is not None else 'not in the store'}")
 
 
 class LeaseSettledError(LeaseLostError):
-    """A lease was settled already, or another one came after it."""
+    """A lease is already settled, or a later one has superseded it."""
 
     def __init__(self, redrive_id: str) -> None:
-        """Take the redrive's id."""
+        """Describe the redrive."""
         self.redrive_id = redrive_id
-        super().__init__(f"{redrive_id} is settled already")
+        super().__init__(f"redrive {redrive_id} is already settled")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -288,8 +288,8 @@
     store = DeadLetterStore(folder / "store" / "store.db", "OFF")
     (letter,) = [each for each in store.select(Filter()) if each.id == "m-wished"]
     store.close()
-    judgement = assess_redrive(letter, WRITTEN_AT, frozenset(letter.endpoints), 0.0)
-    assert judgement.kind is RedriveSafety.UNCERTAIN and not judgement.is_allowed
+    assessment = assess_redrive(letter, WRITTEN_AT, frozenset(letter.endpoints), 0.0)
+    assert assessment.safety is RedriveSafety.UNCERTAIN and not assessment.is_allowed
 
 
 def test_the_agent_reads_an_old_state(folder: Path) -> None:
