--- a/tests/test_dead_letter_store.py
+++ b/tests/test_dead_letter_store.py
@@ -1,4 +1,4 @@
-"""The spool and the store: torn, full, damaged, older, and asked by many at once."""
+"""Tests of the spool and the store: torn, full and damaged files, old schemas, and concurrent leases."""
 
 from __future__ import annotations
 
@@ -30,22 +30,26 @@
 
 
 def spooled_message(
-    name: str, at: float = 1000.0, destination: int = 7, ran: float | None = None, body: bytes = b"x"
+    message_id: str,
+    given_up_at: float = 1000.0,
+    destination: int = 7,
+    executed_at: float | None = None,
+    body: bytes = b"x",
 ) -> SpooledMessage:
     attempts = (
-        (SpooledAttempt("s-1", ran, "timeout", True),)
-        if ran is not None
-        else (SpooledAttempt("s-1", at, "full", False),)
+        (SpooledAttempt("s-1", executed_at, "timeout", True),)
+        if executed_at is not None
+        else (SpooledAttempt("s-1", given_up_at, "full", False),)
     )
     return SpooledMessage(
-        name,
+        message_id,
         "c",
         "acme",
         destination,
-        f"k{name}",
+        f"k{message_id}",
         body,
-        at - 20.0,
-        at,
+        given_up_at - 20.0,
+        given_up_at,
         attempts,
         Idempotency.IDEMPOTENCY_KEY,
         12.0,
@@ -53,15 +57,15 @@
     )
 
 
-def _lease_all(file: str, by: str, out: multiprocessing.Queue[int]) -> None:
-    store, won = DeadLetterStore(Path(file), "OFF"), 0
-    for n in range(200):
+def _lease_all(file: str, by: str, leased_counts: multiprocessing.Queue[int]) -> None:
+    store, leased = DeadLetterStore(Path(file), "OFF"), 0
+    for number in range(200):
         try:
-            store.acquire_lease(f"m{n}", None, "n0", 1.0, by)
-            won += 1
+            store.acquire_lease(f"m{number}", None, "n0", 1.0, by)
+            leased += 1
         except LeaseLostError:
             pass
-    out.put(won)
+    leased_counts.put(leased)
 
 
 class TestSpool:
@@ -70,101 +74,110 @@
         self.resources = resources
         self.folder = tmp_path / "spool"
 
-    def spool(self, most: int = 1_000_000) -> Spool:
-        return self.resources.closing(Spool(self.folder, most))
+    def spool(self, max_bytes: int = 1_000_000) -> Spool:
+        return self.resources.closing(Spool(self.folder, max_bytes))
 
-    def messages(self) -> list[str]:
-        return [k.id for _, p in segments(self.folder) for k, _ in read(p, 0) if k is not None]
+    def spooled_ids(self) -> list[str]:
+        return [
+            message.id
+            for _, path in segments(self.folder)
+            for message, _ in read(path, 0)
+            if message is not None
+        ]
 
     def test_spooled_messages_are_read_back_complete(self) -> None:
-        one = spooled_message("a", ran=995.0, body=bytes(range(256)))
-        self.spool().append(one)
+        message = spooled_message("a", executed_at=995.0, body=bytes(range(256)))
+        self.spool().append(message)
         ((found, _),) = read(segments(self.folder)[0][1], 0)
-        assert found == one
+        assert found == message
 
     def test_a_tail_torn_at_any_byte_loses_only_its_message(self) -> None:
-        mine = self.spool()
+        spool = self.spool()
         for name in "abc":
-            mine.append(spooled_message(name))
+            spool.append(spooled_message(name))
         path = segments(self.folder)[0][1]
-        whole = path.read_bytes()
-        start = whole.rindex(b"\n", 0, -1) + 1
-        for length in range(start, len(whole)):
-            path.write_bytes(whole[:length])
-            assert self.messages() == ["a", "b"]
-            # The next life does not write behind the torn end.
+        data = path.read_bytes()
+        start = data.rindex(b"\n", 0, -1) + 1
+        for length in range(start, len(data)):
+            path.write_bytes(data[:length])
+            assert self.spooled_ids() == ["a", "b"]
+            # The next process does not append to the torn segment.
             Spool(self.folder, 1_000_000).append(spooled_message("d"))
-            assert self.messages() == ["a", "b", "d"]
+            assert self.spooled_ids() == ["a", "b", "d"]
             segments(self.folder)[-1][1].unlink()
 
     def test_a_damaged_line_is_skipped_and_reported(self) -> None:
-        mine = self.spool()
+        spool = self.spool()
         for name in "abc":
-            mine.append(spooled_message(name))
+            spool.append(spooled_message(name))
         path = segments(self.folder)[0][1]
         lines = path.read_bytes().split(b"\n")
         lines[1] = lines[1].replace(b"acme", b"acmf")
         path.write_bytes(b"\n".join(lines))
-        assert [k.id if k is not None else None for k, _ in read(path, 0)] == ["a", None, "c"]
+        assert [message.id if message is not None else None for message, _ in read(path, 0)] == [
+            "a",
+            None,
+            "c",
+        ]
 
-    def test_a_message_stored_by_an_earlier_incarnation_is_not_stored_twice(self) -> None:
+    def test_a_message_spooled_by_an_earlier_process_is_not_spooled_twice(self) -> None:
         self.spool().append(spooled_message("a"))
-        again = self.spool()
-        assert again.ids == {"a"}
-        again.append(spooled_message("a"))
-        assert self.messages() == ["a"]
+        reopened = self.spool()
+        assert reopened.ids == {"a"}
+        reopened.append(spooled_message("a"))
+        assert self.spooled_ids() == ["a"]
 
     def test_acknowledged_segments_are_deleted_only_after_their_ids_were_read(self) -> None:
         self.spool().append(spooled_message("a"))
         self.spool().append(spooled_message("b"))
         acknowledge_segment(self.folder, 1)
-        third = self.spool()
-        assert third.ids == {"a", "b"}
-        assert self.messages() == ["b"]
+        reopened = self.spool()
+        assert reopened.ids == {"a", "b"}
+        assert self.spooled_ids() == ["b"]
 
     def test_a_full_spool_or_disk_stores_nothing_of_a_message(self) -> None:
-        mine = self.spool(2000)
-        mine.append(spooled_message("a"))
+        spool = self.spool(2000)
+        spool.append(spooled_message("a"))
         with pytest.raises(SpoolFullError):
-            mine.append(spooled_message("b", body=b"x" * 3000))
-        part = iter([5])
+            spool.append(spooled_message("b", body=b"x" * 3000))
+        partial_write = iter([5])
 
-        def torn(file: int, data: memoryview) -> int:
-            n = next(part, None)
-            if n is None:
+        def write_part(descriptor: int, data: memoryview) -> int:
+            length = next(partial_write, None)
+            if length is None:
                 raise OSError(28, "No space left on device")
-            return real(file, data[:n])
+            return real_write(descriptor, data[:length])
 
-        real = os.write
-        with mock.patch("os.write", torn), pytest.raises(OSError):
-            mine.append(spooled_message("c"))
-        mine.append(spooled_message("d"))
-        assert self.messages() == ["a", "d"]
+        real_write = os.write
+        with mock.patch("os.write", write_part), pytest.raises(OSError):
+            spool.append(spooled_message("c"))
+        spool.append(spooled_message("d"))
+        assert self.spooled_ids() == ["a", "d"]
 
-    def test_capacity_is_freed_once_the_agent_has_ingested(self) -> None:
+    def test_capacity_is_freed_once_the_agent_has_acknowledged_a_segment(self) -> None:
         with mock.patch.object(spools, "MAX_SEGMENT_BYTES", 100):
-            mine = self.spool(1000)
-            mine.append(spooled_message("a"))
-            mine.append(spooled_message("b"))
-            mine.append(spooled_message("c"))
+            spool = self.spool(1000)
+            spool.append(spooled_message("a"))
+            spool.append(spooled_message("b"))
+            spool.append(spooled_message("c"))
             with pytest.raises(SpoolFullError):
-                mine.append(spooled_message("d"))
+                spool.append(spooled_message("d"))
             acknowledge_segment(self.folder, 2)
-            mine.append(spooled_message("d"))
-        assert self.messages() == ["c", "d"]
-
-    def test_outcomes_outlast_the_process_and_the_first_one_wins(self) -> None:
-        mine = self.spool()
-        mine.outcomes.record("kept-a-1", RedriveOutcome("delivered", 5.0))
-        mine.outcomes.record("kept-a-1", RedriveOutcome("undeliverable"))
-        since = mine.outcomes.complete_since
-        again = self.spool()
-        assert again.outcomes == {"kept-a-1": RedriveOutcome("delivered", 5.0)}
-        assert again.outcomes.complete_since == since
+            spool.append(spooled_message("d"))
+        assert self.spooled_ids() == ["c", "d"]
+
+    def test_outcomes_survive_a_restart_and_the_first_one_is_kept(self) -> None:
+        spool = self.spool()
+        spool.outcomes.record("kept-a-1", RedriveOutcome("delivered", 5.0))
+        spool.outcomes.record("kept-a-1", RedriveOutcome("undeliverable"))
+        since = spool.outcomes.complete_since
+        reopened = self.spool()
+        assert reopened.outcomes == {"kept-a-1": RedriveOutcome("delivered", 5.0)}
+        assert reopened.outcomes.complete_since == since
         with mock.patch.object(outcome_log, "MAX_OUTCOMES", 2):
-            for n in range(3):
-                again.outcomes.record(f"kept-b-{n}", RedriveOutcome("delivered"))
-        assert again.outcomes.complete_since > since
+            for number in range(3):
+                reopened.outcomes.record(f"kept-b-{number}", RedriveOutcome("delivered"))
+        assert reopened.outcomes.complete_since > since
         assert "kept-a-1" not in self.spool().outcomes
 
 
@@ -177,55 +190,63 @@
 
     def fill(self, count: int) -> None:
         self.store.add(
-            "n0", [spooled_message(f"m{n}", 1000.0 + n, n % 5) for n in range(count)], SpoolPosition(1, 10)
+            "n0",
+            [spooled_message(f"m{number}", 1000.0 + number, number % 5) for number in range(count)],
+            SpoolPosition(1, 10),
         )
 
     def test_a_spool_ingested_twice_gives_the_same_store(self) -> None:
-        messages = [spooled_message("a"), spooled_message("b", ran=995.0)]
+        messages = [spooled_message("a"), spooled_message("b", executed_at=995.0)]
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 2
         assert self.store.add("n0", messages, SpoolPosition(1, 50)) == 0
         assert self.store.spool_position("n0") == (1, 50)
-        assert [(f.id, f.executed_at) for f in self.store.select(Filter())] == [("a", None), ("b", 995.0)]
+        assert [(letter.id, letter.executed_at) for letter in self.store.select(Filter())] == [
+            ("a", None),
+            ("b", 995.0),
+        ]
 
     def test_two_processes_and_a_rule_lease_each_message_once(self) -> None:
         self.fill(200)
-        out: multiprocessing.Queue[int] = multiprocessing.get_context("spawn").Queue()
-        start = multiprocessing.get_context("spawn").Process
-        workers = [start(target=_lease_all, args=(str(self.file), f"p{n}", out)) for n in range(2)]
-        for w in workers:
-            w.start()
-        mine = 0
-        for n in range(199, -1, -1):
+        leased_counts: multiprocessing.Queue[int] = multiprocessing.get_context("spawn").Queue()
+        new_process = multiprocessing.get_context("spawn").Process
+        processes = [
+            new_process(target=_lease_all, args=(str(self.file), f"p{number}", leased_counts))
+            for number in range(2)
+        ]
+        for process in processes:
+            process.start()
+        leased = 0
+        for number in range(199, -1, -1):
             try:
-                self.store.acquire_lease(f"m{n}", None, "n1", 1.0, "rule")
-                mine += 1
+                self.store.acquire_lease(f"m{number}", None, "n1", 1.0, "rule")
+                leased += 1
             except LeaseLostError:
                 pass
-        for w in workers:
-            w.join(60.0)
-        assert mine + sum(out.get(timeout=10.0) for _ in workers) == 200
+        for process in processes:
+            process.join(60.0)
+        assert leased + sum(leased_counts.get(timeout=10.0) for _ in processes) == 200
         assert len(self.store.open_redrives()) == 200
 
-    def test_a_lease_is_fenced(self) -> None:
+    def test_an_outdated_fence_or_lease_changes_nothing(self) -> None:
         self.fill(1)
         lease = self.store.acquire_lease("m0", 0, "n0", 1.0, "a")
         with pytest.raises(LeaseLostError):
             self.store.acquire_lease("m0", 1, "n0", 1.0, "b")
         self.store.settle_redrive(lease, "refused", None, 2.0)
         with pytest.raises(LeaseLostError):
-            self.store.acquire_lease("m0", 0, "n0", 3.0, "c")  # by one who has looked before that
-        again = self.store.acquire_lease("m0", 1, "n1", 3.0, "c")
-        assert again.redrive_id != lease.redrive_id
+            self.store.acquire_lease("m0", 0, "n0", 3.0, "c")  # an outdated fence
+        second = self.store.acquire_lease("m0", 1, "n1", 3.0, "c")
+        assert second.redrive_id != lease.redrive_id
         with pytest.raises(LeaseLostError):
-            self.store.settle_redrive(lease, "delivered", None, 4.0)  # an old lease says nothing any more
-        self.store.settle_redrive(again, "undeliverable", 3.5, 4.0)
-        (facts,) = self.store.select(Filter())
-        assert (facts.status, facts.executed_at, facts.redrives) == (Status.STORED, 3.5, 1)
+            self.store.settle_redrive(lease, "delivered", None, 4.0)  # a superseded lease
+        self.store.settle_redrive(second, "undeliverable", 3.5, 4.0)
+        (letter,) = self.store.select(Filter())
+        assert (letter.status, letter.executed_at, letter.redrives) == (Status.STORED, 3.5, 1)
 
     def test_operators_settle_discard_and_undo_and_all_is_audited(self) -> None:
         self.fill(3)
         lease = self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        self.store.settle("m0", ManualSettlement(True, "ann", "the partner has it"), 2.0)
+        self.store.settle("m0", ManualSettlement(True, "ann", "the destination has it"), 2.0)
         with pytest.raises(LeaseLostError):
             self.store.settle_redrive(lease, "undeliverable", None, 3.0)
         with pytest.raises(LeaseLostError):
@@ -235,38 +256,38 @@
         assert self.store.discard(["m1", "m2"], "bob") == 2
         assert self.store.undo(["m1", "m0"], "bob") == 1
         assert self.store.show_body("m1", "cy") == b"x"
-        said = [(a["who"], a["what"], a["message"]) for a in self.store.audit()]
-        assert ("ann", "settled: delivered", "m0") in said
-        assert ("cy", "showed the body", "m1") in said
-        assert ("bob", "undid the discard", "m1") in said
-        for order in ("UPDATE audit SET who = 'x'", "DELETE FROM audit"):
+        entries = [(entry["who"], entry["what"], entry["message"]) for entry in self.store.audit()]
+        assert ("ann", "settled: delivered", "m0") in entries
+        assert ("cy", "showed the body", "m1") in entries
+        assert ("bob", "undid the discard", "m1") in entries
+        for statement in ("UPDATE audit SET who = 'x'", "DELETE FROM audit"):
             with pytest.raises(sqlite3.DatabaseError):
-                self.store.db.execute(order)
+                self.store.db.execute(statement)
         record = self.store.complete_record("m0")
         assert record is not None
         assert "body" not in record
-        assert [r["end"] for r in record["resent"]] == ["settled"]
+        assert [redrive["end"] for redrive in record["resent"]] == ["settled"]
 
-    def test_pages_and_filters(self) -> None:
+    def test_messages_are_selected_by_filters_in_pages(self) -> None:
         self.fill(25)
-        seen: list[str] = []
+        ids: list[str] = []
         after = START_POSITION
         while page := self.store.select(Filter(destination=2), 2, after):
-            seen += [f.id for f in page]
+            ids += [letter.id for letter in page]
             after = Position(page[-1].given_up_at, page[-1].id)
-        assert seen == ["m2", "m7", "m12", "m17", "m22"]
+        assert ids == ["m2", "m7", "m12", "m17", "m22"]
         assert len(self.store.select(Filter(since=1010.0, until=1012.0))) == 2
         assert len(self.store.select(Filter(idempotency_key="km3", account="acme", status="kept"))) == 1
-        assert self.store.destinations() == {n: 5 for n in range(5)}
+        assert self.store.destinations() == {number: 5 for number in range(5)}
 
     def test_retention_deletes_the_oldest_and_reports_it(self) -> None:
         self.fill(10)
         self.store.acquire_lease("m0", None, "n0", 1.0, "rule")
-        assert self.store.sweep(1010.0, RetentionLimits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is under way
+        assert self.store.sweep(1010.0, RetentionLimits(5.5, 100, 10**9)) == 4  # m1 to m4; m0 is leased
         assert self.store.sweep(1010.0, RetentionLimits(1e9, 4, 10**9)) == 2
         assert self.store.sweep(1010.0, RetentionLimits(1e9, 100, 1100)) == 2
-        assert {f.id for f in self.store.select(Filter())} == {"m0", "m9"}
-        details = [a["detail"] for a in self.store.audit() if a["what"] == "dropped"]
+        assert {letter.id for letter in self.store.select(Filter())} == {"m0", "m9"}
+        details = [entry["detail"] for entry in self.store.audit() if entry["what"] == "dropped"]
         assert len(details) == 8
         assert "kept; for its age" in details
 
@@ -281,8 +302,8 @@
         )
         db.commit()
         db.close()
-        (facts,) = DeadLetterStore(old).select(Filter())
-        assert (facts.id, facts.redrive_requested) == ("a", False)
+        (letter,) = DeadLetterStore(old).select(Filter())
+        assert (letter.id, letter.redrive_requested) == ("a", False)
         self.store.db.execute("PRAGMA user_version=99")
         with pytest.raises(StoreError, match="schema 99"):
             DeadLetterStore(self.file)
@@ -300,7 +321,7 @@
         self.file.write_bytes(data)
         with pytest.raises((StoreError, sqlite3.DatabaseError)):
             found = DeadLetterStore(self.file).check()
-            raise StoreError(str(found)) if found else AssertionError("no damage was seen")
+            raise StoreError(str(found)) if found else AssertionError("the damage was not detected")
 
     def test_a_disk_that_fills_amid_a_change_rolls_it_back(self) -> None:
         self.fill(5)
@@ -310,12 +331,12 @@
             raise disk_full
         assert self.store.select(Filter(redrive_requested=True)) == []
 
-    def test_timestamps_are_stored_and_threads_have_their_own_connections(self) -> None:
+    def test_clock_readings_are_stored_and_threads_have_their_own_connections(self) -> None:
         self.store.record_clock(ClockReading(5.0, 6.0, "b"))
         self.store.record_clock(ClockReading(float("inf"), 7.0, "b"))
         assert self.store.recorded_clock() == ClockReading(5.0, 6.0, "b")
-        found: list[object] = []
-        thread = threading.Thread(target=lambda: found.append(self.store.stats()["messages"]))
+        counts: list[object] = []
+        thread = threading.Thread(target=lambda: counts.append(self.store.stats()["messages"]))
         thread.start()
         thread.join()
-        assert found == [0]
+        assert counts == [0]
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -1,7 +1,6 @@
-"""The protocol of lease, hand-in and fate, explored: every crash, every lost answer, and planted bugs it must find.
+"""Model check of lease, submission and outcome: crashes, lost answers, and injected bugs that it must detect.
 
-`Sim` is a small world of two forwarders and a partner, all in memory; the redriver and its store are the real ones.
-A crash takes the redriver away before any of its operations, and a new one begins with the store alone.
+The redriver and its store are real; `Simulation` replaces two forwarders and a destination.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 from juniperward.dead_letters.store_errors import LeaseLostError
 from juniperward.scheduler.settings import Idempotency
 
-WINDOW = 12.0
+DEDUPLICATION_WINDOW_S = 12.0
 SETTINGS = RedriveSettings(
     (Rule("all", max_redrives=50),),
     RedriveRateLimits(initial_per_s=4.0, max_per_s=50.0, fraction_of_rate_limit=1.0, fraction_of_slots=1.0),
@@ -43,40 +42,42 @@
 
 
 class CrashError(Exception):
-    """The redriver's process is gone."""
+    """The simulated crash of the redriver's process."""
 
 
-class Sim:
-    """Two forwarders, a partner, and a redriver that may be killed."""
+class Simulation:
+    """Two forwarders, a destination, and a redriver that may crash before any of its operations."""
 
-    def __init__(self, folder: Path, ran: tuple[float | None, ...] = (None, None, -4.0)) -> None:
+    def __init__(
+        self, folder: Path, execution_offsets_s: tuple[float | None, ...] = (None, None, -4.0)
+    ) -> None:
         self.store = DeadLetterStore(folder / "kept.db", "OFF")
         self.now = 10_000.0
         self.operations = 0
-        self.crash_at: set[int] = set()
+        self.crash_at: set[int] = set()  # numbers of operations
         self.alive = {"n0": True, "n1": True}
-        self.held: dict[str, dict[str, Resubmission]] = {"n0": {}, "n1": {}}
-        self.late: list[tuple[str, Resubmission]] = []  # requests still on their way when their sender died
-        self.told: dict[str, dict[str, ReportedOutcome]] = {"n0": {}, "n1": {}}
-        self.fenced: set[str] = set()
-        self.fencing = True
-        self.effects: dict[str, list[float]] = {}
-        self.done: dict[str, float] = {}  # the partner's memory of keys
-        self.door: list[str] = []  # what happens to the next hand-ins: lost (answer), late, refused
-        self.calls: list[str] = []  # what happens to the next calls: lost (answer), failed, refused
-        self.up = True
-        self.ran: dict[str, list[float]] = {}
+        self.accepted: dict[str, dict[str, Resubmission]] = {"n0": {}, "n1": {}}
+        self.delayed: list[tuple[str, Resubmission]] = []  # submissions that arrive after their timeout
+        self.decided: dict[str, dict[str, ReportedOutcome]] = {"n0": {}, "n1": {}}
+        self.reported_unknown: set[str] = set()
+        self.rejects_unknown = True
+        self.executions: dict[str, list[float]] = {}
+        self.deduplicated: dict[str, float] = {}  # execution times by idempotency key, at the destination
+        self.submission_faults: list[str] = []  # of the next submissions: lost (answer), late, refused
+        self.attempt_faults: list[str] = []  # of the next attempts: lost (answer), failed, refused
+        self.destination_is_up = True
+        self.possible_executions: dict[str, list[float]] = {}
         spooled = []
-        for n, at in enumerate(ran):
-            key = f"k{n}"
+        for number, offset_s in enumerate(execution_offsets_s):
+            key = f"k{number}"
             attempts: tuple[SpooledAttempt, ...] = ()
-            if at is not None:
-                self.effects[key] = [self.now + at]
-                self.done[key] = self.now + at
-                attempts = (SpooledAttempt("s-1", self.now + at, "reset", True),)
+            if offset_s is not None:
+                self.executions[key] = [self.now + offset_s]
+                self.deduplicated[key] = self.now + offset_s
+                attempts = (SpooledAttempt("s-1", self.now + offset_s, "reset", True),)
             spooled.append(
                 SpooledMessage(
-                    f"m{n}",
+                    f"m{number}",
                     "c",
                     "acme",
                     7,
@@ -86,7 +87,7 @@
                     self.now - 1.0,
                     attempts,
                     Idempotency.IDEMPOTENCY_KEY,
-                    WINDOW,
+                    DEDUPLICATION_WINDOW_S,
                     ("s-1",),
                 )
             )
@@ -95,17 +96,17 @@
         self.restart()
 
     def restart(self) -> None:
-        """A new redriver with nothing but the store."""
+        """Replace the redriver by a new one that has only the store."""
         self.store.close()
         self.redriver = Redriver(self.store, self, SETTINGS)
         for name in ("acquire_lease", "settle_redrive", "open_redrives", "record_clock"):
-            real: Callable[..., Any] = getattr(DeadLetterStore, name).__get__(self.store)
-            setattr(self.store, name, self._counted(real))
+            method: Callable[..., Any] = getattr(DeadLetterStore, name).__get__(self.store)
+            setattr(self.store, name, self._counted(method))
 
-    def _counted(self, real: Callable[..., Any]) -> Callable[..., Any]:
+    def _counted(self, method: Callable[..., Any]) -> Callable[..., Any]:
         def call(*args: Any) -> Any:
             self._operation()
-            return real(*args)
+            return method(*args)
 
         return call
 
@@ -114,13 +115,13 @@
         if self.operations in self.crash_at:
             raise CrashError
 
-    # --- what the redriver sees ----------------------------------------------------------------------------------
+    # --- the Fleet that the redriver uses ------------------------------------------------------------------
 
     def clock(self) -> ClockReading:
         return ClockReading(self.now, self.now, "b")
 
     def forwarders(self) -> list[str]:
-        return sorted(n for n, alive in self.alive.items() if alive)
+        return sorted(forwarder for forwarder, alive in self.alive.items() if alive)
 
     def destination_views(self, destination: int) -> list[DestinationView]:
         return [DestinationView("well", 0.0, False, 50.0, 0, 8)]
@@ -137,16 +138,16 @@
 
     def submit(self, forwarder: str, message: Resubmission) -> SubmissionAnswer:
         self._operation()
-        what = self.door.pop(0) if self.door else "ok"
-        if what == "refused" or not self.alive[forwarder]:
+        fault = self.submission_faults.pop(0) if self.submission_faults else "ok"
+        if fault == "refused" or not self.alive[forwarder]:
             status = 503 if self.alive[forwarder] else -1
-        elif what == "late":
-            self.late.append((forwarder, message))
+        elif fault == "late":
+            self.delayed.append((forwarder, message))
             status = 0
         else:
-            self.take(forwarder, message)
-            status = 0 if what == "lost" else 202
-        self._operation()  # and after it: it was taken, and nobody noted that
+            self.accept(forwarder, message)
+            status = 0 if fault == "lost" else 202
+        self._operation()  # a crash after the submission, before its result is used
         return SubmissionAnswer(status, 0.0)
 
     def outcomes(self, forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
@@ -154,67 +155,71 @@
         if not self.alive[forwarder]:
             return None
         found = {}
-        for name in ids:
-            if name in self.held[forwarder]:
-                found[name] = ReportedOutcome("held", None, 0.0)
-            elif name in self.told[forwarder]:
-                found[name] = self.told[forwarder][name]
+        for redrive_id in ids:
+            if redrive_id in self.accepted[forwarder]:
+                found[redrive_id] = ReportedOutcome("held", None, 0.0)
+            elif redrive_id in self.decided[forwarder]:
+                found[redrive_id] = self.decided[forwarder][redrive_id]
             else:
-                found[name] = ReportedOutcome("unknown", None, 0.0)
-                self.fenced.add(name)
+                found[redrive_id] = ReportedOutcome("unknown", None, 0.0)
+                self.reported_unknown.add(redrive_id)
         return found
 
-    # --- what the world does ---------------------------------------------------------------------------------------
+    # --- forwarders and destination ------------------------------------------------------------------------
 
-    def take(self, forwarder: str, h: Resubmission) -> None:
-        """The forwarder's door; an id that it said it does not know it never takes."""
-        if self.fencing and h.id in self.fenced:
+    def accept(self, forwarder: str, redrive: Resubmission) -> None:
+        """Accept a redrive unless the forwarder has reported its id as unknown."""
+        if self.rejects_unknown and redrive.id in self.reported_unknown:
             return
-        base = h.id.rsplit("-", 1)[0]
-        for held in self.held.values():
-            assert not any(x.rsplit("-", 1)[0] == base for x in held), (
-                f"two resends of {h.idempotency_key} are under way"
+        base = redrive.id.rsplit("-", 1)[0]
+        for accepted in self.accepted.values():
+            assert not any(other.rsplit("-", 1)[0] == base for other in accepted), (
+                f"two redrives of {redrive.idempotency_key} are in progress"
             )
-        self.held[forwarder][h.id] = h
-        self.ran[h.id] = [self.now - h.executed_ago_s] if h.executed_ago_s is not None else []
-
-    def arrive_late(self) -> None:
-        late, self.late = self.late, []
-        for forwarder, h in late:
-            self.take(forwarder, h)
-
-    def work(self) -> None:
-        """Forwarders call the partner, inside the window that they were told; what fails is given up."""
-        for forwarder, held in self.held.items():
+        self.accepted[forwarder][redrive.id] = redrive
+        executed_ago_s = redrive.executed_ago_s
+        self.possible_executions[redrive.id] = (
+            [self.now - executed_ago_s] if executed_ago_s is not None else []
+        )
+
+    def deliver_delayed(self) -> None:
+        delayed, self.delayed = self.delayed, []
+        for forwarder, redrive in delayed:
+            self.accept(forwarder, redrive)
+
+    def attempt_all(self) -> None:
+        """Attempt each accepted redrive inside its deduplication window, and give it up if that fails."""
+        for forwarder, accepted in self.accepted.items():
             if not self.alive[forwarder]:
                 continue
-            for name, h in list(held.items()):
-                ran = self.ran[name]
-                if ran and self.now >= ran[0] + WINDOW:
-                    self.end(forwarder, name, "undeliverable")
+            for redrive_id, redrive in list(accepted.items()):
+                possible_executions = self.possible_executions[redrive_id]
+                if possible_executions and self.now >= possible_executions[0] + DEDUPLICATION_WINDOW_S:
+                    self.decide(forwarder, redrive_id, "undeliverable")
                     continue
-                what = self.calls.pop(0) if self.calls else "ok"
-                if what == "refused" or not self.up:
-                    self.end(forwarder, name, "undeliverable")
+                fault = self.attempt_faults.pop(0) if self.attempt_faults else "ok"
+                if fault == "refused" or not self.destination_is_up:
+                    self.decide(forwarder, redrive_id, "undeliverable")
                     continue
-                if what != "failed":
-                    self.effect(h.idempotency_key or "")
-                if what == "ok":
-                    self.end(forwarder, name, "delivered")
+                if fault != "failed":
+                    self.execute(redrive.idempotency_key or "")
+                if fault == "ok":
+                    self.decide(forwarder, redrive_id, "delivered")
                 else:
-                    ran.append(self.now)
-                    self.end(forwarder, name, "undeliverable")
+                    possible_executions.append(self.now)
+                    self.decide(forwarder, redrive_id, "undeliverable")
 
-    def end(self, forwarder: str, name: str, end: str) -> None:
-        del self.held[forwarder][name]
-        self.told[forwarder][name] = ReportedOutcome(end, min(self.ran[name], default=None), 0.0)
+    def decide(self, forwarder: str, redrive_id: str, result: str) -> None:
+        del self.accepted[forwarder][redrive_id]
+        executed_at = min(self.possible_executions[redrive_id], default=None)
+        self.decided[forwarder][redrive_id] = ReportedOutcome(result, executed_at, 0.0)
 
-    def effect(self, key: str) -> None:
-        if key in self.done and self.now < self.done[key] + WINDOW:
+    def execute(self, key: str) -> None:
+        if key in self.deduplicated and self.now < self.deduplicated[key] + DEDUPLICATION_WINDOW_S:
             return
-        self.done[key] = self.now
-        self.effects.setdefault(key, []).append(self.now)
-        assert len(self.effects[key]) == 1, f"a second effect of {key}: {self.effects[key]}"
+        self.deduplicated[key] = self.now
+        self.executions.setdefault(key, []).append(self.now)
+        assert len(self.executions[key]) == 1, f"{key} was executed again: {self.executions[key]}"
 
     def round(self) -> None:
         try:
@@ -226,205 +231,218 @@
         for _ in range(rounds):
             self.now += seconds
             self.round()
-            self.work()
+            self.attempt_all()
 
     def finish(self) -> None:
-        """All is well again: every message that may go arrives once."""
-        self.crash_at, self.door, self.calls, self.up = set(), [], [], True
+        """End all faults, and check that every message that may be redriven is delivered once."""
+        self.crash_at, self.submission_faults, self.attempt_faults = set(), [], []
+        self.destination_is_up = True
         self.alive = dict.fromkeys(self.alive, True)
-        self.arrive_late()
+        self.deliver_delayed()
         self.run(50)
-        for f in self.store.select(Filter()):
-            count = len(self.effects.get(f.idempotency_key or "", []))
+        for letter in self.store.select(Filter()):
+            count = len(self.executions.get(letter.idempotency_key or "", []))
             assert count <= 1
-            if f.status == "delivered":
-                assert count == 1, f"{f.id} is called delivered and never was"
-            elif f.status == "kept":
-                assert f.executed_at is not None, f"{f.id} may go and has not gone"
+            if letter.status == "delivered":
+                assert count == 1, f"{letter.id} is marked as delivered but was not executed once"
+            elif letter.status == "kept":
+                assert letter.executed_at is not None, (
+                    f"{letter.id} is safe to redrive but was never redriven"
+                )
             else:
-                raise AssertionError(f"{f.id} is {f.status} for ever")
+                raise AssertionError(f"{letter.id} remains {letter.status}")
         self.store.close()
 
 
-class TestExplore:
+class TestRedriveModel:
     @pytest.fixture(autouse=True)
     def set_up(self, tmp_path: Path) -> None:
-        self.folder, self.count = tmp_path, 0
+        self.folder, self.run_count = tmp_path, 0
 
-    def sim(self) -> Sim:
-        self.count += 1
-        folder = self.folder / str(self.count)
+    def simulation(self) -> Simulation:
+        self.run_count += 1
+        folder = self.folder / str(self.run_count)
         folder.mkdir()
-        return Sim(folder)
-
-    def explore(self, prepare: Callable[[Sim], None] = lambda _: None, pairs: bool = True) -> int:
-        """Each crash alone, and each with a second soon after it, under each fault of door and call."""
-        calm = self.sim()
-        prepare(calm)
-        calm.run(8)
-        calm.finish()
-        places = calm.operations
+        return Simulation(folder)
+
+    def explore(self, prepare: Callable[[Simulation], None] = lambda _: None, pairs: bool = True) -> int:
+        """Run each crash, alone and followed by a second one, with each fault of submission and attempt."""
+        undisturbed = self.simulation()
+        prepare(undisturbed)
+        undisturbed.run(8)
+        undisturbed.finish()
+        operation_count = undisturbed.operations
         runs = 0
-        for door in ("ok", "lost", "late", "refused"):
-            for call in ("ok", "lost", "failed", "refused"):
+        for submission_fault in ("ok", "lost", "late", "refused"):
+            for attempt_fault in ("ok", "lost", "failed", "refused"):
                 for first in range(1, 26):
                     for second in (0, 2) if pairs else (0,):
-                        sim = self.sim()
+                        sim = self.simulation()
                         prepare(sim)
-                        sim.door, sim.calls = [door], [call]
+                        sim.submission_faults, sim.attempt_faults = [submission_fault], [attempt_fault]
                         sim.crash_at = {first, first + second}
                         sim.run(4)
-                        sim.arrive_late()
+                        sim.deliver_delayed()
                         sim.run(4)
                         sim.finish()
                         runs += 1
-        assert places > 26
+        assert operation_count > 26
         return runs
 
     def test_no_crash_or_lost_answer_duplicates_or_loses_a_message(self) -> None:
         assert self.explore() == 4 * 4 * 25 * 2
 
     def test_it_detects_a_forwarder_that_accepts_what_it_reported_unknown(self) -> None:
-        def unfenced(sim: Sim) -> None:
-            sim.fencing = False
+        def accept_unknown(sim: Simulation) -> None:
+            sim.rejects_unknown = False
 
-        with pytest.raises(AssertionError, match="under way|second effect|delivered"):
-            self.explore(unfenced, pairs=False)
+        with pytest.raises(AssertionError, match="in progress|executed again|delivered"):
+            self.explore(accept_unknown, pairs=False)
 
     def test_it_detects_a_resubmission_before_the_lease_is_durable(self) -> None:
-        def forgetful(sim: Sim) -> None:
-            real = sim.store.acquire_lease
+        def lose_leases(sim: Simulation) -> None:
+            acquire_lease = sim.store.acquire_lease
 
-            def lease(*args: Any) -> Lease:
-                made = real(*args)
+            def acquire_and_lose(*args: Any) -> Lease:
+                lease = acquire_lease(*args)
                 with sim.store.transaction() as db:
-                    db.execute("UPDATE message SET stand = 'kept' WHERE id = ?", (made.message,))
-                    db.execute("DELETE FROM resend WHERE id = ?", (made.redrive_id,))
-                return made
+                    db.execute("UPDATE message SET stand = 'kept' WHERE id = ?", (lease.message,))
+                    db.execute("DELETE FROM resend WHERE id = ?", (lease.redrive_id,))
+                return lease
 
-            sim.store.acquire_lease = lease  # type: ignore[method-assign, assignment]
+            sim.store.acquire_lease = acquire_and_lose  # type: ignore[method-assign, assignment]
 
         with pytest.raises(AssertionError):
-            self.explore(forgetful, pairs=False)
+            self.explore(lose_leases, pairs=False)
 
     def test_it_detects_a_timeout_treated_as_never_accepted(self) -> None:
-        real = RedriveSettler._settle_one
+        settle_one = RedriveSettler._settle_one
 
-        def guess(
+        def treat_pending_as_unknown(
             self: RedriveSettler, settlement: Any, lease: Lease, reported: ReportedOutcome | None, now: float
         ) -> None:
             if reported is not None and reported.result == "held":
                 reported = ReportedOutcome("unknown", None, 0.0)
-            real(self, settlement, lease, reported, now)
+            settle_one(self, settlement, lease, reported, now)
 
-        with mock.patch.object(RedriveSettler, "_settle_one", guess), pytest.raises(AssertionError):
+        with (
+            mock.patch.object(RedriveSettler, "_settle_one", treat_pending_as_unknown),
+            pytest.raises(AssertionError),
+        ):
             self.explore(pairs=False)
 
     def test_it_detects_an_ignored_deduplication_window(self) -> None:
-        # Two hold it: the redriver's judgement, and the forwarder's module, which is told when it may have run.
-        def always(m: DeadLetter, _now: float, _listed: Any, _allowance: float) -> RedriveAssessment:
-            return RedriveAssessment(RedriveSafety.SAFE, m.status == "kept")
+        # Both the redriver and the forwarder enforce the window, so the bug shows only if both ignore it.
+        def allow_always(
+            message: DeadLetter, _now: float, _listed: Any, _allowance: float
+        ) -> RedriveAssessment:
+            return RedriveAssessment(RedriveSafety.SAFE, message.status == "kept")
 
-        def hasty(sim: Sim) -> None:
+        def pass_the_window(sim: Simulation) -> None:
             sim.now += 20.0
 
-        judging = mock.patch("juniperward.dead_letters.redrive_safety.assess_redrive", always)
-        with judging:
-            alone = self.sim()
-            hasty(alone)
-            alone.run(40)  # the module alone holds it: each effect asserts that it is the only one
-            assert all(len(e) == 1 for e in alone.effects.values())
-            alone.store.close()
-        real = Sim.take
+        allowing = mock.patch("juniperward.dead_letters.redrive_safety.assess_redrive", allow_always)
+        with allowing:
+            sim = self.simulation()
+            pass_the_window(sim)
+            sim.run(40)  # the forwarder alone enforces the window
+            assert all(len(times) == 1 for times in sim.executions.values())
+            sim.store.close()
+        accept = Simulation.accept
 
-        def untold(sim: Sim, forwarder: str, h: Resubmission) -> None:
-            real(sim, forwarder, replace(h, executed_ago_s=None))
+        def accept_without_execution_time(sim: Simulation, forwarder: str, redrive: Resubmission) -> None:
+            accept(sim, forwarder, replace(redrive, executed_ago_s=None))
 
-        seen = pytest.raises(AssertionError, match="a second effect")
-        with judging, mock.patch.object(Sim, "take", untold), seen:
-            self.explore(hasty, pairs=False)
+        detects = pytest.raises(AssertionError, match="executed again")
+        with allowing, mock.patch.object(Simulation, "accept", accept_without_execution_time), detects:
+            self.explore(pass_the_window, pairs=False)
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(st.lists(st.one_of(
         st.tuples(st.just("run"), st.integers(1, 6)), st.tuples(st.just("wait"), st.integers(1, 20)),
         st.tuples(st.just("crash"), st.integers(1, 12)), st.tuples(st.just("toggle"), st.integers(0, 1)),
-        st.tuples(st.just("partner"), st.integers(0, 1)), st.tuples(st.just("late"), st.just(0)),
-        st.tuples(st.sampled_from(["door:lost", "door:late", "door:refused", "call:lost", "call:failed"]),
+        st.tuples(st.just("destination"), st.integers(0, 1)), st.tuples(st.just("late"), st.just(0)),
+        st.tuples(st.sampled_from([
+            "submission:lost", "submission:late", "submission:refused", "attempt:lost", "attempt:failed"]),
                   st.integers(1, 3)),
-        st.tuples(st.sampled_from(["wish", "discard", "undo"]), st.integers(0, 2)),
+        st.tuples(st.sampled_from(["request", "discard", "undo"]), st.integers(0, 2)),
     ), max_size=14))  # fmt: skip
     def test_any_history_satisfies_the_invariants(self, history: list[tuple[str, int]]) -> None:
-        sim = self.sim()
+        sim = self.simulation()
         discarded: set[str] = set()
-        for what, n in history:
-            name = f"m{n}"
-            match what:
+        for action, number in history:
+            message = f"m{number}"
+            match action:
                 case "run":
-                    sim.run(n)
+                    sim.run(number)
                 case "wait":
-                    sim.now += n
+                    sim.now += number
                 case "crash":
-                    sim.crash_at.add(sim.operations + n)
+                    sim.crash_at.add(sim.operations + number)
                 case "toggle":
-                    sim.alive[f"n{n}"] = not sim.alive[f"n{n}"]
-                case "partner":
-                    sim.up = bool(n)
+                    forwarder = f"n{number}"
+                    sim.alive[forwarder] = not sim.alive[forwarder]
+                case "destination":
+                    sim.destination_is_up = bool(number)
                 case "late":
-                    sim.arrive_late()
-                case "wish":
-                    sim.store.request_redrive([name], "ann")
+                    sim.deliver_delayed()
+                case "request":
+                    sim.store.request_redrive([message], "ann")
                 case "discard":
-                    if sim.store.discard([name], "ann"):
-                        discarded.add(name)
+                    if sim.store.discard([message], "ann"):
+                        discarded.add(message)
                 case "undo":
-                    sim.store.undo([name], "bob")
+                    sim.store.undo([message], "bob")
                 case _:
-                    kind, _, how = what.partition(":")
-                    (sim.door if kind == "door" else sim.calls).extend([how] * n)
+                    place, _, fault = action.partition(":")
+                    faults = sim.submission_faults if place == "submission" else sim.attempt_faults
+                    faults.extend([fault] * number)
         sim.store.undo(sorted(discarded), "ann")
         sim.finish()
 
     def test_a_forwarder_that_lost_its_state_leaves_the_lease_to_an_operator(self) -> None:
-        sim = self.sim()
-        sim.door = ["lost"]
+        sim = self.simulation()
+        sim.submission_faults = ["lost"]
         sim.round()
         sim.now += 0.25
         sim.round()
         (lease, *_) = sim.store.open_redrives()
-        sim.held[lease.forwarder].clear()
-        real = sim.outcomes
+        sim.accepted[lease.forwarder].clear()
+        outcomes = sim.outcomes
 
-        def forgot(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
-            found = real(forwarder, ids) or {}
+        def outcomes_after_loss(forwarder: str, ids: tuple[str, ...]) -> dict[str, ReportedOutcome] | None:
+            reported = outcomes(forwarder, ids) or {}
             return {
-                k: ReportedOutcome(t.result, t.executed_at, sim.now) if t.result == "unknown" else t
-                for k, t in found.items()
+                redrive_id: replace(outcome, complete_since=sim.now)
+                if outcome.result == "unknown"
+                else outcome
+                for redrive_id, outcome in reported.items()
             }
 
-        sim.outcomes = forgot  # type: ignore[method-assign]
+        sim.outcomes = outcomes_after_loss  # type: ignore[method-assign]
         sim.run(20)
         assert lease.redrive_id in sim.redriver.round().unresolved
-        (facts,) = sim.store.select(Filter(ids=(lease.message,)))
-        assert facts.status == "claimed"
-        statement = ManualSettlement(False, "ann", "the partner never saw it")
+        (letter,) = sim.store.select(Filter(ids=(lease.message,)))
+        assert letter.status == "claimed"
+        statement = ManualSettlement(False, "ann", "the destination never received it")
         sim.store.settle(lease.message, statement, sim.now)
-        sim.outcomes = real  # type: ignore[method-assign]
+        sim.outcomes = outcomes  # type: ignore[method-assign]
         sim.finish()
 
-    def test_a_window_that_closes_between_decision_and_resubmission(self) -> None:
-        sim = Sim(self.folder, (-4.0,))
-        real = sim.store.acquire_lease
+    def test_nothing_is_submitted_if_the_window_closes_after_the_decision(self) -> None:
+        sim = Simulation(self.folder, (-4.0,))
+        acquire_lease = sim.store.acquire_lease
 
-        def slow(*args: Any) -> Lease:
-            made: Lease = real(*args)
+        def acquire_slowly(*args: Any) -> Lease:
+            lease: Lease = acquire_lease(*args)
             sim.now += 9.0
-            return made
+            return lease
 
-        sim.store.acquire_lease = slow  # type: ignore[method-assign, assignment]
+        sim.store.acquire_lease = acquire_slowly  # type: ignore[method-assign, assignment]
         sim.run(8)
-        assert sim.told == {"n0": {}, "n1": {}}
-        (facts,) = sim.store.select(Filter())
-        assert facts.status == "kept"
+        assert sim.decided == {"n0": {}, "n1": {}}
+        (letter,) = sim.store.select(Filter())
+        assert letter.status == "kept"
         with pytest.raises(LeaseLostError):
             sim.store.acquire_lease("m9", None, "n0", 0.0, "x")
         sim.store.close()
