--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -14,7 +14,7 @@
 
 PAGE_SIZE = 500
 MAX_PAGES_PER_ROUND = 4  # for each destination
-MAX_DEDUPLICATION_WINDOW_S = 3600.0  # upper limit of the setting
+MAX_DEDUPLICATION_WINDOW_S = 3600.0  # no message class has a longer window
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/outcome_log.py
+++ b/juniperward/dead_letters/outcome_log.py
@@ -57,7 +57,7 @@
             self._drop_oldest_half()
 
     def mark_incomplete(self) -> None:
-        """Declare the log incomplete for good, because an outcome could not be written."""
+        """Declare the log incomplete, because an outcome could not be written."""
         self.complete_since = math.inf
 
     def close(self) -> None:
--- a/juniperward/dead_letters/redrive_rules.py
+++ b/juniperward/dead_letters/redrive_rules.py
@@ -24,7 +24,7 @@
         accounts: the tenants' accounts.
         min_age_s: least time since the message was given up.
         max_age_s: longest time since the message was given up.
-        max_redrives: a message that was redriven as often no longer matches.
+        max_redrives: the number of redrives after which a message no longer matches.
         from_hour: hour of the day (UTC) from which the rule is active.
         to_hour: hour of the day (UTC) until which it is active; if it is before `from_hour`, on the next day.
     """
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -36,7 +36,8 @@
         idempotency_key: the key by which the destination detects a repeat.
         body: the message's body.
         time_left_s: the time in which the forwarder must complete the redrive.
-        executed_ago_s: time since the message may first have executed; None if that is irrelevant.
+        executed_ago_s: time since the message may first have executed; None if it cannot have executed or
+            is idempotent.
     """
 
     id: str
--- a/juniperward/dead_letters/retention.py
+++ b/juniperward/dead_letters/retention.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetentionLimits:
-    """The retention limits; the size counts bodies and a fixed overhead per message."""
+    """The retention limits; `max_bytes` counts bodies and a fixed overhead per message."""
 
     max_age_s: float
     max_messages: int
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -20,7 +20,7 @@
 
 
 def redrive_id(message: str, fence: int) -> str:
-    """Return the id of a message's redrive with a fence; it depends on nothing else."""
+    """Return the id of a redrive, a deterministic function of the message's id and the fence."""
     digest = hashlib.sha256(message.encode()).hexdigest()[:REDRIVE_ID_HASH_DIGITS]
     return f"{REDRIVE_ID_PREFIX}{digest}-{fence}"
 
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -1,4 +1,4 @@
-"""The spool, in which a forwarder appends messages that it gives up for the agent. Standard library only.
+"""The spool, to which a forwarder appends the messages that it gives up. Standard library only.
 
 The messages are checksummed lines in segments `00000001.kept`, …; a new process begins a new segment. The
 agent reads the segments in order and writes to the file `acked` the last one that is in its store. Only the
