--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -15,13 +15,13 @@
 from juniperward.agent.redrive_preview import preview_redrives, redrive_settings
 from juniperward.agent.replies import ApiResponse, ErrorReply
 from juniperward.agent.running_fleet import RunningFleet
-from juniperward.dead_letters.clock import certain_now
+from juniperward.dead_letters.clock import latest_possible_time
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
-from juniperward.dead_letters.operator_actions import Statement
+from juniperward.dead_letters.operator_actions import ManualSettlement
 from juniperward.dead_letters.redrive_rules import requested_by
-from juniperward.dead_letters.redrive_safety import judge_redrive
+from juniperward.dead_letters.redrive_safety import assess_redrive
 from juniperward.dead_letters.redriver import Redriver
-from juniperward.dead_letters.selection import BEFORE_ALL, Filter, Position
+from juniperward.dead_letters.selection import START_POSITION, Filter, Position
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.dead_letters.store_errors import LeaseLostError
 
@@ -39,7 +39,7 @@
     "until": "until",
     "wished": "redrive_requested",
 }
-JUDGEMENT_KEYS = ("kind", "may_go", "why", "wanted_by")
+ASSESSMENT_KEYS = ("kind", "may_go", "why", "wanted_by")
 
 Options = dict[str, Any]
 
@@ -106,14 +106,14 @@
         if not why:
             raise ReasonMissingError
         message_id = str(options["id"])
-        statement = Statement(bool(options["delivered"]), user, why)
+        statement = ManualSettlement(bool(options["delivered"]), user, why)
         self._store.settle(message_id, statement, self._now())
         return {"settled": message_id}
 
     # --- reads --------------------------------------------------------------------------------------------
 
     def _now(self) -> float:
-        return certain_now(self._fleet.clock(), self._store.recorded_clock())
+        return latest_possible_time(self._fleet.clock(), self._store.recorded_clock())
 
     def _show(self, options: Options, user: str) -> ApiResponse:
         message_id = str(options["id"])
@@ -121,7 +121,7 @@
         if record is None:
             return ApiResponse(HTTPStatus.NOT_FOUND, ErrorReply(f"no such message: {message_id}"))
         (row,) = self._list({"ids": [message_id]})["messages"]
-        record |= {name: row[name] for name in JUDGEMENT_KEYS}
+        record |= {name: row[name] for name in ASSESSMENT_KEYS}
         if options.get("body"):
             record["body"] = base64.b64encode(self._store.show_body(message_id, user) or b"").decode()
         return _ok(record)
@@ -140,7 +140,7 @@
             field: options[key] for key, field in FILTER_FIELDS.items() if options.get(key) is not None
         }
         limit = min(int(options.get("limit", DEFAULT_PAGE)), MAX_PAGE)
-        given_up_at, last_id = options.get("after") or BEFORE_ALL
+        given_up_at, last_id = options.get("after") or START_POSITION
         after = Position(float(given_up_at), str(last_id))
         selected = Filter(tuple(options.get("ids", ())), **filters)
         messages = self._store.select(selected, limit, after)
@@ -155,14 +155,14 @@
 
     def _row(self, message: DeadLetter, now: float, endpoints: frozenset[str] | None) -> dict[str, Any]:
         settings = self._redriver.settings
-        judgement = judge_redrive(message, now, endpoints, settings.clock_allowance_s)
+        assessment = assess_redrive(message, now, endpoints, settings.clock_allowance_s)
         is_stored = message.status is Status.STORED
         return {
             "id": message.id,
             "stand": message.status.value,
-            "kind": judgement.kind.value,
-            "may_go": judgement.may_go,
-            "why": judgement.why,
+            "kind": assessment.safety.value,
+            "may_go": assessment.is_allowed,
+            "why": assessment.reason,
             "wanted_by": requested_by(message, settings.rules, now) if is_stored else "",
             "destination": message.destination,
             "class": message.class_name,
--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -85,7 +85,7 @@
     def _progress(self) -> dict[str, Any]:
         return {
             "trouble": self.latest_error,
-            "lost_memory": self.latest_round.forgotten,
+            "lost_memory": self.latest_round.unresolved,
             "damaged_lines": self.fleet.damaged_lines,
         }
 
