--- a/juniperward/simulation/policies/__init__.py
+++ b/juniperward/simulation/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies of delivery that experiments compare: our scheduler, baselines, and an oracle."""
+"""Delivery policies that experiments compare: Juniperward's scheduler, baselines and an oracle."""
 
 from __future__ import annotations
 
@@ -28,5 +28,5 @@
 
 
 def policy_name(name: str) -> str:
-    """Return the present name of a policy."""
+    """Return the current name of a policy, given its current or a former name."""
     return FORMER_NAMES.get(name, name)
--- a/juniperward/simulation/policies/baseline.py
+++ b/juniperward/simulation/policies/baseline.py
@@ -1,9 +1,8 @@
-"""What all baselines share: queues, timeouts, Retry-After, retries within the deduplication window.
+"""Base class of the baselines: queues, timeouts, Retry-After, and retries within the deduplication window.
 
-Baselines are other ways to deliver, written from their public descriptions, behind the scheduler's interface: events
-in, actions out, called by the simulated forwarders. Each respects what binds every policy (Retry-After, the
-deduplication window, the message's deadline) and differs in how it limits, spreads and retries. They are here to be
-compared with, and to be learned from where they are better.
+Baselines are known delivery algorithms behind the scheduler's interface, for comparison with the scheduler.
+All of them respect Retry-After, the deduplication window and the deadline of a message. They differ in how
+they limit load, choose endpoints and retry.
 """
 
 from __future__ import annotations
@@ -26,39 +25,47 @@
 )
 from juniperward.scheduler.settings import SchedulerSettings
 
-MARGIN_S = 0.02  # before a deadline and before a window's end
-FIRST_BACKOFF_S = 0.2  # doubled with each attempt
-MAX_DOUBLINGS = 3
-RETRY_AFTER_S = 1.0  # of a rejection
-EPSILON_S = 1e-9
+SAFETY_MARGIN_S = 0.02  # kept before a deadline and before the end of a deduplication window
+INITIAL_BACKOFF_S = 0.2  # doubles with each attempt
+MAX_BACKOFF_DOUBLINGS = 3
+REJECTION_RETRY_AFTER_S = 1.0
+TIME_TOLERANCE_S = 1e-9
 
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """A message and its attempts; times are those of `handle`'s clock."""
+    """A message and the state of its attempts; times are in seconds on the clock of `handle`."""
 
     number: int
     destination: int
     expires_s: float
     attempts: int = 0
-    first_executed_s: float | None = None  # when it may first have taken effect
+    first_executed_s: float | None = None  # earliest time at which an attempt may have taken effect
     in_flight: bool = False
     not_before_s: float = 0.0
 
 
 @dataclass(slots=True)
 class DestinationQueue:
-    """The state of one destination; the later fields are each for one policy's way to limit."""
+    """The state of one destination.
+
+    The fields from `concurrency_limit` on are each used by one kind of policy only.
+
+    Attributes:
+        queue: numbers of the messages that wait, in order.
+        in_flight: the number of attempts in flight, by endpoint number.
+
+    """
 
     endpoints: list[int] = field(default_factory=list)
     queue: deque[int] = field(default_factory=deque)
     retry_after_until: float = 0.0
-    in_flight: dict[int, int] = field(default_factory=dict)  # attempts, by endpoint
+    in_flight: dict[int, int] = field(default_factory=dict)
     listed_rate_per_s: float = 0.0
     attempts_started: int = 0
     concurrency_limit: float = 16.0
-    limit_cut_s: float = -math.inf
-    least_latency_s: float = math.inf
+    limit_reduced_s: float = -math.inf
+    min_latency_s: float = math.inf
     tokens: float = 1.0
     tokens_refilled_s: float = 0.0
     consecutive_failures: int = 0
@@ -66,30 +73,30 @@
 
     @property
     def total_in_flight(self) -> int:
-        """All attempts in flight."""
+        """The number of attempts in flight at all endpoints."""
         return sum(self.in_flight.values())
 
 
 class Baseline:
-    """Delivers in the order of arrival; what a policy does its own way is overridden."""
+    """Delivers messages in the order of arrival; subclasses limit load and choose endpoints."""
 
     max_attempts = 8
     retries = True
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
-        """Begin with no destination."""
+        """Start without destinations and messages; `seed` is that of the policy's random choices."""
         self.settings, self.random = settings, random.Random(seed)
         self.pending: dict[int, QueuedMessage] = {}
         self.destinations: dict[int, DestinationQueue] = {}
         self.now = 0.0
         self._destination_of: dict[int, int] = {}  # by endpoint
         self._in_flight = 0
-        self._expiries: list[tuple[float, int]] = []  # a heap of when a message is given up, and its number
+        self._expiries: list[tuple[float, int]] = []  # heap of (time to give up a message, its number)
         self._timer_at = math.inf
         self._token = 0
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Process events and return what is to be done, as `DeliveryScheduler.handle`."""
+        """Process `events` and return the resulting actions, like `DeliveryScheduler.handle`."""
         self.now = now
         actions: list[Action] = []
         for event in events:
@@ -126,7 +133,7 @@
         message = QueuedMessage(event.message, event.destination, self.now + event.time_left_s)
         self.pending[message.number] = message
         self.destinations.setdefault(message.destination, DestinationQueue()).queue.append(message.number)
-        heapq.heappush(self._expiries, (message.expires_s - MARGIN_S, message.number))
+        heapq.heappush(self._expiries, (message.expires_s - SAFETY_MARGIN_S, message.number))
 
     def _attempt_finished(self, event: AttemptFinished) -> None:
         destination = self.destinations[self._destination_of[event.endpoint]]
@@ -151,40 +158,40 @@
     def _backoff_s(self, message: QueuedMessage) -> float:
         if not self.retries:
             return math.inf
-        return float(FIRST_BACKOFF_S * 2 ** min(message.attempts - 1, MAX_DOUBLINGS))
+        return float(INITIAL_BACKOFF_S * 2 ** min(message.attempts - 1, MAX_BACKOFF_DOUBLINGS))
 
-    # --- messages that end ---------------------------------------------------------------------------------
+    # --- expiry --------------------------------------------------------------------------------------------
 
     def _expire(self, actions: list[Action]) -> None:
-        """Give up the messages whose time is over, but for those in flight."""
-        while self._expiries and self._expiries[0][0] <= self.now + EPSILON_S:
+        """Give up the messages that are close to their deadline and not in flight."""
+        while self._expiries and self._expiries[0][0] <= self.now + TIME_TOLERANCE_S:
             _, number = heapq.heappop(self._expiries)
             message = self.pending.get(number)
             if message is None or message.in_flight:
                 continue
-            if self.now >= message.expires_s - MARGIN_S - EPSILON_S:
+            if self.now >= message.expires_s - SAFETY_MARGIN_S - TIME_TOLERANCE_S:
                 self._give_up(message, actions)
 
     def _give_up(self, message: QueuedMessage, actions: list[Action]) -> None:
         del self.pending[message.number]
         if message.first_executed_s is None:
-            actions.append(Reject(message.number, RETRY_AFTER_S))
+            actions.append(Reject(message.number, REJECTION_RETRY_AFTER_S))
         else:
             actions.append(Fail(message.number))
 
     def _may_attempt(self, message: QueuedMessage) -> bool:
-        """Return whether a message may be attempted, now or later."""
+        """Return whether another attempt of the message is allowed, now or after its backoff."""
         if message.attempts >= self.max_attempts or (message.attempts and not self.retries):
             return False
         if message.first_executed_s is None:
             return True
         window_s = self.settings.classes[0].deduplication_window_s
-        return self.now < message.first_executed_s + window_s - MARGIN_S
+        return self.now < message.first_executed_s + window_s - SAFETY_MARGIN_S
 
     # --- release -------------------------------------------------------------------------------------------
 
     def _release(self, destination: DestinationQueue, actions: list[Action]) -> None:
-        """Start attempts of a destination's queue, for as long as slots and the policy allow it."""
+        """Start attempts for the messages in a destination's queue while slots and the policy allow it."""
         queue = destination.queue
         for _ in range(len(queue)):
             if self._in_flight >= self.settings.slots:
@@ -203,7 +210,7 @@
                 return
 
     def _start(self, destination: DestinationQueue, message: QueuedMessage, actions: list[Action]) -> bool:
-        """Attempt the first message of a queue; return whether the policy lets it go."""
+        """Attempt the first message of the queue if the policy admits it; return whether it did."""
         endpoint = self.choose_endpoint(destination)
         if endpoint is None or not self.admits(destination):
             return False
@@ -213,7 +220,7 @@
         destination.in_flight[endpoint] = destination.in_flight.get(endpoint, 0) + 1
         self._in_flight += 1
         self.on_start(destination)
-        timeout_s = max(message.expires_s - self.now, MARGIN_S)
+        timeout_s = max(message.expires_s - self.now, SAFETY_MARGIN_S)
         actions.append(StartAttempt(message.number, endpoint, timeout_s))
         return True
 
@@ -222,14 +229,14 @@
     def _set_timer(self, actions: list[Action]) -> None:
         next_expiry = self._expiries[0][0] if self._expiries else math.inf
         wake_at = min([next_expiry, *self._release_times()])
-        if wake_at < self._timer_at - EPSILON_S:
+        if wake_at < self._timer_at - TIME_TOLERANCE_S:
             self._timer_at = wake_at
             self._token += 1
             delay_s = max(wake_at - self.now, self.settings.timer_resolution_s)
             actions.append(SetTimer(delay_s, self._token))
 
     def _release_times(self) -> list[float]:
-        """Return when destinations may start an attempt that they cannot start now."""
+        """Return the future times at which destinations may start an attempt that has to wait now."""
         times = [self._release_time(queue) for queue in self.destinations.values() if queue.queue]
         return [at for at in times if at > self.now]
 
@@ -239,25 +246,25 @@
         admits_at = self.admits_at(destination)
         return max(destination.retry_after_until, destination.circuit_open_until, not_before_s, admits_at)
 
-    # --- what a policy does its own way --------------------------------------------------------------------
+    # --- overridden by policies ----------------------------------------------------------------------------
 
     def choose_endpoint(self, destination: DestinationQueue, /) -> int | None:
-        """Return the endpoint for an attempt: here in turn; None for none now."""
+        """Return the endpoint for the next attempt, by default in turn; None if no endpoint is available."""
         if not destination.endpoints:
             return None
         destination.attempts_started += 1
         return destination.endpoints[destination.attempts_started % len(destination.endpoints)]
 
     def admits(self, _destination: DestinationQueue, /) -> bool:
-        """Return whether one more attempt may start now."""
+        """Return whether another attempt to the destination may start now."""
         return True
 
     def admits_at(self, _destination: DestinationQueue, /) -> float:
-        """Return when `admits` may become true without an event; 0 for now."""
+        """Return the time at which `admits` may become true without an event; 0 means now."""
         return 0.0
 
     def on_start(self, destination: DestinationQueue, /) -> None:
-        """Record that an attempt starts."""
+        """Record the start of an attempt."""
 
     def observe(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
-        """Record how an attempt ended."""
+        """Record the outcome of an attempt."""
--- a/juniperward/simulation/policies/oracle.py
+++ b/juniperward/simulation/policies/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: sees the true state of every destination, and is the upper bound that others are measured against."""
+"""The oracle: a policy that sees the true state of the destinations, an upper bound for other policies."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from juniperward.simulation.observation import Observation
 from juniperward.simulation.policies.baseline import Baseline, DestinationQueue, QueuedMessage
 
-POLL_S = 0.02  # between its looks at destinations that something waits for
+POLL_INTERVAL_S = 0.02  # between checks of destinations with waiting messages
 
 
 @dataclass(slots=True)
 class OpenBatch:
-    """A call of this moment that further messages may join."""
+    """A call that starts now, which further messages to the same endpoint may join."""
 
     started_s: float
     spare_members: int
 
 
 class Oracle(Baseline):
-    """Sees the present, but not the future.
+    """Sees the current state of the destinations, but not the future.
 
-    It never starts an attempt that would be rejected, fail or wait at a destination, and spends a destination's
-    capacity on messages that can still meet their latency objective.
+    It avoids attempts that would be rejected, fail or wait at a destination, and prefers messages that can
+    still meet their latency objective.
     """
 
     observation_type = Observation
     max_attempts = 1000
 
     def __init__(self, settings: SchedulerSettings, seed: int, observation: Observation) -> None:
-        """Look at the world through `observation`."""
+        """Read the state of the destinations from `observation`."""
         super().__init__(settings, seed)
         self._observation = observation
         self._batches: dict[int, OpenBatch] = {}  # by endpoint
@@ -40,7 +40,7 @@
         self._after_objective_s = message_class.deadline_s - message_class.latency_objective_s
 
     def _release(self, destination: DestinationQueue, actions: list[Action]) -> None:
-        """Order the queue by deadline, with messages past their latency objective last."""
+        """Sort the queue by deadline, messages past their latency objective last, and start attempts."""
         queued = [self.pending[number] for number in destination.queue if number in self.pending]
         waiting = [message for message in queued if not message.in_flight]
         waiting.sort(key=self._urgency)
@@ -54,7 +54,7 @@
         return late, message.expires_s
 
     def choose_endpoint(self, destination: DestinationQueue, /) -> int | None:
-        """Return an endpoint that would serve an attempt at once."""
+        """Return an endpoint that would serve an attempt at once, or None."""
         for endpoint in destination.endpoints:
             batch = self._batches.get(endpoint)
             if batch is not None and batch.started_s == self.now and batch.spare_members > 0:
@@ -69,5 +69,5 @@
         return None
 
     def admits_at(self, _destination: DestinationQueue, /) -> float:
-        """Return when it looks again."""
-        return self.now + POLL_S
+        """Return the time of the next check."""
+        return self.now + POLL_INTERVAL_S
--- a/juniperward/simulation/policies/simple.py
+++ b/juniperward/simulation/policies/simple.py
@@ -1,41 +1,41 @@
-"""Baselines without a limit of their own: no retry, endpoints in turn, the endpoint with the least in flight."""
+"""Baselines without a limit on load: no retry, round robin, and fewest outstanding attempts."""
 
 from __future__ import annotations
 
 from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.simulation.policies.baseline import Baseline, DestinationQueue
 
-FAILURES_THAT_OPEN = 5  # a circuit breaker, in a row
-CIRCUIT_OPEN_S = 2.0
+CIRCUIT_OPEN_FAILURE_COUNT = 5  # consecutive failures that open the circuit breaker
+CIRCUIT_OPEN_DURATION_S = 2.0
 
 
 class NoRetry(Baseline):
-    """One attempt for each message, in the order of arrival."""
+    """Makes one attempt for each message, in the order of arrival."""
 
     retries = False
 
 
 class RoundRobin(Baseline):
-    """Endpoints in turn, retries with backoff."""
+    """Uses the endpoints in turn, and retries with backoff."""
 
 
 class LeastOutstanding(Baseline):
-    """The endpoint with the fewest attempts in flight, behind a circuit breaker."""
+    """Uses the endpoint with the fewest attempts in flight, behind a circuit breaker per destination."""
 
     def choose_endpoint(self, destination: DestinationQueue, /) -> int | None:
-        """Return the endpoint with the least in flight."""
+        """Return the endpoint with the fewest attempts in flight, or None if there are no endpoints."""
         in_flight = destination.in_flight
         by_load = sorted(destination.endpoints, key=lambda number: (in_flight.get(number, 0), number))
         return by_load[0] if by_load else None
 
     def observe(self, destination: DestinationQueue, event: AttemptFinished, /) -> None:
-        """Open the circuit after several failures in a row."""
+        """Open the circuit after CIRCUIT_OPEN_FAILURE_COUNT consecutive failures."""
         if event.outcome is Outcome.OK:
             destination.consecutive_failures = 0
         elif event.outcome is not Outcome.OVERLOADED:
             destination.consecutive_failures += 1
-            if destination.consecutive_failures >= FAILURES_THAT_OPEN:
-                destination.circuit_open_until = self.now + CIRCUIT_OPEN_S
+            if destination.consecutive_failures >= CIRCUIT_OPEN_FAILURE_COUNT:
+                destination.circuit_open_until = self.now + CIRCUIT_OPEN_DURATION_S
                 destination.consecutive_failures = (
-                    FAILURES_THAT_OPEN - 1
+                    CIRCUIT_OPEN_FAILURE_COUNT - 1
                 )  # half open: one more opens it again
