--- a/juniperward/simulation/comparison.py
+++ b/juniperward/simulation/comparison.py
@@ -1,4 +1,4 @@
-"""Two policies compared on the same scenarios and seeds, with bootstrap intervals; for tables and the report."""
+"""Paired comparison of two policies on the same scenarios and seeds, with bootstrap confidence intervals."""
 
 from __future__ import annotations
 
@@ -11,32 +11,39 @@
 
 from juniperward.simulation.result import Result
 
-RESAMPLES = 2000
-LEAST_DEVIATION = 1e-12  # below it all differences are one, and no interval is drawn
+RESAMPLE_COUNT = 2000
+MIN_STANDARD_DEVIATION = 1e-12  # below it the differences count as equal, and nothing is resampled
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Two policies on one scenario, paired by seed; `low` to `high` contains 0.95 of the bootstrap's means."""
+    """Two policies on one scenario, paired by seed.
+
+    Attributes:
+        mean: the mean over the seeds of the utility of `one` minus that of `other`.
+        low: the lower end of the 95 % confidence interval of the mean.
+        high: the upper end of that interval.
+
+    """
 
     scenario: str
     one: str
     other: str
     seeds: int
-    mean: float  # of the differences in utility, one less other
+    mean: float
     low: float
     high: float
 
     @property
     def verdict(self) -> str:
-        """In words: an interval that contains 0 shows no difference."""
+        """The better policy in words, or that none is when the confidence interval contains 0."""
         if self.low <= 0 <= self.high:
             return "no difference seen"
         return f"{self.one} is better" if self.mean > 0 else f"{self.other} is better"
 
 
 def compare(results: Sequence[Result], one: str, other: str) -> list[Comparison]:
-    """Return a comparison for each scenario on which both policies have a seed in common."""
+    """Return a comparison for each scenario that both policies ran with at least one common seed."""
     comparisons = []
     for scenario in sorted({result.scenario for result in results}):
         utilities = {
@@ -53,9 +60,11 @@
 
 
 def _interval(differences: npt.NDArray[np.float64]) -> tuple[float, float]:
-    """Return the 0.95 interval of the mean; the mean itself, twice, where there is nothing to resample."""
-    if len(differences) < 2 or float(differences.std()) <= LEAST_DEVIATION:
+    """Return the 95 % confidence interval of the mean, or the mean twice if all differences are equal."""
+    if len(differences) < 2 or float(differences.std()) <= MIN_STANDARD_DEVIATION:
         mean = float(differences.mean())
         return mean, mean
-    bootstrap = stats.bootstrap((differences,), np.mean, n_resamples=RESAMPLES, method="percentile", rng=1)
+    bootstrap = stats.bootstrap(
+        (differences,), np.mean, n_resamples=RESAMPLE_COUNT, method="percentile", rng=1
+    )
     return float(bootstrap.confidence_interval.low), float(bootstrap.confidence_interval.high)
--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -1,8 +1,7 @@
-"""Experiments: runs of scenarios under policies over seeds, spread over processes and stored as they end.
+"""Experiments: scenarios run under policies over seeds, in several processes.
 
-What is in the experiment's folder already is not run again, so an experiment that was killed goes on where it stood
-(`result_store`). A stored result has all that is needed to repeat it. Called by the command line, the search and the
-benchmarks.
+Each result is stored as soon as its run ends (`result_store`), and stored runs are not repeated, so an
+interrupted experiment resumes. A stored result contains everything that a replay needs.
 """
 
 from __future__ import annotations
@@ -30,25 +29,25 @@
 from juniperward.simulation.scenario_loader import parse
 from juniperward.simulation.world import World
 
-MICROSECONDS = 1e6
-POOL_ATTEMPTS = 2  # the second for the runs of a process that died
+MICROSECONDS_PER_S = 1e6
+MAX_POOL_ATTEMPTS = 2  # the second repeats the runs that were lost when a process died
 GIT_TIMEOUT_S = 10.0
-# What may differ between two runs of one key, or names the run; all else must come out the same.
-NOT_REPLAYED = frozenset(
+# Fields of a result that identify the run or may differ in a replay; all others must be equal.
+FIELDS_NOT_COMPARED = frozenset(
     {"scenario", "digest", "policy", "seed", "wall_time_s", "scenario_text", "revision", "machine", "version"}
 )
 
 
 class NoScenarioTextError(ValueError):
-    """A result of an early version cannot be replayed."""
+    """A result of version 1 cannot be replayed because it does not contain its scenario."""
 
     def __init__(self) -> None:
-        """Say why."""
-        super().__init__("a result of version 1 has no text of its scenario: it cannot be replayed")
+        """Describe the problem in the message."""
+        super().__init__("cannot replay a result of version 1: it does not contain the text of its scenario")
 
 
 class Difference(NamedTuple):
-    """A figure that came out otherwise in a replay."""
+    """The values of a field that differs between a stored result and its replay."""
 
     stored: Any
     replayed: Any
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of an experiment."""
+    """One run of an experiment: a scenario under a policy with a seed."""
 
     scenario: Scenario
     policy: str
@@ -64,21 +63,26 @@
 
     @property
     def key(self) -> RunKey:
-        """What names its result."""
+        """The key under which its result is stored."""
         return RunKey(digest(self.scenario), self.policy, self.seed)
 
 
 @dataclass(frozen=True, slots=True)
 class ExperimentPlan:
-    """What an experiment runs: each scenario under each policy with each seed."""
+    """The runs of an experiment: each scenario under each policy with each seed.
+
+    Attributes:
+        processes: the number of runs at once; None for one per core.
+
+    """
 
     scenarios: Sequence[Scenario]
     policies: Sequence[str]
     seeds: Sequence[int]
-    processes: int | None = None  # runs at once; None: one a core
+    processes: int | None = None
 
     def runs(self) -> list[Run]:
-        """Return all runs, by scenario, policy and seed."""
+        """Return all runs, ordered by scenario, policy and seed."""
         return [
             Run(scenario, policy, seed)
             for scenario in self.scenarios
@@ -87,7 +91,7 @@
         ]
 
 
-OnProgress = Callable[[int, int, Result], None]  # runs done, runs planned, the result of the run that ended
+OnProgress = Callable[[int, int, Result], None]  # (runs done, runs planned, latest result)
 
 
 def _no_progress(_done: int, _planned: int, _result: Result) -> None:
@@ -95,12 +99,12 @@
 
 
 def digest(scenario: Scenario) -> str:
-    """Return a name of a scenario by its text."""
+    """Return a short hash of the scenario's text, which identifies it in stored results."""
     return hashlib.sha256(scenario.text.encode()).hexdigest()[:12]
 
 
 def run_scenario(text: str, name: str, policy: str, seed: int) -> Result:
-    """Run a scenario once, from its text; `name` is its file's. Called in a process of its own."""
+    """Run a scenario, given as text, once; `name` is its file name. Runs in a worker process."""
     scenario = parse(text, name)
     began = time.monotonic()
     run = World(scenario, POLICIES[policy], seed).run()
@@ -134,12 +138,12 @@
 def _latency_s(run: RunResult, percentile: float) -> float:
     if not run.delivered:
         return 0.0
-    return float(run.latencies_us.get_value_at_percentile(percentile) / MICROSECONDS)
+    return float(run.latencies_us.get_value_at_percentile(percentile) / MICROSECONDS_PER_S)
 
 
 @functools.cache
 def revision() -> str:
-    """Return what the sources are, by git; empty where that cannot be said."""
+    """Return the git revision of the sources, with "+" for uncommitted changes; empty if git cannot tell."""
     command = ["git", "-C", str(Path(__file__).parent), "describe"]
     command += ["--always", "--abbrev=12", "--dirty=+", "--exclude=*"]
     try:
@@ -150,46 +154,46 @@
 
 
 def machine() -> str:
-    """Return what an experiment runs on."""
+    """Return a description of this machine and its versions of Python and numpy."""
     return f"{os.cpu_count()} cores, Python {platform.python_version()}, numpy {np.__version__}"
 
 
 def replay(result: Result) -> dict[str, Difference]:
-    """Run a stored result once more from its own text; return the fields that came out otherwise.
+    """Repeat the run of a stored result; return the fields that differ, by name.
 
     Raises:
-        NoScenarioTextError: the result has no text of its scenario.
+        NoScenarioTextError: the result does not contain the text of its scenario.
 
     """
     if not result.scenario_text:
         raise NoScenarioTextError
     again = run_scenario(result.scenario_text, f"{result.scenario}.textproto", result.policy, result.seed)
-    compared = [field.name for field in fields(Result) if field.name not in NOT_REPLAYED]
+    compared = [field.name for field in fields(Result) if field.name not in FIELDS_NOT_COMPARED]
     pairs = {name: Difference(getattr(result, name), getattr(again, name)) for name in compared}
     return {name: pair for name, pair in pairs.items() if pair.stored != pair.replayed}
 
 
 def sweep(folder: Path, plan: ExperimentPlan, on_progress: OnProgress = _no_progress) -> list[Result]:
-    """Run what is not in the folder yet, and return the results of all planned runs.
+    """Run the planned runs that have no result in `folder` yet, and return the results of all planned runs.
 
-    A run whose process dies is repeated once.
+    If a worker process dies, the unfinished runs are started once more.
 
     Raises:
         ExperimentRunningError: another experiment writes to the folder.
-        OSError: of the folder's files.
-        BrokenProcessPool: a process died again.
+        OSError: a file in the folder cannot be read or written.
+        BrokenProcessPool: a worker process died a second time.
 
     """
     runs = plan.runs()
     with ResultStore(folder) as store:
-        for attempt in range(1, POOL_ATTEMPTS + 1):
+        for attempt in range(1, MAX_POOL_ATTEMPTS + 1):
             missing = [run for run in runs if run.key not in store.results]
             if not missing:
                 break
             try:
                 _run_all(missing, store, plan, on_progress)
             except BrokenProcessPool:
-                if attempt == POOL_ATTEMPTS:
+                if attempt == MAX_POOL_ATTEMPTS:
                     raise
         store.write_parquet()
         return [store.results[run.key] for run in runs]
@@ -198,7 +202,7 @@
 def _run_all(
     missing: Sequence[Run], store: ResultStore, plan: ExperimentPlan, on_progress: OnProgress
 ) -> None:
-    """Run the missing ones in processes, and store each as it ends."""
+    """Run the `missing` runs in worker processes, and store each result as soon as its run ends."""
     planned = len(plan.runs())
     done = planned - len(missing)
     with concurrent.futures.ProcessPoolExecutor(plan.processes) as pool:
--- a/juniperward/simulation/report.py
+++ b/juniperward/simulation/report.py
@@ -1,7 +1,4 @@
-"""One self-contained HTML page of an experiment: tables, charts as SVG, and the command that repeats it.
-
-Input: results and the scenarios' descriptions; output: a file. Called by `juniperward simulate report`.
-"""
+"""Report of an experiment: one HTML page with tables, SVG charts and the command to repeat the experiment."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 from matplotlib.figure import Figure
 
 from juniperward.simulation.report_tables import (
-    OURS,
+    REFERENCE_POLICY,
     PolicyRow,
     comparisons,
     policies_of,
@@ -29,8 +26,8 @@
 from juniperward.simulation.result import Result
 
 CHART_INCHES = (9, 2.6)
-OUR_LINE_WIDTH, OTHER_LINE_WIDTH = 2.0, 0.9
-LEAST_REQUESTED = 1e-9  # in a second without messages
+REFERENCE_LINE_WIDTH, OTHER_LINE_WIDTH = 2.0, 0.9
+MIN_REQUESTED = 1e-9  # avoids a division by zero in seconds without messages
 
 PAGE = """<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
@@ -41,21 +38,21 @@
  .best { font-weight: 600 } .note { color: #666 } svg { max-width: 100%; height: auto }
 </style>
 <h1>{{ title }}</h1>
-<p class="note">{{ runs }} runs, {{ seeds }} seeds; utility is the mean over all messages, from 0 to 1: 1 for a
+<p class="note">{{ runs }} runs, {{ seeds }} seeds. Utility is the mean over all messages, from 0 to 1: 1 for a
 delivery within the latency objective, less for a later one, 0 for none.
-Repeat: <code>{{ command }}</code></p>
+Command to repeat the experiment: <code>{{ command }}</code></p>
 <h2>Utility, mean over seeds</h2>
 <table><tr><th>scenario</th>{% for policy in policies %}<th>{{ policy }}</th>{% endfor %}</tr>
 {% for row in utility %}<tr><td>{{ row.scenario }}</td>
 {% for cell in row.cells %}<td{% if cell.best %} class="best"{% endif %}>{{ cell.text }}</td>{% endfor %}
 </tr>{% endfor %}</table>
-<h2>{{ ours }} against each</h2>
+<h2>{{ ours }} compared with each other policy</h2>
 <table><tr><th>scenario</th><th>other</th><th>difference</th><th>0.95 interval</th><th>verdict</th></tr>
 {% for c in comparisons %}<tr><td>{{ c.scenario }}</td><td>{{ c.other }}</td><td>{{ '%+.4f' % c.mean }}</td>
 <td>{{ '%+.4f' % c.low }} to {{ '%+.4f' % c.high }}</td><td>{{ c.verdict }}</td></tr>{% endfor %}</table>
 <h2>Invariants</h2>
-<p>Destinations crashed by overload, duplicate effects and calls within a Retry-After, over all seeds; the utility of
-a policy that violates an invariant is not to be had.</p>
+<p>Destinations crashed by overload, duplicate effects and calls within a Retry-After, over all seeds. A policy that
+violates an invariant cannot be used, whatever its utility.</p>
 <table><tr><th>policy</th><th>destinations crashed</th><th>duplicate effects</th><th>Retry-After violations</th></tr>
 {% for row in violations %}<tr><td>{{ row.policy }}</td><td>{{ row.destinations_crashed }}</td>
 <td>{{ row.duplicate_effects }}</td><td>{{ row.retry_after_violations }}</td></tr>{% endfor %}
@@ -71,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A scenario's part of the page."""
+    """The section of the page about one scenario."""
 
     scenario: str
     description: str
@@ -82,7 +79,18 @@
 def write_report(
     results: Sequence[Result], descriptions: Mapping[str, str], file: Path, command: str
 ) -> None:
-    """Write the page to `file`; `descriptions` are by scenario, `command` repeats it. Raises OSError."""
+    """Write the page to `file`.
+
+    Args:
+        results: the results of the experiment.
+        descriptions: the descriptions of the scenarios, by name.
+        file: where the page is written; missing folders are created.
+        command: the command that repeats the experiment.
+
+    Raises:
+        OSError: the page cannot be written.
+
+    """
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     text = environment.from_string(PAGE).render(
         title="Policies on scenarios",
@@ -91,7 +99,7 @@
         command=command,
         policies=policies_of(results),
         utility=utility_table(results),
-        ours=OURS,
+        ours=REFERENCE_POLICY,
         comparisons=comparisons(results),
         violations=violation_table(results),
         sections=_sections(results, descriptions),
@@ -111,17 +119,19 @@
 
 
 def _chart(results: Sequence[Result]) -> Markup:
-    """Return the chart of one scenario: each policy's mean utility by the second of the messages' arrival."""
+    """Return a chart of one scenario: the mean utility of each policy by second of arrival."""
     figure = Figure(figsize=CHART_INCHES)
-    FigureCanvasSVG(figure)  # that the layout is measured by what draws it
+    FigureCanvasSVG(figure)  # tight_layout needs the canvas that draws the figure
     axes = figure.subplots()
     for policy in policies_of(results):
         runs = [np.array(result.by_second) for result in results if result.policy == policy]
         seconds = min(len(run) for run in runs)
         requested = sum(run[:seconds, 0] for run in runs)
         utility = sum(run[:seconds, 1] for run in runs)
-        means = np.asarray(utility) / np.maximum(requested, LEAST_REQUESTED)
-        axes.plot(means, label=policy, lw=OUR_LINE_WIDTH if policy == OURS else OTHER_LINE_WIDTH)
+        means = np.asarray(utility) / np.maximum(requested, MIN_REQUESTED)
+        axes.plot(
+            means, label=policy, lw=REFERENCE_LINE_WIDTH if policy == REFERENCE_POLICY else OTHER_LINE_WIDTH
+        )
     axes.set_ylim(0, 1.03)
     axes.set_xlabel("second of the message's arrival")
     axes.set_ylabel("utility")
@@ -131,7 +141,7 @@
 
 
 def _svg(figure: Figure) -> str:
-    """Return the SVG element alone, without the XML prologue."""
+    """Return the figure as an SVG element, without the XML prologue."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
--- a/juniperward/simulation/report_tables.py
+++ b/juniperward/simulation/report_tables.py
@@ -1,7 +1,6 @@
-"""The tables of an experiment: utility by scenario and policy, violations, what a scenario's runs came to.
+"""Tables of an experiment: utilities, comparisons, violations and the results of each policy.
 
-Input: results; output: typed rows, and the same as Markdown for docs/measurements/. Called by `report` and the
-command line.
+The tables are typed rows, for the HTML report, or Markdown, for docs/measurements/.
 """
 
 from __future__ import annotations
@@ -14,14 +13,14 @@
 from juniperward.simulation.comparison import Comparison, compare
 from juniperward.simulation.result import Result
 
-OURS = "juniperward"
-AS_GOOD_AS_BEST = 5e-5  # utility below the best of a row that still counts as the best
-LEAST_SHOWN_DIFFERENCE = 0.002  # of comparisons in Markdown
+REFERENCE_POLICY = "juniperward"
+BEST_UTILITY_TOLERANCE = 5e-5  # a utility this close to the best of its row counts as the best too
+MIN_SHOWN_DIFFERENCE = 0.002  # Markdown tables leave out comparisons with a smaller difference
 
 
 @dataclass(frozen=True, slots=True)
 class UtilityCell:
-    """A mean utility; the best of its row is set in bold."""
+    """A mean utility as text, and whether it is the best of its row."""
 
     text: str
     best: bool
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UtilityRow:
-    """A scenario's mean utilities, in the order of the policies."""
+    """The mean utilities on one scenario, in the order of the policies."""
 
     scenario: str
     cells: list[UtilityCell]
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViolationRow:
-    """How often a policy violated each invariant, over all its runs."""
+    """The number of violations of each invariant by a policy, over all its runs."""
 
     policy: str
     destinations_crashed: int
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyRow:
-    """What a policy's runs of one scenario came to; texts as shown."""
+    """The results of a policy's runs of one scenario, formatted as text."""
 
     policy: str
     median_s: str
@@ -76,7 +75,8 @@
         best = max(means)
         rows.append(
             UtilityRow(
-                scenario, [UtilityCell(f"{mean:.4f}", mean >= best - AS_GOOD_AS_BEST) for mean in means]
+                scenario,
+                [UtilityCell(f"{mean:.4f}", mean >= best - BEST_UTILITY_TOLERANCE) for mean in means],
             )
         )
     return rows
@@ -90,13 +90,13 @@
 
 
 def comparisons(results: Sequence[Result]) -> list[Comparison]:
-    """Return our scheduler against every other policy, on every scenario."""
-    others = [policy for policy in policies_of(results) if policy != OURS]
-    return [comparison for other in others for comparison in compare(results, OURS, other)]
+    """Compare the reference policy with every other policy on every scenario."""
+    others = [policy for policy in policies_of(results) if policy != REFERENCE_POLICY]
+    return [comparison for other in others for comparison in compare(results, REFERENCE_POLICY, other)]
 
 
 def violation_table(results: Sequence[Result]) -> list[ViolationRow]:
-    """Return each policy's violations."""
+    """Return the violations of each policy, summed over its runs."""
     rows = []
     for policy in policies_of(results):
         runs = [result for result in results if result.policy == policy]
@@ -112,7 +112,7 @@
 
 
 def policy_table(results: Sequence[Result], policies: Sequence[str]) -> list[PolicyRow]:
-    """Return what each policy's runs came to; `results` are those of one scenario."""
+    """Return the results of each policy on one scenario; `results` are those of that scenario."""
     return [_policy_row([run for run in results if run.policy == policy], policy) for policy in policies]
 
 
@@ -137,7 +137,7 @@
 
 
 def markdown(results: Sequence[Result]) -> str:
-    """Return the tables of utility, comparisons and violations, for docs/measurements/."""
+    """Return the tables of utility, comparisons and violations as Markdown."""
     sections = [
         _markdown_utility(results),
         _markdown_comparisons(results),
@@ -165,7 +165,7 @@
 def _markdown_comparisons(results: Sequence[Result]) -> list[str]:
     lines = _markdown_header(["scenario", "other policy", "ours more by", "0.95 interval", "verdict"])
     for comparison in comparisons(results):
-        if abs(comparison.mean) >= LEAST_SHOWN_DIFFERENCE:
+        if abs(comparison.mean) >= MIN_SHOWN_DIFFERENCE:
             interval = f"{comparison.low:+.4f} to {comparison.high:+.4f}"
             mean = f"{comparison.mean:+.4f}"
             lines.append(
--- a/juniperward/simulation/result.py
+++ b/juniperward/simulation/result.py
@@ -1,7 +1,7 @@
-"""One run's result, and its codec: the field's names in the code, the stored names in files.
+"""The result of one run, and its codec.
 
-Files (`results.jsonl`, `results.parquet`) and the tool's JSON output have the names that the first version wrote;
-`to_row` and `from_row` map them. Called by `result_store`, `experiment` and the command line.
+The names of stored columns, in `results.jsonl`, `results.parquet` and the JSON output of the commands, are
+fixed and partly differ from the names of the fields. `to_row` and `from_row` convert between them.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from juniperward.simulation.policies import policy_name
 
-VERSION = 2  # 1 had neither the scenario's text nor where and from what it was run
+VERSION = 2  # version 1 had no scenario text, source revision and machine
 
 
 class RunKey(NamedTuple):
-    """What names a run: the digest of the scenario's text, the policy and the seed."""
+    """The key of a run: the digest of the scenario's text, the policy and the seed."""
 
     digest: str
     policy: str
@@ -24,13 +24,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """One run; times in seconds of the simulated day, `wall_time_s` of the machine that ran it."""
+    """The result of one run. Times are in simulated seconds, except `wall_time_s`.
+
+    Attributes:
+        digest: the digest of the scenario's text.
+        utility: the mean over all messages, from 0 to 1.
+        utility_lost: the mean utility lost per message, by reason.
+        by_second: pairs of message count and total utility, by the second in which the messages arrived.
+        wall_time_s: the real time that the run took.
+        events: the number of actions that the timeline ran.
+        revision: the git revision of the sources, with "+" at the end for uncommitted changes.
+
+    """
 
     scenario: str
-    digest: str  # of the scenario's text
+    digest: str
     policy: str
     seed: int
-    utility: float  # a mean over all messages, from 0 to 1
+    utility: float
     requested: int
     delivered: int
     rejected: int
@@ -42,27 +53,27 @@
     duplicate_effects: int
     retry_after_violations: int
     destinations_crashed: int
-    utility_lost: dict[str, float]  # by reason
-    by_second: list[list[float]]  # messages requested and their utility, by the second of their arrival
+    utility_lost: dict[str, float]
+    by_second: list[list[float]]
     wall_time_s: float
     events: int
     scenario_text: str = ""
-    revision: str = ""  # of the sources; a + at its end: with changes that were not committed
+    revision: str = ""
     machine: str = ""
     version: int = VERSION
 
     @property
     def key(self) -> RunKey:
-        """What names the run."""
+        """The key of the run."""
         return RunKey(self.digest, self.policy, self.seed)
 
     @property
     def violations(self) -> int:
-        """How often the run violated an invariant."""
+        """The number of violations of all invariants."""
         return self.duplicate_effects + self.retry_after_violations + self.destinations_crashed
 
 
-# Stored names, by those of Result's fields; others are stored as they are.
+# Stored names by field of Result; other fields are stored under their own names.
 STORED_NAMES = {
     "utility": "worth",
     "requested": "asked",
@@ -82,16 +93,16 @@
 
 
 def to_row(result: Result) -> dict[str, Any]:
-    """Return a result under the stored names."""
+    """Return a result as a row with the stored names."""
     return {stored: getattr(result, field) for stored, field in FIELD_NAMES.items()}
 
 
 def from_row(row: dict[str, Any]) -> Result:
-    """Return the result of a row, of this version or an older one; columns that it does not know are left out.
+    """Return the result of a row of this or an earlier version; unknown columns are ignored.
 
     Raises:
         TypeError: a column is missing.
-        KeyError: it has no policy.
+        KeyError: the column of the policy is missing.
 
     """
     known = {FIELD_NAMES[stored]: value for stored, value in row.items() if stored in FIELD_NAMES}
