--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario's typed values: a fleet, its destinations, its traffic, and a timetable of faults.
+"""Data model of a scenario: the forwarders, the destinations, the traffic and the faults.
 
-`scenario_loader` makes them from the text format; the world, the search and the benchmarks read them. Times are
-seconds, rates messages or calls a second, fractions numbers from 0 to 1.
+`scenario_loader` reads scenarios from the text format. Times are in seconds, rates in messages or calls per
+second, fractions from 0 to 1.
 """
 
 from __future__ import annotations
@@ -13,24 +13,27 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of injected faults; the values are the text format's names."""
+    """Kinds of injected faults; the values are their names in the text format."""
 
     NONE = "NONE"
     DOWN = "DOWN"  # connections are refused
-    FAILING = "FAILING"  # a fraction of the calls fails at once
+    FAILING = "FAILING"  # a fraction of the calls fails immediately
     REJECTING = "SHUT"  # all calls are rejected
     SLOW = "SLOW"  # calls take `magnitude` times as long
     UNRESPONSIVE = "SILENT"  # calls get no answer
-    HOT = "HOT"  # it draws a further fraction of all messages
-    KILL = "KILL"  # a fraction of the forwarders is killed, and starts again at the fault's end
+    HOT = "HOT"  # the destination receives an additional fraction of all messages
+    KILL = "KILL"  # a fraction of the forwarders is killed, and restarted at the end of the fault
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """An injected fault: `kind` from `starts_s` for `duration_s`.
+    """An injected fault.
+
+    Attributes:
+        destinations: the numbers (from 1) of the affected destinations; unused for KILL.
+        magnitude: a multiple of the latency for SLOW; a fraction of the calls for FAILING, of the forwarders
+            for KILL, of the traffic for HOT.
 
-    `destinations` are numbers from 1 (empty for KILL); `magnitude` is the kind's strength (a latency multiple for
-    SLOW, a fraction of the calls for FAILING, of the forwarders for KILL, of the traffic for HOT).
     """
 
     kind: FaultKind
@@ -42,50 +45,80 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationGroup:
-    """`count` destinations that are alike; their numbers go on from those of the groups before, from 1."""
+    """`count` equal destinations; destinations are numbered from 1 across all groups.
+
+    Attributes:
+        traffic_fraction: the traffic of the whole group, relative to the other groups.
+        endpoints: the number of endpoints of each destination.
+        latency_s: the mean service time of a call.
+        latency_variation: the coefficient of variation of the service time.
+        concurrency: the calls that an endpoint serves at once.
+        queue_limit: the calls that may wait at an endpoint in addition.
+        rate_limit_per_s: the rate limit of each destination, also in the endpoint list; 0 for none.
+        retry_after_fraction: the fraction of the rejections that carry a Retry-After.
+        batch_size: the maximum number of messages in one call.
+
+    """
 
     count: int
-    traffic_fraction: float  # of all of them together, relative to the other groups'
-    endpoints: int  # of each destination
-    latency_s: float  # mean time of a call
-    latency_variation: float  # coefficient of variation
-    concurrency: int  # calls that an endpoint serves at once
-    queue_limit: int  # calls that wait at an endpoint beyond that
-    rate_limit_per_s: float  # of a destination, in the endpoint list; 0: none
-    retry_after_fraction: float  # of the rejections, that carry a Retry-After
-    batch_size: int  # messages that one call carries at most
+    traffic_fraction: float
+    endpoints: int
+    latency_s: float
+    latency_variation: float
+    concurrency: int
+    queue_limit: int
+    rate_limit_per_s: float
+    retry_after_fraction: float
+    batch_size: int
 
     @property
     def capacity_per_s(self) -> float:
-        """Calls a second that a destination serves when warm."""
+        """The capacity of a warm destination in calls per second."""
         return float(self.rate_limit_per_s or self.endpoints * self.concurrency / self.latency_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """How messages come, and the utility of their deliveries."""
+    """The arrivals of messages, and the utility of their deliveries.
+
+    Attributes:
+        rate_per_s: the mean rate of messages.
+        swing_fraction: the amplitude of the periodic variation of the rate.
+        swing_period_s: the period of that variation.
+        burst_fraction: the fraction of the messages that arrive in bursts for one destination.
+        resubmit_fraction: the fraction of rejected messages that clients submit once more.
+        deduplication_window_s: how long a destination ignores repeated calls for a message.
+
+    """
 
     rate_per_s: float
-    swing_fraction: float  # the rate goes up and down by it
+    swing_fraction: float
     swing_period_s: float
-    burst_fraction: float  # of the messages, that come in bursts for one destination
+    burst_fraction: float
     burst_size: int
-    resubmit_fraction: float  # of the rejected, that their clients submit once more
+    resubmit_fraction: float
     objective: DeliveryObjective
-    deduplication_window_s: float  # for which a destination drops a repeat
+    deduplication_window_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A checked scenario, with its defaults filled in."""
+    """A validated scenario with defaults filled in.
+
+    Attributes:
+        slots: the maximum number of calls in flight of each forwarder.
+        max_pending: the maximum number of pending messages of each forwarder.
+        text: the text that the scenario was read from.
+
+    """
 
     name: str
     description: str
     duration_s: float
     forwarders: int
-    slots: int  # calls in flight at once, of each forwarder
-    max_pending: int  # messages, of each forwarder
+    slots: int
+    max_pending: int
     groups: tuple[DestinationGroup, ...]
     traffic: Traffic
     faults: tuple[Fault, ...]
-    text: str  # that it was read from
+    text: str
--- a/juniperward/simulation/scenario_generator.py
+++ b/juniperward/simulation/scenario_generator.py
@@ -1,7 +1,7 @@
-"""Random scenarios for the search: made from nothing, changed in one or two things, or made one step smaller.
+"""Random scenarios for the search: new ones, mutations of a scenario, and reductions to a smaller one.
 
-They are made as messages of the text format (its words stand in `scenario.proto`), and leave as checked texts. A
-generator of random numbers goes in; the order of its draws is part of what a seed means. Called by `search`.
+Scenarios are edited as protobuf messages of the text format (`scenario.proto`), and returned as validated
+texts. A change in the order of the random draws changes what a seed generates.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from juniperward.simulation.scenario_loader import FAULT_KIND_CODES, fault_messages, parse
 
 FILE_NAME = "found.textproto"
-KINDS = (
+FAULT_KINDS = (
     FaultKind.DOWN,
     FaultKind.FAILING,
     FaultKind.REJECTING,
@@ -28,17 +28,17 @@
     FaultKind.HOT,
     FaultKind.KILL,
 )
-LEAST_DURATION_S = 5
-LATEST_FAULT = 0.6  # of a scenario's duration
+MIN_DURATION_S = 5
+MAX_FAULT_START_FRACTION = 0.6  # faults start within this part of the scenario's duration
 
 
 def message_of(text: str) -> Any:
-    """Return the message of a scenario's text."""
+    """Return the protobuf message of a scenario's text; raises text_format.ParseError."""
     return text_format.Parse(text, scenario_pb2.Scenario())
 
 
 def valid_text(message: Any) -> str | None:
-    """Return the text of a scenario message that the loader accepts, else None."""
+    """Return the text of a scenario message, or None if the loader rejects it."""
     text = str(text_format.MessageToString(message))
     try:
         parse(text, FILE_NAME)
@@ -47,11 +47,11 @@
     return text
 
 
-# --- from nothing ------------------------------------------------------------------------------------------
+# --- new scenarios -----------------------------------------------------------------------------------------
 
 
 def generate(source: random.Random) -> Any:
-    """Return a scenario message made from nothing."""
+    """Return a new random scenario message, which is not validated."""
     message = scenario_pb2.Scenario(
         shows="made by the search",
         seconds=source.choice([15, 20, 30]),
@@ -83,9 +83,9 @@
 
 
 def _add_fault(message: Any, source: random.Random) -> None:
-    kind = source.choice(KINDS)
+    kind = source.choice(FAULT_KINDS)
     starts_s = _fault_start(message, source)
-    destinations = [] if kind is FaultKind.KILL else _some_destinations(message, source)
+    destinations = [] if kind is FaultKind.KILL else _choose_destinations(message, source)
     fault = fault_messages(message).add(
         at=starts_s, seconds=source.choice([2.0, 5.0, 10.0]), partner=destinations
     )
@@ -96,20 +96,20 @@
 
 
 def _fault_start(message: Any, source: random.Random) -> float:
-    return round(source.uniform(1.0, message.seconds * LATEST_FAULT), 1)
+    return round(source.uniform(1.0, message.seconds * MAX_FAULT_START_FRACTION), 1)
 
 
-def _some_destinations(message: Any, source: random.Random) -> list[int]:
+def _choose_destinations(message: Any, source: random.Random) -> list[int]:
     count = sum(group.count for group in message.partners)
     chosen = min(count, source.choice([1, 1, 2, 4]))
     return sorted(source.sample(range(1, count + 1), chosen))
 
 
-# --- changed -----------------------------------------------------------------------------------------------
+# --- mutations ---------------------------------------------------------------------------------------------
 
 
 def mutate(text: str, source: random.Random) -> Any:
-    """Return a scenario message that differs from a text in one or two things."""
+    """Return the scenario message of a text with one or two random changes, which is not validated."""
     message = message_of(text)
     mutations = (_change_rate, _add_fault, _change_bursts, _change_fleet, _change_group, _change_fault)
     for _ in range(source.choice([1, 1, 2])):
@@ -145,11 +145,11 @@
     fault.seconds = source.choice([1.0, 4.0, 12.0])
 
 
-# --- smaller -----------------------------------------------------------------------------------------------
+# --- reductions --------------------------------------------------------------------------------------------
 
 
 def reductions(text: str) -> Iterator[str]:
-    """Return scenarios that are each one step smaller: a fault or a group less, shorter, fewer of everything."""
+    """Yield the valid scenario texts that are one step smaller, such as without a fault or half as long."""
     for reduce in _reduction_steps(message_of(text)):
         message = message_of(text)
         reduce(message)
@@ -158,11 +158,11 @@
             yield reduced
 
 
-Reduction = Callable[[Any], None]  # makes a scenario message one step smaller, in place
+Reduction = Callable[[Any], None]  # makes a scenario message one step smaller in place
 
 
 def _reduction_steps(message: Any) -> Iterator[Reduction]:
-    """Return the steps for a scenario like `message`."""
+    """Yield the reductions that apply to a scenario like `message`."""
     for index in range(len(fault_messages(message))):
         yield partial(_remove_fault, index=index)
     for index in range(len(message.partners)):
@@ -173,7 +173,7 @@
             yield partial(_halve_group, index=index, field=field)
     for index, fault in enumerate(fault_messages(message)):
         for number in fault.partner:
-            yield partial(_spare_destination, index=index, number=number)
+            yield partial(_remove_destination, index=index, number=number)
     yield _halve_forwarders
     for field in ("clumps", "swing", "again"):
         yield partial(_clear_traffic, field=field)
@@ -188,7 +188,7 @@
 
 
 def _halve_duration(message: Any) -> None:
-    message.seconds = max(round(message.seconds / 2), LEAST_DURATION_S)
+    message.seconds = max(round(message.seconds / 2), MIN_DURATION_S)
 
 
 def _halve_group(message: Any, index: int, field: str) -> None:
@@ -196,7 +196,7 @@
     setattr(group, field, max(getattr(group, field) // 2, 1))
 
 
-def _spare_destination(message: Any, index: int, number: int) -> None:
+def _remove_destination(message: Any, index: int, number: int) -> None:
     fault_messages(message)[index].partner.remove(number)
 
 
--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -1,7 +1,9 @@
-"""The one loader of the scenario text format: text in, a checked `Scenario` out; errors name file, line and field.
+"""Loader of the scenario text format, which returns a validated `Scenario`.
 
-Here alone the format's words (`scenario.proto`: partners, trouble, aim, ...) meet the field's. Called by the command
-line, by `experiment` for each run, and by the search.
+Errors name the file, the line and the field.
+
+The tables below map the field names of the format (`scenario.proto`) to those of the data model
+(`scenario.py`).
 """
 
 from __future__ import annotations
@@ -18,10 +20,10 @@
 from juniperward.simulation.scenario import DestinationGroup, Fault, FaultKind, Scenario, Traffic
 
 FOLDER = Path(__file__).parent.parent.parent / "scenarios"
-FAULTS_FIELD = "trouble"  # the format's name of the timetable of faults
+FAULTS_FIELD = "trouble"  # name of the field of faults in the format
 FAULT_MESSAGE = "Trouble"
 
-# The format's fields by those of DestinationGroup, Traffic and DeliveryObjective.
+# Names in the format by field of DestinationGroup, Traffic and DeliveryObjective.
 GROUP_FIELDS = {
     "count": "count",
     "traffic_fraction": "share",
@@ -51,14 +53,19 @@
 TRAFFIC_DEFAULTS: dict[str, Any] = {
     "period": 60.0, "aim": 3.0, "deadline": 20.0, "late_worth": 0.3, "window": 12.0,
 }  # fmt: skip
-DEFAULT_MAGNITUDES = {FaultKind.SLOW: 4.0, FaultKind.KILL: 0.3, FaultKind.HOT: 0.2}  # others have 1.0
+DEFAULT_MAGNITUDES = {FaultKind.SLOW: 4.0, FaultKind.KILL: 0.3, FaultKind.HOT: 0.2}  # 1.0 for other kinds
 
-# The format's enumeration of fault kinds: Name(code) and Value(name).
+# The protobuf enum of fault kinds, with the methods Name(code) and Value(name).
 FAULT_KIND_CODES = getattr(scenario_pb2, FAULT_MESSAGE).Kind
 
 
 def load(file: Path) -> Scenario:
-    """Read and check a scenario; raises SettingsError with every error of it."""
+    """Read and validate a scenario file.
+
+    Raises:
+        SettingsError: the file cannot be read, or is invalid; contains all errors found.
+
+    """
     try:
         text = file.read_text()
     except OSError as error:
@@ -67,10 +74,10 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """Return the scenario of a text; `name` is that of its file, and the stem of it the scenario's.
+    """Return the scenario of a text; `name` is its file name, whose stem becomes the name of the scenario.
 
     Raises:
-        SettingsError: with every error of the text.
+        SettingsError: the text is invalid; contains all errors found.
 
     """
     try:
@@ -81,12 +88,12 @@
 
 
 def fault_messages(message: Any) -> Any:
-    """Return the repeated field of a scenario message that has its faults."""
+    """Return the repeated field of faults in a scenario message."""
     return getattr(message, FAULTS_FIELD)
 
 
 class _ScenarioReader:
-    """Goes through a parsed message once, gathers what is wrong with it, and makes the typed values."""
+    """Validates a parsed message, collects its errors and converts it to a `Scenario`."""
 
     def __init__(self, name: str, text: str, message: Any) -> None:
         self._name, self._text, self._message = name, text, message
@@ -123,11 +130,11 @@
             if not getattr(self._message, field) > 0:
                 self._add_error(field, "must be above 0")
         if not self._message.shows:
-            self._add_error("shows", "a scenario says in one line what it is meant to show")
+            self._add_error("shows", "must describe in one line what the scenario shows")
 
     def _groups(self) -> tuple[DestinationGroup, ...]:
         if not self._message.partners:
-            self._add_error("partners", "one group of destinations at least")
+            self._add_error("partners", "must contain at least one group of destinations")
         for number, group in enumerate(self._message.partners):
             _fill_in(group, GROUP_DEFAULTS)
             for field in ("count", "share", "latency"):
@@ -150,14 +157,14 @@
         destinations = sum(group.count for group in self._message.partners)
         place = f"{FAULTS_FIELD}[{number}]"
         if kind is FaultKind.NONE:
-            self._add_error(f"{place}.kind", "a kind of fault is needed")
+            self._add_error(f"{place}.kind", "must be a kind of fault")
         named = given.partner and all(1 <= partner <= destinations for partner in given.partner)
         if kind is not FaultKind.KILL and not named:
             self._add_error(
-                f"{place}.partner", f"numbers of destinations are needed, from 1 to {destinations}"
+                f"{place}.partner", f"must contain numbers of destinations, from 1 to {destinations}"
             )
         if not given.seconds > 0 or given.at < 0:
-            self._add_error(f"{place}.seconds", "a start of 0 or later and a length above 0 are needed")
+            self._add_error(f"{place}.seconds", "must be above 0, and `at` must not be negative")
         magnitude = given.size or DEFAULT_MAGNITUDES.get(kind, 1.0)
         return Fault(kind, given.at, given.seconds, tuple(given.partner), magnitude)
 
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -1,8 +1,8 @@
-"""The search for failures: random scenarios, guided by what a policy loses on them, and stored as regressions.
+"""Evolutionary search for scenarios on which a policy does badly, which are stored as regression tests.
 
-What counts is regret: how much less utility a policy has than the oracle on the same scenario and seed. A scenario on
-which nobody could do better is a hard one, not a failure. A violated invariant counts for more than any utility.
-Called by `juniperward simulate search`.
+Scenarios are ranked by regret, the utility that a policy loses compared with the oracle on the same scenario
+and seed, so that scenarios which are hard for every policy do not count as failures. A violated invariant
+counts for more than any loss of utility.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 )
 from juniperward.simulation.scenario_loader import FAULT_KIND_CODES, fault_messages
 
-POPULATION = 8  # scenarios that the next ones are made from
-PART = 16  # scenarios that are played between two choices of the population
-GENERATED_FRACTION = 0.3  # of the scenarios, made from nothing
-RETAINED_REGRET = 0.8  # fraction of its regret that a smaller scenario must have
+POPULATION_SIZE = 8  # worst scenarios, from which new ones are mutated
+BATCH_SIZE = 16  # scenarios between two selections of the population
+GENERATED_FRACTION = 0.3  # part of the scenarios that is generated, not mutated
+RETAINED_REGRET_FRACTION = 0.8  # a reduced scenario must keep this part of the regret
 VIOLATION_REGRET = 10.0
-SEED_LIMIT = 10_000
+MAX_SEED = 10_000
 MAX_MINIMIZATION_RUNS = 120
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A scenario and what a policy came to on it."""
+    """A scenario with the results of a policy and of the oracle on it."""
 
     text: str
     seed: int
@@ -47,12 +47,12 @@
 
     @property
     def regret(self) -> float:
-        """Utility that could have been had; VIOLATION_REGRET for each violated invariant."""
+        """The utility lost compared with the oracle, plus VIOLATION_REGRET for each violation."""
         return max(self.oracle_utility - self.utility, 0.0) + VIOLATION_REGRET * self.violations
 
 
-Evaluation = Callable[[str, str, int], Finding]  # of a scenario's text, a policy and a seed
-OnProgress = Callable[[int, Finding], None]  # scenarios played, the worst finding so far
+Evaluation = Callable[[str, str, int], Finding]  # (scenario text, policy, seed) -> finding
+OnProgress = Callable[[int, Finding], None]  # (scenarios run, worst finding so far)
 
 
 def _no_progress(_done: int, _worst: Finding) -> None:
@@ -60,7 +60,7 @@
 
 
 def evaluate(text: str, policy: str, seed: int) -> Finding:
-    """Play a scenario under a policy and under the oracle."""
+    """Run a scenario under a policy and under the oracle."""
     result = run_scenario(text, FILE_NAME, policy, seed)
     oracle = run_scenario(text, FILE_NAME, "oracle", seed)
     return Finding(text, seed, result.utility, oracle.utility, result.violations)
@@ -73,26 +73,27 @@
     processes: int | None = None,
     on_progress: OnProgress = _no_progress,
 ) -> list[Finding]:
-    """Play `rounds` scenarios in parts, each part made from the worst so far; return these, the worst first.
+    """Run `rounds` scenarios in batches; return the findings with the largest regret, the worst first.
 
-    The same seed finds the same scenarios, however many processes play them.
+    Each batch is partly mutated from the worst scenarios so far. The result depends on the seed, but not on
+    the number of processes.
     """
     source = random.Random(seed)
     worst: list[Finding] = []
     done = 0
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         while done < rounds:
-            texts = _next_part(worst, source, min(PART, rounds - done))
-            seeds = [source.randrange(1, SEED_LIMIT) for _ in texts]
+            texts = _next_batch(worst, source, min(BATCH_SIZE, rounds - done))
+            seeds = [source.randrange(1, MAX_SEED) for _ in texts]
             worst += pool.map(evaluate, texts, [policy] * len(texts), seeds)
-            worst = sorted(worst, key=lambda finding: -finding.regret)[:POPULATION]
+            worst = sorted(worst, key=lambda finding: -finding.regret)[:POPULATION_SIZE]
             done += len(texts)
             on_progress(done, worst[0])
     return worst
 
 
-def _next_part(worst: list[Finding], source: random.Random, count: int) -> list[str]:
-    """Return `count` scenarios' texts, generated or made from the worst findings."""
+def _next_batch(worst: list[Finding], source: random.Random, count: int) -> list[str]:
+    """Return the texts of `count` valid scenarios, generated or mutated from the worst findings."""
     texts: list[str] = []
     while len(texts) < count:
         generated = not worst or source.random() < GENERATED_FRACTION
@@ -109,8 +110,8 @@
     evaluation: Evaluation = evaluate,
     max_runs: int = MAX_MINIMIZATION_RUNS,
 ) -> Finding:
-    """Make a scenario smaller for as long as it has RETAINED_REGRET of its regret; play `max_runs` at the most."""
-    least_regret = RETAINED_REGRET * finding.regret
+    """Reduce a scenario in at most `max_runs` runs, keeping RETAINED_REGRET_FRACTION of its regret."""
+    min_regret = RETAINED_REGRET_FRACTION * finding.regret
     best: Finding = finding
     runs = 0
     while runs < max_runs:
@@ -118,7 +119,7 @@
         for text in reductions(best.text):
             candidate = evaluation(text, policy, best.seed)
             runs += 1
-            if candidate.regret >= least_regret:
+            if candidate.regret >= min_regret:
                 smaller = candidate
                 break
             if runs >= max_runs:
@@ -130,7 +131,7 @@
 
 
 def save(finding: Finding, policy: str, folder: Path) -> Path:
-    """Store a finding as a scenario file, named by its faults; return the file. Raises OSError."""
+    """Write a finding as a new scenario file, named after its faults; return the file. Raises OSError."""
     message = message_of(finding.text)
     message.shows = _description(finding, policy)
     text = str(text_format.MessageToString(message))
