--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,6 +1,6 @@
-"""What a round costs follows what is busy: closed destinations and further endpoints are not looked at.
+"""Tests that a scheduler round does not examine closed destinations or all endpoints.
 
-Work is counted, not timed, so that the verdict is the same on every machine.
+Work is counted, not timed, so that results do not depend on the machine.
 """
 
 from __future__ import annotations
@@ -31,40 +31,40 @@
 from juniperward.simulation.scenario_loader import parse
 from juniperward.simulation.world import World
 
-DAY = """
-shows: "a day on which destinations close and open"
+SCENARIO_TEMPLATE = """
+shows: "destinations close and open"
 seconds: 14 forwarders: {forwarders} slots: 12 max_open: 60
 partners {{ count: 2 share: 0.6 workers: 2 latency: 0.06 rate: 14 batch: 5 }}
-partners {{ count: 3 share: 0.4 workers: {workers} latency: 0.05 }}
+partners {{ count: 3 share: 0.4 workers: {endpoints} latency: 0.05 }}
 traffic {{ rate: 60 clumps: 0.3 clump: 9 again: 0.7 swing: 0.4 period: 7 deadline: 8 }}
 trouble {{ kind: {kind} at: 3 seconds: 4 partner: 1 partner: 3 size: 0.9 }}
 """
 
 
 class CountingRouting(Routing):
-    """Counts what a release looks at."""
+    """Counts the destinations and endpoints that are examined."""
 
-    chosen = opened = 0
+    choose_calls = opens_at_calls = 0
 
     def choose(self, destination: Destination, head: Message) -> Choice | None:
-        self.chosen += 1
+        self.choose_calls += 1
         return super().choose(destination, head)
 
     def opens_at(self, endpoint: Endpoint) -> float:
-        self.opened += 1
+        self.opens_at_calls += 1
         return super().opens_at(endpoint)
 
 
-class Counting(DeliveryScheduler):
-    """A scheduler whose routing counts."""
+class CountingScheduler(DeliveryScheduler):
+    """A scheduler with a `CountingRouting`."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
         self.routing.__class__ = CountingRouting
 
 
-class Watching(DeliveryScheduler):
-    """Fails as soon as a destination is off the ring though something waits there that nothing will wake."""
+class CheckingScheduler(DeliveryScheduler):
+    """Asserts after each round that a destination with waiting messages is on the ring or will be woken."""
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         actions = super().handle(now, events)
@@ -74,136 +74,144 @@
                 continue
             opens = [self.routing.opens_at(ep) for ep in d.endpoint_order if ep.phase is EndpointPhase.READY]
             at = min(opens, default=math.inf)
-            assert at > now, f"{d.id} is open and off the ring"
+            assert at > now, f"destination {d.id} is open but not on the ring"
             scheduled = timers.pending(backlog.make_ready)
             woken = any(timer.arguments == (d,) and timer.at <= at + 1e-6 for timer in scheduled)
-            assert at == math.inf or woken, f"{d.id} opens at {at}, nothing wakes it"
-            assert at < math.inf or d.slots_in_use or not opens, f"{d.id} waits for news that cannot come"
+            assert at == math.inf or woken, f"destination {d.id} opens at {at}, but no timer wakes it"
+            assert at < math.inf or d.slots_in_use or not opens, f"destination {d.id} waits for no event"
         return actions
 
 
-class MissedEventsBacklog(Backlog):
-    """A planted fault: nothing is scheduled for the moment at which a destination opens."""
+class MissingTimerBacklog(Backlog):
+    """Injected defect: no timer is scheduled for the time at which a destination opens."""
 
     def make_ready_at(self, destination: Destination, at: float) -> None:
         pass
 
 
-class MissedEvents(Watching):
-    """A scheduler whose backlog is deaf."""
+class MissingTimerScheduler(CheckingScheduler):
+    """A scheduler with a `MissingTimerBacklog`."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.state.backlog.__class__ = MissedEventsBacklog
+        self.state.backlog.__class__ = MissingTimerBacklog
 
 
-class ForgetfulBacklog(Backlog):
-    """A planted fault: the end of a call opens nothing."""
+class MissingWakeUpBacklog(Backlog):
+    """Injected defect: a destination with a call in flight and one waiting message stays off the ring."""
 
     def make_ready(self, destination: Destination) -> None:
         if not destination.slots_in_use or len(destination.queue) > 1:
             super().make_ready(destination)
 
 
-class Forgetful(Watching):
-    """A scheduler whose backlog is forgetful."""
+class MissingWakeUpScheduler(CheckingScheduler):
+    """A scheduler with a `MissingWakeUpBacklog`."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.state.backlog.__class__ = ForgetfulBacklog
+        self.state.backlog.__class__ = MissingWakeUpBacklog
 
 
-def sender(kind: type[DeliveryScheduler], destinations: int, workers: int) -> Any:
+def make_scheduler(kind: type[DeliveryScheduler], destinations: int, endpoints: int) -> Any:
+    """Return a scheduler with the given number of destinations, and of endpoints for each."""
     classes = (MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),)
-    made = kind(SchedulerSettings(classes, slots=200, max_open=100_000, kinds=(DestinationKind(),)), 1)
+    scheduler = kind(SchedulerSettings(classes, slots=200, max_open=100_000, kinds=(DestinationKind(),)), 1)
     entries = [
-        EndpointEntry(d * workers + w, d, EndpointPhase.READY, 0, 0, 0.0)
+        EndpointEntry(d * endpoints + e, d, EndpointPhase.READY, 0, 0, 0.0)
         for d in range(destinations)
-        for w in range(workers)
+        for e in range(endpoints)
     ]
-    made.handle(0.0, [EndpointListUpdated(ListScope.FULL, tuple(entries))])
-    return made
+    scheduler.handle(0.0, [EndpointListUpdated(ListScope.FULL, tuple(entries))])
+    return scheduler
 
 
 class CostTest(unittest.TestCase):
-    def test_destinations_that_are_closed_cost_a_round_nothing(self) -> None:
-        made = sender(Counting, 301, 1)
+    def test_closed_destinations_are_not_examined_in_a_round(self) -> None:
+        scheduler = make_scheduler(CountingScheduler, 301, 1)
         for d in range(1, 301):
-            made.handle(
+            scheduler.handle(
                 0.1,
                 [
                     MessageAdmitted(d, 0, d, 1000.0, 0, f"k{d}"),
                     MessageAdmitted(1000 + d, 0, d, 1000.0, 0, f"l{d}"),
                 ],
             )
-            for a in [d, 1000 + d]:
-                for n in list(made.state.backlog.messages[a].in_flight):
-                    made.handle(0.1, [AttemptFinished(a, n, d, Outcome.OVERLOADED, 0.01, False, 500.0)])
-        made.handle(5.0, [TimerFired(made.timer_token)])
-        made.routing.chosen = 0
+            for message in [d, 1000 + d]:
+                for attempt in list(scheduler.state.backlog.messages[message].in_flight):
+                    scheduler.handle(
+                        0.1, [AttemptFinished(message, attempt, d, Outcome.OVERLOADED, 0.01, False, 500.0)]
+                    )
+        scheduler.handle(5.0, [TimerFired(scheduler.timer_token)])
+        scheduler.routing.choose_calls = 0
         for n in range(50):
-            made.handle(10.0 + n, [MessageAdmitted(5000 + n, 0, 0, 20.0, 0, f"m{n}")])
-            made.handle(10.1 + n, [AttemptFinished(5000 + n, 0, 0, Outcome.OK, 0.1, True)])
-        self.assertLessEqual(
-            made.routing.chosen, 50 * 8
-        )  # with a look at each in each round it is some 30,000
-
-    def test_a_release_looks_at_a_bounded_number_of_endpoints(self) -> None:
-        looked = {}
-        for workers in (20, 2000):
-            made = sender(Counting, 1, workers)
+            scheduler.handle(10.0 + n, [MessageAdmitted(5000 + n, 0, 0, 20.0, 0, f"m{n}")])
+            scheduler.handle(10.1 + n, [AttemptFinished(5000 + n, 0, 0, Outcome.OK, 0.1, True)])
+        # Examining each closed destination in each round would take about 30,000 calls.
+        self.assertLessEqual(scheduler.routing.choose_calls, 50 * 8)
+
+    def test_a_release_examines_a_bounded_number_of_endpoints(self) -> None:
+        examined_per_release = {}
+        for endpoints in (20, 2000):
+            scheduler = make_scheduler(CountingScheduler, 1, endpoints)
             for n in range(200):
-                made.handle(1.0 + n / 100, [MessageAdmitted(n, 0, 0, 20.0, 0, f"m{n}")])
+                scheduler.handle(1.0 + n / 100, [MessageAdmitted(n, 0, 0, 20.0, 0, f"m{n}")])
                 if n >= 10:
                     ((number, endpoint),) = [
-                        (k, m.last_endpoint) for k, m in made.state.backlog.messages.items() if k == n - 10
+                        (k, m.last_endpoint)
+                        for k, m in scheduler.state.backlog.messages.items()
+                        if k == n - 10
                     ]
-                    made.handle(1.0 + n / 100, [AttemptFinished(number, 0, endpoint, Outcome.OK, 0.1, True)])
-            looked[workers] = made.routing.opened / 200
-            spread = {m.last_endpoint for m in made.state.backlog.messages.values()}
-            self.assertEqual(
-                len(spread), len(made.state.backlog.messages)
-            )  # calls that are out together go to different ones
-        self.assertLessEqual(looked[2000], 2 * looked[20])
+                    scheduler.handle(
+                        1.0 + n / 100, [AttemptFinished(number, 0, endpoint, Outcome.OK, 0.1, True)]
+                    )
+            examined_per_release[endpoints] = scheduler.routing.opens_at_calls / 200
+            # Concurrent calls go to different endpoints.
+            used = {m.last_endpoint for m in scheduler.state.backlog.messages.values()}
+            self.assertEqual(len(used), len(scheduler.state.backlog.messages))
+        self.assertLessEqual(examined_per_release[2000], 2 * examined_per_release[20])
 
     def test_state_of_an_idle_destination_is_small(self) -> None:
-        """10,000 destinations with two workers each must fit into a forwarder's 32 MB beside the rest of it."""
+        """10,000 destinations with two endpoints each must fit into the 32 MB of a forwarder."""
         entries = tuple(EndpointEntry(n, n // 2, EndpointPhase.READY, 0, 0, 0.0) for n in range(2000))
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
         classes = (MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3),)
-        made = DeliveryScheduler(
+        scheduler = DeliveryScheduler(
             SchedulerSettings(classes, slots=200, max_open=400, kinds=(DestinationKind(),)), 1
         )
-        made.handle(0.0, [EndpointListUpdated(ListScope.FULL, entries)])
-        self.assertLess(tracemalloc.get_traced_memory()[0] / 1000, 2000)  # bytes; it was 3,800
+        scheduler.handle(0.0, [EndpointListUpdated(ListScope.FULL, entries)])
+        bytes_per_destination = tracemalloc.get_traced_memory()[0] / 1000
+        self.assertLess(bytes_per_destination, 2000)
 
     def test_one_open_endpoint_among_many_closed_ones_is_found(self) -> None:
-        made = sender(DeliveryScheduler, 1, 500)
-        for ep in made.state.table.endpoints.values():
-            if ep.id != 321:
-                ep.unhealthy, ep.next_trial_at = True, 1e9
-        sent = made.handle(1.0, [MessageAdmitted(1, 0, 0, 20.0, 0, "k")])
-        self.assertEqual([a.endpoint for a in sent if isinstance(a, StartAttempt)], [321])
+        scheduler = make_scheduler(DeliveryScheduler, 1, 500)
+        for endpoint in scheduler.state.table.endpoints.values():
+            if endpoint.id != 321:
+                endpoint.unhealthy, endpoint.next_trial_at = True, 1e9
+        actions = scheduler.handle(1.0, [MessageAdmitted(1, 0, 0, 20.0, 0, "k")])
+        self.assertEqual([a.endpoint for a in actions if isinstance(a, StartAttempt)], [321])
 
 
-class ClosedTest(unittest.TestCase):
-    def days(self) -> Iterable[tuple[str, str]]:
+class WakeUpTest(unittest.TestCase):
+    def scenarios(self) -> Iterable[tuple[str, str]]:
+        """Yield the kind of fault and the text of each scenario, for small and for larger fleets."""
         for kind in ("DOWN", "SHUT", "FAILING", "SILENT", "SLOW", "HOT", "KILL"):
-            for forwarders in (2, 8):  # few nodes take the design's figures whole, many their parts
-                yield kind, DAY.format(kind=kind, forwarders=forwarders, workers=40 if kind == "SHUT" else 2)
+            endpoints = 40 if kind == "SHUT" else 2
+            for forwarders in (2, 8):
+                yield kind, SCENARIO_TEMPLATE.format(kind=kind, forwarders=forwarders, endpoints=endpoints)
 
     def test_pending_messages_are_on_the_ring_or_have_a_timer(self) -> None:
-        for kind, text in self.days():
+        for kind, text in self.scenarios():
             with self.subTest(kind):
-                World(parse(text, "s"), Watching, 1).run()
+                World(parse(text, "s"), CheckingScheduler, 1).run()
 
-    def test_the_invariant_check_detects_planted_faults(self) -> None:
-        for fault in (MissedEvents, Forgetful):
-            caught = 0
-            for _, text in self.days():
+    def test_the_checks_detect_injected_defects(self) -> None:
+        for scheduler_type in (MissingTimerScheduler, MissingWakeUpScheduler):
+            detected = 0
+            for _, text in self.scenarios():
                 try:
-                    World(parse(text, "s"), fault, 1).run()
+                    World(parse(text, "s"), scheduler_type, 1).run()
                 except AssertionError:
-                    caught += 1
-            self.assertGreaterEqual(caught, 2, fault)
+                    detected += 1
+            self.assertGreaterEqual(detected, 2, scheduler_type)
--- a/tests/test_recovery_simulation.py
+++ b/tests/test_recovery_simulation.py
@@ -1,4 +1,4 @@
-"""A destination in slow start after an outage: all forwarders' calls, simulated and with real processes."""
+"""Tests of the load that a fleet puts on a destination in slow start, simulated and with real processes."""
 
 from __future__ import annotations
 
@@ -39,30 +39,32 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_the_budget_is_multiple_times_present_capacity_times_span(self) -> None:
+    def test_the_budget_is_multiple_times_current_capacity_times_span(self) -> None:
         self.assertAlmostEqual(BUDGET.expected_calls(0.0), 2.0 * 0.18 * 10.0 * 3.0)
         self.assertAlmostEqual(BUDGET.expected_calls(5.0), 2.0 * (0.18 + 0.82 / 2) * 10.0 * 3.0)
         self.assertAlmostEqual(BUDGET.expected_calls(10.0), 60.0)
         self.assertAlmostEqual(BUDGET.expected_calls(99.0), 60.0)
 
-    def test_two_roots_and_two_calls_are_the_margin_for_chance(self) -> None:
+    def test_the_margin_is_two_square_roots_and_two_calls(self) -> None:
         self.assertAlmostEqual(with_chance_margin(16.0), 16.0 + 8.0 + 2.0)
         self.assertAlmostEqual(BUDGET.max_calls(10.0), with_chance_margin(60.0))
 
     def test_the_mean_over_the_span_is_never_above_the_capacity_at_its_end(self) -> None:
         for tenths in range(100):
-            since = tenths / 10.0
-            self.assertLessEqual(BUDGET.max_calls_by_mean(since), BUDGET.max_calls(since) + 1e-9)
-        steps = [BUDGET.current_capacity_per_s(7.0 + n / 1000.0) for n in range(-3000, 1)]
-        mean = sum(steps) / len(steps)
+            since_recovery_s = tenths / 10.0
+            self.assertLessEqual(
+                BUDGET.max_calls_by_mean(since_recovery_s), BUDGET.max_calls(since_recovery_s) + 1e-9
+            )
+        capacities = [BUDGET.current_capacity_per_s(7.0 + n / 1000.0) for n in range(-3000, 1)]
+        mean = sum(capacities) / len(capacities)
         self.assertAlmostEqual(BUDGET.max_calls_by_mean(7.0), with_chance_margin(2.0 * mean * 3.0), places=3)
 
-    def test_the_invariant_is_violated_beyond_two_thirds_of_notified_calls(self) -> None:
+    def test_an_overload_with_over_two_thirds_notified_calls_violates_the_invariant(self) -> None:
         self.assertFalse(LoadSpan(1.0, 30, 20, 29.0).violates_invariant)
         self.assertTrue(LoadSpan(1.0, 30, 21, 29.0).violates_invariant)
         self.assertFalse(LoadSpan(1.0, 29, 29, 29.0).violates_invariant)
 
-    def test_a_simulated_destination_crashes_with_the_first_call_beyond_it(self) -> None:
+    def test_a_simulated_destination_crashes_with_the_first_call_over_the_budget(self) -> None:
         world = World(parse(OVERLOADED, "overloaded.textproto"), DeliveryScheduler, 1)
         destination = world.destinations[0]
         destination.recovered_s, world.timeline.now = 0.0, 1.0
@@ -70,13 +72,13 @@
         for n in range(max_calls):
             world.service.rejection(destination, destination.endpoints[0])
             self.assertFalse(destination.crashed, n)
-        self.assertEqual(max_calls, 8)  # N = 2 x 3 x 2 x 0.262
+        self.assertEqual(max_calls, 8)  # N = 2 x 3 s x 2/s x 0.262
         world.service.rejection(destination, destination.endpoints[0])
         self.assertTrue(destination.crashed)
 
 
 class NoDetection(OutlierDetection):
-    """Planted fault: failures in an outage change nothing."""
+    """Injected defect: ignores failures and ejects no endpoint."""
 
     def _record_fault(self, endpoint: Endpoint, reason: EjectionReason, unreached: bool = False) -> None:
         pass
@@ -86,7 +88,7 @@
 
 
 class UndetectingScheduler(DeliveryScheduler):
-    """A scheduler that detects no outage."""
+    """A scheduler that detects no outages."""
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -100,7 +102,7 @@
         self.assertNotEqual(RecoverySimulation(case, 30, 5).run(), RecoverySimulation(case, 30, 6).run())
 
     def test_no_notified_fleet_crashes_a_destination_in_slow_start(self) -> None:
-        """A subset of `juniperward measure slow-start`, which has the sizes and seeds that are over the bound."""
+        """Runs a subset of the cases, sizes and seeds of `juniperward measure slow-start`."""
         results = play_all(CASES, (1, 3, 30, 230), range(1, 3))
         violations = [
             (r.case.name, r.forwarders, r.seed, r.first_overload) for r in results if r.violates_invariant
@@ -111,14 +113,14 @@
         self.assertTrue(all(r.delivered for r in results))
 
     def test_refused_connections_notify_200_forwarders_as_failures_do(self) -> None:
-        """Each forwarder has hardly a call in flight: four in a row at an endpoint never come together."""
+        """Each forwarder makes few calls: detection must not need several failures at an endpoint."""
         for listed in (False, True):
             for seed in range(1, 9):
                 result = RecoverySimulation(RecoveryCase(Outage.DOWN, listed), 200, seed).run()
                 self.assertFalse(result.violates_invariant, (listed, seed, result.first_overload))
 
-    def test_a_rate_limit_that_messages_wait_for_outlasts_short_rejections(self) -> None:
-        """Twenty forwarders, rejected for under 6 s: none had ejected it, and each flushed its queue."""
+    def test_forwarders_do_not_flush_their_queues_after_short_rejections(self) -> None:
+        """After rejections too short for an ejection, a learned rate limit must pace waiting messages."""
         for seed in (15, 19, 36):
             result = RecoverySimulation(RecoveryCase(Outage.REJECTING), 20, seed).run()
             self.assertIsNone(result.first_overload, seed)
@@ -145,33 +147,33 @@
         self.assertEqual(invariant_held, "**broken**" not in page)
 
 
-def calls_since(records: Sequence[Record], returned: float) -> list[float]:
-    """Return when calls came after the return."""
-    return sorted(r.at for r in records if isinstance(r, AttemptReceived) and r.at >= returned)
+def calls_since(records: Sequence[Record], recovered_at: float) -> list[float]:
+    """Return the sorted times of the calls since the recovery."""
+    return sorted(r.at for r in records if isinstance(r, AttemptReceived) and r.at >= recovered_at)
 
 
-def overfull(
-    calls: list[float], returned: float, budget: RecoveryBudget
+def overloaded_spans(
+    calls: list[float], recovered_at: float, budget: RecoveryBudget
 ) -> Iterator[tuple[float, int, float]]:
-    """Spans over the bound: their end in seconds after the return, their calls, and the most that are borne."""
+    """Yield each span over the budget: its end in seconds after recovery, its calls, and the maximum."""
     recent: deque[float] = deque()
     for at in calls:
         recent.append(at)
         while recent[0] <= at - budget.overload_span_s:
             recent.popleft()
-        most = budget.max_calls(at - returned)
-        if len(recent) > most and at - returned < budget.warm_up_s:
-            yield at - returned, len(recent), most
+        max_calls = budget.max_calls(at - recovered_at)
+        if len(recent) > max_calls and at - recovered_at < budget.warm_up_s:
+            yield at - recovered_at, len(recent), max_calls
 
 
 class ProcessesTest(unittest.TestCase):
-    """Real forwarders on loopback, one destination that is away for 5 s."""
+    """Real forwarders on loopback, with one destination that has an outage of 5 s."""
 
     FORWARDERS = 8
     SPEC = DestinationSpec(1, latency_s=0.03, rate_limit=20.0)
-    RATE = 18.0
+    RATE_PER_S = 18.0
 
-    def away(self, mode: FaultMode) -> None:
+    def check_recovery_from(self, mode: FaultMode) -> None:
         folder = tempfile.TemporaryDirectory(prefix="jw-")
         self.addCleanup(folder.cleanup)
         cluster = LocalCluster(Path(folder.name), self.FORWARDERS, [self.SPEC])
@@ -183,12 +185,12 @@
         }
         cluster.start()
         destination = cluster.destinations[1]
-        traffic = Traffic(self.RATE, ((1, 1.0),), ACCOUNTS, deadline_s=8.0)
+        traffic = Traffic(self.RATE_PER_S, ((1, 1.0),), ACCOUNTS, deadline_s=8.0)
         clients = Clients(
             traffic, cluster.load_balancer, cluster.recorder, cluster.seed, ClientOptions(threads=48)
         )
         clients.start(14.0)
-        time.sleep(3.0)  # the load before, then the outage: the times are the case itself
+        time.sleep(3.0)  # normal load, before an outage of fixed length
         destination.inject_fault(mode)
         time.sleep(5.0)
         destination.inject_fault(FaultMode.HEALTHY)
@@ -205,14 +207,14 @@
         budget = RecoveryBudget(
             self.SPEC.capacity, self.SPEC.warm_up_start_fraction, self.SPEC.warm_up_s, 2.0, 3.0
         )
-        self.assertEqual(list(overfull(calls, destination.capacity.recovered_at, budget)), [])
+        self.assertEqual(list(overloaded_spans(calls, destination.capacity.recovered_at, budget)), [])
         self.assertFalse(destination.capacity.crashed)
 
-    def test_eight_processes_stay_within_the_bound_after_failures(self) -> None:
-        self.away(FaultMode.FAILING)
+    def test_eight_processes_stay_within_the_budget_after_failures(self) -> None:
+        self.check_recovery_from(FaultMode.FAILING)
 
-    def test_eight_processes_stay_within_the_bound_after_refused_connections(self) -> None:
-        self.away(FaultMode.DOWN)
+    def test_eight_processes_stay_within_the_budget_after_refused_connections(self) -> None:
+        self.check_recovery_from(FaultMode.DOWN)
 
 
 if __name__ == "__main__":
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation: the same seed gives the same run, invariants are checked, and experiments resume after a kill."""
+"""Tests of the simulation: reproducible runs, invariants, and experiments that resume after a kill."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from juniperward.simulation.search import Finding, evaluate, minimize, save, search
 from juniperward.simulation.world import World
 
-SMALL = """
-shows: "a small day with an outage"
+SCENARIO_TEXT = """
+shows: "a small scenario with an outage"
 seconds: 12 forwarders: 2 slots: 12 max_open: 100
 partners { count: 2 share: 0.6 workers: 2 latency: 0.06 rate: 20 batch: 5 }
 partners { count: 4 share: 0.4 latency: 0.05 }
@@ -43,7 +43,7 @@
 """
 
 
-def result(policy: str, seed: int, utility: float) -> Result:
+def make_result(policy: str, seed: int, utility: float) -> Result:
     lost, by_second = {"late": 0.1}, [[1.0, 0.9]]
     return Result(
         "s", "d", policy, seed, utility, 1, 1, 0, 0, 0.1, 0.2, 1, 0, 0, 0, 0, lost, by_second, 0.1, 5
@@ -66,15 +66,15 @@
             ("clumps: 0.2", "clumps: 2", 6, "traffic[0].clumps"),
         ):
             with self.subTest(field), self.assertRaises(SettingsError) as caught:
-                parse(SMALL.replace(old, new), "f.textproto")
+                parse(SCENARIO_TEXT.replace(old, new), "f.textproto")
             self.assertIn((line, field), [(f.line, f.field) for f in caught.exception.faults])
 
 
 class WorldTest(unittest.TestCase):
     def test_the_same_seed_gives_the_same_run(self) -> None:
         def run(policy: str, seed: int) -> dict[str, Any]:
-            found = run_scenario(SMALL, "small", policy, seed)
-            return {f: getattr(found, f) for f in Result.__slots__ if f != "wall_time_s"}
+            run_result = run_scenario(SCENARIO_TEXT, "small", policy, seed)
+            return {field: getattr(run_result, field) for field in Result.__slots__ if field != "wall_time_s"}
 
         for policy in POLICIES:
             self.assertEqual(run(policy, 3), run(policy, 3), policy)
@@ -83,20 +83,19 @@
     def test_policies_of_one_seed_get_the_same_arrivals(self) -> None:
         arrivals = set()
         for policy in POLICIES:
-            result = run_scenario(SMALL, "small", policy, 5)
-            arrivals.add(tuple(requested for requested, _ in result.by_second))
+            run_result = run_scenario(SCENARIO_TEXT, "small", policy, 5)
+            arrivals.add(tuple(requested for requested, _ in run_result.by_second))
         self.assertEqual(len(arrivals), 1)
 
-    def test_our_scheduler_violates_no_invariant_and_beats_no_retry(self) -> None:
-        ours, least = (
-            run_scenario(SMALL, "small", "juniperward", 1),
-            run_scenario(SMALL, "small", "no-retry", 1),
-        )
+    def test_scheduler_violates_no_invariant_and_beats_no_retry(self) -> None:
+        scheduler = run_scenario(SCENARIO_TEXT, "small", "juniperward", 1)
+        no_retry = run_scenario(SCENARIO_TEXT, "small", "no-retry", 1)
         self.assertEqual(
-            (ours.duplicate_effects, ours.retry_after_violations, ours.destinations_crashed), (0, 0, 0)
+            (scheduler.duplicate_effects, scheduler.retry_after_violations, scheduler.destinations_crashed),
+            (0, 0, 0),
         )
-        self.assertGreater(ours.utility, least.utility)
-        self.assertAlmostEqual(ours.utility + sum(ours.utility_lost.values()), 1.0, places=6)
+        self.assertGreater(scheduler.utility, no_retry.utility)
+        self.assertAlmostEqual(scheduler.utility + sum(scheduler.utility_lost.values()), 1.0, places=6)
 
     def test_violations_of_a_policy_are_counted(self) -> None:
         class Aggressive(Baseline):
@@ -113,32 +112,32 @@
                     message.not_before_s = self.now
                     message.first_executed_s = None
 
-        text = SMALL.replace("kind: DOWN", "kind: SHUT").replace("rate: 30", "rate: 60")
-        found = World(parse(text, "s"), Aggressive, 1).run()
-        self.assertGreater(found.retry_after_violations, 10)
-        self.assertGreater(found.destinations_crashed, 0)
+        text = SCENARIO_TEXT.replace("kind: DOWN", "kind: SHUT").replace("rate: 30", "rate: 60")
+        run_result = World(parse(text, "s"), Aggressive, 1).run()
+        self.assertGreater(run_result.retry_after_violations, 10)
+        self.assertGreater(run_result.destinations_crashed, 0)
 
     def test_every_message_has_one_outcome_with_every_policy(self) -> None:
         for name, policy in POLICIES.items():
             for kind in ("SILENT", "FAILING", "KILL", "SLOW", "HOT"):
-                text = SMALL.replace("kind: DOWN", f"kind: {kind}")
-                found = World(parse(text, "s"), policy, 2).run()
-                self.assertEqual(found.unfinished, 0, (name, kind))
-                self.assertEqual(found.duplicate_effects, 0, (name, kind))
+                text = SCENARIO_TEXT.replace("kind: DOWN", f"kind: {kind}")
+                run_result = World(parse(text, "s"), policy, 2).run()
+                self.assertEqual(run_result.unfinished, 0, (name, kind))
+                self.assertEqual(run_result.duplicate_effects, 0, (name, kind))
 
 
 class UnresponsiveTest(unittest.TestCase):
     def test_calls_to_an_unresponsive_destination_end_with_the_fault_and_free_their_slots(self) -> None:
-        """On sockets connections end with the fault; a model without that was wrong by up to 0.16 of utility."""
+        """The end of the fault resets connections, as on sockets; calls must not wait for their timeouts."""
         ended: list[tuple[Outcome, float]] = []
 
         class Recording(NoRetry):
-            """Records how calls end."""
+            """Records the outcomes of calls."""
 
             def observe(self, _destination: DestinationQueue, event: AttemptFinished, /) -> None:
                 ended.append((event.outcome, self.now))
 
-        world = World(parse(SMALL.replace("kind: DOWN", "kind: SILENT"), "s"), Recording, 1)
+        world = World(parse(SCENARIO_TEXT.replace("kind: DOWN", "kind: SILENT"), "s"), Recording, 1)
         world.run()
         reset = [at for outcome, at in ended if outcome is Outcome.RESET]
         self.assertGreater(len(reset), 5)
@@ -148,60 +147,63 @@
 
 
 class SlowStartTest(unittest.TestCase):
-    def test_a_destination_in_slow_start_is_slow_and_has_its_agreed_rate_limit(self) -> None:
-        """As in the fakes: a reduced limit sent Retry-After values that spared aggressive policies a crash."""
-        text = SMALL.replace("rate: 30", "rate: 90")
+    def test_a_destination_in_slow_start_is_slow_and_keeps_its_rate_limit(self) -> None:
+        """A rate limit reduced in slow start would protect the destination from aggressive policies."""
+        text = SCENARIO_TEXT.replace("rate: 30", "rate: 90")
         self.assertEqual(World(parse(text, "s"), POLICIES["round-robin"], 1).run().destinations_crashed, 1)
         self.assertEqual(World(parse(text, "s"), POLICIES["juniperward"], 1).run().destinations_crashed, 0)
 
 
 class OracleTest(unittest.TestCase):
-    def test_it_violates_no_invariant_and_no_policy_is_much_better(self) -> None:
+    def test_oracle_violates_no_invariant_and_no_policy_is_much_better(self) -> None:
         for kind in ("DOWN", "SHUT"):
-            text = SMALL.replace("kind: DOWN", f"kind: {kind}").replace("rate: 30", "rate: 60")
-            top = run_scenario(text, "small", "oracle", 1)
+            text = SCENARIO_TEXT.replace("kind: DOWN", f"kind: {kind}").replace("rate: 30", "rate: 60")
+            oracle = run_scenario(text, "small", "oracle", 1)
             self.assertEqual(
-                (top.duplicate_effects, top.retry_after_violations, top.destinations_crashed), (0, 0, 0), kind
+                (oracle.duplicate_effects, oracle.retry_after_violations, oracle.destinations_crashed),
+                (0, 0, 0),
+                kind,
             )
             for policy in POLICIES:
                 self.assertLess(
-                    run_scenario(text, "small", policy, 1).utility, top.utility + 0.005, (kind, policy)
+                    run_scenario(text, "small", policy, 1).utility, oracle.utility + 0.005, (kind, policy)
                 )
 
 
 class SearchTest(unittest.TestCase):
     def test_the_same_seed_finds_the_same_scenarios_and_most_are_valid(self) -> None:
-        def days(seed: int) -> list[str | None]:
-            dice = random.Random(seed)
-            made = [generate(dice) for _ in range(30)]
-            return [valid_text(m) for m in made] + [
-                valid_text(mutate(text_format.MessageToString(m), dice)) for m in made
+        def scenario_texts(seed: int) -> list[str | None]:
+            source = random.Random(seed)
+            generated = [generate(source) for _ in range(30)]
+            return [valid_text(message) for message in generated] + [
+                valid_text(mutate(text_format.MessageToString(message), source)) for message in generated
             ]
 
-        self.assertEqual(days(1), days(1))
-        self.assertNotEqual(days(1), days(2))
-        self.assertGreater(len([d for d in days(1) if d]), 50)
+        self.assertEqual(scenario_texts(1), scenario_texts(1))
+        self.assertNotEqual(scenario_texts(1), scenario_texts(2))
+        self.assertGreater(len([text for text in scenario_texts(1) if text]), 50)
 
-    def test_a_policy_with_a_planted_fault_is_found_and_its_scenario_minimized(self) -> None:
-        found = search("no-retry", 3, 7, 1)
-        self.assertEqual([f.regret for f in found], sorted((f.regret for f in found), reverse=True))
-        text = SMALL + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
+    def test_scenarios_of_a_weak_policy_are_ranked_minimized_and_saved(self) -> None:
+        findings = search("no-retry", 3, 7, 1)
+        regrets = [finding.regret for finding in findings]
+        self.assertEqual(regrets, sorted(regrets, reverse=True))
+        text = SCENARIO_TEXT + "trouble { kind: SLOW at: 1 seconds: 2 partner: 4 }"
         text += "trouble { kind: HOT at: 2 seconds: 2 partner: 3 }"
-        bad = evaluate(text, "no-retry", 1)
-        self.assertGreater(bad.regret, 0.01)
-        small = minimize(bad, "no-retry", max_runs=12)
-        self.assertGreaterEqual(small.regret, 0.8 * bad.regret)
-        self.assertLess(small.text.count("trouble"), 3)
+        finding = evaluate(text, "no-retry", 1)
+        self.assertGreater(finding.regret, 0.01)
+        minimized = minimize(finding, "no-retry", max_runs=12)
+        self.assertGreaterEqual(minimized.regret, 0.8 * finding.regret)
+        self.assertLess(minimized.text.count("trouble"), 3)
         with tempfile.TemporaryDirectory() as folder:
-            file = save(small, "no-retry", Path(folder))
+            file = save(minimized, "no-retry", Path(folder))
             self.assertIn("found by the search", load(file).description)
-            self.assertNotEqual(save(small, "no-retry", Path(folder)), file)
+            self.assertNotEqual(save(minimized, "no-retry", Path(folder)), file)
 
-    def test_the_command_has_its_former_name_for_one_release(self) -> None:
+    def test_the_former_name_of_the_command_works_and_is_deprecated(self) -> None:
         runner = CliRunner()
         new, old = (
-            runner.invoke(app, ["simulate", verb, "--rounds", "0", "--keep", "0"])
-            for verb in ("search", "hunt")
+            runner.invoke(app, ["simulate", command, "--rounds", "0", "--keep", "0"])
+            for command in ("search", "hunt")
         )
         self.assertEqual((new.exit_code, old.exit_code), (0, 0), old.output)
         self.assertIn("deprecated", old.output)
@@ -219,84 +221,81 @@
         self.folder = Path(folder.name)
 
     def test_a_sweep_that_was_killed_resumes(self) -> None:
-        s = parse(SMALL, "small.textproto")
-        first = sweep(self.folder, ExperimentPlan([s], ["no-retry"], [1, 2], 1))
+        plan = ExperimentPlan([parse(SCENARIO_TEXT, "small.textproto")], ["no-retry"], [1, 2], 1)
+        first = sweep(self.folder, plan)
         file = self.folder / "results.jsonl"
         complete = file.read_bytes()
-        file.write_bytes(complete[:-20])  # the second was torn by a kill
-        ran: list[int] = []
-        again = sweep(
-            self.folder,
-            ExperimentPlan([s], ["no-retry"], [1, 2], 1),
-            lambda _done, _total, r: ran.append(r.seed),
-        )
-        self.assertEqual([(r.seed, r.utility) for r in again], [(r.seed, r.utility) for r in first])
-        self.assertEqual(len(ran), 1)
-        sweep(
-            self.folder,
-            ExperimentPlan([s], ["no-retry"], [1, 2], 1),
-            lambda _done, _total, r: ran.append(r.seed),
-        )
-        self.assertEqual(len(ran), 1)
+        file.write_bytes(complete[:-20])  # a kill while the second result was written
+        seeds_run: list[int] = []
 
-    def test_one_writer_a_folder_and_results_are_read_back(self) -> None:
-        mine = ResultStore(self.folder)
-        mine.add(result("a", 1, 0.5))
+        def record_seed(_done: int, _planned: int, result: Result) -> None:
+            seeds_run.append(result.seed)
+
+        resumed = sweep(self.folder, plan, record_seed)
+        self.assertEqual([(r.seed, r.utility) for r in resumed], [(r.seed, r.utility) for r in first])
+        self.assertEqual(len(seeds_run), 1)
+        sweep(self.folder, plan, record_seed)
+        self.assertEqual(len(seeds_run), 1)
+
+    def test_a_folder_has_one_writer_and_its_results_are_read_back(self) -> None:
+        store = ResultStore(self.folder)
+        store.add(make_result("a", 1, 0.5))
         with self.assertRaises(ExperimentRunningError):
             ResultStore(self.folder)
-        mine.close()
-        again = ResultStore(self.folder)
-        self.assertEqual(list(again.results.values()), [result("a", 1, 0.5)])
-        again.close()
-
-    def test_parquet_has_all_that_a_replay_needs(self) -> None:
-        s = parse(SMALL, "small.textproto")
-        sweep(self.folder, ExperimentPlan([s], ["juniperward", "oracle"], [1], 1))
+        store.close()
+        reopened = ResultStore(self.folder)
+        self.assertEqual(list(reopened.results.values()), [make_result("a", 1, 0.5)])
+        reopened.close()
+
+    def test_parquet_has_everything_that_a_replay_needs(self) -> None:
+        scenario = parse(SCENARIO_TEXT, "small.textproto")
+        sweep(self.folder, ExperimentPlan([scenario], ["juniperward", "oracle"], [1], 1))
         stored = read_parquet(self.folder / "results.parquet")
         self.assertEqual(
-            [(r.scenario_text, r.policy) for r in stored], [(SMALL, "juniperward"), (SMALL, "oracle")]
+            [(r.scenario_text, r.policy) for r in stored],
+            [(SCENARIO_TEXT, "juniperward"), (SCENARIO_TEXT, "oracle")],
         )
         self.assertIn("cores", stored[0].machine)
         self.assertEqual(replay(stored[0]), {})
         tampered = dataclasses.replace(stored[0], utility=0.5)
         self.assertEqual(replay(tampered), {"utility": (0.5, stored[0].utility)})
-        words = ["simulate", "replay", "small", "-p", "oracle", "--out", str(self.folder)]
-        shown = CliRunner().invoke(app, words)
-        self.assertEqual((shown.exit_code, "the same" in shown.output), (0, True))
+        arguments = ["simulate", "replay", "small", "-p", "oracle", "--out", str(self.folder)]
+        replayed = CliRunner().invoke(app, arguments)
+        self.assertEqual((replayed.exit_code, "the same" in replayed.output), (0, True))
         self.assertEqual(
             CliRunner().invoke(app, ["simulate", "replay", "x", "--out", str(self.folder)]).exit_code, 1
         )
 
-    def test_the_names_of_stored_columns_stay(self) -> None:
+    def test_stored_columns_keep_their_names(self) -> None:
         names = (
             "scenario digest policy seed worth asked delivered refused failed median p99 calls calls_refused "
             "second_effects waits_broken fallen lost by_second wall events text revision machine v"
         )
-        row = to_row(result("a", 1, 0.5))
+        row = to_row(make_result("a", 1, 0.5))
         self.assertEqual(list(row), names.split())
-        self.assertEqual(from_row(row), result("a", 1, 0.5))
+        self.assertEqual(from_row(row), make_result("a", 1, 0.5))
 
     def test_results_of_the_first_version_are_read_and_newer_ones_rejected(self) -> None:
-        old = to_row(result("a", 1, 0.5)) | {"v": 1}
+        old = to_row(make_result("a", 1, 0.5)) | {"v": 1}
         for field in ("text", "revision", "machine"):
             del old[field]
         text = json.dumps(old).encode()
         (self.folder / "results.jsonl").write_bytes(b"%08x %s\n" % (zlib.crc32(text), text))
-        found = ResultStore(self.folder)
-        (row,) = found.results.values()
-        found.close()
-        self.assertEqual((row.version, row.utility, row.scenario_text), (1, 0.5, ""))
+        store = ResultStore(self.folder)
+        (stored,) = store.results.values()
+        store.close()
+        self.assertEqual((stored.version, stored.utility, stored.scenario_text), (1, 0.5, ""))
         with self.assertRaises(ValueError):
-            replay(row)
-        write_parquet(self.folder / "r.parquet", [dataclasses.replace(row, version=99)])
+            replay(stored)
+        write_parquet(self.folder / "r.parquet", [dataclasses.replace(stored, version=99)])
         with self.assertRaisesRegex(ValueError, "written by version 99"):
             read_parquet(self.folder / "r.parquet")
 
-    def test_comparisons_are_paired_and_tell_no_difference_from_one(self) -> None:
+    def test_comparisons_are_paired_by_seed_and_detect_differences(self) -> None:
         noise = [0.0, 0.1, 0.2, 0.3, 0.1, 0.2]
-        results = [result("juniperward", n, 0.6 + x) for n, x in enumerate(noise)]
-        results += [result("worse", n, 0.55 + x) for n, x in enumerate(noise)]
-        results += [result("other", n, 0.6 + x) for n, x in enumerate(reversed(noise))]
+        results = [make_result("juniperward", n, 0.6 + x) for n, x in enumerate(noise)]
+        results += [make_result("worse", n, 0.55 + x) for n, x in enumerate(noise)]
+        results += [make_result("other", n, 0.6 + x) for n, x in enumerate(reversed(noise))]
         (worse,) = compare(results, "juniperward", "worse")
         self.assertEqual(
             (worse.verdict, round(worse.mean, 6), worse.seeds), ("juniperward is better", 0.05, 6)
@@ -310,15 +309,15 @@
         self.assertIn("x &lt; y", text)
         self.assertNotIn("<script", text)
 
-    def test_the_commands(self) -> None:
+    def test_simulate_commands_run_sweep_and_list(self) -> None:
         file = self.folder / "small.textproto"
-        file.write_text(SMALL)
-        tool = CliRunner()
-        found = json.loads(
-            tool.invoke(app, ["simulate", "run", str(file), "-p", "no-retry", "-o", "json"]).output
+        file.write_text(SCENARIO_TEXT)
+        runner = CliRunner()
+        row = json.loads(
+            runner.invoke(app, ["simulate", "run", str(file), "-p", "no-retry", "-o", "json"]).output
         )
-        self.assertEqual(found["worth"], run_scenario(SMALL, "small", "no-retry", 1).utility)
-        words = [
+        self.assertEqual(row["worth"], run_scenario(SCENARIO_TEXT, "small", "no-retry", 1).utility)
+        arguments = [
             "simulate",
             "sweep",
             str(file),
@@ -330,37 +329,35 @@
             "1",
             "--out",
         ]
-        self.assertEqual(tool.invoke(app, [*words, str(self.folder / "o")]).exit_code, 0)
+        self.assertEqual(runner.invoke(app, [*arguments, str(self.folder / "o")]).exit_code, 0)
         self.assertIn("no-retry", (self.folder / "o" / "table.md").read_text())
-        self.assertEqual(tool.invoke(app, ["simulate", "run", str(file), "-p", "x"]).exit_code, 2)
-        self.assertIn("policies", tool.invoke(app, ["simulate", "list"]).output)
+        self.assertEqual(runner.invoke(app, ["simulate", "run", str(file), "-p", "x"]).exit_code, 2)
+        self.assertIn("policies", runner.invoke(app, ["simulate", "list"]).output)
         self.assertIsInstance(NoRetry.retries, bool)
 
 
 class FormerNamesTest(unittest.TestCase):
-    def test_results_and_commands_with_the_former_name_of_the_policy_are_read(self) -> None:
-        # Guards experiments on disk: their results would stand beside the new ones as another policy's.
-        with tempfile.TemporaryDirectory() as name:
-            file = Path(name) / "results.parquet"
-            result = run_scenario(SMALL, "small", "no-retry", 1)
-            former = [dataclasses.replace(result, policy=name) for name in ("nickelscale", "one-try")]
+    def test_results_and_commands_accept_former_names_of_policies(self) -> None:
+        # Stored results with a former name must not count as results of another policy.
+        with tempfile.TemporaryDirectory() as folder:
+            file = Path(folder) / "results.parquet"
+            run_result = run_scenario(SCENARIO_TEXT, "small", "no-retry", 1)
+            former = [dataclasses.replace(run_result, policy=name) for name in ("nickelscale", "one-try")]
             write_parquet(file, former)
             self.assertEqual([r.policy for r in read_parquet(file)], ["juniperward", "no-retry"])
-        tool = CliRunner()
-        found = tool.invoke(
-            app, ["lab", "run", str(FOLDER / "calm.textproto"), "-p", "nickelscale", "-o", "json"]
-        )
-        self.assertEqual(found.exit_code, 0, found.output)
+        runner = CliRunner()
         scenario = str(FOLDER / "calm.textproto")
-        found = tool.invoke(app, ["simulate", "run", scenario, "-p", "one-try", "-o", "json"])
-        self.assertEqual(json.loads(found.output)["policy"], "no-retry")
-
-    def test_a_comparison_takes_a_former_name(self) -> None:
-        # Guards the command's output: the results have the present name, so a former one compared with nothing.
-        with tempfile.TemporaryDirectory() as name:
-            file = Path(name) / "small.textproto"
-            file.write_text(SMALL)
-            words = ["simulate", "compare", "juniperward", "one-try", "-s", str(file), "--seeds", "2"]
-            options = ["--processes", "1", "--out", str(Path(name) / "out"), "-o", "json"]
-            (row,) = json.loads(CliRunner().invoke(app, words + options).output)
+        output = runner.invoke(app, ["lab", "run", scenario, "-p", "nickelscale", "-o", "json"])
+        self.assertEqual(output.exit_code, 0, output.output)
+        output = runner.invoke(app, ["simulate", "run", scenario, "-p", "one-try", "-o", "json"])
+        self.assertEqual(json.loads(output.output)["policy"], "no-retry")
+
+    def test_a_comparison_accepts_a_former_name(self) -> None:
+        # Results have the current name; a former name that is not translated would match none of them.
+        with tempfile.TemporaryDirectory() as folder:
+            file = Path(folder) / "small.textproto"
+            file.write_text(SCENARIO_TEXT)
+            arguments = ["simulate", "compare", "juniperward", "one-try", "-s", str(file), "--seeds", "2"]
+            options = ["--processes", "1", "--out", str(Path(folder) / "out"), "-o", "json"]
+            (row,) = json.loads(CliRunner().invoke(app, arguments + options).output)
         self.assertEqual((row["one"], row["other"], row["seeds"]), ("juniperward", "no-retry", 2))
