--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -14,7 +14,7 @@
 from juniperward.benchmarks.scenario_player import PlayResult, play
 from juniperward.simulation.experiment import run_scenario
 from juniperward.simulation.result import Result
-from juniperward.simulation.scenario_loader import FOLDER, load
+from juniperward.simulation.scenario_loader import SCENARIOS_FOLDER, load
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("juniperward", "round-robin", "no-retry")
@@ -55,7 +55,7 @@
 def compare(scenario: str, policy: str, seed: int) -> Comparison:
     """Play a scenario under a policy both ways."""
     sockets = play(scenario, policy, seed)
-    text = load(FOLDER / f"{scenario}.textproto").text
+    text = load(SCENARIOS_FOLDER / f"{scenario}.textproto").text
     text = text.replace("again: 0.7", "again: 1.0")  # the fakes' clients always submit once more
     return Comparison(scenario, policy, sockets, run_scenario(text, f"{scenario}.textproto", policy, seed))
 
--- a/juniperward/benchmarks/scenario_player.py
+++ b/juniperward/benchmarks/scenario_player.py
@@ -22,7 +22,7 @@
 from juniperward.fakes.destination_spec import DestinationSpec, FaultMode
 from juniperward.fakes.verdict import Bounds, Verdict
 from juniperward.simulation.scenario import Fault, FaultKind, Scenario
-from juniperward.simulation.scenario_loader import FOLDER, load
+from juniperward.simulation.scenario_loader import SCENARIOS_FOLDER, load
 
 OWN_POLICY = "juniperward"
 OUTCOME_SLACK_S = 1.0  # beyond the deadline of the last message
@@ -72,7 +72,7 @@
 
 def play(name: str, policy: str, seed: int) -> PlayResult:
     """Play the scenario of a name under a policy."""
-    scenario = load(FOLDER / f"{name}.textproto")
+    scenario = load(SCENARIOS_FOLDER / f"{name}.textproto")
     with tempfile.TemporaryDirectory(prefix="jw-") as place, policy_in_forwarders(policy, Path(place)):
         cluster = LocalCluster(Path(place), scenario.forwarders, _destinations(scenario), seed)
         _configure(cluster, scenario)
--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -119,10 +119,10 @@
 
 def load_scenarios(files: list[Path] | None) -> list[Any]:
     """Return the scenarios of files, or all of them; exits with USAGE where one cannot be used."""
-    from juniperward.simulation.scenario_loader import FOLDER, load
+    from juniperward.simulation.scenario_loader import SCENARIOS_FOLDER, load
 
     try:
-        return [load(file) for file in (files or sorted(FOLDER.glob("*.textproto")))]
+        return [load(file) for file in (files or sorted(SCENARIOS_FOLDER.glob("*.textproto")))]
     except SettingsError as error:
         errors.print(str(error), markup=False, highlight=False, soft_wrap=True)
         raise typer.Exit(ExitCode.USAGE) from None
--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -19,7 +19,7 @@
 from juniperward.simulation.objective import DeliveryObjective
 from juniperward.simulation.scenario import DestinationGroup, Fault, FaultKind, Scenario, Traffic
 
-FOLDER = Path(__file__).parent.parent.parent / "scenarios"
+SCENARIOS_FOLDER = Path(__file__).parent.parent.parent / "scenarios"
 FAULTS_FIELD = "trouble"  # name of the field of faults in the format
 FAULT_MESSAGE = "Trouble"
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -29,7 +29,7 @@
     write_parquet,
 )
 from juniperward.simulation.scenario_generator import generate, mutate, valid_text
-from juniperward.simulation.scenario_loader import FOLDER, load, parse
+from juniperward.simulation.scenario_loader import SCENARIOS_FOLDER, load, parse
 from juniperward.simulation.search import Finding, evaluate, minimize, save, search
 from juniperward.simulation.world import World
 
@@ -52,7 +52,7 @@
 
 class ScenarioTest(unittest.TestCase):
     def test_all_scenario_files_are_valid_and_have_a_description(self) -> None:
-        files = sorted(FOLDER.glob("*.textproto"))
+        files = sorted(SCENARIOS_FOLDER.glob("*.textproto"))
         self.assertGreaterEqual(len(files), 12)
         for file in files:
             self.assertGreater(len(load(file).description), 20, file)
@@ -346,7 +346,7 @@
             write_parquet(file, former)
             self.assertEqual([r.policy for r in read_parquet(file)], ["juniperward", "no-retry"])
         runner = CliRunner()
-        scenario = str(FOLDER / "calm.textproto")
+        scenario = str(SCENARIOS_FOLDER / "calm.textproto")
         output = runner.invoke(app, ["lab", "run", scenario, "-p", "nickelscale", "-o", "json"])
         self.assertEqual(output.exit_code, 0, output.output)
         output = runner.invoke(app, ["simulate", "run", scenario, "-p", "one-try", "-o", "json"])
