--- a/juniperward/simulation/clients.py
+++ b/juniperward/simulation/clients.py
@@ -107,7 +107,7 @@
         self._timeline.after(delay_s, self._submit, message)
 
     def reject(self, message: Message, retry_after_s: float, outcome: MessageOutcome) -> None:
-        """Handle a rejection: resubmit the message or close it with `outcome`, at random by the scenario."""
+        """Resubmit a rejected message or close it with `outcome`; the scenario sets the fraction resubmitted."""
         message.outcome = outcome
         may_retry = message.submissions < MAX_SUBMISSIONS
         retries = may_retry and self._streams.clients.uniform() < self._traffic.resubmit_fraction
--- a/juniperward/simulation/comparison.py
+++ b/juniperward/simulation/comparison.py
@@ -36,7 +36,7 @@
 
     @property
     def verdict(self) -> str:
-        """The better policy in words, or that none is when the confidence interval contains 0."""
+        """The result in words; there is no difference if the confidence interval contains 0."""
         if self.low <= 0 <= self.high:
             return "no difference seen"
         return f"{self.one} is better" if self.mean > 0 else f"{self.other} is better"
--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -27,7 +27,7 @@
 RATE_LIMIT_WINDOW_S = 1.0
 MAX_SLOWDOWN_FACTOR = 20.0  # bounds the service time in slow start
 MIN_CAPACITY_PER_S = 0.01
-EXTRA_MESSAGE_LATENCY_FRACTION = 0.1  # each message of a batch after the first adds this part of the latency
+EXTRA_MESSAGE_LATENCY_FRACTION = 0.1  # added to the latency by each message of a batch after the first
 MIN_NETWORK_FACTOR, NETWORK_FACTOR_SPREAD = 0.7, 0.6  # jitter, as factors of MEAN_ONE_WAY_S
 
 OnAnswer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, Retry-After in seconds
--- a/juniperward/simulation/policies/__init__.py
+++ b/juniperward/simulation/policies/__init__.py
@@ -13,7 +13,8 @@
 
 __all__ = ["POLICIES", "Baseline", "DestinationQueue", "NoRetry", "policy_name"]
 
-FORMER_NAMES = {"nickelscale": "juniperward", "one-try": "no-retry"}  # in stored results and on command lines
+# Former names are accepted in stored results and on the command line.
+FORMER_NAMES = {"nickelscale": "juniperward", "one-try": "no-retry"}
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "juniperward": DeliveryScheduler,
--- a/juniperward/simulation/policies/simple.py
+++ b/juniperward/simulation/policies/simple.py
@@ -36,6 +36,5 @@
             destination.consecutive_failures += 1
             if destination.consecutive_failures >= CIRCUIT_OPEN_FAILURE_COUNT:
                 destination.circuit_open_until = self.now + CIRCUIT_OPEN_DURATION_S
-                destination.consecutive_failures = (
-                    CIRCUIT_OPEN_FAILURE_COUNT - 1
-                )  # half open: one more opens it again
+                # Half-open afterwards: one more failure opens the circuit again.
+                destination.consecutive_failures = CIRCUIT_OPEN_FAILURE_COUNT - 1
--- a/juniperward/simulation/recovery_model.py
+++ b/juniperward/simulation/recovery_model.py
@@ -29,9 +29,7 @@
     scheduler: DeliveryScheduler
     notified: bool = False
     messages: dict[int, RecoveryMessage] = field(default_factory=dict)
-    in_flight: dict[tuple[int, int], SimulatedCall] = field(
-        default_factory=dict
-    )  # by message, attempt number
+    in_flight: dict[tuple[int, int], SimulatedCall] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -31,7 +31,7 @@
 GENERATED_FRACTION = 0.3  # part of the scenarios that is generated, not mutated
 RETAINED_REGRET_FRACTION = 0.8  # a reduced scenario must keep this part of the regret
 VIOLATION_REGRET = 10.0
-MAX_SEED = 10_000
+SEED_LIMIT = 10_000
 MAX_MINIMIZATION_RUNS = 120
 
 
@@ -84,7 +84,7 @@
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         while done < rounds:
             texts = _next_batch(worst, source, min(BATCH_SIZE, rounds - done))
-            seeds = [source.randrange(1, MAX_SEED) for _ in texts]
+            seeds = [source.randrange(1, SEED_LIMIT) for _ in texts]
             worst += pool.map(evaluate, texts, [policy] * len(texts), seeds)
             worst = sorted(worst, key=lambda finding: -finding.regret)[:POPULATION_SIZE]
             done += len(texts)
