--- a/juniperward/simulation/policies/__init__.py
+++ b/juniperward/simulation/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies of delivery that experiments compare: our scheduler, baselines, and an oracle."""
+"""Delivery policies that experiments compare: Juniperward's scheduler, baselines and an oracle."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 __all__ = ["POLICIES", "Baseline", "DestinationQueue", "NoRetry", "policy_name"]
 
-FORMER_NAMES = {"nickelscale": "juniperward", "one-try": "no-retry"}  # in stored results and on command lines
+# Former names are accepted in stored results and on the command line.
+FORMER_NAMES = {"nickelscale": "juniperward", "one-try": "no-retry"}
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "juniperward": DeliveryScheduler,
@@ -28,5 +29,5 @@
 
 
 def policy_name(name: str) -> str:
-    """Return the present name of a policy."""
+    """Return the current name of a policy, given its current or a former name."""
     return FORMER_NAMES.get(name, name)
