--- a/juniperward/cli/agents.py
+++ b/juniperward/cli/agents.py
@@ -1,4 +1,4 @@
-"""Which agents a command is for, and what becomes of it where one does not answer or rejects a request."""
+"""Selects the agents that a command addresses, and turns their failures into error messages and exit codes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,17 @@
 
 
 def sockets_of(agents: list[Path] | None) -> list[Path]:
-    """Return the sockets meant; exits with USAGE where a settings file cannot be read or no agent is named."""
+    """Return the control sockets of the given agents, or of the only settings file in the working directory.
+
+    An agent is given by its socket or by its settings file. Exits with USAGE if a settings file cannot be read, or if
+    no agent is given and the working directory does not have exactly one settings file.
+    """
     if not agents:
         agents = sorted(Path().glob(f"*{SETTINGS_SUFFIX}"))
         if len(agents) != 1:
-            errors.print("name an agent: --agent SOCKET or --agent FILE.textproto, or set JUNIPERWARD_AGENT")
+            errors.print(
+                "no agent given: use --agent SOCKET or --agent FILE.textproto, or set JUNIPERWARD_AGENT"
+            )
             raise typer.Exit(ExitCode.USAGE)
     return [_socket(path) for path in agents]
 
@@ -37,7 +43,10 @@
 
 @contextmanager
 def exit_on_failure(agent: Path | None = None) -> Iterator[None]:
-    """Print why a request failed and exit with UNRESPONSIVE or REJECTED; an agent that is given is named."""
+    """Print why a request failed and exit with UNRESPONSIVE or REJECTED.
+
+    Where `agent` is given, its name precedes the message.
+    """
     prefix = f"{short_name(agent)}: " if agent is not None else ""
     try:
         yield
@@ -50,10 +59,15 @@
 
 
 def owners(paths: list[Path], names: list[str], timeout_s: float) -> list[tuple[Path, list[str]]]:
-    """Return each agent that has some of the named instances, with them; exits for names that none has."""
+    """Return the agents that run the named instances, each with its part of the names.
+
+    A single agent, or an empty list of names, is not checked: every agent is returned with all the names. Otherwise
+    exits with REJECTED if no agent has one of the instances, and with UNRESPONSIVE if an agent that may have it did
+    not answer.
+    """
     if len(paths) == 1 or not names:
         return [(path, names) for path in paths]
-    found: list[tuple[Path, list[str]]] = []
+    agents: list[tuple[Path, list[str]]] = []
     missing = set(names)
     replies = request_all(paths, "status", timeout_s=timeout_s)
     for reply in replies:
@@ -61,16 +75,16 @@
         owned = [name for name in names if name in instances]
         missing -= set(owned)
         if owned:
-            found.append((reply.agent, owned))
+            agents.append((reply.agent, owned))
     if missing:
         unresponsive = [short_name(reply.agent) for reply in replies if reply.error]
-        more = f" ({', '.join(unresponsive)} did not answer)" if unresponsive else ""
-        errors.print(f"no such instance: {', '.join(sorted(missing))}{more}", markup=False)
+        hint = f" ({', '.join(unresponsive)} did not answer)" if unresponsive else ""
+        errors.print(f"no such instance: {', '.join(sorted(missing))}{hint}", markup=False)
         raise typer.Exit(ExitCode.UNRESPONSIVE if unresponsive else ExitCode.REJECTED)
-    return found
+    return agents
 
 
 def owner(paths: list[Path], name: str, timeout_s: float) -> Path:
-    """Return the agent that has one instance; exits where none has it."""
+    """Return the agent that runs the named instance; exits as `owners` does if there is none."""
     ((path, _),) = owners(paths, [name], timeout_s)[:1]
     return path
--- a/juniperward/cli/config.py
+++ b/juniperward/cli/config.py
@@ -1,4 +1,4 @@
-"""`juniperward config`: checks and shows settings files without an agent."""
+"""Implements `juniperward config`, which checks and prints settings files without an agent."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from juniperward.settings.faults import Fault
 from juniperward.settings.load import SettingsError, format_settings, load
 
-app = typer.Typer(help="Check and show settings files.", no_args_is_help=True)
-FileArgument = Annotated[Path, typer.Argument(help="A fleet's settings, protobuf text format.")]
+app = typer.Typer(help="Check and print settings files.", no_args_is_help=True)
+FileArgument = Annotated[Path, typer.Argument(help="A fleet's settings file, in protobuf text format.")]
 
 
 @app.command()
 def check(file: FileArgument, output: OutputOption = Output.TABLE) -> None:
-    """Say all that is wrong with a file: its line, its field, and why. Exit code 2 if anything is."""
+    """List all errors in a settings file, each with its line and field. Exit code 2 if there are any."""
     try:
         settings = load(file)
     except SettingsError as error:
@@ -31,7 +31,7 @@
     if output is Output.JSON:
         print_json({"ok": True, "instances": len(settings.instances)})
     else:
-        console.print(f"{file}: good, {len(settings.instances)} instances", markup=False, highlight=False)
+        console.print(f"{file}: valid, {len(settings.instances)} instances", markup=False, highlight=False)
 
 
 def _fault_row(fault: Fault) -> dict[str, Any]:
@@ -39,8 +39,8 @@
 
 
 @app.command("show")
-def show_understood(file: FileArgument) -> None:
-    """Print a file as it is understood, with every default filled in."""
+def show_effective(file: FileArgument) -> None:
+    """Print the effective settings of a file, including all defaults."""
     try:
         typer.echo(format_settings(load(file)), nl=False)
     except SettingsError as error:
@@ -50,5 +50,5 @@
 
 @app.command()
 def schema() -> None:
-    """Print the commented schema of the settings."""
+    """Print the schema of settings files, with its comments."""
     typer.echo((Path(__file__).parent.parent / "settings" / "fleet.proto").read_text(), nl=False)
--- a/juniperward/cli/dead_letter_access.py
+++ b/juniperward/cli/dead_letter_access.py
@@ -1,4 +1,4 @@
-"""What the commands for dead letters share: selecting messages, requesting them page by page, and their table."""
+"""Options, paged requests and the message table that the commands for dead letters share."""
 
 from __future__ import annotations
 
@@ -14,31 +14,39 @@
 from juniperward.cli.agents import exit_on_failure, sockets_of
 from juniperward.cli.output import ExitCode, Output, console, errors, print_json, table
 
-PAGE_SIZE = 200  # messages of one request
+MESSAGES_PER_PAGE = 200
 
-StatusOption = Annotated[str | None, typer.Option(help="kept, claimed, delivered or discarded.")]
+StatusOption = Annotated[
+    str | None, typer.Option(help="Only with this status: kept, claimed, delivered or discarded.")
+]
 FormerStatusOption = Annotated[str | None, typer.Option("--stand", hidden=True)]
 DestinationOption = Annotated[int | None, typer.Option(help="Only for this destination.")]
-ClassOption = Annotated[str | None, typer.Option("--class", help="Only of this class.")]
+ClassOption = Annotated[str | None, typer.Option("--class", help="Only of this message class.")]
 AccountOption = Annotated[str | None, typer.Option(help="Only of this account.")]
 KeyOption = Annotated[str | None, typer.Option("--key", help="Only with this idempotency key.")]
-SinceOption = Annotated[float | None, typer.Option("--since", help="Given up in the last so many seconds.")]
-IdsArgument = Annotated[list[str] | None, typer.Argument(help="Messages, by id; or use filters.")]
+SinceOption = Annotated[
+    float | None, typer.Option("--since", help="Only messages given up within this many seconds.")
+]
+IdsArgument = Annotated[list[str] | None, typer.Argument(help="Ids of messages; alternatively, use filters.")]
 
 
 @dataclass(frozen=True)
-class Selection:
-    """Which messages are meant; None selects all."""
+class MessageFilters:
+    """Filters for messages; None does not filter.
+
+    Attributes:
+        since_s: The maximum time in seconds since the message was given up.
+    """
 
     destination: int | None = None
     class_name: str | None = None
     account: str | None = None
     idempotency_key: str | None = None
     status: str | None = None
-    since_s: float | None = None  # given up in the last so many seconds
+    since_s: float | None = None
 
     def request_options(self) -> dict[str, Any]:
-        """Return the filters that are set, with the keys of the agent's API."""
+        """Return the filters that are set, by their keys in the agent's API."""
         options = {
             "destination": self.destination,
             "cls": self.class_name,
@@ -51,10 +59,10 @@
 
 
 def call(agent: list[Path] | None, timeout_s: float, action: str, **options: Any) -> Any:
-    """Return the answer of the one agent meant; exits where it is not one, does not answer or rejects it."""
+    """Return the reply of the one selected agent; exits if several are selected, or if the request fails."""
     paths = sockets_of(agent)
     if len(paths) != 1:
-        errors.print("dead letters belong to one agent: name it with --agent")
+        errors.print("commands for dead letters address one agent: name it with --agent")
         raise typer.Exit(ExitCode.USAGE)
     with exit_on_failure():
         return request(paths[0], "kept", None, timeout_s, action=action, **options)
@@ -63,33 +71,35 @@
 def pages(
     agent: list[Path] | None, timeout_s: float, max_count: int | None = None, **options: Any
 ) -> Iterator[Any]:
-    """Yield the rows of all messages that the request's options select, page by page."""
+    """Yield the rows of the selected messages, at most `max_count` (None: all), one request per page."""
     after: Any = None
-    left = max_count
-    while left is None or left > 0:
-        limit = min(PAGE_SIZE, left) if left is not None else PAGE_SIZE
-        found = call(agent, timeout_s, "list", after=after, limit=limit, **options)
-        yield from found["messages"]
-        after = found["next"]
+    remaining = max_count
+    while remaining is None or remaining > 0:
+        limit = min(MESSAGES_PER_PAGE, remaining) if remaining is not None else MESSAGES_PER_PAGE
+        reply = call(agent, timeout_s, "list", after=after, limit=limit, **options)
+        yield from reply["messages"]
+        after = reply["next"]
         if after is None:
             return
-        left = left - limit if left is not None else None
+        remaining = remaining - limit if remaining is not None else None
 
 
 def print_messages(rows: list[Any], output: Output) -> None:
-    """Print a table of messages, or their JSON."""
+    """Print messages as a table or as JSON."""
     if output is Output.JSON:
         print_json(rows)
         return
-    made = table("id", "status", "kind", "goes", ">to", "class", "account", ">age s", ">redrives", "why")
+    output_table = table(
+        "id", "status", "kind", "redrive", ">destination", "class", "account", ">age s", ">redrives", "why"
+    )
     for row in rows:
         age_s = time.time() - row["given_up_at"]
-        goes = row["wanted_by"] or "-" if row["may_go"] else "no"
-        made.add_row(
+        redrive = row["wanted_by"] or "-" if row["may_go"] else "no"
+        output_table.add_row(
             row["id"],
             row["stand"],
             row["kind"],
-            goes,
+            redrive,
             str(row["destination"]),
             row["class"],
             row["account"],
@@ -97,4 +107,4 @@
             str(row["resends"]),
             row["why"],
         )
-    console.print(made)
+    console.print(output_table)
--- a/juniperward/cli/dead_letters.py
+++ b/juniperward/cli/dead_letters.py
@@ -1,4 +1,7 @@
-"""`juniperward dead-letters`: queries of messages that were given up; the orders are in `dead_letter_orders.py`."""
+"""Implements `juniperward dead-letters`: the queries, and the group that all its commands belong to.
+
+Commands that change messages are in `dead_letter_orders.py`.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     DestinationOption,
     FormerStatusOption,
     KeyOption,
-    Selection,
+    MessageFilters,
     SinceOption,
     StatusOption,
     call,
@@ -28,10 +31,14 @@
 from juniperward.cli.options import AgentOption, AgentOptions, OutputOption, TimeOption, from_options
 from juniperward.cli.output import ExitCode, Output, cell, console, print_json, table
 
-STORE_TIMEOUT_S = 60.0  # of what goes through the complete store
-LISTS = ("attempts", "resent", "audit")  # of a message's record
+# The default timeout of commands that read the complete store.
+STORE_SCAN_TIMEOUT_S = 60.0
+# Keys of a message's record, in the agent's API, whose values are lists.
+RECORD_LISTS = ("attempts", "resent", "audit")
 
-app = typer.Typer(help="Messages that were given up: list, show and redrive them.", no_args_is_help=True)
+app = typer.Typer(
+    help="List, show, redrive and discard dead letters: messages that were given up.", no_args_is_help=True
+)
 app.add_typer(dead_letter_rules.app, name="rules")
 
 
@@ -45,15 +52,15 @@
     account: AccountOption = None
     idempotency_key: KeyOption = None
     since_s: SinceOption = None
-    max_count: Annotated[int, typer.Option("--most", "-n", help="How many at the most.")] = 100
+    max_count: Annotated[int, typer.Option("--most", "-n", help="Maximum number of messages.")] = 100
     former_status: FormerStatusOption = None
 
 
 @app.command("list")
 @from_options
 def list_messages(options: ListOptions) -> None:
-    """List messages, the oldest first, each with whether it may be redriven and why."""
-    selection = Selection(
+    """List messages, the oldest first, with whether each may be redriven and the reason."""
+    filters = MessageFilters(
         options.destination,
         options.class_name,
         options.account,
@@ -61,8 +68,8 @@
         options.status or options.former_status,
         options.since_s,
     )
-    chosen = selection.request_options()
-    rows = list(pages(options.agent, options.timeout_s, options.max_count, **chosen))
+    request_options = filters.request_options()
+    rows = list(pages(options.agent, options.timeout_s, options.max_count, **request_options))
     print_messages(rows, options.output)
 
 
@@ -70,38 +77,40 @@
 class ShowOptions:
     """The arguments of `show`."""
 
-    id: Annotated[str, typer.Argument(help="A message.")]
+    id: Annotated[str, typer.Argument(help="A message's id.")]
     agent: AgentOption = None
     output: OutputOption = Output.TABLE
     timeout_s: TimeOption = 5.0
-    body: Annotated[bool, typer.Option("--body", help="Show the body too; that is written down.")] = False
+    body: Annotated[
+        bool, typer.Option("--body", help="Also show the body; the access is recorded in the audit trail.")
+    ] = False
 
 
 @app.command()
 @from_options
 def show(options: ShowOptions) -> None:
-    """Show a message: its attempts, redrives and audit trail, and on request its body."""
-    found = call(options.agent, options.timeout_s, "show", id=options.id, body=options.body)
+    """Show a message with its attempts, redrives and audit trail, and optionally its body."""
+    reply = call(options.agent, options.timeout_s, "show", id=options.id, body=options.body)
     if options.output is Output.JSON:
-        print_json(found)
+        print_json(reply)
         return
-    made = table("field", "value")
-    for key, value in found.items():
+    output_table = table("field", "value")
+    for key, value in reply.items():
         if not isinstance(value, list) and key != "body":
-            made.add_row(key, cell(value))
-    console.print(made)
-    for name in LISTS:
-        if found[name]:
-            made = table(*found[name][0], title=name)
-            for row in found[name]:
-                made.add_row(*(cell(value) for value in row.values()))
-            console.print(made)
+            output_table.add_row(key, cell(value))
+    console.print(output_table)
+    for name in RECORD_LISTS:
+        if reply[name]:
+            output_table = table(*reply[name][0], title=name)
+            for row in reply[name]:
+                output_table.add_row(*(cell(value) for value in row.values()))
+            console.print(output_table)
     if options.body:
-        typer.echo(base64.b64decode(found["body"]).decode(errors="replace"))
+        typer.echo(base64.b64decode(reply["body"]).decode(errors="replace"))
 
 
 app.command("redrive")(dead_letter_orders.redrive)
-# The former name, read for one release.
+# The former name, which is supported for one more release.
 app.command("resend", hidden=True, deprecated=True)(dead_letter_orders.redrive)
 app.command("discard")(dead_letter_orders.discard)
 app.command("undo")(dead_letter_orders.undo)
@@ -110,22 +119,24 @@
 
 @app.command()
 def stats(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
-    """Counts, the redrive rate of each destination, and what blocks redrives."""
-    found = call(agent, timeout, "stats")
+    """Show counts of messages, the redrive rate of each destination, and what blocks redrives."""
+    reply = call(agent, timeout, "stats")
     if output is Output.JSON:
-        print_json(found)
+        print_json(reply)
         return
-    made = table("what", "value")
-    for key, value in found.items():
-        made.add_row(key, json.dumps(value) if isinstance(value, dict | list) else cell(value))
-    console.print(made)
+    output_table = table("field", "value")
+    for key, value in reply.items():
+        output_table.add_row(key, json.dumps(value) if isinstance(value, dict | list) else cell(value))
+    console.print(output_table)
 
 
 @dataclass(frozen=True)
 class ExportOptions:
     """The arguments of `export`."""
 
-    file: Annotated[Path, typer.Argument(help="JSON lines; one message with its body a line.")]
+    file: Annotated[
+        Path, typer.Argument(help="The file to write: JSON lines, one message with its body per line.")
+    ]
     agent: AgentOption = None
     timeout_s: TimeOption = 5.0
     status: StatusOption = None
@@ -138,12 +149,12 @@
 @from_options
 def export(options: ExportOptions) -> None:
     """Write messages with their bodies to a file; each access is recorded in the audit trail."""
-    selection = Selection(
+    filters = MessageFilters(
         options.destination, status=options.status or options.former_status, since_s=options.since_s
     )
     count = 0
     with options.file.open("w") as out:
-        for row in pages(options.agent, options.timeout_s, **selection.request_options()):
+        for row in pages(options.agent, options.timeout_s, **filters.request_options()):
             message = call(options.agent, options.timeout_s, "show", id=row["id"], body=True)
             out.write(json.dumps(message, sort_keys=True) + "\n")
             count += 1
@@ -155,22 +166,24 @@
     agent: AgentOption = None,
     output: OutputOption = Output.TABLE,
     timeout: TimeOption = 5.0,
-    since: Annotated[int, typer.Option(help="Only after this number.")] = 0,
+    since: Annotated[int, typer.Option(help="Only entries after this sequence number.")] = 0,
 ) -> None:
-    """The audit trail: who did what, in order; nothing is ever removed from it."""
+    """Print the audit trail, in order: who did what. Entries are never removed."""
     rows = call(agent, timeout, "audit", since=since)["audit"]
     if output is Output.JSON:
         print_json(rows)
         return
-    made = table(">seq", "at", "who", "what", "message", "detail")
+    output_table = table(">seq", "time (UTC)", "who", "action", "message", "detail")
     for row in rows:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["at"]))
-        made.add_row(str(row["seq"]), at, row["who"], row["what"], row["message"] or "", row["detail"])
-    console.print(made)
+        output_table.add_row(
+            str(row["seq"]), at, row["who"], row["what"], row["message"] or "", row["detail"]
+        )
+    console.print(output_table)
 
 
 @app.command()
-def check(agent: AgentOption = None, timeout: TimeOption = STORE_TIMEOUT_S) -> None:
+def check(agent: AgentOption = None, timeout: TimeOption = STORE_SCAN_TIMEOUT_S) -> None:
     """Check the store for damage. Exit code 1 if there is any."""
     faults = call(agent, timeout, "check")["faults"]
     for text in faults:
@@ -181,10 +194,10 @@
 
 @app.command()
 def backup(
-    file: Annotated[Path, typer.Argument(help="Where the copy goes, on the agent's machine.")],
+    file: Annotated[Path, typer.Argument(help="The file to write, on the agent's machine.")],
     agent: AgentOption = None,
-    timeout: TimeOption = STORE_TIMEOUT_S,
+    timeout: TimeOption = STORE_SCAN_TIMEOUT_S,
 ) -> None:
     """Write a consistent copy of the store while it is in use."""
     call(agent, timeout, "backup", file=str(file.resolve()))
-    console.print(f"{file}: written", markup=False)
+    console.print(f"{file}: backup written", markup=False)
--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -1,4 +1,4 @@
-"""`juniperward simulate sweep`, `compare` and `report`: many runs of scenarios under policies, over seeds."""
+"""Implements `juniperward simulate sweep`, `compare` and `report`, which run many simulations."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 TABLE_FILE = "table.md"
 
 ScenariosArgument = Annotated[
-    list[Path] | None, typer.Argument(help="Scenario files; all of scenarios/ if none.")
+    list[Path] | None, typer.Argument(help="Scenario files; default: all in scenarios/.")
 ]
 PoliciesOption = Annotated[
-    list[str] | None, typer.Option("--policy", "-p", help="May be repeated; all if none.")
+    list[str] | None, typer.Option("--policy", "-p", help="A policy; may be repeated; default: all.")
+]
+SeedsOption = Annotated[int, typer.Option(help="Number of seeds, starting at 1.")]
+OutOption = Annotated[Path, typer.Option(help="Folder of the experiment's results.")]
+ProcessesOption = Annotated[
+    int | None, typer.Option(help="Number of parallel processes; default: one per core.")
 ]
-SeedsOption = Annotated[int, typer.Option(help="How many seeds, from 1.")]
-OutOption = Annotated[Path, typer.Option(help="The experiment's folder.")]
-ProcessesOption = Annotated[int | None, typer.Option(help="Runs at once; default: one a core.")]
 
 
 @dataclass(frozen=True)
@@ -41,18 +43,18 @@
 
 @from_options
 def sweep(options: SweepOptions) -> None:
-    """Run scenarios under policies over seeds; results that are in the folder already are not computed again."""
+    """Run scenarios under policies with several seeds; results that the folder already has are reused."""
     from juniperward.simulation.report_tables import markdown, policies_of, utility_table
 
     results = _run_all(options, options.policy)
     if options.output is Output.JSON:
         print_json([_result_row(result) for result in results])
         return
-    made = table("scenario", *(f">{policy}" for policy in policies_of(results)))
+    output_table = table("scenario", *(f">{policy}" for policy in policies_of(results)))
     for row in utility_table(results):
         cells = (f"[bold]{cell.text}[/bold]" if cell.best else cell.text for cell in row.cells)
-        made.add_row(row.scenario, *cells)
-    console.print(made)
+        output_table.add_row(row.scenario, *cells)
+    console.print(output_table)
     (options.out / TABLE_FILE).write_text(markdown(results))
 
 
@@ -60,9 +62,11 @@
 class CompareOptions:
     """The arguments of `compare`."""
 
-    one: Annotated[str, typer.Argument(help="A policy.")]
-    other: Annotated[str, typer.Argument(help="Another.")]
-    files: Annotated[list[Path] | None, typer.Option("--scenario", "-s", help="May be repeated.")] = None
+    one: Annotated[str, typer.Argument(help="The first policy.")]
+    other: Annotated[str, typer.Argument(help="The second policy.")]
+    files: Annotated[
+        list[Path] | None, typer.Option("--scenario", "-s", help="A scenario file; may be repeated.")
+    ] = None
     seeds: SeedsOption = 10
     out: OutOption = DEFAULT_FOLDER
     processes: ProcessesOption = None
@@ -71,34 +75,36 @@
 
 @from_options
 def compare(options: CompareOptions) -> None:
-    """Compare two policies, paired by seed, with bootstrap intervals."""
+    """Compare two policies by runs paired by seed, with bootstrap confidence intervals."""
     from juniperward.simulation.comparison import Comparison
     from juniperward.simulation.comparison import compare as compare_paired
 
     one, other = policy_names([options.one, options.other])
-    found = compare_paired(_run_all(options, [one, other]), one, other)
+    comparisons = compare_paired(_run_all(options, [one, other]), one, other)
     if options.output is Output.JSON:
         print_json(
             [
                 {name: getattr(comparison, name) for name in Comparison.__slots__}
                 | {"says": comparison.verdict}
-                for comparison in found
+                for comparison in comparisons
             ]
         )
         return
-    made = table("scenario", ">seeds", ">difference", ">low", ">high", "says")
-    for comparison in found:
+    output_table = table("scenario", ">seeds", ">difference", ">low", ">high", "verdict")
+    for comparison in comparisons:
         interval = (f"{figure:+.4f}" for figure in (comparison.mean, comparison.low, comparison.high))
-        made.add_row(comparison.scenario, str(comparison.seeds), *interval, comparison.verdict)
-    console.print(made)
+        output_table.add_row(comparison.scenario, str(comparison.seeds), *interval, comparison.verdict)
+    console.print(output_table)
 
 
 @dataclass(frozen=True)
 class ReportOptions:
     """The arguments of `report`."""
 
-    file: Annotated[Path, typer.Argument(help="The page to write.")]
-    files: Annotated[list[Path] | None, typer.Option("--scenario", "-s")] = None
+    file: Annotated[Path, typer.Argument(help="The HTML file to write.")]
+    files: Annotated[
+        list[Path] | None, typer.Option("--scenario", "-s", help="A scenario file; may be repeated.")
+    ] = None
     policy: PoliciesOption = None
     seeds: SeedsOption = 5
     out: OutOption = DEFAULT_FOLDER
@@ -107,7 +113,7 @@
 
 @from_options
 def report(options: ReportOptions) -> None:
-    """Write one self-contained HTML page with tables and charts."""
+    """Write a self-contained HTML page with tables and charts."""
     from juniperward.simulation.report import write_report
 
     results = _run_all(options, options.policy)
@@ -118,7 +124,7 @@
 
 
 def load_scenarios(files: list[Path] | None) -> list[Any]:
-    """Return the scenarios of files, or all of them; exits with USAGE where one cannot be used."""
+    """Return the scenarios in `files`, or all in scenarios/ if empty; exits with USAGE if one is invalid."""
     from juniperward.simulation.scenario_loader import FOLDER, load
 
     try:
@@ -129,19 +135,19 @@
 
 
 def policy_names(names: list[str] | None) -> list[str]:
-    """Return the present names of policies, or all of them; raises BadParameter for one that is not known."""
+    """Return the current names of policies, or all if `names` is empty; raises BadParameter for an unknown one."""
     from juniperward.simulation.policies import POLICIES, policy_name
 
-    present = [policy_name(name) for name in names or []]
-    unknown = [name for name in present if name not in POLICIES]
+    current = [policy_name(name) for name in names or []]
+    unknown = [name for name in current if name not in POLICIES]
     if unknown:
-        why = f"{', '.join(unknown)}: none of {', '.join(POLICIES)}"
+        why = f"{', '.join(unknown)}: must be one of {', '.join(POLICIES)}"
         raise typer.BadParameter(why, param_hint="--policy")
-    return present or list(POLICIES)
+    return current or list(POLICIES)
 
 
 def _run_all(options: SweepOptions | CompareOptions | ReportOptions, policies: list[str] | None) -> list[Any]:
-    """Run each scenario under each policy with each seed, but for what is in the folder already."""
+    """Return the results of each scenario under each policy with each seed; exits with REJECTED if that fails."""
     from juniperward.simulation.experiment import ExperimentPlan
     from juniperward.simulation.experiment import sweep as run_experiment
     from juniperward.simulation.result_store import ExperimentRunningError
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`juniperward fleet`: what many instances do, and orders to them. Every call has a time limit."""
+"""Implements `juniperward fleet`, which shows and controls instances. Every request has a timeout."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 from juniperward.cli.output import ExitCode, Output, console, exit_code, print_json, short_name
 from juniperward.cli.roll import restart, roll
 
-EVENT_KEYS = ("seq", "at", "event", "level")  # of an event; the others are its fields
+# Keys that every event has; its other keys are fields of its kind.
+EVENT_HEADER_KEYS = ("seq", "at", "event", "level")
 
 app = typer.Typer(help="Show instances and control them.", no_args_is_help=True)
 
 
 @app.command()
 def status(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 2.0) -> None:
-    """Show every instance of every agent. Exit code 3 if an agent does not answer."""
+    """Show the status of all instances of all given agents. Exit code 3 if an agent does not answer."""
     replies = request_all(sockets_of(agent), "status", timeout_s=timeout)
     if output is Output.JSON:
         print_json(replies_json(replies))
@@ -47,29 +48,31 @@
 def watch(
     agent: AgentOption = None,
     timeout: TimeOption = 2.0,
-    seconds: Annotated[float, typer.Option(help="End after so long; 0: never.")] = 0.0,
-    every: Annotated[float, typer.Option(help="Seconds between looks.")] = 1.0,
+    duration_s: Annotated[
+        float, typer.Option("--seconds", help="Exit after this many seconds; 0: never.")
+    ] = 0.0,
+    interval_s: Annotated[float, typer.Option("--every", help="Seconds between updates.")] = 1.0,
 ) -> None:
-    """Show the status repeatedly."""
+    """Show the status of all instances, updated periodically."""
     paths = sockets_of(agent)
-    until = time.monotonic() + seconds if seconds else float("inf")
+    until = time.monotonic() + duration_s if duration_s else float("inf")
     with Live(console=console, auto_refresh=False) as live:
         while True:
             live.update(status_table(request_all(paths, "status", timeout_s=timeout)), refresh=True)
-            if time.monotonic() + every > until:
+            if time.monotonic() + interval_s > until:
                 return
-            time.sleep(every)
+            time.sleep(interval_s)
 
 
-def _order(
+def _send_command(
     verb: str, names: list[str] | None, agent: list[Path] | None, output: Output, timeout: float
 ) -> None:
-    """Give an order to the agents that have these instances."""
+    """Send a command to the agents that run the named instances, and exit with the code of their replies."""
     paths = sockets_of(agent)
     replies = []
-    for path, owned in owners(paths, names or [], timeout):
+    for path, owned_names in owners(paths, names or [], timeout):
         try:
-            replies.append(AgentReply(path, request(path, verb, owned, timeout)))
+            replies.append(AgentReply(path, request(path, verb, owned_names, timeout)))
         except AgentUnreachableError as error:
             replies.append(AgentReply(path, error=str(error), unreachable=True))
         except AgentRejectedError as error:
@@ -83,22 +86,22 @@
     raise typer.Exit(exit_code(replies))
 
 
-def _add(verb: str, text: str) -> None:
+def _add_command(verb: str, text: str) -> None:
     def command(
         names: NamesArgument = None, agent: AgentOption = None, output: OutputOption = Output.TABLE,
         timeout: TimeOption = 5.0,
     ) -> None:  # fmt: skip
-        _order(verb, names, agent, output, timeout)
+        _send_command(verb, names, agent, output, timeout)
 
     command.__doc__ = text
     app.command(verb)(command)
 
 
-_add("start", "Start instances; one in a crash loop is started again, too.")
-_add("stop", "Shut instances down gracefully: SIGTERM, and SIGKILL if they do not exit in time.")
-_add("kill", "Kill instances by SIGKILL; those whose desired state is running start again.")
-_add("drain", "Drain instances: they reject new messages and complete the pending ones.")
-_add("resume", "Have drained instances accept messages again.")
+_add_command("start", "Start instances, including those in a crash loop.")
+_add_command("stop", "Shut instances down gracefully: SIGTERM, and SIGKILL if they do not exit in time.")
+_add_command("kill", "Kill instances with SIGKILL; those whose desired state is running are restarted.")
+_add_command("drain", "Drain instances: they reject new messages and finish the pending ones.")
+_add_command("resume", "Make drained instances accept messages again.")
 
 
 app.command("roll")(roll)
@@ -107,12 +110,12 @@
 
 @app.command()
 def inspect(
-    name: Annotated[str, typer.Argument(help="An instance.")],
+    name: Annotated[str, typer.Argument(help="The instance's name.")],
     agent: AgentOption = None,
     output: OutputOption = Output.TABLE,
     timeout: TimeOption = 6.0,
 ) -> None:
-    """Show the complete status of one instance: state, destinations, endpoints, counters."""
+    """Show the status, destinations, endpoints and counters of one instance. Exit code 3 if it does not answer."""
     path = owner(sockets_of(agent), name, timeout)
     with exit_on_failure():
         found = request(path, "inspect", [name], timeout)
@@ -125,9 +128,9 @@
 
 @app.command()
 def logs(
-    name: Annotated[str, typer.Argument(help="An instance.")],
+    name: Annotated[str, typer.Argument(help="The instance's name.")],
     agent: AgentOption = None,
-    lines: Annotated[int, typer.Option("--lines", "-n", help="How many of the last lines.")] = 50,
+    lines: Annotated[int, typer.Option("--lines", "-n", help="Number of lines.")] = 50,
     timeout: TimeOption = 5.0,
 ) -> None:
     """Print the last lines of an instance's log."""
@@ -143,7 +146,7 @@
     agent: AgentOption = None,
     output: OutputOption = Output.TABLE,
     timeout: TimeOption = 5.0,
-    since: Annotated[int, typer.Option(help="Only those after this number.")] = 0,
+    since: Annotated[int, typer.Option(help="Only events after this sequence number.")] = 0,
 ) -> None:
     """Print the agents' event logs, the oldest first."""
     replies = request_all(sockets_of(agent), "events", None, timeout, since=since)
@@ -162,23 +165,23 @@
 
 
 def _event_line(event: dict[str, Any], agent: str) -> str:
-    """Return an event of an agent as one line: local time, agent, event, its fields."""
+    """Return an agent's event as one line: local time, agent, kind of event, fields."""
     clock = time.strftime("%H:%M:%S", time.localtime(event["at"]))
     milliseconds = f"{event['at'] % 1:.3f}"[1:]
-    fields = " ".join(f"{key}={value}" for key, value in event.items() if key not in EVENT_KEYS)
+    fields = " ".join(f"{key}={value}" for key, value in event.items() if key not in EVENT_HEADER_KEYS)
     return f"{clock}{milliseconds} {agent} {event['event']} {fields}"
 
 
 @app.command()
 def reload(agent: AgentOption = None, output: OutputOption = Output.TABLE, timeout: TimeOption = 5.0) -> None:
-    """Have the agents reload their settings; a roll restarts the instances with them."""
+    """Make the agents reload their settings; instances use them after the next restart or roll."""
     replies = request_all(sockets_of(agent), "reload", None, timeout)
     if output is Output.JSON:
         print_json(replies_json(replies))
     else:
         for reply in replies:
             console.print(
-                f"{short_name(reply.agent)}: {reply.error or 'edition ' + reply.body['edition']}",
+                f"{short_name(reply.agent)}: {reply.error or 'settings version ' + reply.body['edition']}",
                 markup=False,
             )
     raise typer.Exit(exit_code(replies))
@@ -190,8 +193,8 @@
     timeout: TimeOption = 5.0,
     instances: Annotated[bool, typer.Option("--instances", help="Stop the instances as well.")] = False,
 ) -> None:
-    """Shut the agents down; their instances go on, unless --instances is given."""
+    """Shut the agents down; their instances keep running unless --instances is given."""
     replies = request_all(sockets_of(agent), "shutdown", None, timeout, instances=instances)
     for reply in replies:
-        console.print(f"{short_name(reply.agent)}: {reply.error or 'ends'}", markup=False)
+        console.print(f"{short_name(reply.agent)}: {reply.error or 'shutting down'}", markup=False)
     raise typer.Exit(exit_code(replies))
--- a/juniperward/cli/options.py
+++ b/juniperward/cli/options.py
@@ -1,7 +1,7 @@
-"""Commands whose arguments and options are the fields of one frozen dataclass.
+"""Options that several commands share, and commands that take all their options as one dataclass.
 
-Typer reads a command's parameters from its signature. A command here takes one value instead, of a dataclass whose
-fields are `Annotated` with their `typer.Argument` or `typer.Option`; `from_options` makes of it what typer reads.
+Typer derives a command's parameters from the signature of a function. `from_options` builds such a function from
+one that takes a frozen dataclass, whose fields are `Annotated` with their `typer.Argument` or `typer.Option`.
 """
 
 from __future__ import annotations
@@ -18,23 +18,25 @@
 
 OptionsT = TypeVar("OptionsT")
 
-OutputOption = Annotated[Output, typer.Option("--output", "-o", help="A table for people, or stable JSON.")]
+OutputOption = Annotated[Output, typer.Option("--output", "-o", help="A table, or JSON for scripts.")]
 AgentOption = Annotated[
     list[Path] | None,
     typer.Option(
         "--agent",
         "-a",
         envvar="JUNIPERWARD_AGENT",
-        help="An agent's socket, or its settings file; may be repeated.",
+        help="An agent's socket or settings file; may be repeated.",
     ),
 ]
-TimeOption = Annotated[float, typer.Option("--timeout", "-t", help="Seconds that every agent has to answer.")]
-NamesArgument = Annotated[list[str] | None, typer.Argument(help="Instances; all of them if none is named.")]
+TimeOption = Annotated[
+    float, typer.Option("--timeout", "-t", help="Seconds to wait for each agent's answer.")
+]
+NamesArgument = Annotated[list[str] | None, typer.Argument(help="Names of instances; default: all.")]
 
 
 @dataclasses.dataclass(frozen=True)
 class AgentOptions:
-    """The options of each command that requests something of agents."""
+    """The options that commands for agents share."""
 
     agent: AgentOption = None
     output: OutputOption = Output.TABLE
@@ -44,8 +46,8 @@
 def from_options(body: Callable[[OptionsT], None]) -> Callable[..., None]:
     """Return a typer command for `body`, whose one parameter is a frozen dataclass of arguments and options.
 
-    The command's parameters are the dataclass's fields, in their order and with their defaults; its name and its
-    help are the name and the docstring of `body`.
+    The command's parameters are the fields of the dataclass, with their order and defaults. Its name and help text
+    are the name and the docstring of `body`.
     """
     (options_type,) = (kind for name, kind in get_type_hints(body).items() if name != "return")
     hints = get_type_hints(options_type, include_extras=True)
--- a/juniperward/cli/output.py
+++ b/juniperward/cli/output.py
@@ -1,4 +1,4 @@
-"""What every command prints with: the consoles, JSON, tables in one style, and exit codes."""
+"""Consoles, JSON output, tables and exit codes that all commands share."""
 
 from __future__ import annotations
 
@@ -18,29 +18,37 @@
 
 
 class ExitCode(IntEnum):
-    """The tool's exit codes, as docs/operators.md has them."""
+    """The exit codes of `juniperward`, which docs/operators.md documents.
+
+    Attributes:
+        DONE: The command succeeded.
+        REJECTED: The request was rejected or failed; the message on standard error gives the reason.
+        USAGE: The arguments or a settings file are invalid.
+        UNRESPONSIVE: An agent or an instance did not answer in time.
+        PAUSED: The roll has paused.
+    """
 
     DONE = 0
-    REJECTED = 1  # or failed; the text says why
+    REJECTED = 1
     USAGE = 2
-    UNRESPONSIVE = 3  # an agent or an instance did not answer in time
-    PAUSED = 4  # the roll has
+    UNRESPONSIVE = 3
+    PAUSED = 4
 
 
 class Output(StrEnum):
-    """The form of what is printed."""
+    """The output format of a command."""
 
     TABLE = "table"
     JSON = "json"
 
 
 def print_json(value: Any) -> None:
-    """Print one JSON value on standard output."""
+    """Print a value as JSON on standard output."""
     typer.echo(json.dumps(value, indent=2, sort_keys=True))
 
 
 def exit_code(replies: list[AgentReply]) -> ExitCode:
-    """Return the exit code that several answers make together: an unresponsive agent counts most."""
+    """Return the exit code for the replies of several agents; UNRESPONSIVE takes precedence over REJECTED."""
     if any(reply.unreachable for reply in replies):
         return ExitCode.UNRESPONSIVE
     if any(reply.error for reply in replies):
@@ -49,23 +57,23 @@
 
 
 def table(*columns: str, title: str | None = None) -> Table:
-    """Return a table in the tool's one style; a column that begins with `>` is set to the right."""
-    made = Table(title=title, box=None, pad_edge=False, header_style="bold")
+    """Return an empty table; a column whose name begins with `>` is right-aligned."""
+    output_table = Table(title=title, box=None, pad_edge=False, header_style="bold")
     for name in columns:
         if name.startswith(">"):
-            made.add_column(name.removeprefix(">"), justify="right", overflow="fold")
+            output_table.add_column(name.removeprefix(">"), justify="right", overflow="fold")
         else:
-            made.add_column(name, overflow="fold")
-    return made
+            output_table.add_column(name, overflow="fold")
+    return output_table
 
 
 def cell(value: Any) -> str:
-    """Return a value as a table's cell; what is not known is a dash."""
+    """Return a value as the text of a table cell; None becomes a dash."""
     if value is None:
         return "-"
     return f"{value:.1f}" if isinstance(value, float) else str(value)
 
 
 def short_name(path: Path) -> str:
-    """Return an agent's name in a table: its fleet's folder."""
+    """Return the name that output uses for an agent: the folder of its socket."""
     return path.parent.name or str(path)
--- a/juniperward/cli/roll.py
+++ b/juniperward/cli/roll.py
@@ -1,4 +1,4 @@
-"""`juniperward fleet roll` and `restart`: rolling restarts, followed to their end."""
+"""Implements `juniperward fleet roll` and `restart`, which can follow a roll until it is over or pauses."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 )
 from juniperward.cli.output import ExitCode, Output, console, errors, print_json
 
-POLL_INTERVAL_S = 0.3  # between looks at a roll
-MAX_UNRESPONSIVE_S = 30.0  # of an agent, while its roll is followed
+POLL_INTERVAL_S = 0.3
+MAX_UNRESPONSIVE_S = 30.0  # Leaves an agent time to restart while its roll is followed.
 START, SHOW = "start", "show"
 ACTIONS = (START, SHOW, "pause", "resume", "undo", "end")
-PAUSED_MODE = "paused"  # of a roll, as the agent's API has it
+PAUSED_MODE = "paused"  # a value of the agent's API
 
-WaitOption = Annotated[bool, typer.Option(help="Follow it until it is over or pauses.")]
+WaitOption = Annotated[bool, typer.Option(help="Follow the roll until it is over or pauses.")]
 
 
 class UnknownActionError(typer.BadParameter):
-    """What is to be done with a roll is not known."""
+    """The action is not one of ACTIONS."""
 
     def __init__(self, action: str) -> None:
-        """Take what was given; the text says what can be."""
+        """List the known actions in the message."""
         self.action = action
-        super().__init__(f"{action!r} is none of {', '.join(ACTIONS)}", param_hint="ACTION")
+        super().__init__(f"{action!r} must be one of {', '.join(ACTIONS)}", param_hint="ACTION")
 
 
 class AgentNeededError(typer.BadParameter):
-    """Several agents are meant, and a roll belongs to one."""
+    """The options select several agents, but a roll belongs to one."""
 
     def __init__(self) -> None:
-        """Say what is needed."""
-        super().__init__("a roll belongs to one agent; name it", param_hint="--agent")
+        """Ask for the agent in the message."""
+        super().__init__(
+            "several agents are selected, but a roll belongs to one; name that agent", param_hint="--agent"
+        )
 
 
 @dataclass(frozen=True)
@@ -55,16 +57,22 @@
 
     action: Annotated[str, typer.Argument(help=f"One of {', '.join(ACTIONS)}.")] = START
     names: NamesArgument = None
-    at_once: Annotated[int | None, typer.Option(help="Instances away at a time.")] = None
-    floor: Annotated[int | None, typer.Option(help="Least ready instances.")] = None
-    soak: Annotated[float | None, typer.Option(help="Seconds from ready to the next.")] = None
-    drain: Annotated[float | None, typer.Option(help="Longest wait for drained.")] = None
-    kill: Annotated[bool, typer.Option(help="By SIGKILL, without drain.")] = False
-    dry_run: Annotated[bool, typer.Option("--dry-run", help="Print the plan and do nothing.")] = False
+    at_once: Annotated[
+        int | None, typer.Option(help="Maximum number of instances that restart at the same time.")
+    ] = None
+    floor: Annotated[int | None, typer.Option(help="Minimum number of instances that stay ready.")] = None
+    soak: Annotated[
+        float | None, typer.Option(help="Seconds that a restarted instance is observed before the next one.")
+    ] = None
+    drain: Annotated[float | None, typer.Option(help="Maximum seconds to wait for an instance to drain.")] = (
+        None
+    )
+    kill: Annotated[bool, typer.Option(help="Kill instances with SIGKILL instead of draining them.")] = False
+    dry_run: Annotated[bool, typer.Option("--dry-run", help="Only print the plan.")] = False
     wait: WaitOption = True
 
     def request_options(self) -> dict[str, Any]:
-        """Return the options of a roll that starts, with the keys of the agent's API."""
+        """Return the options that start a roll, by their keys in the agent's API."""
         return {
             "at_once": self.at_once,
             "floor": self.floor,
@@ -77,7 +85,7 @@
 
 @dataclass(frozen=True)
 class RollRequest:
-    """A request about a roll to one agent, and how its answer is shown."""
+    """A request to one agent that concerns a roll, and how to show the reply."""
 
     agent: Path
     verb: str
@@ -90,7 +98,7 @@
 
 @from_options
 def roll(options: RollOptions) -> None:
-    """Restart instances one after another with the newest settings. Exit code 4 if the roll pauses."""
+    """Restart instances one after another with the latest settings. Exit code 4 if the roll pauses."""
     if options.action not in ACTIONS:
         raise UnknownActionError(options.action)
     starts = options.action == START
@@ -108,14 +116,19 @@
 
 
 def _one_agent(options: RollOptions) -> Path:
-    """Return the agent that is named, or that has the named instances; raises AgentNeededError."""
+    """Return the agent of a roll: the only one selected, or else the one that runs the named instances.
+
+    Raises:
+        AgentNeededError: Several agents are possible.
+
+    """
     paths = sockets_of(options.agent)
     if len(paths) == 1:
         return paths[0]
-    found = owners(paths, options.names, options.timeout_s) if options.names else []
-    if len(found) != 1:
+    candidates = owners(paths, options.names, options.timeout_s) if options.names else []
+    if len(candidates) != 1:
         raise AgentNeededError
-    ((agent, _),) = found
+    ((agent, _),) = candidates
     return agent
 
 
@@ -126,15 +139,15 @@
     timeout: TimeOption = 5.0,
     wait: WaitOption = True,
 ) -> None:
-    """Restart instances together, drained first; for one after another use roll."""
+    """Drain and restart instances all at the same time; use `roll` to restart them one after another."""
     for path, owned in owners(sockets_of(agent), names or [], timeout):
         _send(RollRequest(path, "roll", owned, {"restart": True}, output, timeout, wait))
 
 
 def _send(roll_request: RollRequest) -> None:
-    """Send the request, show the roll until it is over or pauses, and exit with its code."""
+    """Send the request, follow the roll if requested, print the result and exit with its code."""
     with exit_on_failure(roll_request.agent):
-        found = request(
+        roll_view = request(
             roll_request.agent,
             roll_request.verb,
             roll_request.names,
@@ -142,29 +155,29 @@
             **roll_request.options,
         )
         if roll_request.follow:
-            found = _until_over(roll_request, found)
+            roll_view = _until_over(roll_request, roll_view)
     if roll_request.output is Output.JSON:
-        print_json(found)
+        print_json(roll_view)
     elif not roll_request.follow:
-        console.print(roll_table(found))
-    raise typer.Exit(ExitCode.PAUSED if found["mode"] == PAUSED_MODE else ExitCode.DONE)
+        console.print(roll_table(roll_view))
+    raise typer.Exit(ExitCode.PAUSED if roll_view["mode"] == PAUSED_MODE else ExitCode.DONE)
 
 
-def _until_over(followed: RollRequest, found: dict[str, Any]) -> dict[str, Any]:
-    """Show a roll's steps as they go, until it is over or has paused with nothing under way."""
+def _until_over(followed: RollRequest, roll_view: dict[str, Any]) -> dict[str, Any]:
+    """Show the steps of a roll while it runs; return its last state once it is over or has paused."""
     quiet = followed.output is Output.JSON
     with Live(console=errors if quiet else console, auto_refresh=False, transient=quiet) as live:
-        misses = 0
+        unanswered_polls = 0
         while True:
             if not quiet:
-                live.update(roll_table(found), refresh=True)
-            if found["over"] or found["mode"] == PAUSED_MODE:
-                return found
+                live.update(roll_table(roll_view), refresh=True)
+            if roll_view["over"] or roll_view["mode"] == PAUSED_MODE:
+                return roll_view
             time.sleep(POLL_INTERVAL_S)
             try:
-                found = request(followed.agent, "roll_show", None, followed.timeout_s)
-                misses = 0
+                roll_view = request(followed.agent, "roll_show", None, followed.timeout_s)
+                unanswered_polls = 0
             except AgentUnreachableError:
-                misses += 1  # an agent that is restarted resumes the roll
-                if misses * (followed.timeout_s + POLL_INTERVAL_S) > MAX_UNRESPONSIVE_S:
+                unanswered_polls += 1  # A restarted agent resumes the roll.
+                if unanswered_polls * (followed.timeout_s + POLL_INTERVAL_S) > MAX_UNRESPONSIVE_S:
                     raise
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`juniperward simulate`: runs in simulated time; experiments of many runs are in `experiments.py`."""
+"""Implements `juniperward simulate`; its experiments with many runs are in `experiments.py`."""
 
 from __future__ import annotations
 
@@ -21,27 +21,28 @@
 from juniperward.cli.options import OutputOption, from_options
 from juniperward.cli.output import ExitCode, Output, console, errors, print_json, table
 
-SHOWN_CHARACTERS = 60  # of a figure that differs
-NOT_SHOWN = ("by_second", "version")  # fields of a result that a table has no room for
+MAX_FIGURE_CHARACTERS = 60
+# Fields of a result that are omitted from its table.
+OMITTED_FIELDS = ("by_second", "version")
 
-PolicyOption = Annotated[str, typer.Option("--policy", "-p")]
-SeedOption = Annotated[int, typer.Option()]
+PolicyOption = Annotated[str, typer.Option("--policy", "-p", help="The policy's name.")]
+SeedOption = Annotated[int, typer.Option(help="Seed of the run.")]
 
-app = typer.Typer(help="Experiments on a model of the world, in simulated time.", no_args_is_help=True)
+app = typer.Typer(help="Simulate forwarders and destinations, and compare policies.", no_args_is_help=True)
 
 
 class ResultMissingError(ValueError):
-    """A folder has no such result."""
+    """The folder of an experiment does not have the requested result."""
 
     def __init__(self, out: Path, scenario: str, policy: str, seed: int) -> None:
-        """Take what was looked for."""
+        """Name the result that was searched for."""
         self.out, self.scenario, self.policy, self.seed = out, scenario, policy, seed
-        super().__init__(f"{out}: no result of {scenario} under {policy} with seed {seed}")
+        super().__init__(f"{out}: no result of scenario {scenario} under policy {policy} with seed {seed}")
 
 
 @app.command("list")
 def list_scenarios(output: OutputOption = Output.TABLE) -> None:
-    """Name the scenarios and policies."""
+    """List the scenarios and policies."""
     from juniperward.simulation.policies import POLICIES
 
     scenarios = load_scenarios(None)
@@ -49,10 +50,10 @@
         rows = [{"scenario": scenario.name, "shows": scenario.description} for scenario in scenarios]
         print_json({"scenarios": rows, "policies": list(POLICIES)})
         return
-    made = table("scenario", "shows")
+    output_table = table("scenario", "description")
     for scenario in scenarios:
-        made.add_row(scenario.name, scenario.description)
-    console.print(made)
+        output_table.add_row(scenario.name, scenario.description)
+    console.print(output_table)
     console.print(f"policies: {', '.join(POLICIES)}", markup=False)
 
 
@@ -63,7 +64,7 @@
     seed: SeedOption = 1,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Run one scenario once and show its results. The same seed gives the same run."""
+    """Run a scenario once and show its results. Runs with the same seed are identical."""
     from juniperward.simulation.experiment import run_scenario
     from juniperward.simulation.result import Result, to_row
 
@@ -73,11 +74,11 @@
     if output is Output.JSON:
         print_json({name: value for name, value in to_row(result).items() if name != "v"})
         return
-    made = table("what", "value", title=f"{loaded.name}: {loaded.description}")
-    shown = {name: getattr(result, name) for name in Result.__slots__ if name not in NOT_SHOWN}
+    output_table = table("field", "value", title=f"{loaded.name}: {loaded.description}")
+    shown = {name: getattr(result, name) for name in Result.__slots__ if name not in OMITTED_FIELDS}
     for key, value in shown.items():
-        made.add_row(key, f"{value:.4f}" if isinstance(value, float) else json.dumps(value))
-    console.print(made)
+        output_table.add_row(key, f"{value:.4f}" if isinstance(value, float) else json.dumps(value))
+    console.print(output_table)
 
 
 app.command("sweep")(experiments.sweep)
@@ -85,8 +86,8 @@
 app.command("report")(experiments.report)
 
 
-def _find(rows: list[Any], out: Path, scenario: str, policy: str, seed: int) -> Any:
-    """Return the latest result of a run; raises ResultMissingError."""
+def _latest_result(rows: list[Any], out: Path, scenario: str, policy: str, seed: int) -> Any:
+    """Return the latest result of a run; raises ResultMissingError if there is none."""
     found = [row for row in rows if (row.scenario, row.policy, row.seed) == (scenario, policy, seed)]
     if not found:
         raise ResultMissingError(out, scenario, policy, seed)
@@ -95,29 +96,30 @@
 
 @app.command()
 def replay(
-    scenario: Annotated[str, typer.Argument(help="A scenario's name, as in the results.")],
+    scenario: Annotated[str, typer.Argument(help="The scenario's name.")],
     policy: PolicyOption = "juniperward",
     seed: SeedOption = 1,
     out: OutOption = DEFAULT_FOLDER,
 ) -> None:
-    """Run one stored result again from its own text. Exit code 1, and what differs, if it comes out otherwise."""
+    """Repeat a stored run and list the fields that differ from the stored result. Exit code 1 if any differ."""
     from juniperward.simulation.experiment import replay as run_again
     from juniperward.simulation.experiment import revision
     from juniperward.simulation.result_store import PARQUET_FILE, read_parquet
 
     try:
         rows = read_parquet(out / PARQUET_FILE)
-        stored = _find(rows, out, scenario, policy, seed)
+        stored = _latest_result(rows, out, scenario, policy, seed)
         differences = run_again(stored)
     except (OSError, ValueError) as error:
         errors.print(str(error), markup=False)
         raise typer.Exit(ExitCode.REJECTED) from None
-    console.print(f"then: {stored.revision} on {stored.machine}", markup=False, highlight=False)
-    console.print(f"now:  {revision()}", markup=False, highlight=False)
-    for name, (then, now) in differences.items():
-        figures = f"{str(then)[:SHOWN_CHARACTERS]} then, {str(now)[:SHOWN_CHARACTERS]} now"
-        console.print(f"{name}: {figures}", markup=False)
-    console.print("the same" if not differences else f"{len(differences)} figures differ")
+    console.print(f"stored:   {stored.revision} on {stored.machine}", markup=False, highlight=False)
+    console.print(f"replayed: {revision()}", markup=False, highlight=False)
+    for name, (stored_value, replayed_value) in differences.items():
+        stored_text = str(stored_value)[:MAX_FIGURE_CHARACTERS]
+        replayed_text = str(replayed_value)[:MAX_FIGURE_CHARACTERS]
+        console.print(f"{name}: stored {stored_text}, replayed {replayed_text}", markup=False)
+    console.print("the results are the same" if not differences else f"{len(differences)} fields differ")
     raise typer.Exit(ExitCode.REJECTED if differences else ExitCode.DONE)
 
 
@@ -125,53 +127,56 @@
 class SearchOptions:
     """The arguments of `search`."""
 
-    rounds: Annotated[int, typer.Option(help="Days to play.")] = 200
+    rounds: Annotated[int, typer.Option(help="Number of scenarios to run.")] = 200
     policy: PolicyOption = "juniperward"
     seed: SeedOption = 1
     saved_count: Annotated[
-        int, typer.Option("--keep", help="So many of the worst are made small and kept.")
+        int, typer.Option("--keep", help="Number of the worst scenarios to minimize and save.")
     ] = 2
-    folder: Annotated[Path, typer.Option(help="Where they are kept.")] = Path("scenarios/found")
+    folder: Annotated[Path, typer.Option(help="Folder for the saved scenarios.")] = Path("scenarios/found")
     processes: ProcessesOption = None
 
 
-@app.command("hunt", hidden=True, deprecated=True)  # the former name, read for one release
+@app.command("hunt", hidden=True, deprecated=True)  # the former name, supported for one more release
 @app.command()
 @from_options
 def search(options: SearchOptions) -> None:
-    """Search for days on which a policy delivers much less than the oracle; minimise the worst, and store them."""
+    """Search for scenarios in which a policy delivers much less than the oracle; minimize and save the worst."""
     from juniperward.simulation.search import minimize, save
     from juniperward.simulation.search import search as search_scenarios
 
     (policy,) = policy_names([options.policy])
     with Progress(console=errors, transient=True) as progress:
-        task = progress.add_task("days", total=options.rounds)
+        task = progress.add_task("scenarios", total=options.rounds)
 
         def show_progress(done: int, found: Any) -> None:
             progress.update(task, completed=done, description=f"regret {found.regret:.3f}")
 
         worst = search_scenarios(policy, options.rounds, options.seed, options.processes, show_progress)
     for found in worst[: options.saved_count]:
-        small = minimize(found, policy)
-        file = save(small, policy, options.folder)
-        regrets = f"regret {found.regret:.3f}, made small {small.regret:.3f}"
-        console.print(f"{file}: {regrets}; seed {small.seed}", markup=False)
+        minimized = minimize(found, policy)
+        file = save(minimized, policy, options.folder)
+        regrets = f"regret {found.regret:.3f}, minimized {minimized.regret:.3f}"
+        console.print(f"{file}: {regrets}; seed {minimized.seed}", markup=False)
 
 
 @app.command()
 def traces(
     folder: Annotated[
-        Path, typer.Argument(help="Logs, a NAME.log of each forwarder, with ROUTER_TRACE set.")
+        Path,
+        typer.Argument(help="Folder with a log NAME.log of each forwarder that ran with ROUTER_TRACE set."),
     ],
-    destination: Annotated[int | None, typer.Option(help="Only this destination, by second.")] = None,
+    destination: Annotated[
+        int | None, typer.Option(help="Count by second for this destination only.")
+    ] = None,
     former_destination: Annotated[int | None, typer.Option("--partner", hidden=True)] = None,
 ) -> None:
-    """Count what a whole fleet did, by second and by destination, from the traces of its forwarders."""
+    """Count events of a fleet by second and by destination, from the traces of its forwarders."""
     from juniperward.benchmarks.trace_counts import format_tables
     from juniperward.benchmarks.traces import read_folder
 
     if not any(folder.glob("*.log")):
-        errors.print(f"{folder}: no *.log in it", markup=False)
+        errors.print(f"{folder}: contains no *.log files", markup=False)
         raise typer.Exit(ExitCode.USAGE)
     chosen = destination if destination is not None else former_destination
     typer.echo(format_tables(read_folder(folder), chosen))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool against agents that are scripted, silent or not there."""
+"""Tests of the commands against agents that are scripted, do not answer or do not exist."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class ScriptedAgent:
-    """Answers each verb by a function of the call's body."""
+    """Answers each verb with the status and body that a function returns for the request's body."""
 
     def __init__(self, path: Path, answers: dict[str, Callable[[dict[str, Any]], tuple[int, Any]]]) -> None:
-        self.answers, self.asked = answers, list[tuple[str, dict[str, Any]]]()
+        self.answers, self.requests = answers, list[tuple[str, dict[str, Any]]]()
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.listener.bind(str(path))
         self.listener.listen(8)
@@ -45,11 +45,11 @@
                 return
             with sock:
                 try:
-                    call = read_request(Stream(sock.recv))
+                    request = read_request(Stream(sock.recv))
                 except ConnectionClosedError:
                     continue
-                verb, body = call.path.removeprefix("/v1/"), json.loads(call.body)
-                self.asked.append((verb, body))
+                verb, body = request.path.removeprefix("/v1/"), json.loads(request.body)
+                self.requests.append((verb, body))
                 status, answer = self.answers[verb](body)
                 sock.sendall(encode_response(status, {}, json.dumps(answer).encode(), True))
 
@@ -63,14 +63,14 @@
         self.world.machines["n2"].stopped = True
         self.world.run(1.5)
 
-    def agent(self, name: str, **more: Callable[[dict[str, Any]], tuple[int, Any]]) -> Path:
+    def start_agent(self, name: str, **answers: Callable[[dict[str, Any]], tuple[int, Any]]) -> Path:
         path = self.folder / name / "agent.sock"
         path.parent.mkdir()
 
         def status(_: dict[str, Any]) -> tuple[int, Any]:
             return 200, msgspec.to_builtins(status_view(self.world.reducer.state, self.world.now))
 
-        self.scripted = ScriptedAgent(path, {"status": status, **more})
+        self.scripted = ScriptedAgent(path, {"status": status, **answers})
         self.addCleanup(self.scripted.listener.close)
         return path
 
@@ -84,7 +84,7 @@
         ran: list[str] = []
         given: list[tuple[object, ...]] = []
 
-        def measured(name: str) -> Callable[..., bool]:
+        def fake_measurement(name: str) -> Callable[..., bool]:
             def run(*arguments: object, **options: object) -> bool:
                 ran.append(name)
                 given.append((*arguments, options))
@@ -93,7 +93,7 @@
             return run
 
         with mock.patch.dict(
-            measurements.MEASUREMENTS, {name: measured(name) for name in measurements.MEASUREMENTS}
+            measurements.MEASUREMENTS, {name: fake_measurement(name) for name in measurements.MEASUREMENTS}
         ):
             former = ("kept", "cold", "keeping", "store")
             for name in (*former, "dead-letters", "slow-start"):
@@ -120,7 +120,7 @@
         self.assertNotIn("cold", wrong.output)
 
     def test_status_shows_every_instance_and_the_unresponsive_agent(self) -> None:
-        one, mute = self.agent("one"), self.folder / "mute.sock"
+        one, mute = self.start_agent("one"), self.folder / "mute.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
             listener.bind(str(mute))
             listener.listen(8)
@@ -140,19 +140,19 @@
              "broken", "oldest_held", "journal_bytes", "registry_age"},
         )  # fmt: skip
 
-    def test_orders_go_to_the_agent_that_has_the_instance(self) -> None:
+    def test_a_command_is_sent_to_the_agent_that_runs_the_instance(self) -> None:
         def done(body: dict[str, Any]) -> tuple[int, Any]:
             return 200, {"done": "drain", "instances": body["names"]}
 
-        one = self.agent("one", drain=done)
+        one = self.start_agent("one", drain=done)
         result = self.run_tool("fleet", "drain", "n1", "-a", one, "-a", self.folder / "none.sock")
         self.assertEqual((result.exit_code, result.output.strip()), (0, "one: drain: n1"))
-        self.assertEqual(self.scripted.asked[-1], ("drain", {"names": ["n1"], "options": {}}))
+        self.assertEqual(self.scripted.requests[-1], ("drain", {"names": ["n1"], "options": {}}))
         result = self.run_tool("fleet", "drain", "n7", "-a", one, "-a", self.folder / "none.sock")
         self.assertEqual(result.exit_code, 3)
 
     def test_a_rejection_is_reported(self) -> None:
-        one = self.agent("one", roll=lambda _: (409, {"error": "roll r1 is under way"}))
+        one = self.start_agent("one", roll=lambda _: (409, {"error": "roll r1 is under way"}))
         result = self.run_tool("fleet", "roll", "-a", one)
         self.assertEqual(result.exit_code, 1)
 
@@ -170,7 +170,7 @@
 
         for last, code in (("done", 0), ("paused", 4)):
             end = view(last, "done")
-            path = self.agent(
+            path = self.start_agent(
                 last,
                 roll=lambda _: (200, view("going", "draining")),
                 roll_show=lambda _, e=end: (200, e),  # type: ignore[misc]
@@ -186,10 +186,10 @@
                 "roll", **{k: v for k, v in body["options"].items() if v is not None}
             ).body
 
-        one = self.agent("one", roll=plan)
+        one = self.start_agent("one", roll=plan)
         result = self.run_tool("fleet", "roll", "--dry-run", "--floor", 1, "-a", one)
         self.assertEqual(result.exit_code, 0)
-        self.assertLess(result.output.index("n2"), result.output.index("n0"))  # the silent one goes first
+        self.assertLess(result.output.index("n2"), result.output.index("n0"))  # The silent instance is first.
         result = self.run_tool("fleet", "roll", "fly", "-a", one)
         self.assertEqual(result.exit_code, 2)
 
@@ -214,8 +214,8 @@
                 {"events": [{"seq": 1, "at": at, "event": text, "level": "info", "roll": "r1"}]},
             )
 
-        two = self.agent("two", events=events(20.0, "second"))
-        one = self.agent("one", events=events(10.0, "first"))
+        two = self.start_agent("two", events=events(20.0, "second"))
+        one = self.start_agent("one", events=events(10.0, "first"))
         result = self.run_tool("fleet", "events", "-a", two, "-a", one)
         self.assertLess(result.output.index("first roll=r1"), result.output.index("second"))
         result = self.run_tool("fleet", "watch", "-a", one, "--seconds", 0.01)
@@ -223,7 +223,9 @@
 
     def test_inspect_shows_which_requests_were_not_answered(self) -> None:
         body = {"name": "n2", "unanswered": ["status: no answer within 1 s"]}
-        one = self.agent("one", inspect=lambda _: (200, body), logs=lambda _: (200, {"lines": ["a", "b"]}))
+        one = self.start_agent(
+            "one", inspect=lambda _: (200, body), logs=lambda _: (200, {"lines": ["a", "b"]})
+        )
         result = self.run_tool("fleet", "inspect", "n2", "-a", one)
         self.assertEqual(result.exit_code, 3)
         self.assertIn("no answer: status", result.output)
--- a/tests/test_cli_dead_letters.py
+++ b/tests/test_cli_dead_letters.py
@@ -1,4 +1,4 @@
-"""`juniperward kept` against a real store behind the agent's API."""
+"""Tests of `juniperward dead-letters` against a real store behind the agent's API."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
         assert "uncertain" in self.run_tool("list", "-n", 3).output
         self.run_tool("list", "--destination", 99)
 
-    def test_a_body_is_shown_only_on_request_and_audited(self) -> None:
+    def test_a_body_is_shown_only_on_request_and_the_access_is_audited(self) -> None:
         assert "showed the body" not in self.run_tool("show", "m1").output
         assert "timeout" in self.run_tool("show", "m1").output
         found = json.loads(self.run_tool("show", "m1", "--body", "-o", "json").output)
@@ -79,7 +79,7 @@
         assert "showed the body" in self.run_tool("audit").output
         self.run_tool("show", "none", code=1)
 
-    def test_bulk_orders_say_how_many_and_do_nothing_on_a_dry_run(self) -> None:
+    def test_bulk_commands_print_counts_and_change_nothing_on_a_dry_run(self) -> None:
         self.run_tool("redrive", "--destination", 7, "--dry-run")
         assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 0
         assert "asked: 250 of 250" in self.run_tool("redrive", "--destination", 7).output
@@ -90,56 +90,63 @@
         self.run_tool("redrive", code=2)
         self.run_tool("discard", code=2)
 
-    def test_the_old_command_name_resend_still_redrives_and_is_hidden(self) -> None:
+    def test_the_former_command_resend_still_redrives_and_is_hidden(self) -> None:
         assert "asked: 250 of 250" in self.run_tool("resend", "--destination", 7).output
         assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 250
         listed = CliRunner().invoke(app, ["dead-letters", "--help"]).output
         assert "redrive" in listed
         assert "resend" not in listed
 
-    def test_a_bulk_order_repeated_after_a_crash_of_the_tool_does_nothing_twice(
+    def test_a_bulk_command_repeated_after_a_crash_applies_no_request_twice(
         self, subtests: pytest.Subtests
     ) -> None:
-        """Two parts of up to 200: it dies before or after either of them has come to the agent."""
-        from juniperward.cli import dead_letter_access as access
-        from juniperward.cli import dead_letter_orders as tool
+        """The command is killed before or after the agent has applied either of its two pages of up to 200."""
+        from juniperward.cli import dead_letter_access, dead_letter_orders
 
         class SimulatedKill(BaseException):
-            """As SIGKILL: nothing of the tool's own runs after it."""
-
-        real = access.call
-        for late in (False, True):
-            for dies_at in (1, 2):
-                calls = 0
-
-                def dying(
-                    *args: object, dies_at: int = dies_at, late: bool = late, **options: object
+            """Stands for SIGKILL: no handler of the command runs after it."""
+
+        real_call = dead_letter_access.call
+        for after_reply in (False, True):
+            for killed_at_page in (1, 2):
+                sent_pages = 0
+
+                def call_until_killed(
+                    *args: object,
+                    killed_at_page: int = killed_at_page,
+                    after_reply: bool = after_reply,
+                    **options: object,
                 ) -> object:
-                    nonlocal calls
-                    calls += args[2] == "resend"
-                    found = real(*args, **options) if late or calls < dies_at else None  # type: ignore[arg-type]
-                    if args[2] == "resend" and calls == dies_at:
+                    nonlocal sent_pages
+                    sent_pages += args[2] == "resend"
+                    reply = None
+                    if after_reply or sent_pages < killed_at_page:
+                        reply = real_call(*args, **options)  # type: ignore[arg-type]
+                    if args[2] == "resend" and sent_pages == killed_at_page:
                         raise SimulatedKill
-                    return found if found is not None else real(*args, **options)  # type: ignore[arg-type]
+                    return reply if reply is not None else real_call(*args, **options)  # type: ignore[arg-type]
 
-                with subtests.test(late=late, dies_at=dies_at):
-                    with mock.patch.object(tool, "call", dying), pytest.raises(SimulatedKill):
+                with subtests.test(after_reply=after_reply, killed_at_page=killed_at_page):
+                    with (
+                        mock.patch.object(dead_letter_orders, "call", call_until_killed),
+                        pytest.raises(SimulatedKill),
+                    ):
                         CliRunner().invoke(
                             app,
                             ["dead-letters", "redrive", "--all", "-a", str(self.file)],
                             catch_exceptions=False,
                         )
-                    done = self.service.store.stats()["wished"]
-                    assert done == min(200 * (dies_at - 1 + late), 260)
-                    assert f"asked: {260 - done} of 260" in self.run_tool("redrive", "--all").output
+                    requested = self.service.store.stats()["wished"]
+                    assert requested == min(200 * (killed_at_page - 1 + after_reply), 260)
+                    assert f"asked: {260 - requested} of 260" in self.run_tool("redrive", "--all").output
                     ids = [f"m{n}" for n in range(260)]
-                    assert self.service.store.undo(ids, "test") == 260  # each was wished once
-        asked = [
+                    assert self.service.store.undo(ids, "test") == 260  # Each redrive was requested once.
+        requests = [
             r["message"] for r in self.service.store.audit(0, 10000) if r["what"] == "asked for a resend"
         ]
-        assert len(asked) == 4 * 260
+        assert len(requests) == 4 * 260
 
-    def test_settles_exports_checks_and_copies(self) -> None:
+    def test_settles_exports_checks_and_backs_up(self) -> None:
         self.run_tool("settle", "m1", "--delivered", "--why", "Mr Nair has it")
         self.run_tool("settle", "m3", "--not-delivered", "--why", "not in their book")
         self.run_tool("settle", "m1", "--delivered", "--why", "again", code=1)
@@ -168,6 +175,6 @@
         assert found["stay"]["no rule takes it"] == 125
         assert json.loads(self.run_tool("stats", "-o", "json").output)["wished"] == 0
 
-    def test_an_agent_without_dead_letters_says_so(self) -> None:
+    def test_an_agent_with_dead_letters_disabled_is_reported(self) -> None:
         self.api.queries.dead_letters = None
         assert "dead letters are disabled" in self.run_tool("stats", code=1).output
--- a/tests/test_cli_options.py
+++ b/tests/test_cli_options.py
@@ -1,4 +1,4 @@
-"""The options that people type: each command has its own, with its defaults, and former ones still work."""
+"""Tests that each command has its options with their defaults, and that former options still work."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def options(path: str, hidden: bool) -> dict[str, object]:
-    """The options of a command with their defaults."""
+    """Return the defaults of a command's options, by the options' names."""
     return {
         " ".join([*parameter.opts, *parameter.secondary_opts]): parameter.default
         for parameter in command(path).params
@@ -104,7 +104,7 @@
     assert set(options(path, hidden=True)) == FORMER.get(path, set())
 
 
-def test_every_command_of_these_groups_is_checked() -> None:
+def test_every_command_of_two_groups_has_expected_options() -> None:
     groups = ("dead-letters", "simulate")
     paths = {f"{group} {name}" for group in groups for name in command(group).commands}
     assert paths - set(SHOWN) == {"dead-letters rules", "simulate hunt"}
@@ -120,14 +120,14 @@
 
 @pytest.mark.parametrize("option", ["--same-destination", "--same-partner"])
 def test_a_destination_is_confirmed_by_the_present_and_the_former_option(option: str) -> None:
-    asked = mock.Mock(return_value={"asked": 1})
+    call = mock.Mock(return_value={"asked": 1})
     with (
         mock.patch.object(dead_letter_orders, "pages", return_value=iter([{"id": "m1"}])),
-        mock.patch.object(dead_letter_orders, "call", asked),
+        mock.patch.object(dead_letter_orders, "call", call),
     ):
         result = CliRunner().invoke(app, ["dead-letters", "redrive", "m1", option, "-a", "x.sock"])
     assert result.exit_code == 0, result.output
-    assert asked.call_args.kwargs == {"ids": ["m1"], "partner_sure": True}
+    assert call.call_args.kwargs == {"ids": ["m1"], "partner_sure": True}
 
 
 @pytest.mark.parametrize("option", ["--destination", "--partner"])
