--- a/juniperward/fakes/__init__.py
+++ b/juniperward/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of what surrounds a forwarder (discovery, destinations, clients) and the checker of their records."""
+"""Fakes of a forwarder's peers (discovery, destinations, clients), and a checker for the records of a run."""
--- a/juniperward/fakes/checker.py
+++ b/juniperward/fakes/checker.py
@@ -1,7 +1,7 @@
-"""The checker: from the fakes' records alone, whether every rule held in a run. Pure.
+"""Checks the records of a run against the rules of the protocol.
 
-In: the records of a run and the bounds of the rules. Out: a `Verdict` with every violation, its story (all records
-about its message or endpoint) and what was counted. Tests, `LocalCluster` and the benchmarks call `check`.
+The check uses nothing but the records that the fakes wrote. Its result is a `Verdict`: the violations, each with all
+records about its message or endpoint, and counts of messages and attempts.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check(records: Iterable[AnyRecord], bounds: Bounds = DEFAULT_BOUNDS) -> Verdict:
-    """Return the verdict on a run, its violations sorted by time."""
+    """Return the verdict on the records of a run, in any order; its violations are sorted by time."""
     index = RecordIndex(records)
     verdict = tally(index, bounds)
     for rule in RULES:
--- a/juniperward/fakes/client_connection.py
+++ b/juniperward/fakes/client_connection.py
@@ -1,7 +1,4 @@
-"""A client's connection to a forwarder, and a message as it is submitted over one.
-
-`clients` and `load` submit their messages through it; the connection blocks, with the kernel's time limits.
-"""
+"""A client's blocking connection to a forwarder, over which `clients` and `load` submit messages."""
 
 from __future__ import annotations
 
@@ -21,7 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """One submission of a message, as its headers say it."""
+    """One submission of a message, with the values of its headers.
+
+    Attributes:
+        key: The message's idempotency key.
+        time_left_s: The seconds until the message's deadline.
+    """
 
     id: str
     message_class: str
@@ -41,11 +43,11 @@
 
 
 class ClientConnection:
-    """An open connection; connecting, and each answer, may take `timeout_s` seconds."""
+    """An open connection; `timeout_s` limits the connect and each wait for a response."""
 
     def __init__(self, address: tuple[str, int], timeout_s: float) -> None:
-        """Connect; raises OSError where that fails."""
-        # Time limits are the kernel's: with one of Python's own, a look without waiting waits for all of it.
+        """Connect to an address; raises OSError if that fails."""
+        # With a timeout of the socket module, the non-blocking read of `reusable` would wait for the whole timeout.
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sockets.connect(*address, timeout_s, self._socket)
@@ -56,11 +58,11 @@
         self._stream = Stream(self._socket.recv)
 
     def reusable(self) -> bool:
-        """Return whether the forwarder has neither sent anything nor ended the connection."""
+        """Return whether another message can be submitted: nothing is unread, and the forwarder has not closed."""
         return sockets.is_reusable(self._socket)
 
     def submit(self, submission: Submission) -> HttpResponse:
-        """Submit a message and return the answer; raises one of CONNECTION_ERRORS where none came."""
+        """Submit a message and return the response; raises one of CONNECTION_ERRORS if there is none."""
         self._socket.sendall(submission.request())
         return read_response(self._stream)
 
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -1,9 +1,9 @@
-"""Fakes of clients behind a load balancer: an open loop that does not wait for answers before it goes on.
+"""Fakes of clients that submit messages through a load balancer, in an open loop.
 
-In: the traffic to send, and the load balancer that chooses a forwarder. Out: a record of each submission and of its
-answer. Messages are scheduled by a Poisson process; a message's time counts from its schedule, however late the
-clients were themselves (`lateness_s`). A message that is rejected, or gets no answer, is submitted again as the
-protocol page says: with a fresh id, the same key, after the Retry-After or a backoff, and only before its deadline.
+Messages are scheduled by a Poisson process that does not wait for responses. A deadline counts from the scheduled
+time even if the clients submit the message late (`lateness_s`). A message that is rejected or gets no response is
+submitted again before its deadline, with a new id and the same idempotency key, after the Retry-After or a backoff.
+Each submission and each response is recorded.
 """
 
 from __future__ import annotations
@@ -19,31 +19,38 @@
 from juniperward.fakes.load_balancer import LoadBalancer
 from juniperward.fakes.records import Recorder, SubmissionAnswered, Submitted, now
 
-ANSWER_TIMEOUT_S = 0.4  # that a client waits for an answer
-LEAST_TIME_LEFT_S = 0.05  # with less, a message is not submitted any more
-NOBODY_READY_PAUSE_S = 0.05
-SCHEDULER_POLL_S = 0.1
-ACCEPTED = (200, 202)
-INVALID = 400  # a client does not submit again what was answered so
-NO_ANSWER = 0
+RESPONSE_TIMEOUT_S = 0.4
+MIN_TIME_LEFT_S = 0.05  # A message with less time to its deadline is not submitted.
+NO_FORWARDER_PAUSE_S = 0.05
+SCHEDULE_POLL_INTERVAL_S = 0.1
+ACCEPTED_STATUSES = (200, 202)
+INVALID_STATUS = 400  # A message rejected as invalid is not submitted again.
+NO_RESPONSE = 0  # the status that is recorded if there is no response
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What is sent."""
+    """The messages that the clients send.
+
+    Attributes:
+        destinations: Number and weight of each destination.
+        accounts: Name and weight of each account.
+        max_submissions: The maximum number of submissions per message.
+        backoff_s: The mean wait before another submission where the response has no Retry-After.
+    """
 
     rate_per_s: float = 50.0
-    destinations: tuple[tuple[int, float], ...] = ((1, 1.0),)  # number and weight
-    accounts: tuple[tuple[str, float], ...] = (("valiya-cluster", 1.0),)  # name and weight
+    destinations: tuple[tuple[int, float], ...] = ((1, 1.0),)
+    accounts: tuple[tuple[str, float], ...] = (("valiya-cluster", 1.0),)
     message_class: str = "booking-update"
     deadline_s: float = 20.0
-    max_submissions: int = 2  # of one message
+    max_submissions: int = 2
     backoff_s: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """How the clients run: `threads` that submit messages, and `id_prefix` that begins every message's id."""
+    """Options of the clients: the number of threads that submit messages, and the prefix of message ids."""
 
     threads: int = 48
     id_prefix: str = "c"
@@ -54,31 +61,37 @@
 
 @dataclass(order=True)
 class _ScheduledMessage:
-    """A message that is to be submitted at a moment; ordered by that."""
+    """A message and the time of its next submission, by which messages are ordered.
+
+    Attributes:
+        number: The message's number in the run, which orders messages with the same time.
+        scheduled_at: The scheduled time of the first submission.
+        submissions: The number of submissions so far.
+    """
 
     submit_at: float
     number: int
     first_id: str = field(compare=False)
     account: str = field(compare=False)
     destination: int = field(compare=False)
-    scheduled_at: float = field(compare=False)  # of its first submission
+    scheduled_at: float = field(compare=False)
     expires_at: float = field(compare=False)
     submissions: int = field(compare=False, default=0)
 
     @property
     def key(self) -> str:
-        """The idempotency key of all its submissions."""
+        """The idempotency key, which all submissions of the message share."""
         return f"k{self.first_id}"
 
     def next_id(self) -> str:
-        """Count a submission and return its id."""
+        """Count another submission and return its id."""
         self.submissions += 1
         return self.first_id if self.submissions == 1 else f"{self.first_id}-{self.submissions}"
 
 
 @dataclass(frozen=True, slots=True)
 class _Route:
-    """The forwarder that a submission goes to, and the message's time when it was chosen."""
+    """The forwarder chosen for a submission, a connection to it, and the seconds left to the message's deadline."""
 
     forwarder: str
     connection: ClientConnection
@@ -86,15 +99,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
-    """The answer to a submission; NO_ANSWER as its status stands for none."""
+class _Response:
+    """The response to a submission; its status is NO_RESPONSE if there was none."""
 
     status: int
     retry_after_s: float = 0.0
 
 
 class Clients:
-    """Threads that submit messages; `done` is set once every message is settled for its client."""
+    """Threads that submit messages.
+
+    Attributes:
+        done: Set once no message will be submitted again.
+        lateness_s: By how many seconds the first submission of each message was late.
+    """
 
     def __init__(
         self,
@@ -104,19 +122,19 @@
         seed: int,
         options: ClientOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Draw messages from a seed; `options.id_prefix` begins their ids."""
+        """Draw the messages of `traffic` from a seed; `recorder` receives the records of submissions."""
         self.done = threading.Event()
-        self.lateness_s: list[float] = []  # by which each message's first submission was late
+        self.lateness_s: list[float] = []
         self._traffic, self._load_balancer, self._recorder = traffic, load_balancer, recorder
         self._options = options
         self._random = random.Random(seed)
-        self._jobs: queue.SimpleQueue[_ScheduledMessage | None] = queue.SimpleQueue()
-        self._changed = threading.Condition()  # guards the two below
+        self._due_messages: queue.SimpleQueue[_ScheduledMessage | None] = queue.SimpleQueue()
+        self._changed = threading.Condition()  # guards _schedule and _unsettled
         self._schedule: list[_ScheduledMessage] = []  # a heap
-        self._unsettled = 0  # messages
+        self._unsettled = 0  # messages that may be submitted again
 
     def start(self, seconds: float) -> None:
-        """Send for so long."""
+        """Start to submit the messages of the next `seconds` seconds."""
         self._schedule = self._draw_messages(now(), seconds)
         heapq.heapify(self._schedule)
         self._unsettled = len(self._schedule)
@@ -124,16 +142,16 @@
             self.done.set()
         threading.Thread(target=self._dispatch, daemon=True).start()
         for _ in range(self._options.threads):
-            threading.Thread(target=self._work, daemon=True).start()
+            threading.Thread(target=self._run_thread, daemon=True).start()
 
-    def _draw_messages(self, began: float, seconds: float) -> list[_ScheduledMessage]:
-        """Return the messages of so many seconds from `began`."""
+    def _draw_messages(self, start_at: float, seconds: float) -> list[_ScheduledMessage]:
+        """Return the messages scheduled within `seconds` seconds from `start_at`."""
         traffic = self._traffic
         accounts, account_weights = zip(*traffic.accounts, strict=True)
         destinations, destination_weights = zip(*traffic.destinations, strict=True)
         messages: list[_ScheduledMessage] = []
-        at = began + self._random.expovariate(traffic.rate_per_s)
-        while at < began + seconds:
+        at = start_at + self._random.expovariate(traffic.rate_per_s)
+        while at < start_at + seconds:
             number = len(messages) + 1
             account = self._random.choices(accounts, account_weights)[0]
             destination = self._random.choices(destinations, destination_weights)[0]
@@ -145,27 +163,27 @@
         return messages
 
     def _dispatch(self) -> None:
-        """Give each message to the threads at its time; once all are settled, end every thread."""
+        """Pass each message to the threads when it is due; end the threads once all messages are settled."""
         while not self.done.is_set():
             with self._changed:
                 message = self._next_message()
             if message is not None:
-                self._jobs.put(message)
+                self._due_messages.put(message)
         for _ in range(self._options.threads):
-            self._jobs.put(None)
+            self._due_messages.put(None)
 
     def _next_message(self) -> _ScheduledMessage | None:
-        """Return the next message where its time has come; else wait a little for a change and return None."""
-        wait_s = self._schedule[0].submit_at - now() if self._schedule else SCHEDULER_POLL_S
+        """Return a message that is due, or wait up to a poll interval for one and return None."""
+        wait_s = self._schedule[0].submit_at - now() if self._schedule else SCHEDULE_POLL_INTERVAL_S
         if wait_s > 0:
-            self._changed.wait(min(wait_s, SCHEDULER_POLL_S))
+            self._changed.wait(min(wait_s, SCHEDULE_POLL_INTERVAL_S))
             return None
         return heapq.heappop(self._schedule)
 
-    def _work(self) -> None:
-        """One thread: submit messages over its own connections until there are no more."""
+    def _run_thread(self) -> None:
+        """Submit messages over connections of this thread, until the queue has the end marker None."""
         connections: dict[str, ClientConnection] = {}
-        while (message := self._jobs.get()) is not None:
+        while (message := self._due_messages.get()) is not None:
             try:
                 self._submit(message, connections)
             except Exception:
@@ -175,7 +193,7 @@
             connection.close()
 
     def _settle(self) -> None:
-        """Count a message as settled for its client; set `done` after the last."""
+        """Count a message that is not submitted again; set `done` after the last one."""
         with self._changed:
             self._unsettled -= 1
             if self._unsettled <= 0:
@@ -183,38 +201,39 @@
                 self._changed.notify_all()
 
     def _submit(self, message: _ScheduledMessage, connections: dict[str, ClientConnection]) -> None:
-        """Submit a message once; schedule another submission where the answer allows one, else settle it."""
+        """Submit a message once; schedule another submission if the response allows one, else settle it."""
         if message.submissions == 0:
             self.lateness_s.append(now() - message.submit_at)
         route = self._route(message, connections)
         if route is None:
             self._settle()
             return
-        answer = self._post(message, route, connections)
-        is_final = answer.status in ACCEPTED or answer.status == INVALID
+        response = self._post(message, route, connections)
+        is_final = response.status in ACCEPTED_STATUSES or response.status == INVALID_STATUS
         if is_final or message.submissions >= self._traffic.max_submissions:
             self._settle()
             return
-        wait_s = answer.retry_after_s if answer.retry_after_s > 0 else self._draw_backoff()
+        wait_s = response.retry_after_s if response.retry_after_s > 0 else self._draw_backoff()
         message.submit_at = now() + wait_s
         with self._changed:
             heapq.heappush(self._schedule, message)
             self._changed.notify_all()
 
     def _draw_backoff(self) -> float:
-        """Return the seconds before another submission where the answer did not say: half to one and a half times."""
+        """Return a random backoff in seconds, from 0.5 to 1.5 times the mean."""
         return self._traffic.backoff_s * (0.5 + self._random.random())
 
     def _route(self, message: _ScheduledMessage, connections: dict[str, ClientConnection]) -> _Route | None:
-        """Return a forwarder that could be connected to, or None once the message has no time left.
+        """Return a route to a forwarder that accepts the connection, or None once the deadline is too near.
 
-        Where nobody listens the load balancer takes another at once; that is no submission of the client's.
+        As behind a load balancer, a refused connection leads to another forwarder at once and does not count as a
+        submission.
         """
         unreachable: frozenset[str] = frozenset()
         while True:
             forwarder = self._load_balancer.choose(unreachable)
             time_left_s = message.expires_at - now()
-            if time_left_s <= LEAST_TIME_LEFT_S:
+            if time_left_s <= MIN_TIME_LEFT_S:
                 return None
             connection = self._connect(forwarder, connections)
             if connection is not None:
@@ -222,17 +241,17 @@
             unreachable |= {forwarder}
             if len(unreachable) >= len(self._load_balancer.forwarders):
                 unreachable = frozenset()
-                time.sleep(NOBODY_READY_PAUSE_S)
+                time.sleep(NO_FORWARDER_PAUSE_S)
 
     def _connect(self, forwarder: str, connections: dict[str, ClientConnection]) -> ClientConnection | None:
-        """Return the thread's connection to a forwarder, a new one where it has none that is fit; None if refused."""
+        """Return a reused or new connection to a forwarder, or None if it refuses the connection."""
         connection = connections.pop(forwarder, None)
         if connection is not None and not connection.reusable():
             connection.close()
             connection = None
         if connection is None:
             try:
-                connection = ClientConnection(self._load_balancer.forwarders[forwarder], ANSWER_TIMEOUT_S)
+                connection = ClientConnection(self._load_balancer.forwarders[forwarder], RESPONSE_TIMEOUT_S)
             except OSError:
                 return None
         connections[forwarder] = connection
@@ -240,8 +259,8 @@
 
     def _post(
         self, message: _ScheduledMessage, route: _Route, connections: dict[str, ClientConnection]
-    ) -> _Answer:
-        """Submit a message over a route, record it and its answer, and return that."""
+    ) -> _Response:
+        """Submit a message over a route; record the submission and the response, and return the response."""
         message_class = self._traffic.message_class
         submission = Submission(
             message.next_id(), message_class, message.account, message.destination, message.key,
@@ -253,16 +272,17 @@
                 message.destination, route.forwarder, message.scheduled_at, message.expires_at,
             )
         )  # fmt: skip
-        answer = _Answer(NO_ANSWER)
+        response = _Response(NO_RESPONSE)
         close = True
         try:
-            response = route.connection.submit(submission)
-            close = response.close
-            answer = _Answer(response.status, float(response.headers.get("retry-after", 0.0)))
+            http_response = route.connection.submit(submission)
+            close = http_response.close
+            retry_after_s = float(http_response.headers.get("retry-after", 0.0))
+            response = _Response(http_response.status, retry_after_s)
         except CONNECTION_ERRORS:
             pass
         if close:
             route.connection.close()
             connections.pop(route.forwarder, None)
-        self._recorder.add(SubmissionAnswered(now(), submission.id, answer.status, answer.retry_after_s))
-        return answer
+        self._recorder.add(SubmissionAnswered(now(), submission.id, response.status, response.retry_after_s))
+        return response
--- a/juniperward/fakes/destination_capacity.py
+++ b/juniperward/fakes/destination_capacity.py
@@ -1,7 +1,7 @@
-"""What a fake destination can take: its rate limit, its slow start after an outage, its crash when overloaded.
+"""The capacity of a fake destination: its rate limit, slow start after an outage, and crash by overload.
 
-`FakeDestination` asks these for each call, under its lock; they know no sockets. Times are seconds of the records'
-clock, rates calls a second.
+`FakeDestination` calls these classes under its lock. Times are seconds of the clock of `records.now`, rates are in
+calls per second.
 """
 
 from __future__ import annotations
@@ -11,47 +11,54 @@
 from juniperward.fakes.destination_spec import DestinationSpec
 from juniperward.fakes.records import now
 
-OVERLOAD_MULTIPLE = 2.0  # in slow start, so many times its present capacity ...
-OVERLOAD_SPAN_S = 3.0  # ... within so many seconds crashes a destination
-OVERLOAD_SLACK_CALLS = 10  # calls beyond that which do not yet crash it
-RATE_SPAN_S = 1.0  # over which the rate limit counts
-LEAST_CAPACITY = 0.01  # calls a second that a service time is scaled by at least
-MOST_SLOWDOWN = 20.0  # a service time grows so many times at most
+# In slow start, a destination crashes when the calls within OVERLOAD_WINDOW_S exceed its current capacity
+# multiplied by OVERLOAD_FACTOR, by more than OVERLOAD_SLACK_CALLS.
+OVERLOAD_FACTOR = 2.0
+OVERLOAD_WINDOW_S = 3.0
+OVERLOAD_SLACK_CALLS = 10
+RATE_WINDOW_S = 1.0
+MIN_CAPACITY_PER_S = 0.01
+MAX_SLOWDOWN_FACTOR = 20.0
 
 
 class RateLimit:
-    """A limit of calls within each sliding span of a second."""
+    """A limit on the calls within a sliding window of RATE_WINDOW_S."""
 
     def __init__(self, calls_per_s: float) -> None:
-        """Allow so many calls a second; 0 is no limit."""
+        """Allow `calls_per_s` calls per second; 0 means no limit."""
         self._limit = calls_per_s
         self._calls: deque[float] = deque()
 
     def admit(self, at: float) -> float | None:
-        """Count a call and return None, or return the moment from which another is allowed."""
+        """Count an allowed call and return None, or return the time from which another call is allowed."""
         if not self._limit:
             return None
         calls = self._calls
-        while calls and at - calls[0] >= RATE_SPAN_S:
+        while calls and at - calls[0] >= RATE_WINDOW_S:
             calls.popleft()
         if len(calls) >= self._limit:
-            return calls[0] + RATE_SPAN_S
+            return calls[0] + RATE_WINDOW_S
         calls.append(at)
         return None
 
 
 class DestinationCapacity:
-    """The calls a second that a destination can take now; `crashed` once too many came in slow start."""
+    """A destination's current capacity.
+
+    Attributes:
+        recovered_at: When the latest outage ended, or None if there was none.
+        crashed: Whether the destination received too many calls in slow start; it then stays down.
+    """
 
     def __init__(self, spec: DestinationSpec) -> None:
-        """Begin with all of the spec's capacity."""
+        """Start with the full capacity of the spec."""
         self._spec = spec
-        self._recent_calls: deque[float] = deque()  # of the last OVERLOAD_SPAN_S
+        self._recent_calls: deque[float] = deque()  # times within OVERLOAD_WINDOW_S
         self.recovered_at: float | None = None
         self.crashed = False
 
-    def present(self) -> float:
-        """Return the calls a second that the destination can take now."""
+    def current_per_s(self) -> float:
+        """Return the calls per second that the destination can serve now."""
         if self.crashed:
             return 0.0
         if self.recovered_at is None:
@@ -61,22 +68,22 @@
         fraction = spec.warm_up_start_fraction + (1 - spec.warm_up_start_fraction) * warmed_up
         return spec.capacity * fraction
 
-    def slowdown(self) -> float:
-        """Return how many times the usual a call takes now."""
-        return min(self._spec.capacity / max(self.present(), LEAST_CAPACITY), MOST_SLOWDOWN)
+    def slowdown_factor(self) -> float:
+        """Return the current service time as a multiple of the usual one."""
+        return min(self._spec.capacity / max(self.current_per_s(), MIN_CAPACITY_PER_S), MAX_SLOWDOWN_FACTOR)
 
     def begin_slow_start(self) -> None:
-        """Begin slow start: an outage has ended."""
+        """Start slow start at the end of an outage."""
         self.recovered_at = now()
 
     def count_call(self, at: float) -> None:
-        """Count a call, served or rejected, and crash where too many came in slow start."""
+        """Count a received call, served or rejected; crash if there are too many in slow start."""
         calls = self._recent_calls
-        while calls and at - calls[0] > OVERLOAD_SPAN_S:
+        while calls and at - calls[0] > OVERLOAD_WINDOW_S:
             calls.popleft()
         calls.append(at)
         if self.recovered_at is None or at - self.recovered_at >= self._spec.warm_up_s:
             return
-        bound = OVERLOAD_MULTIPLE * self.present() * OVERLOAD_SPAN_S + OVERLOAD_SLACK_CALLS
-        if len(calls) > bound:
+        max_calls = OVERLOAD_FACTOR * self.current_per_s() * OVERLOAD_WINDOW_S + OVERLOAD_SLACK_CALLS
+        if len(calls) > max_calls:
             self.crashed = True
--- a/juniperward/fakes/destinations.py
+++ b/juniperward/fakes/destinations.py
@@ -1,10 +1,9 @@
-"""A fake of a destination: its endpoints on loopback, its limits, its deduplication and its faults.
+"""A fake destination whose endpoints listen on loopback, with limits, deduplication and injected faults.
 
-In: a `DestinationSpec` and the calls of forwarders. Out: answers as the platform's pages have them, and a record of
-each call, answer and effect. A rate limit counts over sliding spans of a second (429 with Retry-After, or 503
-without); a key that comes again within the deduplication window is answered as delivered and takes no second
-effect; after an outage the capacity grows from a part of the usual (slow start), and a destination that is pushed far
-above it crashes and stays down. Tests, `LocalCluster` and the benchmarks start it.
+It records each call, answer and effect. A call above the rate limit is rejected with 429 and a Retry-After, or with
+503 without one. A message whose idempotency key was received within the deduplication window is answered as delivered
+and has no second effect. After an outage the capacity grows back gradually (slow start); a destination that receives
+far more calls than its current capacity crashes and stays down.
 """
 
 from __future__ import annotations
@@ -31,13 +30,13 @@
 from juniperward.net.http_responses import encode_response
 from juniperward.net.http_values import HttpRequest
 
-FAILURE_LATENCY_S = 0.01  # of a call that a failing destination answers with 500
-UNRESPONSIVE_FOR_S = 30.0  # for which an unresponsive endpoint leaves a connection open at most
-POLL_S = 0.02
+FAILURE_LATENCY_S = 0.01
+MAX_HANG_S = 30.0
+HANG_POLL_INTERVAL_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
-class _Item:
+class _Message:
     """One message of a call."""
 
     id: str
@@ -46,18 +45,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Call:
-    """A call that an endpoint is serving: its record's number, its messages, and whether it is a batch."""
+    """A call that an endpoint received: its number in the records, its messages, and whether it is a batch."""
 
     number: int
-    items: tuple[_Item, ...]
+    messages: tuple[_Message, ...]
     batch: bool
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """What an endpoint answers: an HTTP status, every message's state, the Retry-After in seconds (0: none).
+    """An endpoint's answer to a call.
 
-    `lists_states` writes the states in the body, as a batch that was served answers.
+    Attributes:
+        status: The HTTP status.
+        state: The state of each message in the call.
+        retry_after_s: The Retry-After in seconds; 0 means none.
+        lists_states: Whether the body lists the messages' states, as for a batch that was served.
     """
 
     status: int
@@ -68,18 +71,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _Admission:
-    """A call that is served: how many calls its endpoint then serves, and what chance has drawn for it."""
+    """The conditions under which an endpoint serves a call.
+
+    Attributes:
+        concurrent_calls: The number of calls that the endpoint serves, including this one.
+        failure_draw: A random number from 0 to 1; a failing destination fails the call if it is below the failure
+            fraction.
+        latency_s: The service time before queueing and slow start.
+    """
 
     concurrent_calls: int
-    failure_draw: float  # from 0 to 1; below the failure fraction, a failing destination fails the call
+    failure_draw: float
     latency_s: float
 
 
 class FakeDestination:
-    """One destination and its endpoints."""
+    """A destination and its endpoints."""
 
     def __init__(self, spec: DestinationSpec, recorder: Recorder, seed: int) -> None:
-        """Draw service times from a seed; what happens goes to `recorder`."""
+        """Draw random values from a seed; `recorder` receives the records of calls."""
         self.spec, self.recorder = spec, recorder
         self.random = random.Random(seed)
         self.lock = threading.Lock()
@@ -87,7 +97,7 @@
             HttpServer(self._handler(number), spec.max_connections) for number in range(spec.endpoints)
         ]
         self.calls_in_service = [0] * spec.endpoints
-        self.effect_times: dict[str, float] = {}  # by key
+        self.effect_times: dict[str, float] = {}  # by idempotency key
         self.rate_limit = RateLimit(spec.rate_limit)
         self.capacity = DestinationCapacity(spec)
         self.mode = FaultMode.HEALTHY
@@ -95,17 +105,17 @@
         self.rejecting_until = 0.0
 
     def start(self) -> list[ListedEndpoint]:
-        """Listen, and return the endpoints for discovery."""
+        """Start the endpoints and return their entries for the endpoint list."""
         for listener in self.listeners:
             listener.start()
         return self.listed()
 
     def endpoint_id(self, number: int) -> str:
-        """Return the id of an endpoint."""
+        """Return the id of endpoint `number`."""
         return f"s-{self.spec.destination}-{number}"
 
     def listed(self, state: str = "Ready", number: int | None = None) -> list[ListedEndpoint]:
-        """Return its endpoints as the list has them, or one of them."""
+        """Return the entries for the endpoint list: of all endpoints, or only of endpoint `number`."""
         spec = self.spec
         numbers = range(spec.endpoints) if number is None else (number,)
         return [
@@ -121,9 +131,10 @@
             listener.stop()
 
     def inject_fault(self, mode: FaultMode, seconds: float = 0.0, fraction: float = 1.0) -> None:
-        """Begin a fault, or with HEALTHY end it.
+        """Inject a fault, or end it with HEALTHY.
 
-        `seconds` is how long a REJECTING destination says that it lasts; `fraction` of the calls FAILING fails.
+        `seconds` is the fault's duration that a REJECTING destination announces in Retry-After; `fraction` is the
+        fraction of the calls that a FAILING destination fails.
         """
         with self.lock:
             before = self.mode
@@ -138,28 +149,26 @@
             for listener in self.listeners:
                 listener.start()
 
-    # --- calls ---------------------------------------------------------------------------------------------
-
     def _handler(self, number: int) -> Callable[[ServerConnection, HttpRequest, float], bool]:
-        """Return what serves the calls of endpoint `number`."""
+        """Return the handler for calls to endpoint `number`."""
         return lambda connection, request, began_at: self._handle(number, connection, request, began_at)
 
     def _handle(
         self, number: int, connection: ServerConnection, request: HttpRequest, began_at: float
     ) -> bool:
-        """Record a call, then reject or serve it; False ends the connection."""
+        """Record a call, then reject or serve it; return False to close the connection."""
         call_number = self.recorder.next_attempt()
         try:
-            call = _Call(call_number, _items(request), request.path == "/receive-many")
+            call = _Call(call_number, _messages(request), request.path == "/receive-many")
         except (ValueError, KeyError, TypeError):
             return connection.write(encode_response(400, {}, b"", False))
-        ids = tuple(item.id for item in call.items)
-        keys = tuple(item.key for item in call.items)
+        ids = tuple(message.id for message in call.messages)
+        keys = tuple(message.key for message in call.messages)
         endpoint = self.endpoint_id(number)
         self.recorder.add(
             AttemptReceived(now(), call_number, endpoint, self.spec.destination, ids, keys, began_at)
         )
-        if call.batch and len(call.items) > self.spec.batch_size:
+        if call.batch and len(call.messages) > self.spec.batch_size:
             return self._answer(connection, call, _Answer(413, "later"))
         match self._admit(number):
             case _Answer() as rejection:
@@ -172,7 +181,7 @@
                         self.calls_in_service[number] -= 1
 
     def _admit(self, number: int) -> _Answer | _Admission:
-        """Return the rejection of a call to endpoint `number`, or count it as served and return its admission."""
+        """Return the rejection of a call to endpoint `number`, or admit the call and count it as served."""
         with self.lock:
             rejection = self._rejection(number)
             if rejection is not None:
@@ -181,44 +190,44 @@
             return _Admission(self.calls_in_service[number], self.random.random(), self._draw_latency())
 
     def _serve(self, connection: ServerConnection, call: _Call, admission: _Admission) -> bool:
-        """Serve a call that was admitted: fail it, leave it without an answer, or take effect and answer 200."""
+        """Serve an admitted call: fail it, leave it unanswered, or apply its effects and answer 200."""
         spec = self.spec
         if self.mode is FaultMode.FAILING and admission.failure_draw < self.failure_fraction:
             time.sleep(FAILURE_LATENCY_S)
             return self._answer(connection, call, _Answer(500, "error"))
-        queued = max(admission.concurrent_calls - spec.concurrency, 0) / spec.concurrency  # in service times
-        time.sleep(admission.latency_s * (1 + queued) * self.capacity.slowdown())
+        queueing_factor = 1 + max(admission.concurrent_calls - spec.concurrency, 0) / spec.concurrency
+        time.sleep(admission.latency_s * queueing_factor * self.capacity.slowdown_factor())
         if self.mode in (FaultMode.UNRESPONSIVE, FaultMode.DOWN):
             self._hang(connection, call)
             return False
-        for item in call.items:
-            self._take_effect(item)
+        for message in call.messages:
+            self._apply_effect(message)
         return self._answer(connection, call, _Answer(200, "ok", lists_states=call.batch))
 
     def _hang(self, connection: ServerConnection, call: _Call) -> None:
-        """Leave a call without an answer while the destination is unresponsive and the caller waits."""
-        until = now() + UNRESPONSIVE_FOR_S
+        """Leave a call unanswered while the destination is unresponsive and the caller keeps the connection open."""
+        until = now() + MAX_HANG_S
         while self.mode is FaultMode.UNRESPONSIVE and not connection.closed_by_peer() and now() < until:
-            time.sleep(POLL_S)
+            time.sleep(HANG_POLL_INTERVAL_S)
         self.recorder.add(AttemptUnanswered(now(), call.number))
 
     def _draw_latency(self) -> float:
-        """Draw a service time in seconds: gamma-distributed with the spec's mean and coefficient of variation."""
+        """Draw a service time from a gamma distribution with the spec's mean and coefficient of variation."""
         shape = 1 / max(self.spec.latency_variation, 0.01) ** 2
         return self.random.gammavariate(shape, self.spec.latency_s / shape)
 
-    def _take_effect(self, item: _Item) -> None:
-        """Record a message's effect, unless its key took effect within the deduplication window."""
+    def _apply_effect(self, message: _Message) -> None:
+        """Record a message's effect, unless one with the same key is within the deduplication window."""
         at = now()
         with self.lock:
-            before = self.effect_times.get(item.key)
+            before = self.effect_times.get(message.key)
             if before is not None and at - before < self.spec.deduplication_window_s:
                 return
-            self.effect_times[item.key] = at
-        self.recorder.add(Effect(at, self.spec.destination, item.id, item.key))
+            self.effect_times[message.key] = at
+        self.recorder.add(Effect(at, self.spec.destination, message.id, message.key))
 
     def _rejection(self, number: int) -> _Answer | None:
-        """Return the rejection of a call to endpoint `number`, or None where it is served; under the lock."""
+        """Return the rejection of a call to endpoint `number`, or None to serve it. The caller holds the lock."""
         at = now()
         self.capacity.count_call(at)
         if self.capacity.crashed:
@@ -231,35 +240,37 @@
         return None if allowed_at is None else self._rejection_until(allowed_at, at)
 
     def _rejection_until(self, until: float, at: float) -> _Answer:
-        """Return a rejection: 429 with the wait until a moment, or for a fraction of the calls 503 without."""
+        """Return a rejection until a time: 429 with Retry-After, or for a random part of the calls 503 without it."""
         retry_after_s = until - at
         if retry_after_s > 0 and self.random.random() < self.spec.retry_after_fraction:
             return _Answer(429, "later", retry_after_s)
         return _Answer(503, "later")
 
     def _answer(self, connection: ServerConnection, call: _Call, answer: _Answer) -> bool:
-        """Write an answer and record it, or record the call as hung where it could not be written."""
+        """Write an answer and record it; record the call as unanswered if the write fails."""
         retry_after_s = answer.retry_after_s
         headers = {"Retry-After": f"{retry_after_s:.3f}"} if retry_after_s > 0 else {}
         body = b""
         if answer.lists_states:
-            body = json.dumps([{"id": item.id, "state": answer.state} for item in call.items]).encode()
+            body = json.dumps(
+                [{"id": message.id, "state": answer.state} for message in call.messages]
+            ).encode()
         at = now()
         written = not connection.closed_by_peer() and connection.write(
             encode_response(answer.status, headers, body, False)
         )
         if written:
-            states = (answer.state,) * len(call.items)
+            states = (answer.state,) * len(call.messages)
             self.recorder.add(AttemptAnswered(at, call.number, states, round(retry_after_s, 3)))
         else:
             self.recorder.add(AttemptUnanswered(now(), call.number))
         return written
 
 
-def _items(request: HttpRequest) -> tuple[_Item, ...]:
-    """Return the messages of a call; raises ValueError, KeyError or TypeError where it is malformed."""
+def _messages(request: HttpRequest) -> tuple[_Message, ...]:
+    """Return the messages of a call; raises ValueError, KeyError or TypeError if it is malformed."""
     if request.path == "/receive-many":
         rows = json.loads(request.body)
-        return tuple(_Item(str(row["id"]), str(row.get("key", row["id"]))) for row in rows)
+        return tuple(_Message(str(row["id"]), str(row.get("key", row["id"]))) for row in rows)
     message = request.headers["x-correlation-id"]
-    return (_Item(message, request.headers.get("idempotency-key", message)),)
+    return (_Message(message, request.headers.get("idempotency-key", message)),)
--- a/juniperward/fakes/http_server.py
+++ b/juniperward/fakes/http_server.py
@@ -1,6 +1,6 @@
-"""A plain blocking HTTP server for fakes: a thread a connection, on loopback, at a port of the system's.
+"""A blocking HTTP server for fakes, with a thread per connection, on a free port of the loopback interface.
 
-The fakes give it a handler, which answers each request by writing to its connection.
+A handler answers each request by writing to the connection.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 
 class ServerConnection:
-    """One connection of a client; knows when the request that is being read began."""
+    """A connection of a client; it measures when each request began to arrive."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Read requests from a connection."""
+        """Read requests from an accepted socket."""
         self.socket = sock
         self._stream = Stream(self._receive)
         self._began_at: float | None = None
 
     def _receive(self, size: int) -> bytes:
-        """Read from the socket; remember when the first byte of a request came."""
+        """Read from the socket; note the time of the first byte of a request."""
         data = self.socket.recv(size)
         if data and self._began_at is None:
             self._began_at = time.monotonic()
         return data
 
     def read(self) -> tuple[HttpRequest, float]:
-        """Return the next request and when its first byte came; raises OSError and the errors of `net.http`."""
+        """Return the next request and the time of its first byte; raises OSError or an error of `net.http_errors`."""
         self._began_at = time.monotonic() if self._stream.buffer else None
         request = read_request(self._stream)
         assert self._began_at is not None
         return request, self._began_at
 
     def write(self, data: bytes) -> bool:
-        """Write, and return whether all of it could be written."""
+        """Write all of `data`; return False if the connection failed."""
         try:
             self.socket.sendall(data)
         except OSError:
@@ -53,19 +53,19 @@
         return True
 
     def closed_by_peer(self) -> bool:
-        """Return whether the other side has ended the connection."""
+        """Return whether the client has closed the connection."""
         return sockets.is_closed_by_peer(self.socket)
 
 
-# Answers a request that began at a moment; False ends the connection.
+# Answers a request, given the time of its first byte; returns False to close the connection.
 Handler = Callable[[ServerConnection, HttpRequest, float], bool]
 
 
 class HttpServer:
-    """Listens and gives each request to a handler."""
+    """Accepts connections and passes each request to a handler."""
 
     def __init__(self, handle: Handler, max_connections: int = MAX_CONNECTIONS) -> None:
-        """Serve at most so many connections at once; further ones are closed as they come."""
+        """Serve up to `max_connections` connections at the same time; further ones are closed at once."""
         self.port = 0
         self._handle, self._max_connections = handle, max_connections
         self._lock = threading.Lock()
@@ -74,11 +74,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as host:port."""
+        """The listening address, as host:port."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
-        """Listen; after a `stop`, at the same port again."""
+        """Listen on a free port, or after a `stop` on the same port as before."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(("127.0.0.1", self.port))
@@ -88,7 +88,7 @@
         threading.Thread(target=self._accept_all, args=(listener,), daemon=True).start()
 
     def stop(self) -> None:
-        """Refuse new connections and reset the open ones, as a process that has died."""
+        """Refuse new connections and shut the open ones down, as after a crash of the process."""
         if self._listener is not None:
             sockets.shutdown(self._listener)
             self._listener.close()
@@ -99,7 +99,7 @@
             sockets.shutdown(connection.socket)
 
     def _accept_all(self, listener: socket.socket) -> None:
-        """Accept connections until the listener closes."""
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 sock, _ = listener.accept()
@@ -113,7 +113,7 @@
                 sock.close()
 
     def _register(self, connection: ServerConnection) -> bool:
-        """Count a connection as open; False where there are too many."""
+        """Add an open connection, or return False if there are too many."""
         with self._lock:
             if len(self._connections) >= self._max_connections:
                 return False
@@ -121,7 +121,7 @@
             return True
 
     def _serve(self, connection: ServerConnection) -> None:
-        """Serve one connection's requests until it ends or the handler says so."""
+        """Serve the requests of a connection until it is closed or the handler returns False."""
         try:
             while True:
                 request, began_at = connection.read()
--- a/juniperward/fakes/instant_endpoints.py
+++ b/juniperward/fakes/instant_endpoints.py
@@ -1,6 +1,6 @@
-"""Endpoints in a process of their own that answer every call at once, and measure how old its message is.
+"""Endpoints in a separate process that answer every call at once and measure the age of its message.
 
-`benchmarks/capacity.py` uses them beside `load`: what is left of a message's age is what the forwarder has added.
+`benchmarks/capacity.py` uses them together with `load` to measure the latency that a forwarder adds.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 
 
 class InstantEndpoints:
-    """The process's owner: `addresses` has an endpoint's host:port each."""
+    """Controls the process of the endpoints; `addresses` lists their host:port."""
 
     def __init__(self, count: int, cores: frozenset[int] = frozenset()) -> None:
-        """Start so many, on these cores where any are given."""
+        """Start `count` endpoints, pinned to `cores` if any are given."""
         context = multiprocessing.get_context("spawn")
-        self._pipe, theirs = context.Pipe()
-        self._process = context.Process(target=_run, args=(count, theirs, cores), daemon=True)
+        self._pipe, child_pipe = context.Pipe()
+        self._process = context.Process(target=_serve_endpoints, args=(count, child_pipe, cores), daemon=True)
         self._process.start()
         self.addresses: list[str] = self._pipe.recv()
 
     def reset(self, since: float) -> None:
-        """Begin to measure anew, with messages that are scheduled from a moment on."""
+        """Discard the measured ages; from now on measure messages that are scheduled at or after `since`."""
         self._pipe.send(since)
         self._pipe.recv()
 
     def ages(self) -> LatencyHistogram:
-        """Return the times from a message's schedule to its endpoint."""
+        """Return the times from the schedule of each message to its arrival at an endpoint."""
         self._pipe.send(None)
         ages = LatencyHistogram()
         ages.add_encoded(self._pipe.recv())
         return ages
 
     def close(self) -> None:
-        """End the process."""
+        """Terminate the process."""
         self._process.terminate()
         self._process.join()
 
 
 class _AgeMeter:
-    """Answers calls at once and measures the ages of their messages."""
+    """Answers calls at once and measures the age of each message."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -57,7 +57,7 @@
         self._answer = encode_response(200, {}, b"", False)
 
     def handle(self, connection: ServerConnection, request: HttpRequest, _began_at: float) -> bool:
-        """Measure a call's message and answer 200."""
+        """Record the age of a call's message and answer 200."""
         scheduled_at = scheduled_at_of(request.headers["x-correlation-id"])
         with self._lock:
             if scheduled_at >= self._since:
@@ -65,19 +65,19 @@
         return connection.write(self._answer)
 
     def reset(self, since: float) -> None:
-        """Begin anew, with messages that are scheduled from a moment on."""
+        """Discard the ages; ignore messages that are scheduled before `since`."""
         with self._lock:
             self._ages = LatencyHistogram()
             self._since = since
 
     def encoded_ages(self) -> bytes:
-        """Return what was measured since the latest reset."""
+        """Return the ages since the latest reset, as an encoded LatencyHistogram."""
         with self._lock:
             return self._ages.encode()
 
 
-def _run(count: int, pipe: Connection, cores: frozenset[int]) -> None:
-    """The process: serve `count` endpoints and answer the pipe's resets (a moment) and reads (None)."""
+def _serve_endpoints(count: int, pipe: Connection, cores: frozenset[int]) -> None:
+    """Run the process: serve `count` endpoints; the pipe carries resets (a time) and requests for the ages (None)."""
     if cores:
         os.sched_setaffinity(0, cores)
     meter = _AgeMeter()
--- a/juniperward/fakes/load_balancer.py
+++ b/juniperward/fakes/load_balancer.py
@@ -1,4 +1,4 @@
-"""A plain load balancer: it polls the forwarders' ready pages and spreads clients over those that are ready."""
+"""A fake load balancer, which polls the readiness of forwarders and distributes messages among the ready ones."""
 
 from __future__ import annotations
 
@@ -15,26 +15,29 @@
 
 
 class LoadBalancer:
-    """Spreads clients round robin over the forwarders that were ready at the latest poll."""
+    """Chooses forwarders that were ready at the latest poll, in round-robin order."""
 
     def __init__(self, forwarders: dict[str, Address], poll_interval_s: float = 0.1) -> None:
-        """Poll the ready pages of `forwarders`, which are by name; they count as ready until the first poll."""
+        """Balance over `forwarders`, by name; all count as ready until the first poll."""
         self.forwarders = forwarders
         self.closed = False
         self._poll_interval_s = poll_interval_s
         self._ready: tuple[str, ...] = tuple(forwarders)
-        self._chosen = 0  # choices so far
+        self._choices = 0
 
     def start(self) -> None:
-        """Begin to poll, until `closed` is set."""
+        """Start polling, until `closed` is set."""
         threading.Thread(target=self._poll, daemon=True).start()
 
     def choose(self, avoid: frozenset[str] = frozenset()) -> str:
-        """Return the forwarder for the next message: a ready one, or any where none is ready."""
+        """Return the forwarder for the next message.
+
+        It is a ready one that is not in `avoid`, or else any ready one, or else any.
+        """
         names = [name for name in self._ready if name not in avoid]
         names = names or list(self._ready) or list(self.forwarders)
-        self._chosen += 1
-        return names[self._chosen % len(names)]
+        self._choices += 1
+        return names[self._choices % len(names)]
 
     def _poll(self) -> None:
         while not self.closed:
@@ -43,7 +46,7 @@
 
 
 def is_ready(address: Address, timeout_s: float = 0.3) -> bool:
-    """Return whether a forwarder's ready page answers 200 in time."""
+    """Return whether a forwarder's readiness check answers 200 within the timeout."""
     try:
         with socket.create_connection(address, timeout_s) as sock:
             sock.settimeout(timeout_s)
--- a/juniperward/fakes/record_index.py
+++ b/juniperward/fakes/record_index.py
@@ -1,7 +1,4 @@
-"""The records of a run, sorted by time and grouped by what they concern, so that each rule is a short walk.
-
-The checker's rules and its tally read it; nothing is judged here.
-"""
+"""An index of the records of a run, which the rules of the checker and its counts use."""
 
 from __future__ import annotations
 
@@ -27,26 +24,39 @@
 
 
 class RecordIndex:
-    """The records of a run; each group is in the order of time."""
+    """The records of a run, grouped by message, attempt, endpoint or forwarder; each group is in order of time.
+
+    Attributes:
+        end: The time of the last record.
+        submissions: The submissions, by message id.
+        submission_answers: The answers to submissions, by message id.
+        attempts: The attempts, by their number.
+        attempt_ends: The ends of attempts, by the attempt's number.
+        attempts_of: The attempts that carried a message, by message id.
+        notifications: The notifications, by message id.
+        effects: The effects, by idempotency key.
+        watch_events: The watch events, by forwarder and endpoint.
+        process_events: The process events, by forwarder.
+    """
 
     def __init__(self, records: Iterable[AnyRecord]) -> None:
         """Sort the records by time and group them."""
         ordered = sorted(records, key=lambda record: record.at)
         self.end = ordered[-1].at if ordered else 0.0
-        self.submissions: dict[str, Submitted] = {}  # by message
-        self.submission_answers: dict[str, SubmissionAnswered] = {}  # by message
+        self.submissions: dict[str, Submitted] = {}
+        self.submission_answers: dict[str, SubmissionAnswered] = {}
         self.attempts: dict[int, AttemptReceived] = {}
         self.attempt_ends: dict[int, AttemptAnswered | AttemptUnanswered] = {}
-        self.attempts_of: dict[str, list[AttemptReceived]] = defaultdict(list)  # by message
-        self.notifications: dict[str, list[NotificationReceived]] = defaultdict(list)  # by message
-        self.effects: dict[str, list[Effect]] = defaultdict(list)  # by key
+        self.attempts_of: dict[str, list[AttemptReceived]] = defaultdict(list)
+        self.notifications: dict[str, list[NotificationReceived]] = defaultdict(list)
+        self.effects: dict[str, list[Effect]] = defaultdict(list)
         self.watch_events: dict[tuple[str, str], list[WatchEventSent]] = defaultdict(list)
-        self.process_events: dict[str, list[ProcessEvent]] = defaultdict(list)  # by forwarder
+        self.process_events: dict[str, list[ProcessEvent]] = defaultdict(list)
         for record in ordered:
             self._add(record)
 
     def _add(self, record: AnyRecord) -> None:
-        """File one record under the groups that its kind belongs to."""
+        """Add one record to its groups."""
         match record:
             case Submitted():
                 self.submissions[record.id] = record
@@ -68,32 +78,32 @@
                 self.process_events[record.forwarder].append(record)
 
     def status_of(self, message: str) -> int:
-        """Return the HTTP status that a submission was answered with; 0 for none."""
+        """Return the HTTP status of the answer to a submission; 0 if it has none."""
         answer = self.submission_answers.get(message)
         return answer.status if answer is not None else 0
 
     def forwarder_of(self, attempt: AttemptReceived) -> str:
-        """Return who made an attempt: messages are never passed on between forwarders."""
+        """Return the forwarder that made an attempt: the one that its message was submitted to."""
         submitted = self.submissions.get(attempt.ids[0]) if attempt.ids else None
         return submitted.forwarder if submitted is not None else UNKNOWN_FORWARDER
 
     def delivered_at(self, message: str) -> float | None:
-        """Return when an attempt with the message was first answered as delivered."""
+        """Return when a message was first answered as delivered, or None if it was not."""
         for attempt in self.attempts_of.get(message, ()):
             if self._state(attempt, message) == "ok":
                 return self.attempt_ends[attempt.attempt].at
         return None
 
     def _state(self, attempt: AttemptReceived, message: str) -> str:
-        """Return how a message of an attempt ended: a state of the wire, or UNANSWERED."""
+        """Return the state of a message in the answer to an attempt, or UNANSWERED."""
         end = self.attempt_ends.get(attempt.attempt)
-        place = attempt.ids.index(message)
-        if isinstance(end, AttemptAnswered) and place < len(end.states):
-            return end.states[place]
+        index = attempt.ids.index(message)
+        if isinstance(end, AttemptAnswered) and index < len(end.states):
+            return end.states[index]
         return UNANSWERED
 
     def restarted(self, forwarder: str, since: float, until: float) -> bool:
-        """Return whether a forwarder's process ended or began between two moments."""
+        """Return whether a forwarder's process started or ended within a period."""
         return any(
             since <= event.at <= until
             for event in self.process_events.get(forwarder, ())
@@ -101,7 +111,7 @@
         )
 
     def running_again_at(self, forwarder: str, at: float) -> float:
-        """Return when a forwarder that was away at a moment ran again; the moment itself if it ran then."""
+        """Return `at` if the forwarder was running then, else when it ran again (`end` if it did not)."""
         down = False
         for event in self.process_events.get(forwarder, ()):
             if event.at > at and not down:
@@ -114,8 +124,8 @@
                 down = False
         return self.end if down else at
 
-    def story(self, message: str) -> tuple[AnyRecord, ...]:
-        """Return all records about a message, and the process events of its forwarder."""
+    def related_records(self, message: str) -> tuple[AnyRecord, ...]:
+        """Return all records about a message and the process events of its forwarder, in order of time."""
         submitted = self.submissions.get(message)
         found: list[AnyRecord] = [submitted] if submitted is not None else []
         if message in self.submission_answers:
--- a/juniperward/fakes/records.py
+++ b/juniperward/fakes/records.py
@@ -1,8 +1,8 @@
-"""What the fakes record of a run; the checker judges by nothing else.
+"""The records that the fakes write during a run, and that the checker reads.
 
-Times are seconds of the machine's monotonic clock, which all processes of a run share. Records of several recorders
-or files may be put together in any order: the checker sorts them. A file has one JSON object a line; its tags and
-keys are those of earlier releases (`tag=`, `name=`), so that files of earlier runs are read.
+Times are seconds of the machine's monotonic clock, which all processes of a run share. The checker accepts records in
+any order, also from several recorders or files. A file has one JSON object per line. Its tags and keys (`tag=`,
+`name=`) are those of earlier releases, so that files of earlier runs can be read.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class Record(msgspec.Struct, frozen=True, tag=True):
-    """The base of all records; `at` is when it happened."""
+    """The base of all records; `at` is the time of the event."""
 
     at: float
 
 
 class Submitted(Record, frozen=True, tag="Handed"):
-    """A client has written a message to a forwarder.
+    """A client has submitted a message to a forwarder.
 
-    `first_id` is the id of the message's first submission, `scheduled_at` when that was to be sent.
+    `first_id` is the id of the message's first submission, `scheduled_at` the time that was scheduled for it.
     """
 
     id: str
@@ -40,7 +40,7 @@
 
 
 class SubmissionAnswered(Record, frozen=True, tag="Heard"):
-    """The answer to a submission; status 0 is no answer in time, or a connection that ended."""
+    """A submission was answered; status 0 means that it timed out or that its connection failed."""
 
     id: str
     status: int
@@ -48,7 +48,7 @@
 
 
 class AttemptReceived(Record, frozen=True, tag="Called"):
-    """An endpoint has received an attempt with one or more messages; `began_at` is when its first byte came."""
+    """An endpoint has received an attempt with one or more messages; `began_at` is the time of its first byte."""
 
     attempt: int = msgspec.field(name="call")
     endpoint: str = msgspec.field(name="worker")
@@ -59,7 +59,7 @@
 
 
 class AttemptAnswered(Record, frozen=True, tag="Replied"):
-    """An endpoint has answered an attempt: the state of each message, and the answer's Retry-After (0: none)."""
+    """An endpoint has answered an attempt, with a state for each message and a Retry-After (0: none)."""
 
     attempt: int = msgspec.field(name="call")
     states: tuple[str, ...]  # ok, error, later, gone or exhausted
@@ -67,13 +67,13 @@
 
 
 class AttemptUnanswered(Record, frozen=True, tag="Hung"):
-    """An attempt ended without an answer: its connection did, or the endpoint."""
+    """An attempt ended without an answer, because its connection or the endpoint failed."""
 
     attempt: int = msgspec.field(name="call")
 
 
 class Effect(Record, frozen=True, tag=True):
-    """A message took effect at a destination; a duplicate that was dropped takes none."""
+    """A message took effect at a destination; a duplicate that the destination drops has no effect."""
 
     destination: int
     id: str
@@ -89,7 +89,7 @@
 
 
 class WatchEventSent(Record, frozen=True, tag="Told"):
-    """Discovery has written an endpoint's state to a forwarder's watch."""
+    """Discovery has sent an endpoint's state to a forwarder's watch."""
 
     forwarder: str
     endpoint: str = msgspec.field(name="worker")
@@ -97,16 +97,16 @@
 
 
 class ProcessChange(StrEnum):
-    """What happened to a forwarder's process."""
+    """A change of a forwarder's process; TERMINATE is the request to shut down."""
 
     START = "start"
-    TERMINATE = "term"  # it was requested to shut down
+    TERMINATE = "term"
     KILL = "kill"
     EXIT = "exit"
 
 
 class ProcessEvent(Record, frozen=True, tag="Life"):
-    """A forwarder's process began, was signalled or ended."""
+    """A forwarder's process started, was signalled or ended."""
 
     forwarder: str
     change: ProcessChange = msgspec.field(name="what")
@@ -126,33 +126,33 @@
 
 
 class Recorder:
-    """Holds records in memory; any thread may add to it."""
+    """Collects records in memory; any thread may add to it."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create a recorder without records."""
         self.records: list[AnyRecord] = []
         self._lock = threading.Lock()
         self._attempts = 0
 
     def add(self, record: AnyRecord) -> None:
         """Add a record."""
-        self.records.append(record)  # one list operation, which the interpreter's own lock makes atomic
+        self.records.append(record)  # atomic, because the interpreter's global lock protects list.append
 
     def next_attempt(self) -> int:
-        """Return a fresh number for an attempt."""
+        """Return a new number for an attempt."""
         with self._lock:
             self._attempts += 1
             return self._attempts
 
     def write(self, file: Path) -> None:
-        """Write all records so far, one JSON object a line."""
+        """Write all records so far to a file."""
         encode = msgspec.json.Encoder().encode
         with file.open("wb") as out:
             out.writelines(encode(record) + b"\n" for record in list(self.records))
 
 
 def read(files: Iterable[Path]) -> Iterator[AnyRecord]:
-    """Return the records of several files; raises msgspec.ValidationError at a line that is no record."""
+    """Yield the records of several files; raises msgspec.ValidationError for a line that is not a record."""
     decoder = msgspec.json.Decoder(AnyRecord)
     for file in files:
         with file.open("rb") as lines:
@@ -161,5 +161,5 @@
 
 
 def now() -> float:
-    """Return the time by the clock of all records."""
+    """Return the current time of the records' clock."""
     return time.monotonic()
--- a/juniperward/fakes/rules.py
+++ b/juniperward/fakes/rules.py
@@ -1,8 +1,7 @@
-"""The rules of the protocol page, each a function from a run's records to its violations; `checker` applies RULES.
+"""The rules of the protocol; each is a function that returns the violations in the records of a run.
 
-What is allowed on purpose: a duplicate whose effect the destination drops, a notification that comes again, and a
-notification for a message that was delivered at that very moment, or by a forwarder whose process ended before it
-could write that down.
+The rules allow a duplicate whose effect the destination drops, a repeated notification, and a notification for a
+delivered message if the two crossed or if the forwarder's process ended before it could journal the delivery.
 """
 
 from __future__ import annotations
@@ -21,45 +20,46 @@
     Submitted,
     WatchEventSent,
 )
-from juniperward.fakes.tally import ACCEPTED, REJECTED, outcome_deadline
+from juniperward.fakes.tally import ACCEPTED_STATUSES, REJECTED_STATUSES, outcome_deadline
 from juniperward.fakes.verdict import Bounds, Rule, Violation
 
-RESTART_LOOKBACK_S = 5.0  # before an outcome, for a restart that explains a second one
+# A restart up to this long before a message's first outcome may cause a second one.
+RESTART_LOOKBACK_S = 5.0
 RETRY_AFTER_TOLERANCE_S = 0.002
 
 
 def one_outcome(records: RecordIndex, bounds: Bounds) -> Iterator[Violation]:
-    """Each message that was accepted has exactly one outcome, in its time; a rejected one has none."""
+    """Check that each accepted message has exactly one outcome, in time, and that a rejected one has none."""
     for message, submitted in records.submissions.items():
         status = records.status_of(message)
         notifications = records.notifications.get(message, [])
-        if status in ACCEPTED:
+        if status in ACCEPTED_STATUSES:
             yield from _outcome_of_accepted(records, bounds, submitted, notifications)
-        elif notifications and status in REJECTED:
-            text = "a notification for a message that was rejected"
-            yield _of_message(records, Rule.ONE_OUTCOME, message, notifications[0].at, text)
+        elif notifications and status in REJECTED_STATUSES:
+            text = "notified although it was rejected"
+            yield _message_violation(records, Rule.ONE_OUTCOME, message, notifications[0].at, text)
 
 
 def _outcome_of_accepted(
     records: RecordIndex, bounds: Bounds, submitted: Submitted, notifications: list[NotificationReceived]
 ) -> Iterator[Violation]:
     def violation(at: float, text: str) -> Violation:
-        return _of_message(records, Rule.ONE_OUTCOME, submitted.id, at, text)
+        return _message_violation(records, Rule.ONE_OUTCOME, submitted.id, at, text)
 
     delivered_at = records.delivered_at(submitted.id)
     if len({notification.status for notification in notifications}) > 1:
-        yield violation(notifications[-1].at, "two notifications that differ")
+        yield violation(notifications[-1].at, "notified twice with different statuses")
     if delivered_at is not None:
         if notifications and not _may_cross(records, bounds, submitted, delivered_at, notifications):
-            yield violation(notifications[0].at, "delivered, and notified as undelivered too")
+            yield violation(notifications[0].at, "delivered and also notified as undelivered")
         return
     deadline = outcome_deadline(records, bounds, submitted)
     if notifications:
         late_s = notifications[0].at - deadline
         if late_s > 0:
-            yield violation(notifications[0].at, f"its notification came {late_s:.3f} s late")
+            yield violation(notifications[0].at, f"notified {late_s:.3f} s too late")
     elif records.end >= deadline:
-        yield violation(submitted.expires_at, "accepted, and without an outcome: it is lost")
+        yield violation(submitted.expires_at, "lost: accepted, but neither delivered nor notified")
 
 
 def _may_cross(
@@ -69,7 +69,7 @@
     delivered_at: float,
     notifications: list[NotificationReceived],
 ) -> bool:
-    """Return whether an answer written as the forwarder's time runs out may cross with the notification."""
+    """Return whether a delivery and a notification may have crossed, or a restart explains both."""
     notified_at = notifications[0].at
     if 0 <= notified_at - delivered_at <= bounds.crossing_s:
         return True
@@ -78,49 +78,47 @@
 
 
 def one_in_flight(records: RecordIndex, _bounds: Bounds) -> Iterator[Violation]:
-    """No attempt of a message begins while another is in flight."""
+    """Check that no attempt of a message starts while another one is in flight."""
     for message, attempts in records.attempts_of.items():
         in_flight_until = -math.inf
         for attempt in attempts:
             if attempt.at < in_flight_until:
-                text = "a second attempt came while the first was in flight"
-                yield _of_message(records, Rule.ONE_IN_FLIGHT, message, attempt.at, text)
+                text = "a second attempt arrived while another one was in flight"
+                yield _message_violation(records, Rule.ONE_IN_FLIGHT, message, attempt.at, text)
             end = records.attempt_ends.get(attempt.attempt)
             ended_at = end.at if isinstance(end, AttemptAnswered) else attempt.at
             in_flight_until = max(in_flight_until, ended_at)
 
 
 def one_effect(records: RecordIndex, _bounds: Bounds) -> Iterator[Violation]:
-    """No message takes effect twice: a destination drops a duplicate only inside its window."""
+    """Check that no message takes effect twice, as it can after the destination's deduplication window."""
     for effects in records.effects.values():
         if len(effects) > 1:
             first, second = effects[0], effects[1]
             text = f"a second effect {second.at - first.at:.3f} s after the first"
-            yield _of_message(records, Rule.ONE_EFFECT, second.id, second.at, text)
+            yield _message_violation(records, Rule.ONE_EFFECT, second.id, second.at, text)
 
 
 def draining(records: RecordIndex, bounds: Bounds) -> Iterator[Violation]:
-    """Nothing new goes to an endpoint that the forwarder's watch has said drains or is removed."""
+    """Check that no attempt goes to an endpoint after the forwarder's watch reported it draining or removed."""
     times = {watched: [event.at for event in events] for watched, events in records.watch_events.items()}
     for attempt in records.attempts.values():
         forwarder = records.forwarder_of(attempt)
         watched = (forwarder, attempt.endpoint)
         events = records.watch_events.get(watched, [])
         latest = bisect.bisect_right(times.get(watched, []), attempt.began_at) - 1
-        event = _first_of_run(events, latest)
+        event = _drain_start(events, latest)
         if event is not None and attempt.began_at > event.at + bounds.drain_grace_s:
             late_s = attempt.began_at - event.at
-            text = (
-                f"{forwarder} sent {attempt.ids[0]} there {late_s:.3f} s after its watch said {event.state}"
-            )
-            story: tuple[AnyRecord, ...] = (*events, attempt)
-            yield Violation(Rule.DRAINING, attempt.endpoint, attempt.began_at, text, story)
+            text = f"{forwarder} sent {attempt.ids[0]} to it {late_s:.3f} s after its watch reported {event.state}"
+            related_records: tuple[AnyRecord, ...] = (*events, attempt)
+            yield Violation(Rule.DRAINING, attempt.endpoint, attempt.began_at, text, related_records)
 
 
-def _first_of_run(events: list[WatchEventSent], latest: int) -> WatchEventSent | None:
-    """Return the first of the latest run of watch events that an endpoint drains.
+def _drain_start(events: list[WatchEventSent], latest: int) -> WatchEventSent | None:
+    """Return the watch event since which an endpoint is not ready, or None if it is ready or has no event.
 
-    `latest` indexes the latest event at or before the attempt; None where the endpoint is ready, or no event came.
+    `latest` is the index of the latest event at or before the attempt; it is negative if there is none.
     """
     if latest < 0 or events[latest].state == "Ready":
         return None
@@ -131,12 +129,12 @@
 
 
 def retry_after(records: RecordIndex, bounds: Bounds) -> Iterator[Violation]:
-    """A forwarder that received a Retry-After sends nothing to that destination before it is over."""
+    """Check that a forwarder sends nothing to a destination within a Retry-After that it received."""
     answers = _answers_with_retry_after(records)
     for attempt in records.attempts.values():
         forwarder = records.forwarder_of(attempt)
         for answer in answers.get((forwarder, attempt.destination), []):
-            if _ignores(records, bounds, attempt, forwarder, answer):
+            if _violates_retry_after(records, bounds, attempt, forwarder, answer):
                 early_s = answer.at + answer.retry_after_s - attempt.began_at
                 text = (
                     f"{forwarder} sent {attempt.ids[0]} {early_s:.3f} s before the end of a Retry-After "
@@ -148,7 +146,7 @@
 
 
 def _answers_with_retry_after(records: RecordIndex) -> dict[tuple[str, int], list[AttemptAnswered]]:
-    """Return the answers that carried a Retry-After, by forwarder and destination."""
+    """Return the answers with a Retry-After, by forwarder and destination."""
     answers: dict[tuple[str, int], list[AttemptAnswered]] = defaultdict(list)
     for number, end in records.attempt_ends.items():
         attempt = records.attempts.get(number)
@@ -157,10 +155,10 @@
     return answers
 
 
-def _ignores(
+def _violates_retry_after(
     records: RecordIndex, bounds: Bounds, attempt: AttemptReceived, forwarder: str, answer: AttemptAnswered
 ) -> bool:
-    """Return whether an attempt began within an answer's Retry-After, and no restart explains it."""
+    """Return whether an attempt began within an answer's Retry-After without a restart in between."""
     since = answer.at + bounds.retry_after_grace_s
     until = answer.at + answer.retry_after_s - RETRY_AFTER_TOLERANCE_S
     within = since < attempt.began_at < until
@@ -168,30 +166,30 @@
 
 
 def known_message(records: RecordIndex, _bounds: Bounds) -> Iterator[Violation]:
-    """Only what a client submitted goes out, to its own destination, with its own key."""
+    """Check that attempts carry only messages that were submitted and not rejected, with destination and key."""
     for attempt in records.attempts.values():
         for message, key in zip(attempt.ids, attempt.keys, strict=True):
-            if wrong := _wrong_with(records, attempt, message, key):
-                yield _of_message(records, Rule.KNOWN_MESSAGE, message, attempt.at, wrong)
+            if fault := _message_fault(records, attempt, message, key):
+                yield _message_violation(records, Rule.KNOWN_MESSAGE, message, attempt.at, fault)
 
 
-def _wrong_with(records: RecordIndex, attempt: AttemptReceived, message: str, key: str) -> str:
-    """Return what is wrong with a message of an attempt, or an empty text."""
+def _message_fault(records: RecordIndex, attempt: AttemptReceived, message: str, key: str) -> str:
+    """Return a description of what is wrong with a message of an attempt, or an empty string."""
     submitted = records.submissions.get(message)
     if submitted is None:
         return f"attempt {attempt.attempt} carries a message that no client submitted"
     if submitted.destination != attempt.destination:
-        return f"it is for {submitted.destination} and went to {attempt.destination}"
+        return f"submitted for destination {submitted.destination}, but sent to {attempt.destination}"
     if submitted.key != key:
-        return f"its key is {submitted.key}, and it went out with {key}"
-    if records.status_of(message) in REJECTED:
-        return "it was rejected, and sent all the same"
+        return f"submitted with key {submitted.key}, but sent with {key}"
+    if records.status_of(message) in REJECTED_STATUSES:
+        return "rejected, but sent nevertheless"
     return ""
 
 
-def _of_message(records: RecordIndex, rule: Rule, message: str, at: float, text: str) -> Violation:
-    """Return a violation by a message, with its story."""
-    return Violation(rule, message, at, text, records.story(message))
+def _message_violation(records: RecordIndex, rule: Rule, message: str, at: float, text: str) -> Violation:
+    """Return a violation that concerns a message, with the records about it."""
+    return Violation(rule, message, at, text, records.related_records(message))
 
 
 RULES: tuple[Callable[[RecordIndex, Bounds], Iterator[Violation]], ...] = (
--- a/juniperward/fakes/tally.py
+++ b/juniperward/fakes/tally.py
@@ -1,4 +1,4 @@
-"""What the checker counts of a run: messages, attempts and effects, and the priority weight that was delivered."""
+"""Counts the messages, attempts and effects of a run, and computes the priority weight that was delivered."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from juniperward.fakes.records import Submitted
 from juniperward.fakes.verdict import Bounds, Verdict
 
-ACCEPTED = (200, 202)  # HTTP statuses of a submission
-REJECTED = (429, 503)
+ACCEPTED_STATUSES = (200, 202)
+REJECTED_STATUSES = (429, 503)
 
 
 def tally(records: RecordIndex, bounds: Bounds) -> Verdict:
-    """Return a verdict with everything counted and no violation."""
+    """Return a verdict with the counts of a run and without violations."""
     verdict = Verdict()
     _count_submissions(verdict, records, bounds)
     _count_attempts(verdict, records)
-    _sum_up_priority_weight(verdict, records, bounds)
+    _count_priority_weight(verdict, records, bounds)
     return verdict
 
 
 def outcome_deadline(records: RecordIndex, bounds: Bounds, submitted: Submitted) -> float:
-    """Return until when an accepted message that is not delivered must have been notified."""
+    """Return the time by which an accepted message that is not delivered must have a notification."""
     running_at = records.running_again_at(submitted.forwarder, submitted.expires_at)
-    was_away = running_at > submitted.expires_at
-    return running_at + bounds.outcome_grace_s + (bounds.restart_grace_s if was_away else 0.0)
+    was_down = running_at > submitted.expires_at
+    return running_at + bounds.outcome_grace_s + (bounds.restart_grace_s if was_down else 0.0)
 
 
 def _count_submissions(verdict: Verdict, records: RecordIndex, bounds: Bounds) -> None:
     for message, submitted in records.submissions.items():
         verdict.submissions += 1
         status = records.status_of(message)
-        verdict.rejected += status in REJECTED
+        verdict.rejected += status in REJECTED_STATUSES
         verdict.unanswered += status == 0
-        if status not in ACCEPTED:
+        if status not in ACCEPTED_STATUSES:
             continue
         verdict.accepted += 1
         if records.delivered_at(message) is not None:
@@ -53,17 +53,17 @@
     verdict.effects = len(records.effects)
 
 
-def _sum_up_priority_weight(verdict: Verdict, records: RecordIndex, bounds: Bounds) -> None:
-    """Set priority weight delivered over priority weight offered; a message's submissions count together."""
+def _count_priority_weight(verdict: Verdict, records: RecordIndex, bounds: Bounds) -> None:
+    """Set the fraction of the offered priority weight that was delivered; submissions of a message count as one."""
     offered: dict[str, Submitted] = {}
     latency_s: dict[str, float] = {}
     for message, submitted in records.submissions.items():
         first_id = submitted.first_id
         offered.setdefault(first_id, submitted)
         delivered_at = records.delivered_at(message)
-        if records.status_of(message) in ACCEPTED and delivered_at is not None:
-            took_s = delivered_at - submitted.scheduled_at
-            latency_s[first_id] = min(latency_s.get(first_id, math.inf), took_s)
+        if records.status_of(message) in ACCEPTED_STATUSES and delivered_at is not None:
+            message_latency_s = delivered_at - submitted.scheduled_at
+            latency_s[first_id] = min(latency_s.get(first_id, math.inf), message_latency_s)
     by_account: dict[str, list[float]] = defaultdict(list)
     for first_id, submitted in offered.items():
         by_account[submitted.account].append(_priority_weight(latency_s.get(first_id), bounds))
@@ -79,7 +79,7 @@
 def _priority_weight(latency_s: float | None, bounds: Bounds) -> float:
     """Return the priority weight of a delivery after `latency_s` seconds; None stands for no delivery.
 
-    1 up to the latency objective, falling linearly to the late weight at the deadline, 0 beyond it.
+    It is 1 up to the latency objective, falls linearly to the late weight at the deadline, and is 0 after that.
     """
     if latency_s is None:
         return 0.0
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker must be seen to fail: a good run's records, and each violation planted in them."""
+"""Tests that the checker passes the records of a valid run, and detects each violation added to them."""
 
 from __future__ import annotations
 
@@ -28,21 +28,23 @@
 from juniperward.fakes.verdict import Rule, Verdict
 
 
-def message(name: str, at: float, call: int, destination: int = 1, forwarder: str = "n0") -> list[AnyRecord]:
-    """A message that was taken and delivered at once."""
+def message(
+    name: str, at: float, attempt: int, destination: int = 1, forwarder: str = "n0"
+) -> list[AnyRecord]:
+    """Return the records of a message that is accepted and delivered at once."""
     return [
         Submitted(at, name, name, f"k{name}", "c", "acme", destination, forwarder, at, at + 20.0),
         SubmissionAnswered(at + 0.01, name, 202),
         AttemptReceived(
-            at + 0.02, call, f"s-{destination}-0", destination, (name,), (f"k{name}",), at + 0.02
+            at + 0.02, attempt, f"s-{destination}-0", destination, (name,), (f"k{name}",), at + 0.02
         ),
         Effect(at + 0.05, destination, name, f"k{name}"),
-        AttemptAnswered(at + 0.06, call, ("ok",)),
+        AttemptAnswered(at + 0.06, attempt, ("ok",)),
     ]
 
 
-def run() -> list[AnyRecord]:
-    """A good run: deliveries, a refusal handed in again, a wait, a notice, a restart, a drain."""
+def valid_run() -> list[AnyRecord]:
+    """Return a valid run: deliveries, a resubmission, a Retry-After, a notification, a restart and a drain."""
     records = [r for n in range(5) for r in message(f"m{n}", 10.0 + n, n + 1, 1 + n % 2, f"n{n % 2}")]
     records += [
         WatchEventSent(1.0, "n0", "s-1-0", "Ready"), WatchEventSent(1.0, "n1", "s-1-0", "Ready"),
@@ -63,9 +65,16 @@
 
 class TestChecker:
     def test_a_valid_run_passes(self) -> None:
-        v = check(run())
-        assert v.lines() == ["every rule held"]
-        assert (v.offered, v.submissions, v.accepted, v.delivered, v.notified, v.rejected) == (
+        verdict = check(valid_run())
+        assert verdict.lines() == ["every rule held"]
+        assert (
+            verdict.offered,
+            verdict.submissions,
+            verdict.accepted,
+            verdict.delivered,
+            verdict.notified,
+            verdict.rejected,
+        ) == (
             7,
             8,
             7,
@@ -73,128 +82,138 @@
             1,
             1,
         )
-        assert v.priority_weight_delivered == pytest.approx((5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, abs=5e-7)
+        assert verdict.priority_weight_delivered == pytest.approx(
+            (5 + 1 - (4.3 - 3.0) / 17.0 * 0.7) / 7, abs=5e-7
+        )
         assert check([]).passed
 
-    def plant(
+    def assert_detected(
         self, rule: Rule, subject: str, change: Callable[[list[AnyRecord]], list[AnyRecord]]
     ) -> Verdict:
-        v = check(change(run()))
-        assert rule in [x.rule for x in v.violations], f"{rule} was not seen"
-        found = next(x for x in v.violations if x.rule == rule)
+        verdict = check(change(valid_run()))
+        assert rule in [violation.rule for violation in verdict.violations], f"{rule} was not detected"
+        found = next(violation for violation in verdict.violations if violation.rule == rule)
         assert found.subject == subject
-        assert found.story
-        assert rule in v.lines()[1]
-        return v
+        assert found.related_records
+        assert rule in verdict.lines()[1]
+        return verdict
 
     def test_a_lost_message_is_detected(self) -> None:
-        self.plant(
+        self.assert_detected(
             Rule.ONE_OUTCOME, "y", lambda rs: [r for r in rs if not isinstance(r, NotificationReceived)]
         )
 
     def test_an_outcome_past_its_deadline_is_detected(self) -> None:
         late = NotificationReceived(60.5, "y", "undeliverable", "n1")
-        self.plant(
+        self.assert_detected(
             Rule.ONE_OUTCOME,
             "y",
             lambda rs: [*(r for r in rs if not isinstance(r, NotificationReceived)), late],
         )
 
-    def test_an_outcome_after_a_restart_has_slack(self) -> None:
-        away: list[AnyRecord] = [
+    def test_an_outcome_after_a_restart_has_more_time(self) -> None:
+        restart: list[AnyRecord] = [
             ProcessEvent(59.0, "n1", ProcessChange.KILL),
             ProcessEvent(61.0, "n1", ProcessChange.START),
         ]
-        records = [r for r in run() if not isinstance(r, NotificationReceived)] + away
+        records = [r for r in valid_run() if not isinstance(r, NotificationReceived)] + restart
         assert check([*records, NotificationReceived(62.5, "y", "undeliverable", "n1")]).passed
         assert not check([*records, NotificationReceived(63.0, "y", "undeliverable", "n1")]).passed
 
-    def test_two_outcomes_are_detected(self) -> None:
-        self.plant(
+    def test_a_second_outcome_is_detected(self) -> None:
+        self.assert_detected(
             Rule.ONE_OUTCOME, "m1", lambda rs: [*rs, NotificationReceived(12.0, "m1", "undeliverable", "n1")]
         )
-        self.plant(
+        self.assert_detected(
             Rule.ONE_OUTCOME, "y", lambda rs: [*rs, NotificationReceived(59.95, "y", "deferred", "n1")]
         )
-        self.plant(Rule.ONE_OUTCOME, "x", lambda rs: [*rs, NotificationReceived(30.5, "x", "deferred", "n0")])
+        self.assert_detected(
+            Rule.ONE_OUTCOME, "x", lambda rs: [*rs, NotificationReceived(30.5, "x", "deferred", "n0")]
+        )
 
     def test_a_repeated_notification_is_no_second_outcome(self) -> None:
-        assert check([*run(), NotificationReceived(59.95, "y", "undeliverable", "n1")]).passed
+        assert check([*valid_run(), NotificationReceived(59.95, "y", "undeliverable", "n1")]).passed
 
     def test_a_notification_that_crossed_the_answer_is_allowed(self) -> None:
-        # Guards against a verdict on a race that the protocol page calls harmless: 1 ms after the answer.
-        assert check([*run(), NotificationReceived(11.06 + 0.04, "m1", "undeliverable", "n1")]).passed
-        assert not check([*run(), NotificationReceived(11.06 + 0.06, "m1", "undeliverable", "n1")]).passed
+        # The protocol allows a notification that is sent while the answer is on its way.
+        assert check([*valid_run(), NotificationReceived(11.06 + 0.04, "m1", "undeliverable", "n1")]).passed
+        assert not check(
+            [*valid_run(), NotificationReceived(11.06 + 0.06, "m1", "undeliverable", "n1")]
+        ).passed
 
     def test_a_notification_that_crossed_a_restart_is_allowed(self) -> None:
-        crossed: list[AnyRecord] = [
+        restart_and_notification: list[AnyRecord] = [
             ProcessEvent(12.0, "n1", ProcessChange.KILL), ProcessEvent(12.5, "n1", ProcessChange.START),
             NotificationReceived(25.0, "m1", "undeliverable", "n1"),
         ]  # fmt: skip
-        assert check([*run(), *crossed]).passed
+        assert check([*valid_run(), *restart_and_notification]).passed
 
     def test_a_concurrent_duplicate_attempt_is_detected(self) -> None:
         copy = AttemptReceived(10.03, 90, "s-1-0", 1, ("m0",), ("km0",), 10.03)
-        self.plant(Rule.ONE_IN_FLIGHT, "m0", lambda rs: [*rs, copy, AttemptAnswered(10.2, 90, ("ok",))])
+        self.assert_detected(
+            Rule.ONE_IN_FLIGHT, "m0", lambda rs: [*rs, copy, AttemptAnswered(10.2, 90, ("ok",))]
+        )
 
-    def test_an_attempt_after_one_that_hung_is_no_concurrent_duplicate(self) -> None:
-        assert check(run()).retries == 2
+    def test_an_attempt_after_an_unanswered_one_is_no_concurrent_duplicate(self) -> None:
+        assert check(valid_run()).retries == 2
 
     def test_a_second_effect_is_detected(self) -> None:
-        self.plant(Rule.ONE_EFFECT, "m0", lambda rs: [*rs, Effect(25.0, 1, "m0", "km0")])
+        self.assert_detected(Rule.ONE_EFFECT, "m0", lambda rs: [*rs, Effect(25.0, 1, "m0", "km0")])
 
     def test_an_attempt_to_a_draining_endpoint_is_detected(self) -> None:
-        def late(after: float) -> list[AnyRecord]:
-            return [*run(), *message("z", 20.0 + after - 0.02, 91)]
-
-        assert check(late(0.24)).passed
-        self.plant(Rule.DRAINING, "s-1-0", lambda _: late(0.26))
-        # Notified again that it drains, it is not given another quarter of a second.
-        self.plant(
-            Rule.DRAINING, "s-1-0", lambda _: [*late(5.0), WatchEventSent(24.9, "n0", "s-1-0", "Gone")]
+        def with_attempt_after(delay_s: float) -> list[AnyRecord]:
+            return [*valid_run(), *message("z", 20.0 + delay_s - 0.02, 91)]
+
+        assert check(with_attempt_after(0.24)).passed
+        self.assert_detected(Rule.DRAINING, "s-1-0", lambda _: with_attempt_after(0.26))
+        # A second event that it drains or is gone does not extend the grace period.
+        self.assert_detected(
+            Rule.DRAINING,
+            "s-1-0",
+            lambda _: [*with_attempt_after(5.0), WatchEventSent(24.9, "n0", "s-1-0", "Gone")],
         )
-        assert check([*late(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).passed
+        assert check([*with_attempt_after(5.0), WatchEventSent(24.0, "n0", "s-1-0", "Ready")]).passed
 
     def test_an_attempt_within_retry_after_is_detected(self) -> None:
         early = AttemptReceived(32.5, 92, "s-2-1", 2, ("x-2",), ("kx",), 32.5)
-        self.plant(Rule.RETRY_AFTER, "destination 2", lambda rs: [*rs, early])
+        self.assert_detected(Rule.RETRY_AFTER, "destination 2", lambda rs: [*rs, early])
         under_way = AttemptReceived(31.1, 92, "s-2-1", 2, ("x-2",), ("kx",), 31.1)
-        assert Rule.RETRY_AFTER not in [v.rule for v in check([*run(), under_way]).violations]
+        assert Rule.RETRY_AFTER not in [v.rule for v in check([*valid_run(), under_way]).violations]
         restart: list[AnyRecord] = [
             ProcessEvent(32.0, "n1", ProcessChange.KILL),
             ProcessEvent(32.3, "n1", ProcessChange.START),
         ]
-        assert Rule.RETRY_AFTER not in [v.rule for v in check([*run(), *restart, early]).violations]
+        assert Rule.RETRY_AFTER not in [v.rule for v in check([*valid_run(), *restart, early]).violations]
 
-    def test_unknown_messages_are_detected(self) -> None:
-        one = AttemptReceived(15.0, 93, "s-1-0", 1, ("who",), ("k",), 15.0)
-        self.plant(Rule.KNOWN_MESSAGE, "who", lambda rs: [*rs, one])
-        self.plant(
+    def test_unknown_and_changed_messages_are_detected(self) -> None:
+        unknown = AttemptReceived(15.0, 93, "s-1-0", 1, ("who",), ("k",), 15.0)
+        self.assert_detected(Rule.KNOWN_MESSAGE, "who", lambda rs: [*rs, unknown])
+        self.assert_detected(
             Rule.KNOWN_MESSAGE,
             "m0",
             lambda rs: [*rs, AttemptReceived(15.0, 94, "s-9-0", 9, ("m0",), ("km0",), 15.0)],
         )
-        self.plant(
+        self.assert_detected(
             Rule.KNOWN_MESSAGE,
             "m0",
             lambda rs: [*rs, AttemptReceived(15.0, 95, "s-1-0", 1, ("m0",), ("kk",), 15.0)],
         )
-        self.plant(
+        self.assert_detected(
             Rule.KNOWN_MESSAGE,
             "x",
             lambda rs: [*rs, AttemptReceived(32.0, 96, "s-2-0", 2, ("x",), ("kx",), 32.0)],
         )
 
-    def test_records_come_back_from_a_file(self) -> None:
+    def test_records_are_read_back_from_a_file(self) -> None:
         recorder = Recorder()
-        for r in run():
+        for r in valid_run():
             recorder.add(r)
         with tempfile.TemporaryDirectory() as folder:
             recorder.write(Path(folder) / "a")
-            assert list(read([Path(folder) / "a"])) == run()
+            assert list(read([Path(folder) / "a"])) == valid_run()
 
     def test_files_keep_the_tags_and_keys_of_earlier_runs(self) -> None:
-        # Guards files of earlier runs: the records' names have changed since, their form on disk has not.
+        # Files of earlier runs must stay readable although the names in the code have changed.
         lines = [
             {"type": "Handed", "at": 1.0, "id": "m", "first": "m", "key": "k", "cls": "c", "account": "acme",
              "destination": 1, "forwarder": "n0", "due": 1.0, "expires": 21.0},
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes themselves: clients that are late, or a destination that is too kind, would judge wrongly."""
+"""Tests of the fakes: late clients or a too lenient destination would falsify the results of other tests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class TestClients(UsesResources):
-    def run_clients(self, *statuses: int, count: float = 40.0) -> tuple[Recorder, Clients]:
+    def run_clients(self, *statuses: int, rate_per_s: float = 40.0) -> tuple[Recorder, Clients]:
         answers = list(statuses)
         lock = threading.Lock()
 
@@ -51,15 +51,14 @@
         load_balancer = LoadBalancer({"n0": ("127.0.0.1", server.port)})
         recorder = Recorder()
         clients = Clients(
-            Traffic(count, backoff_s=0.01), load_balancer, recorder, 1, ClientOptions(threads=2)
+            Traffic(rate_per_s, backoff_s=0.01), load_balancer, recorder, 1, ClientOptions(threads=2)
         )
         clients.start(1.0)
         assert clients.done.wait(20.0)
         return recorder, clients
 
     def test_a_pooled_connection_is_reused_without_a_wait(self) -> None:
-        # Guards the clients' own speed: a look at a socket with one of Python's time-outs waited for all of it, so
-        # two threads submitted five messages a second, and every latency was their own.
+        # A check of a pooled connection must not wait for the socket's timeout, which would delay each message.
         recorder, clients = self.run_clients()
         assert sorted(clients.lateness_s)[len(clients.lateness_s) // 2] < 0.1
         assert len(clients.lateness_s) > 20
@@ -67,7 +66,7 @@
         assert {r.status for r in answers} == {202}
 
     def test_a_rejected_message_is_submitted_once_more_with_its_key_and_a_fresh_id(self) -> None:
-        recorder, _ = self.run_clients(503, 0, 503, 503, count=4.0)
+        recorder, _ = self.run_clients(503, 0, 503, 503, rate_per_s=4.0)
         submissions = [r for r in recorder.records if isinstance(r, Submitted)]
         by_first: dict[str, list[Submitted]] = {}
         for submission in submissions:
@@ -75,15 +74,15 @@
         assert any(len(submitted) == 2 for submitted in by_first.values())
         for submitted in by_first.values():
             assert len(submitted) <= 2
-            assert len({h.key for h in submitted}) == 1
-            assert len({h.id for h in submitted}) == len(submitted)
-            assert len({h.expires_at for h in submitted}) == 1
+            assert len({submission.key for submission in submitted}) == 1
+            assert len({submission.id for submission in submitted}) == len(submitted)
+            assert len({submission.expires_at for submission in submitted}) == 1
 
 
 class TestDestination(UsesResources):
-    def destination(self, **more: object) -> FakeDestination:
+    def start_destination(self, **options: object) -> FakeDestination:
         self.recorder = Recorder()
-        spec = DestinationSpec(1, latency_s=0.001, retry_after_fraction=1.0, **more)  # type: ignore[arg-type]
+        spec = DestinationSpec(1, latency_s=0.001, retry_after_fraction=1.0, **options)  # type: ignore[arg-type]
         destination = FakeDestination(spec, self.recorder, 1)
         destination.start()
         self.resources.callback(destination.close)
@@ -96,11 +95,11 @@
             headers = {"X-Correlation-Id": name, "Idempotency-Key": key or name}
             sock.sendall(encode_request("POST", "/receive", "x", headers, b""))
             answer = read_response(Stream(sock.recv))
-            self._recorded()
+            self._wait_for_records()
             return answer.status, float(answer.headers.get("retry-after", 0.0))
 
-    def _recorded(self) -> None:
-        """An answer is recorded once it is written: its caller may be faster than that."""
+    def _wait_for_records(self) -> None:
+        """Wait until all calls have a recorded end, which follows the answer that the caller reads."""
         until = time.monotonic() + 5.0
         while time.monotonic() < until:
             records = list(self.recorder.records)
@@ -109,24 +108,24 @@
             ):
                 return
             time.sleep(0.001)
-        pytest.fail("a call that was answered was not recorded")
+        pytest.fail("the end of an answered call was not recorded")
 
     def test_a_duplicate_takes_no_second_effect_inside_the_window(self) -> None:
-        destination = self.destination(deduplication_window_s=0.2)
+        destination = self.start_destination(deduplication_window_s=0.2)
         assert [self.call(destination, f"m{n}", "k")[0] for n in range(3)] == [200, 200, 200]
         assert sum(isinstance(r, Effect) for r in self.recorder.records) == 1
-        destination.effect_times["k"] -= 1.0  # its window is over
+        destination.effect_times["k"] -= 1.0  # moves the effect before the window
         self.call(destination, "m4", "k")
         assert sum(isinstance(r, Effect) for r in self.recorder.records) == 2
 
-    def test_its_rate_limit_is_for_all_its_endpoints_and_sends_retry_after(self) -> None:
-        destination = self.destination(rate_limit=3.0)
+    def test_the_rate_limit_covers_all_endpoints_and_sends_retry_after(self) -> None:
+        destination = self.start_destination(rate_limit=3.0)
         found = [self.call(destination, f"m{n}", endpoint=n % 2) for n in range(4)]
         assert [s for s, _ in found] == [200, 200, 200, 429]
         assert 0 < found[3][1] <= 1.0
 
-    def test_faults_and_slow_start(self) -> None:
-        destination = self.destination(concurrency=10)
+    def test_a_fault_is_answered_and_its_end_starts_slow_start(self) -> None:
+        destination = self.start_destination(concurrency=10)
         destination.inject_fault(FaultMode.REJECTING, 5.0)
         status, wait = self.call(destination, "a")
         assert status == 429
@@ -137,13 +136,13 @@
         with pytest.raises(OSError):
             self.call(destination, "c")
         destination.inject_fault(FaultMode.HEALTHY)
-        assert destination.capacity.present() < 0.3 * destination.spec.capacity
+        assert destination.capacity.current_per_s() < 0.3 * destination.spec.capacity
         assert self.call(destination, "d")[0] == 200
         destination.capacity.recovered_at = time.monotonic() - 11.0
-        assert destination.capacity.present() == destination.spec.capacity
+        assert destination.capacity.current_per_s() == destination.spec.capacity
 
-    def test_overloaded_in_slow_start_it_crashes(self) -> None:
-        destination = self.destination(rate_limit=4.0)
+    def test_overload_in_slow_start_crashes_the_destination(self) -> None:
+        destination = self.start_destination(rate_limit=4.0)
         destination.capacity.recovered_at = time.monotonic()
         for n in range(40):
             self.call(destination, f"m{n}")
@@ -151,17 +150,17 @@
         assert self.call(destination, "z")[0] == 503
 
     def test_an_attempt_is_recorded_completely(self) -> None:
-        destination = self.destination()
+        destination = self.start_destination()
         self.call(destination, "m", "k")
-        called, effect, replied = self.recorder.records
+        received, effect, answered = self.recorder.records
         assert (
-            isinstance(called, AttemptReceived)
+            isinstance(received, AttemptReceived)
             and isinstance(effect, Effect)
-            and isinstance(replied, AttemptAnswered)
+            and isinstance(answered, AttemptAnswered)
         )
-        assert (called.endpoint, called.ids, called.keys) == ("s-1-0", ("m",), ("k",))
-        assert called.began_at <= called.at
-        assert (effect.key, replied.states) == ("k", ("ok",))
+        assert (received.endpoint, received.ids, received.keys) == ("s-1-0", ("m",), ("k",))
+        assert received.began_at <= received.at
+        assert (effect.key, answered.states) == ("k", ("ok",))
 
 
 class TestDiscovery(UsesResources):
