--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -24,7 +24,7 @@
 from juniperward.fakes.discovery import FakeDiscovery, ListedEndpoint
 from juniperward.fakes.histograms import LatencyHistogram
 from juniperward.fakes.instant_endpoints import InstantEndpoints
-from juniperward.fakes.load import LoadPlan, LoadResult, play
+from juniperward.fakes.load import LoadPlan, LoadResult, run_load
 from juniperward.fakes.load_balancer import is_ready
 from juniperward.fakes.records import Recorder, now
 
@@ -162,7 +162,7 @@
             for number in range(LOAD_PROCESSES)
         ]
         cpu_before_s = processes.usage(self._child.pid)[0]
-        load = play(plans)
+        load = run_load(plans)
         time.sleep(LAST_ARRIVALS_S)
         cpu_after_s, resident_bytes = processes.usage(self._child.pid)
         counted_cpu_s = (cpu_after_s - cpu_before_s) * counted_s / (counted_s + skip_s)
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -122,7 +122,7 @@
     return int(message_id.partition("-")[0]) / 1e6
 
 
-def play(plans: list[LoadPlan]) -> LoadResult:
+def run_load(plans: list[LoadPlan]) -> LoadResult:
     """Run each plan in its own process and return the combined result; raises LoadProcessError if one fails."""
     context = multiprocessing.get_context("spawn")
     results: Queue[EncodedLoadResult] = context.Queue()
