--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -42,7 +42,7 @@
         time.sleep(2.0)
         cluster.request("roll", soak=1.0)
         time.sleep(1.0)
-        cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
+        cluster.discovery.publish(*cluster.destinations[2].listed_endpoints("Terminating", 0))
         roll = cluster.roll_end(60.0)
         console.print(f"roll {roll['id']} is {roll['mode']} {roll['why']}")
         clients.done.wait(60.0)
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -35,7 +35,7 @@
             began = time.monotonic()
             cluster.request("roll", soak=0.5, **options)
             time.sleep(1.0)
-            cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
+            cluster.discovery.publish(*cluster.destinations[2].listed_endpoints("Terminating", 0))
             found = cluster.roll_end(180.0)
             if found["mode"] != "done":
                 raise RollNotDoneError(found["mode"], found["why"])
--- a/juniperward/fakes/destinations.py
+++ b/juniperward/fakes/destinations.py
@@ -108,13 +108,13 @@
         """Start the endpoints and return their entries for the endpoint list."""
         for listener in self.listeners:
             listener.start()
-        return self.listed()
+        return self.listed_endpoints()
 
     def endpoint_id(self, number: int) -> str:
         """Return the id of endpoint `number`."""
         return f"s-{self.spec.destination}-{number}"
 
-    def listed(self, state: str = "Ready", number: int | None = None) -> list[ListedEndpoint]:
+    def listed_endpoints(self, state: str = "Ready", number: int | None = None) -> list[ListedEndpoint]:
         """Return the entries for the endpoint list: of all endpoints, or only of endpoint `number`."""
         spec = self.spec
         numbers = range(spec.endpoints) if number is None else (number,)
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -168,7 +168,7 @@
         recorder = Recorder()
         discovery = self.resources.closing(FakeDiscovery(recorder))
         destination = FakeDestination(DestinationSpec(1), recorder, 1)
-        discovery.publish(*destination.listed())
+        discovery.publish(*destination.listed_endpoints())
         host, port = discovery.address_for("n0").split(":")
         with socket.create_connection((host, int(port)), 5.0) as sock:
             sock.sendall(encode_request("GET", "/registry/instances?follow=1&since=0", "x", {}, None))
@@ -176,7 +176,7 @@
             text = b""
             while b'"full": true' not in text:
                 text = lines.readline()
-            discovery.publish(*destination.listed("Terminating", 0))
+            discovery.publish(*destination.listed_endpoints("Terminating", 0))
             while b"Terminating" not in text:
                 text = lines.readline()
         while len(sent := [r for r in recorder.records if isinstance(r, WatchEventSent)]) < 3:
--- a/tests/test_local_cluster.py
+++ b/tests/test_local_cluster.py
@@ -67,7 +67,7 @@
         clients = cluster.clients(40.0, 6.0, threads=24)
         cluster.request("roll", soak=0.2)
         cluster.wait_until(lambda status: status["roll"]["steps"][0]["stage"] == "starting")
-        cluster.discovery.publish(*cluster.destinations[2].listed("Terminating", 0))
+        cluster.discovery.publish(*cluster.destinations[2].listed_endpoints("Terminating", 0))
         assert cluster.roll_end()["mode"] == "done"
         assert clients.done.wait(30.0)
         self.assert_passed(cluster)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -52,7 +52,7 @@
              "weight": 0.0, "started_ms": 0}
             for e in destination.start()
         ]  # fmt: skip
-        discovery.publish(*destination.listed())
+        discovery.publish(*destination.listed_endpoints())
         base = {
             **BASE_CONFIGURATION,
             "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB, "sockets": 128},
