--- a/juniperward/forwarder/reducer/completion.py
+++ b/juniperward/forwarder/reducer/completion.py
@@ -15,7 +15,7 @@
 from juniperward.forwarder.state import PendingMessage
 from juniperward.forwarder.telemetry import increment
 
-MAX_COMPLETED_IDS = 8192  # about 1.5 MiB of memory
+MAX_COMPLETED_IDS = 8192  # These take about 1.5 MiB of memory.
 
 
 class Completion:
--- a/juniperward/forwarder/reducer/health_checks.py
+++ b/juniperward/forwarder/reducer/health_checks.py
@@ -9,8 +9,8 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.scheduler.events import HealthCheckFinished, Outcome
 
-# Times the dial timeout, to connect and to receive a response, which a healthy endpoint sends at once.
-TIMEOUT_DIAL_FACTOR = 1.5
+# The time limit of a health check, as a multiple of the dial timeout. It covers the dial and the response.
+DIAL_TIMEOUT_FACTOR = 1.5
 
 
 class HealthChecks:
@@ -37,7 +37,7 @@
                 endpoint.host,
                 endpoint.port,
                 endpoint.destination,
-                self._round.now + TIMEOUT_DIAL_FACTOR * settings.dial_timeout_s,
+                self._round.now + DIAL_TIMEOUT_FACTOR * settings.dial_timeout_s,
                 route_of(endpoint, settings),
             )
         )
--- a/juniperward/forwarder/reducer/intake.py
+++ b/juniperward/forwarder/reducer/intake.py
@@ -27,13 +27,14 @@
 
 ADMISSION_RETRY_AFTER_S = 1.0
 # A message expires this long before its client's deadline, to leave time for the notification, also if the
-# clock runs ahead just after the process started. For a short deadline the margin is a fraction of it,
-# which must be less than 1 - MIN_ATTEMPT_TIME_FRACTION.
+# clock runs ahead just after the process started. If the deadline is short, the margin is a fraction of the
+# time until it; this fraction must be less than 1 - MIN_ATTEMPT_TIME_FRACTION.
 MAX_NOTIFICATION_MARGIN_S = 0.3
 NOTIFICATION_MARGIN_FRACTION = 0.2
 # A notification that was due during the downtime is not late until 1.5 s after the process is ready again.
 NOTIFICATION_GRACE_AFTER_RESTART_S = 1.5 - MAX_NOTIFICATION_MARGIN_S
-NO_ENDPOINT = 0  # the number for an endpoint that is no longer listed
+# Replaces the endpoint number of a past attempt whose endpoint is unknown or no longer listed.
+NO_ENDPOINT = 0
 
 
 def _notification_margin_s(message: Message) -> float:
@@ -122,7 +123,7 @@
         history: tuple[scheduler_events.PastAttempt, ...] = ()
         if pending.executed_at is not None:
             history = (scheduler_events.PastAttempt(NO_ENDPOINT, pending.executed_at),)
-        # Before this moment, the scheduler does not give up a message that was never attempted.
+        # The scheduler does not give up an unattempted message before this time.
         attempt_until = (
             pending.client_deadline_at - (1 - MIN_ATTEMPT_TIME_FRACTION) * pending.message.time_left_s
         )
--- a/juniperward/forwarder/reducer/round.py
+++ b/juniperward/forwarder/reducer/round.py
@@ -20,7 +20,7 @@
         self.scheduler_events: list[SchedulerEvent] = []
 
     def begin(self, now: float) -> None:
-        """Start a round at a time of the monotonic clock, without effects and events."""
+        """Start a round without effects and events; `now` is the time of the monotonic clock."""
         self.now = now
         self.effects = []
         self.scheduler_events = []
--- a/juniperward/forwarder/reducer/scheduling.py
+++ b/juniperward/forwarder/reducer/scheduling.py
@@ -15,7 +15,8 @@
 from juniperward.scheduler import DeliveryScheduler
 from juniperward.scheduler import actions as scheduler_actions
 
-RETRY_AFTER_ERROR_S = 0.05  # delay before the scheduler is called again after an error
+# After an error, the scheduler is called again with this delay.
+RETRY_AFTER_ERROR_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
