--- a/juniperward/forwarder/active_call.py
+++ b/juniperward/forwarder/active_call.py
@@ -9,7 +9,7 @@
 
 
 class ActiveCall:
-    """An attempt or a health check in flight; guarded by the lock of the gate.
+    """An attempt or a health check in flight; guarded by the lock of its client's `SendGate`.
 
     Attributes:
         withdrawn: Numbers of the messages that must not be written.
--- a/juniperward/forwarder/address.py
+++ b/juniperward/forwarder/address.py
@@ -6,7 +6,7 @@
 
 
 class BadAddressError(ValueError):
-    """The text `text` is not an address."""
+    """A text, kept in `text`, is not an address of the form `host:port`."""
 
     def __init__(self, text: str) -> None:
         """Store the invalid text."""
--- a/juniperward/forwarder/answer_headers.py
+++ b/juniperward/forwarder/answer_headers.py
@@ -9,7 +9,7 @@
 from juniperward.forwarder.telemetry import increment
 from juniperward.net.http_values import DECIMAL
 
-MAX_RETRY_AFTER_S = 3600.0  # a longer wait is ignored
+MAX_RETRY_AFTER_S = 3600.0  # A longer Retry-After is ignored.
 MAX_LOAD_REPORT_BYTES = 1024
 
 
--- a/juniperward/forwarder/answers.py
+++ b/juniperward/forwarder/answers.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemState:
-    """The state of one message in the answer to a batch; `message_ended`: it was completed elsewhere."""
+    """The state of one message in the answer to a batch; if `message_ended`, it must not be attempted again."""
 
     outcome: Outcome
     message_ended: bool = False
@@ -38,7 +38,7 @@
 
 # An error leaves open whether the message was executed.
 UNKNOWN_STATE = ItemState(Outcome.ERROR)
-ITEM_STATES = {  # by the name of the state on the wire
+ITEM_STATES = {  # Keys are the names on the wire.
     "ok": ItemState(Outcome.OK),
     "error": ItemState(Outcome.ERROR),
     "later": ItemState(Outcome.OVERLOADED),
@@ -59,9 +59,9 @@
     match answer.status:
         case HttpStatus.OK:
             return Outcome.OK
-        case HttpStatus.SERVICE_UNAVAILABLE if on_new_connection and _closed_at_once(answer):
+        case HttpStatus.SERVICE_UNAVAILABLE if on_new_connection and _is_connection_table_full(answer):
             increment("connection_tables_full")
-            return Outcome.CONNECT_FAILED  # the connection table is full, as in `_read_status`
+            return Outcome.CONNECT_FAILED
         case HttpStatus.SERVICE_UNAVAILABLE | HttpStatus.TOO_MANY_REQUESTS:
             return Outcome.OVERLOADED
         case status:
@@ -78,7 +78,7 @@
     load_report = read_load_report(answer.headers)
     if answer.status == HttpStatus.OK and len(attempt.items) > 1:
         return _read_batch(attempt, answer, retry_after_s, load_report)
-    meaning = _read_status(attempt, answer, on_new_connection and _closed_at_once(answer))
+    meaning = _read_status(attempt, answer, on_new_connection and _is_connection_table_full(answer))
     return tuple(
         ItemOutcome(
             item.message,
@@ -94,11 +94,11 @@
     )
 
 
-def _closed_at_once(answer: HttpResponse) -> bool:
-    """Return whether the endpoint closes the connection and sends no Retry-After.
+def _is_connection_table_full(answer: HttpResponse) -> bool:
+    """Return whether a 503 on a new connection means that the endpoint's connection table is full.
 
-    On a new connection this means that the endpoint's connection table is full: an endpoint that only exceeds its
-    rate limit keeps the connection open.
+    The endpoint then closes the connection and sends no Retry-After. If only its rate limit is exceeded, it keeps the
+    connection open.
     """
     return answer.close and read_retry_after(answer.headers) <= 0
 
--- a/juniperward/forwarder/assembly.py
+++ b/juniperward/forwarder/assembly.py
@@ -30,8 +30,8 @@
     )
     journal = Journal(config.state_folder, config.journal_max_bytes, journal_unix_offset_s)
     dead_letters = _open_dead_letters(config, unix_offset_s)
-    stored = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
-    reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored)
+    stored_ids = frozenset(dead_letters.spool.ids) if dead_letters is not None else frozenset()
+    reducer = Reducer(config.settings, config.seed, dead_letters is not None, stored_ids)
     queue = EventQueue()
     executor = _build_executor(config, journal, queue)
     executor.dead_letters = dead_letters
--- a/juniperward/forwarder/client_connection.py
+++ b/juniperward/forwarder/client_connection.py
@@ -13,18 +13,20 @@
 from juniperward.forwarder.telemetry import check_invariant, increment
 from juniperward.net import sockets
 
-# The first byte of the first request must arrive within this time after the connection is accepted. While the
-# forwarder stops, the whole request must.
+# The time limit from the accept of a connection to the first byte of its first request. While the forwarder stops,
+# the whole first request must arrive within it.
 FIRST_REQUEST_TIMEOUT_S = 2.0
-REQUEST_TIMEOUT_S = 2.0  # from the first byte of a request to its last
-IDLE_TIMEOUT_S = 10.0  # between an answer and the next request
+# The time limit from the first byte of a request to its last.
+REQUEST_TIMEOUT_S = 2.0
+# The time limit from an answer to the first byte of the next request.
+IDLE_TIMEOUT_S = 10.0
 # Before a connection is closed, unread input is discarded within these limits. A close with unread input resets the
 # connection, and the client may lose the answer.
 LINGER_TIMEOUT_S = 0.2
 MAX_LINGER_BYTES = 262144
 READ_BYTES = 16384
-# SO_RCVTIMEO is set a little longer than needed and kept while it is close enough, which saves most reads a system
-# call.
+# SO_RCVTIMEO is set to a little more than the remaining time, and is set again only when it differs too much from
+# that. This avoids a system call for most reads.
 KERNEL_TIMEOUT_MARGIN_S = 0.02
 KERNEL_TIMEOUT_TOLERANCE_S = 0.05
 
--- a/juniperward/forwarder/client_session.py
+++ b/juniperward/forwarder/client_session.py
@@ -33,8 +33,10 @@
 from juniperward.net.http_values import HttpRequest
 from juniperward.net.stream import Stream
 
-ANSWER_TIMEOUT_S = 0.35  # for the reducer's answer; shorter than the 0.4 s that clients wait
-RETRY_AFTER_S = 1.0  # the Retry-After of rejections outside the reducer
+# The time limit for the reducer's answer to a message. It is shorter than the 0.4 s that clients wait.
+ANSWER_TIMEOUT_S = 0.35
+# The Retry-After of rejections that are not made by the reducer.
+RETRY_AFTER_S = 1.0
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
--- a/juniperward/forwarder/config.py
+++ b/juniperward/forwarder/config.py
@@ -24,7 +24,7 @@
 BYTES_PER_MB = 1_000_000
 SEED_RADIX = 16
 
-# The key in the file of each field of `Config` whose name differs from it.
+# Keys in the file by field of `Config`, for fields whose names differ from their keys.
 FILE_KEYS = {
     "state_folder": "state",
     "max_sockets": "limits.sockets",
--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -12,10 +12,10 @@
 from juniperward.forwarder.endpoint_connection import EndpointConnection
 from juniperward.net import sockets
 
-# The part of the endpoints' keepalive after which an idle connection is closed instead of used.
+# An idle connection is closed after this fraction of the endpoints' keepalive time.
 MAX_IDLE_KEEPALIVE_FRACTION = 0.9
-# The time between an answer and the next call on its connection. Excess bytes after the answer arrive by
-# then, and are not taken for the next answer.
+# The minimum time between an answer and the next call on its connection. Excess bytes after the answer arrive
+# within it, and are not taken for the next answer.
 MIN_IDLE_S = 0.01
 
 
--- a/juniperward/forwarder/dead_letter_writer.py
+++ b/juniperward/forwarder/dead_letter_writer.py
@@ -16,7 +16,7 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.scheduler.settings import SchedulerSettings
 
-MAX_UNIX_TIME_S = 1e18  # stands for infinity, which JSON cannot encode
+MAX_UNIX_TIME_S = 1e18  # Replaces infinity, which JSON cannot encode.
 
 
 class DeadLetterWriter:
--- a/juniperward/forwarder/discovery_stream.py
+++ b/juniperward/forwarder/discovery_stream.py
@@ -9,8 +9,8 @@
 import re
 from typing import Any
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # about 10,000 servers in indented JSON
-JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string contains no line break
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # An indented endpoint list of about 10,000 servers fits.
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # A JSON string contains no line break.
 DECODER = json.JSONDecoder()
 
 
@@ -87,7 +87,7 @@
         try:
             complete = _decode(b"".join((*self._lines, self._partial_line)))
         except ValueError:
-            return []  # the last brace is inside an incomplete string
+            return []  # The last brace is inside an incomplete string.
         self._clear()
         self._partial_line = b""
         return complete
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -27,8 +27,8 @@
 from juniperward.net.http_status import HttpStatus
 from juniperward.net.stream import Stream
 
-# A watch ends when for this time no object is completed and no byte arrives between objects; discovery sends a line
-# every 2 s. The same limit covers the dial and the response head together. The worst cases are added up in
+# A watch ends if no object is completed and no byte arrives between objects for this time; discovery sends a line
+# every 2 s. The same limit applies to the dial and the response head together. The worst cases are added up in
 # docs/design/discovery-deadline.md.
 STREAM_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_S = 1.0
@@ -72,7 +72,8 @@
         """Watch discovery at an address; `names` are those of the settings, for reading endpoint lists."""
         self._address, self._names, self._post = address, names, post
         self._requests: queue.SimpleQueue[WatchRequest] = queue.SimpleQueue()
-        self._streaming_since = math.inf  # when the current watch received its response head
+        # The time at which the current watch received its response head; infinite before.
+        self._streaming_since = math.inf
 
     def start_thread(self) -> None:
         """Start the thread that runs requested watches."""
@@ -112,7 +113,8 @@
         """Watch until the stream ends or fails; always raises, WatchEndedError if discovery ended the stream."""
         sock, address = self._address.open_socket(ConnectionUse.WATCH, request.epoch)
         with sock:
-            reader = sockets.DeadlineReader(sock, STREAM_TIMEOUT_S)  # its time includes the dial
+            # The time limit starts before the dial, so it covers the dial and the response head.
+            reader = sockets.DeadlineReader(sock, STREAM_TIMEOUT_S)
             sockets.connect(*address, DIAL_TIMEOUT_S, sock)
             if request.epoch != self._address.epoch:
                 raise AddressChangedError
@@ -130,7 +132,8 @@
             raise WatchRejectedError(status)
         increment("watches_begun")
         self._streaming_since = time.monotonic()
-        reader.restart()  # after `_streaming_since` is set, so that a stream that times out counts as established
+        # Restarted after `_streaming_since` is set, so that a stream that times out counts as established.
+        reader.restart()
         parser = JsonObjectParser()
         for chunk in read_chunks(stream):
             was_between_objects = not parser.has_partial_object
--- a/juniperward/forwarder/effects.py
+++ b/juniperward/forwarder/effects.py
@@ -12,7 +12,7 @@
 from juniperward.forwarder.model import BatchItem, Message, OutcomeNotification, PastAttempt, RouteKey
 from juniperward.forwarder.records import AcceptedRecord, JournalRecord
 
-if TYPE_CHECKING:  # the protocol is loaded only if the control channel is used
+if TYPE_CHECKING:  # The protocol is loaded only if the control channel is used.
     from juniperward.control.protocol import Answer
 
 
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Close the connection of an attempt; `AttemptCancelled` follows in the same round as its last event."""
+    """Close the connection of an attempt; `AttemptCancelled` follows in the same round."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawFromBatch:
-    """Withdraw a message from an unwritten attempt; `BatchItemWithdrawn` follows in the same round."""
+    """Withdraw a message from an attempt that is not written yet; `BatchItemWithdrawn` follows in the round."""
 
     attempt_number: int
     message: int
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Post an event at a time."""
+    """Post `event` at the time `at`."""
 
     at: float
     event: TimerEvent
--- a/juniperward/forwarder/endpoint_connection.py
+++ b/juniperward/forwarder/endpoint_connection.py
@@ -8,8 +8,10 @@
 from juniperward.net import sockets
 from juniperward.net.stream import Stream
 
-MIN_READ_TIMEOUT_S = 60.0  # used unless a message class has a longer deadline
-MAX_ANSWER_TRANSFER_S = 0.5  # from the first byte of an answer to the last
+# The time limit of a read, unless a message class has a longer deadline.
+MIN_READ_TIMEOUT_S = 60.0
+# The time limit from the first byte of an answer to the last.
+MAX_ANSWER_TRANSFER_S = 0.5
 
 
 class EndpointConnection:
--- a/juniperward/forwarder/endpoint_list_codec.py
+++ b/juniperward/forwarder/endpoint_list_codec.py
@@ -21,7 +21,8 @@
     "Terminating": EndpointPhase.DRAINING,
     "Gone": EndpointPhase.REMOVED,
 }
-UNLISTED_RATE = 0.0  # the rate of an endpoint that is listed without one
+# The rate of an endpoint whose entry has none.
+UNLISTED_RATE = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/forwarder/events.py
+++ b/juniperward/forwarder/events.py
@@ -13,7 +13,7 @@
 from juniperward.forwarder.records import RestoredMessage
 from juniperward.scheduler.events import Outcome
 
-if TYPE_CHECKING:  # the protocol is loaded only if the control channel is used
+if TYPE_CHECKING:  # The protocol is loaded only if the control channel is used.
     from juniperward.control.protocol import Request
 
 
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchLost:
-    """The watch failed or ended; `established` means that it had been active for a while."""
+    """The watch failed or ended; `established` means that its stream lasted at least STREAM_TIMEOUT_S."""
 
     epoch: int = 0
     established: bool = False
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -26,7 +26,7 @@
 from juniperward.forwarder.telemetry import increment, log
 
 JOURNAL_NAME, COMPACTED_NAME = "journal", "journal.new"
-BLOCK_BYTES = 512  # the unit in which the platform counts disk usage
+BLOCK_BYTES = 512  # The platform counts disk usage in blocks of this size.
 # The fraction of the disk quota that incomplete messages may need. It is below one half because a compaction holds
 # two copies of their records for a moment.
 MAX_LIVE_FRACTION = 0.45
@@ -48,13 +48,20 @@
 
 
 class IncompleteMessageLines:
-    """The journal lines of each message that is not completed; a compaction copies these."""
+    """The journal lines of each message that is not completed; a compaction copies these.
+
+    Attributes:
+        lines: The lines by message id.
+        bytes: The size of all lines.
+        reserved_bytes: The size of all lines and of the records that the messages may still need.
+
+    """
 
     def __init__(self) -> None:
         """Start without messages."""
         self.lines: dict[str, list[bytes]] = {}
         self.bytes = 0
-        self.reserved_bytes = 0  # including the records that are still to come
+        self.reserved_bytes = 0
 
     def __contains__(self, message: str) -> bool:
         """Return whether the message with this id is not completed."""
@@ -102,7 +109,7 @@
         self.file_bytes = 0
         self.lock = threading.Lock()
         self._descriptor = -1
-        self._is_torn = False  # whether the last write was incomplete
+        self._is_torn = False  # True after an incomplete write.
         self._restored = self._replay()
         self._compact()
 
@@ -171,7 +178,7 @@
     def _should_compact(self, line_bytes: int) -> bool:
         live_bytes = self.live.bytes
         if self.file_bytes + live_bytes > self.disk_bytes:
-            return False  # the old and the new file together would exceed the quota
+            return False  # The old and the new file together would exceed the quota.
         if self.file_bytes - live_bytes < MIN_COMPACTION_GAIN_BYTES:
             return False
         # With a larger file, the next compaction would not fit on the disk.
@@ -208,7 +215,8 @@
         except OSError as error:
             increment("journal_compactions_failed")
             log("journal", "compaction failed; present file stays in use", error=error)
-            self.compacted_path.unlink(missing_ok=True)  # frees its bytes for the journal
+            # The deletion frees disk quota for the journal.
+            self.compacted_path.unlink(missing_ok=True)
 
     def _compact(self) -> None:
         """Write the lines of incomplete messages to a new file, and replace the journal with it."""
--- a/juniperward/forwarder/loop.py
+++ b/juniperward/forwarder/loop.py
@@ -16,12 +16,12 @@
 from juniperward.forwarder.telemetry import report_fault
 from juniperward.forwarder.trace import Trace
 
-IDLE_SWEEP_INTERVAL_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 EXIT_CHECK_INTERVAL_S = 0.05
 
 
 class Loop:
-    """Runs rounds on one thread."""
+    """Runs rounds on the thread that calls `run`."""
 
     def __init__(self, reducer: Reducer, executor: EffectExecutor, queue: EventQueue) -> None:
         """Reduce the events of `queue` by `reducer`, and perform the effects by `executor`."""
@@ -29,7 +29,7 @@
         self.executor = executor
         self.queue = queue
         self.trace: Trace | None = None
-        self._sweep_at = 0.0
+        self._remove_expired_at = 0.0
 
     def round(self, events: list[Event]) -> None:
         """Reduce events and perform the effects, until no effect returns another event."""
@@ -66,11 +66,11 @@
         executor, lifecycle = self.executor, self.reducer.state.lifecycle
         while not stopped() and not self.reducer.may_exit(time.monotonic(), executor.server.has_finished()):
             stopping = lifecycle.exit_by is not None
-            events = self.queue.wait(EXIT_CHECK_INTERVAL_S if stopping else IDLE_SWEEP_INTERVAL_S)
+            events = self.queue.wait(EXIT_CHECK_INTERVAL_S if stopping else EXPIRY_INTERVAL_S)
             now = time.monotonic()
             self.round(events + self.queue.expired_timers(now))
-            if now >= self._sweep_at:
-                self._sweep_at = now + IDLE_SWEEP_INTERVAL_S
+            if now >= self._remove_expired_at:
+                self._remove_expired_at = now + EXPIRY_INTERVAL_S
                 executor.endpoint_client.remove_expired(now)
         # Events posted so far are still processed; the next process restores from the journal what is left.
         executor.endpoint_client.stop_sending()
--- a/juniperward/forwarder/notification_sender.py
+++ b/juniperward/forwarder/notification_sender.py
@@ -19,7 +19,7 @@
 from juniperward.net.http_errors import IncompleteMessageError, MalformedMessageError
 from juniperward.net.http_status import HttpStatus
 
-FIRST_BACKOFF_S = 0.05  # doubles with each failed attempt
+FIRST_BACKOFF_S = 0.05  # The backoff doubles with each failed attempt.
 MAX_BACKOFF_S = 0.4
 MAX_NOTIFICATIONS_PER_REQUEST = 200
 
--- a/juniperward/forwarder/platform_connection.py
+++ b/juniperward/forwarder/platform_connection.py
@@ -11,8 +11,8 @@
 from juniperward.net.stream import Stream
 
 NOTIFICATION_PATH = "/status"
-# The time limit of connecting, and of each answer. After it, notifications are sent again on a new connection: two
-# such attempts must fit between the last moment to answer a message and 0.3 s after its deadline.
+# The time limit of connecting, and of each answer. When it has passed, notifications are sent again on a new
+# connection. Two attempts must fit between a message's expiry and 0.3 s after its client's deadline.
 ANSWER_TIMEOUT_S = 0.3
 
 
--- a/juniperward/forwarder/server.py
+++ b/juniperward/forwarder/server.py
@@ -138,7 +138,8 @@
                     return
                 increment("accepts_failed")
                 log("listener", "accept failed; retrying", error=error)
-                self.table.evict_one()  # frees a descriptor: running out of them is the usual cause
+                # The usual cause is a lack of descriptors; the connection evicted here frees one.
+                self.table.evict_one()
                 time.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             self._admit_or_close(sock)
--- a/juniperward/forwarder/start.py
+++ b/juniperward/forwarder/start.py
@@ -33,10 +33,12 @@
 if TYPE_CHECKING:
     from juniperward.control.server import ControlServer
 
-THREAD_STACK_BYTES = 128 * 1024  # limits the memory of hundreds of threads
+THREAD_STACK_BYTES = 128 * 1024  # A small stack limits the memory of hundreds of threads.
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
-SHUTDOWN_TIMEOUT_S = 3.3  # ends the process before the platform sends SIGKILL, 3.7 s after SIGTERM
-ACCEPT_GRACE_PERIOD_S = 0.8  # how long new connections are still answered after SIGTERM
+# The platform sends SIGKILL 3.7 s after SIGTERM; the process must exit before.
+SHUTDOWN_TIMEOUT_S = 3.3
+# New connections are still accepted and answered for this time after SIGTERM.
+ACCEPT_GRACE_PERIOD_S = 0.8
 LOOP_STOP_MARGIN_S = 0.2
 
 
@@ -92,7 +94,8 @@
     log("stop", "ended")
     report_counters()
     sys.stderr.flush()
-    os._exit(ExitCode.STOPPED)  # a normal exit would wait for threads that are blocked on sockets
+    # A normal exit would wait for threads that are blocked on sockets.
+    os._exit(ExitCode.STOPPED)
 
 
 def open_control(config: Config, loop: Loop) -> ControlServer | None:
--- a/juniperward/forwarder/state.py
+++ b/juniperward/forwarder/state.py
@@ -23,9 +23,10 @@
             notification takes.
         received_at: When this process received the message, or restored it from the journal.
         client_deadline_at: The client's deadline.
-        never_attempted: Whether a restart restored the message, and not a byte of it has been written so
-            far.
-        attempts: How many attempts were started, also before a restart.
+        never_attempted: Whether the journal restored the message without an attempt, and none of it has been
+            written since.
+        attempts: How many attempts were started, also before a restart. A possible execution before a redrive
+            counts as one.
         attempt_number: The attempt in flight, or None.
         attempt_started_at: The start of the latest attempt.
         executed_at: The start of the first attempt that was possibly executed, or None.
@@ -129,7 +130,7 @@
     Attributes:
         endpoints: Endpoints by the number that the scheduler knows them by.
         numbers: Endpoint numbers by discovery's id.
-        removed: Numbers of removed endpoints that still have attempts in flight.
+        removed: Numbers of removed endpoints. An update drops those without attempts in flight.
         destinations: Until when each destination accepts messages; infinite while endpoints of it are
             listed.
         version: The version of the list.
--- a/juniperward/forwarder/state_folder.py
+++ b/juniperward/forwarder/state_folder.py
@@ -10,7 +10,7 @@
 
 from juniperward.forwarder.telemetry import log
 
-LOCK_TIMEOUT_S = 0.5  # gives a process that is exiting time to release the lock
+LOCK_TIMEOUT_S = 0.5  # A process that is still exiting releases the lock within this time.
 LOCK_RETRY_S = 0.02
 
 
--- a/juniperward/forwarder/telemetry.py
+++ b/juniperward/forwarder/telemetry.py
@@ -12,7 +12,8 @@
 import time
 from dataclasses import dataclass
 
-MAX_LINES_PER_S = 5  # per kind; the next line of the kind has the number of suppressed ones
+# The limit of log lines of each kind. The next line of the kind gives the number of lines suppressed before it.
+MAX_LINES_PER_S = 5
 
 _lock = threading.Lock()
 _counts: dict[str, int] = {}
@@ -29,11 +30,11 @@
 
 @dataclass(slots=True)
 class _TokenBucket:
-    """A token bucket that limits the log lines of one kind."""
+    """A token bucket that limits the log lines of one kind; `suppressed` counts those since the last printed one."""
 
     tokens: float
     refilled_at: float
-    suppressed: int = 0  # lines since the last printed one
+    suppressed: int = 0
 
     def try_take(self, now: float) -> bool:
         """Take a token and return True, or count a suppressed line and return False."""
--- a/juniperward/forwarder/trace.py
+++ b/juniperward/forwarder/trace.py
@@ -51,7 +51,8 @@
     def __init__(self, unix_offset_s: float) -> None:
         """Start a trace; `unix_offset_s` is Unix time minus monotonic time."""
         self._unix_offset_s = unix_offset_s
-        self._unanswered: dict[int, str] = {}  # by client: destination and id of the message it sent
+        # By client: the destination and the id of the message that was received and not answered yet.
+        self._unanswered: dict[int, str] = {}
 
     def write_events(self, now: float, events: Iterable[Event]) -> None:
         """Write the events of a round."""
