--- a/juniperward/net/http_errors.py
+++ b/juniperward/net/http_errors.py
@@ -19,7 +19,7 @@
 
     @classmethod
     def after(cls, status: int, error: Exception) -> IncompleteMessageError:
-        """Return the error of a response whose status line was received but whose rest could not be read."""
+        """Return the error for a response that could not be read completely after its status line."""
         incomplete = cls(str(error))
         incomplete.status = status
         return incomplete
@@ -29,7 +29,7 @@
     """A message was not complete when its time limit was reached."""
 
     def __init__(self) -> None:
-        """Set the error message."""
+        """Create the error with its message."""
         super().__init__("message not complete within its time limit")
 
 
@@ -43,6 +43,6 @@
     """
 
     def __init__(self, status: int, problem: str) -> None:
-        """Set the status and the description."""
+        """Create the error from the status and the description of the problem."""
         super().__init__(problem)
         self.status, self.problem = status, problem
--- a/juniperward/net/http_head.py
+++ b/juniperward/net/http_head.py
@@ -9,7 +9,8 @@
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 MAX_LENGTH_DIGITS = 11
-OVERSIZED_LENGTH_BYTES = 10**12  # the result for a Content-Length of more than MAX_LENGTH_DIGITS digits
+# `content_length` returns this for more than MAX_LENGTH_DIGITS digits; it exceeds each limit of a body.
+OVERSIZED_LENGTH_BYTES = 10**12
 SUPPORTED_VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 SINGLE_VALUE_HEADERS = (
--- a/juniperward/net/http_responses.py
+++ b/juniperward/net/http_responses.py
@@ -18,7 +18,7 @@
 from juniperward.net.http_values import HttpResponse
 from juniperward.net.stream import Stream
 
-MAX_CHUNK_BYTES = 4 * 1024 * 1024  # a chunk from discovery may hold its complete endpoint list
+MAX_CHUNK_BYTES = 4 * 1024 * 1024  # A chunk from discovery may hold its complete endpoint list.
 MAX_CHUNK_LINE_BYTES = 256
 MAX_INTERIM_RESPONSES = 16
 # Checked before int(), which also accepts signs, underscores and blanks.
--- a/juniperward/net/http_status.py
+++ b/juniperward/net/http_status.py
@@ -29,9 +29,10 @@
     VERSION_NOT_SUPPORTED = 505
 
 
-FIRST_FINAL_STATUS = 200  # lower ones are interim responses
+# Lower status codes are those of interim responses.
+FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (HttpStatus.NO_CONTENT, HttpStatus.NOT_MODIFIED)
-# Only of the status codes that the programs send.
+# The reason phrases of the status codes that the programs send.
 REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
--- a/juniperward/net/sockets.py
+++ b/juniperward/net/sockets.py
@@ -14,7 +14,7 @@
     """A connection was not established within its timeout."""
 
     def __init__(self) -> None:
-        """Set the error message."""
+        """Create the error with its message."""
         super().__init__("connection not established within its timeout")
 
 
@@ -22,7 +22,7 @@
     """The data was not received completely within the time limit."""
 
     def __init__(self) -> None:
-        """Set the error message."""
+        """Create the error with its message."""
         super().__init__("data not complete within its time limit")
 
 
@@ -34,7 +34,7 @@
 
 
 def connect(host: str, port: int, timeout_s: float, sock: socket.socket) -> None:
-    """Connect a socket; raises OSError, after `timeout_s` ConnectTimeoutError."""
+    """Connect a socket; raises ConnectTimeoutError after `timeout_s`, and OSError for other failures."""
     set_timeout(sock, socket.SO_SNDTIMEO, timeout_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
@@ -65,10 +65,10 @@
 
 
 class DeadlineReader:
-    """Reads from a socket under one time limit for all, which a peer cannot extend by sending slowly."""
+    """Reads from a socket with one time limit for all reads, which a peer cannot extend by sending slowly."""
 
     def __init__(self, sock: socket.socket, timeout_s: float) -> None:
-        """Start the time limit."""
+        """Start the time limit, which `restart` starts again."""
         self.sock, self.timeout_s = sock, timeout_s
         self.restart()
 
--- a/juniperward/net/stream.py
+++ b/juniperward/net/stream.py
@@ -8,17 +8,18 @@
 from juniperward.net.http_status import HttpStatus
 
 READ_BYTES = 16384
+CLOSED_BY_PEER = "connection closed by the peer"
 
 
 class Stream:
     """A buffered byte stream.
 
-    Reads raise IncompleteMessageError if the connection ends before the requested bytes have come, and
+    Reads raise IncompleteMessageError if the connection ends before the requested bytes arrive, and
     MessageTimeoutError if `receive` times out.
     """
 
     def __init__(self, receive: Callable[[int], bytes]) -> None:
-        """Read by `receive`, which returns at most as many bytes as asked, and none at the end."""
+        """Read with `receive`, which returns at most the requested number of bytes, and none at end of input."""
         self.receive = receive
         self.buffer = bytearray()
 
@@ -31,7 +32,7 @@
         except ConnectionError as error:
             raise IncompleteMessageError(str(error)) from error
         if not data:
-            raise IncompleteMessageError("closed")
+            raise IncompleteMessageError(CLOSED_BY_PEER)
         self.buffer += data
 
     def read_line(self, max_bytes: int, too_long_status: int) -> bytes:
