--- a/tests/discovery_fixture.py
+++ b/tests/discovery_fixture.py
@@ -1,8 +1,4 @@
-"""A scripted discovery service on loopback, and the discovery client of a forwarder that runs against it.
-
-The client consists of the real `DiscoveryClient`, `Reducer` and `Loop`. Only the random spread of waits is replaced
-by its maximum, so that each wait is a worst case.
-"""
+"""A scripted discovery service on loopback, and a forwarder's discovery client that runs against it."""
 
 from __future__ import annotations
 
@@ -77,7 +73,7 @@
     """Why a connection to the service fails."""
 
     REFUSED = "refused"
-    BLACKHOLED = "blackholed"  # the accept queue is full, so that the kernel drops connection requests
+    BLACKHOLED = "blackholed"  # The accept queue is full, so the kernel drops connection requests.
 
 
 Behavior = Reply | Unreachable
@@ -109,7 +105,8 @@
             threading.Thread(target=self._answer, args=(listener, behavior), daemon=True).start()
         else:
             listener.listen(0)
-            self.open.append(socket.create_connection(self.address, 5.0))  # fills the accept queue
+            # One connection fills the accept queue.
+            self.open.append(socket.create_connection(self.address, 5.0))
 
     def close(self) -> None:
         for sock in (self.listener, self.reservation, *self.open):
@@ -145,7 +142,7 @@
 
 
 class RecordingReducer(Reducer):
-    """Records when the reducer learns that s-1 is draining or removed."""
+    """Records when the reducer learns that s-1 is draining or removed; by default all random waits are maximal."""
 
     drain_known_at: float | None = None
 
--- a/tests/player.py
+++ b/tests/player.py
@@ -1,28 +1,4 @@
-"""Plays byte exchanges, which are recorded in text files, against a forwarder process.
-
-Each line of an exchange is a step:
-
-    # TEXT          a comment
-    @ NAME WHO      use the connection NAME; its first use opens it. WHO is `client` (connects to the forwarder), or
-                    `worker` (an endpoint), `registry GET` (discovery's watch) or `registry POST` (notifications),
-                    to which the forwarder connects
-    > TEXT          send TEXT to the forwarder
-    < TEXT          expect TEXT from the forwarder
-    <~ REGEX        expect one line that matches REGEX
-    = end           expect the forwarder to end the connection
-    = close         close the connection
-    = silent        expect that nothing has arrived on the connection
-    ! stop          send SIGTERM
-    ! closed        wait until the forwarder refuses connections
-    ! ended         expect the forwarder to exit with status 0 within its time limit
-    ! start         start the forwarder in the same folder
-    ! restart       kill the forwarder and start it in the same folder
-    ! reload        change discovery's address in the configuration and send SIGHUP
-    ! reload TEXT   write TEXT as the configuration and send SIGHUP
-    + NAME ARGS     play the file NAME.block with ARGS in place of $1, $2 and so on
-
-TEXT of `>` and `<` is followed by CR LF unless the step ends with a backslash.
-"""
+"""Plays byte exchanges, which are recorded in text files, against a forwarder process."""
 
 from __future__ import annotations
 
@@ -42,7 +18,7 @@
 ROOT = Path(__file__).parent.parent
 BLOCKS = Path(__file__).parent / "exchanges"
 WAIT_S = 10.0
-EXIT_TIMEOUT_S = 3.7  # after SIGTERM
+EXIT_TIMEOUT_S = 3.7  # The platform sends SIGKILL this long after SIGTERM.
 
 SETTINGS: dict[str, Any] = {
     "Services": [
@@ -167,15 +143,38 @@
 
 
 class Player:
-    """Plays one exchange against a forwarder that is running."""
+    """Plays one exchange against a forwarder that is running.
+
+    Each line of an exchange is a step:
+
+        # TEXT          a comment
+        @ NAME WHO      use the connection NAME; its first use opens it. WHO is `client` (connects to the forwarder),
+                        or `worker` (an endpoint), `registry GET` (discovery's watch) or `registry POST`
+                        (notifications), to which the forwarder connects
+        > TEXT          send TEXT to the forwarder
+        < TEXT          expect TEXT from the forwarder
+        <~ REGEX        expect one line that matches REGEX
+        = end           expect the forwarder to end the connection
+        = close         close the connection
+        = silent        expect that nothing has arrived on the connection
+        ! stop          send SIGTERM
+        ! closed        wait until the forwarder refuses connections
+        ! ended         expect the forwarder to exit with status 0 within its time limit
+        ! start         start the forwarder in the same folder
+        ! restart       kill the forwarder and start it in the same folder
+        ! reload        change discovery's address in the configuration and send SIGHUP
+        ! reload TEXT   write TEXT as the configuration and send SIGHUP
+        + NAME ARGS     play the file NAME.block with ARGS in place of $1, $2 and so on
+
+    TEXT of `>` and `<` is followed by CR LF unless the step ends with a backslash.
+    """
 
     def __init__(self, program: Program) -> None:
         self.program = program
         self.connections: dict[str, LineConnection] = {}
         self.current: LineConnection | None = None
-        self.unclaimed: list[
-            socket.socket
-        ] = []  # accepted by discovery's listener, not yet used by the exchange
+        # Connections that discovery's listener accepted and the exchange has not used yet.
+        self.unclaimed: list[socket.socket] = []
         self.former_listeners: list[socket.socket] = []
 
     def play(self, text: str) -> None:
@@ -238,7 +237,8 @@
             return socket.create_connection(self.program.address, WAIT_S)
         if who == "worker":
             return self.program.endpoint_listener.accept()[0]
-        first_byte = who.removeprefix("registry ")[:1].encode()  # of the request's method
+        # The first byte of the request's method tells a watch (GET) from notifications (POST).
+        first_byte = who.removeprefix("registry ")[:1].encode()
         until = time.monotonic() + WAIT_S
         while not (found := [s for s in self.unclaimed if s.recv(1, socket.MSG_PEEK) == first_byte]):
             assert time.monotonic() < until, f"no connection for {who}"
--- a/tests/reducer_codec.py
+++ b/tests/reducer_codec.py
@@ -1,9 +1,4 @@
-"""Conversion of the reducer's events and effects to and from JSON values, for recorded rounds.
-
-A recording has the class names of the version that wrote it. `EVENTS`, `EFFECTS` and `ENUMS` map them to the
-present classes, so that a rename in the code changes these tables and no recording. Fields are encoded by
-position.
-"""
+"""Conversion of the reducer's events and effects to and from JSON values, for recorded rounds."""
 
 from __future__ import annotations
 
@@ -84,6 +79,7 @@
 from juniperward.net.http_status import HttpStatus
 from juniperward.scheduler.events import EndpointPhase, Outcome
 
+# Classes by their names in the recordings. A renamed class changes these tables, but no recording.
 EVENTS: dict[str, type] = {
     "Replayed": JournalReplayed,
     "MessageReceived": MessageReceived,
@@ -155,7 +151,10 @@
 
 
 def decode(value: Any) -> Any:
-    """Return the event, or part of an event, that a JSON value encodes."""
+    """Return the event, or part of an event, that a JSON value encodes.
+
+    The value has the class name of the version that recorded it, and the fields by position.
+    """
     if isinstance(value, list):
         return tuple(decode(item) for item in value)
     if not isinstance(value, dict):
--- a/tests/reducer_days.py
+++ b/tests/reducer_days.py
@@ -1,8 +1,4 @@
-"""Simulated runs of the forwarder's reducer: clients, endpoints, discovery, restarts, control and shutdown.
-
-Events and effects are the JSON values of `tests/reducer_codec.py`. `python -m tests.reducer_days FOLDER`
-records the events of each run and the digests of the effects, for `tests/test_recorded_effects.py`.
-"""
+"""Simulated runs of the forwarder's reducer: clients, endpoints, discovery, restarts, control and shutdown."""
 
 from __future__ import annotations
 
@@ -97,7 +93,10 @@
 
 
 class SimulatedRun:
-    """Simulates the environment of a forwarder that may restart; `rounds` yields the rounds to record."""
+    """Simulates the environment of a forwarder that may restart; `rounds` yields the rounds to record.
+
+    Events and effects are the JSON values of `tests/reducer_codec.py`.
+    """
 
     def __init__(self, parameters: RunParameters) -> None:
         self.parameters = parameters
@@ -106,9 +105,11 @@
         self.last_serial = 0
         self.process = 0
         self.scheduled: list[tuple[float, int, Any]] = []
-        self.journal: dict[str, list[Any]] = {}  # by id: message, expiry, history, notification
+        # By message id: message, expiry, history and notification.
+        self.journal: dict[str, list[Any]] = {}
         self.stored_ids: set[str] = set()
-        self.attempts: dict[int, list[int]] = {}  # the messages of each attempt in flight
+        # The messages of each attempt in flight, by its number.
+        self.attempts: dict[int, list[int]] = {}
         self.ids = 0
         self.version = 1
         self.epoch = 0
@@ -200,7 +201,7 @@
         is_redrive = self.parameters.stores_dead_letters and number % 11 == 0
         name = f"kept-{number:020d}-1" if is_redrive else f"m{number}"
         executed_ago_s = 1.5 if is_redrive and number % 2 else None
-        destination = 1 + number % 4  # destination 4 is not listed
+        destination = 1 + number % 4  # Destination 4 is not listed.
         time_left_s = self.random.choice((2.0, 8.0, 15.0, 0.05))
         key = f"k{number}" if class_index == 1 else None
         message = {
@@ -333,7 +334,10 @@
 
 
 def record(folder: Path) -> None:
-    """Write the events of each run with the digests of the effects."""
+    """Write the events of each run with the digests of the effects, for `tests/test_recorded_effects.py`.
+
+    `python -m tests.reducer_days FOLDER` runs this.
+    """
     for name, parameters in RUNS.items():
         rows, effect_names = [], set()
         for now, events, effects in SimulatedRun(parameters).rounds():
--- a/tests/stored_data_writer.py
+++ b/tests/stored_data_writer.py
@@ -1,8 +1,4 @@
-"""Writes the state folders of `tests/stored_data/`; `python -m tests.stored_data_writer FOLDER` runs it.
-
-The committed folders were written by an earlier version and must not be written again, as they stand for the data on
-operators' disks. All times are fixed, so that `test_stored_data.py` can compare the files byte for byte.
-"""
+"""Writes the state folders of `tests/stored_data/`; `python -m tests.stored_data_writer FOLDER` runs it."""
 
 from __future__ import annotations
 
@@ -37,9 +33,9 @@
 from juniperward.settings.configuration_versions import ConfigurationVersions
 from juniperward.settings.load import load
 
-WRITTEN_AT = 1_700_000_000.0  # the Unix time at which all folders are written
+WRITTEN_AT = 1_700_000_000.0  # Unix time in all folders, whenever they are written.
 BOOT_ID = "boot-of-the-writer"
-REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # the message classes in the journal
+REPEATABLE, BY_KEY, ONCE = 0, 1, 2  # Indexes of the message classes in the journal.
 
 
 def message(name: str, class_index: int) -> Message:
@@ -52,7 +48,7 @@
 def write_forwarder(folder: Path) -> None:
     """Write a journal with all kinds of records, classes and stages, and with damage; and the clock reference."""
     folder.mkdir()
-    journal = Journal(folder, 1_000_000, WRITTEN_AT)  # monotonic time 0 is WRITTEN_AT
+    journal = Journal(folder, 1_000_000, WRITTEN_AT)  # The monotonic time 0 is WRITTEN_AT.
     for class_index, effect in ((REPEATABLE, "repeatable"), (BY_KEY, "by-key"), (ONCE, "once")):
         for stage in ("accepted", "started", "not-run", "second", "failed", "rejected", "completed"):
             name = f"{effect}-{stage}"
@@ -190,7 +186,10 @@
 
 
 def main(folder: Path) -> None:
-    """Write all folders."""
+    """Write all folders, in another place than the committed ones, which an earlier version wrote.
+
+    All times are fixed, so that `test_stored_data.py` can compare the files byte for byte.
+    """
     folder.mkdir(exist_ok=True)
     write_forwarder(folder / "forwarder")
     write_spool(folder / "spool")
--- a/tests/test_client_faults.py
+++ b/tests/test_client_faults.py
@@ -246,7 +246,7 @@
         # The time between connecting and the first byte must not count towards the timeout of the request.
         sock = self.connect()
         client = self.client()
-        client.read_deadline = client.idle_since + 60.0  # replaced when the first byte arrives
+        client.read_deadline = client.idle_since + 60.0  # The first byte must replace this deadline.
         sock.sendall(request("n1")[:10])
         until = time.monotonic() + WAIT_S
         while client.idle and time.monotonic() < until:
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -46,7 +46,7 @@
 
 TIMEOUT_S = 20.0
 BOOT, OTHER_BOOT = "8b6c", "90f1"
-OFFSET_S = 1000.0  # from the monotonic clock to Unix time in the first process
+OFFSET_S = 1000.0  # Unix time minus monotonic time in the first process.
 WINDOW_S = 1.0
 SHORT_WINDOW = MessageClass(
     latency_objective_s=4.0,
@@ -77,7 +77,8 @@
     def test_a_clock_that_stepped_back_goes_on_as_before(self) -> None:
         self.open_journal(OFFSET_S)
         assert self.choose_offset(OFFSET_S - 1.0) == OFFSET_S
-        assert self.choose_offset(OFFSET_S - 1.0) == OFFSET_S  # also in the third process
+        # The third process uses the offset too.
+        assert self.choose_offset(OFFSET_S - 1.0) == OFFSET_S
 
     def test_a_clock_that_stepped_ahead_is_used(self) -> None:
         self.open_journal(OFFSET_S)
@@ -101,9 +102,9 @@
             with subtests.test(name=name):
                 (self.folder / REFERENCE_NAME).write_text(text)
                 assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
-        (self.folder / REFERENCE_NAME).unlink()  # an older version wrote none
+        (self.folder / REFERENCE_NAME).unlink()  # An older version wrote no reference.
         assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
-        # The remaining records keep their age.
+        # Times that were moved back once are not moved forward again.
         assert self.choose_offset(OFFSET_S) == OFFSET_S + MAX_CLOCK_ERROR_S
 
     def test_a_reference_without_a_boot_id_counts_as_older(self) -> None:
@@ -236,7 +237,7 @@
         assert program.process is not None
         program.process.send_signal(signal.SIGKILL)
         program.process.wait(TIMEOUT_S)
-        # The window must end in real time.
+        # Wait until the deduplication window has ended in real time.
         while (remaining_s := attempts[0].at + WINDOW_S - time.monotonic()) > 0:
             time.sleep(remaining_s)
         program.kill()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -65,7 +65,8 @@
             limits = divide_descriptors(limit, 1000)
             assert (limits.clients, limits.closing_clients) == (limit // 2 - 16, 16)
             assert (limits.calls, limits.idle_endpoint_connections) == (limit // 4, limit // 8)
-        assert divide_descriptors(256, 4).calls == 16  # two for each slot, and 8 spare
+        # Calls are limited to two for each slot and 8 spare ones.
+        assert divide_descriptors(256, 4).calls == 16
 
 
 class TestDial(EndpointClientRig):
@@ -141,7 +142,8 @@
         self.address, self.count = address, count
         self.connections: list[socket.socket] = []
         self.closed_by_forwarder = 0
-        self.all_connected = threading.Event()  # `count` connections have been open at once
+        # Set once `count` connections have been open at the same time.
+        self.all_connected = threading.Event()
         self.closing = threading.Event()
         self.thread = threading.Thread(target=self._run)
         self.thread.start()
@@ -233,7 +235,7 @@
                     sock.sendall(encode_request("POST", "/api", "n0", headers, b"x" * size))
                     status = read_response(Stream(sock.recv)).status
             except (OSError, IncompleteMessageError, ConnectionClosedError, MalformedMessageError):
-                continue  # closed before an answer: submit another message
+                continue  # The connection was closed before an answer: submit another message.
             if status == 202:
                 return name
             assert status == 503
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -1,7 +1,4 @@
-"""Tests that a change reaches the reducer within 6 s once discovery is reachable, whatever failed before.
-
-Each case is measured over loopback and compared with a bound from the constants (docs/design/discovery-deadline.md).
-"""
+"""Tests that a change reaches the reducer within 6 s once discovery is reachable, whatever failed before."""
 
 from __future__ import annotations
 
@@ -39,10 +36,12 @@
 from tests.test_reducer import make_endpoint
 
 DEADLINE_S = 6.0
-MARGIN_S = 0.25  # for the watch that succeeds, and for a busy machine
-MAX_SPREAD_FACTOR = 1.25  # of the scheduler's random spread of waits
-# How late the kernel may end a wait of STREAM_TIMEOUT_S: it rounds timers of 512 ticks and more to 64 ticks, which is
-# longest at 250 ticks per second.
+# The time that the watch that succeeds may take on a busy machine.
+MARGIN_S = 0.25
+# The scheduler multiplies each wait by a random factor up to this one.
+MAX_SPREAD_FACTOR = 1.25
+# The kernel may end a wait of STREAM_TIMEOUT_S this late: it rounds timers of 512 ticks and more up to a multiple of
+# 64 ticks. This is longest at 250 ticks per second, the lowest usual rate at which the wait has 512 ticks.
 TIMER_DELAY_S = 64 / 250
 
 REFUSED, BLACKHOLED = Unreachable.REFUSED, Unreachable.BLACKHOLED
@@ -59,7 +58,7 @@
 WHOLE_LIST_WITHOUT_IT = Reply(HEAD + endpoint_list(42, True, s_2="Ready"))
 LATE_DIAL = Reply(SEND_DRAIN.data, dial_delay_s=0.9 * DIAL_TIMEOUT_S)
 
-OUTAGE = (REFUSED, REFUSED, REFUSED)  # brings the backoff to its maximum
+OUTAGE = (REFUSED, REFUSED, REFUSED)  # After these failures the backoff is at its maximum.
 
 
 @dataclass(frozen=True)
@@ -71,7 +70,7 @@
         failing: The behaviors that the failing watches meet.
         served: The behavior that the watch after them meets.
         moves: Whether discovery's address changes during the first of them; the time then counts from the change.
-        bound_s: The worst time until the change is received, by the constants.
+        bound_s: The longest time until the change is received, by docs/design/discovery-deadline.md.
 
     """
 
@@ -146,7 +145,8 @@
     reachable_at = forwarder.address_changed_at if case.moves else forwarder.discovery.watch_started_at[last]
     known_at = forwarder.reducer.drain_known_at
     assert reachable_at is not None and known_at is not None
-    assert len(forwarder.discovery.watch_started_at) == last + len(case.failing) + 1  # the script was played
+    # Each scripted behavior met exactly one watch.
+    assert len(forwarder.discovery.watch_started_at) == last + len(case.failing) + 1
     return known_at - reachable_at
 
 
@@ -210,7 +210,7 @@
                 spacing
                 <= took + max(POLL_INITIAL_BACKOFF_S, POLL_MAX_BACKOFF_S - took) * MAX_SPREAD_FACTOR + 0.01
             )
-            # A wait in any case: all forwarders lose their watch at the same time.
+            # A watch is never reopened at once, as all forwarders may lose theirs at the same time.
             assert spacing >= took + 0.75 * POLL_INITIAL_BACKOFF_S
 
 
--- a/tests/test_endpoint_faults.py
+++ b/tests/test_endpoint_faults.py
@@ -99,7 +99,7 @@
         self.client.start(start_attempt(2, self.port))
         assert b"m0" in sock.recv(1000)
         with pytest.raises(queue.Empty):
-            self.events.get(timeout=0.4)  # past the deadline of the health check
+            self.events.get(timeout=0.4)  # This is longer than the deadline of the health check.
         sock.sendall(OK)
         assert self.outcomes() == {Outcome.OK}
 
@@ -118,7 +118,7 @@
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.client.start(start_attempt(2, self.port, 4, b"x" * 65_536))
         with pytest.raises(queue.Empty):
-            self.events.get(timeout=1.5)  # the request is not read, but must not fail
+            self.events.get(timeout=1.5)  # The request is not read yet, but must not fail.
         stream, length = Stream(sock.recv), 0
         while line := stream.read_line(1000, 400):
             if line.startswith(b"Content-Length: "):
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -60,7 +60,8 @@
         assert a.history == (RecordedAttempt("s-1", 1.5, False), RecordedAttempt("s-2", 2.5, True))
         assert a.notification is None
         assert (b.message.id, b.notification) == ("b", OutcomeNotification("b", 0.25))
-        reopened = {r.message.id: r for r in self.open().restored()}  # the compacted file restores the same
+        # The compacted file restores the same messages.
+        reopened = {r.message.id: r for r in self.open().restored()}
         assert (reopened["a"], reopened["b"]) == (a, b)
 
     def test_times_are_rebased_to_the_clock_of_the_new_process(self) -> None:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -55,7 +55,8 @@
         self.submit()
         assert self.recorded_calls() == ["server.answer", "endpoint_client.start"]
         assert [text.count(b"taken") for text in journals] == [1, 1]
-        assert [text.count(b"began") for text in journals] == [0, 0]  # journalled with the first byte only
+        # An attempt is journalled with its first byte only.
+        assert [text.count(b"began") for text in journals] == [0, 0]
         self.journal.append(AttemptStartedRecord("a", 1.0, "s-1"))
         assert self.path.read_bytes().count(b"began") == 1
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -186,11 +186,11 @@
         self.resources.callback(ours.close)
         self.resources.callback(theirs.close)
         client = server.table.clients[1] = ClientConnection(1, ours)
-        assert not server.answer(1, 202)  # no request is pending
+        assert not server.answer(1, 202)  # No request is pending.
         client.pending = True
         assert server.answer(1, 202)
-        assert not server.answer(1, 202)  # it has been answered
-        client.pending = client.evicted = True  # the request was read after the eviction
+        assert not server.answer(1, 202)  # The request has been answered.
+        client.pending = client.evicted = True  # The request was read after the eviction.
         assert not server.answer(1, 202)
         assert client.close_after_answer
         client.pending, client.evicted = True, False
@@ -360,7 +360,7 @@
         sock = self.accept()
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-        assert self.outcome() is Outcome.OVERLOADED  # no reducer is there to pause the route
+        assert self.outcome() is Outcome.OVERLOADED  # No reducer is there to pause the route.
         self.client.start(start_attempt(2, self.port))
         assert self.outcome() is Outcome.NOT_SENT
 
@@ -436,7 +436,7 @@
         while not self.client.pool.idle:  # until the cancelled call has put its connection back
             time.sleep(0)
         self.client.start(start_attempt(2, self.port))
-        assert sock.recv(1000) == b""  # nothing was sent on it, and it was not reused
+        assert sock.recv(1000) == b""  # Nothing was sent on it, and it was not reused.
         sock = self.accept()
         assert b"m0" in sock.recv(1000)
         while self.client.active[2].progress is not AttemptProgress.WRITTEN:
@@ -448,7 +448,7 @@
         sock.recv(1000)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         event = self.events.get(timeout=5.0)
-        assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # cancelled calls post no result
+        assert event == AttemptAnswered(3, (ItemOutcome(0, Outcome.OK),))  # Cancelled calls post no result.
         assert self.client.cancel(3) is AttemptProgress.FINISHED
 
     def test_an_answer_cut_at_any_byte_gives_every_message_an_outcome(self) -> None:
@@ -517,7 +517,7 @@
         with mock.patch("juniperward.forwarder.connection_pool.time.sleep", slept.append):
             taken = [self.client.pool.take(3, ("w", 1)) for _ in range(3)]
         assert taken == [connections["past cooldown"], connections["oldest"], connections["in cooldown"]]
-        assert len(slept) == 1  # only for the last one
+        assert len(slept) == 1  # Only the connection taken last was in cooldown.
 
     def test_an_idle_connection_closed_by_its_endpoint_is_not_used(self) -> None:
         # Guards against an attempt lost to a reset: the close is noticed before the request is sent.
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -20,7 +20,7 @@
 from tests.resources import UsesResources
 
 OK = b"HTTP/1.1 204 No Content\r\n\r\n"
-NOTIFICATION_COUNT = 450  # more than fit in one request
+NOTIFICATION_COUNT = 450  # More than one request may hold.
 MAX_BACKOFF_S = 0.4
 
 
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -13,7 +13,8 @@
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "on-call.md").read_text()
 PACKAGES = ("forwarder", "control", "net")
-FORMATTED_NAMES = {  # the suffixes of names that the code builds, by prefix
+# Suffixes by prefix, for the counters whose names the code builds.
+FORMATTED_NAMES = {
     "attempts_": {outcome.name.lower() for outcome in Outcome},
     "rejections_": {"fenced", "unknown", "stopping", "full"},
     "broken_": {"NAME"},
--- a/tests/test_recorded_effects.py
+++ b/tests/test_recorded_effects.py
@@ -1,8 +1,4 @@
-"""The reducer returns the effects that were recorded for the same events.
-
-`tests/reducer_days.py` wrote the recordings in `tests/recorded_effects/`, with an earlier version of the
-reducer. A change that alters effects on purpose records them again, and its commit message says which.
-"""
+"""The reducer returns the effects that an earlier version returned for the same recorded events."""
 
 from __future__ import annotations
 
@@ -17,6 +13,7 @@
 from tests.reducer_codec import decode, digest, encode
 from tests.reducer_days import RUNS, make_reducer
 
+# If a change alters effects on purpose, record again with `tests/reducer_days.py`, and say which in the commit.
 FOLDER = Path(__file__).parent / "recorded_effects"
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -423,7 +423,7 @@
         effects = self.finish_attempt(first, (Outcome.OK, 0.0))
         assert AppendRecord(CompletedRecord("a")) in effects
         assert self.attempted_ids(effects) == [["c"]]
-        # The same holds for a message whose deadline passes at that moment.
+        # Nor may a deadline that passes before the answer is reported cause a second attempt.
         self.start()
         effects = self.accept("a", time_left_s=2.0)
         (attempt,) = self.of_type(effects, StartAttempt)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -86,8 +86,9 @@
             self.client.withdraw(1, 1)
             may_connect.set()
             sock = self.accept()
-            assert sock.recv(1)  # the journal has an attempt before its first byte is written
-            assert self.journalled_attempts() == ["m0"]  # m1 was withdrawn
+            assert sock.recv(1)
+            # An attempt is in the journal before its first byte is written; m1 was withdrawn.
+            assert self.journalled_attempts() == ["m0"]
 
     def test_an_attempt_that_is_not_written_leaves_an_earlier_attempt_unchanged(self) -> None:
         # Guards against clearing a possibly executed attempt by the outcome of a later, unwritten one.
@@ -198,7 +199,7 @@
     def test_a_never_attempted_message_precedes_a_higher_priority_weight(self) -> None:
         # Guards against restored messages that expire unattempted behind messages received after the restart.
         fresh = MessageClass(latency_objective_s=4.0, deadline_s=20.0, priority_weight=50.0, late_weight=1.0)
-        # Restored messages that are past their latency objective.
+        # These restored messages are past their latency objective.
         late = [RestoredMessage(make_message(f"r{n}", class_index=1), 115.0) for n in range(3)]
         unexecuted = RestoredMessage(
             make_message("t", class_index=1), 115.0, (RecordedAttempt("s-1", 95.0, False),)
@@ -219,7 +220,8 @@
 
     def test_a_never_attempted_message_has_its_full_deadline(self) -> None:
         # Guards against failing a message at once if less than the notification margin is left.
-        soon = RestoredMessage(make_message("soon", time_left_s=2.0), 99.9)  # its client's deadline is 100.2
+        # The client's deadline of `soon` is 100.2.
+        soon = RestoredMessage(make_message("soon", time_left_s=2.0), 99.9)
         over = RestoredMessage(make_message("over", time_left_s=2.0), 99.6)
         effects = self.restore(over, soon)
         assert self.attempted_ids(effects) == [["soon"]]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,4 @@
-"""State folders of an earlier version, in `tests/stored_data/`, are read, and each message gets its outcome.
-
-The format on disk is stable: the present version writes the same bytes (`tests/stored_data_writer.py`).
-"""
+"""State folders of an earlier version are read, and each message in them gets its outcome."""
 
 from __future__ import annotations
 
