--- a/juniperward/forwarder/attempt_call.py
+++ b/juniperward/forwarder/attempt_call.py
@@ -51,7 +51,8 @@
             increment("connections_reused")
         items = self._journal_sendable(call, attempt)
         if not items:
-            # A drain, a Retry-After, a withdrawal or a deadline came during the wait for a connection.
+            # The call was cancelled, the gate closed or the messages ended during the wait for a connection, or the
+            # journal failed.
             increment("attempts_withheld")
             self._connections.put_back(call, connection)
             return same_outcomes(attempt, Outcome.NOT_SENT, written=False)
--- a/juniperward/forwarder/clock.py
+++ b/juniperward/forwarder/clock.py
@@ -34,7 +34,7 @@
 def choose_unix_offset(folder: Path, unix_offset_s: float, boot_id: str, journal_name: str) -> float:
     """Return the offset to use in this process, and store it for the next one.
 
-    `unix_offset_s` is the present difference between Unix time and monotonic time.
+    `unix_offset_s` is the current difference between Unix time and monotonic time.
     """
     offset = unix_offset_s
     if (folder / journal_name).exists():
--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -38,7 +38,7 @@
         self._lock = threading.Lock()
 
     def take(self, endpoint: int, address: tuple[str, int]) -> EndpointConnection | None:
-        """Return a usable connection, None if there is none; unusable ones found meanwhile are closed.
+        """Return a usable connection, or None; unusable connections that are found first are closed.
 
         The most recently used connection that has been idle for MIN_IDLE_S is preferred. If there is none,
         the least recently used one is taken, after a sleep until it has been idle for that time.
--- a/juniperward/forwarder/discovery_watch.py
+++ b/juniperward/forwarder/discovery_watch.py
@@ -110,7 +110,7 @@
             report_fault("discovery", error)
 
     def run(self, request: WatchRequest) -> None:
-        """Watch until the stream ends or fails; always raises, WatchEndedError if discovery ended the stream."""
+        """Watch until the stream ends, and raise the reason; WatchEndedError means that discovery ended it."""
         sock, address = self._address.open_socket(ConnectionUse.WATCH, request.epoch)
         with sock:
             # The time limit starts before the dial, so it covers the dial and the response head.
--- a/juniperward/forwarder/effect_executor.py
+++ b/juniperward/forwarder/effect_executor.py
@@ -46,7 +46,7 @@
 from juniperward.forwarder.telemetry import increment, log
 from juniperward.net.http_status import HttpStatus
 
-if TYPE_CHECKING:  # imported at run time only if a control channel or a spool is configured
+if TYPE_CHECKING:  # These are imported at run time only if a control channel or a spool is configured.
     from juniperward.control.protocol import Answer
     from juniperward.forwarder.dead_letter_writer import DeadLetterWriter
 
@@ -81,7 +81,7 @@
         discovery: DiscoveryClient,
         timers: Timers,
     ) -> None:
-        """Use these components; `control` and `dead_letters` are set later if they are configured."""
+        """Perform effects with these components; `control` and `dead_letters` are set later if configured."""
         self.journal = journal
         self.server = server
         self.endpoint_client = endpoint_client
@@ -148,7 +148,7 @@
     def _accept(self, client: int, record: JournalRecord) -> bool:
         """Journal a message and then answer 202, so that an accepted message survives a crash.
 
-        Return whether the message was journaled and its client received the answer.
+        Return whether the message was journalled and its client received the answer.
         """
         try:
             self.journal.append(record)
--- a/juniperward/forwarder/health_check_call.py
+++ b/juniperward/forwarder/health_check_call.py
@@ -83,7 +83,7 @@
 
 
 def _outcome_of_error(check: StartHealthCheck, on_new_connection: bool, error: Exception) -> Outcome:
-    # A transfer may also time out before the deadline, so the clock decides and not the error.
+    # A timeout error does not mean that the deadline has passed, as the transfer has a shorter time limit.
     if time.monotonic() >= check.deadline:
         return Outcome.TIMEOUT
     endpoint = format_address((check.host, check.port))
--- a/juniperward/forwarder/journal.py
+++ b/juniperward/forwarder/journal.py
@@ -169,7 +169,7 @@
         return possibly_executed or message_id(record) not in self.live
 
     def _check_capacity(self, line_bytes: int) -> None:
-        """Raise JournalFullError where a new message could leave too little space for the present ones."""
+        """Raise JournalFullError where a new message could leave too little space for the incomplete ones."""
         needed_bytes = self.live.reserved_bytes + line_bytes + RESERVED_BYTES_PER_MESSAGE
         limit_bytes = int(MAX_LIVE_FRACTION * self.disk_bytes)
         if needed_bytes > limit_bytes:
@@ -209,7 +209,7 @@
         return tuple(messages.by_id.values())
 
     def _compact_if_possible(self) -> None:
-        """Compact the journal; where that fails, keep using the present file."""
+        """Compact the journal; where that fails, keep using the current file."""
         try:
             self._compact()
         except OSError as error:
--- a/juniperward/forwarder/reload.py
+++ b/juniperward/forwarder/reload.py
@@ -13,12 +13,13 @@
 from juniperward.forwarder.events import DiscoveryAddressChanged
 from juniperward.forwarder.telemetry import increment, log
 
-# A change of these keys needs no restart: `discovery` takes effect at once, the others are used only at a start.
+# No restart is suggested for a change of these keys: `discovery` takes effect at once, and the others have an effect
+# only on the start of a process.
 NO_RESTART_KEYS = {"discovery", "known", "seed"}
 
 
 class Reloader:
-    """Compares a reloaded file with the configuration of the start and with discovery's present address."""
+    """Compares a reloaded file with the configuration of the start and with discovery's current address."""
 
     def __init__(self, config: Config, environment: Mapping[str, str]) -> None:
         """Start from the configuration and the environment that the process started with."""
