--- a/juniperward/forwarder/connection_pool.py
+++ b/juniperward/forwarder/connection_pool.py
@@ -12,10 +12,10 @@
 from juniperward.forwarder.endpoint_connection import EndpointConnection
 from juniperward.net import sockets
 
-# The part of the endpoints' keepalive after which an idle connection is closed instead of used.
+# An idle connection is closed after this fraction of the endpoints' keepalive time.
 MAX_IDLE_KEEPALIVE_FRACTION = 0.9
-# The time between an answer and the next call on its connection. Excess bytes after the answer arrive by
-# then, and are not taken for the next answer.
+# The minimum time between an answer and the next call on its connection. Excess bytes after the answer arrive
+# within it, and are not taken for the next answer.
 MIN_IDLE_S = 0.01
 
 
@@ -38,7 +38,7 @@
         self._lock = threading.Lock()
 
     def take(self, endpoint: int, address: tuple[str, int]) -> EndpointConnection | None:
-        """Return a usable connection, None if there is none; unusable ones found meanwhile are closed.
+        """Return a usable connection, or None; unusable connections that are found first are closed.
 
         The most recently used connection that has been idle for MIN_IDLE_S is preferred. If there is none,
         the least recently used one is taken, after a sleep until it has been idle for that time.
