--- a/juniperward/benchmarks/__init__.py
+++ b/juniperward/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What drives whole fleets of the program: the demo, and the measurements."""
+"""The demo and the measurements, which run fleets of real forwarders or drive parts of one."""
--- a/juniperward/benchmarks/agreement.py
+++ b/juniperward/benchmarks/agreement.py
@@ -1,6 +1,6 @@
-"""The simulation against real sockets: the same scenarios under the same policies, both ways.
+"""Compares the simulation with real forwarders on sockets: the same scenarios under the same policies.
 
-`juniperward measure agreement` calls `agreement`, which writes its page and returns whether both agree.
+`juniperward measure agreement` calls `agreement`.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 SCENARIOS = ("calm", "outage", "fast-errors", "shut", "silent", "overload")
 POLICIES = ("juniperward", "round-robin", "no-retry")
-AGREES_WITHIN = 0.03  # of priority weight, that simulation and sockets may differ by
-ORDERED_FROM = 0.01  # policies closer than this in either are not ordered
-CLUSTERS_AT_ONCE = 6
+MAX_WEIGHT_DIFFERENCE = 0.03  # between the fractions of priority weight on sockets and in the simulation
+MIN_ORDERED_DIFFERENCE = 0.01  # two policies whose priority weights are closer than this count as equal
+MAX_PARALLEL_CLUSTERS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """A scenario under a policy, on sockets and in the simulation."""
+    """The results of one scenario under one policy, on sockets and in the simulation."""
 
     scenario: str
     policy: str
@@ -34,16 +34,16 @@
 
     @property
     def difference(self) -> float:
-        """Priority weight on sockets above that in the simulation."""
+        """The priority weight on sockets minus that in the simulation."""
         return self.sockets.priority_weight - self.simulation.utility
 
     @property
     def agrees(self) -> bool:
-        """Whether both come to the same priority weight, within AGREES_WITHIN."""
-        return abs(self.difference) <= AGREES_WITHIN
+        """Whether the two priority weights differ by at most MAX_WEIGHT_DIFFERENCE."""
+        return abs(self.difference) <= MAX_WEIGHT_DIFFERENCE
 
     def row(self) -> Row:
-        """Return a row of the page's table."""
+        """Return the comparison's row of the report's table."""
         return [
             self.scenario, self.policy, f"{self.sockets.priority_weight:.4f}", f"{self.simulation.utility:.4f}",
             f"{self.difference:+.4f}", "yes" if self.agrees else "no",
@@ -53,45 +53,55 @@
 
 
 def compare(scenario: str, policy: str, seed: int) -> Comparison:
-    """Play a scenario under a policy both ways."""
+    """Run a scenario under a policy on sockets and in the simulation."""
     sockets = play(scenario, policy, seed)
     text = load(FOLDER / f"{scenario}.textproto").text
-    text = text.replace("again: 0.7", "again: 1.0")  # the fakes' clients always submit once more
+    text = text.replace("again: 0.7", "again: 1.0")  # the fake clients always resubmit
     return Comparison(scenario, policy, sockets, run_scenario(text, f"{scenario}.textproto", policy, seed))
 
 
 def ordered_differently(comparisons: list[Comparison]) -> list[str]:
-    """Return the pairs of policies that simulation and sockets order differently, both by ORDERED_FROM or more."""
-    found = []
-    for a, b in permutations(comparisons, 2):
-        if a.scenario != b.scenario:
+    """Return a line for each pair of policies that sockets and the simulation rank in opposite order.
+
+    A pair counts if the policies differ by more than MIN_ORDERED_DIFFERENCE in both.
+    """
+    reversed_pairs = []
+    for first, second in permutations(comparisons, 2):
+        if first.scenario != second.scenario:
             continue
-        on_sockets = a.sockets.priority_weight - b.sockets.priority_weight
-        in_simulation = a.simulation.utility - b.simulation.utility
-        if on_sockets > ORDERED_FROM and in_simulation < -ORDERED_FROM:
-            found.append(
-                f"{a.scenario}: {a.policy} is above {b.policy} on sockets, below it in the simulation"
+        on_sockets = first.sockets.priority_weight - second.sockets.priority_weight
+        in_simulation = first.simulation.utility - second.simulation.utility
+        if on_sockets > MIN_ORDERED_DIFFERENCE and in_simulation < -MIN_ORDERED_DIFFERENCE:
+            reversed_pairs.append(
+                f"{first.scenario}: {first.policy} is above {second.policy} on sockets, below it in the simulation"
             )
-    return found
+    return reversed_pairs
 
 
 def agreement(seed: int, out: Path, rounds: int = 0) -> bool:
-    """Compare six scenarios under three policies (the first `rounds` of them, where given) and write the page."""
+    """Compare all SCENARIOS under all POLICIES, or the first `rounds` pairs unless it is 0.
+
+    Writes agreement.md to `out`. Returns whether all comparisons agree and all policies are ranked alike.
+    """
     report = Report("The simulation against sockets", f"juniperward measure agreement --seed {seed}", seed)
     jobs = [(scenario, policy) for scenario in SCENARIOS for policy in POLICIES][: rounds or None]
     comparisons: list[Comparison] = []
-    with concurrent.futures.ProcessPoolExecutor(CLUSTERS_AT_ONCE) as pool:
+    with concurrent.futures.ProcessPoolExecutor(MAX_PARALLEL_CLUSTERS) as pool:
         runs = [pool.submit(compare, scenario, policy, seed) for scenario, policy in jobs]
         for run in runs:
             comparisons.append(run.result())
             print(comparisons[-1].row(), flush=True)
-    report.table(
+    report.add_table(
         ["scenario", "policy", "priority weight on sockets", "in the simulation", "difference",
-         f"within {AGREES_WITHIN:g}", "clients' own lateness p99 ms", "rules broken on sockets",
+         f"within {MAX_WEIGHT_DIFFERENCE:g}", "clients' own lateness p99 ms", "rules broken on sockets",
          "destinations crashed: sockets, simulation"],
         [comparison.row() for comparison in comparisons],
     )  # fmt: skip
-    wrong = ordered_differently(comparisons)
-    report.say("Policies in different orders: " + ("; ".join(wrong) if wrong else "none") + ".")
+    ranked_differently = ordered_differently(comparisons)
+    report.add_paragraph(
+        "Policies in different orders: "
+        + ("; ".join(ranked_differently) if ranked_differently else "none")
+        + "."
+    )
     report.write(out / "agreement.md")
-    return not wrong and all(comparison.agrees for comparison in comparisons)
+    return not ranked_differently and all(comparison.agrees for comparison in comparisons)
--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -1,8 +1,7 @@
-"""One forwarder's capacity on one core: what it adds to a message, by rate, with dead letters off and on.
+"""Measures the throughput of one forwarder on one core, and the latency it adds, with dead letters off and on.
 
-`juniperward measure capacity` calls `capacity` (see `measurements.py`). The forwarder runs as on the platform, a
-process of its own, pinned to a core; load, endpoints and discovery have the other cores. Endpoints answer at once, so
-that all latency and CPU time seen is the forwarder's own.
+`juniperward measure capacity` calls `capacity`. The forwarder runs as a process pinned to one core; load, endpoints
+and discovery use the other cores. Endpoints answer at once, so all measured latency and CPU time is the forwarder's.
 """
 
 from __future__ import annotations
@@ -29,15 +28,16 @@
 from juniperward.fakes.records import Recorder, now
 
 DESTINATIONS = 8
-RATES_PER_S = (300.0, 600.0, 900.0, 1200.0, 1600.0, 2000.0, 2500.0, 3000.0, 3500.0)  # messages
-SKIP_S = 1.0  # at the beginning of each rate, not counted: connections open
-COUNTED_S = 5.0  # of each rate, after that
+RATES_PER_S = (300.0, 600.0, 900.0, 1200.0, 1600.0, 2000.0, 2500.0, 3000.0, 3500.0)
+WARM_UP_S = 1.0  # connections are opened in this time, which is left out of the results
+COUNTED_S = 5.0
 LOAD_PROCESSES = 3
-LOAD_START_S = 1.5  # until the processes of the load run
-LAST_ARRIVALS_S = 0.3  # after the load, for messages that are in flight
-READY_WITHIN_S = 10.0
-MAX_ADDED_S = 0.05  # p99 at the endpoint up to which a rate counts as carried
-MIN_DELIVERED_FRACTION = 0.999  # of the messages sent, from which a rate counts as carried
+LOAD_START_S = 1.5  # time for the load processes to start
+IN_FLIGHT_WAIT_S = 0.3  # time for the last messages to arrive after the load has ended
+READY_TIMEOUT_S = 10.0
+# The forwarder sustains a rate if both limits hold.
+MAX_DELIVERY_P99_S = 0.05
+MIN_DELIVERED_FRACTION = 0.999
 
 COLUMNS = [
     "messages a second",
@@ -56,30 +56,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RateResult:
-    """What was measured at one rate."""
+    """What was measured at one rate.
+
+    Attributes:
+        rate_per_s: The messages sent per second.
+        load: The answers as the clients saw them.
+        delivery_latency: The times from when a message was scheduled to its arrival at the endpoint.
+        cpu_s_per_message: The forwarder's CPU time per message.
+        resident_bytes: The forwarder's resident memory at the end.
+    """
 
     rate_per_s: float
-    load: LoadResult  # as the clients saw it
-    delivery_latency: LatencyHistogram  # from a message's schedule to its arrival at the endpoint
+    load: LoadResult
+    delivery_latency: LatencyHistogram
     cpu_s_per_message: float
     resident_bytes: int
 
     @property
     def carried(self) -> bool:
-        """Whether the forwarder accepted and delivered all messages, with p99 within MAX_ADDED_S."""
+        """Whether all messages were accepted, and delivered within the limits of a sustained rate."""
         all_accepted = self.load.rejected + self.load.failed == 0
         all_delivered = self.delivery_latency.count >= MIN_DELIVERED_FRACTION * self.load.sent
-        return all_accepted and all_delivered and self.delivery_latency.quantile(0.99) <= MAX_ADDED_S
+        return all_accepted and all_delivered and self.delivery_latency.quantile(0.99) <= MAX_DELIVERY_P99_S
 
     @property
     def verdict(self) -> str:
-        """`void` where the load itself was too late, else whether the rate was carried."""
+        """`void` if the load fell behind its schedule, else `yes` or `no`: whether the rate was carried."""
         if self.load.void:
             return "void"
         return "yes" if self.carried else "no"
 
     def cells(self) -> Row:
-        """Return the row under COLUMNS."""
+        """Return the table row under COLUMNS."""
         return [
             f"{self.rate_per_s:.0f}",
             f"{self.load.sent}",
@@ -100,10 +108,13 @@
 
 
 class SingleCoreForwarder:
-    """A forwarder on a core of its own, with fake endpoints and discovery on the others; a context manager."""
+    """A context manager: a forwarder on one core, with fake endpoints and discovery on the others."""
 
     def __init__(self, folder: Path, dead_letters: bool = False, root: Path = ROOT) -> None:
-        """Open the endpoints and the forwarder's port; `folder` gets its files, `root` has the code that it runs."""
+        """Open the endpoints and reserve the forwarder's port.
+
+        The forwarder's files go to `folder`; it runs the code below `root`.
+        """
         self._folder = folder
         self._root = root
         self._dead_letters = dead_letters
@@ -117,7 +128,7 @@
         self._log = folder / "forwarder.log"
 
     def __enter__(self) -> SingleCoreForwarder:
-        """Start the forwarder; raises ForwarderStartError with its log where it does not get ready."""
+        """Start the forwarder; raises ForwarderStartError if it is not ready within READY_TIMEOUT_S."""
         for number, address in enumerate(self._endpoints.addresses, 1):
             self._discovery.publish(ListedEndpoint(f"s-{number}", address, number, "small-partners", 0.0))
         file = self._write_configuration()
@@ -134,7 +145,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the forwarder, the endpoints and discovery."""
+        """Stop the forwarder, the endpoints and discovery."""
         self._child.terminate()
         self._child.wait(10.0)
         self._endpoints.close()
@@ -142,18 +153,18 @@
         self._discovery.close()
 
     def measure(
-        self, rate_per_s: float, seed: int, counted_s: float = COUNTED_S, skip_s: float = SKIP_S
+        self, rate_per_s: float, seed: int, counted_s: float = COUNTED_S, warm_up_s: float = WARM_UP_S
     ) -> RateResult:
-        """Send at a rate for `skip_s` and then `counted_s` seconds; `seed` draws the moments."""
+        """Send at a rate for `warm_up_s` and then `counted_s` seconds; `seed` determines the arrival times."""
         start_at = now() + LOAD_START_S
-        self._endpoints.reset(start_at + skip_s)
+        self._endpoints.reset(start_at + warm_up_s)
         plans = [
             LoadPlan(
                 self._address,
                 rate_per_s / LOAD_PROCESSES,
                 start_at,
-                skip_s + counted_s,
-                skip_s,
+                warm_up_s + counted_s,
+                warm_up_s,
                 seed * 100 + number,
                 f"{rate_per_s:.0f}.{number}",
                 tuple(range(1, DESTINATIONS + 1)),
@@ -163,9 +174,9 @@
         ]
         cpu_before_s = processes.usage(self._child.pid)[0]
         load = play(plans)
-        time.sleep(LAST_ARRIVALS_S)
+        time.sleep(IN_FLIGHT_WAIT_S)
         cpu_after_s, resident_bytes = processes.usage(self._child.pid)
-        counted_cpu_s = (cpu_after_s - cpu_before_s) * counted_s / (counted_s + skip_s)
+        counted_cpu_s = (cpu_after_s - cpu_before_s) * counted_s / (counted_s + warm_up_s)
         cpu_s_per_message = counted_cpu_s / max(load.sent, 1)
         return RateResult(rate_per_s, load, self._endpoints.ages(), cpu_s_per_message, resident_bytes)
 
@@ -188,7 +199,7 @@
         return file
 
     def _wait_ready(self) -> None:
-        deadline = time.monotonic() + READY_WITHIN_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while not is_ready(self._address):
             if time.monotonic() > deadline or self._child.poll() is not None:
                 raise ForwarderStartError(self._log)
@@ -196,19 +207,18 @@
 
 
 def capacity(seed: int, out: Path, rate: float = 0.0, rounds: int = 1) -> bool:
-    """By rate, dead letters off and on: the highest rate that is carried with p99 within 50 ms.
+    """Measure each rate of RATES_PER_S, or only `rate` unless it is 0, with dead letters off and on.
 
-    Measures `rate` messages a second alone, or RATES_PER_S where it is 0, `rounds` times. Writes capacity.md under
-    `out`. Returns True: no figure is judged.
+    Repeats this `rounds` times and writes capacity.md to `out`. Always returns True: no result counts as a failure.
     """
     report = Report(
         "One forwarder's capacity on one core", f"juniperward measure capacity --seed {seed}", seed
     )
-    report.say(
+    report.add_paragraph(
         f"{DESTINATIONS} destinations with one endpoint each that answers at once; {LOAD_PROCESSES} processes of "
-        f"load in an open loop, latencies from when a message was scheduled; the first {SKIP_S:g} s left out, "
+        f"load in an open loop, latencies from when a message was scheduled; the first {WARM_UP_S:g} s left out, "
         f"{COUNTED_S:g} s counted. Carried: all accepted and delivered, p99 at the endpoint within "
-        f"{1000 * MAX_ADDED_S:.0f} ms; void: the load was late itself."
+        f"{1000 * MAX_DELIVERY_P99_S:.0f} ms; void: the load was late itself."
     )
     rates_per_s = (rate,) if rate else RATES_PER_S
     for dead_letters in (False, True):
@@ -219,16 +229,16 @@
         ]
         carried = [result.rate_per_s for result in results if result.verdict == "yes"]
         highest_per_s = max(carried, default=0.0)
-        report.say(
+        report.add_paragraph(
             f"Dead letters {'on' if dead_letters else 'off'}: {highest_per_s:.0f} messages a second carried."
         )
-        report.table(COLUMNS, [result.cells() for result in results])
+        report.add_table(COLUMNS, [result.cells() for result in results])
     report.write(out / "capacity.md")
     return True
 
 
 def _measure_rates(rates_per_s: tuple[float, ...], dead_letters: bool, seed: int) -> list[RateResult]:
-    """Measure rate after rate with one forwarder, and print each row as it comes."""
+    """Measure the rates in turn with one forwarder, and print each row."""
     results: list[RateResult] = []
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
--- a/juniperward/benchmarks/cluster_files.py
+++ b/juniperward/benchmarks/cluster_files.py
@@ -1,4 +1,4 @@
-"""The files of a local cluster's fleet: the configuration that its forwarders share, and the fleet's file."""
+"""Writes the files of a local cluster: the fleet file, and the configuration that all its forwarders share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 from juniperward.settings import fleet_pb2
 
-ROOT = Path(__file__).parent.parent.parent  # of the code that the processes run
+# The processes of a cluster run the code below this folder.
+ROOT = Path(__file__).parent.parent.parent
 BASE_CONFIGURATION: dict[str, Any] = {
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
     "settings": {
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """A forwarder of the fleet: its name, where it listens, and the address of its discovery."""
+    """A forwarder's name, the address it listens on, and the address (HOST:PORT) of its discovery."""
 
     name: str
     address: tuple[str, int]
@@ -57,9 +58,13 @@
 
 @dataclass
 class ClusterFiles:
-    """What the files of a fleet say; `write` writes them, also anew while the fleet runs.
+    """The contents of a fleet's files; `write` may be called again while the fleet runs.
 
-    `parts` overrides FLEET_PARTS by part ("patience", "roll"); `dead_letters` stores what is given up.
+    Attributes:
+        folder: The folder that the files are written to.
+        parts: Values that override those of FLEET_PARTS, by message of the fleet file ("patience", "roll").
+        base: The configuration that all forwarders share.
+        dead_letters: The settings of the dead-letter store; None turns it off.
     """
 
     folder: Path
@@ -69,11 +74,11 @@
 
     @property
     def fleet_file(self) -> Path:
-        """The fleet's file, which the agent reads."""
+        """The path of the fleet file, which the agent reads."""
         return self.folder / "fleet.textproto"
 
     def write(self, instances: Iterable[Instance]) -> None:
-        """Write the fleet's file and the base that all its forwarders share."""
+        """Write the fleet file for these instances, and the configuration that they share."""
         (self.folder / "base.json").write_text(json.dumps(self.base))
         fleet = fleet_pb2.Fleet(name="cluster", folder="run", base="base.json")
         for instance in instances:
--- a/juniperward/benchmarks/cost.py
+++ b/juniperward/benchmarks/cost.py
@@ -1,9 +1,8 @@
-"""What a message costs the scheduler, by how much there is that it should not have to look at.
+"""Measures how the scheduler's CPU time per message grows with state that the message does not concern.
 
-One scheduler, driven without sockets by a simulated clock: ten busy destinations, a message each millisecond,
-answered after 50 ms. Beside that there are destinations that are idle or rejecting, further endpoints, or pending
-messages. The slope is that of cost over size in a log-log plot: 0 where cost follows what is busy, 1 where it follows
-everything.
+A scheduler is driven without sockets by a simulated clock: ten busy destinations get a message each millisecond and
+answer it after 50 ms. Each case adds idle or rejecting destinations, endpoints, or pending messages. The report gives
+the slope of CPU time over their number in a log-log plot: 0 if CPU time is constant, 1 if it is proportional.
 """
 
 from __future__ import annotations
@@ -39,15 +38,28 @@
 LONG_RETRY_AFTER_S = 1e6
 MESSAGE_INTERVAL_S = 0.001
 MESSAGES = 2000
-PENDING_A_ROUND = 500
-WARM_UP_MESSAGES = 300  # before the count begins
+PENDING_PER_ROUND = 500
+WARM_UP_MESSAGES = 300
 
 
 class SchedulerRig:
-    """A scheduler and its simulated surroundings."""
+    """A scheduler with a simulated clock, simulated destinations and timers.
+
+    Attributes:
+        scheduler: The scheduler under test.
+        random: Chooses the destination of each message.
+        now: The simulated time in seconds.
+        serial: The latest number given to a message or a scheduled event.
+        cpu_s: The CPU time spent in the scheduler since the latest `run` began.
+        delivered: The messages delivered since the latest `run` began.
+        attempts: The number of the latest attempt, by message.
+        scheduled: A heap of events that are due later: time, serial number, event.
+        rejecting: Destinations that reject every attempt with a long Retry-After.
+        unresponsive: Destinations that never answer.
+    """
 
     def __init__(self, destinations: int, endpoints: int) -> None:
-        """Begin with so many destinations, and so many endpoints of each."""
+        """Create a scheduler and give it a list of `destinations` with `endpoints` each."""
         classes = (
             MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
         )
@@ -56,13 +68,13 @@
         )
         self.random = random.Random(1)
         self.now = 0.0
-        self.serial = 0  # of messages and scheduled events
-        self.cpu_s = 0.0  # spent in the scheduler
+        self.serial = 0
+        self.cpu_s = 0.0
         self.delivered = 0
-        self.attempts: dict[int, int] = {}  # by message: the number of its latest
-        self.scheduled: list[tuple[float, int, Event]] = []  # a heap
-        self.rejecting: set[int] = set()  # destinations that reject all, with a long Retry-After
-        self.unresponsive: set[int] = set()  # destinations that answer nothing
+        self.attempts: dict[int, int] = {}
+        self.scheduled: list[tuple[float, int, Event]] = []
+        self.rejecting: set[int] = set()
+        self.unresponsive: set[int] = set()
         entries = tuple(
             EndpointEntry(n, n // endpoints, EndpointPhase.READY, 0, 0, 0.0)
             for n in range(destinations * endpoints)
@@ -71,7 +83,7 @@
         self.handle([EndpointListUpdated(ListScope.FULL, entries)])
 
     def handle(self, events: list[Event]) -> None:
-        """Give the scheduler a round of events, and carry out what it decides."""
+        """Pass events to the scheduler and simulate the actions that it returns."""
         began = time.process_time()
         actions = self.scheduler.handle(self.now, events)
         self.cpu_s += time.process_time() - began
@@ -83,7 +95,7 @@
                     self._schedule(delay_s, TimerFired(token))
 
     def _attempt(self, message: int, endpoint: int) -> None:
-        """Schedule the end of an attempt, as its destination answers."""
+        """Schedule the answer to an attempt; an unresponsive destination gives none."""
         number = self.attempts[message] = self.attempts.get(message, -1) + 1
         destination = endpoint // self.endpoints_per_destination
         if destination in self.rejecting:
@@ -97,17 +109,16 @@
             self._schedule(ANSWER_S, AttemptFinished(message, number, endpoint, Outcome.OK, ANSWER_S, True))
 
     def _schedule(self, delay_s: float, event: Event) -> None:
-        """Have an event come later."""
         self.serial += 1
         heapq.heappush(self.scheduled, (self.now + delay_s, self.serial, event))
 
     def message(self, destination: int, lifetime_s: float = 20.0) -> Event:
-        """Return the event of a new message for a destination."""
+        """Return the event that admits a new message for a destination."""
         self.serial += 1
         return MessageAdmitted(self.serial, 0, destination, lifetime_s, 0, f"k{self.serial}")
 
     def run(self, messages: int) -> float:
-        """Deliver so many messages to the busy destinations; return CPU microseconds each."""
+        """Send to the busy destinations until `messages` are delivered; return the CPU microseconds per message."""
         self.cpu_s = 0.0
         self.delivered = 0
         while self.delivered < messages:
@@ -140,28 +151,28 @@
 def _with_pending_messages(size: int) -> SchedulerRig:
     rig = SchedulerRig(BUSY_DESTINATIONS + 1, 2)
     rig.unresponsive = {BUSY_DESTINATIONS}
-    for first in range(0, size, PENDING_A_ROUND):
-        count = min(PENDING_A_ROUND, size - first)
+    for first in range(0, size, PENDING_PER_ROUND):
+        count = min(PENDING_PER_ROUND, size - first)
         rig.handle([rig.message(BUSY_DESTINATIONS, 1e6) for _ in range(count)])
     return rig
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What there is more and more of, how a rig with so much of it is built, and the sizes that are measured."""
+    """One kind of state: its name in the report, a function that builds a rig with `size` of it, and the sizes."""
 
     name: str
     build: Callable[[int], SchedulerRig]
     sizes: tuple[int, ...]
 
     def measure(self, messages: int) -> list[float]:
-        """Return CPU microseconds a message, by size."""
-        figures = []
+        """Return the CPU microseconds per message for each of `sizes`."""
+        costs_us = []
         for size in self.sizes:
             rig = self.build(size)
             rig.run(WARM_UP_MESSAGES)
-            figures.append(rig.run(messages))
-        return figures
+            costs_us.append(rig.run(messages))
+        return costs_us
 
 
 CASES = (
@@ -175,15 +186,15 @@
 
 
 def cost(seed: int, out: Path, rounds: int = MESSAGES) -> bool:
-    """Cost for a message by size of each kind, with the slope of the log-log plot."""
+    """Measure all CASES over `rounds` messages each, and write cost.md to `out`; always returns True."""
     report = Report("What a message costs the scheduler", f"juniperward measure cost --rounds {rounds}", seed)
     rows = []
     for case in CASES:
-        figures = case.measure(rounds)
-        slope = float(np.polyfit(np.log(case.sizes), np.log(figures), 1)[0])
-        by_size = zip(case.sizes, figures, strict=True)
-        figures_text = ", ".join(f"{size:,}: {figure:.0f}" for size, figure in by_size)
-        rows.append([case.name, figures_text, f"{slope:.2f}"])
-    report.table(["what there is more and more of", "CPU microseconds a message, by size", "slope"], rows)
+        costs_us = case.measure(rounds)
+        slope = float(np.polyfit(np.log(case.sizes), np.log(costs_us), 1)[0])
+        by_size = zip(case.sizes, costs_us, strict=True)
+        costs_text = ", ".join(f"{size:,}: {cost_us:.0f}" for size, cost_us in by_size)
+        rows.append([case.name, costs_text, f"{slope:.2f}"])
+    report.add_table(["what there is more and more of", "CPU microseconds a message, by size", "slope"], rows)
     report.write(out / "cost.md")
     return True
--- a/juniperward/benchmarks/dead_letter_acceptance.py
+++ b/juniperward/benchmarks/dead_letter_acceptance.py
@@ -1,7 +1,7 @@
-"""The acceptance run of dead letters: an outage under load, with and without kills, over many seeds.
+"""Checks dead letters end to end: an outage of a destination under load, with and without kills, over many seeds.
 
-`juniperward measure dead-letters` calls `acceptance` (see `measurements.py`); it runs a cluster of its own for
-each seed, in processes side by side, and writes one page of sums and of the runs that failed.
+`juniperward measure dead-letters` calls `acceptance`. Each seed has its own cluster; clusters run in parallel
+processes. The report has sums over all runs, and the runs that failed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from juniperward.benchmarks.dead_letter_cluster import (
-    COUNTED,
+    COUNT_NAMES,
     dead_letter_cluster,
     judge_dead_letters,
     wait_until_settled,
@@ -27,36 +27,46 @@
 
 PARALLEL_RUNS = 10
 DEFAULT_OUTAGE_S = 10.0
-LOAD_PER_S = 40.0  # messages
+MESSAGES_PER_S = 40.0
 LOAD_AFTER_OUTAGE_S = 8.0
-KILLS = 6  # of a run with kills
+KILL_COUNT = 6
 AGENT_KILL_PROBABILITY = 0.5  # otherwise a forwarder is killed
 INSTANCES = 3
-SUMMED = ("runs", *COUNTED, "crashed", "rules broken")
+SUM_NAMES = ("runs", *COUNT_NAMES, "crashed", "rules broken")
 MAX_ERROR_CHARACTERS = 300
 MAX_VERDICT_CHARACTERS = 1500
 
 
 @dataclass(frozen=True)
 class RunResult:
-    """How one run ended; it crosses from the run's process to the report's."""
+    """The result of one run, sent from the run's process to the one that writes the report.
+
+    Attributes:
+        seed: The seed of the run.
+        fault: The fault that was injected into the destination.
+        killed: The number of processes that were killed.
+        counts: The number of dead letters with each outcome, by the names in COUNT_NAMES.
+        rules_held: Whether the checker found no violation.
+        crashed: Whether the destination crashed because it was overloaded in its slow start.
+        verdict_lines: The checker's verdict as text.
+    """
 
     seed: int
     fault: FaultMode
-    killed: int  # processes
-    counts: dict[str, int]  # dead letters that ended each way, by the names of COUNTED
-    rules_held: bool  # by the checker
-    crashed: bool  # the destination, overloaded in its slow start
+    killed: int
+    counts: dict[str, int]
+    rules_held: bool
+    crashed: bool
     verdict_lines: list[str]
 
     @property
     def passed(self) -> bool:
-        """Whether no rule broke, the destination stood the redrives, and each effect happened once."""
+        """Whether no rule was violated, the destination did not crash, and no message was lost or executed twice."""
         executed_once = not self.counts["twice"] and not self.counts["missing"]
         return self.rules_held and not self.crashed and executed_once
 
-    def summands(self) -> dict[str, int]:
-        """Return what the run adds to each of SUMMED."""
+    def contributions(self) -> dict[str, int]:
+        """Return the run's contribution to each sum of SUM_NAMES."""
         return {
             "runs": 1,
             **self.counts,
@@ -66,7 +76,7 @@
 
 
 class _Summary:
-    """Sums of the runs by fault and kills, and a row for each run that failed."""
+    """Sums over the runs, by fault and by whether processes were killed, and a row for each failed run."""
 
     def __init__(self) -> None:
         self.runs = 0
@@ -74,26 +84,28 @@
         self._sums: dict[tuple[str, str], dict[str, int]] = {}
 
     def add(self, result: RunResult, kills: bool) -> None:
-        """Add one run to the sums of its fault."""
+        """Add one run; `kills` says whether processes were killed in it."""
         self.runs += 1
         case = (result.fault, "six" if kills else "none")
-        sums = self._sums.setdefault(case, dict.fromkeys(SUMMED, 0))
-        for name, value in result.summands().items():
+        sums = self._sums.setdefault(case, dict.fromkeys(SUM_NAMES, 0))
+        for name, value in result.contributions().items():
             sums[name] += value
         if not result.passed:
-            counts = [f"{result.counts[name]}" for name in COUNTED]
+            counts = [f"{result.counts[name]}" for name in COUNT_NAMES]
             self.failed_rows.append([f"{result.seed}", result.fault, f"{result.killed}", *counts])
 
     def sum_rows(self) -> list[Row]:
         """Return a row of sums for each fault, without and with kills."""
-        return [[*case, *(f"{sums[name]}" for name in SUMMED)] for case, sums in sorted(self._sums.items())]
+        return [
+            [*case, *(f"{sums[name]}" for name in SUM_NAMES)] for case, sums in sorted(self._sums.items())
+        ]
 
 
 def acceptance(seed: int, out: Path, rounds: int = 8, away: float = DEFAULT_OUTAGE_S) -> bool:
-    """A destination has an outage of `away` seconds under load and recovers in slow start, over `rounds` seeds.
+    """Put a destination through an outage of `away` seconds and a slow start under load, over `rounds` seeds.
 
-    Each seed runs once without kills and once with. Writes kept.md (or kept-AWAY.md) under `out`; returns True if
-    every run ended and none failed.
+    Each seed runs twice, without and with kills. Writes kept.md, or kept-AWAY.md if `away` is not the default, to
+    `out`. Returns whether all runs completed and passed.
     """
     report = _begin_report(seed, rounds, away)
     cases = [(seed + n, kills) for n in range(rounds) for kills in (False, True)]
@@ -105,9 +117,11 @@
             run_seed, kills = runs[run]
             try:
                 result = run.result()
-            except Exception as error:  # a run that could not be ended is reported, and counts as a failure
+            except Exception as error:  # an aborted run is reported and counts as failed
                 all_passed = False
-                report.say(f"seed {run_seed}, kills {kills}: no verdict: {error!r}"[:MAX_ERROR_CHARACTERS])
+                report.add_paragraph(
+                    f"seed {run_seed}, kills {kills}: no verdict: {error!r}"[:MAX_ERROR_CHARACTERS]
+                )
                 continue
             all_passed &= result.passed
             summary.add(result, kills)
@@ -122,7 +136,7 @@
 def _begin_report(seed: int, rounds: int, away: float) -> Report:
     command = f"juniperward measure dead-letters --seed {seed} --rounds {rounds} --away {away:g}"
     report = Report("Dead letters after an outage", command, seed)
-    report.say(
+    report.add_paragraph(
         f"Three forwarders, 40 messages a second that live for 4 s; one of three destinations is down, failing or "
         f"rejecting for {away:g} s and comes back warming up. With kills, agent or a forwarder is killed by SIGKILL "
         f"six times while redrives go on. {PARALLEL_RUNS} runs at a time."
@@ -132,29 +146,29 @@
 
 def _report_failure(report: Report, result: RunResult) -> None:
     lines = "\n".join(result.verdict_lines)[:MAX_VERDICT_CHARACTERS]
-    report.say(f"seed {result.seed}, {result.fault}, kills {result.killed}:\n\n```\n{lines}\n```")
+    report.add_paragraph(f"seed {result.seed}, {result.fault}, kills {result.killed}:\n\n```\n{lines}\n```")
 
 
 def _report_summary(report: Report, summary: _Summary) -> None:
-    report.say("Sums over all seeds:")
-    report.table(["fault", "kills", *SUMMED], summary.sum_rows())
+    report.add_paragraph("Sums over all seeds:")
+    report.add_table(["fault", "kills", *SUM_NAMES], summary.sum_rows())
     if summary.failed_rows:
-        report.say("Runs in which something was not as it must be:")
-        report.table(["seed", "fault", "kills", *COUNTED], summary.failed_rows)
+        report.add_paragraph("Runs in which something was not as it must be:")
+        report.add_table(["seed", "fault", "kills", *COUNT_NAMES], summary.failed_rows)
 
 
 def _run(seed: int, kills: bool, outage_s: float) -> RunResult:
-    """Run one cluster through an outage; `seed` chooses the fault, the pauses and what is killed."""
+    """Run one cluster through an outage; `seed` determines the fault, the pauses and which processes are killed."""
     generator = random.Random(seed)
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
         dead_letter_cluster(Path(folder), seed, INSTANCES) as cluster,
     ):
         cluster.start()
-        clients = cluster.clients(LOAD_PER_S, outage_s + LOAD_AFTER_OUTAGE_S, threads=48)
+        clients = cluster.clients(MESSAGES_PER_S, outage_s + LOAD_AFTER_OUTAGE_S, threads=48)
         time.sleep(2.0)
         fault = _cause_outage(cluster, generator, outage_s)
-        killed = _kill_processes(cluster, generator, KILLS) if kills else 0
+        killed = _kill_processes(cluster, generator, KILL_COUNT) if kills else 0
         clients.done.wait(60.0)
         cluster.wait_until(lambda status: status["ready"] == INSTANCES, 30.0)
         cluster.settle()
@@ -172,7 +186,7 @@
 
 
 def _cause_outage(cluster: LocalCluster, generator: random.Random, outage_s: float) -> FaultMode:
-    """Inject a fault into destination 1, return it once the destination is healthy again."""
+    """Inject a random fault into destination 1, wait until it is over, and return it."""
     fault = generator.choice([FaultMode.DOWN, FaultMode.FAILING, FaultMode.REJECTING])
     cluster.destinations[1].inject_fault(fault, outage_s, fraction=0.9)
     recovery_at = time.monotonic() + outage_s
@@ -183,7 +197,7 @@
 
 
 def _kill_processes(cluster: LocalCluster, generator: random.Random, kills: int) -> int:
-    """Kill the agent (and start it again) or a forwarder by SIGKILL, so many times; return the number."""
+    """Kill the agent (and restart it) or a forwarder by SIGKILL, `kills` times; return `kills`."""
     for _ in range(kills):
         time.sleep(generator.uniform(0.2, 1.5))
         if generator.random() < AGENT_KILL_PROBABILITY:
--- a/juniperward/benchmarks/dead_letter_cluster.py
+++ b/juniperward/benchmarks/dead_letter_cluster.py
@@ -1,8 +1,7 @@
-"""A local cluster that stores dead letters, and how its dead letters ended: the measurements' common part.
+"""A local cluster that stores dead letters, and the check of their outcomes.
 
-`dead_letter_acceptance` and `dead_letter_cost` call these: `dead_letter_cluster` makes the cluster,
-`wait_until_settled` waits for redrives to end, `judge_dead_letters` counts how each dead letter ended and adds the
-redrives to what the checker judges.
+`dead_letter_cluster` creates the cluster, `wait_until_settled` waits until no redrive is pending, and
+`judge_dead_letters` counts the outcomes of the dead letters and has the checker judge the redrives too.
 """
 
 from __future__ import annotations
@@ -21,27 +20,28 @@
 from juniperward.settings import fleet_pb2
 
 WARM_UP_S = 5.0
-DEADLINE_S = 4.0  # of a message
-COUNTED = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
+MESSAGE_DEADLINE_S = 4.0
+MIN_SETTLED_S = 1.0  # longer than a spooled message takes to appear in the store
+COUNT_NAMES = ("kept", "once", "twice", "missing", "uncertain", "uncertain sent")
 
 
 @dataclass(frozen=True)
 class DeadLetterJudgement:
-    """The checker's verdict on a run, and how many dead letters ended each way (keys: `COUNTED`)."""
+    """The checker's verdict on a run, and the number of dead letters by outcome (the names in COUNT_NAMES)."""
 
     verdict: Verdict
     counts: dict[str, int]
 
 
 def dead_letter_cluster(folder: Path, seed: int, instances: int = 3, stores: bool = True) -> LocalCluster:
-    """Return a cluster, not yet started, whose messages live for four seconds.
+    """Return a cluster, not yet started, whose messages have a deadline of MESSAGE_DEADLINE_S.
 
-    With `stores`, what its forwarders give up is stored as dead letters and redriven by one rule (at most 20
-    redrives a message). `folder` holds its files; `seed` drives its load and faults.
+    With `stores`, messages that its forwarders give up are stored as dead letters, and one rule redrives each of
+    them up to 20 times. The cluster's files go to `folder`; `seed` is that of its load and faults.
     """
     destinations = [DestinationSpec(d, latency_s=0.03, warm_up_s=WARM_UP_S, concurrency=8) for d in (1, 2, 3)]
     cluster = LocalCluster(folder, instances, destinations, seed)
-    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": DEADLINE_S * 1000, "AimMs": 1000.0}
+    cluster.base["settings"]["Services"][0] |= {"DeadlineMs": MESSAGE_DEADLINE_S * 1000, "AimMs": 1000.0}
     cluster.base["settings"]["Invariants"] |= {"WarmWithinMs": WARM_UP_S * 1000}
     if stores:
         pace = fleet_pb2.ResendPace(first=5, step=5, most=40)
@@ -51,29 +51,30 @@
 
 
 def all_dead_letters(cluster: LocalCluster) -> list[dict[str, Any]]:
-    """Return every message of the dead-letter store, as the control channel lists it, page by page."""
+    """Return all messages of the dead-letter store, as the agent's API lists them."""
     rows: list[dict[str, Any]] = []
     after: Any = None
     while True:
-        found = cluster.request("kept", action="list", limit=500, after=after)
-        rows += found["messages"]
-        after = found["next"]
+        page = cluster.request("kept", action="list", limit=500, after=after)
+        rows += page["messages"]
+        after = page["next"]
         if after is None:
             return rows
 
 
-def wait_until_settled(cluster: LocalCluster, patience: float) -> None:
-    """Wait until no dead letter that may be redriven is left, for at most `patience` seconds."""
-    calm = time.monotonic()
-    until = calm + patience
-    while time.monotonic() < until:
+def wait_until_settled(cluster: LocalCluster, timeout_s: float) -> None:
+    """Wait until no dead letter is left to redrive, for at most `timeout_s` seconds; a timeout raises nothing."""
+    settled_since = time.monotonic()
+    deadline = settled_since + timeout_s
+    while time.monotonic() < deadline:
         try:
             busy = cluster.request("kept", action="stats")["open"]
             if busy or any(
-                r["stand"] == Status.STORED and r["kind"] != "uncertain" for r in all_dead_letters(cluster)
+                row["stand"] == Status.STORED and row["kind"] != "uncertain"
+                for row in all_dead_letters(cluster)
             ):
-                calm = time.monotonic()
-            elif time.monotonic() - calm > 1.0:  # longer than a spool may wait to be read into the store
+                settled_since = time.monotonic()
+            elif time.monotonic() - settled_since > MIN_SETTLED_S:
                 return
         except (AgentUnreachableError, AgentRejectedError):
             pass
@@ -81,19 +82,19 @@
 
 
 def judge_dead_letters(cluster: LocalCluster) -> DeadLetterJudgement:
-    """Return the checker's verdict, with the redrives among the clients, and how the dead letters ended."""
+    """Return the checker's verdict on all submissions and redrives, and the outcomes of the dead letters."""
     rows = all_dead_letters(cluster)
     effects: dict[str, int] = {}
     for record in cluster.recorder.records:
         if isinstance(record, Effect):
             effects[record.key] = effects.get(record.key, 0) + 1
-    counts = dict.fromkeys(COUNTED, 0) | {"kept": len(rows)}
+    counts = dict.fromkeys(COUNT_NAMES, 0) | {"kept": len(rows)}
     for row in rows:
-        times = effects.get(row["key"], 0)
-        counts["twice"] += times > 1
+        effect_count = effects.get(row["key"], 0)
+        counts["twice"] += effect_count > 1
         if row["stand"] == Status.DELIVERED:
-            counts["once"] += times == 1
-            counts["missing"] += times == 0
+            counts["once"] += effect_count == 1
+            counts["missing"] += effect_count == 0
         elif row["kind"] == "uncertain":
             counts["uncertain"] += 1
         else:
@@ -103,7 +104,7 @@
 
 
 def _record_redrives(cluster: LocalCluster, row: dict[str, Any]) -> None:
-    """Record each redrive of a dead letter as a submission, so that the checker judges it with the clients'."""
+    """Record each redrive of a dead letter as a submission, so that the checker judges it like one of a client."""
     redrives = cluster.request("kept", action="show", id=row["id"])["resent"]
     for number, redrive in enumerate(redrives):
         submitted_at = redrive["claimed_at"] - time.time() + time.monotonic()
@@ -118,7 +119,7 @@
                 row["destination"],
                 redrive["forwarder"],
                 submitted_at,
-                submitted_at + DEADLINE_S,
+                submitted_at + MESSAGE_DEADLINE_S,
             )
         )
         accepted = redrive["end"] not in ("refused", "never taken")
--- a/juniperward/benchmarks/dead_letter_cost.py
+++ b/juniperward/benchmarks/dead_letter_cost.py
@@ -1,6 +1,6 @@
-"""What dead letters cost live traffic: redrives beside it, and a forwarder that stores what it gives up.
+"""Measures what dead letters cost live traffic: redrives at the same time, and storing messages that are given up.
 
-`juniperward measure dead-letter-cost` calls `storage_cost` (see `measurements.py`).
+`juniperward measure dead-letter-cost` calls `storage_cost`.
 """
 
 from __future__ import annotations
@@ -20,54 +20,54 @@
 from juniperward.fakes.verdict import Verdict
 from juniperward.scheduler.settings import Idempotency
 
-REDRIVEN_ID_PREFIX = "kept-"  # of a redrive's message id, as the platform names it
+REDRIVE_ID_PREFIX = "kept-"  # begins the message id of each redrive
 SPOOL_BYTES = 100_000_000
-WAITING = (0, 1000, 10000)  # dead letters that wait to be redriven, a run each
+BACKLOG_SIZES = (0, 1000, 10000)  # dead letters that wait to be redriven, one run for each size
 LOAD_S = 12.0
 
 
 def storage_cost(seed: int, out: Path) -> bool:
-    """Live traffic beside redrives, and what storing dead letters costs a forwarder; writes keeping.md.
+    """Measure live traffic during redrives, and a forwarder's CPU time with dead letters off and on.
 
-    Returns True: the run reports figures and judges none.
+    Writes keeping.md to `out`. Always returns True: no result counts as a failure.
     """
     report = Report(
         "Dead letters beside live traffic", f"juniperward measure dead-letter-cost --seed {seed}", seed
     )
-    _report_live_beside_redrives(report, seed)
-    _report_storing(report, seed)
+    _report_live_traffic(report, seed)
+    _report_storage(report, seed)
     report.write(out / "keeping.md")
     return True
 
 
 def _live_verdict(cluster: LocalCluster) -> Verdict:
-    """Judge the live messages alone, without the redriven ones."""
+    """Return the checker's verdict on the live messages, without redrives."""
     records = list(cluster.recorder.records)
-    return check([r for r in records if not getattr(r, "id", "").startswith(REDRIVEN_ID_PREFIX)])
+    return check([r for r in records if not getattr(r, "id", "").startswith(REDRIVE_ID_PREFIX)])
 
 
-def _report_live_beside_redrives(report: Report, seed: int) -> None:
-    """Live traffic's priority weight while so many dead letters wait to be redriven."""
-    rows = [_live_beside_redrives(waiting, seed) for waiting in WAITING]
-    report.say("Live traffic at 100 messages a second for 12 s while others wait to be sent again:")
-    report.table(
+def _report_live_traffic(report: Report, seed: int) -> None:
+    """Report the priority weight and latency of live traffic for each of BACKLOG_SIZES."""
+    rows = [_measure_live_traffic(backlog, seed) for backlog in BACKLOG_SIZES]
+    report.add_paragraph("Live traffic at 100 messages a second for 12 s while others wait to be sent again:")
+    report.add_table(
         ["waiting", "of them sent meanwhile", "fraction of live priority weight", "median ms", "p99 ms"], rows
     )
 
 
-def _live_beside_redrives(waiting: int, seed: int) -> Row:
+def _measure_live_traffic(backlog: int, seed: int) -> Row:
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
         dead_letter_cluster(Path(folder), seed) as cluster,
     ):
-        _fill_spool(Path(folder) / "run" / "spool" / "n0", waiting)
+        _fill_spool(Path(folder) / "run" / "spool" / "n0", backlog)
         cluster.start()
         clients = cluster.clients(100.0, LOAD_S, threads=48)
         clients.done.wait(60.0)
         stats = cluster.request("kept", action="stats")
         verdict = _live_verdict(cluster)
         return [
-            f"{waiting}",
+            f"{backlog}",
             f"{stats['stands'].get('delivered', 0)}",
             f"{verdict.priority_weight_delivered:.4f}",
             f"{quantile(verdict.latencies_s, 0.5) * 1000:.0f}",
@@ -76,7 +76,7 @@
 
 
 def _fill_spool(folder: Path, messages: int) -> None:
-    """Write so many dead letters to a forwarder's spool, all given up within the last minute."""
+    """Write dead letters that were given up within the last minute to a forwarder's spool."""
     spool = Spool(folder, SPOOL_BYTES)
     for number in range(messages):
         spool.append(_spooled_message(number))
@@ -102,14 +102,16 @@
     )
 
 
-def _report_storing(report: Report, seed: int) -> None:
-    """What storing dead letters costs the others while a third of all messages are given up."""
-    rows = [_storing(stores, seed) for stores in (False, True, False, True)]
-    report.say("One forwarder at 150 messages a second, one of three destinations down all the time:")
-    report.table(["dead letters", "stored", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
+def _report_storage(report: Report, seed: int) -> None:
+    """Report latency and CPU time with dead letters off and on while one of three destinations is down."""
+    rows = [_measure_storage(stores, seed) for stores in (False, True, False, True)]
+    report.add_paragraph(
+        "One forwarder at 150 messages a second, one of three destinations down all the time:"
+    )
+    report.add_table(["dead letters", "stored", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
 
 
-def _storing(stores: bool, seed: int) -> Row:
+def _measure_storage(stores: bool, seed: int) -> Row:
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
         dead_letter_cluster(Path(folder), seed, 1, stores) as cluster,
--- a/juniperward/benchmarks/dead_letter_store_rates.py
+++ b/juniperward/benchmarks/dead_letter_store_rates.py
@@ -1,6 +1,6 @@
-"""What the dead-letter store does a second, with a million messages in it.
+"""Measures the rates of the dead-letter store's operations with a million messages in it.
 
-`juniperward measure dead-letter-store` calls `store` (see `measurements.py`).
+`juniperward measure dead-letter-store` calls `store`.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from juniperward.dead_letters.store import DeadLetterStore
 from juniperward.scheduler.settings import Idempotency
 
-BATCH = 1000  # messages of one transaction
-PAGE = 500  # messages of one page of a list
-FOUND = 100  # messages that a search returns at most
+TRANSACTION_MESSAGES = 1000
+PAGE_MESSAGES = 500
+MAX_SEARCH_RESULTS = 100
 ATTEMPT = (SpooledAttempt("s-1", 1.0, "full", False),)
 
 
 def store(seed: int, out: Path, rounds: int = 1_000_000) -> bool:
-    """The store's rates with `rounds` messages in it; writes store.md. Returns True: no figure is judged."""
+    """Measure the store with `rounds` messages in it, and write store.md to `out`; always returns True."""
     report = Report("The dead-letter store", f"juniperward measure dead-letter-store --rounds {rounds}", seed)
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:
         rates = _StoreRates(Path(folder), rounds)
@@ -33,14 +33,16 @@
             size_mib = rates.size_mib()
         finally:
             rates.close()
-    report.say(f"The store with {rounds:,} messages of 200 bytes and one attempt ({size_mib:.0f} MiB):")
-    report.table(["what", "a second", "ms each"], rates.rows)
+    report.add_paragraph(
+        f"The store with {rounds:,} messages of 200 bytes and one attempt ({size_mib:.0f} MiB):"
+    )
+    report.add_table(["what", "a second", "ms each"], rates.rows)
     report.write(out / "store.md")
     return True
 
 
 class _StoreRates:
-    """A store in a folder of its own; `rows` has what each operation took."""
+    """A store in a new folder; `rows` has a table row for each measured operation."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.rows: list[Row] = []
@@ -50,7 +52,7 @@
         self._store = DeadLetterStore(self._file)
 
     def measure(self) -> None:
-        """Fill the store, and measure every operation in turn."""
+        """Fill the store, and measure each operation."""
         self._fill()
         self._list_all()
         self._search()
@@ -58,7 +60,7 @@
         self._maintain()
 
     def size_mib(self) -> float:
-        """Return the size of the store's file."""
+        """Return the size of the store's file in MiB."""
         return self._file.stat().st_size / 2**20
 
     def close(self) -> None:
@@ -67,7 +69,7 @@
 
     def _fill(self) -> None:
         began = time.monotonic()
-        for first in range(0, self._count, BATCH):
+        for first in range(0, self._count, TRANSACTION_MESSAGES):
             self._store.add("n0", _batch(first), SpoolPosition(1, first))
         self._add_row("taken in, 1,000 a transaction", self._count, time.monotonic() - began, 3)
 
@@ -75,7 +77,7 @@
         began = time.monotonic()
         listed = 0
         after = BEFORE_ALL
-        while page := self._store.select(Filter(status=Status.STORED), PAGE, after):
+        while page := self._store.select(Filter(status=Status.STORED), PAGE_MESSAGES, after):
             listed += len(page)
             after = Position(page[-1].given_up_at, page[-1].id)
         self._add_row("listed, pages of 500", listed, time.monotonic() - began, 3)
@@ -107,11 +109,11 @@
         self._time("integrity check", 1, lambda _: self._store.check())
         self._time("backup while in use", 1, lambda _: self._store.backup(self._folder / "copy.db"))
 
-    def _time_search(self, name: str, times: int, selection: Callable[[int], Filter]) -> None:
-        self._time(name, times, lambda n: self._store.select(selection(n), FOUND))
+    def _time_search(self, name: str, times: int, make_filter: Callable[[int], Filter]) -> None:
+        self._time(name, times, lambda n: self._store.select(make_filter(n), MAX_SEARCH_RESULTS))
 
     def _time(self, name: str, times: int, operation: Callable[[int], object]) -> None:
-        """Call the operation with 0, 1, ... `times` - 1, and add a row."""
+        """Call the operation with 0, 1, ... `times` - 1, and add a row with its rate and mean duration."""
         began = time.monotonic()
         for number in range(times):
             operation(number)
@@ -124,7 +126,7 @@
 
 def _batch(first: int) -> list[SpooledMessage]:
     """Return the messages of one transaction, numbered from `first`."""
-    return [_message(number) for number in range(first, first + BATCH)]
+    return [_message(number) for number in range(first, first + TRANSACTION_MESSAGES)]
 
 
 def _message(number: int) -> SpooledMessage:
--- a/juniperward/benchmarks/demo.py
+++ b/juniperward/benchmarks/demo.py
@@ -1,4 +1,4 @@
-"""`juniperward demo`: a whole fleet in half a minute, judged by the checker."""
+"""`juniperward demo`: runs a fleet for half a minute, and prints the checker's verdict."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from juniperward.benchmarks.local_cluster import LocalCluster
 from juniperward.fakes.destination_spec import DestinationSpec
 
-LOAD = 14.0  # seconds of traffic
+LOAD_S = 14.0
 DESTINATIONS = [
     DestinationSpec(1, "booking-sites", endpoints=2, latency_s=0.06, rate_limit=60.0, batch_size=20),
     DestinationSpec(2, "small-partners", endpoints=2, latency_s=0.03),
@@ -23,7 +23,10 @@
 
 
 def demo(rate: float, keep: Path | None) -> int:
-    """The exit code: 0 where every rule held and the roll ended, else 1."""
+    """Run a fleet at `rate` messages per second; return 0 if all rules held and the roll was completed, else 1.
+
+    The fleet's files go to `keep`, or to a temporary folder if it is None.
+    """
     console = Console()
     began = time.monotonic()
     with contextlib.ExitStack() as stack:
@@ -36,9 +39,9 @@
         console.print("starting discovery, 4 destinations, an agent and 3 forwarders")
         cluster.start()
         console.print(
-            f"{rate:g} messages a second for {LOAD:g} s; an endpoint drains amid it; all forwarders roll"
+            f"{rate:g} messages a second for {LOAD_S:g} s; meanwhile all forwarders roll and an endpoint drains"
         )
-        clients = cluster.clients(rate, LOAD)
+        clients = cluster.clients(rate, LOAD_S)
         time.sleep(2.0)
         cluster.request("roll", soak=1.0)
         time.sleep(1.0)
@@ -49,7 +52,7 @@
         cluster.settle(25.0)
         status = cluster.request("status")
         verdict = cluster.verdict()
-    made = Table("what", "count", box=None)
+    table = Table("what", "count", box=None)
     rows = [
         ("messages of clients", verdict.offered),
         ("submissions, with further ones", verdict.submissions),
@@ -64,8 +67,8 @@
         ("seconds", f"{time.monotonic() - began:.1f}"),
     ]
     for name, value in rows:
-        made.add_row(name, str(value))
-    console.print(made)
+        table.add_row(name, str(value))
+    console.print(table)
     for line in verdict.lines():
         console.print(line, markup=False, highlight=False, style="green" if verdict.passed else "red")
     return 0 if verdict.passed and roll["mode"] == "done" else 1
--- a/juniperward/benchmarks/fleet_status.py
+++ b/juniperward/benchmarks/fleet_status.py
@@ -1,4 +1,7 @@
-"""How long `fleet status` takes, and what an agent costs."""
+"""Measures the duration of `juniperward fleet status`, and the memory and CPU time of an agent.
+
+`juniperward measure status` calls `status`.
+"""
 
 from __future__ import annotations
 
@@ -17,36 +20,41 @@
 from juniperward.benchmarks.local_cluster import ClusterOptions, FleetStatus, LocalCluster
 from juniperward.benchmarks.report import Report, Row
 
-UNRESPONSIVE_COUNTS = (0, 1, 10)  # instances stopped while `fleet status` is timed
-LIMIT_S = 1.0  # the longest `fleet status` may take with all instances well
-UNRESPONSIVE_LIMIT_S = 1.5  # and with some unresponsive, for which the agent waits
-START_TIMEOUT_S = 120.0  # of all instances
-SEEN_TIMEOUT_S = 30.0  # until the agent has seen which do not answer
-CPU_SPAN_S = 10.0  # over which the agent's CPU is measured
+UNRESPONSIVE_COUNTS = (0, 1, 10)  # instances stopped by SIGSTOP while `fleet status` is timed
+MAX_STATUS_S = 1.0
+MAX_STATUS_WITH_UNRESPONSIVE_S = 1.5  # the agent waits for the answers of unresponsive instances
+START_TIMEOUT_S = 120.0
+UNRESPONSIVE_SEEN_TIMEOUT_S = 30.0
+AGENT_CPU_PERIOD_S = 10.0
 
 
 def status(seed: int, out: Path, sizes: tuple[int, ...] = (10, 100), times: int = 20) -> bool:
-    """Measure `fleet status` with all instances well, with one and ten unresponsive; and what the agent costs."""
+    """Time `fleet status` `times` times for each size of the fleet and each of UNRESPONSIVE_COUNTS.
+
+    Writes status.md to `out`. Returns whether each call stayed within its limit.
+    """
     report = Report(
         "fleet status, and what an agent costs", f"juniperward measure status --seed {seed}", seed
     )
-    report.say("The whole command, from its process's start to its end; CPU is that of the agent over 10 s.")
+    report.add_paragraph(
+        "The whole command, from its process's start to its end; CPU is that of the agent over 10 s."
+    )
     rows: list[Row] = []
-    good = True
+    passed = True
     for size in sizes:
         with tempfile.TemporaryDirectory(prefix="jw-") as folder:
-            patience = ClusterOptions(settings={"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}})
-            with LocalCluster(Path(folder), size, DESTINATIONS[:2], seed, patience) as cluster:
+            options = ClusterOptions(settings={"patience": {"silent": 2.0, "start": 60.0, "stop": 4.0}})
+            with LocalCluster(Path(folder), size, DESTINATIONS[:2], seed, options) as cluster:
                 began = time.monotonic()
                 cluster.start(ready=False)
                 cluster.wait_until(_ready_instances(size), START_TIMEOUT_S)
-                up = time.monotonic() - began
+                ready_after_s = time.monotonic() - began
                 for unresponsive in UNRESPONSIVE_COUNTS:
-                    row, worst = _with_unresponsive(cluster, unresponsive, times)
-                    rows.append([f"{size}", *row, f"{up:.1f}"])
-                    good &= worst < (UNRESPONSIVE_LIMIT_S if unresponsive else LIMIT_S)
+                    row, longest_s = _with_unresponsive(cluster, unresponsive, times)
+                    rows.append([f"{size}", *row, f"{ready_after_s:.1f}"])
+                    passed &= longest_s < (MAX_STATUS_WITH_UNRESPONSIVE_S if unresponsive else MAX_STATUS_S)
                 _resume(cluster)
-    report.table(
+    report.add_table(
         [
             "instances",
             "unresponsive",
@@ -59,38 +67,38 @@
         rows,
     )
     report.write(out / "status.md")
-    return good
+    return passed
 
 
 def _with_unresponsive(cluster: LocalCluster, unresponsive: int, times: int) -> tuple[Row, float]:
-    """Stop the first `unresponsive` instances and time `fleet status`; return the row's cells and the worst time."""
+    """Stop the first `unresponsive` instances and time `fleet status`; return the row and the longest time."""
     for name in cluster.names[:unresponsive]:
         os.kill(cluster.instance(name)["pid"], signal.SIGSTOP)
-    cluster.wait_until(_unresponsive_instances(unresponsive), SEEN_TIMEOUT_S)
+    cluster.wait_until(_unresponsive_instances(unresponsive), UNRESPONSIVE_SEEN_TIMEOUT_S)
     durations_s = [_timed_status(cluster) for _ in range(times)]
     before = cluster.request("agent")
-    time.sleep(CPU_SPAN_S)
+    time.sleep(AGENT_CPU_PERIOD_S)
     after = cluster.request("agent")
-    cpu = (after["cpu_seconds"] - before["cpu_seconds"]) / CPU_SPAN_S
+    cpu_fraction = (after["cpu_seconds"] - before["cpu_seconds"]) / AGENT_CPU_PERIOD_S
     row = [
         f"{unresponsive}", f"{statistics.median(durations_s):.2f}", f"{max(durations_s):.2f}",
-        f"{after['resident_bytes'] / 2**20:.0f}", f"{100 * cpu:.1f}",
+        f"{after['resident_bytes'] / 2**20:.0f}", f"{100 * cpu_fraction:.1f}",
     ]  # fmt: skip
     return row, max(durations_s)
 
 
 def _ready_instances(count: int) -> Callable[[FleetStatus], bool]:
-    """Return whether so many instances are ready."""
+    """Return a condition of the status: `count` instances are ready."""
     return lambda status: status["ready"] == count
 
 
 def _unresponsive_instances(count: int) -> Callable[[FleetStatus], bool]:
-    """Return whether so many instances do not answer; `silent` is the status's word."""
+    """Return a condition of the status: `count` instances do not answer (state `silent`)."""
     return lambda status: sum(row["state"] == "silent" for row in status["instances"]) == count
 
 
 def _resume(cluster: LocalCluster) -> None:
-    """Let the instances that were stopped run again."""
+    """Continue the instances that were stopped."""
     for name in cluster.names[: max(UNRESPONSIVE_COUNTS)]:
         pid = cluster.instance(name)["pid"]
         if pid is not None:
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -28,7 +28,7 @@
     report = Report(
         "A forwarder whose control channel is flooded", f"juniperward measure flood --seed {seed}", seed
     )
-    report.say(
+    report.add_paragraph(
         "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
         "to its answer, polled by one honest client ten times a second; the messages' is from due to effect."
     )
@@ -39,7 +39,7 @@
         cluster.start()
         path = cluster.folder / "run" / "run" / "n0"
         rows = [_measure(cluster, path, name, attack, seconds) for name, attack in _attacks(path)]
-    report.table(
+    report.add_table(
         ["eight clients send", "delivered", "message median ms", "p99 ms", "honest request median ms", "p99 ms",
          "honest requests unanswered"], rows,
     )  # fmt: skip
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -25,7 +25,7 @@
 def rolls(seed: int, out: Path, instances: int = 10, rate: float = 100.0) -> bool:
     """Rolls of ten under load, by SIGTERM and SIGKILL and in batches, beside the same load without."""
     report = Report("Rolling restarts under load", f"juniperward measure rolls --seed {seed}", seed)
-    report.say(
+    report.add_paragraph(
         f"{instances} forwarders on one machine under one agent, 8 destinations, {rate:g} messages a second by the "
         "fakes. An endpoint drains amid each roll. Latency counts from when a message was due."
     )
@@ -60,7 +60,7 @@
         )
         print(rows[-1], flush=True)
         for violation in verdict.violations[:3]:
-            report.say("```\n" + str(violation)[:VIOLATION_CHARACTERS] + "\n```")
-    report.table([*VERDICT_HEAD, "priority weight against no roll"], rows)
+            report.add_paragraph("```\n" + str(violation)[:VIOLATION_CHARACTERS] + "\n```")
+    report.add_table([*VERDICT_HEAD, "priority weight against no roll"], rows)
     report.write(out / "rolls.md")
     return good
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -50,7 +50,7 @@
             f"{1e6 * idle_s:.0f}", f"{process.resident_mb:.1f}", str(process.threads), str(process.descriptors),
             f"{process.cpu_ms_per_s:.1f}",
         ])  # fmt: skip
-    report.table(
+    report.add_table(
         ["endpoints", "forwarders", "a complete list, ms", "a message, us", "an idle second, us", "resident, MB",
          "threads", "descriptors", "an idle second of the process, ms"], rows,
     )  # fmt: skip
--- a/juniperward/benchmarks/slow_start.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -49,7 +49,7 @@
         f"juniperward measure slow-start --rounds {rounds}",
         seed,
     )
-    report.say(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {TERMS}")
+    report.add_paragraph(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {TERMS}")
     results = play_all(CASES, FLEET_SIZES, range(seed, seed + rounds))
     _sums(report, results)
     _by_case(report, results)
@@ -70,7 +70,7 @@
             f"{sum(r.overload_by_mean for r in played)}", f"{sum(r.overload_with_outage for r in played)}",
             f"{sum(r.utility for r in played) / len(played):.4f}", f"{delivered_in_slow_start:.1f}",
         ])  # fmt: skip
-    report.table(
+    report.add_table(
         ["forwarders", "runs", "over the bound", "put down to the notified", "notified calls alone over it",
          "over it by the span's mean capacity", "over it with the outage's last calls",
          "fraction of priority weight since the outage began", "delivered in slow start, mean"], rows,
@@ -79,7 +79,7 @@
 
 def _by_case(report: Report, results: list[RecoveryResult]) -> None:
     """Runs over the bound, those put down to the notified, and the fullest span as a fraction of the bound."""
-    report.say(
+    report.add_paragraph(
         "By case: runs over the bound / put down to the notified; the fullest span as a fraction of the bound; "
         "fraction of priority weight."
     )
@@ -94,7 +94,7 @@
             priority_weight = sum(r.utility for r in played) / len(played)
             row.append(f"{over} / {broken}; {fullest:.2f}; {priority_weight:.3f}")
         rows.append(row)
-    report.table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
+    report.add_table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
 
 
 def _first_overload(span: LoadSpan) -> str:
@@ -103,7 +103,7 @@
 
 def _every_overload(report: Report, results: list[RecoveryResult]) -> None:
     """Each seed over the bound, and who sent it."""
-    report.say(
+    report.add_paragraph(
         "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them by the "
         "notified."
     )
@@ -118,4 +118,4 @@
             ]
             if overloads:
                 rows.append([case.name, f"{size}", "; ".join(overloads)])
-    report.table(["case", "forwarders", "seeds"], rows)
+    report.add_table(["case", "forwarders", "seeds"], rows)
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -74,7 +74,7 @@
     at_a_time = "all at once"
     if most_running:
         at_a_time = f"at most {most_running} starts at a time, each ended once ready"
-    report.say(
+    report.add_paragraph(
         f"Parts of the start, wall and CPU ms in the median, discovery away; {at_a_time}. A full folder "
         "holds as many messages of 400 bytes as the disk limit of 3 MB allows."
     )
@@ -87,7 +87,7 @@
             rows.append(start.row())
             print(rows[-1], flush=True)
     ready_columns = ["ready after, median s", "nine in ten s", "worst s"]
-    report.table(["forwarders", "messages in each folder", *PARTS, *ready_columns], rows)
+    report.add_table(["forwarders", "messages in each folder", *PARTS, *ready_columns], rows)
     return passed
 
 
@@ -124,7 +124,7 @@
             _memory_row("without", folder, cluster.base, discovery, times),
             _memory_row("with", folder, {**cluster.base, **control}, discovery, times),
         ]
-    report.table(["forwarder", "ready after, median s", "worst s", "resident MiB"], rows)
+    report.add_table(["forwarder", "ready after, median s", "worst s", "resident MiB"], rows)
 
 
 def _memory_row(kind: str, parent: Path, base: dict[str, Any], discovery: str, times: int) -> Row:
