--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -1,4 +1,7 @@
-"""A forwarder whose control channel is flooded."""
+"""Measures a forwarder under load while clients flood its control channel.
+
+`juniperward measure flood` calls `flood`.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +21,17 @@
 from juniperward.control.errors import ControlError
 from juniperward.control.protocol import Request, Verb
 
-Attack = Callable[[threading.Event], None]  # runs until the event is set
+# An attack is run by each of the attacking clients until the event is set.
+Attack = Callable[[threading.Event], None]
 
 ATTACKING_CLIENTS = 8
 
 
 def flood(seed: int, out: Path, seconds: float = 10.0) -> bool:
-    """What clients of the control channel that flood it, stall or send rubbish do to the loop and to messages."""
+    """Measure the latency of requests and messages under each attack, for `seconds` each.
+
+    Writes flood.md to `out`. Always returns True: no result counts as a failure.
+    """
     report = Report(
         "A forwarder whose control channel is flooded", f"juniperward measure flood --seed {seed}", seed
     )
@@ -48,19 +55,19 @@
 
 
 def _attacks(path: Path) -> list[tuple[str, Attack | None]]:
-    """Return each attack by its name in the table; None is a control run without one."""
+    """Return the name of each row of the table and its attack; None is a run without an attack, for comparison."""
     return [
         ("nothing", None),
         ("requests without a pause", lambda end: _send_requests(path, end)),
         ("connections that say nothing", lambda end: _send_nothing(path, end)),
         ("rubbish", lambda end: _send_rubbish(path, end)),
-        ("requests, answers not read", lambda end: _read_no_answers(path, end)),
+        ("requests, answers not read", lambda end: _ignore_answers(path, end)),
         ("nothing, again", None),
     ]
 
 
 def _measure(cluster: LocalCluster, path: Path, name: str, attack: Attack | None, seconds: float) -> Row:
-    """Return the table's row of one attack, with messages and an honest client beside it."""
+    """Run an attack beside clients and one honest request client; return the table row."""
     attack_end = threading.Event()
     threads = [
         threading.Thread(target=attack, args=(attack_end,), daemon=True)
@@ -70,7 +77,7 @@
     clients = cluster.clients(100.0, seconds, threads=32, name=name[:2])
     for thread in threads:
         thread.start()
-    answered_s, missed = _poll_status(path, seconds)
+    answer_times_s, unanswered = _poll_status(path, seconds)
     attack_end.set()
     clients.done.wait(30.0)
     for thread in threads:
@@ -79,30 +86,31 @@
     verdict = cluster.verdict()
     return [
         name, f"{verdict.delivered}/{verdict.offered}", f"{quantile(verdict.latencies_s, 0.5) * 1000:.1f}",
-        f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{quantile(answered_s, 0.5) * 1000:.1f}",
-        f"{quantile(answered_s, 0.99) * 1000:.1f}", f"{missed}",
+        f"{quantile(verdict.latencies_s, 0.99) * 1000:.1f}", f"{quantile(answer_times_s, 0.5) * 1000:.1f}",
+        f"{quantile(answer_times_s, 0.99) * 1000:.1f}", f"{unanswered}",
     ]  # fmt: skip
 
 
 def _poll_status(path: Path, seconds: float) -> tuple[list[float], int]:
-    """Poll the status ten times a second; return the seconds that answers took, and how many did not come."""
+    """Request the status ten times a second; return the answer times in seconds and the count of failed requests."""
     client = ControlClient(path, 1.0)
-    answered_s: list[float] = []
-    missed = 0
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    answer_times_s: list[float] = []
+    unanswered = 0
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         began = time.monotonic()
         try:
             client.status()
-            answered_s.append(time.monotonic() - began)
+            answer_times_s.append(time.monotonic() - began)
         except ControlError:
-            missed += 1
+            unanswered += 1
         time.sleep(0.1)
     client.close()
-    return answered_s, missed
+    return answer_times_s, unanswered
 
 
 def _attack(path: Path, end: threading.Event, act: Callable[[Any], None]) -> None:
+    """Connect and call `act` with the socket, again and again until `end` is set."""
     while not end.is_set():
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
@@ -130,7 +138,7 @@
     _attack(path, end, lambda sock: sock.sendall(b"\xff" * 65536))
 
 
-def _read_no_answers(path: Path, end: threading.Event) -> None:
+def _ignore_answers(path: Path, end: threading.Event) -> None:
     def act(sock: Any) -> None:
         for _ in range(1000):
             sock.sendall(encode_request(Request(1, Verb.COUNTERS)))
--- a/juniperward/benchmarks/idle_process.py
+++ b/juniperward/benchmarks/idle_process.py
@@ -1,4 +1,4 @@
-"""What a real forwarder with a long endpoint list costs while it idles, discovery away: looked at through /proc."""
+"""Measures an idle forwarder process with a long endpoint list during an outage of discovery, by /proc."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from juniperward.benchmarks.reducer_rig import endpoint_list
 
 READY_TIMEOUT_S = 30.0
-SETTLE_S = 3.0  # until the slot of its first client is free again
-MEASURED_S = 5.0
+SETTLE_S = 3.0  # by then the forwarder has closed the connection that showed that it listens
+MEASUREMENT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class IdleCost:
-    """What an idle process costs."""
+    """The memory, threads, file descriptors and CPU time of an idle process."""
 
     resident_mb: float
     threads: int
@@ -33,7 +33,7 @@
 
 
 def idle_cost(endpoints: int, forwarders: int) -> IdleCost:
-    """Start a forwarder with such a list, as one of so many, measure it for a few seconds and end it."""
+    """Start a forwarder with a list of `endpoints` in a fleet of `forwarders`, measure it while idle, and end it."""
     with contextlib.ExitStack() as stack:
         name = stack.enter_context(tempfile.TemporaryDirectory())
         folder = Path(name)
@@ -83,17 +83,18 @@
 
 
 def _measure(process: Path) -> IdleCost:
-    """Measure a process by its folder in /proc."""
+    """Measure a process; `process` is its folder in /proc."""
     time.sleep(SETTLE_S)
-    ticks_before = _ticks(process)
-    time.sleep(MEASURED_S)
-    cpu_ms = (_ticks(process) - ticks_before) * 1000 / os.sysconf("SC_CLK_TCK")
+    ticks_before = _cpu_ticks(process)
+    time.sleep(MEASUREMENT_S)
+    cpu_ms = (_cpu_ticks(process) - ticks_before) * 1000 / os.sysconf("SC_CLK_TCK")
     status = dict(line.split(":", 1) for line in (process / "status").read_text().splitlines())
     resident_mb = int(status["VmRSS"].split()[0]) / 1000
     descriptors = len(list((process / "fd").iterdir()))
-    return IdleCost(resident_mb, int(status["Threads"]), descriptors, cpu_ms / MEASURED_S)
+    return IdleCost(resident_mb, int(status["Threads"]), descriptors, cpu_ms / MEASUREMENT_S)
 
 
-def _ticks(process: Path) -> int:
+def _cpu_ticks(process: Path) -> int:
+    """Return the user and system time of a process, in clock ticks."""
     fields = (process / "stat").read_text().rsplit(")", 1)[1].split()
     return int(fields[11]) + int(fields[12])
--- a/juniperward/benchmarks/loaded_cluster.py
+++ b/juniperward/benchmarks/loaded_cluster.py
@@ -1,4 +1,4 @@
-"""A local cluster under load, its destinations, and the row of a table that says how a run went."""
+"""Runs a local cluster under load, and formats the verdict as a table row."""
 
 from __future__ import annotations
 
@@ -16,8 +16,6 @@
     DestinationSpec(1, "booking-sites", endpoints=2, latency_s=0.06, rate_limit=120.0, batch_size=20),
     *(DestinationSpec(d, endpoints=2, latency_s=0.02 + 0.01 * d) for d in range(2, 9)),
 ]
-
-
 VERDICT_HEAD = [
     "run", "messages", "accepted", "delivered", "notified", "rejected", "no answer", "retries",
     "fraction of priority weight", "median ms", "p99 ms", "roll s", "rules", "clients' own lateness p99 ms",
@@ -25,7 +23,11 @@
 
 
 def verdict_row(name: str, verdict: Verdict, seconds: float, lateness: list[float]) -> Row:
-    """Return a row under VERDICT_HEAD; `lateness` is that of the clients, in seconds."""
+    """Return a table row under VERDICT_HEAD.
+
+    `seconds` is how long the roll took (0 if there was none); `lateness` has the seconds by which the clients sent
+    each message late.
+    """
     rules = "held" if verdict.passed else f"{len(verdict.violations)} broken"
     return [
         name,
@@ -48,9 +50,9 @@
 def under_load(
     instances: int, rate: float, seconds: float, seed: int, during: Callable[[LocalCluster], float]
 ) -> tuple[Verdict, float, list[float]]:
-    """Load a cluster for so long with something done amid it.
+    """Send `rate` messages per second to a cluster for `seconds`, and call `during` after two seconds.
 
-    Returns the verdict, how long that took, and the clients' lateness, in seconds.
+    Returns the verdict, the result of `during`, and the seconds by which the clients sent each message late.
     """
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
@@ -59,8 +61,8 @@
         cluster.start()
         clients = cluster.clients(rate, seconds, threads=96)
         time.sleep(2.0)
-        took = during(cluster)
+        during_result_s = during(cluster)
         clients.done.wait(seconds + 60.0)
         cluster.wait_until(lambda status: status["ready"] == instances, 60.0)
         cluster.settle(40.0)
-        return cluster.verdict(), took, clients.lateness_s
+        return cluster.verdict(), during_result_s, clients.lateness_s
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -1,7 +1,7 @@
-"""A local cluster: fakes of discovery, destinations and clients round a fleet of real forwarders under an agent.
+"""A local cluster: real forwarders under an agent, with fake discovery, destinations, load balancer and clients.
 
-Everything is on loopback, at ports that the system gives, in one folder. The demo, the benchmarks and the tests
-drive fleets through it; `verdict` has the checker judge what was recorded.
+All processes listen on loopback, at ports chosen by the system, and keep their files in one folder. The demo, the
+measurements and the tests use it.
 """
 
 from __future__ import annotations
@@ -37,27 +37,30 @@
 AGENT_POLL_INTERVAL_S = 0.02
 REQUEST_TIMEOUT_S = 10.0
 STATUS_POLL_INTERVAL_S = 0.05
-LOAD_REPORT_SLACK_S = 0.1  # a status younger than this before a moment may be of that moment
+STATUS_AGE_TOLERANCE_S = 0.1  # for rounding and delays in the reported age of a forwarder's status
 SHUTDOWN_TIMEOUT_S = 15.0
 
-FleetStatus = dict[str, Any]  # the agent's status, as its API has it
+FleetStatus = dict[str, Any]  # the answer of the agent's API to `status`
 
 
 @dataclass(frozen=True)
 class ClusterOptions:
-    """What a `LocalCluster` may be given beyond its size: discovery's delay, and parts of the fleet's file."""
+    """Further options of a `LocalCluster`.
+
+    Attributes:
+        discovery_delay_s: The delay with which discovery publishes changes.
+        settings: Values of the fleet file, by message ("patience", "roll") and field.
+    """
 
     discovery_delay_s: float = 0.0
-    settings: dict[str, dict[str, float]] = field(
-        default_factory=dict
-    )  # a part ("patience", "roll"): its values
+    settings: dict[str, dict[str, float]] = field(default_factory=dict)
 
 
 DEFAULT_OPTIONS = ClusterOptions()
 
 
 class LocalCluster:
-    """A fleet and its surroundings; use it as a context, so that no process is left behind."""
+    """A context manager for a local cluster; leaving the context ends all its processes."""
 
     def __init__(
         self,
@@ -67,7 +70,7 @@
         seed: int = 1,
         options: ClusterOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Prepare it in `folder`, with `instances` forwarders and `destinations` (four by default)."""
+        """Prepare `instances` forwarders and `destinations` (DEFAULT_DESTINATIONS if None); files go to `folder`."""
         self.folder, self.seed = folder, seed
         self.recorder = Recorder()
         self.discovery = FakeDiscovery(self.recorder, options.discovery_delay_s)
@@ -86,14 +89,14 @@
         self._watcher = ProcessWatcher(self.socket, self.recorder)
 
     def __enter__(self) -> LocalCluster:
-        """Return the cluster; `start` starts it."""
+        """Return the cluster, which is not started yet."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End all of it."""
+        """Close the cluster."""
         self.close()
 
-    # --- what it consists of -------------------------------------------------------------------------------
+    # --- parts of the cluster ------------------------------------------------------------------------------
 
     @property
     def socket(self) -> Path:
@@ -102,21 +105,21 @@
 
     @property
     def base(self) -> dict[str, Any]:
-        """The configuration that all forwarders share; changes take effect with `write_settings` and a reload."""
+        """The configuration that all forwarders share; a change takes effect after `write_settings` and a reload."""
         return self.files.base
 
     @property
     def pids(self) -> dict[str, int]:
-        """The process of each forwarder that runs, as last seen."""
+        """The process id of each forwarder that runs, by the latest status."""
         return self._watcher.pids
 
     def write_settings(self) -> None:
-        """Write the fleet's file and the base that all its forwarders share."""
+        """Write the fleet file and the configuration that all forwarders share."""
         self.files.write(
             Instance(name, self.addresses[name], self.discovery.address_for(name)) for name in self.names
         )
 
-    # --- start and end -------------------------------------------------------------------------------------
+    # --- start and stop ------------------------------------------------------------------------------------
 
     def start(self, ready: bool = True) -> None:
         """Start the fakes and the agent; with `ready`, wait until all forwarders are ready."""
@@ -129,7 +132,7 @@
         self.load_balancer.start()
 
     def start_agent(self) -> None:
-        """Start the agent's process and wait until it answers; raises AgentStartError."""
+        """Start the agent and wait until it answers; raises AgentStartError if it does not."""
         log_file = self.folder / "agent.log"
         with log_file.open("ab") as log:
             self.agent = subprocess.Popen(
@@ -151,14 +154,14 @@
         return True
 
     def kill_agent(self) -> None:
-        """End the agent by SIGKILL; its forwarders go on."""
+        """Kill the agent by SIGKILL; its forwarders keep running."""
         assert self.agent is not None
         self._watcher.poll()
         self.agent.kill()
         self.agent.wait()
 
     def close(self) -> None:
-        """End everything that was started here."""
+        """Stop the agent, kill all forwarders, and close the fakes."""
         self._watcher.closed = True
         self.load_balancer.closed = True
         if self.agent is not None and self.agent.poll() is None:
@@ -172,7 +175,7 @@
             port.close()
 
     def _shut_down(self, agent: subprocess.Popen[bytes]) -> None:
-        """Have the agent and its forwarders shut down; kill the agent where it takes too long."""
+        """Ask the agent to shut down with its forwarders; kill it after SHUTDOWN_TIMEOUT_S."""
         with contextlib.suppress(AgentUnreachableError, AgentRejectedError):
             request(self.socket, "shutdown", timeout_s=2.0, instances=True)
         try:
@@ -184,16 +187,16 @@
     # --- the agent's API -----------------------------------------------------------------------------------
 
     def request(self, verb: str, names: list[str] | None = None, **options: Any) -> Any:
-        """Return the agent's answer; raises AgentUnreachableError or AgentRejectedError."""
+        """Send a request to the agent and return its answer; raises AgentUnreachableError or AgentRejectedError."""
         return request(self.socket, verb, names, REQUEST_TIMEOUT_S, **options)
 
     def instance(self, name: str) -> dict[str, Any]:
-        """Return an instance's row of the status."""
+        """Return the entry of an instance in the fleet's status."""
         rows: list[dict[str, Any]] = self.request("status")["instances"]
         return next(row for row in rows if row["name"] == name)
 
     def wait_until(self, condition: Callable[[FleetStatus], bool], timeout_s: float = 20.0) -> FleetStatus:
-        """Poll the status until a condition holds of it, and return it; raises StatusTimeoutError with the latest."""
+        """Poll the status until it meets a condition, and return it; raises StatusTimeoutError."""
         deadline = time.monotonic() + timeout_s
         status: FleetStatus = {}
         while time.monotonic() < deadline:
@@ -205,19 +208,22 @@
         raise StatusTimeoutError(timeout_s, status)
 
     def roll(self, timeout_s: float = 120.0, **options: Any) -> dict[str, Any]:
-        """Begin a roll, wait until it is over or has paused, and return its status."""
+        """Start a roll, wait until it has ended or paused, and return its status."""
         self.request("roll", **options)
         return self.roll_end(timeout_s)
 
     def roll_end(self, timeout_s: float = 120.0) -> dict[str, Any]:
-        """Wait until the roll under way is over or has paused, and return its status."""
+        """Wait until the current roll has ended or paused, and return its status."""
         roll: dict[str, Any] = self.wait_until(_roll_has_stopped, timeout_s)["roll"]
         return roll
 
     # --- load and verdict ----------------------------------------------------------------------------------
 
     def clients(self, rate: float, seconds: float, threads: int = 48, name: str = "c") -> Clients:
-        """Begin to send to all destinations alike, for so long; `name` begins every message's id."""
+        """Start clients that send `rate` messages per second for `seconds`, to all destinations equally.
+
+        `name` is the prefix of all message ids.
+        """
         weights = tuple((number, 1.0) for number in self.destinations)
         traffic = Traffic(rate, weights, ACCOUNTS)
         options = ClientOptions(threads, name)
@@ -226,13 +232,13 @@
         return clients
 
     def settle(self, timeout_s: float = 30.0) -> None:
-        """Wait until no forwarder has a pending message, by what each has reported since this call."""
+        """Wait until each running forwarder has reported, since this call, that it has no pending message."""
         began = time.monotonic()
 
         def settled(status: FleetStatus) -> bool:
-            longest_age_s = time.monotonic() - began - LOAD_REPORT_SLACK_S
+            max_age_s = time.monotonic() - began - STATUS_AGE_TOLERANCE_S
             return all(
-                row["owing"] == 0 and row["age"] is not None and row["age"] < longest_age_s
+                row["owing"] == 0 and row["age"] is not None and row["age"] < max_age_s
                 for row in status["instances"]
                 if row["pid"] is not None
             )
@@ -240,7 +246,7 @@
         self.wait_until(settled, timeout_s)
 
     def verdict(self, bounds: Bounds = DEFAULT_BOUNDS) -> Verdict:
-        """Return what the records say, with the process events as the agent had them."""
+        """Have the checker judge all records, with the latest process events of the agent's status."""
         self._watcher.poll()
         return check(list(self.recorder.records), bounds)
 
--- a/juniperward/benchmarks/measurements.py
+++ b/juniperward/benchmarks/measurements.py
@@ -1,8 +1,7 @@
-"""All long measurements of fleets by name, as `juniperward measure` knows them.
+"""The measurements of `juniperward measure`, by name.
 
-They are too long for CI. Each compares within one run, the same load without and with what is measured; writes a
-page of tables in Markdown under the folder that it is given (docs/measurements/); and returns whether every rule
-passed.
+Each writes a report in Markdown to a folder (by default docs/measurements/) and returns whether it passed. They take
+too long for CI.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
     "sizes": sizes.sizes,
     "slow-start": slow_start.slow_start,
 }
-# The names of before, read for one release and not listed.
+# Deprecated names, which are accepted for one release and not listed.
 FORMER_NAMES = {
     "kept": "dead-letters",
     "keeping": "dead-letter-cost",
--- a/juniperward/benchmarks/ports.py
+++ b/juniperward/benchmarks/ports.py
@@ -1,4 +1,4 @@
-"""Ports for listeners of other processes, which nobody else is given meanwhile."""
+"""Reserves ports on which other processes will listen."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def reserve_ports(count: int) -> list[socket.socket]:
-    """Return so many ports on loopback, each reserved by a socket that is bound and does not listen.
+    """Return `count` sockets, each bound to a free port on loopback and not listening.
 
-    For as long as it is open the system gives the port to nobody else, while a listener that sets SO_REUSEADDR may
-    take it (Linux: two may share an address while neither, or only one, listens). A port that was merely looked up
-    could be given away before its forwarder starts, or while that is down.
+    While such a socket is open, the system gives its port to no one who asks for a free port. On Linux a listener
+    that sets SO_REUSEADDR can still bind to it. Without the reservation, another process could get the port before
+    its forwarder starts, or during a restart.
     """
     reserved = []
     for _ in range(count):
--- a/juniperward/benchmarks/process_watcher.py
+++ b/juniperward/benchmarks/process_watcher.py
@@ -1,6 +1,6 @@
-"""Records the starts and ends of a fleet's processes, as the agent's status shows them.
+"""Records the starts and exits of a fleet's processes from the agent's status.
 
-The checker needs them: what a restart explains is no violation. `LocalCluster` runs one beside its agent.
+The checker needs them, because a restart excuses some lost or repeated deliveries.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 POLL_INTERVAL_S = 0.1
 ANSWER_TIMEOUT_S = 1.0
-EXIT_SEEN_AFTER_S = 0.3  # an end is seen this long after it, at most
+MAX_EXIT_DETECTION_S = 0.3  # the longest time from a process's exit to the poll that shows it
 
 
 class ProcessWatcher:
-    """Polls the agent while it runs; `pids` has the process of each instance, as last seen."""
+    """Polls the agent while it runs; `pids` has the process id of each running instance by the latest status."""
 
     def __init__(self, agent_socket: Path, recorder: Recorder) -> None:
-        """Record to `recorder` what the agent at `agent_socket` says."""
+        """Record process events of the agent at `agent_socket` to `recorder`."""
         self.pids: dict[str, int] = {}
         self.closed = False
         self._agent_socket, self._recorder = agent_socket, recorder
 
     def start(self, agent: subprocess.Popen[bytes]) -> None:
-        """Begin to poll, until the agent's process ends or `closed` is set."""
+        """Start a thread that polls until the agent's process ends or `closed` is set."""
         threading.Thread(target=self._run, args=(agent,), daemon=True).start()
 
     def _run(self, agent: subprocess.Popen[bytes]) -> None:
@@ -39,7 +39,7 @@
             time.sleep(POLL_INTERVAL_S)
 
     def poll(self) -> None:
-        """Record what has changed since the latest poll; nothing where the agent does not answer."""
+        """Record what has changed since the previous poll; do nothing if the agent does not answer."""
         try:
             status = request(self._agent_socket, "status", timeout_s=ANSWER_TIMEOUT_S)
         except (AgentUnreachableError, AgentRejectedError):
@@ -48,7 +48,7 @@
             self._record(instance)
 
     def _record(self, instance: dict[str, Any]) -> None:
-        """Record a change of one instance, a row of the status."""
+        """Record a change of one instance; `instance` is its entry in the status."""
         name, pid = instance["name"], instance["pid"]
         before = self.pids.get(name)
         if pid == before:
@@ -57,7 +57,7 @@
             return
         at = now()
         if before is not None:
-            self._recorder.add(ProcessEvent(at - EXIT_SEEN_AFTER_S, name, ProcessChange.EXIT))
+            self._recorder.add(ProcessEvent(at - MAX_EXIT_DETECTION_S, name, ProcessChange.EXIT))
         if pid is None:
             self.pids.pop(name, None)
             return
--- a/juniperward/benchmarks/reducer_rig.py
+++ b/juniperward/benchmarks/reducer_rig.py
@@ -1,4 +1,4 @@
-"""A reducer driven without sockets by a simulated clock, for `sizes`: it receives lists and delivers messages."""
+"""Drives a reducer without sockets by a simulated clock: it receives endpoint lists and delivers messages."""
 
 from __future__ import annotations
 
@@ -22,14 +22,17 @@
 from juniperward.scheduler.events import Outcome
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
-READ_SIZE = 16384  # bytes of a watch at a time
+READ_BYTES = 16384
 ANSWER_S = 0.01
-AFTER_MESSAGE_S = 0.1  # of simulated time after each message
+MESSAGE_INTERVAL_S = 0.1
 NAMES = SettingsNames(("c",), (20.0,), ("acme",), ("k",), ("z",))
 
 
 def endpoint_list(endpoints: int) -> dict[str, Any]:
-    """Return a complete list in discovery's form: one endpoint of destination 0, the others of nineteen more."""
+    """Return a full endpoint list as discovery sends it.
+
+    Destination 0 has one endpoint; the others belong to 19 further destinations.
+    """
     rows = [
         {"id": f"s-{n:08x}", "addr": f"127.1.{n >> 8}.{n & 255}:8081", "zone": "z", "kind": "k",
          "cell": 1 + n % 19 if n else 0, "state": "Ready", "weight": 20.0, "started_ms": 0}
@@ -39,10 +42,10 @@
 
 
 class ReducerRig:
-    """A reducer and its clock; what it requests is answered at once."""
+    """A reducer with a simulated clock and its timers; attempts succeed after ANSWER_S."""
 
     def __init__(self, endpoints: int, forwarders: int, seed: int) -> None:
-        """Begin with a list of so many endpoints, as one of so many forwarders."""
+        """Create the reducer of one of `forwarders`, and a list of `endpoints` for `receive_list`."""
         classes = (
             MessageClass(3.0, 20.0, Idempotency.IDEMPOTENCY_KEY, 1.0, 0.3, deduplication_window_s=12.0),
         )
@@ -59,11 +62,12 @@
         )
         self.now = 100.0
         self.messages = 0
-        self.timers: list[tuple[float, int, TimerEvent]] = []  # when, in which order they were set, what
+        # Each timer is due at a time; timers for the same time fire in the order in which they were set.
+        self.timers: list[tuple[float, int, TimerEvent]] = []
         self.list_text = json.dumps(endpoint_list(endpoints), indent=2).encode() + b"\n"
 
     def reduce(self, *events: Event) -> list[Effect]:
-        """Give the reducer a round of events, remember its timers and return its effects."""
+        """Pass events to the reducer, keep the timers that it sets, and return its effects."""
         effects = self.reducer.reduce(self.now, events)
         for effect in effects:
             if isinstance(effect, SetTimer):
@@ -71,15 +75,15 @@
         return effects
 
     def receive_list(self) -> None:
-        """Receive the complete list, as it comes over a watch."""
+        """Parse the full list in chunks, as from a discovery stream, and pass it to the reducer."""
         objects = JsonObjects()
-        for first in range(0, len(self.list_text), READ_SIZE):
-            for value in objects.feed(self.list_text[first : first + READ_SIZE]):
+        for first in range(0, len(self.list_text), READ_BYTES):
+            for value in objects.feed(self.list_text[first : first + READ_BYTES]):
                 update = read_endpoint_list_update(value, NAMES)
                 self.reduce(EndpointsUpdated(update.version, update.full, update.endpoints))
 
     def deliver_message(self) -> None:
-        """Submit a message, accept it, send it and have it delivered 10 ms later."""
+        """Submit a message, have it accepted, and deliver it ANSWER_S after its attempt began."""
         self.messages += 1
         message = Message(f"{self.messages:016x}", 0, 0, 0, 20.0, "k", b"x")
         (accept,) = self.reduce(MessageReceived(1, message, self.now))
@@ -89,14 +93,14 @@
                 self.now += ANSWER_S
                 outcomes = tuple(ItemOutcome(item.message, Outcome.OK) for item in effect.items)
                 self.reduce(AttemptAnswered(effect.number, outcomes))
-        self.run_until(self.now + AFTER_MESSAGE_S)
+        self.run_until(self.now + MESSAGE_INTERVAL_S)
 
     def idle(self, seconds: float) -> None:
-        """Let so many seconds pass in which nothing comes."""
+        """Advance the clock by `seconds` without events other than timers."""
         self.run_until(self.now + seconds)
 
     def run_until(self, until: float) -> None:
-        """Fire the timers up to a moment, and those that they set."""
+        """Advance the clock to `until`, and fire all timers that are due by then, including new ones."""
         while expired := [timer for timer in self.timers if timer[0] <= until]:
             self.timers = [timer for timer in self.timers if timer[0] > until]
             for at, _, event in sorted(expired, key=lambda timer: timer[:2]):
