--- a/juniperward/benchmarks/scenario_player.py
+++ b/juniperward/benchmarks/scenario_player.py
@@ -1,7 +1,7 @@
-"""Plays a scenario of the simulation on sockets: fakes against real forwarders under an agent.
+"""Plays a scenario of the simulation on sockets: fake clients and destinations, real forwarders under an agent.
 
-`agreement` calls `play`. Another policy than the scheduler takes its place inside a forwarder by a wrapper that only
-this module puts on the path; everything round it (sockets, journal, reducer) stays what it is.
+For a policy other than the scheduler, the forwarders import a generated `sitecustomize` module that replaces the
+scheduler in the reducer; the rest of the forwarder is unchanged.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
 from juniperward.simulation.scenario_loader import FOLDER, load
 
 OWN_POLICY = "juniperward"
-OUTCOME_SLACK_S = 1.0  # beyond the deadline of the last message
+OUTCOME_MARGIN_S = 1.0  # waited for outcomes after the deadline of the last message
 FAULT_MODES = {
     FaultKind.DOWN: FaultMode.DOWN,
     FaultKind.FAILING: FaultMode.FAILING,
     FaultKind.REJECTING: FaultMode.REJECTING,
     FaultKind.UNRESPONSIVE: FaultMode.UNRESPONSIVE,
 }
-WRAPPER = '''
+# The source of `sitecustomize` in the forwarders.
+POLICY_PATCH = '''
 import juniperward.forwarder.reducer.reducer as reducer
 from juniperward.simulation.policies import POLICIES
 from juniperward.scheduler import DeliveryScheduler
@@ -62,19 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayResult:
-    """What a scenario came to on sockets."""
+    """The result of a scenario on sockets.
 
-    priority_weight: float  # delivered over offered
-    lateness_p99_s: float  # of the clients themselves
+    Attributes:
+        priority_weight: The fraction of the offered priority weight that was delivered.
+        lateness_p99_s: The 99th percentile of the seconds by which the clients sent each message late.
+        violations: The number of rules violated, by the checker.
+        crashed: The number of destinations that crashed.
+    """
+
+    priority_weight: float
+    lateness_p99_s: float
     violations: int
-    crashed: int  # destinations
+    crashed: int
 
 
 def play(name: str, policy: str, seed: int) -> PlayResult:
-    """Play the scenario of a name under a policy."""
+    """Play the scenario in the file `name`.textproto under a policy."""
     scenario = load(FOLDER / f"{name}.textproto")
-    with tempfile.TemporaryDirectory(prefix="jw-") as place, policy_in_forwarders(policy, Path(place)):
-        cluster = LocalCluster(Path(place), scenario.forwarders, _destinations(scenario), seed)
+    with tempfile.TemporaryDirectory(prefix="jw-") as folder, policy_in_forwarders(policy, Path(folder)):
+        cluster = LocalCluster(Path(folder), scenario.forwarders, _destinations(scenario), seed)
         _configure(cluster, scenario)
         with cluster:
             cluster.start()
@@ -89,13 +97,13 @@
 
 
 def _run(cluster: LocalCluster, scenario: Scenario, clients: Clients) -> Verdict:
-    """Inject the scenario's faults, wait until every message has its outcome, and return the verdict."""
+    """Inject the scenario's faults, wait for the outcomes of all messages, and return the checker's verdict."""
     objective = scenario.traffic.objective
-    began = time.monotonic()
+    started_at = time.monotonic()
     for fault in scenario.faults:
-        threading.Thread(target=_inject_fault, args=(cluster, fault, began), daemon=True).start()
+        threading.Thread(target=_inject_fault, args=(cluster, fault, started_at), daemon=True).start()
     clients.done.wait(scenario.duration_s + 2 * objective.deadline_s)
-    ends_at = began + scenario.duration_s + objective.deadline_s + OUTCOME_SLACK_S
+    ends_at = started_at + scenario.duration_s + objective.deadline_s + OUTCOME_MARGIN_S
     time.sleep(max(ends_at - time.monotonic(), 0.0))
     bounds = Bounds(
         latency_objective_s=objective.latency_objective_s,
@@ -106,7 +114,7 @@
 
 
 def _destinations(scenario: Scenario) -> list[DestinationSpec]:
-    """Return a scenario's destinations as the fakes have them."""
+    """Return the fake destinations of a scenario."""
     specs: list[DestinationSpec] = []
     for number, group in enumerate(scenario.groups):
         for _ in range(group.count):
@@ -119,7 +127,7 @@
 
 
 def _configure(cluster: LocalCluster, scenario: Scenario) -> None:
-    """Set the scenario's figures in the configuration of the forwarders."""
+    """Set the scenario's parameters in the configuration of the forwarders."""
     objective = scenario.traffic.objective
     settings = cluster.base["settings"]
     settings["Services"][0] |= {
@@ -136,7 +144,7 @@
 
 
 def _clients(cluster: LocalCluster, scenario: Scenario, seed: int) -> Clients:
-    """Start open-loop clients with the scenario's weights; bursts are not played."""
+    """Start open-loop clients with the scenario's rate and weights; its bursts are not played."""
     weights: list[tuple[int, float]] = []
     for group in scenario.groups:
         weight = group.traffic_fraction / group.count
@@ -153,9 +161,9 @@
     return clients
 
 
-def _inject_fault(cluster: LocalCluster, fault: Fault, began: float) -> None:
-    """Have the fault's destinations fail, from its moment after `began` and for its seconds."""
-    time.sleep(max(began + fault.starts_s - time.monotonic(), 0.0))
+def _inject_fault(cluster: LocalCluster, fault: Fault, started_at: float) -> None:
+    """Wait for the fault's start, counted from `started_at`, and apply it to its destinations for its duration."""
+    time.sleep(max(started_at + fault.starts_s - time.monotonic(), 0.0))
     for destination in fault.destinations:
         cluster.destinations[destination].inject_fault(
             FAULT_MODES[fault.kind], fault.duration_s, fault.magnitude
@@ -167,17 +175,19 @@
 
 @contextmanager
 def policy_in_forwarders(policy: str, folder: Path) -> Iterator[None]:
-    """Have forwarders that are started meanwhile decide by a policy."""
+    """Have forwarders that are started within this context use a policy; `folder` gets the patch."""
     if policy == OWN_POLICY:
         yield
         return
-    before = os.environ.get("PYTHONPATH")
-    (folder / "sitecustomize.py").write_text(WRAPPER.format(policy=policy))
-    os.environ["PYTHONPATH"] = os.pathsep.join([str(folder), str(ROOT), *([before] if before else [])])
+    former_path = os.environ.get("PYTHONPATH")
+    (folder / "sitecustomize.py").write_text(POLICY_PATCH.format(policy=policy))
+    os.environ["PYTHONPATH"] = os.pathsep.join(
+        [str(folder), str(ROOT), *([former_path] if former_path else [])]
+    )
     try:
         yield
     finally:
-        if before is None:
+        if former_path is None:
             os.environ.pop("PYTHONPATH", None)
         else:
-            os.environ["PYTHONPATH"] = before
+            os.environ["PYTHONPATH"] = former_path
--- a/juniperward/benchmarks/sizes.py
+++ b/juniperward/benchmarks/sizes.py
@@ -1,7 +1,8 @@
-"""What endpoints and forwarders cost one forwarder by their number: a list, a message, an idle second, memory.
+"""Measures how a forwarder's CPU time and memory grow with the number of endpoints and of forwarders.
 
-The reducer is driven without sockets by a simulated clock; beside it a real process is started with the same list,
-discovery away. A message concerns one destination with one endpoint; all other endpoints belong to nineteen others.
+The CPU time of an endpoint list, a message and an idle second is that of a reducer without sockets, driven by a
+simulated clock. Memory, threads and descriptors are those of a real process with the same list. All messages go to
+a destination with one endpoint; the other endpoints belong to 19 further destinations.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 
 ENDPOINTS = (1, 20, 300, 1024)
 FORWARDERS = (1, 40, 230, 1024)
-FEW_ENDPOINTS = 20  # while the number of forwarders changes
-USUAL_FORWARDERS = 200  # while the number of endpoints changes
-IDLE_S = 60.0  # of simulated time without a message
+FIXED_ENDPOINTS = 20  # while the number of forwarders varies
+FIXED_FORWARDERS = 200  # while the number of endpoints varies
+IDLE_S = 60.0  # in simulated time
 LIST_ROUNDS = 5
 
 
 def _mean_cpu_s(action: Callable[[], object], times: int) -> float:
-    """Return the CPU seconds that an action takes in the mean of so many times."""
+    """Return the mean CPU seconds of an action that is run `times` times."""
     began = time.process_time()
     for _ in range(times):
         action()
@@ -32,12 +33,15 @@
 
 
 def sizes(seed: int, out: Path, rounds: int = 1000) -> bool:
-    """Cost by the number of endpoints, then of forwarders."""
+    """Measure by the number of endpoints, then of forwarders, with `rounds` messages each.
+
+    Writes sizes.md to `out`. Always returns True: no result counts as a failure.
+    """
     command = f"juniperward measure sizes --rounds {rounds}"
     report = Report("What endpoints and forwarders cost one forwarder", command, seed)
     rows = []
-    cases = [(number, USUAL_FORWARDERS) for number in ENDPOINTS]
-    cases += [(FEW_ENDPOINTS, number) for number in FORWARDERS]
+    cases = [(number, FIXED_FORWARDERS) for number in ENDPOINTS]
+    cases += [(FIXED_ENDPOINTS, number) for number in FORWARDERS]
     for endpoints, forwarders in cases:
         rig = ReducerRig(endpoints, forwarders, seed)
         rig.receive_list()
--- a/juniperward/benchmarks/slow_start.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -1,8 +1,7 @@
-"""How many calls a fleet sends to a destination in slow start after an outage, against what that bears (rule 4).
+"""Measures whether a fleet overloads a destination that is in slow start after an outage.
 
-`juniperward measure slow-start` plays `simulation/recovery_simulation.py` over cases, sizes of the fleet and seeds,
-and writes down every seed on which a span went over the bound, with who sent it.
-Its page: docs/measurements/cold-return.md.
+`juniperward measure slow-start` runs `simulation/recovery_simulation.py` for all cases, fleet sizes and seeds. The
+report lists each seed on which the fleet's calls exceeded the destination's capacity, and who sent them.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 FLEET_SIZES = (1, 3, 20, 30, 200, 230)
 PROCESSES = 2
-TERMS = (
+DEFINITIONS = (
     "N = FallMultiple x FallMs x capacity x (ColdShare + (1 - ColdShare) x min(1, time since the return / "
     "WarmWithinMs)), at the end of the span; a span is over the bound with more than N + 2 x root of N + 2 calls "
     "since the return in FallMs. It is put down to forwarders that had been notified if over two thirds of its calls "
@@ -26,40 +25,40 @@
 
 
 def play(case: RecoveryCase, forwarders: int, seed: int) -> RecoveryResult:
-    """One run, for a process of its own."""
+    """Run one simulation; a top-level function, so that a process pool can call it."""
     return RecoverySimulation(case, forwarders, seed).run()
 
 
 def play_all(
     cases: tuple[RecoveryCase, ...], sizes: tuple[int, ...], seeds: range, processes: int = PROCESSES
 ) -> list[RecoveryResult]:
-    """All cases at all sizes over all seeds, in that order."""
+    """Run all cases at all fleet sizes over all seeds; return the results in that order."""
     jobs = [(case, size, seed) for case in cases for size in sizes for seed in seeds]
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         return list(pool.map(play, *zip(*jobs, strict=True), chunksize=20))
 
 
 def slow_start(seed: int, out: Path, rounds: int = 100) -> bool:
-    """Measure the calls of all forwarders to a destination that returns, over `rounds` seeds; write the page.
+    """Simulate all cases and fleet sizes over `rounds` seeds, and write cold-return.md to `out`.
 
-    Returns True if no overload is put down to notified forwarders. Called by `juniperward measure slow-start`.
+    Returns whether no overload is attributed to forwarders that had been notified of the outage.
     """
     report = Report(
         "Calls to a destination that comes back and warms up",
         f"juniperward measure slow-start --rounds {rounds}",
         seed,
     )
-    report.add_paragraph(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {TERMS}")
+    report.add_paragraph(f"Seeds {seed} to {seed + rounds - 1} of each case and size. {DEFINITIONS}")
     results = play_all(CASES, FLEET_SIZES, range(seed, seed + rounds))
-    _sums(report, results)
-    _by_case(report, results)
-    _every_overload(report, results)
+    _report_sums(report, results)
+    _report_cases(report, results)
+    _report_overloads(report, results)
     report.write(out / "cold-return.md")
     return not any(result.violates_invariant for result in results)
 
 
-def _sums(report: Report, results: list[RecoveryResult]) -> None:
-    """What each size of the fleet came to."""
+def _report_sums(report: Report, results: list[RecoveryResult]) -> None:
+    """Report the sums over all cases and seeds, by fleet size."""
     rows = []
     for size in FLEET_SIZES:
         played = [r for r in results if r.forwarders == size]
@@ -77,8 +76,8 @@
     )  # fmt: skip
 
 
-def _by_case(report: Report, results: list[RecoveryResult]) -> None:
-    """Runs over the bound, those put down to the notified, and the fullest span as a fraction of the bound."""
+def _report_cases(report: Report, results: list[RecoveryResult]) -> None:
+    """Report the runs over the bound by case and fleet size, and the highest load as a fraction of the bound."""
     report.add_paragraph(
         "By case: runs over the bound / put down to the notified; the fullest span as a fraction of the bound; "
         "fraction of priority weight."
@@ -89,20 +88,20 @@
         for size in FLEET_SIZES:
             played = [r for r in results if r.case == case and r.forwarders == size]
             over = sum(r.first_overload is not None for r in played)
-            broken = sum(r.violates_invariant for r in played)
-            fullest = max((r.peak.load_fraction for r in played if r.peak is not None), default=0.0)
+            violations = sum(r.violates_invariant for r in played)
+            peak_fraction = max((r.peak.load_fraction for r in played if r.peak is not None), default=0.0)
             priority_weight = sum(r.utility for r in played) / len(played)
-            row.append(f"{over} / {broken}; {fullest:.2f}; {priority_weight:.3f}")
+            row.append(f"{over} / {violations}; {peak_fraction:.2f}; {priority_weight:.3f}")
         rows.append(row)
     report.add_table(["case", *(f"{size}" for size in FLEET_SIZES)], rows)
 
 
-def _first_overload(span: LoadSpan) -> str:
+def _format_overload(span: LoadSpan) -> str:
     return f"{span.calls} of {span.max_calls:.1f}, {span.from_notified}"
 
 
-def _every_overload(report: Report, results: list[RecoveryResult]) -> None:
-    """Each seed over the bound, and who sent it."""
+def _report_overloads(report: Report, results: list[RecoveryResult]) -> None:
+    """Report each seed over the bound, and how many of its calls notified forwarders sent."""
     report.add_paragraph(
         "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them by the "
         "notified."
@@ -111,7 +110,7 @@
     for case in CASES:
         for size in FLEET_SIZES:
             overloads = [
-                f"{r.seed}: {_first_overload(r.first_overload)}"
+                f"{r.seed}: {_format_overload(r.first_overload)}"
                 + (" **broken**" if r.violates_invariant else "")
                 for r in results
                 if r.case == case and r.forwarders == size and r.first_overload is not None
--- a/juniperward/benchmarks/start_marks.py
+++ b/juniperward/benchmarks/start_marks.py
@@ -1,4 +1,4 @@
-"""Marks the parts of a forwarder's start: what `start` calls is replaced by the same with a mark on either side."""
+"""Times the parts of a forwarder's start, by replacing functions that it calls with wrappers that take the time."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class PartTime(NamedTuple):
-    """What a part took, in seconds."""
+    """The wall-clock and CPU seconds that a part of the start took."""
 
     wall_s: float
     cpu_s: float
 
 
 class StartMarks:
-    """Splits the time since the process's start at marks; `parts` has what each took, in order."""
+    """Divides the time since a process was started into parts; `parts` has the times of each, in order."""
 
     def __init__(self, spawned_at: float, began_at: float, began_cpu_s: float) -> None:
-        """Count the interpreter's own start from `spawned_at` to `began_at`, by the monotonic clock."""
+        """Record the interpreter's own start: from `spawned_at` to `began_at`, by the monotonic clock."""
         self.parts: dict[str, PartTime] = {"interpreter": PartTime(began_at - spawned_at, began_cpu_s)}
         self._marked_at, self._marked_cpu_s = began_at, began_cpu_s
 
     def mark(self, part: str) -> None:
-        """Count all since the mark before as this part's."""
+        """End a part: record the time since the previous mark under its name."""
         at, cpu_s = time.monotonic(), time.process_time()
         self.parts[part] = PartTime(at - self._marked_at, cpu_s - self._marked_cpu_s)
         self._marked_at, self._marked_cpu_s = at, cpu_s
@@ -36,7 +36,7 @@
     def marked(
         self, function: Callable[Parameters, Result], before: str, part: str
     ) -> Callable[Parameters, Result]:
-        """Return the function with a mark before it, of the part that ends there, and one after it."""
+        """Wrap a function: a call ends the part `before`, and its return ends the part `part`."""
 
         def call(*arguments: Parameters.args, **options: Parameters.kwargs) -> Result:
             self.mark(before)
@@ -48,7 +48,7 @@
 
 
 def run_marked(began_at: float, began_cpu_s: float) -> int:
-    """Run a forwarder with its start marked, print the parts once it listens, and return its exit code."""
+    """Run a forwarder, print the times of its start as JSON once it listens, and return its exit code."""
     marks = StartMarks(float(sys.argv[1]), began_at, began_cpu_s)
     from juniperward.forwarder import assembly, config, journal, start
     from juniperward.forwarder.server import Server
@@ -67,6 +67,6 @@
 
 
 def _replace(owner: object, name: str, function: Callable[..., object]) -> None:
-    """Have a module or class call another function; raises AttributeError where it has none of that name."""
+    """Replace an attribute of a module or class; raises AttributeError if it does not exist."""
     getattr(owner, name)
     setattr(owner, name, function)
--- a/juniperward/benchmarks/start_parts.py
+++ b/juniperward/benchmarks/start_parts.py
@@ -1,9 +1,9 @@
-"""Runs one forwarder and prints what each part of its start took; `starts` runs it.
+"""Runs a forwarder and prints how long each part of its start took.
 
-Started as `python -m juniperward.benchmarks.start_parts SPAWNED`. SPAWNED is when the parent began to start it, by
-the monotonic clock. The one line on standard output is a JSON object of [wall seconds, CPU seconds] a part, in
-order; the forwarder then goes on until a signal ends it. Nothing but `time` is imported before the first timestamp:
-what is imported later counts as a part of its own.
+Run by `starts` as `python -m juniperward.benchmarks.start_parts SPAWNED_AT`, the time by the monotonic clock at which
+the parent started the process. Prints one line: a JSON object with [wall seconds, CPU seconds] for each part, in
+order. The forwarder then runs until a signal ends it. Only `time` is imported before the first timestamp, because
+the other imports are a part of their own.
 """
 
 from __future__ import annotations
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -1,6 +1,6 @@
-"""How long forwarders take to be ready: one, forty and two hundred, with empty and full folders, no discovery.
+"""Measures how long forwarders take to start during an outage of discovery, with empty and full journals.
 
-`juniperward measure starts` calls `starts` (see `measurements.py`).
+`juniperward measure starts` calls `starts`.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from juniperward.benchmarks.report import Report, Row, quantile
 from juniperward.benchmarks.start_marks import PartTime
 
-SIZES = (1, 40, 200)  # forwarders started together
+GROUP_SIZES = (1, 40, 200)
 PARTS = ("interpreter", "imports", "configuration", "journal read", "messages restored", "listening")
-NINE_IN_TEN_READY_S = 10.0  # within which a measurement passes
+MAX_READY_P90_S = 10.0
 
 
 @dataclass(frozen=True)
 class _GroupStart:
-    """One start of a group: the messages in each folder, and a result for each forwarder."""
+    """One start of a group: the number of messages in each journal, and the result of each forwarder."""
 
     pending: int
     results: list[StartResult]
@@ -53,10 +53,10 @@
 
 
 def starts(seed: int, out: Path, times: int = 15, most_running: int = 0) -> bool:
-    """From a forwarder's start to its ready page: what its parts take, and its memory with a control channel.
+    """Measure the memory of a forwarder over `times` starts, then the parts of the start in groups of forwarders.
 
-    Starts one forwarder `times` times for its memory, then groups of them, at most `most_running` starts at a time
-    (0: all at once). Writes starts.md under `out`; returns True if nine in ten of each group were ready in time.
+    Each group is started at once, or at most `most_running` at a time unless that is 0. Writes starts.md to `out`.
+    Returns whether 90% of each group were ready within MAX_READY_P90_S.
     """
     command = f"juniperward measure starts --seed {seed}"
     if most_running:
@@ -80,10 +80,10 @@
     )
     rows: list[Row] = []
     passed = True
-    for size in SIZES:
+    for size in GROUP_SIZES:
         for full in (False, True):
             start = _start_group(size, full, most_running)
-            passed &= quantile(start.ready_after_s(), 0.9) <= NINE_IN_TEN_READY_S
+            passed &= quantile(start.ready_after_s(), 0.9) <= MAX_READY_P90_S
             rows.append(start.row())
             print(rows[-1], flush=True)
     ready_columns = ["ready after, median s", "nine in ten s", "worst s"]
@@ -92,7 +92,7 @@
 
 
 def _start_group(size: int, full: bool, most_running: int) -> _GroupStart:
-    """Start so many forwarders over new folders, filled before if `full`."""
+    """Start `size` forwarders with new folders; with `full`, their journals are filled before."""
     with tempfile.TemporaryDirectory(prefix="jw-") as folder:
         group = ForwarderGroup(Path(folder), BASE_CONFIGURATION, unused_address(), command=PARTS_PROGRAM)
         names = [f"n{number}" for number in range(size)]
@@ -104,7 +104,7 @@
 
 
 def _part_cell(times: list[PartTime]) -> str:
-    """Return the median wall and CPU milliseconds of a part."""
+    """Return the median wall and CPU milliseconds of a part as a table cell."""
     if not times:
         return "-"
     wall_ms = statistics.median(part.wall_s for part in times) * 1000
@@ -128,7 +128,7 @@
 
 
 def _memory_row(kind: str, parent: Path, base: dict[str, Any], discovery: str, times: int) -> Row:
-    """Start one forwarder so many times, each over a new folder below `parent`."""
+    """Start one forwarder `times` times, each with a new folder below `parent`, and return the table row."""
     ready_after_s: list[float] = []
     resident_mib: list[float] = []
     for number in range(times):
--- a/juniperward/benchmarks/traces.py
+++ b/juniperward/benchmarks/traces.py
@@ -1,8 +1,7 @@
-"""Counts what a fleet did from the traces of all its forwarders; `juniperward simulate traces` calls it.
+"""Counts the events of a fleet from the traces of all its forwarders, for `juniperward simulate traces`.
 
-A forwarder traces where ROUTER_TRACE is set (juniperward/forwarder/trace.py). A rate limit, a connection table and a
-recovering destination belong to all forwarders together: the trace of one of them does not show how they fared.
-The logs go in, by forwarder; `FleetCounts` comes out (see `trace_counts.py`).
+A forwarder writes a trace to its log if ROUTER_TRACE is set (see `forwarder/trace.py`). The load on a destination's
+rate limit, connections and slow start comes from all forwarders, so their traces are counted together.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 TRACE_MARK = "juniperward: trace:"
 MAX_UNREAD_SHOWN = 5
-MAX_UNREAD_CHARACTERS = 100  # of a line
+MAX_UNREAD_LINE_CHARACTERS = 100
 TRACED = re.compile(r"juniperward: trace: (\d+(?:\.\d+)?) (\w+) ?(.*)$")
 SETTINGS_LINE = re.compile(
     r"juniperward: trace: (?:settings value=.?\w+|Settings)\(.*?\b(?:latency_objective_s|aim)=([0-9.]+)"
@@ -26,50 +25,50 @@
 
 
 class UnknownKeywordError(ValueError):
-    """A line of a trace begins with a keyword that has no meaning here."""
+    """A line of a trace has an unknown keyword."""
 
     def __init__(self, keyword: str) -> None:
         """Name the keyword."""
-        super().__init__(f"no such keyword: {keyword}")
+        super().__init__(f"unknown keyword {keyword}")
         self.keyword = keyword
 
 
 class TooManyOutcomesError(ValueError):
-    """An attempt has more outcomes than messages."""
+    """A trace has more outcomes of an attempt than the attempt has messages."""
 
     def __init__(self) -> None:
-        """Name the fault; the reader adds the line."""
-        super().__init__("more outcomes than messages")
+        """Describe the error; the caller adds the line."""
+        super().__init__("the attempt has more outcomes than messages")
 
 
 class NotTracedError(ValueError):
-    """A line is not one of a trace."""
+    """A line with the mark of a trace does not have its format."""
 
     def __init__(self) -> None:
-        """Name the fault; the reader adds the line."""
-        super().__init__("not a line of a trace")
+        """Describe the error; the caller adds the line."""
+        super().__init__("the line is not of the form TIME KEYWORD FIELDS")
 
 
 @dataclass(slots=True)
 class _Message:
-    """A message of one forwarder: its destination, when it was accepted, and its attempts so far."""
+    """A message of one forwarder; `finished` says whether it was delivered or given up."""
 
     destination: int
     accepted_at: float
     attempts: int = 0
-    finished: bool = False  # delivered or given up
+    finished: bool = False
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """A batch attempt: its messages' ids in the order of the call, and how many of them have an outcome."""
+    """An attempt: the ids of its messages in the order of the call, and of those that have an outcome."""
 
     destination: int
     message_ids: list[str]
     finished_ids: set[str] = field(default_factory=set)
 
     def finish_next(self) -> str:
-        """Return the next message without an outcome, which now has one; raises TooManyOutcomesError."""
+        """Mark the next message without an outcome as finished and return its id; raises TooManyOutcomesError."""
         for message_id in self.message_ids:
             if message_id not in self.finished_ids:
                 self.finished_ids.add(message_id)
@@ -78,24 +77,24 @@
 
     @property
     def at_first_outcome(self) -> bool:
-        """Whether one message alone has an outcome: what concerns the complete call is counted with it."""
+        """Whether exactly one message has an outcome; events of the call as a whole are counted only then."""
         return len(self.finished_ids) == 1
 
 
 class _ForwarderTrace:
-    """Follows one forwarder's trace over all its incarnations, and counts into the fleet's counts."""
+    """Reads one forwarder's trace, over restarts of its process, into the fleet's counts."""
 
     def __init__(self, fleet: FleetCounts) -> None:
         self._fleet = fleet
         self._messages: dict[str, _Message] = {}
         self._attempts: dict[str, _Attempt] = {}
 
-    def new_incarnation(self) -> None:
-        """A process began: its attempts are numbered anew."""
+    def process_restarted(self) -> None:
+        """Forget all attempts, because a new process numbers its attempts from the start."""
         self._attempts.clear()
 
     def read(self, at: float, keyword: str, text: str) -> None:
-        """Count one line, its fields separated by blanks; raises ValueError, IndexError or KeyError if malformed."""
+        """Count one line with fields separated by spaces; raises ValueError, IndexError or KeyError if malformed."""
         fields = text.split(" ")
         match keyword:
             case "handed":
@@ -156,7 +155,7 @@
             self._fleet.add(at, message.destination, "given_up")
 
     def _message_finished(self, at: float, fields: list[str]) -> None:
-        """One message's outcome in an attempt; they come in the order of the call's messages, or are all alike."""
+        """Count one message's outcome; outcomes are in the order of the call's messages, unless all are equal."""
         attempt = self._attempts[fields[0]]
         message_id = attempt.finish_next()
         outcome, retry_after_s = fields[1], float(fields[2])
@@ -182,7 +181,7 @@
 
 
 def read(logs: dict[str, Iterable[str]]) -> FleetCounts:
-    """Count over the logs of many forwarders, by name; what cannot be read is counted, the first lines listed."""
+    """Count the traces in the logs of forwarders, by name; malformed lines are counted, and the first ones listed."""
     fleet = FleetCounts(forwarders=len(logs))
     lines_by_name = {name: list(log) for name, log in logs.items()}
     for lines in lines_by_name.values():
@@ -198,18 +197,18 @@
 
 
 def read_folder(folder: Path) -> FleetCounts:
-    """Count over all `*.log` of a folder, a forwarder each."""
+    """Count the traces in all files `*.log` of a folder, one for each forwarder."""
     files = sorted(folder.glob("*.log"))
     return read({file.stem: file.read_text(errors="replace").splitlines() for file in files})
 
 
 def _read_line(fleet: FleetCounts, trace: _ForwarderTrace, place: str, line: str) -> None:
-    """Count one line; `place` (NAME:NUMBER) names it where it cannot be read."""
+    """Count one line; `place` (NAME:NUMBER) identifies it in the list of malformed lines."""
     fleet.lines += 1
     settings = SETTINGS_LINE.search(line)
     if settings:
         fleet.latency_objective_s = float(settings[1])
-        trace.new_incarnation()
+        trace.process_restarted()
         return
     try:
         found = TRACED.search(line.rstrip())
@@ -219,4 +218,4 @@
     except (ValueError, IndexError, KeyError) as error:
         fleet.unread_count += 1
         if len(fleet.unread) < MAX_UNREAD_SHOWN:
-            fleet.unread.append(f"{place}: {error}: {line.strip()[:MAX_UNREAD_CHARACTERS]}")
+            fleet.unread.append(f"{place}: {error}: {line.strip()[:MAX_UNREAD_LINE_CHARACTERS]}")
