--- a/juniperward/benchmarks/capacity.py
+++ b/juniperward/benchmarks/capacity.py
@@ -218,7 +218,7 @@
         f"{DESTINATIONS} destinations with one endpoint each that answers at once; {LOAD_PROCESSES} processes of "
         f"load in an open loop, latencies from when a message was scheduled; the first {WARM_UP_S:g} s left out, "
         f"{COUNTED_S:g} s counted. Carried: all accepted and delivered, p99 at the endpoint within "
-        f"{1000 * MAX_DELIVERY_P99_S:.0f} ms; void: the load was late itself."
+        f"{1000 * MAX_DELIVERY_P99_S:.0f} ms; void: the load fell behind its schedule."
     )
     rates_per_s = (rate,) if rate else RATES_PER_S
     for dead_letters in (False, True):
--- a/juniperward/benchmarks/dead_letter_acceptance.py
+++ b/juniperward/benchmarks/dead_letter_acceptance.py
@@ -137,9 +137,9 @@
     command = f"juniperward measure dead-letters --seed {seed} --rounds {rounds} --away {away:g}"
     report = Report("Dead letters after an outage", command, seed)
     report.add_paragraph(
-        f"Three forwarders, 40 messages a second that live for 4 s; one of three destinations is down, failing or "
-        f"rejecting for {away:g} s and comes back warming up. With kills, agent or a forwarder is killed by SIGKILL "
-        f"six times while redrives go on. {PARALLEL_RUNS} runs at a time."
+        f"Three forwarders, 40 messages a second with a deadline of 4 s; one of three destinations is down, failing "
+        f"or rejecting for {away:g} s and then recovers in slow start. With kills, the agent or a forwarder is "
+        f"killed by SIGKILL, six times during the redrives. {PARALLEL_RUNS} runs at a time."
     )
     return report
 
@@ -153,7 +153,7 @@
     report.add_paragraph("Sums over all seeds:")
     report.add_table(["fault", "kills", *SUM_NAMES], summary.sum_rows())
     if summary.failed_rows:
-        report.add_paragraph("Runs in which something was not as it must be:")
+        report.add_paragraph("Failed runs:")
         report.add_table(["seed", "fault", "kills", *COUNT_NAMES], summary.failed_rows)
 
 
--- a/juniperward/benchmarks/dead_letter_cost.py
+++ b/juniperward/benchmarks/dead_letter_cost.py
@@ -49,7 +49,9 @@
 def _report_live_traffic(report: Report, seed: int) -> None:
     """Report the priority weight and latency of live traffic for each of BACKLOG_SIZES."""
     rows = [_measure_live_traffic(backlog, seed) for backlog in BACKLOG_SIZES]
-    report.add_paragraph("Live traffic at 100 messages a second for 12 s while others wait to be sent again:")
+    report.add_paragraph(
+        "Live traffic at 100 messages a second for 12 s while dead letters wait to be redriven:"
+    )
     report.add_table(
         ["waiting", "of them sent meanwhile", "fraction of live priority weight", "median ms", "p99 ms"], rows
     )
@@ -106,7 +108,7 @@
     """Report latency and CPU time with dead letters off and on while one of three destinations is down."""
     rows = [_measure_storage(stores, seed) for stores in (False, True, False, True)]
     report.add_paragraph(
-        "One forwarder at 150 messages a second, one of three destinations down all the time:"
+        "One forwarder at 150 messages a second, with one of three destinations down throughout:"
     )
     report.add_table(["dead letters", "stored", "delivered: median ms", "p99 ms", "CPU ms a message"], rows)
 
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -37,7 +37,8 @@
     )
     report.add_paragraph(
         "One forwarder at 100 messages a second. The loop's delay is the time from a request on the control channel "
-        "to its answer, polled by one honest client ten times a second; the messages' is from due to effect."
+        "to its answer, polled by one honest client ten times a second; the latency of a "
+        "message is the time from when it was due to its effect."
     )
     with (
         tempfile.TemporaryDirectory(prefix="jw-") as folder,
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -32,8 +32,8 @@
     """
     report = Report("Rolling restarts under load", f"juniperward measure rolls --seed {seed}", seed)
     report.add_paragraph(
-        f"{instances} forwarders on one machine under one agent, 8 destinations, {rate:g} messages a second by the "
-        "fakes. An endpoint drains amid each roll. Latency counts from when a message was due."
+        f"{instances} forwarders on one machine under one agent, 8 destinations, {rate:g} messages a second "
+        "from fake clients. An endpoint drains during each roll. Latency is counted from when a message was due."
     )
 
     def roll_with(**options: Any) -> Callable[[LocalCluster], float]:
--- a/juniperward/benchmarks/slow_start.py
+++ b/juniperward/benchmarks/slow_start.py
@@ -19,8 +19,8 @@
 DEFINITIONS = (
     "N = FallMultiple x FallMs x capacity x (ColdShare + (1 - ColdShare) x min(1, time since the return / "
     "WarmWithinMs)), at the end of the span; a span is over the bound with more than N + 2 x root of N + 2 calls "
-    "since the return in FallMs. It is put down to forwarders that had been notified if over two thirds of its calls "
-    "are theirs. Notified: an attempt that was sent in the outage has failed, been rejected, reset or given up."
+    "since the return in FallMs. It is put down to notified forwarders if they sent over two thirds of its calls. A "
+    "forwarder is notified once one of its attempts during the outage has failed, been rejected, reset or given up."
 )
 
 
@@ -103,8 +103,7 @@
 def _report_overloads(report: Report, results: list[RecoveryResult]) -> None:
     """Report each seed over the bound, and how many of its calls notified forwarders sent."""
     report.add_paragraph(
-        "Every seed over the bound, at its first span over it: seed: calls of the most borne, of them by the "
-        "notified."
+        "Every seed over the bound, at its first span over it, as SEED: CALLS of BOUND, CALLS OF NOTIFIED FORWARDERS."
     )
     rows = []
     for case in CASES:
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -75,8 +75,8 @@
     if most_running:
         at_a_time = f"at most {most_running} starts at a time, each ended once ready"
     report.add_paragraph(
-        f"Parts of the start, wall and CPU ms in the median, discovery away; {at_a_time}. A full folder "
-        "holds as many messages of 400 bytes as the disk limit of 3 MB allows."
+        f"Parts of the start, wall and CPU ms in the median, during an outage of discovery; {at_a_time}. A full "
+        "folder holds as many messages of 400 bytes as the disk limit of 3 MB allows."
     )
     rows: list[Row] = []
     passed = True
