--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,9 +1,9 @@
-"""Runs the test command and passes over the tests that KNOWN-RED.txt lists, and over no others.
+"""Runs the test command, and tolerates the failures of the tests in KNOWN-RED.txt and no others.
 
-`known_red.py FOLDER COMMAND` runs COMMAND with bash in FOLDER, the root of the repository. Without a list the command
-runs as it is and its exit code counts. With one, pytest loads `known_red_plugin.py` beside this file, which reports
-failures of listed tests as expected and writes down which tests these were. A listed test that is not among them (it
-passed, was skipped, was not run or does not exist) fails the run, as any other red does.
+`known_red.py FOLDER COMMAND` runs COMMAND with bash in FOLDER, the root of the repository. Without a list, or with
+an empty one, the exit code is that of COMMAND. Otherwise pytest loads `known_red_plugin.py`, which reports failures
+of listed tests as expected failures and records which tests failed. The run fails if any other test fails, or if a
+listed test did not fail: because it passed, was skipped, was not run or does not exist.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 from pathlib import Path
 
 LIST_NAME = "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
-UNUSABLE_LIST = 2  # exit code
-# Environment variables with paths for the plugin: the list, and where it writes the failures that it saw.
+MAX_KNOWN_RED = 3
+INVALID_LIST_EXIT_CODE = 2
+# Environment variables that give the plugin the paths of the list and of the file for the failures it has seen.
 LIST_VARIABLE = "KNOWN_RED_LIST"
 SEEN_VARIABLE = "KNOWN_RED_SEEN"
 PLUGIN = "known_red_plugin"
-# A pytest id (its parameters may hold commas and spaces), the cause (may hold commas), the issue.
+# The pytest id, the cause and the issue. The cause and the parameters in the id may contain commas and spaces.
 LINE = re.compile(
     r"(?P<test>[^\s,\[]+::[^\s,\[]+(?:\[.*?\])?)\s*,\s*(?P<cause>\S.*?)\s*,\s*(?P<issue>[^\s,][^,]*)"
 )
 
 
 class ListError(Exception):
-    """The list cannot be used; the text names the file, the line and what is wrong with it."""
+    """The list is invalid; the message names the file, the line and the error."""
 
 
 class ListEncodingError(ListError):
     """The list is not UTF-8."""
 
     def __init__(self, path: Path, error: UnicodeDecodeError) -> None:
-        """Take the list and what cannot be decoded."""
+        """Set the list's path and the error of the decoder."""
         self.path, self.error = path, error
         super().__init__(f"{path.name}: not UTF-8: {error}")
 
 
 class EntryError(ListError):
-    """A line of the list cannot be used."""
+    """A line of the list is invalid."""
 
     def __init__(self, path: Path, line: int, why: str) -> None:
-        """Take the list, the line's number from 1, and what is wrong with it."""
+        """Set the list's path, the number of the line, counted from 1, and the description of the error."""
         self.path, self.line, self.why = path, line, why
         super().__init__(f"{path.name}: line {line}: {why}")
 
 
 class EntryFormError(EntryError):
-    """A line has another form than `test id, cause, issue`."""
+    """A line is not of the form `test id, cause, issue`."""
 
     def __init__(self, path: Path, line: int, text: str) -> None:
-        """Take the list, the line's number and its text."""
+        """Set the list's path, and the number and text of the line."""
         super().__init__(path, line, f"not of the form `test id, cause, issue`: {text}")
 
 
@@ -63,21 +63,21 @@
     """A test is listed twice."""
 
     def __init__(self, path: Path, line: int, test: str) -> None:
-        """Take the list, the line's number and the test."""
+        """Set the list's path, the number of the line, and the test's id."""
         super().__init__(path, line, f"{test} is listed twice")
 
 
 class TooManyEntriesError(EntryError):
-    """More tests are listed than may be."""
+    """The list has more than MAX_KNOWN_RED tests."""
 
     def __init__(self, path: Path, line: int) -> None:
-        """Take the list and the number of the first line too many."""
-        super().__init__(path, line, f"more than {MOST_KNOWN_RED} tests are listed")
+        """Set the list's path, and the number of the first line beyond the limit."""
+        super().__init__(path, line, f"more than {MAX_KNOWN_RED} tests are listed")
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that fails for a known cause."""
+    """A test that is listed as failing for a known cause, and the issue about it."""
 
     test: str
     cause: str
@@ -85,7 +85,7 @@
 
 
 def read_list(path: Path) -> list[KnownRed]:
-    """Return the listed tests, none where the file is missing or empty; raises ListError."""
+    """Return the listed tests, or an empty list if the file is missing or empty; raises ListError."""
     if not path.exists():
         return []
     try:
@@ -103,7 +103,7 @@
         entry = KnownRed(**match.groupdict())
         if any(entry.test == other.test for other in known):
             raise EntryRepeatedError(path, number, entry.test)
-        if len(known) == MOST_KNOWN_RED:
+        if len(known) == MAX_KNOWN_RED:
             raise TooManyEntriesError(path, number)
         known.append(entry)
     return known
@@ -117,7 +117,10 @@
 
 
 def plugin_environment(listed: Path, seen: Path) -> dict[str, str]:
-    """Return our environment with the plugin; it reads `listed` and writes to `seen`."""
+    """Return this process's environment, extended so that pytest loads the plugin.
+
+    The plugin reads the list `listed` and writes the failures that it sees to `seen`.
+    """
     paths = [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH", "")]
     plugins = [PLUGIN, os.environ.get("PYTEST_PLUGINS", "")]
     return {
@@ -130,7 +133,7 @@
 
 
 def run_with_known_red(folder: Path, command: str, known: list[KnownRed]) -> int:
-    """Run the command with the plugin; return 0 where each listed test was seen to fail and nothing else did."""
+    """Run the command with the plugin; return 0 if all listed tests failed and no other test did."""
     with tempfile.TemporaryDirectory() as scratch:
         seen = Path(scratch) / "seen"
         seen.touch()
@@ -147,12 +150,12 @@
 
 
 def main(folder: Path, command: str) -> int:
-    """Run the command; return 0 where all is well but for what is listed, 2 where the list cannot be used."""
+    """Run the command and return the exit code: 0 if only the listed tests failed, 2 if the list is invalid."""
     try:
         known = read_list(folder / LIST_NAME)
     except ListError as error:
         print(error, file=sys.stderr)
-        return UNUSABLE_LIST
+        return INVALID_LIST_EXIT_CODE
     if not known:
         return run_command(folder, command, dict(os.environ))
     return run_with_known_red(folder, command, known)
--- a/.ci/known_red_plugin.py
+++ b/.ci/known_red_plugin.py
@@ -1,6 +1,7 @@
-"""A pytest plugin that passes over failures of the tests in KNOWN-RED.txt; `known_red.py` has pytest load it.
+"""A pytest plugin that reports failures of the tests in KNOWN-RED.txt as expected failures.
 
-It reports such a failure as an expected one and writes the test's id down. `known_red.py` judges what is missing.
+It writes the ids of these tests to a file. `known_red.py` has pytest load the plugin, and checks that each listed
+test is in the file.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Called for each phase of a test and for each of its subtests; a failing teardown is not passed over."""
+    """Report a failed setup or call of a listed test, or of its subtests, as expected; teardowns are unaffected."""
     report = yield
     entry = KNOWN.get(item.nodeid)
     if entry is not None and report.failed and report.when in ("setup", "call"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over just the tests that KNOWN-RED.txt lists: `.ci/known_red.py` over small trees of tests."""
+"""Tests that `.ci/known_red.py` tolerates failures of the tests in KNOWN-RED.txt and no others."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 ROOT = Path(__file__).parent.parent
 PROGRAM = ROOT / ".ci" / "known_red.py"
-WAIT = 60.0
-RED = "tests/test_tree.py::test_red"
+TIMEOUT_S = 60.0
+LISTED_TEST = "tests/test_tree.py::test_red"
 TREE = """
 import unittest
 import pytest
@@ -42,11 +42,11 @@
 def test_marked_by_itself():
     pass
 """
-OTHERS_DESELECTED = "-k 'not test_of_case and not test_red_too and not test_marked_by_itself'"
+DESELECT_OTHER_TESTS = "-k 'not test_of_case and not test_red_too and not test_marked_by_itself'"
 
 
 def clean_environment() -> dict[str, str]:
-    """Ours, without what this run of pytest was told: it may itself pass over listed tests."""
+    """Return this process's environment without the variables of pytest and of an outer run of known_red.py."""
     return {name: text for name, text in os.environ.items() if not name.startswith(("PYTEST", "KNOWN_RED"))}
 
 
@@ -59,7 +59,7 @@
         (self.folder / "pytest.ini").write_text("[pytest]\n")
 
     def run_tree(self, listed: str | None, options: str = "", command: str | None = None) -> tuple[int, str]:
-        """Exit code and output over the tree with that list."""
+        """Run known_red.py over TREE with a list (None: no file); return its exit code and output."""
         if listed is not None:
             (self.folder / "KNOWN-RED.txt").write_text(listed, encoding="utf-8")
         if command is None:
@@ -67,30 +67,31 @@
         done = subprocess.run(
             [sys.executable, str(PROGRAM), str(self.folder), command],
             env=clean_environment(),
-            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=WAIT, check=False,
+            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=TIMEOUT_S, check=False,
         )  # fmt: skip
         return done.returncode, done.stdout
 
     def test_only_the_listed_reds_are_passed_over_and_they_are_printed(self) -> None:
         listed = [
-            f"{RED}, the clock, read twice, #7",
+            f"{LISTED_TEST}, the clock, read twice, #7",
             "tests/test_tree.py::test_of_case[a, b [c]], a cause, docs/questions.md",
             "tests/test_tree.py::TreeTest::test_red_too, another cause, #9",
         ]
         code, output = self.run_tree("\n".join(listed) + "\n\n")
         assert code == 0, output
-        assert f"known red: {RED}: the clock, read twice (#7)" in output
+        assert f"known red: {LISTED_TEST}: the clock, read twice (#7)" in output
         assert "known red: tests/test_tree.py::test_of_case[a, b [c]]: a cause (docs/questions.md)" in output
         assert "1 skipped" in output
         assert " failed" not in output
 
     def test_another_red_fails_the_run(self) -> None:
-        code, output = self.run_tree(f"{RED}, a cause, #7\n", "-k 'not test_of_case'")
+        code, output = self.run_tree(f"{LISTED_TEST}, a cause, #7\n", "-k 'not test_of_case'")
         assert code != 0, output
         assert "2 failed" in output
 
     def test_a_listed_test_that_passes_fails_the_run(self, subtests: pytest.Subtests) -> None:
-        for test in ("test_green", "test_marked_by_itself"):  # a lenient mark of its own does not count
+        # A test with a non-strict xfail mark that passes has not failed.
+        for test in ("test_green", "test_marked_by_itself"):
             with subtests.test(test=test):
                 code, output = self.run_tree(f"tests/test_tree.py::{test}, a cause, #7\n", f"-k {test}")
                 assert code != 0, output
@@ -100,8 +101,8 @@
         self, subtests: pytest.Subtests
     ) -> None:
         cases = {
-            "tests/test_tree.py::test_of_no_name": OTHERS_DESELECTED + " --deselect " + RED,
-            RED: "-k test_green",
+            "tests/test_tree.py::test_of_no_name": DESELECT_OTHER_TESTS + " --deselect " + LISTED_TEST,
+            LISTED_TEST: "-k test_green",
             "tests/test_tree.py::test_left_out": "-k 'test_green or test_left_out'",
             "tests/test_tree.py::TreeTest": "-k test_green",
         }
@@ -112,19 +113,21 @@
                 assert f"{test} was not seen to fail" in output
 
     def test_a_command_that_runs_no_pytest_leaves_the_listed_test_unrun(self) -> None:
-        code, output = self.run_tree(f"{RED}, a cause, #7\n", command="true")
+        code, output = self.run_tree(f"{LISTED_TEST}, a cause, #7\n", command="true")
         assert code == 1, output
-        assert f"{RED} was not seen to fail" in output
+        assert f"{LISTED_TEST} was not seen to fail" in output
 
     def test_a_list_that_cannot_be_read_is_an_error_that_names_the_line(
         self, subtests: pytest.Subtests
     ) -> None:
         four = "".join(f"tests/test_tree.py::test_{n}, a cause, #7\n" for n in range(4))
         cases = {
-            f"{RED}, a cause, #7\n{RED}, a cause\n": "line 2: not of the form",
+            f"{LISTED_TEST}, a cause, #7\n{LISTED_TEST}, a cause\n": "line 2: not of the form",
             "a sentence, a cause, #7\n": "line 1: not of the form",
-            f"\n{RED}, , #7\n": "line 2: not of the form",
-            f"{RED}, a cause, #7\n{RED}, the same again, #8\n": f"line 2: {RED} is listed twice",
+            f"\n{LISTED_TEST}, , #7\n": "line 2: not of the form",
+            f"{LISTED_TEST}, a cause, #7\n{LISTED_TEST}, the same again, #8\n": (
+                f"line 2: {LISTED_TEST} is listed twice"
+            ),
             four: "line 4: more than 3",
         }
         for listed, message in cases.items():
@@ -140,17 +143,17 @@
                 assert (code, output) == (3, "plugins=none\n")
 
     def test_ci_runs_the_command_of_the_readme_through_it(self, subtests: pytest.Subtests) -> None:
-        # The script itself, in a tree of its own whose `make check` does nothing.
+        # Runs a copy of .ci/run in a temporary tree whose `make check` does nothing.
         shutil.copytree(ROOT / ".ci", self.folder / ".ci", ignore=shutil.ignore_patterns("__pycache__"))
         (self.folder / "Makefile").write_text("check:\n\t@true\n")
         command = f"{sys.executable} -m pytest -q -p no:cacheprovider -k 'test_red and not test_red_too'"
         (self.folder / "README.md").write_text(f"<!-- test command -->\n```sh\n{command}\n```\n")
-        for listed, good in (("", False), (f"{RED}, a cause, #7\n", True)):
+        for listed, good in (("", False), (f"{LISTED_TEST}, a cause, #7\n", True)):
             with subtests.test(listed=listed):
                 (self.folder / "KNOWN-RED.txt").write_text(listed)
                 done = subprocess.run(
                     ["bash", str(self.folder / ".ci" / "run")], env=clean_environment(),
-                    stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=WAIT, check=False,
+                    stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=TIMEOUT_S, check=False,
                 )  # fmt: skip
                 assert (done.returncode == 0) == good, done.stdout
-                assert (f"known red: {RED}" in done.stdout) == good, done.stdout
+                assert (f"known red: {LISTED_TEST}" in done.stdout) == good, done.stdout
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -1,4 +1,4 @@
-"""Forty forwarders restarted at once over full folders while discovery is away: ready in time, no message lost."""
+"""Tests a restart of forty forwarders with full journals at once, during an outage of discovery."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from tests.resources import Resources
 
 FORWARDERS = 40
-READY_WITHIN_S = 10.0
-OVER_WITHIN_S = 40.0
-DISK_MB = 0.06  # some thirty messages fill it
+MAX_READY_S = 10.0
+FINISHED_TIMEOUT_S = 40.0
+DISK_MB = 0.06  # the journal holds about thirty messages
 
 
 class TestMassRestart:
@@ -63,21 +63,22 @@
         assert len(accepted) > 20 * FORWARDERS
         ready_after_s = sorted(result.ready_after_s for result in start_all(group, names))
         median_s = ready_after_s[len(ready_after_s) // 2]
-        assert ready_after_s[-1] < READY_WITHIN_S, f"median {median_s:.2f} s"
+        assert ready_after_s[-1] < MAX_READY_S, f"median {median_s:.2f} s"
         discovery.set_outage(False)
-        end = time.monotonic() + OVER_WITHIN_S
-        while (left := accepted - self.over()) and time.monotonic() < end:
+        deadline = time.monotonic() + FINISHED_TIMEOUT_S
+        while (unfinished := accepted - self.finished_ids()) and time.monotonic() < deadline:
             time.sleep(0.05)
-        assert left == set()
+        assert unfinished == set()
         effects = [r.id for r in self.recorder.records if isinstance(r, Effect)]
         assert len(effects) == len(set(effects))
         assert len(effects) > len(accepted) // 2
 
-    def over(self) -> set[str]:
+    def finished_ids(self) -> set[str]:
+        """Return the ids of the messages that were delivered or reported as undelivered."""
         return {r.id for r in self.recorder.records if isinstance(r, Effect | NotificationReceived)}
 
     def test_the_phases_of_a_start_are_reported_and_sum_up(self) -> None:
-        # Guards `juniperward measure starts`: a part that is not marked any more would be missing from its table.
+        # Without a mark, a part would be missing from the table of `juniperward measure starts`.
         base = {**BASE_CONFIGURATION, "limits": {**BASE_CONFIGURATION["limits"], "disk_mb": DISK_MB}}
         group = self.resources.closing(
             ForwarderGroup(self.folder, base, unused_address(), command=PARTS_PROGRAM)
--- a/tests/test_scenario_player.py
+++ b/tests/test_scenario_player.py
@@ -1,4 +1,4 @@
-"""Other policies inside real forwarders, as `juniperward measure agreement` plays them."""
+"""Tests that forwarders run another policy in place of the scheduler, for `juniperward measure agreement`."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 
 class PolicyInForwardersTest(unittest.TestCase):
-    def policy_of_a_process(self, policy: str) -> str:
+    def policy_class_in_process(self, policy: str) -> str:
+        """Return the name of the class that decides in a new process."""
         with tempfile.TemporaryDirectory() as folder, policy_in_forwarders(policy, Path(folder)):
             return subprocess.run(
                 [sys.executable, "-c", PRINT_POLICY], capture_output=True, text=True, timeout=20.0, check=True
             ).stdout.strip()
 
     def test_a_forwarder_decides_by_the_policy(self) -> None:
-        # Guards a wrapper that replaced a name which the reducer did not use: all policies were the scheduler.
-        own = self.policy_of_a_process("juniperward")
-        other = self.policy_of_a_process("round-robin")
+        # Guards against a patch that has no effect on the reducer, so that every policy is the scheduler.
+        own = self.policy_class_in_process("juniperward")
+        other = self.policy_class_in_process("round-robin")
         self.assertEqual(own, "DeliveryScheduler")
         self.assertNotIn(other, ("DeliveryScheduler", "OtherPolicy"))
--- a/tests/test_source_conventions.py
+++ b/tests/test_source_conventions.py
@@ -1,4 +1,4 @@
-"""The source keeps to the conventions of CONTRIBUTING.md: names, sizes, and no exceptions of the linter."""
+"""Tests that the source follows CONTRIBUTING.md: names, sizes, and no `noqa` comments."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 PACKAGE = Path(__file__).parent.parent / "juniperward"
 MODULES = [path for path in sorted(PACKAGE.rglob("*.py")) if not path.name.endswith("_pb2.py")]
-MOST_MODULE_LINES = 300
-MOST_FUNCTION_LINES = 50
-# Words of the platform's pages and of the former code for which the field has terms (docs/glossary.md).
+MAX_MODULE_LINES = 300
+MAX_FUNCTION_LINES = 50
+# Words that no identifier may contain; docs/glossary.md has the terms to use instead.
 WITHDRAWN_WORDS = {
     "aim", "asked", "custody", "edition", "fate", "fates", "handin", "news", "partner", "pinned", "ramp",
     "room", "sick", "thrown", "told", "trouble", "troubles", "untold", "worth", "yard",
@@ -23,8 +23,8 @@
 WITHDRAWN_PAIRS = {
     ("bad", "server"), ("fail", "back"), ("second", "copy"), ("sent", "on"), ("taken", "on"), ("turned", "away"),
 }  # fmt: skip
-# Fields of protobuf messages of the scenario format, in the two modules that read and write it.
-FORMAT_NAMES = {
+# Protobuf fields of the scenario format, which the modules that read and write it have to use.
+PROTOBUF_FIELD_NAMES = {
     "simulation/scenario_generator.py": {"partner"},
     "simulation/scenario_loader.py": {"partner"},
 }
@@ -36,7 +36,7 @@
 
 
 def words(name: str) -> list[str]:
-    """The words of an identifier, split at underscores and case."""
+    """Return the words of an identifier in lower case, split at underscores and changes of case."""
     return [word.lower() for part in name.split("_") for word in WORD.findall(part)]
 
 
@@ -64,16 +64,16 @@
 @pytest.mark.parametrize("path", MODULES, ids=module_id)
 def test_names_are_the_terms_of_the_field(path: Path) -> None:
     withdrawn = set(filter(is_withdrawn, identifiers(path.read_text())))
-    assert withdrawn == FORMAT_NAMES.get(module_id(path), set())
+    assert withdrawn == PROTOBUF_FIELD_NAMES.get(module_id(path), set())
 
 
 @pytest.mark.parametrize("path", MODULES, ids=module_id)
 def test_modules_and_functions_stay_short(path: Path) -> None:
     text = path.read_text()
-    assert len(text.splitlines()) <= MOST_MODULE_LINES
+    assert len(text.splitlines()) <= MAX_MODULE_LINES
     functions = (node for node in ast.walk(ast.parse(text)) if isinstance(node, ast.FunctionDef))
     lengths = {node.name: (node.end_lineno or node.lineno) - node.lineno + 1 for node in functions}
-    assert {name: length for name, length in lengths.items() if length > MOST_FUNCTION_LINES} == {}
+    assert {name: length for name, length in lengths.items() if length > MAX_FUNCTION_LINES} == {}
 
 
 @pytest.mark.parametrize("path", MODULES, ids=module_id)
