--- a/juniperward/agent/reducer/requests.py
+++ b/juniperward/agent/reducer/requests.py
@@ -19,7 +19,7 @@
     RollRejectedError,
     RollUnderWayError,
     UnknownInstanceError,
-    UnknownOrderError,
+    UnknownVerbError,
 )
 from juniperward.fleet.roll_model import Roll, RollCommand, RollOrder, RollProgress
 
@@ -64,7 +64,7 @@
             case "kill" | "drain" | "resume":
                 self._orders.carry_out(RollOrder(RollCommand(verb), name))
             case _:
-                raise UnknownOrderError(verb)
+                raise UnknownVerbError(verb)
 
     def _roll_requested(self, event: ControlRequest, names: list[str]) -> None:
         state = self._round.state
@@ -107,4 +107,4 @@
         case "roll_end":
             return end(roll)
         case _:
-            raise UnknownOrderError(verb)
+            raise UnknownVerbError(verb)
--- a/juniperward/control/codec.py
+++ b/juniperward/control/codec.py
@@ -116,9 +116,9 @@
         problem = f"protocol version {version!r} is not supported; the forwarder uses {PROTOCOL_VERSION}"
         raise VersionError(version, problem)
     if type(request_id) is not int or not 0 <= request_id < REQUEST_ID_LIMIT:
-        raise FieldError("id", f"an integer from 0 to {REQUEST_ID_LIMIT - 1} is needed")
+        raise FieldError("id", f"must be an integer from 0 to {REQUEST_ID_LIMIT - 1}")
     if not isinstance(ids, list) or len(ids) > MAX_REDRIVE_IDS or not all(isinstance(x, str) for x in ids):
-        raise FieldError("ids", f"an array of at most {MAX_REDRIVE_IDS} strings is needed")
+        raise FieldError("ids", f"must be an array of at most {MAX_REDRIVE_IDS} strings")
     try:
         return Request(request_id, Verb(verb), tuple(ids))
     except ValueError as error:
--- a/juniperward/control/errors.py
+++ b/juniperward/control/errors.py
@@ -1,6 +1,7 @@
 """The errors of the control channel.
 
-They are separate from the channel, as a forwarder without one imports only its errors to start faster.
+They have a module of their own, as a forwarder without a control channel imports only the errors, to start
+faster.
 """
 
 from __future__ import annotations
@@ -54,11 +55,11 @@
 
     def __init__(self) -> None:
         """Build the message."""
-        super().__init__("the request contains too many nested values; one flat object is needed")
+        super().__init__("the request contains too many nested values; it must be one flat object")
 
 
 class AnswerTypeError(ProtocolError):
-    """The body of an answer has not the type that belongs to the request's verb."""
+    """The body of an answer does not have the type that belongs to the request's verb."""
 
     def __init__(self, verb: str) -> None:
         """Build the message from the request's verb."""
@@ -69,10 +70,10 @@
 class FieldError(ProtocolError):
     """A field has a value of the wrong type or outside its range."""
 
-    def __init__(self, place: str, needed: str) -> None:
-        """Build the message from the field's place, such as `body.counters.x`, and what is needed there."""
-        self.place, self.needed = place, needed
-        super().__init__(f"{place}: {needed}")
+    def __init__(self, place: str, problem: str) -> None:
+        """Build the message from the field's place, such as `body.counters.x`, and what is wrong with its value."""
+        self.place, self.problem = place, problem
+        super().__init__(f"{place}: {problem}")
 
 
 class MalformedRequestError(ProtocolError):
--- a/juniperward/control/server_connection.py
+++ b/juniperward/control/server_connection.py
@@ -12,7 +12,7 @@
 
 REQUESTS_PER_S = 20.0
 REQUEST_BURST = 20.0  # capacity of the token bucket
-READ_TIMEOUT_S = 2.0  # counted from the first byte of a request
+READ_TIMEOUT_S = 2.0
 IDLE_TIMEOUT_S = 60.0
 WRITE_TIMEOUT_S = 2.0
 
@@ -44,7 +44,8 @@
     def read_exactly(self, length: int) -> bytes:
         """Return the next `length` bytes, the header or the rest of a frame; raises OSError or EOFError.
 
-        The first byte of a frame may take IDLE_TIMEOUT_S; the bytes after it may take READ_TIMEOUT_S.
+        The first byte of a frame may take IDLE_TIMEOUT_S. The rest of the header may take READ_TIMEOUT_S from
+        then on, and the rest of the frame READ_TIMEOUT_S again.
         """
         data = b""
         is_frame_start = length == FRAME_HEADER.size
--- a/juniperward/control/typed_json.py
+++ b/juniperward/control/typed_json.py
@@ -15,7 +15,8 @@
 from juniperward.control.errors import FieldError
 
 T = TypeVar("T")
-JsonNames = Mapping[type, Mapping[str, str]]  # dataclass -> field name -> name in JSON, where they differ
+# By dataclass and field name: the name in JSON, where it differs.
+JsonNames = Mapping[type, Mapping[str, str]]
 
 
 def to_json(value: Any, names: JsonNames) -> Any:
@@ -37,8 +38,8 @@
     `place` is the path of the value, such as `body.counters`.
     """
     if not isinstance(value, dict):
-        needed = f"an object is needed, not {type(value).__name__}"
-        raise FieldError(place, needed)
+        problem = f"must be an object, not {type(value).__name__}"
+        raise FieldError(place, problem)
     hints = typing.get_type_hints(cls)
     json_names = names.get(cls, {})
     arguments = {}
@@ -65,18 +66,18 @@
     if hint is float and type(value) in (int, float):
         return float(value)
     if type(value) is not hint:
-        needed = f"{hint.__name__} is needed, not {value!r}"
-        raise FieldError(place, needed)
+        problem = f"must be {hint.__name__}, not {value!r}"
+        raise FieldError(place, problem)
     return value
 
 
 def _array_from_json(hint: Any, value: Any, place: str, names: JsonNames) -> tuple[Any, ...]:
     if not isinstance(value, list):
-        raise FieldError(place, "an array is needed")
+        raise FieldError(place, "must be an array")
     return tuple(_field_from_json(hint, item, f"{place}[{index}]", names) for index, item in enumerate(value))
 
 
 def _map_from_json(hint: Any, value: Any, place: str, names: JsonNames) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise FieldError(place, "an object is needed")
+        raise FieldError(place, "must be an object")
     return {str(key): _field_from_json(hint, item, f"{place}.{key}", names) for key, item in value.items()}
--- a/juniperward/fleet/decisions.py
+++ b/juniperward/fleet/decisions.py
@@ -17,8 +17,8 @@
 def phase(instance: Instance, now: float, timeouts: Timeouts) -> Phase:
     """Return the observed phase of an instance.
 
-    An instance that does not answer is unresponsive, whatever its last reading says. An instance that was
-    ordered to stop is stopping, whether it answers or not.
+    An instance that does not answer is unresponsive, whatever its last reading says, unless it may still be
+    starting. An instance that was ordered to stop is stopping, whether it answers or not.
     """
     if instance.process is None:
         return Phase.FAILED if instance.crashes.crash_loop else Phase.STOPPED
@@ -95,7 +95,7 @@
 
 
 def should_start(instance: Instance, now: float) -> bool:
-    """Return whether to start the instance now: it should run, has no process and waits for no backoff.
+    """Return whether to start the instance now: it should run, has no process and is not in a backoff.
 
     An instance in a crash loop is not started.
     """
--- a/juniperward/fleet/model.py
+++ b/juniperward/fleet/model.py
@@ -204,14 +204,14 @@
         drain_timeout_s: Time after which a draining instance is stopped; its pending messages stay in its
             journal.
         soak_s: Minimum time that a ready instance is observed before the next one is restarted.
-        max_soak_s: Maximum soak of an instance that has too few finished attempts to be judged by.
-        min_attempts: Finished attempts that a success rate is judged by.
+        max_soak_s: Maximum soak of an instance with fewer than `min_attempts` finished attempts.
+        min_attempts: Number of finished attempts below which a success rate is not judged.
         instance_success_factor: The success rate that a restarted instance must reach, relative to the
             baseline.
         fleet_success_factor: The success rate that the fleet must keep during the roll, relative to the
             baseline.
         success_window_s: The time over which the fleet's success rate is computed.
-        blocked_timeout_s: Time after which a roll that the floor blocks pauses.
+        blocked_timeout_s: Time after which a roll pauses if the floor blocks it.
         kill: Whether to end instances by SIGKILL, without a drain, to rehearse crashes.
 
     """
--- a/juniperward/fleet/roll_commands.py
+++ b/juniperward/fleet/roll_commands.py
@@ -83,7 +83,7 @@
 
 
 def resume(roll: Roll) -> Roll:
-    """Return a paused roll in progress again; instances that failed are restarted once more.
+    """Return a paused roll in progress again; instances that failed are restarted again.
 
     Raises:
         RollNotPausedError: If the roll is not paused.
@@ -101,7 +101,7 @@
     """Return the roll undoing: restarted instances get their previous version back, the latest first.
 
     A draining instance accepts messages again. An instance whose previous version is the target version is
-    not restarted once more.
+    not restarted again.
 
     Raises:
         RollOverError: If the roll is over.
@@ -110,7 +110,9 @@
     check_not_over(roll)
     steps = tuple(_step_to_undo(step, roll.target_version) for step in reversed(roll.steps))
     orders = _resume_orders(tuple(reversed(roll.steps)))
-    undoing = replace(roll, mode=RollMode.UNDOING, reason="undone by order", steps=steps, blocked_since=None)
+    undoing = replace(
+        roll, mode=RollMode.UNDOING, reason="undone on request", steps=steps, blocked_since=None
+    )
     return RollProgress(undoing, orders)
 
 
@@ -142,7 +144,7 @@
 
     """
     check_not_over(roll)
-    ended = replace(roll, mode=RollMode.ENDED, reason="ended by order")
+    ended = replace(roll, mode=RollMode.ENDED, reason="ended on request")
     return RollProgress(ended, _resume_orders(roll.steps))
 
 
--- a/juniperward/fleet/roll_errors.py
+++ b/juniperward/fleet/roll_errors.py
@@ -89,7 +89,7 @@
         super().__init__("there is no roll")
 
 
-class UnknownOrderError(RollRejectedError):
+class UnknownVerbError(RollRejectedError):
     """The agent's API has no such verb."""
 
     def __init__(self, verb: str) -> None:
--- a/juniperward/fleet/roll_model.py
+++ b/juniperward/fleet/roll_model.py
@@ -40,7 +40,7 @@
     """The state of a whole roll; the values are those of the state file and of the agent's API.
 
     Attributes:
-        ENDED: Ended by order; instances that were not restarted keep their version.
+        ENDED: Ended on request; instances that were not restarted keep their version.
 
     """
 
@@ -91,7 +91,7 @@
         steps: The instances in the order in which they are restarted.
         reason: Why it is paused, undoing or ended.
         baseline_success_rate: The success rate of the fleet's attempts before the roll, from 0 to 1; None
-            without any.
+            if there were none.
         made_at: When it was planned.
         blocked_since: Since when the floor forbids the next restart; None if it does not.
 
--- a/juniperward/fleet/roll_steps.py
+++ b/juniperward/fleet/roll_steps.py
@@ -29,7 +29,7 @@
 def advance_step(roll: Roll, step: RollStep, fleet: FleetView) -> RollProgress:
     """Return the roll with a step advanced as far as the instance allows, and the orders to the instance."""
     if is_withdrawn(step, fleet):
-        return RollProgress(roll.enter_stage(step, RollStage.SKIPPED, fleet.now, "stopped by order"))
+        return RollProgress(roll.enter_stage(step, RollStage.SKIPPED, fleet.now, "stopped on request"))
     instance = fleet.instances[step.name]
     match step.stage:
         case RollStage.DRAINING:
@@ -95,7 +95,7 @@
 
 
 def _stop(roll: Roll, step: RollStep, instance: Instance, now: float) -> RollProgress:
-    """Begin the start once the process has ended, or has been replaced by one of the right version."""
+    """Start the instance once its process has ended or was replaced by one of the right version."""
     right_version = instance.configuration_version == roll.version_for(step)
     restarted = right_version and instance.started_at > step.stage_since
     if instance.process is None or restarted:
--- a/juniperward/fleet/service.py
+++ b/juniperward/fleet/service.py
@@ -98,7 +98,7 @@
         return Meter(total, latest, samples)
 
     def recent(self, now: float, window_s: float) -> Tally:
-        """Return the attempts finished in the last `window_s` seconds, or since a newer oldest sample."""
+        """Return the attempts finished in the last `window_s` seconds, or since the oldest sample if it is newer."""
         older = [sample for sample in self.samples if now - sample.at >= window_s]
         if older:
             return self.total - older[-1].total
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -49,7 +49,7 @@
 
     def test_a_decoding_error_names_the_place_or_the_version(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{"a":"x"}}}'
-        with pytest.raises(ProtocolError, match=r"body\.counters\.a: int is needed"):
+        with pytest.raises(ProtocolError, match=r"body\.counters\.a: must be int"):
             decode_answer(text, Verb.COUNTERS)
         with pytest.raises(ProtocolError, match="version 2"):
             decode_request(b'{"v":2,"id":1,"verb":"status"}')
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -390,7 +390,7 @@
             fleet.instances[name] = replace(
                 fleet.instances[name], desired_state=DesiredState.STOPPED, stopping_since=fleet.now
             )
-        roll = skip_instance(roll, "n2", "stopped by order")
+        roll = skip_instance(roll, "n2", "stopped on request")
         roll = fleet.run(roll)
         stages = {step.name: step.stage for step in roll.steps}
         assert stages == {"n0": RollStage.SKIPPED, "n1": RollStage.DONE, "n2": RollStage.SKIPPED}
