--- a/juniperward/agent/client.py
+++ b/juniperward/agent/client.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, status: int, text: str) -> None:
-        """Take the HTTP status of the response, and the reason that it gives."""
+        """Keep the HTTP status of the response, and use the reason that it gives as the message."""
         super().__init__(text)
         self.status = status
 
@@ -122,6 +122,7 @@
     """Send one request to several agents in parallel and return their results, in the order of `paths`."""
 
     def request_one(path: Path) -> AgentReply:
+        """Return the result of the request to one agent; a failure becomes a reply with `error`."""
         try:
             return AgentReply(path, request(path, verb, names, timeout_s, **options))
         except AgentUnreachableError as error:
--- a/juniperward/agent/dead_letter_errors.py
+++ b/juniperward/agent/dead_letter_errors.py
@@ -13,7 +13,7 @@
     """A request names more messages than allowed."""
 
     def __init__(self, count: int, limit: int) -> None:
-        """Take the number of ids in the request and the allowed maximum."""
+        """Build the message from the number of ids in the request and the allowed maximum."""
         self.count, self.limit = count, limit
         super().__init__(f"ids: at most {limit} are allowed in one request, not {count}")
 
@@ -30,6 +30,6 @@
     """A settings file does not enable dead letters."""
 
     def __init__(self, file: Path) -> None:
-        """Take the settings file."""
+        """Build the message from the path of the settings file."""
         self.file = file
         super().__init__(f"{file}: dead letters are disabled: the file does not set kept {{ on: true }}")
--- a/juniperward/agent/dead_letter_queries.py
+++ b/juniperward/agent/dead_letter_queries.py
@@ -54,7 +54,7 @@
         redriver: Redriver,
         progress: Callable[[], dict[str, Any]],
     ) -> None:
-        """Use these; `progress` returns what the action `stats` reports about the redriver's thread."""
+        """Set the sources of answers; `progress` returns what `stats` reports about the redriver's thread."""
         self._store, self._fleet, self._redriver = store, fleet, redriver
         self._progress = progress
         self._handlers: dict[str, Callable[[Options], dict[str, Any]]] = {
--- a/juniperward/agent/effects.py
+++ b/juniperward/agent/effects.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSignal:
-    """Send a signal to a process, unless it has exited, even if its pid is in use again."""
+    """Send a signal to a process, unless it has exited; another process with its pid gets none."""
 
     name: str
     process: Process
--- a/juniperward/agent/log.py
+++ b/juniperward/agent/log.py
@@ -16,7 +16,7 @@
 
 
 def configure(as_json: bool | None) -> None:
-    """Log to standard error, as JSON or for people; with None, for people if it is a terminal."""
+    """Log to standard error, as JSON or as text for people; with None, as text only if it is a terminal."""
     if as_json is None:
         as_json = not sys.stderr.isatty()
     renderer: Any = structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer()
--- a/juniperward/agent/processes.py
+++ b/juniperward/agent/processes.py
@@ -1,8 +1,8 @@
 """Starts and identifies the processes of instances, and manages their logs; the processes outlive the agent.
 
-A process is identified by its pid and its start time, as the kernel reuses pids. In the environment of
-an instance's process, the variable JUNIPERWARD_INSTANCE holds a mark for the agent's folder and the instance's name.
-By it an agent finds a process that an earlier agent started but did not record before it was killed.
+A process is identified by its pid and its start time, as the kernel reuses pids. The environment variable
+JUNIPERWARD_INSTANCE of an instance's process holds the path of the agent's folder and the instance's name. With
+it, an agent finds a process that an earlier agent started but did not record before it was killed.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def alive(process: Process) -> bool:
-    """Return whether this very process is running; a zombie is not."""
+    """Return whether the process is running, and not a zombie or another process with its pid."""
     return identify(process.pid) == process
 
 
@@ -67,7 +67,7 @@
 
     Returns `gone` if the process has exited and is not a child of this agent.
     """
-    # Checked first: waitpid still reports a child that exits after this check.
+    # Checked before waitpid, which still reports a child that exits in between.
     running = alive(process)
     try:
         pid, status = os.waitpid(process.pid, os.WNOHANG)
@@ -88,7 +88,7 @@
 
 
 def send_signal(process: Process, number: int) -> bool:
-    """Send a signal to this very process and return whether it was running; never signals a reused pid."""
+    """Send a signal to a process and return whether it was running; never signals a reused pid."""
     try:
         handle = os.pidfd_open(process.pid)
     except OSError:
@@ -129,7 +129,7 @@
 
     Attributes:
         folder: The agent's folder.
-        mark: Identifies this folder in the environment of the processes.
+        mark: The path of the folder, which identifies it in the environment of the processes.
 
     """
 
@@ -166,8 +166,8 @@
             child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "juniperward"],
                 stdin=subprocess.DEVNULL,
-                stdout=log,
                 # A file and not a pipe, as the process outlives the agent.
+                stdout=log,
                 stderr=log,
                 env=environment,
                 start_new_session=True,
--- a/juniperward/agent/reducer/instance_status.py
+++ b/juniperward/agent/reducer/instance_status.py
@@ -21,7 +21,7 @@
         self._random = random.Random(seed)
 
     def answered(self, event: InstanceAnswered) -> None:
-        """Record the status that an instance reports; ignore an answer of an earlier process."""
+        """Record the status that an instance reports; ignore an answer of another process."""
         round_, reading = self._round, event.reading
         instance = round_.state.instances.get(event.name)
         if instance is None or instance.process is None or instance.process.pid != reading.pid:
--- a/juniperward/agent/reducer/rolls.py
+++ b/juniperward/agent/reducer/rolls.py
@@ -1,6 +1,6 @@
 """Advances the active roll and stores each change before its orders are carried out.
 
-If a change cannot be stored, its orders are dropped and the roll is paused in its previous state.
+If a change cannot be stored, its orders are dropped and the roll returns to its previous state, paused.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
         self._round.emit(SaveState(self._round.state.persistent()))
 
     def saved(self, event: StateSaved) -> None:
-        """Carry out the orders of a stored roll; if it could not be stored, return to the roll before."""
+        """Carry out the orders of a stored roll; if it could not be stored, restore the previous one."""
         before = self._round.state
         self._round.state = replace(
             before, saving_roll=False, roll_before_save=None, pending_orders=(), waiting_clients=()
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -1,8 +1,4 @@
-"""A machine simulated in memory that drives the agent's reducer as the agent's loop does.
-
-It can crash the agent before its n-th effect, fail or tear its n-th save, and make processes exit. It asserts that
-an instance never has two processes, and records the least number of ready instances.
-"""
+"""Simulates a machine in memory, with faults, and drives the agent's reducer as the agent's loop does."""
 
 from __future__ import annotations
 
@@ -75,6 +71,9 @@
 class World:
     """The time, the processes and the disk of the machine, and the agent on it.
 
+    It can crash the agent before its n-th effect, fail or tear its n-th save, and make processes exit. It asserts
+    that an instance never has two processes, and records the least number of ready instances.
+
     Attributes:
         effect_count: The effects executed so far; `save_count` counts the saves among them.
         forwarders: The running processes by instance name.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -383,7 +383,7 @@
         assert roll.mode == RollMode.DONE
         assert {instance.configuration_version for instance in fleet.instances.values()} == {"b"}
 
-    def test_an_instance_stopped_by_order_is_skipped(self) -> None:
+    def test_an_instance_stopped_on_request_is_skipped(self) -> None:
         fleet = SimulatedFleet(3)
         roll = fleet.run(fleet.plan(min_ready=0), 0.2)
         for name in ("n0", "n2"):
@@ -411,8 +411,8 @@
         assert RollCommand.DRAIN not in {order.command for order in fleet.orders}
 
     def test_a_roll_completes_if_orders_are_lost_or_repeated_after_a_restart_of_the_agent(self) -> None:
-        # The agent may be killed after it stored a step: then none, half or all (twice) of its orders are
-        # carried out. `case` counts through each step with orders and each of these three outcomes.
+        # The agent is killed after it stored a step, and none, half or all (twice) of the step's orders are
+        # carried out. `case` enumerates the steps that have orders, with these three outcomes for each.
         case = 0
         while True:
             fleet = SimulatedFleet(3)
