--- a/juniperward/settings/checker.py
+++ b/juniperward/settings/checker.py
@@ -1,6 +1,6 @@
 """Checks a parsed settings file and converts it to `FleetSettings`; called by `load`.
 
-`redrive_checker` and `instance_checker` do so for the parts `kept` and `instance`.
+`redrive_checker` checks and converts the part `kept`, `instance_checker` the parts `instance`.
 """
 
 from __future__ import annotations
--- a/juniperward/settings/configuration_versions.py
+++ b/juniperward/settings/configuration_versions.py
@@ -14,16 +14,17 @@
 
 from juniperward.settings.load import FleetSettings
 
-MAX_RECENT_VERSIONS = 8  # the newest ones, retained even if unused
+# The newest versions are retained even if no instance or roll uses them.
+MAX_RECENT_VERSIONS = 8
 VERSION_DIGITS = 10
-FOLDER_MODE = 0o700
+PRIVATE_FOLDER_MODE = 0o700
 
 
 class SavedVersionError(ValueError):
     """A saved configuration is not a JSON object."""
 
     def __init__(self, version: str, instance: str) -> None:
-        """Take the version and the instance."""
+        """Build the message from the version and the name of the instance."""
         super().__init__(f"configuration version {version}: {instance}.json must be a JSON object")
 
 
@@ -57,7 +58,7 @@
         target = self.folder / name
         if not target.is_dir():
             temporary = self.folder / f".{name}.{os.getpid()}"
-            temporary.mkdir(mode=FOLDER_MODE, parents=True)
+            temporary.mkdir(mode=PRIVATE_FOLDER_MODE, parents=True)
             for instance in settings.instances:
                 text = json.dumps(instance.config, indent=1, sort_keys=True)
                 (temporary / f"{instance.name}.json").write_text(text)
--- a/juniperward/settings/instance_checker.py
+++ b/juniperward/settings/instance_checker.py
@@ -74,7 +74,8 @@
             "control": str(control),
             **self._spool(given.name),
         }
-        config.setdefault("known", dict(EMPTY_ENDPOINT_LIST))  # used until discovery sends a list
+        # The endpoint list that the forwarder uses until discovery sends one.
+        config.setdefault("known", dict(EMPTY_ENDPOINT_LIST))
         return InstanceSettings(given.name, given.listen, state, control, given.stopped, config)
 
     def _spool(self, name: str) -> dict[str, Any]:
--- a/juniperward/settings/redrive_checker.py
+++ b/juniperward/settings/redrive_checker.py
@@ -34,7 +34,7 @@
 def redrive_settings(
     faults: FaultCollector, given: fleet_pb2.Kept, deadlines_s: Mapping[str, float]
 ) -> RedriveSettings:
-    """Return the settings of redrives; `deadlines_s` limits the time of a redrive by its message class."""
+    """Return the settings of redrives; `deadlines_s` limits the duration of redrives by message class."""
     values = checked_numbers(faults, "kept", given)
     rate = checked_numbers(faults, "kept.pace", given.pace)
     rules = tuple(_rule(faults, number, rule) for number, rule in enumerate(given.rule))
--- a/juniperward/settings/value_checks.py
+++ b/juniperward/settings/value_checks.py
@@ -11,7 +11,7 @@
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,31}")
 NAME_RULE = "must be 1 to 32 letters, digits, '-' or '_', and begin with a letter or a digit"
-MAX_SOCKET_PATH_BYTES = 107  # the limit of Linux, without the terminating zero
+MAX_SOCKET_PATH_BYTES = 107  # Linux: sockaddr_un.sun_path without its terminating null byte
 MAX_PORT = 65535
 FRACTION_KEYS = frozenset({"jitter", "soak_share", "fall", "cut", "share_of_rate", "share_of_slots"})
 NONZERO_KEYS = frozenset({"at_once", "first", "start", "stop", "silent", "crashes", "window"})
