--- a/juniperward/dead_letters/outcome.py
+++ b/juniperward/dead_letters/outcome.py
@@ -7,16 +7,23 @@
 
 
 class RedriveResult(StrEnum):
-    """The result of a redrive; the values are those of the control channel, the spool and the store."""
+    """The result of a redrive; the values are those of the control channel, the spool and the store.
 
-    PENDING = "held"  # accepted by the forwarder and not yet decided
-    UNKNOWN = "unknown"  # the forwarder never accepted it or no longer knows its outcome
+    Attributes:
+        PENDING: the forwarder accepted the redrive and has not decided it yet.
+        UNKNOWN: the forwarder never accepted the redrive or no longer knows its outcome.
+        REJECTED: the forwarder rejected the redrive when it was submitted.
+        SETTLED: an operator stated the outcome.
+    """
+
+    PENDING = "held"
+    UNKNOWN = "unknown"
     DELIVERED = "delivered"
     UNDELIVERABLE = "undeliverable"
     DEFERRED = "deferred"
-    REJECTED = "refused"  # by the forwarder, at its submission
+    REJECTED = "refused"
     NEVER_ACCEPTED = "never taken"
-    SETTLED = "settled"  # by an operator
+    SETTLED = "settled"
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -36,10 +36,15 @@
 
 
 class SendResult(Enum):
-    """The result of submitting one candidate."""
+    """The result of submitting one candidate.
 
-    BEGUN = auto()  # accepted, possibly accepted, or no longer eligible
-    REJECTED = auto()  # by the forwarder; ends this round for the destination
+    Attributes:
+        BEGUN: the forwarder accepted it or may have, or it was no longer eligible.
+        REJECTED: the forwarder rejected it or was not reached, which ends this round for the destination.
+    """
+
+    BEGUN = auto()
+    REJECTED = auto()
     NO_FORWARDER = auto()
 
 
