--- a/juniperward/agent/dead_letter_service.py
+++ b/juniperward/agent/dead_letter_service.py
@@ -19,7 +19,8 @@
 SWEEP_INTERVAL_S = 60.0
 ERROR_RETRY_DELAY_S = 1.0
 
-LogFunction = Callable[[str, str, dict[str, Any]], None]  # event, level, fields
+# Takes the event, the level and the fields.
+LogFunction = Callable[[str, str, dict[str, Any]], None]
 
 
 def _log_nothing(event: str, level: str, fields: dict[str, Any]) -> None:
--- a/juniperward/agent/queries.py
+++ b/juniperward/agent/queries.py
@@ -204,7 +204,7 @@
         return None
 
     def _inspect(self, request: ApiRequest) -> ApiResponse:
-        """Poll an instance; `unanswered` has the request that failed, after which no other was sent."""
+        """Poll an instance; `unanswered` has the first request that failed, which ends the poll."""
         rejected = self._name_error(request)
         if rejected is not None:
             return rejected
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -94,7 +94,8 @@
             assert stat.S_IMODE(self.path.parent.stat().st_mode) == 0o700
             with pytest.raises(ControlSocketError, match="another process listens"):
                 open_socket(self.path)
-        open_socket(self.path).close()  # replaces the socket of a process that was killed
+        # The first socket is closed but its file remains, as after the process was killed: it is replaced.
+        open_socket(self.path).close()
         self.path.parent.chmod(0o755)
         with pytest.raises(ControlSocketError, match="mode 0700"):
             open_socket(self.path)
