--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -49,7 +49,7 @@
 
     def test_a_decoding_error_names_the_place_or_the_version(self) -> None:
         text = b'{"v":1,"id":1,"ok":true,"body":{"counters":{"a":"x"}}}'
-        with pytest.raises(ProtocolError, match=r"body\.counters\.a: int is needed"):
+        with pytest.raises(ProtocolError, match=r"body\.counters\.a: must be int"):
             decode_answer(text, Verb.COUNTERS)
         with pytest.raises(ProtocolError, match="version 2"):
             decode_request(b'{"v":2,"id":1,"verb":"status"}')
@@ -94,7 +94,8 @@
             assert stat.S_IMODE(self.path.parent.stat().st_mode) == 0o700
             with pytest.raises(ControlSocketError, match="another process listens"):
                 open_socket(self.path)
-        open_socket(self.path).close()  # replaces the socket of a process that was killed
+        # The first socket is closed but its file remains, as after the process was killed: it is replaced.
+        open_socket(self.path).close()
         self.path.parent.chmod(0o755)
         with pytest.raises(ControlSocketError, match="mode 0700"):
             open_socket(self.path)
