--- a/juniperward/scheduler/actions.py
+++ b/juniperward/scheduler/actions.py
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationEjected:
-    """Log that a route of a destination was ejected: until it recovers it gets trial calls only."""
+    """Log that a route of a destination was ejected: it gets only trial calls until it recovers."""
 
     destination: int
     reason: EjectionReason
--- a/juniperward/scheduler/admission.py
+++ b/juniperward/scheduler/admission.py
@@ -83,7 +83,7 @@
         return self._quotas[tenant].take(self._now)
 
     def _give_up_at(self, message: Message) -> float:
-        last_useful_at = message.expires_at - self._latency.minimum_useful_s(message.destination)
+        last_useful_at = message.expires_at - self._latency.min_useful_s(message.destination)
         return max(last_useful_at, min(message.attempt_until, message.expires_at))
 
     def _expire(self, message: Message) -> None:
--- a/juniperward/scheduler/backlog.py
+++ b/juniperward/scheduler/backlog.py
@@ -1,6 +1,6 @@
 """The messages that a scheduler holds, the calls in flight for them, and the round-robin ring.
 
-This module only keeps records. The parts of the scheduler decide which message is sent or ends, and
+It keeps them consistent with each other. Its callers decide which message is sent or ends, and
 message_order.py sets the order.
 """
 
@@ -22,7 +22,7 @@
     Attributes:
         messages: all messages by id.
         open_count: how many of them have no final answer yet.
-        in_flight: calls by serial, at most one for each slot.
+        in_flight: calls by serial, each of which uses one slot.
     """
 
     def __init__(self, round_: Round) -> None:
@@ -109,7 +109,7 @@
         attempt.endpoint.destination.slots_in_use += 1
 
     def cancel(self, attempt: BatchAttempt) -> None:
-        """Cancel a call, that is the attempt of each of its messages; their outcomes are still reported."""
+        """Cancel the attempt of each message of a call; the outcomes of these attempts are still reported."""
         attempt.cancelled = True
         for message_id in sorted(attempt.message_ids):
             for number, other in self.messages[message_id].in_flight.items():
--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -72,7 +72,7 @@
         if message.idempotency is Idempotency.IDEMPOTENCY_KEY:
             start_within_s = retry_until(message) - self._now
         if in_shared_call:
-            minimum_s = self._latency.shared_call_minimum_s(message.destination)
+            minimum_s = self._latency.min_shared_call_s(message.destination)
             start_within_s = min(start_within_s, message.expires_at - minimum_s - self._now)
         timeout_s = max(message.expires_at - self._now, self._settings.timer_resolution_s)
         self._act(StartAttempt(message.id, attempt.endpoint.id, timeout_s, start_within_s, attempt.serial))
@@ -83,11 +83,12 @@
 
         A call ends at the earliest deadline of its messages, so each must have enough time left.
         """
-        needed_until = self._now + self._latency.shared_call_minimum_s(endpoint.destination)
+        needed_until = self._now + self._latency.min_shared_call_s(endpoint.destination)
         if endpoint.route.ejected or head.expires_at <= needed_until:
             return []
 
         def fits(message: Message) -> bool:
+            """Return whether a message has enough time left and may share the call."""
             return message.expires_at > needed_until and self._may_share_call(message, endpoint)
 
         limit = self._settings.kind(endpoint.kind).batch_size - 1
--- a/juniperward/scheduler/deficit_round_robin.py
+++ b/juniperward/scheduler/deficit_round_robin.py
@@ -1,4 +1,4 @@
-"""Deficit round robin over destinations, charged by slot time. Interface: events.py and actions.py."""
+"""Deficit round robin over destinations, charged by slot time (interface: events.py and actions.py)."""
 
 from juniperward.scheduler.batching import Batching
 from juniperward.scheduler.overdue_calls import OverdueCalls
@@ -32,11 +32,12 @@
             elif len(self._backlog.in_flight) >= self._settings.slots:
                 self._overdue_calls.free_slot()
                 return
-            elif not may_retry(head, self._now):  # it may have become unsafe to repeat while queued
+            elif not may_retry(head, self._now):
+                # The deduplication window may have ended while the message was queued.
                 self._routing.give_up(head)
             elif self._serve(destination, head):
                 consecutive_blocked = 0
-            elif not destination.closed:
+            elif not destination.unavailable:
                 consecutive_blocked += 1
 
     def _serve(self, destination: Destination, head: Message) -> bool:
@@ -44,7 +45,8 @@
         ring = self._backlog.ring
         latency = self._latency
         choice = self._routing.choose(destination, head)
-        if choice is None and destination.closed:  # a timer or an event puts it back on the ring
+        if choice is None and destination.unavailable:
+            # A timer or an event puts the destination back on the ring.
             ring.drop_current(deficit_s=latency.max_objective_s + latency.quantum_s)
             return False
         if choice is not None:
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -119,7 +119,7 @@
         message_ended: the message needs no further attempt, as it has its final answer.
         no_slot_free: the attempt was not sent because all slots were in use; not used in any decision.
         capacity_left: unused fraction of the reported limit.
-        connection_table_full: the connection failed because the endpoint, which runs, accepts no more.
+        connection_table_full: the endpoint is up, but refused the connection as it accepts no further ones.
     """
 
     message: int
--- a/juniperward/scheduler/latency.py
+++ b/juniperward/scheduler/latency.py
@@ -47,7 +47,7 @@
         """Return whether the mean latency of a destination is far above its baseline."""
         return (destination.mean_latency_s or 0.0) > tuning.SLOW_FACTOR * destination.baseline_latency_s
 
-    def minimum_useful_s(self, destination: Destination) -> float:
+    def min_useful_s(self, destination: Destination) -> float:
         """Return the seconds that a message must have left for another attempt to be useful."""
         if destination.mean_latency_s is None:
             return tuning.MIN_USEFUL_TIMER_STEPS * self._resolution_s
@@ -60,7 +60,7 @@
         overdue_s = max(tuning.MIN_OVERDUE_S, tuning.OVERDUE_FACTOR * destination.mean_latency_s)
         return min(overdue_s, self.max_objective_s)
 
-    def shared_call_minimum_s(self, destination: Destination) -> float:
+    def min_shared_call_s(self, destination: Destination) -> float:
         """Return the seconds that each message of a shared call must have left.
 
         The call ends when the time of any of its messages is over.
--- a/juniperward/scheduler/message_order.py
+++ b/juniperward/scheduler/message_order.py
@@ -36,7 +36,7 @@
             self._keys.setdefault(message.ordering_key, OrderedKey()).queue.append(message)
 
     def eligible_at(self, message: Message) -> float:
-        """Return when a message may be sent; infinity while an earlier one of its key is unfinished.
+        """Return when a message may be sent; infinity while an earlier one of its ordering key is unfinished.
 
         The cooldown of a key delays only first attempts of its messages.
         """
@@ -48,7 +48,7 @@
         return key.cooldown_until if not message.attempts else -math.inf
 
     def begin_cooldown(self, message: Message, cooldown_s: float) -> None:
-        """Hold back the next message of the key, as an attempt of this one may still be running."""
+        """Delay the next message of the ordering key, as an attempt of this one may still be running."""
         if message.ordering_key is not None:
             self._keys[message.ordering_key].cooldown_until = self._round.now + cooldown_s
 
--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -1,7 +1,7 @@
 """The records that a scheduler keeps of messages, attempts, endpoints and destinations.
 
-They hold data and its bookkeeping; the parts of the scheduler make the decisions. Times (`_at`, `_since`,
-`_until`) are seconds of the caller's monotonic clock, rates are in calls a second.
+They hold data without decisions: when and where a message is sent is decided elsewhere. Times
+(`_at`, `_since`, `_until`) are seconds of the caller's monotonic clock, rates are in calls a second.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
         in_flight: the attempts in flight, by attempt number.
         possibly_executed: when the attempts that may have been executed were sent, by attempt number.
         zone: the zone of the first attempt that may have been executed, or UNKNOWN_ZONE.
-        attempt_until: the message is not given up before this time while it has surely not been executed.
+        attempt_until: a message with attempts left, which has surely not been executed, is not given up
+            before this time.
         never_attempted: whether the message was restored after a restart and has had no attempt.
     """
 
@@ -141,7 +142,7 @@
         self.is_ready = phase is EndpointPhase.READY
 
     def record_result(self, answered: bool, remembered: int) -> None:
-        """Add the result of a call to the `remembered` latest ones."""
+        """Add the result of a call, and keep the latest `remembered` results."""
         self.recent_results = (*self.recent_results, answered)[-remembered:]
 
     def consecutive_failures(self) -> int:
@@ -174,9 +175,10 @@
         mean_latency_s: the running mean of the latency; None before the first delivery.
         baseline_latency_s: a slower running mean of the latency; 0 before the first delivery.
         wake_at: when the destination is next put on the ring.
-        listed_rate: the calls a second that all forwarders together may make, by the endpoint list.
-        closed: whether no endpoint was open at the latest check. A closed destination stays off the ring
-            until an event or a timer.
+        listed_rate: the calls a second that all forwarders together may make, by the endpoint list; 0 if it
+            names no rate.
+        unavailable: whether no endpoint could be called at the latest check. Such a destination stays off the
+            ring until an event or a timer puts it back.
         endpoint_order: the endpoints as a list, for random samples.
         recently_called: the endpoints that were called recently, the least recent first.
     """
@@ -195,7 +197,7 @@
     listed_rate: float = 0.0
     last_used_at: float = 0.0
     idle_check_scheduled: bool = False
-    closed: bool = False
+    unavailable: bool = False
     endpoint_order: list[Endpoint] = field(default_factory=list)
     recently_called: dict[int, Endpoint] = field(default_factory=dict)
 
--- a/juniperward/scheduler/retries.py
+++ b/juniperward/scheduler/retries.py
@@ -66,7 +66,7 @@
 
     def after_attempt(self, message: Message, finished: AttemptFinished) -> None:
         """Retry after a backoff if that is safe and in time; otherwise give the message up."""
-        last_useful_at = message.expires_at - self._latency.minimum_useful_s(message.destination)
+        last_useful_at = message.expires_at - self._latency.min_useful_s(message.destination)
         too_late = last_useful_at <= self._now and may_give_up(message, self._now)
         if self._give_up_unless_possible(message, too_late):
             self._backlog.enqueue_at(message, self._now + self._backoff_s(message, finished))
--- a/juniperward/scheduler/round_robin_ring.py
+++ b/juniperward/scheduler/round_robin_ring.py
@@ -8,7 +8,7 @@
 
 
 class RoundRobinRing:
-    """The destinations that have a queued message and are not closed.
+    """The destinations that have a queued message and are not marked unavailable.
 
     The backlog adds destinations. The deficit round robin advances the ring and drops destinations from it.
     """
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -26,10 +26,10 @@
 
 
 class Availability(NamedTuple):
-    """The endpoints that may be called now, and when the next one may; infinity until an event opens one."""
+    """The endpoints that may be called now, and when the first one may; infinity until an event."""
 
-    open_endpoints: list[Endpoint]
-    next_open_at: float
+    available_endpoints: list[Endpoint]
+    next_available_at: float
 
 
 class Routing(SchedulerPart):
@@ -53,23 +53,23 @@
     def choose(self, destination: Destination, head: Message) -> Choice | None:
         """Return a message to send now and its endpoint; None if no slot or endpoint is free.
 
-        A destination without an open endpoint is marked `closed`.
+        A destination without an endpoint that may be called now is marked `unavailable`.
         """
         ejected = self._is_ejected(destination)
-        destination.closed = False
+        destination.unavailable = False
         if not self._has_free_slot(destination, ejected):
             return None
         availability = self._availability(destination)
-        if not availability.open_endpoints:
-            self._close(destination, head, ejected, availability.next_open_at)
+        if not availability.available_endpoints:
+            self._mark_unavailable(destination, head, ejected, availability.next_available_at)
             return None
         message: Message | None = head
-        first = availability.open_endpoints[0]
+        first = availability.available_endpoints[0]
         if first.route.ejected or first.unhealthy:
             message = self._message_for_trial(head, first)
         if message is None:
             return None
-        return self._choose_endpoint(message, availability.open_endpoints)
+        return self._choose_endpoint(message, availability.available_endpoints)
 
     def opens_at(self, endpoint: Endpoint) -> float:
         """Return when an endpoint may be called, by Retry-After, rate limit, trials and slow start."""
@@ -99,7 +99,7 @@
         slots = self._settings.slots
         fraction = tuning.HEALTHY_SLOT_FRACTION
         if ejected or self._latency.is_slow(destination):
-            fraction = tuning.EJECTED_SLOT_FRACTION
+            fraction = tuning.SLOW_OR_EJECTED_SLOT_FRACTION
         if destination.slots_in_use >= max(1, int(fraction * slots)):
             return False
         if not ejected:
@@ -110,26 +110,26 @@
         return trial_count < max(1, int(tuning.TRIAL_SLOT_FRACTION * slots))
 
     def _availability(self, destination: Destination) -> Availability:
-        """Return which endpoints of a sample are open, or of all endpoints if none of the sample is."""
+        """Return which endpoints of a sample are available, or of all endpoints if none of the sample is."""
         sample = self._sample(destination)
         availability = self._availability_of(sample)
-        if availability.open_endpoints or sample is destination.endpoint_order:
+        if availability.available_endpoints or sample is destination.endpoint_order:
             return availability
         return self._availability_of(destination.endpoint_order)
 
     def _availability_of(self, endpoints: Iterable[Endpoint]) -> Availability:
         latest = self._now + TIME_EPSILON_S
-        open_endpoints: list[Endpoint] = []
-        next_open_at = math.inf
+        available_endpoints: list[Endpoint] = []
+        next_available_at = math.inf
         for endpoint in endpoints:
             if not endpoint.is_ready:
                 continue
             opens_at = self.opens_at(endpoint)
             if opens_at <= latest:
-                open_endpoints.append(endpoint)
-            if opens_at < next_open_at:
-                next_open_at = opens_at
-        return Availability(open_endpoints, next_open_at)
+                available_endpoints.append(endpoint)
+            if opens_at < next_available_at:
+                next_available_at = opens_at
+        return Availability(available_endpoints, next_available_at)
 
     def _sample(self, destination: Destination) -> Iterable[Endpoint]:
         """Return all endpoints, or if there are many the recently called ones and some random ones.
@@ -143,15 +143,18 @@
         drawn = self._random.choices(destination.endpoint_order, k=tuning.ENDPOINT_SAMPLE_SIZE)
         return (destination.recently_called | {endpoint.id: endpoint for endpoint in drawn}).values()
 
-    def _close(self, destination: Destination, head: Message, ejected: bool, next_open_at: float) -> None:
-        destination.closed = True
-        wake_at = next_open_at
-        last_useful_at = head.expires_at - self._latency.minimum_useful_s(destination)
-        if ejected and self._now < last_useful_at < next_open_at < math.inf:
+    def _mark_unavailable(
+        self, destination: Destination, head: Message, ejected: bool, next_available_at: float
+    ) -> None:
+        destination.unavailable = True
+        wake_at = next_available_at
+        last_useful_at = head.expires_at - self._latency.min_useful_s(destination)
+        if ejected and self._now < last_useful_at < next_available_at < math.inf:
             if may_give_up(head, self._now):
-                # It cannot be delivered in time: answer it now, so that it no longer counts in `max_open`.
+                # The message cannot be delivered in time. Answer it now, so that it does not count in
+                # `max_open` any more.
                 self.give_up(head)
-                destination.closed = False
+                destination.unavailable = False
             wake_at = min(wake_at, max(head.attempt_until, self._now))
         self._backlog.make_ready_at(destination, wake_at)
 
--- a/juniperward/scheduler/scheduler_part.py
+++ b/juniperward/scheduler/scheduler_part.py
@@ -14,7 +14,8 @@
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.traffic import TrafficEstimates, is_large_fleet
 
-GiveUp = Callable[[Message], None]  # answers a message that is not delivered, and ends it
+# Answers a message that will not be delivered, and ends it.
+GiveUp = Callable[[Message], None]
 
 
 class SchedulerState:
@@ -48,7 +49,8 @@
         self._table = state.table
         self._latency = state.latency
         self._traffic = state.traffic
-        self._now = 0.0  # copied into each part every round, because parts read it very often
+        # A copy of the round's time: a property would be slower, and parts read it very often.
+        self._now = 0.0
         state.parts.append(self)
 
     @property
--- a/juniperward/scheduler/settings_codec.py
+++ b/juniperward/scheduler/settings_codec.py
@@ -20,7 +20,8 @@
 )
 
 S_PER_MS = 0.001
-ROUGH_RATE_ERROR_FRACTION = 0.5  # error of listed rates when `Weights` is "rough"
+# The error of listed rates if `Weights` is "rough".
+ROUGH_RATE_ERROR_FRACTION = 0.5
 Member = TypeVar("Member", bound=Enum)
 
 # The key of each validated field, for error messages.
--- a/juniperward/scheduler/tuning.py
+++ b/juniperward/scheduler/tuning.py
@@ -11,8 +11,8 @@
 QUANTUM_OBJECTIVE_FRACTION = 0.25
 # The largest fraction of the slots that one healthy destination may occupy.
 HEALTHY_SLOT_FRACTION = 0.75
-# The same for a destination that is slow or ejected.
-EJECTED_SLOT_FRACTION = 0.5
+# The largest fraction of the slots that one slow or ejected destination may occupy.
+SLOW_OR_EJECTED_SLOT_FRACTION = 0.5
 # The largest fraction of the slots that trials of all ejected destinations may occupy together.
 TRIAL_SLOT_FRACTION = 0.25
 # What was learned of a destination is dropped after this time without calls.
@@ -23,7 +23,8 @@
 
 # Admission and retries
 
-# A message that has surely not been executed is not given up before this fraction of its time has passed.
+# A message with attempts left, which has surely not been executed, is not given up before this fraction of
+# its time has passed.
 MIN_ATTEMPT_TIME_FRACTION = 0.7
 # Load is shed above this fraction of `max_open`, so that the caller does not have to reject messages itself.
 LOAD_SHEDDING_FRACTION = 0.95
@@ -66,7 +67,8 @@
 QUOTA_FLOOR_FRACTION = 0.9
 # The growth of a rate limit with a known quota at each interval, as a fraction of the quota.
 QUOTA_STEP_FRACTION = 0.2
-# The same in a large fleet, directly after a cut; it doubles with each second since the cut.
+# That growth in a large fleet, directly after a cut, as a fraction of the quota. It doubles with each second
+# since the cut.
 CAUTIOUS_QUOTA_STEP_FRACTION = 0.02
 # A rate limit allows at least this number of calls within the shortest deadline.
 MIN_CALLS_PER_DEADLINE = 2.0
@@ -110,7 +112,8 @@
 UNRESPONSIVE_OVERDUE_CALLS = 2
 # A call that later calls overtook is cancelled after this multiple of the overdue time.
 LOST_CALL_FACTOR = 2.0
-# A call whose message then fails is cancelled to free a slot only after this multiple of the overdue time.
+# A call with a message that may not be retried is cancelled only after this multiple of the overdue time, to
+# free a slot. The message then fails.
 LAST_RESORT_FACTOR = 3.0
 # After a delivery within this number of overload spans, a large fleet does not take a failure for an outage.
 RECENT_DELIVERY_SPANS = 2.0
--- a/juniperward/simulator_adapter/wire.py
+++ b/juniperward/simulator_adapter/wire.py
@@ -39,10 +39,13 @@
 from juniperward.scheduler.settings_codec import S_PER_MS
 from juniperward.simulator_adapter.errors import UnknownEventError
 
-Fields = dict[str, Any]  # the fields of an encoded object, or the object itself
-Catalogs = dict[int, tuple[EndpointEntry, ...]]  # endpoint lists by the number of their catalog
+# The fields of an encoded object, or the object itself.
+Fields = dict[str, Any]
+# Endpoint lists by the number of their catalog.
+Catalogs = dict[int, tuple[EndpointEntry, ...]]
 
-WAIT_MS_NO_SLOT_FREE = 1  # the `WaitMs` of an attempt that was not sent because all slots were in use
+# The `WaitMs` of an attempt that was not sent because all slots were in use.
+WAIT_MS_NO_SLOT_FREE = 1
 EJECTION_NOTES = {
     EjectionReason.FAILING: "failing",
     EjectionReason.UNRESPONSIVE: "silent",
@@ -100,7 +103,8 @@
         case "Probed":
             event = _decode_health_check(fields)
         case "Whisper":
-            pass  # a message of another forwarder; forwarders exchange none
+            # A message from another forwarder: the scheduler does not use them.
+            pass
         case _:
             raise UnknownEventError(name)
     return event
