--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -71,21 +71,21 @@
             return None
         return self._choose_endpoint(message, availability.available_endpoints)
 
-    def opens_at(self, endpoint: Endpoint) -> float:
+    def available_at(self, endpoint: Endpoint) -> float:
         """Return when an endpoint may be called, by Retry-After, rate limit, trials and slow start."""
         route = endpoint.route
         if route.ejected and self._large_fleet:
             self._stagger_missed_trial(route)
         spaced_at = route.last_call_at + self._batching.call_spacing_s(endpoint)
-        opens_at = max(route.retry_after_until, spaced_at)
+        available_at = max(route.retry_after_until, spaced_at)
         limited = route.rate_limit is not None or route.slow_start_since is not None
         if route.ejected or limited or route.staggered:
-            opens_at = max(opens_at, route.next_call_at)
+            available_at = max(available_at, route.next_call_at)
         if endpoint.in_flight and self._awaits_outcome(endpoint):
             return math.inf
         if endpoint.unhealthy and not route.ejected:
-            return max(opens_at, endpoint.next_trial_at)
-        return opens_at
+            return max(available_at, endpoint.next_trial_at)
+        return available_at
 
     def _choose_endpoint(self, message: Message, endpoints: list[Endpoint]) -> Choice | None:
         suitable = [endpoint for endpoint in endpoints if self._suits(endpoint, message)]
@@ -124,11 +124,11 @@
         for endpoint in endpoints:
             if not endpoint.is_ready:
                 continue
-            opens_at = self.opens_at(endpoint)
-            if opens_at <= latest:
+            available_at = self.available_at(endpoint)
+            if available_at <= latest:
                 available_endpoints.append(endpoint)
-            if opens_at < next_available_at:
-                next_available_at = opens_at
+            if available_at < next_available_at:
+                next_available_at = available_at
         return Availability(available_endpoints, next_available_at)
 
     def _sample(self, destination: Destination) -> Iterable[Endpoint]:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -44,15 +44,15 @@
 class CountingRouting(Routing):
     """Counts the destinations and endpoints that are examined."""
 
-    choose_calls = opens_at_calls = 0
+    choose_calls = available_at_calls = 0
 
     def choose(self, destination: Destination, head: Message) -> Choice | None:
         self.choose_calls += 1
         return super().choose(destination, head)
 
-    def opens_at(self, endpoint: Endpoint) -> float:
-        self.opens_at_calls += 1
-        return super().opens_at(endpoint)
+    def available_at(self, endpoint: Endpoint) -> float:
+        self.available_at_calls += 1
+        return super().available_at(endpoint)
 
 
 class CountingScheduler(DeliveryScheduler):
@@ -72,12 +72,14 @@
         for d in self.state.table.destinations.values():
             if not d.queue or d.on_ring:
                 continue
-            opens = [self.routing.opens_at(ep) for ep in d.endpoint_order if ep.phase is EndpointPhase.READY]
+            opens = [
+                self.routing.available_at(ep) for ep in d.endpoint_order if ep.phase is EndpointPhase.READY
+            ]
             at = min(opens, default=math.inf)
-            assert at > now, f"destination {d.id} is open but not on the ring"
+            assert at > now, f"destination {d.id} is available but not on the ring"
             scheduled = timers.pending(backlog.make_ready)
             woken = any(timer.arguments == (d,) and timer.at <= at + 1e-6 for timer in scheduled)
-            assert at == math.inf or woken, f"destination {d.id} opens at {at}, but no timer wakes it"
+            assert at == math.inf or woken, f"destination {d.id} is available at {at}, but no timer wakes it"
             assert at < math.inf or d.slots_in_use or not opens, f"destination {d.id} waits for no event"
         return actions
 
@@ -165,7 +167,7 @@
                     scheduler.handle(
                         1.0 + n / 100, [AttemptFinished(number, 0, endpoint, Outcome.OK, 0.1, True)]
                     )
-            examined_per_release[endpoints] = scheduler.routing.opens_at_calls / 200
+            examined_per_release[endpoints] = scheduler.routing.available_at_calls / 200
             # Concurrent calls go to different endpoints.
             used = {m.last_endpoint for m in scheduler.state.backlog.messages.values()}
             self.assertEqual(len(used), len(scheduler.state.backlog.messages))
