--- a/juniperward/scheduler/batching.py
+++ b/juniperward/scheduler/batching.py
@@ -40,7 +40,7 @@
         quota = self._traffic.rate_quota(destination, route)
         if quota <= 0:
             return 0.0
-        if destination.listed_rate <= 0:
+        if destination.listed_rate_per_s <= 0:
             return min(tuning.CALL_SPACING_FACTOR / quota, self._reported_max_spacing_s)
         max_s = self._listed_max_spacing_s
         if self._settings.kind(endpoint.kind).batch_size > 1:
--- a/juniperward/scheduler/endpoint_table.py
+++ b/juniperward/scheduler/endpoint_table.py
@@ -17,7 +17,7 @@
     """Destinations and endpoints by number.
 
     Attributes:
-        listed_rate_total: the sum of the listed rates of all destinations.
+        total_listed_rate_per_s: the sum of the listed rates of all destinations.
     """
 
     def __init__(self, round_: Round) -> None:
@@ -25,7 +25,7 @@
         self._round = round_
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.listed_rate_total = 0.0
+        self.total_listed_rate_per_s = 0.0
 
     def destination(self, number: int) -> Destination:
         """Return the destination with a number; it is created if it does not exist."""
@@ -50,7 +50,7 @@
 
     def remove_destination(self, destination: Destination) -> None:
         """Remove a destination, and subtract its listed rate from the total."""
-        self.listed_rate_total -= destination.listed_rate
+        self.total_listed_rate_per_s -= destination.listed_rate_per_s
         del self.destinations[destination.id]
 
     def _apply_entry(self, entry: EndpointEntry) -> Destination:
@@ -59,9 +59,9 @@
         if endpoint is None:
             endpoint = self._create(entry, destination)
         endpoint.set_phase(entry.phase)
-        if self._round.settings.rates_listed and 0 < entry.listed_rate < math.inf:
-            self.listed_rate_total += entry.listed_rate - destination.listed_rate
-            destination.listed_rate = entry.listed_rate
+        if self._round.settings.rates_listed and 0 < entry.listed_rate_per_s < math.inf:
+            self.total_listed_rate_per_s += entry.listed_rate_per_s - destination.listed_rate_per_s
+            destination.listed_rate_per_s = entry.listed_rate_per_s
         return destination
 
     def _create(self, entry: EndpointEntry, destination: Destination) -> Endpoint:
--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -57,7 +57,7 @@
     """One entry of the endpoint list.
 
     Attributes:
-        listed_rate: calls per second that all forwarders together may make; 0 if the list names no rate.
+        listed_rate_per_s: calls that all forwarders together may make; 0 if the list names no rate.
     """
 
     endpoint: int
@@ -65,7 +65,7 @@
     phase: EndpointPhase = EndpointPhase.READY
     kind: int = 0
     zone: int = 0
-    listed_rate: float = 0.0
+    listed_rate_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/scheduler/outlier_detection.py
+++ b/juniperward/scheduler/outlier_detection.py
@@ -107,7 +107,7 @@
         route = endpoint.route
         if route.reported_limit_per_s > 0:
             return self._rate_limits.has_capacity_left(route)
-        return route.first_delivery_at is not None or not endpoint.destination.listed_rate
+        return route.first_delivery_at is not None or not endpoint.destination.listed_rate_per_s
 
     def _record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
         endpoint.record_result(answered=False, remembered=tuning.FAILURE_WINDOW_CALLS)
--- a/juniperward/scheduler/rate_limits.py
+++ b/juniperward/scheduler/rate_limits.py
@@ -17,11 +17,11 @@
     """The change of a rate limit after an interval without rejections.
 
     Attributes:
-        raise_by: the increase, in calls a second.
+        raise_by_per_s: the increase of the limit.
         lifted: whether the limit is removed.
     """
 
-    raise_by: float
+    raise_by_per_s: float
     lifted: bool = False
 
 
@@ -63,20 +63,20 @@
 
     def start_limit(self, destination: Destination, route: RouteState, limit: float) -> None:
         """Set the limit of a route that had none, and schedule its first raise."""
-        route.rate_limit = limit
+        route.rate_limit_per_s = limit
         self._raise_later(destination, route)
 
     def raise_limit(self, destination: Destination, route: RouteState) -> None:
         """Raise a limit after an interval without rejections, or remove it if it no longer binds."""
-        if route.rate_limit is None or self._now < route.rate_limit_raise_at - TIME_EPSILON_S:
+        if route.rate_limit_per_s is None or self._now < route.rate_limit_raise_at - TIME_EPSILON_S:
             return
         if not route.consecutive_rejections:
-            change = self._next_change(destination, route, route.rate_limit)
+            change = self._next_change(destination, route, route.rate_limit_per_s)
             if change.lifted:
-                route.rate_limit = None
+                route.rate_limit_per_s = None
                 self._backlog.make_ready(destination)
                 return
-            route.rate_limit += change.raise_by
+            route.rate_limit_per_s += change.raise_by_per_s
         self._raise_later(destination, route)
 
     def _is_outage(self, route: RouteState) -> bool:
@@ -86,7 +86,7 @@
 
     def _cut(self, destination: Destination, route: RouteState) -> None:
         limit = self._limit_after_cut(destination, route)
-        route.rate_limit = limit
+        route.rate_limit_per_s = limit
         route.rate_limit_cut_at = self._now
         # Jitter spreads the calls of forwarders that received the same Retry-After.
         after_cut_at = self._now + self._random.uniform(*tuning.LIMITED_CALL_JITTER_FACTORS) / limit
@@ -99,9 +99,9 @@
         quota = self._traffic.rate_quota(destination, route)
         min_rate = tuning.MIN_CALLS_PER_DEADLINE / self._latency.min_deadline_s
         if self._is_rejected_over_limit(route, quota):
-            known_limit = min(quota, route.rate_limit or quota)
+            known_limit = min(quota, route.rate_limit_per_s or quota)
             return max(self._cut_factor(destination, route) * known_limit, min_rate)
-        limit = route.rate_limit
+        limit = route.rate_limit_per_s
         current = limit if limit is not None else calls_within(route, self._now, 1.0)
         floor = max(
             tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction(),
@@ -126,7 +126,7 @@
         """
         if route.consecutive_rejections:
             return tuning.RATE_CUT_FACTOR
-        return tuning.QUOTA_FLOOR_FRACTION if destination.listed_rate > 0 else 1.0
+        return tuning.QUOTA_FLOOR_FRACTION if destination.listed_rate_per_s > 0 else 1.0
 
     def _raise_later(self, destination: Destination, route: RouteState) -> None:
         route.rate_limit_raise_at = self._now + tuning.RATE_RAISE_INTERVAL_S
--- a/juniperward/scheduler/route_state.py
+++ b/juniperward/scheduler/route_state.py
@@ -23,12 +23,12 @@
         consecutive_faults: the failures and rejections since the last delivery that count as faults.
         staggered: whether the next call waits for `next_call_at` after a single fault.
         slow_start_since: when the slow start began; None while there is none.
-        rate_before_outage: the delivery rate before the latest outage.
-        delivery_rate: the exponentially decaying rate as of `last_delivery_at`.
+        rate_before_outage_per_s: the delivery rate before the latest outage.
+        delivery_rate_per_s: the exponentially decaying rate as of `last_delivery_at`.
         first_delivery_at: when the first delivered call was sent.
         reported_limit_per_s: the limit of all forwarders together from load reports; 0 if there is none.
         reported_capacity_left: the fraction of that limit that is left, from 0 to 1.
-        rate_limit: this forwarder's limit; None if the route is not limited.
+        rate_limit_per_s: this forwarder's limit; None if the route is not limited.
         rate_limit_cut_at: when the limit was last cut, or last reached its quota again.
         rate_limit_raise_at: when the limit is next raised.
         consecutive_rejections: the rejections since the last delivery.
@@ -46,9 +46,9 @@
     staggered: bool = False
     # Slow start: written by slow_start and outlier_detection
     slow_start_since: float | None = None
-    rate_before_outage: float = 0.0
+    rate_before_outage_per_s: float = 0.0
     # Deliveries: written by traffic
-    delivery_rate: float = 0.0
+    delivery_rate_per_s: float = 0.0
     last_delivery_at: float = 0.0
     first_delivery_at: float | None = None
     delivery_count: int = 0
@@ -56,7 +56,7 @@
     reported_limit_per_s: float = 0.0
     reported_capacity_left: float = 0.0
     # Rate limit: written by rate_limits
-    rate_limit: float | None = None
+    rate_limit_per_s: float | None = None
     rate_limit_cut_at: float = -math.inf
     rate_limit_raise_at: float = 0.0
     consecutive_rejections: int = 0
--- a/juniperward/scheduler/routing.py
+++ b/juniperward/scheduler/routing.py
@@ -78,7 +78,7 @@
             self._stagger_missed_trial(route)
         spaced_at = route.last_call_at + self._batching.call_spacing_s(endpoint)
         available_at = max(route.retry_after_until, spaced_at)
-        limited = route.rate_limit is not None or route.slow_start_since is not None
+        limited = route.rate_limit_per_s is not None or route.slow_start_since is not None
         if route.ejected or limited or route.staggered:
             available_at = max(available_at, route.next_call_at)
         if endpoint.in_flight and self._awaits_outcome(endpoint):
--- a/juniperward/scheduler/slow_start.py
+++ b/juniperward/scheduler/slow_start.py
@@ -34,9 +34,9 @@
         record_call(route, self._now)
         interval = self.trial_interval if route.ejected else self.slow_start_interval
         interval_s = interval(destination, route, weight)
-        if route.rate_limit is not None:
+        if route.rate_limit_per_s is not None:
             # A rate limit counts calls, so the weight does not matter here.
-            interval_s = max(interval_s, 1.0 / route.rate_limit)
+            interval_s = max(interval_s, 1.0 / route.rate_limit_per_s)
         route.next_call_at = max(route.next_call_at, self._now) + interval_s
         self.bring_trial_forward(route)
         if endpoint.unhealthy:
@@ -86,7 +86,7 @@
     def _end(self, destination: Destination, route: RouteState, rate: float) -> None:
         """End a slow start. A rate limit takes over, so that queued messages are not sent in one burst."""
         route.slow_start_since = None
-        if route.rate_limit is None:
+        if route.rate_limit_per_s is None:
             floor = tuning.MIN_TOTAL_RATE_PER_S * self._traffic.own_fraction()
             self._rate_limits.start_limit(destination, route, max(floor, rate))
 
@@ -96,8 +96,8 @@
         Half of the last delivery's own contribution is subtracted.
         """
         recent = recent_rate(route, route.last_delivery_at) - 0.5 / tuning.RATE_MEMORY_S
-        decayed_rate = route.rate_before_outage * tuning.RATE_BEFORE_OUTAGE_DECAY_FACTOR
-        route.rate_before_outage = max(recent, decayed_rate)
+        decayed_rate = route.rate_before_outage_per_s * tuning.RATE_BEFORE_OUTAGE_DECAY_FACTOR
+        route.rate_before_outage_per_s = max(recent, decayed_rate)
 
     def _large_fleet_trial_interval(self, usual_rate: float, weight: float) -> float:
         settings = self._settings
@@ -111,7 +111,7 @@
     ) -> float:
         settings = self._settings
         min_s = settings.overload_span_s
-        if destination.listed_rate > 0 and settings.rates_listed:
+        if destination.listed_rate_per_s > 0 and settings.rates_listed:
             min_s = min(min_s, tuning.MIN_TRIAL_INTERVAL_S)
         rate = usual_rate * ((1 + settings.overload_multiple) / 2) * settings.slow_start_capacity_fraction
         interval_s = weight / (rate + TIME_EPSILON_S)
@@ -121,4 +121,4 @@
         if self._large_fleet:
             return self._traffic.expected_rate(destination, route)
         floor = tuning.MIN_TOTAL_RATE_PER_S / self._settings.instances
-        return max(route.rate_before_outage, floor, self._traffic.rate_quota(destination, route))
+        return max(route.rate_before_outage_per_s, floor, self._traffic.rate_quota(destination, route))
--- a/juniperward/scheduler/status.py
+++ b/juniperward/scheduler/status.py
@@ -29,8 +29,8 @@
     health: Health
     queued: int
     in_flight: int
-    rate_limit: float | None
-    listed_rate: float
+    rate_limit_per_s: float | None
+    listed_rate_per_s: float
     retry_after_s: float
     warming_up_for_s: float | None
     mean_latency_s: float | None
@@ -58,14 +58,14 @@
         health = Health.EJECTED
     elif warming_up_for_s is not None:
         health = Health.WARMING_UP
-    limits = [route.rate_limit for route in routes if route.rate_limit is not None]
+    limits = [route.rate_limit_per_s for route in routes if route.rate_limit_per_s is not None]
     return DestinationStatus(
         destination=number,
         health=health,
         queued=len(destination.queue),
         in_flight=destination.slots_in_use,
-        rate_limit=sum(limits) if limits else None,
-        listed_rate=destination.listed_rate,
+        rate_limit_per_s=sum(limits) if limits else None,
+        listed_rate_per_s=destination.listed_rate_per_s,
         retry_after_s=max(max(route.retry_after_until for route in routes) - now, 0.0),
         warming_up_for_s=warming_up_for_s,
         mean_latency_s=destination.mean_latency_s,
--- a/juniperward/scheduler/traffic.py
+++ b/juniperward/scheduler/traffic.py
@@ -34,8 +34,8 @@
     route.consecutive_rejections = 0
     if route.first_delivery_at is None:
         route.first_delivery_at = sent_at
-    remaining = decayed(route.delivery_rate, now - route.last_delivery_at, memory_s)
-    route.delivery_rate = remaining + 1 / memory_s
+    remaining = decayed(route.delivery_rate_per_s, now - route.last_delivery_at, memory_s)
+    route.delivery_rate_per_s = remaining + 1 / memory_s
     route.last_delivery_at = now
 
 
@@ -45,7 +45,7 @@
         return 0.0
     memory_s = tuning.RATE_MEMORY_S
     observed_s = max(at - route.first_delivery_at, tuning.MIN_RATE_OBSERVATION_S)
-    rate = decayed(route.delivery_rate, at - route.last_delivery_at, memory_s)
+    rate = decayed(route.delivery_rate_per_s, at - route.last_delivery_at, memory_s)
     return rate / observed_fraction(observed_s, memory_s)
 
 
@@ -77,7 +77,7 @@
         even fraction. In a small fleet it is 1.
         """
         instances = self._round.settings.instances
-        listed = self._table.listed_rate_total
+        listed = self._table.total_listed_rate_per_s
         if not self._large_fleet:
             return 1.0
         if listed <= 0:
@@ -88,7 +88,7 @@
 
     def rate_quota(self, destination: Destination, route: RouteState) -> float:
         """Return this forwarder's even quota of the listed or else the reported limit; 0 if none is known."""
-        listed = destination.listed_rate / (1 + self._round.settings.listed_rate_error)
+        listed = destination.listed_rate_per_s / (1 + self._round.settings.listed_rate_error)
         return (listed or route.reported_limit_per_s) / self._round.settings.instances
 
     def expected_rate(self, destination: Destination, route: RouteState) -> float:
--- a/juniperward/simulation/policies/baseline.py
+++ b/juniperward/simulation/policies/baseline.py
@@ -126,7 +126,7 @@
             destination = self.destinations.setdefault(entry.destination, DestinationQueue())
             if entry.phase is EndpointPhase.READY and entry.endpoint not in destination.endpoints:
                 destination.endpoints.append(entry.endpoint)
-                destination.listed_rate_per_s = entry.listed_rate
+                destination.listed_rate_per_s = entry.listed_rate_per_s
             self._destination_of[entry.endpoint] = entry.destination
 
     def _message_admitted(self, event: MessageAdmitted) -> None:
--- a/juniperward/simulation/recovery_fleet.py
+++ b/juniperward/simulation/recovery_fleet.py
@@ -61,9 +61,9 @@
 
     def list_endpoints(self) -> None:
         """Give each forwarder the endpoint list."""
-        listed_rate = self._parameters.listed_rate_per_s if self._case.rate_listed else 0.0
+        listed_rate_per_s = self._parameters.listed_rate_per_s if self._case.rate_listed else 0.0
         entries = tuple(
-            EndpointEntry(number, DESTINATION, EndpointPhase.READY, 0, 0, listed_rate)
+            EndpointEntry(number, DESTINATION, EndpointPhase.READY, 0, 0, listed_rate_per_s)
             for number in range(self._parameters.endpoints)
         )
         for forwarder in self.forwarders:
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -74,26 +74,26 @@
         node.finish_attempt(node.last_message_id)
         node.run(0.05)
     route = node.route(1)
-    assert route.rate_limit is None
+    assert route.rate_limit_per_s is None
     node.arrive()
     node.run(0.05)
     node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
-    assert route.rate_limit == pytest.approx(5.0, abs=1.0)  # half the rate of the last second
-    first_limit = route.rate_limit
+    assert route.rate_limit_per_s == pytest.approx(5.0, abs=1.0)  # half the rate of the last second
+    first_limit = route.rate_limit_per_s
     node.handle()
     node.arrive(count=20)
     node.run(0.3)
     node.finish_attempt(node.in_flight()[0])
-    assert route.rate_limit == first_limit
+    assert route.rate_limit_per_s == first_limit
     node.run(1.05)
-    assert route.rate_limit is not None and route.rate_limit == pytest.approx(first_limit + 1.0)
+    assert route.rate_limit_per_s is not None and route.rate_limit_per_s == pytest.approx(first_limit + 1.0)
     for message in node.in_flight():
         node.finish_attempt(message)
     for _ in range(60):  # an empty queue does not need the limit, which is then dropped
         node.run(0.2)
         for message in node.in_flight():
             node.finish_attempt(message)
-    assert route.rate_limit is None
+    assert route.rate_limit_per_s is None
 
 
 def test_the_rate_limit_has_a_floor_and_is_cut_once_per_mean_latency() -> None:
@@ -103,12 +103,12 @@
     for message in (1, 2, 3):
         node.finish_attempt(message, Outcome.OVERLOADED)
     route = node.route(1)
-    assert route.rate_limit == pytest.approx(1.5)
+    assert route.rate_limit_per_s == pytest.approx(1.5)
     for _ in range(20):
         node.run(0.5)
         for message in node.in_flight():
             node.finish_attempt(message, Outcome.OVERLOADED)
-    assert route.rate_limit == 1.0
+    assert route.rate_limit_per_s == 1.0
 
 
 def test_the_rate_limit_does_not_grow_while_nothing_is_delivered() -> None:
@@ -232,7 +232,7 @@
 def node_with_batches(batch_size: int = 20) -> Node:
     """One of two forwarders; the listed rate of its destination is four calls per second."""
     config = settings(KEYED, kinds=(DestinationKind(batch_size=batch_size),), instances=2, rates_listed=True)
-    return Node(config, (EndpointEntry(10, 1, listed_rate=4.0),))
+    return Node(config, (EndpointEntry(10, 1, listed_rate_per_s=4.0),))
 
 
 def test_a_listed_rate_spaces_batches() -> None:
@@ -247,10 +247,10 @@
     assert attempted(single.arrive()) == [2]
 
 
-def node_with_single_calls(instances: int, listed_rate: float) -> Node:
+def node_with_single_calls(instances: int, listed_rate_per_s: float) -> Node:
     """One of many forwarders; its destination accepts one message per call."""
     config = settings(KEYED, instances=instances, rates_listed=True)
-    return Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
+    return Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
 
 
 def test_a_large_fleet_spaces_single_calls_by_the_quota_of_each_forwarder() -> None:
@@ -300,19 +300,21 @@
     assert len(timers.pending(node.scheduler.idle_expiry.check_idle)) == 1
 
 
-def node_with_listed_rate(listed_rate: float, **changes: object) -> Node:
+def node_with_listed_rate(listed_rate_per_s: float, **changes: object) -> Node:
     """One of two forwarders; its destination has two endpoints and a listed rate."""
     config = settings(KEYED, instances=2, rates_listed=True, **changes)
-    return Node(config, tuple(EndpointEntry(number, 1, listed_rate=listed_rate) for number in (10, 11)))
+    return Node(
+        config, tuple(EndpointEntry(number, 1, listed_rate_per_s=listed_rate_per_s) for number in (10, 11))
+    )
 
 
 def test_a_rejection_cuts_the_rate_limit_to_no_less_than_a_fraction_of_the_quota() -> None:
     # Guards large destinations, where a single 503 of another cause must not stop nearly all calls.
-    for listed_rate, rate_limit in ((400.0, 180.0), (0.0, 1.0)):
-        node = node_with_listed_rate(listed_rate)
+    for listed_rate_per_s, rate_limit_per_s in ((400.0, 180.0), (0.0, 1.0)):
+        node = node_with_listed_rate(listed_rate_per_s)
         node.arrive()
         node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
-        assert node.route(1).rate_limit == pytest.approx(rate_limit)
+        assert node.route(1).rate_limit_per_s == pytest.approx(rate_limit_per_s)
 
 
 def test_an_overtaken_call_is_cancelled_and_retried() -> None:
@@ -332,9 +334,9 @@
 
 def test_half_open_attempts_and_slow_start_follow_the_listed_quota() -> None:
     # Guards against trials and a slow start too rare for the listed rate of a large destination.
-    def count_calls(listed_rate: float) -> tuple[int, int]:
+    def count_calls(listed_rate_per_s: float) -> tuple[int, int]:
         node = node_with_listed_rate(
-            listed_rate,
+            listed_rate_per_s,
             slow_start_capacity_fraction=0.2,
             overload_multiple=2.0,
             overload_span_s=3.0,
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -102,7 +102,7 @@
     node.arrive(count=4)
     node.run(3.5)
     route = node.route(1)
-    assert route.ejected and 3.0 < route.rate_before_outage < 4.5
+    assert route.ejected and 3.0 < route.rate_before_outage_per_s < 4.5
 
 
 def test_a_rate_limit_takes_over_at_the_end_of_the_slow_start() -> None:
@@ -116,11 +116,13 @@
         for message in node.in_flight():
             if node.now - node.sent_at[message, node.attempts[message] - 1] > 0.04:
                 node.finish_attempt(message)
-        if node.route(1).rate_limit is not None:
+        if node.route(1).rate_limit_per_s is not None:
             break
     route = node.route(1)
     assert (
-        route.slow_start_since is None and route.rate_limit is not None and len(node.destination(1).queue) > 0
+        route.slow_start_since is None
+        and route.rate_limit_per_s is not None
+        and len(node.destination(1).queue) > 0
     )
 
 
@@ -266,10 +268,10 @@
     assert len(closed_endpoints(node)) == closed_count + 1
 
 
-def create_fleet(count: int, listed_rate: float) -> list[Node]:
+def create_fleet(count: int, listed_rate_per_s: float) -> list[Node]:
     """Return forwarders that share a destination with a listed rate and have 20 messages each."""
     config = settings(KEYED, slots=6, instances=count, rates_listed=True, max_attempts=100)
-    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),)) for _ in range(count)]
+    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),)) for _ in range(count)]
     for index, node in enumerate(nodes):
         node.random.seed(index)
         node.arrive(count=20)
@@ -317,7 +319,7 @@
     # A first call may meet a limit that other forwarders have exhausted, which must not eject the route.
     node = Node(
         settings(KEYED, instances=40, rates_listed=True, max_attempts=100),
-        (EndpointEntry(10, 1, listed_rate=80.0),),
+        (EndpointEntry(10, 1, listed_rate_per_s=80.0),),
     )
     node.arrive(time_left_s=1000.0)
     for _ in range(7):
@@ -333,7 +335,7 @@
     # Idle connections must be closed, so that other forwarders find space in the connection table.
     table_size, rng = 13, random.Random(3)
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, keepalive_s=10.0, max_attempts=8)
-    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate=200.0),)) for _ in range(40)]
+    nodes = [Node(config, (EndpointEntry(10, 1, listed_rate_per_s=200.0),)) for _ in range(40)]
     idle_connections, log_positions = [0] * 40, [0] * 40
     calls_in_flight: list[tuple[float, int, int]] = []  # when answered, forwarder, message
     arrived_at: dict[tuple[int, int], float] = {}
@@ -372,7 +374,7 @@
         node = Node(settings(KEYED, instances=40, rates_listed=True), ())
         node.random.seed(seed)
         node.update_endpoints(
-            *(EndpointEntry(index, 1, listed_rate=200.0) for index in range(3)), scope=ListScope.CACHED
+            *(EndpointEntry(index, 1, listed_rate_per_s=200.0) for index in range(3)), scope=ListScope.CACHED
         )
         node.arrive()
         chosen[node.endpoint[1, 0]] += 1
@@ -381,7 +383,7 @@
 
 def test_a_rejection_is_a_fault_after_a_delivery_or_without_a_listed_rate() -> None:
     # A forwarder that does not reduce its calls after such a rejection helps to overload the destination.
-    for listed_rate, delivered_before, expected in (
+    for listed_rate_per_s, delivered_before, expected in (
         (80.0, False, False),
         (80.0, True, True),
         (0.0, False, True),
@@ -389,7 +391,7 @@
         config = settings(
             KEYED, instances=40, rates_listed=True, slow_start_capacity_fraction=0.001
         )  # nearly all forwarders take a first fault for an outage
-        node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
+        node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
         if delivered_before:
             deliver(node, 1, count=1)
             node.run(30.0)
@@ -469,18 +471,19 @@
         for message in node.in_flight():
             node.finish_attempt(message, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
     route = node.route(1)
-    assert route.rate_limit is not None and route.rate_limit < 0.3 and not route.ejected
+    assert route.rate_limit_per_s is not None and route.rate_limit_per_s < 0.3 and not route.ejected
 
 
 def test_absent_or_invalid_listed_rates_neither_raise_nor_limit_traffic() -> None:
-    for listed_rate in (0.0, -3.0, 1e-9, 1e12):
+    for listed_rate_per_s in (0.0, -3.0, 1e-9, 1e12):
         node = Node(
-            settings(SAFE, rates_listed=True, instances=200), (EndpointEntry(10, 1, listed_rate=listed_rate),)
+            settings(SAFE, rates_listed=True, instances=200),
+            (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),),
         )
         node.arrive()
         node.run(0.1)
         node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.1, reported_limit_per_s=20.0)
-        assert node.route(1).rate_limit is not None
+        assert node.route(1).rate_limit_per_s is not None
         node.run(70.0)
         assert attempted(node.arrive()) == [2]
         node.finish_attempt(2, Outcome.OVERLOADED)
@@ -494,7 +497,7 @@
     node.run(0.1)
     node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     route = node.route(1)
-    assert route.rate_limit == 10.0 / 50
+    assert route.rate_limit_per_s == 10.0 / 50
     assert attempted(node.run(4.0)) == []  # the quota is one call in 5 s
 
 
@@ -504,7 +507,7 @@
     node.arrive()
     node.run(0.1)
     node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
-    assert node.route(1).rate_limit == 0.5
+    assert node.route(1).rate_limit_per_s == 0.5
 
 
 def test_a_busy_forwarder_uses_a_larger_fraction_of_listed_rates() -> None:
@@ -512,7 +515,7 @@
     for interval_s in (0.05, 5.0):
         node = Node(
             settings(SAFE, slots=30, instances=100, rates_listed=True),
-            (EndpointEntry(10, 1, listed_rate=40.0),),
+            (EndpointEntry(10, 1, listed_rate_per_s=40.0),),
         )
         for _ in range(round(60 / interval_s)):
             node.arrive()
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -37,7 +37,8 @@
         **overrides,
     }
     nodes = [
-        Node(settings(SAFE, **values), (EndpointEntry(10, 1, listed_rate=LISTED_RATE),)) for _ in range(count)
+        Node(settings(SAFE, **values), (EndpointEntry(10, 1, listed_rate_per_s=LISTED_RATE),))
+        for _ in range(count)
     ]
     for index, node in enumerate(nodes):
         node.random.seed(index)
@@ -223,10 +224,10 @@
     assert early_count <= 4 and late_count >= 30
 
 
-def create_warming_up_node(listed_rate: float = 80.0) -> Node:
+def create_warming_up_node(listed_rate_per_s: float = 80.0) -> Node:
     """Return one of 40 forwarders that share the listed rate, at the start of the slow start."""
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(config, (EndpointEntry(10, 1, listed_rate=listed_rate),))
+    node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
     node.arrive()
     node.route(1).ejected = True
     node.finish_attempt(node.last_message_id)
@@ -242,7 +243,7 @@
         node.arrive()
         node.run(4.0)
         node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
-        assert not route.ejected and route.rate_limit is not None
+        assert not route.ejected and route.rate_limit_per_s is not None
         node.run(4.0)
         assert in_flight(node) == [node.last_message_id]
         node.finish_attempt(node.last_message_id)
@@ -275,31 +276,33 @@
 def test_a_rate_limit_grows_slowly_again_from_its_quota_of_the_listed_rate() -> None:
     # A step that has doubled for seconds must not carry the limit far past its quota.
     config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(config, (EndpointEntry(10, 1, listed_rate=80.0),))
+    node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=80.0),))
     node.arrive(count=60)
     route = node.route(1)
     for message in in_flight(node)[:2]:
         node.run(0.5)
         node.finish_attempt(message, Outcome.OVERLOADED)
-    assert route.rate_limit is not None and route.rate_limit < 2.0
+    assert route.rate_limit_per_s is not None and route.rate_limit_per_s < 2.0
     limits = []
     for _ in range(12):
         node.run(1.0)
         for message in in_flight(node):
             node.finish_attempt(message)
-        limits.append(route.rate_limit)
+        limits.append(route.rate_limit_per_s)
     assert 2.0 in limits
     after = limits[limits.index(2.0) + 1 :][:2]
     assert after == [pytest.approx(2.0 + 0.04 * 2), pytest.approx(2.0 + 0.04 * 2 + 0.04 * 4)]
 
 
-@pytest.mark.parametrize(("listed_rate", "needed"), [(2.0, 2), (400.0, 4)])
+@pytest.mark.parametrize(("listed_rate_per_s", "needed"), [(2.0, 2), (400.0, 4)])
 def test_refused_connections_that_eject_a_route_are_fewer_with_little_traffic(
-    listed_rate: float, needed: int
+    listed_rate_per_s: float, needed: int
 ) -> None:
     # In a large fleet, a forwarder makes too few calls to see four failures in a row at one endpoint.
     config = settings(KEYED, slots=8, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(config, tuple(EndpointEntry(n, 1, listed_rate=listed_rate) for n in (10, 11, 12, 13, 14)))
+    node = Node(
+        config, tuple(EndpointEntry(n, 1, listed_rate_per_s=listed_rate_per_s) for n in (10, 11, 12, 13, 14))
+    )
     route = node.route(1)
     failed_connections = 0
     while not route.ejected:
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -58,7 +58,7 @@
     route = send_and_settle(
         node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=2.0 * instances
     )
-    assert route.rate_limit == pytest.approx(2.0)
+    assert route.rate_limit_per_s == pytest.approx(2.0)
 
 
 def test_noise_of_reported_limits_is_smoothed() -> None:
@@ -96,10 +96,10 @@
     node.run(1.0)
     send_and_settle(node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
     node.now += 2000.0
-    route.rate_limit, route.consecutive_rejections, route.rate_limit_raise_at = 0.5, 0, node.now
+    route.rate_limit_per_s, route.consecutive_rejections, route.rate_limit_raise_at = 0.5, 0, node.now
     node.scheduler.state.begin_round(node.now)
     node.scheduler.rate_limits.raise_limit(node.destination(1), route)
-    assert route.rate_limit is None or 0.5 < route.rate_limit < 100.0
+    assert route.rate_limit_per_s is None or 0.5 < route.rate_limit_per_s < 100.0
 
 
 @pytest.mark.parametrize(("instances", "quickly"), [(3, True), (10, False)])
@@ -114,9 +114,9 @@
         node, 1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=2.0 * instances
     )
     node.arrive(destination=1, count=40)
-    started_at, initial_limit = node.now, route.rate_limit
+    started_at, initial_limit = node.now, route.rate_limit_per_s
     assert initial_limit is not None
-    while route.rate_limit is not None and route.rate_limit < 1.15 * initial_limit:
+    while route.rate_limit_per_s is not None and route.rate_limit_per_s < 1.15 * initial_limit:
         node.run(0.5)
         for message in node.in_flight():
             node.finish_attempt(message, capacity_left=0.5, reported_limit_per_s=2.0 * instances)
