--- a/tests/discovery_fixture.py
+++ b/tests/discovery_fixture.py
@@ -31,7 +31,7 @@
 from juniperward.forwarder.reducer import Reducer
 from juniperward.forwarder.settings_names import SettingsNames
 from juniperward.scheduler.events import EndpointPhase
-from tests.helpers import ONCE, settings
+from tests.helpers import NON_IDEMPOTENT, settings
 
 NAMES = SettingsNames(("c",), (12.0,), (), ("m2",), ("a",))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -150,7 +150,7 @@
     drain_known_at: float | None = None
 
     def __init__(self, seed: int, longest_waits: bool = True) -> None:
-        super().__init__(settings(ONCE, endpoints_polled=True), seed)
+        super().__init__(settings(NON_IDEMPOTENT, endpoints_polled=True), seed)
         if longest_waits:
             self.scheduler.state.round.random = LongestWaits(seed)
         self.drain_known = threading.Event()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,15 +23,15 @@
 from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.settings import DestinationKind, Idempotency, MessageClass, SchedulerSettings
 
-SAFE = MessageClass(latency_objective_s=4.0, deadline_s=20.0, late_weight=0.5)
-KEYED = MessageClass(
+IDEMPOTENT = MessageClass(latency_objective_s=4.0, deadline_s=20.0, late_weight=0.5)
+WITH_IDEMPOTENCY_KEY = MessageClass(
     latency_objective_s=4.0,
     deadline_s=20.0,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     deduplication_window_s=5.0,
     late_weight=0.5,
 )
-ONCE = MessageClass(
+NON_IDEMPOTENT = MessageClass(
     latency_objective_s=4.0,
     deadline_s=20.0,
     idempotency=Idempotency.NON_IDEMPOTENT,
@@ -49,7 +49,7 @@
 
 def settings(*classes: MessageClass, **changes: Any) -> SchedulerSettings:
     values: dict[str, Any] = {
-        "classes": classes or (SAFE,),
+        "classes": classes or (IDEMPOTENT,),
         "slots": 8,
         "max_open": 200,
         "kinds": (DestinationKind(),),
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -45,7 +45,7 @@
 from juniperward.scheduler.events import PastAttempt as SchedulerPastAttempt
 from juniperward.scheduler.settings import Idempotency
 from juniperward.settings import fleet_pb2
-from tests.helpers import KEYED, settings
+from tests.helpers import WITH_IDEMPOTENCY_KEY, settings
 from tests.player import Player, Program
 from tests.resources import UsesResources
 
@@ -54,7 +54,7 @@
 
 class TestReducer:
     def reducer(self, is_enabled: bool = True, spooled_ids: frozenset[str] = frozenset()) -> Reducer:
-        reducer = Reducer(settings(KEYED), 1, is_enabled, spooled_ids)
+        reducer = Reducer(settings(WITH_IDEMPOTENCY_KEY), 1, is_enabled, spooled_ids)
         reducer.reduce(100.0, [EndpointsUpdated(1, True, (ENDPOINT,), cached=True)])
         return reducer
 
@@ -177,7 +177,9 @@
             from juniperward.forwarder.telemetry import counters
 
             failed_before = counters().get("dead_letters_failed", 0)
-            writer = DeadLetterWriter(spool, settings(KEYED), SettingsNames(("c",), (20.0,), (), (), ()), 0.0)
+            writer = DeadLetterWriter(
+                spool, settings(WITH_IDEMPOTENCY_KEY), SettingsNames(("c",), (20.0,), (), (), ()), 0.0
+            )
             attempt = PastAttempt("s-1", 1.0, StoredOutcome.TIMEOUT, True)
             writer.store(
                 StoreDeadLetter(Message("a", 0, 0, 7, 20.0, "k", b"x"), 0.0, 1.0, (attempt,), ("s-1",))
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -7,11 +7,19 @@
 from juniperward.scheduler.actions import CancelAttempt, StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome
 from juniperward.scheduler.settings import DestinationKind, MessageClass
-from tests.helpers import KEYED, ONCE, SAFE, Node, attempted, rejected, settings
+from tests.helpers import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    WITH_IDEMPOTENCY_KEY,
+    Node,
+    attempted,
+    rejected,
+    settings,
+)
 
 
 def test_destinations_share_free_slots_round_robin() -> None:
-    node = Node(settings(SAFE, slots=4))
+    node = Node(settings(IDEMPOTENT, slots=4))
     node.arrive(destination=3, count=4)
     assert len(node.sent_at) == 3
     for destination in (1, 2):
@@ -31,7 +39,7 @@
 
 
 def test_a_slow_destination_is_served_less_often() -> None:
-    node = Node(settings(SAFE, slots=2))
+    node = Node(settings(IDEMPOTENT, slots=2))
     latencies_s = {1: 0.2, 2: 2.0}
     for destination, latency_s in latencies_s.items():
         for _ in range(30):
@@ -61,13 +69,13 @@
 
 @pytest.mark.parametrize(("slots", "slots_of_healthy"), [(2, 1), (3, 2), (8, 6), (20, 15)])
 def test_a_healthy_destination_fills_three_quarters_of_the_slots(slots: int, slots_of_healthy: int) -> None:
-    node = Node(settings(SAFE, slots=slots))
+    node = Node(settings(IDEMPOTENT, slots=slots))
     assert len(attempted(node.arrive(count=40))) == slots_of_healthy
     assert len(attempted(node.arrive(destination=2))) == 1
 
 
 def test_a_rejection_sets_a_rate_limit_that_grows_and_is_dropped() -> None:
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     for _ in range(10):
         node.arrive()
         node.run(0.05)
@@ -97,7 +105,7 @@
 
 
 def test_the_rate_limit_has_a_floor_and_is_cut_once_per_mean_latency() -> None:
-    node = Node(settings(SAFE, slots=40, max_attempts=100))
+    node = Node(settings(IDEMPOTENT, slots=40, max_attempts=100))
     node.arrive(count=3)
     node.run(0.05)
     for message in (1, 2, 3):
@@ -113,7 +121,7 @@
 
 def test_the_rate_limit_does_not_grow_while_nothing_is_delivered() -> None:
     # Guards against a limit that grows during a Retry-After and then lets the whole backlog through.
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     node.arrive(count=4)
     node.run(0.05)
     node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=9.0)
@@ -148,7 +156,9 @@
 
 
 def test_a_batch_is_one_call_and_one_slot() -> None:
-    node = Node(settings(SAFE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
+    node = Node(
+        settings(IDEMPOTENT, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),)
+    )
     assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
     assert len(node.scheduler.state.backlog.in_flight) == 1
     node.run(0.1)
@@ -159,12 +169,16 @@
 
 def test_non_idempotent_messages_are_batched() -> None:
     # Guards against calls of one message each, which exceed a limit that counts calls.
-    node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
+    node = Node(
+        settings(NON_IDEMPOTENT, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),)
+    )
     assert attempted(node.arrive(count=7)) == [1, 2, 3, 4, 5]
 
 
 def test_a_non_idempotent_message_is_not_retried_in_a_batch() -> None:
-    node = Node(settings(ONCE, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
+    node = Node(
+        settings(NON_IDEMPOTENT, slots=2, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),)
+    )
     node.arrive(count=3)
     node.finish_attempt(1, Outcome.RESET)
     node.finish_attempt(2, Outcome.OVERLOADED)
@@ -174,7 +188,9 @@
 
 def test_a_message_close_to_its_deadline_is_not_batched() -> None:
     # Guards the other messages of a call, which ends at the earliest deadline of its messages.
-    node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
+    node = Node(
+        settings(IDEMPOTENT, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),)
+    )
     node.arrive()
     node.arrive(time_left_s=0.9)
     node.arrive(count=2, time_left_s=10.0)
@@ -188,7 +204,7 @@
 def test_messages_are_batched_up_to_the_body_limit() -> None:
     # Guards against a body over the limit of the protocol, for which the whole call is rejected.
     node = Node(
-        settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),), max_batch_bytes=100),
+        settings(IDEMPOTENT, slots=1, kinds=(DestinationKind(batch_size=5),), max_batch_bytes=100),
         (EndpointEntry(10, 1),),
     )
     node.arrive()
@@ -201,7 +217,9 @@
 
 
 def test_an_unbatched_message_does_not_block_batches() -> None:
-    node = Node(settings(SAFE, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),))
+    node = Node(
+        settings(IDEMPOTENT, slots=1, kinds=(DestinationKind(batch_size=5),)), (EndpointEntry(10, 1),)
+    )
     node.arrive()
     node.arrive(time_left_s=3.0)
     node.arrive(time_left_s=0.9)
@@ -211,7 +229,7 @@
 
 
 def test_a_slow_destination_fills_half_of_the_slots() -> None:
-    node = Node(settings(SAFE, slots=8))
+    node = Node(settings(IDEMPOTENT, slots=8))
     for latency_s in [0.2] * 20 + [2.0] * 8:
         node.arrive()
         node.run(latency_s)
@@ -231,7 +249,9 @@
 
 def node_with_batches(batch_size: int = 20) -> Node:
     """One of two forwarders; the listed rate of its destination is four calls per second."""
-    config = settings(KEYED, kinds=(DestinationKind(batch_size=batch_size),), instances=2, rates_listed=True)
+    config = settings(
+        WITH_IDEMPOTENCY_KEY, kinds=(DestinationKind(batch_size=batch_size),), instances=2, rates_listed=True
+    )
     return Node(config, (EndpointEntry(10, 1, listed_rate_per_s=4.0),))
 
 
@@ -249,7 +269,7 @@
 
 def node_with_single_calls(instances: int, listed_rate_per_s: float) -> Node:
     """One of many forwarders; its destination accepts one message per call."""
-    config = settings(KEYED, instances=instances, rates_listed=True)
+    config = settings(WITH_IDEMPOTENCY_KEY, instances=instances, rates_listed=True)
     return Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
 
 
@@ -302,7 +322,7 @@
 
 def node_with_listed_rate(listed_rate_per_s: float, **changes: object) -> Node:
     """One of two forwarders; its destination has two endpoints and a listed rate."""
-    config = settings(KEYED, instances=2, rates_listed=True, **changes)
+    config = settings(WITH_IDEMPOTENCY_KEY, instances=2, rates_listed=True, **changes)
     return Node(
         config, tuple(EndpointEntry(number, 1, listed_rate_per_s=listed_rate_per_s) for number in (10, 11))
     )
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -10,10 +10,10 @@
 from juniperward.scheduler.events import EndpointEntry, Outcome, PastAttempt
 from juniperward.scheduler.settings import DeduplicationScope, DestinationKind, Idempotency, MessageClass
 from tests.helpers import (
-    KEYED,
-    ONCE,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
     ORDERED,
-    SAFE,
+    WITH_IDEMPOTENCY_KEY,
     Node,
     attempted,
     draining_endpoint,
@@ -44,7 +44,7 @@
 
 
 def test_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
-    node = Node(settings(ONCE))
+    node = Node(settings(NON_IDEMPOTENT))
     assert attempted(node.arrive()) == [1]
     actions = node.run(20.02)
     assert failed(actions) == [1] and rejected(actions) == []
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_a_possibly_executed_non_idempotent_message_is_failed_and_never_retried(outcome: Outcome) -> None:
-    node = Node(settings(ONCE))
+    node = Node(settings(NON_IDEMPOTENT))
     node.arrive()
     node.run(0.1)
     actions = node.finish_attempt(1, outcome) + node.run(20.0)
@@ -61,14 +61,14 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 def test_an_unexecuted_non_idempotent_message_is_retried(outcome: Outcome) -> None:
-    node = Node(settings(ONCE))
+    node = Node(settings(NON_IDEMPOTENT))
     node.arrive()
     node.run(0.1)
     assert attempted(node.finish_attempt(1, outcome) + node.run(5.0)) == [1]
 
 
 def test_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
-    node = Node(settings(KEYED))
+    node = Node(settings(WITH_IDEMPOTENCY_KEY))
     node.arrive()
     node.run(4.9)
     actions = node.finish_attempt(1, Outcome.TIMEOUT) + node.run(20.0)
@@ -78,7 +78,7 @@
 
 def test_an_attempt_with_an_idempotency_key_has_a_start_deadline() -> None:
     # Guards against a retry that waits for a new connection and is sent after the deduplication window.
-    node = Node(settings(KEYED, ONCE))
+    node = Node(settings(WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT))
     assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
     node.run(4.0)
     retries = [
@@ -91,7 +91,7 @@
 
 def test_a_deduplication_window_is_kept_when_its_timer_fires_early_by_rounding() -> None:
     # Guards against a timer that fires a rounding error before the end of the window and has no effect.
-    node = Node(settings(KEYED, slots=2))
+    node = Node(settings(WITH_IDEMPOTENCY_KEY, slots=2))
     node.arrive(destination=1)
     node.run(0.01)
     node.handle(*[])
@@ -137,7 +137,7 @@
 
 
 def test_a_recovering_destination_is_not_overloaded() -> None:
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     for _ in range(40):  # 4 deliveries per second
         node.arrive()
         node.run(0.05)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -17,7 +17,7 @@
 from juniperward.forwarder.records import AttemptStartedRecord
 from juniperward.forwarder.reducer import Reducer
 from juniperward.scheduler.events import EndpointPhase, Outcome
-from tests.helpers import KEYED, settings
+from tests.helpers import WITH_IDEMPOTENCY_KEY, settings
 from tests.resources import Resources
 
 
@@ -32,7 +32,7 @@
         executor = EffectExecutor(
             self.journal, self.mocks.server, self.mocks.endpoint_client, self.mocks.discovery, queue
         )
-        self.loop = Loop(Reducer(settings(KEYED), 1), executor, queue)
+        self.loop = Loop(Reducer(settings(WITH_IDEMPOTENCY_KEY), 1), executor, queue)
         endpoint = Endpoint("s-1", "127.0.0.1", 81, 1, EndpointPhase.READY, 0, 0, 0.0)
         self.loop.round([EndpointsUpdated(1, True, (endpoint,), cached=True)])
         self.mocks.reset_mock()
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -7,7 +7,17 @@
 
 from juniperward.scheduler.actions import CancelAttempt, CloseIdleConnections, PollEndpointList, StartAttempt
 from juniperward.scheduler.events import EndpointEntry, EndpointListUpdated, ListScope, Outcome
-from tests.helpers import KEYED, ONCE, ORDERED, SAFE, Node, attempted, failed, rejected, settings
+from tests.helpers import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    ORDERED,
+    WITH_IDEMPOTENCY_KEY,
+    Node,
+    attempted,
+    failed,
+    rejected,
+    settings,
+)
 
 
 def deliver(node: Node, destination: int, latency: float = 0.2, count: int = 10) -> None:
@@ -24,7 +34,7 @@
 def test_unresponsive_destinations_do_not_occupy_all_slots() -> None:
     # A few calls to each of many unresponsive destinations must not hold all slots until their deadlines.
     endpoints = tuple(EndpointEntry(10 * number, number) for number in range(1, 7))
-    node = Node(settings(SAFE, slots=4), endpoints)
+    node = Node(settings(IDEMPOTENT, slots=4), endpoints)
     for destination in range(1, 7):
         deliver(node, destination)
     for destination in range(1, 5):
@@ -39,7 +49,7 @@
 
 
 def test_a_slow_message_is_not_cancelled_where_others_are_answered() -> None:
-    node = Node(settings(SAFE, slots=3), (EndpointEntry(10, 1), EndpointEntry(20, 2)))
+    node = Node(settings(IDEMPOTENT, slots=3), (EndpointEntry(10, 1), EndpointEntry(20, 2)))
     deliver(node, 1)
     deliver(node, 2)
     node.arrive(destination=1)
@@ -53,7 +63,7 @@
 
 
 def test_one_overdue_call_allows_one_more_attempt_at_a_time() -> None:
-    node = Node(settings(SAFE, slots=20))
+    node = Node(settings(IDEMPOTENT, slots=20))
     deliver(node, 1)
     node.run(0.05)
     node.arrive()
@@ -64,7 +74,7 @@
 
 
 def test_several_unresponsive_calls_lead_to_spaced_trials() -> None:
-    node = Node(settings(SAFE, slots=20))
+    node = Node(settings(IDEMPOTENT, slots=20))
     deliver(node, 1, count=20)
     node.arrive(count=3)
     node.run(1.2)
@@ -75,7 +85,7 @@
 
 def test_an_answer_from_before_the_outage_is_no_recovery() -> None:
     # A late answer must not start the slow start while the destination is still down.
-    node = Node(settings(SAFE, slots=20))
+    node = Node(settings(IDEMPOTENT, slots=20))
     node.arrive(count=3)
     node.run(0.1)
     node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=8.0)
@@ -85,7 +95,7 @@
 
 
 def test_fewer_than_half_failing_is_no_outage() -> None:
-    node = Node(settings(SAFE, slots=20))
+    node = Node(settings(IDEMPOTENT, slots=20))
     for index in range(30):
         node.arrive()
         node.run(0.1)
@@ -94,7 +104,7 @@
 
 
 def test_the_rate_before_the_outage_does_not_decay_before_detection() -> None:
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     for _ in range(60):  # four calls a second
         node.arrive()
         node.run(0.25)
@@ -106,7 +116,7 @@
 
 
 def test_a_rate_limit_takes_over_at_the_end_of_the_slow_start() -> None:
-    node = Node(settings(SAFE, slots=100, warm_up_s=3.0))
+    node = Node(settings(IDEMPOTENT, slots=100, warm_up_s=3.0))
     deliver(node, 1, count=20)
     node.arrive(count=3)
     node.run(1.5)
@@ -143,7 +153,7 @@
 
 
 def test_a_full_connection_table_is_no_outage_and_is_not_dialled_again_immediately() -> None:
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     deliver(node, 1)
     node.arrive(count=8)
     node.run(0.1)
@@ -155,7 +165,7 @@
 
 
 def test_a_non_idempotent_message_is_not_used_for_a_trial() -> None:
-    node = Node(settings(ONCE, SAFE, slots=20))
+    node = Node(settings(NON_IDEMPOTENT, IDEMPOTENT, slots=20))
     deliver(node, 1)
     for _ in range(4):
         node.arrive(class_index=1)
@@ -185,7 +195,7 @@
 def test_the_same_events_give_the_same_actions() -> None:
     logs = []
     for _ in range(2):
-        node = Node(settings(SAFE, KEYED, slots=6))
+        node = Node(settings(IDEMPOTENT, WITH_IDEMPOTENCY_KEY, slots=6))
         for index in range(40):
             node.arrive(destination=1 + index % 3, class_index=index % 2)
             node.run(0.07)
@@ -197,7 +207,9 @@
 
 def test_a_call_cancelled_as_unresponsive_is_evidence_of_an_outage() -> None:
     # A cancelled call no longer counts as overdue, but must still mark its destination unresponsive.
-    node = Node(settings(SAFE, slots=2), (EndpointEntry(10, 1), EndpointEntry(20, 2), EndpointEntry(30, 3)))
+    node = Node(
+        settings(IDEMPOTENT, slots=2), (EndpointEntry(10, 1), EndpointEntry(20, 2), EndpointEntry(30, 3))
+    )
     for destination in (1, 2, 3):
         deliver(node, destination)
     node.run(0.05)
@@ -210,7 +222,7 @@
 
 def test_trials_of_ejected_destinations_leave_slots_to_others() -> None:
     endpoints = tuple(EndpointEntry(10 * number, number) for number in range(1, 8))
-    node = Node(settings(SAFE, slots=8), endpoints)
+    node = Node(settings(IDEMPOTENT, slots=8), endpoints)
     for destination in range(1, 7):
         for _ in range(4):
             node.arrive(destination=destination)
@@ -224,7 +236,7 @@
 
 def test_late_answers_do_not_hide_the_next_unresponsive_period() -> None:
     # Late answers must not raise the mean latency so far that the next unresponsive period goes undetected.
-    node = Node(settings(SAFE, slots=40))
+    node = Node(settings(IDEMPOTENT, slots=40))
     deliver(node, 1)
     node.arrive(count=12)
     node.run(9.0)
@@ -243,7 +255,7 @@
 
 def test_many_forwarders_together_keep_idle_connections_as_long_as_one_forwarder() -> None:
     # Idle connections of a large fleet must not fill the connection table of an endpoint.
-    node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=50))
+    node = Node(settings(IDEMPOTENT, slots=3, keepalive_s=10.0, instances=50))
     deliver(node, 1, count=1)
     node.run(0.19)
     assert closed_endpoints(node) == []
@@ -255,7 +267,7 @@
 
 
 def test_a_full_connection_table_is_no_outage_and_halves_the_idle_timeout() -> None:
-    node = Node(settings(KEYED, slots=3, keepalive_s=10.0, instances=50))
+    node = Node(settings(WITH_IDEMPOTENCY_KEY, slots=3, keepalive_s=10.0, instances=50))
     node.arrive()
     for _ in range(3):
         node.finish_attempt(node.last_message_id, Outcome.CONNECT_FAILED, connection_table_full=True)
@@ -270,7 +282,7 @@
 
 def create_fleet(count: int, listed_rate_per_s: float) -> list[Node]:
     """Return forwarders that share a destination with a listed rate and have 20 messages each."""
-    config = settings(KEYED, slots=6, instances=count, rates_listed=True, max_attempts=100)
+    config = settings(WITH_IDEMPOTENCY_KEY, slots=6, instances=count, rates_listed=True, max_attempts=100)
     nodes = [Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),)) for _ in range(count)]
     for index, node in enumerate(nodes):
         node.random.seed(index)
@@ -318,7 +330,7 @@
 def test_one_rejection_in_a_large_fleet_is_no_outage_but_many_in_a_row_are() -> None:
     # A first call may meet a limit that other forwarders have exhausted, which must not eject the route.
     node = Node(
-        settings(KEYED, instances=40, rates_listed=True, max_attempts=100),
+        settings(WITH_IDEMPOTENCY_KEY, instances=40, rates_listed=True, max_attempts=100),
         (EndpointEntry(10, 1, listed_rate_per_s=80.0),),
     )
     node.arrive(time_left_s=1000.0)
@@ -334,7 +346,9 @@
 def test_an_endpoint_with_fewer_connections_than_forwarders_serves_all_of_them() -> None:
     # Idle connections must be closed, so that other forwarders find space in the connection table.
     table_size, rng = 13, random.Random(3)
-    config = settings(KEYED, slots=6, instances=40, rates_listed=True, keepalive_s=10.0, max_attempts=8)
+    config = settings(
+        WITH_IDEMPOTENCY_KEY, slots=6, instances=40, rates_listed=True, keepalive_s=10.0, max_attempts=8
+    )
     nodes = [Node(config, (EndpointEntry(10, 1, listed_rate_per_s=200.0),)) for _ in range(40)]
     idle_connections, log_positions = [0] * 40, [0] * 40
     calls_in_flight: list[tuple[float, int, int]] = []  # when answered, forwarder, message
@@ -371,7 +385,7 @@
     # Ties must be broken at random, or the first endpoint of the list gets most of the calls.
     chosen = [0, 0, 0]
     for seed in range(60):
-        node = Node(settings(KEYED, instances=40, rates_listed=True), ())
+        node = Node(settings(WITH_IDEMPOTENCY_KEY, instances=40, rates_listed=True), ())
         node.random.seed(seed)
         node.update_endpoints(
             *(EndpointEntry(index, 1, listed_rate_per_s=200.0) for index in range(3)), scope=ListScope.CACHED
@@ -389,7 +403,7 @@
         (0.0, False, True),
     ):
         config = settings(
-            KEYED, instances=40, rates_listed=True, slow_start_capacity_fraction=0.001
+            WITH_IDEMPOTENCY_KEY, instances=40, rates_listed=True, slow_start_capacity_fraction=0.001
         )  # nearly all forwarders take a first fault for an outage
         node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
         if delivered_before:
@@ -415,7 +429,7 @@
 
 
 def test_a_small_fleet_keeps_its_idle_connections() -> None:
-    node = Node(settings(SAFE, slots=3, keepalive_s=10.0, instances=3))
+    node = Node(settings(IDEMPOTENT, slots=3, keepalive_s=10.0, instances=3))
     node.arrive()
     node.finish_attempt(1, Outcome.CONNECT_FAILED, message_ended=True)
     node.run(2.0)
@@ -425,7 +439,7 @@
 
 def test_trials_of_many_forwarders_do_not_overload_a_recovering_destination() -> None:
     # The interval of trials must grow with the fleet, or their total exceeds the capacity.
-    nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
+    nodes = [Node(settings(IDEMPOTENT, slots=3, instances=50)) for _ in range(50)]
     for index, node in enumerate(nodes):
         node.random.seed(index)
         for _ in range(2):
@@ -452,7 +466,7 @@
 
 
 def test_forwarders_stagger_their_calls_after_a_retry_after() -> None:
-    nodes = [Node(settings(SAFE, slots=3, instances=50)) for _ in range(50)]
+    nodes = [Node(settings(IDEMPOTENT, slots=3, instances=50)) for _ in range(50)]
     early_count = 0
     for index, node in enumerate(nodes):
         node.random.seed(index)
@@ -464,7 +478,7 @@
 
 
 def test_a_rate_limit_in_a_large_fleet_can_fall_below_one_call_a_second() -> None:
-    node = Node(settings(SAFE, slots=3, instances=200, max_attempts=50))
+    node = Node(settings(IDEMPOTENT, slots=3, instances=200, max_attempts=50))
     node.arrive(count=3)
     for _ in range(6):
         node.run(3.0)
@@ -477,7 +491,7 @@
 def test_absent_or_invalid_listed_rates_neither_raise_nor_limit_traffic() -> None:
     for listed_rate_per_s in (0.0, -3.0, 1e-9, 1e12):
         node = Node(
-            settings(SAFE, rates_listed=True, instances=200),
+            settings(IDEMPOTENT, rates_listed=True, instances=200),
             (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),),
         )
         node.arrive()
@@ -492,7 +506,7 @@
 
 def test_a_rate_limit_in_a_large_fleet_starts_at_the_quota_of_the_reported_limit() -> None:
     # Rejected calls count against a limit, so the fleet must start within a limit that is known.
-    node = Node(settings(SAFE, slots=3, instances=50))
+    node = Node(settings(IDEMPOTENT, slots=3, instances=50))
     node.arrive()
     node.run(0.1)
     node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.0, reported_limit_per_s=10.0)
@@ -503,7 +517,7 @@
 
 def test_a_rejection_with_capacity_left_does_not_bound_the_rate_limit() -> None:
     # A destination that rejects below its limit is down. A low limit would delay its recovery by minutes.
-    node = Node(settings(SAFE, slots=3, instances=200))
+    node = Node(settings(IDEMPOTENT, slots=3, instances=200))
     node.arrive()
     node.run(0.1)
     node.finish_attempt(1, Outcome.OVERLOADED, capacity_left=0.9, reported_limit_per_s=4.0)
@@ -514,7 +528,7 @@
     fractions = []
     for interval_s in (0.05, 5.0):
         node = Node(
-            settings(SAFE, slots=30, instances=100, rates_listed=True),
+            settings(IDEMPOTENT, slots=30, instances=100, rates_listed=True),
             (EndpointEntry(10, 1, listed_rate_per_s=40.0),),
         )
         for _ in range(round(60 / interval_s)):
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -10,7 +10,7 @@
 
 from juniperward.scheduler.actions import StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome
-from tests.helpers import KEYED, SAFE, Node, attempted, settings
+from tests.helpers import IDEMPOTENT, WITH_IDEMPOTENCY_KEY, Node, attempted, settings
 
 INSTANCES = 300
 LISTED_RATE = 6.0
@@ -37,7 +37,7 @@
         **overrides,
     }
     nodes = [
-        Node(settings(SAFE, **values), (EndpointEntry(10, 1, listed_rate_per_s=LISTED_RATE),))
+        Node(settings(IDEMPOTENT, **values), (EndpointEntry(10, 1, listed_rate_per_s=LISTED_RATE),))
         for _ in range(count)
     ]
     for index, node in enumerate(nodes):
@@ -226,7 +226,7 @@
 
 def create_warming_up_node(listed_rate_per_s: float = 80.0) -> Node:
     """Return one of 40 forwarders that share the listed rate, at the start of the slow start."""
-    config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
+    config = settings(WITH_IDEMPOTENCY_KEY, slots=6, instances=40, rates_listed=True, max_attempts=100)
     node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
     node.arrive()
     node.route(1).ejected = True
@@ -275,7 +275,7 @@
 
 def test_a_rate_limit_grows_slowly_again_from_its_quota_of_the_listed_rate() -> None:
     # A step that has doubled for seconds must not carry the limit far past its quota.
-    config = settings(KEYED, slots=6, instances=40, rates_listed=True, max_attempts=100)
+    config = settings(WITH_IDEMPOTENCY_KEY, slots=6, instances=40, rates_listed=True, max_attempts=100)
     node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=80.0),))
     node.arrive(count=60)
     route = node.route(1)
@@ -299,7 +299,7 @@
     listed_rate_per_s: float, needed: int
 ) -> None:
     # In a large fleet, a forwarder makes too few calls to see four failures in a row at one endpoint.
-    config = settings(KEYED, slots=8, instances=40, rates_listed=True, max_attempts=100)
+    config = settings(WITH_IDEMPOTENCY_KEY, slots=8, instances=40, rates_listed=True, max_attempts=100)
     node = Node(
         config, tuple(EndpointEntry(n, 1, listed_rate_per_s=listed_rate_per_s) for n in (10, 11, 12, 13, 14))
     )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -50,7 +50,7 @@
 from juniperward.forwarder.reducer.completion import MAX_COMPLETED_IDS
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import DestinationKind
-from tests.helpers import KEYED, ONCE, settings
+from tests.helpers import NON_IDEMPOTENT, WITH_IDEMPOTENCY_KEY, settings
 
 
 def make_endpoint(
@@ -70,7 +70,7 @@
 
     def start(self, *endpoints: Endpoint, **changes: Any) -> Reducer:
         kinds = {"kinds": (DestinationKind(), DestinationKind(batch_size=20)), "slots": 8}
-        self.reducer = Reducer(settings(KEYED, ONCE, **{**kinds, **changes}), 1)
+        self.reducer = Reducer(settings(WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT, **{**kinds, **changes}), 1)
         self.now = 100.0
         self.reduce(EndpointsUpdated(41, True, endpoints or (make_endpoint(),), cached=True))
         return self.reducer
@@ -444,7 +444,7 @@
         assert len(self.of_type(effects, SendNotifications)) == 1
 
     def test_the_deduplication_window_holds_over_a_restart(self) -> None:
-        # KEYED has a window of 5 s from the first attempt that was possibly executed.
+        # The class has a window of 5 s from the first attempt that was possibly executed.
         self.start()
         history = (RecordedAttempt("s-1", 94.0, True),)
         effects = self.reduce(JournalReplayed((RestoredMessage(make_message("late"), 115.0, history),)))
--- a/tests/test_reported_rate_limits.py
+++ b/tests/test_reported_rate_limits.py
@@ -8,7 +8,7 @@
 from juniperward.scheduler.route_state import RouteState
 from juniperward.scheduler.settings import DestinationKind
 from juniperward.scheduler.traffic import record_load_report
-from tests.helpers import SAFE, Node, attempted, settings
+from tests.helpers import IDEMPOTENT, Node, attempted, settings
 
 SEPARATE_ROUTES = (
     DestinationKind(batch_size=1, separate_routes=True),
@@ -19,7 +19,7 @@
 
 def create_node(instances: int) -> Node:
     """Return one of several forwarders, where each endpoint has a rate limit of its own."""
-    return Node(settings(SAFE, slots=20, kinds=SEPARATE_ROUTES, instances=instances), ENDPOINTS)
+    return Node(settings(IDEMPOTENT, slots=20, kinds=SEPARATE_ROUTES, instances=instances), ENDPOINTS)
 
 
 def send_and_settle(
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -41,7 +41,7 @@
 from juniperward.scheduler.events import EndpointPhase, Outcome
 from juniperward.scheduler.settings import MessageClass
 from tests.endpoint_client_rig import LIMITS, EndpointClientRig
-from tests.helpers import SAFE, settings
+from tests.helpers import IDEMPOTENT, settings
 from tests.player import Program
 from tests.resources import Resources, UsesResources
 from tests.test_reducer import ReducerRig, make_endpoint, make_message
@@ -175,8 +175,10 @@
 class TestNeverAttempted(ReducerRig):
     """The reducer and the scheduler after a restart."""
 
-    def restore(self, *restored: RestoredMessage, first: MessageClass = SAFE, **more: Any) -> list[Effect]:
-        self.reducer = Reducer(settings(first, SAFE, **more), 1)
+    def restore(
+        self, *restored: RestoredMessage, first: MessageClass = IDEMPOTENT, **more: Any
+    ) -> list[Effect]:
+        self.reducer = Reducer(settings(first, IDEMPOTENT, **more), 1)
         self.now = 100.0
         self.reduce(EndpointsUpdated(41, True, (make_endpoint(),), cached=True))
         return self.reduce(JournalReplayed(restored))
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -25,7 +25,7 @@
 from juniperward.scheduler.settings import SchedulerSettings
 from juniperward.scheduler.settings_codec import read_settings
 from tests.endpoint_client_rig import EndpointClientRig
-from tests.helpers import ONCE, settings
+from tests.helpers import NON_IDEMPOTENT, settings
 from tests.resources import UsesResources
 from tests.test_reducer import make_endpoint
 
@@ -43,7 +43,7 @@
         # Guards a deployment with pushed lists, in which the scheduler never polls the list.
         for polled in (False, True):
             with subtests.test(polled=polled):
-                reducer = Reducer(settings(ONCE, endpoints_polled=polled), 1)
+                reducer = Reducer(settings(NON_IDEMPOTENT, endpoints_polled=polled), 1)
                 effects = reducer.reduce(100.0, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
                 assert started_watches(effects) == [StartWatch(41, 0)]
 
@@ -54,7 +54,7 @@
         # once; for one that fails late its duration counts as the wait.
         for established, duration_s, max_wait_s in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with subtests.test(established=established, duration_s=duration_s):
-                reducer, now, waits_s = Reducer(settings(ONCE, endpoints_polled=True), 1), 100.0, []
+                reducer, now, waits_s = Reducer(settings(NON_IDEMPOTENT, endpoints_polled=True), 1), 100.0, []
                 effects = reducer.reduce(now, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
                 for _ in range(6):
                     now += duration_s
@@ -150,7 +150,7 @@
             assert events.empty()
 
     def test_a_watch_event_does_not_open_a_second_watch(self) -> None:
-        reducer = Reducer(settings(ONCE), 1)
+        reducer = Reducer(settings(NON_IDEMPOTENT), 1)
         reducer.reduce(100.0, [EndpointsUpdated(41, True, (make_endpoint(),), cached=True)])
         effects = reducer.reduce(101.0, [EndpointsUpdated(42, False, (make_endpoint("s-2"),))])
         assert started_watches(effects) == []
@@ -213,7 +213,7 @@
         client = DiscoveryClient(
             listener.getsockname(), SettingsNames(("c",), (12.0,), (), ("m2",), ("a",)), events.put
         )
-        reducer = Reducer(settings(ONCE, endpoints_polled=True), 1)
+        reducer = Reducer(settings(NON_IDEMPOTENT, endpoints_polled=True), 1)
         with mock.patch.object(discovery_watch, "STREAM_TIMEOUT_S", 0.1):
             client.start()
             client.watch(41, 0)
@@ -233,7 +233,7 @@
         assert now < 101.0
 
     def test_a_removal_and_a_complete_list_remove_endpoints(self) -> None:
-        reducer = Reducer(settings(ONCE), 1)
+        reducer = Reducer(settings(NON_IDEMPOTENT), 1)
         reducer.reduce(
             100.0, [EndpointsUpdated(41, True, (make_endpoint(), make_endpoint("s-2")), cached=True)]
         )
@@ -247,7 +247,7 @@
 class TestHealthCheckInReducer:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.reducer = Reducer(settings(ONCE, health_checks=True), 1)
+        self.reducer = Reducer(settings(NON_IDEMPOTENT, health_checks=True), 1)
         self.reducer.reduce(
             100.0,
             [
