--- a/juniperward/scheduler/records.py
+++ b/juniperward/scheduler/records.py
@@ -175,8 +175,7 @@
         mean_latency_s: the running mean of the latency; None before the first delivery.
         baseline_latency_s: a slower running mean of the latency; 0 before the first delivery.
         wake_at: when the destination is next put on the ring.
-        listed_rate_per_s: the calls that all forwarders together may make, by the endpoint list; 0 if it names
-            no rate.
+        listed_rate_per_s: the calls that all forwarders together may make; 0 if the list names no rate.
         unavailable: whether no endpoint could be called at the latest check. Such a destination stays off the
             ring until an event or a timer puts it back.
         endpoint_order: the endpoints as a list, for random samples.
--- a/juniperward/scheduler/tuning.py
+++ b/juniperward/scheduler/tuning.py
@@ -67,8 +67,8 @@
 QUOTA_FLOOR_FRACTION = 0.9
 # The growth of a rate limit with a known quota at each interval, as a fraction of the quota.
 QUOTA_STEP_FRACTION = 0.2
-# That growth in a large fleet, directly after a cut, as a fraction of the quota. It doubles with each second
-# since the cut.
+# In a large fleet, a rate limit grows by this fraction of the quota directly after a cut. The fraction
+# doubles with each second since the cut.
 CAUTIOUS_QUOTA_STEP_FRACTION = 0.02
 # A rate limit allows at least this number of calls within the shortest deadline.
 MIN_CALLS_PER_DEADLINE = 2.0
