--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -62,7 +62,7 @@
     return SchedulerSettings(**{**values, **changes})
 
 
-class Node:
+class SchedulerDriver:
     """The delivery scheduler of one forwarder, on a simulated clock; `run` moves the clock and fires timers."""
 
     def __init__(
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -14,7 +14,7 @@
     NON_IDEMPOTENT,
     ORDERED,
     WITH_IDEMPOTENCY_KEY,
-    Node,
+    SchedulerDriver,
     attempted,
     draining_endpoint,
     failed,
@@ -23,8 +23,8 @@
 )
 
 
-def zone_scoped_node() -> Node:
-    """A node whose class deduplicates per zone; endpoint 10 is in zone 0 and endpoint 11 in zone 1."""
+def zone_scoped_driver() -> SchedulerDriver:
+    """A driver with deduplication per zone; endpoint 10 is in zone 0 and endpoint 11 in zone 1."""
     zone_keyed = MessageClass(
         latency_objective_s=4.0,
         deadline_s=20.0,
@@ -32,135 +32,137 @@
         deduplication_window_s=5.0,
         deduplication_scope=DeduplicationScope.ZONE,
     )
-    return Node(settings(zone_keyed), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
+    return SchedulerDriver(settings(zone_keyed), (EndpointEntry(10, 1, zone=0), EndpointEntry(11, 1, zone=1)))
 
 
 def test_a_pending_message_is_answered_before_its_deadline() -> None:
-    node = Node(endpoints=())
-    node.arrive(destination=9)
-    actions = node.run(20.02)
+    driver = SchedulerDriver(endpoints=())
+    driver.arrive(destination=9)
+    actions = driver.run(20.02)
     assert rejected(actions) == [1]
-    assert node.run(60.0) == []
+    assert driver.run(60.0) == []
 
 
 def test_a_message_in_flight_at_its_deadline_is_failed_within_the_slack() -> None:
-    node = Node(settings(NON_IDEMPOTENT))
-    assert attempted(node.arrive()) == [1]
-    actions = node.run(20.02)
+    driver = SchedulerDriver(settings(NON_IDEMPOTENT))
+    assert attempted(driver.arrive()) == [1]
+    actions = driver.run(20.02)
     assert failed(actions) == [1] and rejected(actions) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_a_possibly_executed_non_idempotent_message_is_failed_and_never_retried(outcome: Outcome) -> None:
-    node = Node(settings(NON_IDEMPOTENT))
-    node.arrive()
-    node.run(0.1)
-    actions = node.finish_attempt(1, outcome) + node.run(20.0)
+    driver = SchedulerDriver(settings(NON_IDEMPOTENT))
+    driver.arrive()
+    driver.run(0.1)
+    actions = driver.finish_attempt(1, outcome) + driver.run(20.0)
     assert failed(actions) == [1] and attempted(actions) == [] and rejected(actions) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 def test_an_unexecuted_non_idempotent_message_is_retried(outcome: Outcome) -> None:
-    node = Node(settings(NON_IDEMPOTENT))
-    node.arrive()
-    node.run(0.1)
-    assert attempted(node.finish_attempt(1, outcome) + node.run(5.0)) == [1]
+    driver = SchedulerDriver(settings(NON_IDEMPOTENT))
+    driver.arrive()
+    driver.run(0.1)
+    assert attempted(driver.finish_attempt(1, outcome) + driver.run(5.0)) == [1]
 
 
 def test_a_message_with_an_idempotency_key_is_not_retried_past_its_window() -> None:
-    node = Node(settings(WITH_IDEMPOTENCY_KEY))
-    node.arrive()
-    node.run(4.9)
-    actions = node.finish_attempt(1, Outcome.TIMEOUT) + node.run(20.0)
-    assert all(at < 105.0 for at in node.sent_at.values())
+    driver = SchedulerDriver(settings(WITH_IDEMPOTENCY_KEY))
+    driver.arrive()
+    driver.run(4.9)
+    actions = driver.finish_attempt(1, Outcome.TIMEOUT) + driver.run(20.0)
+    assert all(at < 105.0 for at in driver.sent_at.values())
     assert failed(actions) == [1]
 
 
 def test_an_attempt_with_an_idempotency_key_has_a_start_deadline() -> None:
     # Guards against a retry that waits for a new connection and is sent after the deduplication window.
-    node = Node(settings(WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT))
-    assert [a.start_within_s for a in node.arrive() if isinstance(a, StartAttempt)] == [math.inf]
-    node.run(4.0)
+    driver = SchedulerDriver(settings(WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT))
+    assert [a.start_within_s for a in driver.arrive() if isinstance(a, StartAttempt)] == [math.inf]
+    driver.run(4.0)
     retries = [
-        a for a in node.finish_attempt(1, Outcome.RESET) + node.run(0.9) if isinstance(a, StartAttempt)
+        a for a in driver.finish_attempt(1, Outcome.RESET) + driver.run(0.9) if isinstance(a, StartAttempt)
     ]
     assert len(retries) == 1
-    assert node.sent_at[1, 1] + retries[0].start_within_s == pytest.approx(105.0, abs=0.03)
-    assert [a.start_within_s for a in node.arrive(class_index=1) if isinstance(a, StartAttempt)] == [math.inf]
+    assert driver.sent_at[1, 1] + retries[0].start_within_s == pytest.approx(105.0, abs=0.03)
+    assert [a.start_within_s for a in driver.arrive(class_index=1) if isinstance(a, StartAttempt)] == [
+        math.inf
+    ]
 
 
 def test_a_deduplication_window_is_kept_when_its_timer_fires_early_by_rounding() -> None:
     # Guards against a timer that fires a rounding error before the end of the window and has no effect.
-    node = Node(settings(WITH_IDEMPOTENCY_KEY, slots=2))
-    node.arrive(destination=1)
-    node.run(0.01)
-    node.handle(*[])
-    node.finish_attempt(1, Outcome.ERROR)
-    node.update_endpoints(draining_endpoint(10, 1))
-    node.run(6.0)
-    node.update_endpoints(EndpointEntry(11, 1))
-    assert node.attempts[1] == 1 or max(node.sent_at.values()) < 105.0
-    assert attempted(node.run(14.0)) == []
+    driver = SchedulerDriver(settings(WITH_IDEMPOTENCY_KEY, slots=2))
+    driver.arrive(destination=1)
+    driver.run(0.01)
+    driver.handle(*[])
+    driver.finish_attempt(1, Outcome.ERROR)
+    driver.update_endpoints(draining_endpoint(10, 1))
+    driver.run(6.0)
+    driver.update_endpoints(EndpointEntry(11, 1))
+    assert driver.attempts[1] == 1 or max(driver.sent_at.values()) < 105.0
+    assert attempted(driver.run(14.0)) == []
 
 
 def test_a_zone_scoped_retry_stays_in_its_zone() -> None:
-    node = zone_scoped_node()
-    node.arrive()
-    first_endpoint = node.endpoint[1, 0]
-    node.run(0.05)
-    node.finish_attempt(1, Outcome.ERROR)
-    node.run(2.0)
-    assert node.endpoint[1, 1] == first_endpoint
-    node.finish_attempt(1, Outcome.ERROR)
-    actions = node.run(8.0)
-    assert {node.endpoint[1, n] for n in range(node.attempts[1])} == {first_endpoint}
+    driver = zone_scoped_driver()
+    driver.arrive()
+    first_endpoint = driver.endpoint[1, 0]
+    driver.run(0.05)
+    driver.finish_attempt(1, Outcome.ERROR)
+    driver.run(2.0)
+    assert driver.endpoint[1, 1] == first_endpoint
+    driver.finish_attempt(1, Outcome.ERROR)
+    actions = driver.run(8.0)
+    assert {driver.endpoint[1, n] for n in range(driver.attempts[1])} == {first_endpoint}
     assert rejected(actions) == []
 
 
 def test_after_a_restart_a_zone_scoped_message_with_unlisted_endpoint_is_not_retried() -> None:
     # Guards against a retry in zone 0 when the endpoint of the earlier attempt is no longer listed.
-    node = zone_scoped_node()
-    node.arrive(history=(PastAttempt(0, 99.0),))
-    assert (attempted(node.run(8.0)), len(failed([a for _, a in node.log]))) == ([], 1)
+    driver = zone_scoped_driver()
+    driver.arrive(history=(PastAttempt(0, 99.0),))
+    assert (attempted(driver.run(8.0)), len(failed([a for _, a in driver.log]))) == ([], 1)
     # A listed endpoint among the earlier attempts determines the zone.
-    node.arrive(history=(PastAttempt(0, node.now - 2.0), PastAttempt(11, node.now - 1.0)))
-    assert node.endpoint[2, 0] == 11
+    driver.arrive(history=(PastAttempt(0, driver.now - 2.0), PastAttempt(11, driver.now - 1.0)))
+    assert driver.endpoint[2, 0] == 11
 
 
 def test_a_draining_endpoint_gets_no_attempts() -> None:
-    node = Node(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
-    node.update_endpoints(draining_endpoint(10, 1))
-    node.arrive(count=6)
-    assert set(node.endpoint.values()) == {11}
-    node.update_endpoints(draining_endpoint(11, 1))
-    assert attempted(node.arrive(count=3)) == []
+    driver = SchedulerDriver(endpoints=(EndpointEntry(10, 1), EndpointEntry(11, 1)))
+    driver.update_endpoints(draining_endpoint(10, 1))
+    driver.arrive(count=6)
+    assert set(driver.endpoint.values()) == {11}
+    driver.update_endpoints(draining_endpoint(11, 1))
+    assert attempted(driver.arrive(count=3)) == []
 
 
 def test_a_recovering_destination_is_not_overloaded() -> None:
-    node = Node(settings(IDEMPOTENT, slots=40))
+    driver = SchedulerDriver(settings(IDEMPOTENT, slots=40))
     for _ in range(40):  # 4 deliveries per second
-        node.arrive()
-        node.run(0.05)
-        node.finish_attempt(node.last_message_id)
-        node.run(0.2)
+        driver.arrive()
+        driver.run(0.05)
+        driver.finish_attempt(driver.last_message_id)
+        driver.run(0.2)
     for _ in range(6):
-        node.arrive()
-        node.run(0.05)
-        for message in node.in_flight():
-            node.finish_attempt(message, Outcome.ERROR)
-    node.arrive(count=60)
-    attempts_before = len(node.sent_at)
+        driver.arrive()
+        driver.run(0.05)
+        for message in driver.in_flight():
+            driver.finish_attempt(message, Outcome.ERROR)
+    driver.arrive(count=60)
+    attempts_before = len(driver.sent_at)
     answered = set()
-    recovers_at = node.now + 6.0
-    while node.now < recovers_at + 4.0:
-        for (message, attempt), at in sorted(node.sent_at.items()):
-            is_latest = attempt == node.attempts[message] - 1
-            if (message, attempt) not in answered and at <= node.now - 0.05 and is_latest:
+    recovers_at = driver.now + 6.0
+    while driver.now < recovers_at + 4.0:
+        for (message, attempt), at in sorted(driver.sent_at.items()):
+            is_latest = attempt == driver.attempts[message] - 1
+            if (message, attempt) not in answered and at <= driver.now - 0.05 and is_latest:
                 answered.add((message, attempt))
-                if message in node.messages and node.messages[message].in_flight:
-                    node.finish_attempt(message, Outcome.OK if node.now >= recovers_at else Outcome.ERROR)
-        node.run(0.05)
-    times = [at for at in list(node.sent_at.values())[attempts_before:] if at >= recovers_at]
+                if message in driver.messages and driver.messages[message].in_flight:
+                    driver.finish_attempt(message, Outcome.OK if driver.now >= recovers_at else Outcome.ERROR)
+        driver.run(0.05)
+    times = [at for at in list(driver.sent_at.values())[attempts_before:] if at >= recovers_at]
     assert times
     # In 2 s, 1.5 x a capacity fraction that rises from 0.25 to 0.55 x 4 calls per second is 3 to 6 calls.
     for start in times:
@@ -169,38 +171,38 @@
 
 
 def test_messages_of_a_key_are_sent_one_at_a_time_with_a_cooldown() -> None:
-    node = Node(settings(ORDERED, key_cooldown_s=0.3))
-    node.arrive(ordering_key="a")
-    assert attempted(node.arrive(ordering_key="a")) == []
-    assert attempted(node.arrive(ordering_key="b")) == [3]
-    node.run(0.1)
-    assert attempted(node.finish_attempt(1)) == [2]
-    node.arrive(ordering_key="a")
-    node.run(0.1)
-    node.finish_attempt(2, Outcome.TIMEOUT, message_ended=True)
-    assert attempted(node.run(0.29)) == []
-    assert attempted(node.run(0.02)) == [4]
+    driver = SchedulerDriver(settings(ORDERED, key_cooldown_s=0.3))
+    driver.arrive(ordering_key="a")
+    assert attempted(driver.arrive(ordering_key="a")) == []
+    assert attempted(driver.arrive(ordering_key="b")) == [3]
+    driver.run(0.1)
+    assert attempted(driver.finish_attempt(1)) == [2]
+    driver.arrive(ordering_key="a")
+    driver.run(0.1)
+    driver.finish_attempt(2, Outcome.TIMEOUT, message_ended=True)
+    assert attempted(driver.run(0.29)) == []
+    assert attempted(driver.run(0.02)) == [4]
 
 
 def test_retry_after_delays_every_message_of_the_destination() -> None:
-    node = Node()
-    node.arrive()
-    node.run(0.1)
-    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the wait by the rate limit
-    assert attempted(node.arrive(count=3) + node.run(1.89)) == []
-    assert attempted(node.arrive(destination=2)) != []
-    assert attempted(node.run(1.0)) != []
+    driver = SchedulerDriver()
+    driver.arrive()
+    driver.run(0.1)
+    driver.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=1.9)  # longer than the wait by the rate limit
+    assert attempted(driver.arrive(count=3) + driver.run(1.89)) == []
+    assert attempted(driver.arrive(destination=2)) != []
+    assert attempted(driver.run(1.0)) != []
 
 
 def test_with_separate_routes_retry_after_delays_its_route_only() -> None:
-    node = Node(
+    driver = SchedulerDriver(
         settings(kinds=(DestinationKind(separate_routes=True),)), (EndpointEntry(10, 1), EndpointEntry(11, 1))
     )
-    node.arrive()
-    first_endpoint = node.endpoint[1, 0]
-    node.run(0.1)
-    node.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=5.0)
-    node.run(0.5)
-    node.arrive(count=2)
-    later_endpoints = {endpoint for key, endpoint in node.endpoint.items() if key != (1, 0)}
+    driver.arrive()
+    first_endpoint = driver.endpoint[1, 0]
+    driver.run(0.1)
+    driver.finish_attempt(1, Outcome.OVERLOADED, retry_after_s=5.0)
+    driver.run(0.5)
+    driver.arrive(count=2)
+    later_endpoints = {endpoint for key, endpoint in driver.endpoint.items() if key != (1, 0)}
     assert later_endpoints and first_endpoint not in later_endpoints
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -10,7 +10,7 @@
 
 from juniperward.scheduler.actions import StartAttempt
 from juniperward.scheduler.events import EndpointEntry, Outcome
-from tests.helpers import IDEMPOTENT, WITH_IDEMPOTENCY_KEY, Node, attempted, settings
+from tests.helpers import IDEMPOTENT, WITH_IDEMPOTENCY_KEY, SchedulerDriver, attempted, settings
 
 INSTANCES = 300
 LISTED_RATE = 6.0
@@ -24,7 +24,7 @@
 CHANCE_MARGIN = 3 * math.sqrt(MIN_BUDGET)
 
 
-def create_fleet(count: int = INSTANCES, **overrides: Any) -> list[Node]:
+def create_fleet(count: int = INSTANCES, **overrides: Any) -> list[SchedulerDriver]:
     values: dict[str, Any] = {
         "instances": count,
         "slots": 3,
@@ -36,18 +36,20 @@
         "max_attempts": 8,
         **overrides,
     }
-    nodes = [
-        Node(settings(IDEMPOTENT, **values), (EndpointEntry(10, 1, listed_rate_per_s=LISTED_RATE),))
+    drivers = [
+        SchedulerDriver(
+            settings(IDEMPOTENT, **values), (EndpointEntry(10, 1, listed_rate_per_s=LISTED_RATE),)
+        )
         for _ in range(count)
     ]
-    for index, node in enumerate(nodes):
-        node.random.seed(index)
-        node.run(300.0)  # the fraction of the traffic is estimated over the uptime
-    return nodes
+    for index, driver in enumerate(drivers):
+        driver.random.seed(index)
+        driver.run(300.0)  # the fraction of the traffic is estimated over the uptime
+    return drivers
 
 
-def in_flight(node: Node) -> list[int]:
-    return node.in_flight()
+def in_flight(driver: SchedulerDriver) -> list[int]:
+    return driver.in_flight()
 
 
 def max_calls_in_span(times: list[float]) -> int:
@@ -63,40 +65,40 @@
     `with_retry_after` is set. Later calls succeed. The result is the times of the calls after the return, in
     seconds since it, from forwarders whose earlier calls failed.
     """
-    nodes, rng = create_fleet(), random.Random(5)
-    started_at = nodes[0].now
+    drivers, rng = create_fleet(), random.Random(5)
+    started_at = drivers[0].now
     returned_at, ended_at = started_at + outage_s, started_at + outage_s + WARM_UP_S
     steady_count = round(LISTED_RATE * (ended_at - started_at))
     arrivals = [(rng.uniform(started_at, ended_at), rng.randrange(INSTANCES)) for _ in range(steady_count)]
     arrivals += [(returned_at - rng.uniform(0.8, 1.0), rng.randrange(INSTANCES)) for _ in range(burst_count)]
     arrivals.sort()
-    failed_nodes: set[int] = set()
+    failed_drivers: set[int] = set()
     times: list[float] = []
-    answers: list[tuple[float, int, int, float]] = []  # answered at, node index, message, sent at
+    answers: list[tuple[float, int, int, float]] = []  # answered at, driver index, message, sent at
     log_positions = [0] * INSTANCES
     for tick in range(1, round((ended_at - started_at) / 0.05) + 1):
         now = started_at + 0.05 * tick
-        for node in nodes:
-            node.run(now - node.now)
+        for driver in drivers:
+            driver.run(now - driver.now)
         while answers and answers[0][0] <= now:
             _, index, message, sent_at = answers.pop(0)
             if sent_at >= returned_at:
-                nodes[index].finish_attempt(message)
+                drivers[index].finish_attempt(message)
             else:
-                failed_nodes.add(index)
-                nodes[index].finish_attempt(
+                failed_drivers.add(index)
+                drivers[index].finish_attempt(
                     message, outcome, retry_after_s=max(returned_at - now, 0.01) if with_retry_after else 0.0
                 )
         while arrivals and arrivals[0][0] <= now:
-            nodes[arrivals.pop(0)[1]].arrive()
-        for index, node in enumerate(nodes):
-            for when, action in node.log[log_positions[index] :]:
+            drivers[arrivals.pop(0)[1]].arrive()
+        for index, driver in enumerate(drivers):
+            for when, action in driver.log[log_positions[index] :]:
                 if isinstance(action, StartAttempt):
                     answers.append((now + 0.1, index, action.message, when))
-                    if when >= returned_at and index in failed_nodes:
+                    if when >= returned_at and index in failed_drivers:
                         times.append(when - returned_at)
-            log_positions[index] = len(node.log)
-    assert len(failed_nodes) > INSTANCES / 10
+            log_positions[index] = len(driver.log)
+    assert len(failed_drivers) > INSTANCES / 10
     return times
 
 
@@ -128,166 +130,166 @@
 @pytest.mark.parametrize("count", [1, 3, 40, 200, 230, 300, 600])
 def test_trials_stay_within_the_capacity_for_any_number_of_forwarders(count: int) -> None:
     # The interval of trials must grow with the fleet: a cap on it lets a large fleet exceed the capacity.
-    nodes = create_fleet(count)
+    drivers = create_fleet(count)
     times: list[float] = []
-    for node in nodes:
-        node.arrive(count=3)
-        node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
-        for message in in_flight(node):
-            node.finish_attempt(message, Outcome.ERROR)
+    for driver in drivers:
+        driver.arrive(count=3)
+        driver.finish_attempt(in_flight(driver)[0], Outcome.ERROR)
+        for message in in_flight(driver):
+            driver.finish_attempt(message, Outcome.ERROR)
         if count < 6:  # a small fleet ejects after four failures in a row
-            node.arrive(count=2)
-            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
-        started_at = node.now
-        node.scheduler.state.traffic.admitted_count = 0  # makes the fraction of the traffic even
-        assert node.route(1).ejected
+            driver.arrive(count=2)
+            driver.finish_attempt(in_flight(driver)[0], Outcome.ERROR)
+        started_at = driver.now
+        driver.scheduler.state.traffic.admitted_count = 0  # makes the fraction of the traffic even
+        assert driver.route(1).ejected
         for _ in range(40):
-            node.arrive(time_left_s=1.0)
-            node.scheduler.state.traffic.admitted_count = 0
-            node.run(1.0)
-            for message in in_flight(node):
-                node.finish_attempt(message, Outcome.ERROR, message_ended=True)
-        times += [t - started_at for t, a in node.log if isinstance(a, StartAttempt) and t > started_at]
+            driver.arrive(time_left_s=1.0)
+            driver.scheduler.state.traffic.admitted_count = 0
+            driver.run(1.0)
+            for message in in_flight(driver):
+                driver.finish_attempt(message, Outcome.ERROR, message_ended=True)
+        times += [t - started_at for t, a in driver.log if isinstance(a, StartAttempt) and t > started_at]
     assert 0 < max_calls_in_span(times) <= MIN_BUDGET + CHANCE_MARGIN
     assert len(times) <= MIN_BUDGET * 40 / SPAN_S
 
 
 def test_trials_that_were_due_without_messages_do_not_burst() -> None:
-    nodes = create_fleet()[:30]
+    drivers = create_fleet()[:30]
     times: list[float] = []
-    for node in nodes:
-        node.arrive(count=3)
+    for driver in drivers:
+        driver.arrive(count=3)
         for _ in range(2):
-            node.finish_attempt(in_flight(node)[0], Outcome.ERROR)
-        for message in in_flight(node):
-            node.finish_attempt(message, Outcome.ERROR)
-        assert node.route(1).ejected
-        node.route(1).next_call_at = node.now + 20.0
-        node.run(40.0)
-        started_at = node.now
-        node.arrive()
-        node.run(WARM_UP_S)
-        times += [t - started_at for t, a in node.log if isinstance(a, StartAttempt) and t >= started_at]
+            driver.finish_attempt(in_flight(driver)[0], Outcome.ERROR)
+        for message in in_flight(driver):
+            driver.finish_attempt(message, Outcome.ERROR)
+        assert driver.route(1).ejected
+        driver.route(1).next_call_at = driver.now + 20.0
+        driver.run(40.0)
+        started_at = driver.now
+        driver.arrive()
+        driver.run(WARM_UP_S)
+        times += [t - started_at for t, a in driver.log if isinstance(a, StartAttempt) and t >= started_at]
     assert len(times) > 20 and max_calls_in_span(times) <= 15
 
 
 def test_an_ejection_outlasts_the_idle_expiry() -> None:
     # Without the ejection, the next messages of all forwarders would be sent before their trials are due.
-    node = create_fleet()[0]
+    driver = create_fleet()[0]
     for _ in range(2):
-        node.arrive(time_left_s=19.0)
-        node.run(20.0)
-        for message in in_flight(node):
-            node.finish_attempt(message, Outcome.ERROR)
-    if not node.route(1).ejected:
-        node.arrive()
-        node.finish_attempt(node.last_message_id, Outcome.ERROR)
-    route = node.route(1)
-    route.next_call_at = node.now + 500.0
-    node.run(70.0)
-    assert route.ejected and attempted(node.arrive()) == []
+        driver.arrive(time_left_s=19.0)
+        driver.run(20.0)
+        for message in in_flight(driver):
+            driver.finish_attempt(message, Outcome.ERROR)
+    if not driver.route(1).ejected:
+        driver.arrive()
+        driver.finish_attempt(driver.last_message_id, Outcome.ERROR)
+    route = driver.route(1)
+    route.next_call_at = driver.now + 500.0
+    driver.run(70.0)
+    assert route.ejected and attempted(driver.arrive()) == []
 
 
 def test_an_answer_after_one_failure_begins_the_slow_start() -> None:
     staggered_count = 0
-    for node in create_fleet()[:30]:
-        node.arrive()
-        node.finish_attempt(1, Outcome.ERROR)
-        route = node.route(1)
-        assert not in_flight(node)
+    for driver in create_fleet()[:30]:
+        driver.arrive()
+        driver.finish_attempt(1, Outcome.ERROR)
+        route = driver.route(1)
+        assert not in_flight(driver)
         if not route.staggered:
             continue  # the first failure has ejected the route
         staggered_count += 1
-        node.run(WARM_UP_S + 0.1)
-        assert in_flight(node) == [1]
-        node.finish_attempt(1)
-        assert route.slow_start_since == node.now
+        driver.run(WARM_UP_S + 0.1)
+        assert in_flight(driver) == [1]
+        driver.finish_attempt(1)
+        assert route.slow_start_since == driver.now
     # The expected count is SLOW_START_FRACTION * MULTIPLE * 30, which is about 11.
     assert 5 <= staggered_count <= 18
 
 
 def test_a_retry_after_with_capacity_left_is_an_outage_that_ends_with_it() -> None:
     # The destination returns at the end of the Retry-After, and is called again after the warm-up.
-    nodes = create_fleet()[:40]
+    drivers = create_fleet()[:40]
     early_count, late_count = 0, 0
-    for node in nodes:
-        node.arrive()
-        node.finish_attempt(
+    for driver in drivers:
+        driver.arrive()
+        driver.finish_attempt(
             1, Outcome.OVERLOADED, retry_after_s=1.5, capacity_left=0.9, reported_limit_per_s=4.0
         )
-        assert node.route(1).ejected
-        started_at = node.now
-        node.run(1.5 + WARM_UP_S)
-        early_count += sum(isinstance(a, StartAttempt) and t > started_at for t, a in node.log)
-        node.arrive()
-        late_count += len(attempted(node.run(WARM_UP_S)))
+        assert driver.route(1).ejected
+        started_at = driver.now
+        driver.run(1.5 + WARM_UP_S)
+        early_count += sum(isinstance(a, StartAttempt) and t > started_at for t, a in driver.log)
+        driver.arrive()
+        late_count += len(attempted(driver.run(WARM_UP_S)))
     assert early_count <= 4 and late_count >= 30
 
 
-def create_warming_up_node(listed_rate_per_s: float = 80.0) -> Node:
+def create_warming_up_driver(listed_rate_per_s: float = 80.0) -> SchedulerDriver:
     """Return one of 40 forwarders that share the listed rate, at the start of the slow start."""
     config = settings(WITH_IDEMPOTENCY_KEY, slots=6, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
-    node.arrive()
-    node.route(1).ejected = True
-    node.finish_attempt(node.last_message_id)
-    assert node.route(1).slow_start_since == node.now
-    return node
+    driver = SchedulerDriver(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
+    driver.arrive()
+    driver.route(1).ejected = True
+    driver.finish_attempt(driver.last_message_id)
+    assert driver.route(1).slow_start_since == driver.now
+    return driver
 
 
 def test_a_rejection_after_a_delivery_in_slow_start_is_no_outage() -> None:
     # A destination at its limit must not be ejected again by each first rejection in its slow start.
-    node = create_warming_up_node()
-    route = node.route(1)
+    driver = create_warming_up_driver()
+    route = driver.route(1)
     for _ in range(2):
-        node.arrive()
-        node.run(4.0)
-        node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
+        driver.arrive()
+        driver.run(4.0)
+        driver.finish_attempt(driver.last_message_id, Outcome.OVERLOADED)
         assert not route.ejected and route.rate_limit_per_s is not None
-        node.run(4.0)
-        assert in_flight(node) == [node.last_message_id]
-        node.finish_attempt(node.last_message_id)
+        driver.run(4.0)
+        assert in_flight(driver) == [driver.last_message_id]
+        driver.finish_attempt(driver.last_message_id)
     assert not route.ejected
 
 
 def test_a_second_rejection_in_a_row_in_slow_start_is_an_outage() -> None:
-    node = create_warming_up_node()
-    node.arrive()
-    node.run(4.0)
-    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
-    node.run(4.0)
-    assert in_flight(node) == [node.last_message_id]
-    node.finish_attempt(node.last_message_id, Outcome.OVERLOADED)
-    assert node.route(1).ejected
+    driver = create_warming_up_driver()
+    driver.arrive()
+    driver.run(4.0)
+    driver.finish_attempt(driver.last_message_id, Outcome.OVERLOADED)
+    driver.run(4.0)
+    assert in_flight(driver) == [driver.last_message_id]
+    driver.finish_attempt(driver.last_message_id, Outcome.OVERLOADED)
+    assert driver.route(1).ejected
 
 
 def test_a_rejection_of_an_attempt_sent_before_the_rate_limit_was_cut_changes_nothing() -> None:
-    node = create_warming_up_node()
-    node.route(1).slow_start_since = node.now - 9.0  # the warm-up is nearly over
-    node.arrive(count=2)
-    node.run(0.9)
-    first, second = in_flight(node)
-    node.finish_attempt(first, Outcome.OVERLOADED)
-    node.run(0.05)
-    node.finish_attempt(second, Outcome.OVERLOADED)
-    assert not node.route(1).ejected
+    driver = create_warming_up_driver()
+    driver.route(1).slow_start_since = driver.now - 9.0  # the warm-up is nearly over
+    driver.arrive(count=2)
+    driver.run(0.9)
+    first, second = in_flight(driver)
+    driver.finish_attempt(first, Outcome.OVERLOADED)
+    driver.run(0.05)
+    driver.finish_attempt(second, Outcome.OVERLOADED)
+    assert not driver.route(1).ejected
 
 
 def test_a_rate_limit_grows_slowly_again_from_its_quota_of_the_listed_rate() -> None:
     # A step that has doubled for seconds must not carry the limit far past its quota.
     config = settings(WITH_IDEMPOTENCY_KEY, slots=6, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(config, (EndpointEntry(10, 1, listed_rate_per_s=80.0),))
-    node.arrive(count=60)
-    route = node.route(1)
-    for message in in_flight(node)[:2]:
-        node.run(0.5)
-        node.finish_attempt(message, Outcome.OVERLOADED)
+    driver = SchedulerDriver(config, (EndpointEntry(10, 1, listed_rate_per_s=80.0),))
+    driver.arrive(count=60)
+    route = driver.route(1)
+    for message in in_flight(driver)[:2]:
+        driver.run(0.5)
+        driver.finish_attempt(message, Outcome.OVERLOADED)
     assert route.rate_limit_per_s is not None and route.rate_limit_per_s < 2.0
     limits = []
     for _ in range(12):
-        node.run(1.0)
-        for message in in_flight(node):
-            node.finish_attempt(message)
+        driver.run(1.0)
+        for message in in_flight(driver):
+            driver.finish_attempt(message)
         limits.append(route.rate_limit_per_s)
     assert 2.0 in limits
     after = limits[limits.index(2.0) + 1 :][:2]
@@ -300,16 +302,16 @@
 ) -> None:
     # In a large fleet, a forwarder makes too few calls to see four failures in a row at one endpoint.
     config = settings(WITH_IDEMPOTENCY_KEY, slots=8, instances=40, rates_listed=True, max_attempts=100)
-    node = Node(
+    driver = SchedulerDriver(
         config, tuple(EndpointEntry(n, 1, listed_rate_per_s=listed_rate_per_s) for n in (10, 11, 12, 13, 14))
     )
-    route = node.route(1)
+    route = driver.route(1)
     failed_connections = 0
     while not route.ejected:
-        node.arrive()
-        node.run(3.0)
-        for message in in_flight(node):
-            node.finish_attempt(message, Outcome.CONNECT_FAILED, message_ended=True)
+        driver.arrive()
+        driver.run(3.0)
+        for message in in_flight(driver):
+            driver.finish_attempt(message, Outcome.CONNECT_FAILED, message_ended=True)
             failed_connections += 1
         assert failed_connections <= 8
     assert failed_connections >= needed
