--- a/tests/decision_days.py
+++ b/tests/decision_days.py
@@ -25,7 +25,8 @@
 
 OK, OVERLOADED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED = 1, 2, 3, 4, 5, 6
 ERROR, NOT_SENT = 0, 7
-TICK_MS = 5.0  # the times of events are multiples of this, so that some rounds have several
+# The times of events are multiples of this, so that some rounds have several events.
+TICK_MS = 5.0
 
 
 @dataclass(frozen=True)
--- a/tests/test_deficit_round_robin.py
+++ b/tests/test_deficit_round_robin.py
@@ -248,7 +248,7 @@
 
 
 def driver_with_batches(batch_size: int = 20) -> SchedulerDriver:
-    """One of two forwarders; the listed rate of its destination is four calls per second."""
+    """Return one of two forwarders; the listed rate of its destination is four calls per second."""
     config = settings(
         WITH_IDEMPOTENCY_KEY, kinds=(DestinationKind(batch_size=batch_size),), instances=2, rates_listed=True
     )
@@ -268,7 +268,7 @@
 
 
 def driver_with_single_calls(instances: int, listed_rate_per_s: float) -> SchedulerDriver:
-    """One of many forwarders; its destination accepts one message per call."""
+    """Return one of many forwarders; its destination accepts one message per call."""
     config = settings(WITH_IDEMPOTENCY_KEY, instances=instances, rates_listed=True)
     return SchedulerDriver(config, (EndpointEntry(10, 1, listed_rate_per_s=listed_rate_per_s),))
 
@@ -321,7 +321,7 @@
 
 
 def driver_with_listed_rate(listed_rate_per_s: float, **changes: object) -> SchedulerDriver:
-    """One of two forwarders; its destination has two endpoints and a listed rate."""
+    """Return one of two forwarders; its destination has two endpoints and a listed rate."""
     config = settings(WITH_IDEMPOTENCY_KEY, instances=2, rates_listed=True, **changes)
     return SchedulerDriver(
         config, tuple(EndpointEntry(number, 1, listed_rate_per_s=listed_rate_per_s) for number in (10, 11))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -24,7 +24,7 @@
 
 
 def zone_scoped_driver() -> SchedulerDriver:
-    """A driver with deduplication per zone; endpoint 10 is in zone 0 and endpoint 11 in zone 1."""
+    """Return a driver with deduplication per zone; endpoint 10 is in zone 0 and endpoint 11 in zone 1."""
     zone_keyed = MessageClass(
         latency_objective_s=4.0,
         deadline_s=20.0,
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,7 +1,4 @@
-"""The scheduler's decisions equal the recorded ones, to the byte of each answer.
-
-After an intended change of decisions, `tests/decision_days.py` records them again.
-"""
+"""The scheduler's decisions equal the recorded ones, which `tests/decision_days.py` writes."""
 
 from __future__ import annotations
 
@@ -19,7 +16,7 @@
 
 
 def recorded_rounds(name: str) -> list[list[Any]]:
-    """The rounds of a recorded scenario: time in milliseconds, events, digest of the answers."""
+    """Return the rounds of a recorded scenario: time in milliseconds, events, digest of the answers."""
     text = gzip.decompress((FOLDER / f"{name}.jsonl.gz").read_bytes()).decode()
     return [json.loads(line) for line in text.splitlines()]
 
--- a/tests/test_scheduler_policy.py
+++ b/tests/test_scheduler_policy.py
@@ -22,7 +22,7 @@
 
 
 def policy_modules() -> list[Path]:
-    """The modules that make decisions, as the deploy file lists them under `policy`."""
+    """Return the modules that make decisions, as the deploy file lists them under `policy`."""
     with (ROOT / "deploy" / "balancer.toml").open("rb") as file:
         return [ROOT / name for name in tomllib.load(file)["policy"]]
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -50,8 +50,8 @@
     def test_successive_unresponsive_watches_are_each_reopened_in_time(
         self, subtests: pytest.Subtests
     ) -> None:
-        # Guards the 6 s within which a list change must arrive. The backoff grows only while watches fail at
-        # once; for one that fails late its duration counts as the wait.
+        # Guards the 6 s within which a list change must arrive. The backoff runs from the start of a watch, so
+        # one that fails late is reopened soon.
         for established, duration_s, max_wait_s in ((True, 3.5, 0.7), (False, 3.5, 0.7), (False, 0.0, 2.0)):
             with subtests.test(established=established, duration_s=duration_s):
                 reducer, now, waits_s = Reducer(settings(NON_IDEMPOTENT, endpoints_polled=True), 1), 100.0, []
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -60,7 +60,7 @@
 
 
 def answers_named(reply: list[dict[str, Any]], name: str) -> list[dict[str, Any]]:
-    """The fields of the answers of one name."""
+    """Return the fields of the answers of one name."""
     return [line[name] for line in reply if name in line]
 
 
