--- a/juniperward/scheduler/events.py
+++ b/juniperward/scheduler/events.py
@@ -57,7 +57,7 @@
     """One entry of the endpoint list.
 
     Attributes:
-        listed_rate: calls per second that all forwarders together may make; 0 if the list names no rate.
+        listed_rate_per_s: calls that all forwarders together may make; 0 if the list names no rate.
     """
 
     endpoint: int
@@ -65,7 +65,7 @@
     phase: EndpointPhase = EndpointPhase.READY
     kind: int = 0
     zone: int = 0
-    listed_rate: float = 0.0
+    listed_rate_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
         message_ended: the message needs no further attempt, as it has its final answer.
         no_slot_free: the attempt was not sent because all slots were in use; not used in any decision.
         capacity_left: unused fraction of the reported limit.
-        connection_table_full: the connection failed because the endpoint, which runs, accepts no more.
+        connection_table_full: the endpoint is up, but refused the connection as it accepts no further ones.
     """
 
     message: int
