--- a/juniperward/benchmarks/chaos.py
+++ b/juniperward/benchmarks/chaos.py
@@ -25,7 +25,8 @@
 MAX_VIOLATION_CHARACTERS = 3000
 FLEET_SETTINGS = {"patience": {"silent": 1.0, "start": 8.0, "stop": 2.0}}
 BATCH_S = 10.0
-STOP_PROBABILITY = 0.25  # that a round stops an instance by SIGSTOP
+# The probability that a round stops an instance by SIGSTOP.
+STOP_PROBABILITY = 0.25
 
 
 class _Load:
--- a/juniperward/benchmarks/flood.py
+++ b/juniperward/benchmarks/flood.py
@@ -110,25 +110,26 @@
     return answer_times_s, unanswered
 
 
-def _attack(path: Path, end: threading.Event, act: Callable[[Any], None]) -> None:
-    """Connect and call `act` with the socket, again and again until `end` is set."""
+def _attack(path: Path, end: threading.Event, use_socket: Callable[[Any], None]) -> None:
+    """Connect and call `use_socket` with the socket, again and again until `end` is set."""
     while not end.is_set():
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
                 sock.settimeout(0.5)
                 sock.connect(str(path))
-                act(sock)
+                use_socket(sock)
         except OSError:
             time.sleep(0.001)
 
 
 def _send_requests(path: Path, end: threading.Event) -> None:
-    def act(sock: Any) -> None:
+    def send_and_receive(sock: Any) -> None:
+        """Send requests and read the answers until the end."""
         while not end.is_set():
             sock.sendall(encode_request(Request(1, Verb.DESTINATIONS)))
             sock.recv(65536)
 
-    _attack(path, end, act)
+    _attack(path, end, send_and_receive)
 
 
 def _send_nothing(path: Path, end: threading.Event) -> None:
@@ -140,8 +141,9 @@
 
 
 def _ignore_answers(path: Path, end: threading.Event) -> None:
-    def act(sock: Any) -> None:
+    def send_without_reading(sock: Any) -> None:
+        """Send many requests and read no answer."""
         for _ in range(1000):
             sock.sendall(encode_request(Request(1, Verb.COUNTERS)))
 
-    _attack(path, end, act)
+    _attack(path, end, send_without_reading)
--- a/juniperward/benchmarks/forwarder_group.py
+++ b/juniperward/benchmarks/forwarder_group.py
@@ -193,6 +193,7 @@
     slots = threading.BoundedSemaphore(most_running or len(names))
 
     def start_one(name: str) -> StartResult:
+        """Start a forwarder, wait until it is ready and return the times of its start."""
         with slots:
             ready_after_s = group.wait_ready(name, group.spawn(name))
             parts = group.read_parts(name)
--- a/juniperward/benchmarks/local_cluster.py
+++ b/juniperward/benchmarks/local_cluster.py
@@ -235,7 +235,8 @@
         """Wait until each running forwarder has reported, since this call, that it has no pending message."""
         began = time.monotonic()
 
-        def settled(status: FleetStatus) -> bool:
+        def none_pending(status: FleetStatus) -> bool:
+            """Return whether each running forwarder has reported since then that no message is pending."""
             max_age_s = time.monotonic() - began - STATUS_AGE_TOLERANCE_S
             return all(
                 row["owing"] == 0 and row["age"] is not None and row["age"] < max_age_s
@@ -243,7 +244,7 @@
                 if row["pid"] is not None
             )
 
-        self.wait_until(settled, timeout_s)
+        self.wait_until(none_pending, timeout_s)
 
     def verdict(self, bounds: Bounds = DEFAULT_BOUNDS) -> Verdict:
         """Have the checker judge all records, with the latest process events of the agent's status."""
--- a/juniperward/benchmarks/rolls.py
+++ b/juniperward/benchmarks/rolls.py
@@ -25,6 +25,23 @@
         super().__init__(f"the roll was not completed; its mode is {mode}: {why}")
 
 
+def _roll_with(**options: Any) -> Callable[[LocalCluster], float]:
+    """Return a function that rolls a cluster with these options and returns the seconds that it took."""
+
+    def roll_cluster(cluster: LocalCluster) -> float:
+        """Roll the cluster, with an endpoint draining; raises RollNotDoneError."""
+        began = time.monotonic()
+        cluster.request("roll", soak=0.5, **options)
+        time.sleep(1.0)
+        cluster.discovery.publish(*cluster.destinations[2].listed_endpoints("Terminating", 0))
+        roll = cluster.roll_end(180.0)
+        if roll["mode"] != "done":
+            raise RollNotDoneError(roll["mode"], roll["why"])
+        return time.monotonic() - began
+
+    return roll_cluster
+
+
 def rolls(seed: int, out: Path, instances: int = 10, rate: float = 100.0) -> bool:
     """Roll a fleet under load: one instance at a time, in batches, and by SIGKILL; compare with no roll.
 
@@ -36,29 +53,16 @@
         "from fake clients. An endpoint drains during each roll. Latency is counted from when a message was due."
     )
 
-    def roll_with(**options: Any) -> Callable[[LocalCluster], float]:
-        def during(cluster: LocalCluster) -> float:
-            began = time.monotonic()
-            cluster.request("roll", soak=0.5, **options)
-            time.sleep(1.0)
-            cluster.discovery.publish(*cluster.destinations[2].listed_endpoints("Terminating", 0))
-            roll = cluster.roll_end(180.0)
-            if roll["mode"] != "done":
-                raise RollNotDoneError(roll["mode"], roll["why"])
-            return time.monotonic() - began
-
-        return during
-
     cases: list[tuple[str, float, Callable[[LocalCluster], float]]] = [
         ("no roll", 45.0, lambda _: 0.0),
-        ("one at a time", 45.0, roll_with()),
-        ("two at a time", 30.0, roll_with(at_once=2, floor=instances - 2)),
-        ("three at a time", 25.0, roll_with(at_once=3, floor=instances - 3)),
-        ("one at a time, SIGKILL", 45.0, roll_with(kill=True)),
+        ("one at a time", 45.0, _roll_with()),
+        ("two at a time", 30.0, _roll_with(at_once=2, floor=instances - 2)),
+        ("three at a time", 25.0, _roll_with(at_once=3, floor=instances - 3)),
+        ("one at a time, SIGKILL", 45.0, _roll_with(kill=True)),
     ]
     rows, passed, baseline = [], True, 1.0
-    for name, seconds, during in cases:
-        verdict, roll_s, lateness = under_load(instances, rate, seconds, seed, during)
+    for name, seconds, run_roll in cases:
+        verdict, roll_s, lateness = under_load(instances, rate, seconds, seed, run_roll)
         baseline = verdict.priority_weight_delivered if name == "no roll" else baseline
         passed &= verdict.passed
         rows.append(
--- a/juniperward/benchmarks/start_marks.py
+++ b/juniperward/benchmarks/start_marks.py
@@ -38,13 +38,14 @@
     ) -> Callable[Parameters, Result]:
         """Wrap a function: a call ends the part `before`, and its return ends the part `part`."""
 
-        def call(*arguments: Parameters.args, **options: Parameters.kwargs) -> Result:
+        def call_and_mark(*arguments: Parameters.args, **options: Parameters.kwargs) -> Result:
+            """Call the function, with a mark before and after the call."""
             self.mark(before)
             result = function(*arguments, **options)
             self.mark(part)
             return result
 
-        return call
+        return call_and_mark
 
 
 def run_marked(began_at: float, began_cpu_s: float) -> int:
@@ -57,6 +58,7 @@
     serve = marks.marked(Server.start, "messages restored", "listening")
 
     def serve_and_print(server: Server) -> None:
+        """Start the server, and print the times once it listens."""
         serve(server)
         print(json.dumps(marks.parts), flush=True)
 
--- a/juniperward/benchmarks/starts.py
+++ b/juniperward/benchmarks/starts.py
@@ -38,9 +38,11 @@
     results: list[StartResult]
 
     def ready_after_s(self) -> list[float]:
+        """Return the seconds from each forwarder's start until it was ready."""
         return [result.ready_after_s for result in self.results]
 
-    def row(self) -> Row:
+    def table_row(self) -> Row:
+        """Return the group's row in the report: its size, the parts of the start and the times until ready."""
         ready_after_s = self.ready_after_s()
         return [
             f"{len(self.results)}",
@@ -84,7 +86,7 @@
         for full in (False, True):
             start = _start_group(size, full, most_running)
             passed &= quantile(start.ready_after_s(), 0.9) <= MAX_READY_P90_S
-            rows.append(start.row())
+            rows.append(start.table_row())
             print(rows[-1], flush=True)
     ready_columns = ["ready after, median s", "nine in ten s", "worst s"]
     report.add_table(["forwarders", "messages in each folder", *PARTS, *ready_columns], rows)
--- a/juniperward/cli/experiments.py
+++ b/juniperward/cli/experiments.py
@@ -159,6 +159,7 @@
         task = progress.add_task("runs", total=len(scenarios) * len(chosen) * options.seeds)
 
         def show_progress(done: int, _planned: int, _result: Any) -> None:
+            """Show the number of runs done."""
             progress.update(task, completed=done)
 
         try:
--- a/juniperward/cli/fleet.py
+++ b/juniperward/cli/fleet.py
@@ -87,14 +87,15 @@
 
 
 def _add_command(verb: str, text: str) -> None:
-    def command(
+    def send_to_instances(
         names: NamesArgument = None, agent: AgentOption = None, output: OutputOption = Output.TABLE,
         timeout: TimeOption = 5.0,
     ) -> None:  # fmt: skip
+        """Send the command to the agents of the named instances."""
         _send_command(verb, names, agent, output, timeout)
 
-    command.__doc__ = text
-    app.command(verb)(command)
+    send_to_instances.__doc__ = text
+    app.command(verb)(send_to_instances)
 
 
 _add_command("start", "Start instances, including those in a crash loop.")
--- a/juniperward/cli/options.py
+++ b/juniperward/cli/options.py
@@ -62,6 +62,7 @@
     ]
 
     def command(**values: Any) -> None:
+        """Call `body` with the options as one object."""
         body(options_type(**values))
 
     command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
--- a/juniperward/cli/simulation.py
+++ b/juniperward/cli/simulation.py
@@ -150,6 +150,7 @@
         task = progress.add_task("scenarios", total=options.rounds)
 
         def show_progress(done: int, found: Any) -> None:
+            """Show the number of scenarios run, and the worst regret so far."""
             progress.update(task, completed=done, description=f"regret {found.regret:.3f}")
 
         worst = search_scenarios(policy, options.rounds, options.seed, options.processes, show_progress)
--- a/juniperward/dead_letters/outcome_log.py
+++ b/juniperward/dead_letters/outcome_log.py
@@ -16,7 +16,8 @@
 from juniperward.dead_letters.outcome import RedriveOutcome
 from juniperward.dead_letters.spool_format import decode_line, decode_outcome, encode_line, encode_outcome
 
-MAX_OUTCOMES = 100_000  # beyond it the oldest half is dropped and `complete_since` advances
+# A log with more outcomes drops the oldest half of them and advances `complete_since`.
+MAX_OUTCOMES = 100_000
 FILE = "fates"
 NEW_FILE = "fates.new"
 
--- a/juniperward/dead_letters/redrive_rate.py
+++ b/juniperward/dead_letters/redrive_rate.py
@@ -10,10 +10,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-PROBE_INTERVAL_S = 3.0  # between redrives to a failing destination without live messages
-RATE_LIFETIME_S = 10.0  # a rate that was not adjusted for longer starts again at its initial value
-MAX_ADJUSTMENT_INTERVAL_S = 1.0  # a longer interval adds no further tokens or increase
-MIN_DECREASE_INTERVAL_S = 1.0  # from a decrease to the next decrease or increase
+# A failing destination without live messages gets one redrive per interval as a probe.
+PROBE_INTERVAL_S = 3.0
+# A rate that was not adjusted for longer starts again at its initial value.
+RATE_LIFETIME_S = 10.0
+# A longer time between two adjustments adds no further tokens and no further increase.
+MAX_ADJUSTMENT_INTERVAL_S = 1.0
+# After a decrease, the rate is neither decreased nor increased for this time.
+MIN_DECREASE_INTERVAL_S = 1.0
 HEALTH_FAILING, HEALTH_WARMING_UP = "failing", "warming"  # redrives are suspended in these states
 REASON_NO_ANSWER = "no forwarder responds"
 REASON_PROBE = "the destination is failing; sending one redrive as a probe"
--- a/juniperward/dead_letters/redrive_safety.py
+++ b/juniperward/dead_letters/redrive_safety.py
@@ -13,8 +13,10 @@
 from juniperward.dead_letters.dead_letter import DeadLetter, Status
 from juniperward.scheduler.settings import Idempotency
 
-WINDOW_MARGIN_S = 0.25  # before the end of a deduplication window
-MIN_WINDOW_LEFT_S = 0.5  # no redrive begins with less
+# Subtracted from the end of a deduplication window.
+WINDOW_MARGIN_S = 0.25
+# No redrive begins with less time left in the deduplication window.
+MIN_WINDOW_LEFT_S = 0.5
 
 
 class RedriveSafety(StrEnum):
--- a/juniperward/fakes/rules.py
+++ b/juniperward/fakes/rules.py
@@ -44,6 +44,7 @@
     records: RecordIndex, bounds: Bounds, submitted: Submitted, notifications: list[NotificationReceived]
 ) -> Iterator[Violation]:
     def violation(at: float, text: str) -> Violation:
+        """Return a violation of ONE_OUTCOME by this message."""
         return _message_violation(records, Rule.ONE_OUTCOME, submitted.id, at, text)
 
     delivered_at = records.delivered_at(submitted.id)
--- a/juniperward/simulation/forwarders.py
+++ b/juniperward/simulation/forwarders.py
@@ -35,7 +35,8 @@
 from juniperward.simulation.timeline import Timeline
 
 AT_LIMIT_RETRY_AFTER_S = 1.0  # Retry-After of a rejection by a forwarder at its limit of pending messages
-RESTART_DELAY_S = 1.0  # from a kill to the resubmission of the journaled messages
+# The journaled messages are resubmitted this long after their forwarder was killed.
+RESTART_DELAY_S = 1.0
 TIME_TOLERANCE_S = 1e-6
 SEED_LIMIT = 2**31
 
--- a/juniperward/simulation/recovery_fleet.py
+++ b/juniperward/simulation/recovery_fleet.py
@@ -53,7 +53,8 @@
     ) -> None:
         """Create a forwarder for each scheduler, and receive the destination's answers."""
         self.forwarders = [Forwarder(scheduler) for scheduler in schedulers]
-        self.total_utility = 0.0  # of the delivered messages that arrived since the start of the outage
+        # The utility of the delivered messages that arrived since the start of the outage.
+        self.total_utility = 0.0
         self._case, self._parameters = parameters.case, parameters
         self._destination, self._timeline, self._result = destination, timeline, result
         self._last_message_number = 0
--- a/juniperward/simulation/recovery_simulation.py
+++ b/juniperward/simulation/recovery_simulation.py
@@ -20,7 +20,8 @@
 from juniperward.simulation.timeline import Timeline
 
 BURST_MESSAGE_COUNT = 12
-BURST_PROBABILITY = 0.04  # of each arrival, in cases with bursts
+# The probability that an arrival is a burst, in cases with bursts.
+BURST_PROBABILITY = 0.04
 TRAFFIC_RANK_EXPONENT = 1.2  # uneven traffic is proportional to 1 / rank ** exponent of a forwarder
 
 SchedulerFactory = Callable[[SchedulerSettings, int], DeliveryScheduler]
--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -101,6 +101,7 @@
         self._errors: list[SettingsFault] = []
 
     def scenario(self) -> Scenario:
+        """Return the scenario; raises SettingsError with all errors of the message."""
         message = self._message
         self._check_numbers()
         groups = self._groups()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,7 +1,4 @@
-"""Tests that a scheduler round does not examine closed destinations or all endpoints.
-
-Work is counted, not timed, so that results do not depend on the machine.
-"""
+"""Tests, by counted work, that a scheduler round does not examine closed destinations or all endpoints."""
 
 from __future__ import annotations
 
--- a/tests/test_redrive_model.py
+++ b/tests/test_redrive_model.py
@@ -1,7 +1,4 @@
-"""Model check of lease, submission and outcome: crashes, lost answers, and injected bugs that it must detect.
-
-The redriver and its store are real; `Simulation` replaces two forwarders and a destination.
-"""
+"""Model check of redrives with crashes, lost answers and injected bugs, which it must detect."""
 
 from __future__ import annotations
 
@@ -46,7 +43,7 @@
 
 
 class Simulation:
-    """Two forwarders, a destination, and a redriver that may crash before any of its operations."""
+    """Two simulated forwarders and a destination; a real redriver that may crash before any operation."""
 
     def __init__(
         self, folder: Path, execution_offsets_s: tuple[float | None, ...] = (None, None, -4.0)
@@ -63,8 +60,10 @@
         self.rejects_unknown = True
         self.executions: dict[str, list[float]] = {}
         self.deduplicated: dict[str, float] = {}  # execution times by idempotency key, at the destination
-        self.submission_faults: list[str] = []  # of the next submissions: lost (answer), late, refused
-        self.attempt_faults: list[str] = []  # of the next attempts: lost (answer), failed, refused
+        # Each of the next submissions takes one fault: lost (its answer is), late or refused.
+        self.submission_faults: list[str] = []
+        # Each of the next attempts takes one fault: lost (its answer is), failed or refused.
+        self.attempt_faults: list[str] = []
         self.destination_is_up = True
         self.possible_executions: dict[str, list[float]] = {}
         spooled = []
