--- a/juniperward/dead_letters/candidates.py
+++ b/juniperward/dead_letters/candidates.py
@@ -13,8 +13,8 @@
 from juniperward.dead_letters.store import DeadLetterStore
 
 PAGE_SIZE = 500
-MAX_PAGES_PER_ROUND = 4  # for each destination
-MAX_DEDUPLICATION_WINDOW_S = 3600.0  # no message class has a longer window
+MAX_PAGES_PER_ROUND = 4  # A round reads at most this many pages for each destination.
+MAX_DEDUPLICATION_WINDOW_S = 3600.0  # No message class has a longer deduplication window.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/database.py
+++ b/juniperward/dead_letters/database.py
@@ -12,7 +12,8 @@
 from juniperward.dead_letters.store_errors import StoreDamagedError, StoreVersionError
 
 BUSY_TIMEOUT_S = 10.0
-BACKUP_STEP_PAGES = 1000  # copied between two releases of the source's lock
+# A backup releases the lock of its source after each step of this many pages.
+BACKUP_STEP_PAGES = 1000
 PRIVATE_FOLDER_MODE = 0o700
 
 
--- a/juniperward/dead_letters/dead_letter.py
+++ b/juniperward/dead_letters/dead_letter.py
@@ -15,7 +15,7 @@
     """The status of a dead letter; the values are those in the store."""
 
     STORED = "kept"
-    LEASED = "claimed"  # a redrive is in progress or its outcome is unknown
+    LEASED = "claimed"  # A redrive is in progress, or its outcome is unknown.
     DELIVERED = "delivered"
     DISCARDED = "discarded"
 
--- a/juniperward/dead_letters/outcome.py
+++ b/juniperward/dead_letters/outcome.py
@@ -9,14 +9,14 @@
 class RedriveResult(StrEnum):
     """The result of a redrive; the values are those of the control channel, the spool and the store."""
 
-    PENDING = "held"  # accepted by the forwarder and not yet decided
-    UNKNOWN = "unknown"  # the forwarder never accepted it or no longer knows its outcome
+    PENDING = "held"  # The forwarder accepted the redrive, and its outcome is not decided yet.
+    UNKNOWN = "unknown"  # The forwarder never accepted the redrive or no longer knows its outcome.
     DELIVERED = "delivered"
     UNDELIVERABLE = "undeliverable"
     DEFERRED = "deferred"
-    REJECTED = "refused"  # by the forwarder, at its submission
+    REJECTED = "refused"  # The forwarder rejected the submission.
     NEVER_ACCEPTED = "never taken"
-    SETTLED = "settled"  # by an operator
+    SETTLED = "settled"  # An operator settled the message.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/ownership.py
+++ b/juniperward/dead_letters/ownership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 REDRIVE_ID_PREFIX = "kept-"
-MIN_RETRY_TIME_S = 0.5  # with less time left, a client is not expected to retry
+MIN_RETRY_TIME_S = 0.5  # A client is not expected to retry a message with less time left.
 
 
 def is_redrive_id(message_id: str) -> bool:
--- a/juniperward/dead_letters/redrive_rules.py
+++ b/juniperward/dead_letters/redrive_rules.py
@@ -8,7 +8,8 @@
 
 from juniperward.dead_letters.dead_letter import DeadLetter
 
-OPERATOR_REQUEST = "a person"  # recorded instead of a rule's name
+# Recorded in place of a rule's name if an operator requested the redrive.
+OPERATOR_REQUEST = "a person"
 SECONDS_PER_HOUR = 3600.0
 HOURS_PER_DAY = 24.0
 
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -30,16 +30,19 @@
 from juniperward.dead_letters.store_errors import LeaseLostError
 from juniperward.scheduler.settings import Idempotency
 
-ROTATION_MODULUS = 1009  # a prime, so that every destination comes first in some round
-DEFAULT_TIME_LEFT_S = 20.0  # for classes without a setting
+ROTATION_MODULUS = 1009  # A prime, so that every destination comes first in some round.
+# The time left of a redrive if the settings have none for its message class.
+DEFAULT_TIME_LEFT_S = 20.0
 ACCEPTED_OR_UNKNOWN = (200, 202, NO_ANSWER)
 
 
 class SendResult(Enum):
     """The result of submitting one candidate."""
 
-    BEGUN = auto()  # accepted, possibly accepted, or no longer eligible
-    REJECTED = auto()  # by the forwarder; ends this round for the destination
+    # The redrive was accepted or may have been, or the message is no longer eligible.
+    BEGUN = auto()
+    # The forwarder rejected the redrive, which ends this round for the destination.
+    REJECTED = auto()
     NO_FORWARDER = auto()
 
 
@@ -72,7 +75,8 @@
         self.rates: dict[int, RedriveRate] = {}
         self._settler = RedriveSettler(store, fleet)
         self._candidates = Candidates(store)
-        self._rejected: set[int] = set()  # destinations with a rejection since their rate was adjusted
+        # The destinations with a rejection since their rate was adjusted.
+        self._rejected: set[int] = set()
         self._rotation = 0
 
     def round(self) -> Round:
--- a/juniperward/dead_letters/resubmission.py
+++ b/juniperward/dead_letters/resubmission.py
@@ -12,8 +12,8 @@
 from juniperward.net.stream import Stream
 
 RESPONSE_TIMEOUT_S = 0.4
-NOT_CONNECTED = -1  # instead of an HTTP status: the redrive was not accepted
-NO_ANSWER = 0  # instead of an HTTP status: the redrive may have been accepted
+NOT_CONNECTED = -1  # Returned in place of an HTTP status if the redrive was not accepted.
+NO_ANSWER = 0  # Returned in place of an HTTP status if the redrive may have been accepted.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/dead_letters/rows.py
+++ b/juniperward/dead_letters/rows.py
@@ -15,7 +15,7 @@
     "id, stand, effect, window, ran_at, destination, cls, account, given_up_at, resends, wished, partner_sure, "
     "workers, key"
 )
-ROW_OVERHEAD_BYTES = 500  # approximate size of a message without its body
+ROW_OVERHEAD_BYTES = 500  # The approximate size of a stored message without its body.
 REDRIVE_ID_HASH_DIGITS = 20
 
 
--- a/juniperward/dead_letters/spool.py
+++ b/juniperward/dead_letters/spool.py
@@ -17,7 +17,7 @@
 from juniperward.dead_letters.spool_files import acknowledged_segment, read, segment_path, segments
 from juniperward.dead_letters.spool_format import SpooledMessage, encode_message
 
-MAX_SEGMENT_BYTES = 1_000_000  # a larger segment is followed by a new one
+MAX_SEGMENT_BYTES = 1_000_000  # A new segment begins when the current one is larger.
 PRIVATE_FOLDER_MODE = 0o700
 PRIVATE_FILE_MODE = 0o600
 
--- a/juniperward/fakes/clients.py
+++ b/juniperward/fakes/clients.py
@@ -25,7 +25,7 @@
 SCHEDULE_POLL_INTERVAL_S = 0.1
 ACCEPTED_STATUSES = (200, 202)
 INVALID_STATUS = 400  # A message rejected as invalid is not submitted again.
-NO_RESPONSE = 0  # the status that is recorded if there is no response
+NO_RESPONSE = 0  # The status that is recorded if there is no response.
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,9 +129,9 @@
         self._options = options
         self._random = random.Random(seed)
         self._due_messages: queue.SimpleQueue[_ScheduledMessage | None] = queue.SimpleQueue()
-        self._changed = threading.Condition()  # guards _schedule and _unsettled
-        self._schedule: list[_ScheduledMessage] = []  # a heap
-        self._unsettled = 0  # messages that may be submitted again
+        self._changed = threading.Condition()  # Guards _schedule and _unsettled.
+        self._schedule: list[_ScheduledMessage] = []  # The scheduled messages, as a heap.
+        self._unsettled = 0  # The number of messages that may be submitted again.
 
     def start(self, seconds: float) -> None:
         """Start to submit the messages of the next `seconds` seconds."""
--- a/juniperward/fakes/destination_capacity.py
+++ b/juniperward/fakes/destination_capacity.py
@@ -53,7 +53,8 @@
     def __init__(self, spec: DestinationSpec) -> None:
         """Start with the full capacity of the spec."""
         self._spec = spec
-        self._recent_calls: deque[float] = deque()  # times within OVERLOAD_WINDOW_S
+        # The times of the calls within OVERLOAD_WINDOW_S.
+        self._recent_calls: deque[float] = deque()
         self.recovered_at: float | None = None
         self.crashed = False
 
--- a/juniperward/fakes/destinations.py
+++ b/juniperward/fakes/destinations.py
@@ -97,7 +97,7 @@
             HttpServer(self._handler(number), spec.max_connections) for number in range(spec.endpoints)
         ]
         self.calls_in_service = [0] * spec.endpoints
-        self.effect_times: dict[str, float] = {}  # by idempotency key
+        self.effect_times: dict[str, float] = {}  # The time of the latest effect by idempotency key.
         self.rate_limit = RateLimit(spec.rate_limit)
         self.capacity = DestinationCapacity(spec)
         self.mode = FaultMode.HEALTHY
--- a/juniperward/fakes/discovery.py
+++ b/juniperward/fakes/discovery.py
@@ -63,7 +63,7 @@
         self.recorder, self.delay_s = recorder, delay_s
         self.changed = threading.Condition()
         self.version = 1
-        self.changes: dict[str, _Change] = {}  # by endpoint id
+        self.changes: dict[str, _Change] = {}  # The latest change of each endpoint, by its id.
         self.listeners: dict[str, HttpServer] = {}
         self.down = False
 
--- a/juniperward/fakes/load.py
+++ b/juniperward/fakes/load.py
@@ -26,7 +26,7 @@
 MAX_P99_LATENESS_S = 0.005
 RESULT_POLL_INTERVAL_S = 1.0
 ACCEPTED_STATUS = 202
-NO_RESPONSE = 0  # the status that is counted if there is no response
+NO_RESPONSE = 0  # The status that is counted if there is no response.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/simulation/accounts.py
+++ b/juniperward/simulation/accounts.py
@@ -6,7 +6,7 @@
 from juniperward.simulation.objective import DeliveryObjective
 
 MICROSECONDS_PER_S = 1e6
-LATE_REASON = "late"  # key in stored results of the utility lost by late deliveries
+LATE_REASON = "late"  # The key, in stored results, of the utility lost by late deliveries.
 
 
 class Accounts:
@@ -20,7 +20,7 @@
         """Start with empty statistics; `objective` gives the utility of a delivery by its latency."""
         self.result = RunResult()
         self._objective = objective
-        self._open: dict[int, Message] = {}  # by message number; closed messages are removed
+        self._open: dict[int, Message] = {}  # The open messages by number.
         self._seconds: dict[int, SecondUtility] = {}
         self._total_utility = 0.0
 
--- a/juniperward/simulation/comparison.py
+++ b/juniperward/simulation/comparison.py
@@ -12,7 +12,8 @@
 from juniperward.simulation.result import Result
 
 RESAMPLE_COUNT = 2000
-MIN_STANDARD_DEVIATION = 1e-12  # below it the differences count as equal, and nothing is resampled
+# Differences with a smaller deviation count as equal and are not resampled.
+MIN_STANDARD_DEVIATION = 1e-12
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/simulation/destinations.py
+++ b/juniperward/simulation/destinations.py
@@ -22,13 +22,17 @@
 from juniperward.simulation.scenario import Fault, FaultKind, Traffic
 from juniperward.simulation.timeline import Timeline
 
-REJECTION_LATENCY_S = 0.001  # time at the destination of a rejection or an error
+# A destination takes this long to reject a call or to answer it with an error.
+REJECTION_LATENCY_S = 0.001
 MIN_RETRY_AFTER_S = 0.01
 RATE_LIMIT_WINDOW_S = 1.0
-MAX_SLOWDOWN_FACTOR = 20.0  # bounds the service time in slow start
+# In slow start, the service time is at most this multiple of the usual one.
+MAX_SLOWDOWN_FACTOR = 20.0
 MIN_CAPACITY_PER_S = 0.01
-EXTRA_MESSAGE_LATENCY_FRACTION = 0.1  # added to the latency by each message of a batch after the first
-MIN_NETWORK_FACTOR, NETWORK_FACTOR_SPREAD = 0.7, 0.6  # jitter, as factors of MEAN_ONE_WAY_S
+# Each message of a batch after the first adds this fraction to the latency.
+EXTRA_MESSAGE_LATENCY_FRACTION = 0.1
+# A network delay is MEAN_ONE_WAY_S times a random factor, from the minimum to the minimum plus the spread.
+MIN_NETWORK_FACTOR, NETWORK_FACTOR_SPREAD = 0.7, 0.6
 
 OnAnswer = Callable[[Attempt, Outcome, float], None]  # attempt, outcome, Retry-After in seconds
 # Returns the client's number of a message in an attempt, or None if the forwarder no longer has the message.
--- a/juniperward/simulation/experiment.py
+++ b/juniperward/simulation/experiment.py
@@ -30,7 +30,7 @@
 from juniperward.simulation.world import World
 
 MICROSECONDS_PER_S = 1e6
-MAX_POOL_ATTEMPTS = 2  # the second repeats the runs that were lost when a process died
+MAX_POOL_ATTEMPTS = 2  # The second attempt repeats the runs that were lost when a process died.
 GIT_TIMEOUT_S = 10.0
 # Fields of a result that identify the run or may differ in a replay; all others must be equal.
 FIELDS_NOT_COMPARED = frozenset(
--- a/juniperward/simulation/model.py
+++ b/juniperward/simulation/model.py
@@ -34,8 +34,8 @@
     UNFINISHED = "no end"
     DELIVERED = "delivered"
     FAILED = "failed"
-    REJECTED = "refused"  # no forwarder was up, or the deadline had passed
-    REJECTED_AT_LIMIT = "refused door"  # the forwarder had reached its limit of pending messages
+    REJECTED = "refused"  # No forwarder was up, or the deadline had passed.
+    REJECTED_AT_LIMIT = "refused door"  # The forwarder had reached its limit of pending messages.
     REJECTED_BY_POLICY = "refused held"
 
     @property
@@ -56,7 +56,7 @@
     destination: int
     arrived_s: float
     submissions: int = 1
-    delivered_s: float | None = None  # when the client learned of the first delivery
+    delivered_s: float | None = None  # When the client learned of the first delivery.
     outcome: MessageOutcome = MessageOutcome.UNFINISHED
 
 
--- a/juniperward/simulation/policies/baseline.py
+++ b/juniperward/simulation/policies/baseline.py
@@ -25,8 +25,9 @@
 )
 from juniperward.scheduler.settings import SchedulerSettings
 
-SAFETY_MARGIN_S = 0.02  # kept before a deadline and before the end of a deduplication window
-INITIAL_BACKOFF_S = 0.2  # doubles with each attempt
+# The time kept in reserve before a deadline and before the end of a deduplication window.
+SAFETY_MARGIN_S = 0.02
+INITIAL_BACKOFF_S = 0.2  # The backoff doubles with each attempt, up to MAX_BACKOFF_DOUBLINGS times.
 MAX_BACKOFF_DOUBLINGS = 3
 REJECTION_RETRY_AFTER_S = 1.0
 TIME_TOLERANCE_S = 1e-9
@@ -40,7 +41,8 @@
     destination: int
     expires_s: float
     attempts: int = 0
-    first_executed_s: float | None = None  # earliest time at which an attempt may have taken effect
+    # The earliest time at which an attempt may have taken effect.
+    first_executed_s: float | None = None
     in_flight: bool = False
     not_before_s: float = 0.0
 
@@ -89,9 +91,10 @@
         self.pending: dict[int, QueuedMessage] = {}
         self.destinations: dict[int, DestinationQueue] = {}
         self.now = 0.0
-        self._destination_of: dict[int, int] = {}  # by endpoint
+        self._destination_of: dict[int, int] = {}  # The number of the destination of each endpoint.
         self._in_flight = 0
-        self._expiries: list[tuple[float, int]] = []  # heap of (time to give up a message, its number)
+        # A heap of pairs: the time to give up a message, and its number.
+        self._expiries: list[tuple[float, int]] = []
         self._timer_at = math.inf
         self._token = 0
 
--- a/juniperward/simulation/policies/limits.py
+++ b/juniperward/simulation/policies/limits.py
@@ -12,10 +12,13 @@
 FAILURE_REDUCTION_FACTOR = 0.5
 GRADIENT_REDUCTION_FACTOR = 0.8
 MIN_GRADIENT = 0.5
-LATENCY_TOLERANCE_FACTOR = 2.0  # a latency below this multiple of the minimum does not lower the limit
-MIN_LATENCY_GROWTH_FACTOR = 1.001  # raises the minimum with each success, so that old minima expire
-RETAINED_FRACTION, ADOPTED_FRACTION = 0.9, 0.1  # weights of the old and the desired limit in the new one
-DEFAULT_RATE_PER_S = 1000.0  # for destinations without a rate in the endpoint list
+# A latency below this multiple of the minimum does not lower the limit.
+LATENCY_TOLERANCE_FACTOR = 2.0
+# Each success raises the minimum latency by this factor, so that old minima expire.
+MIN_LATENCY_GROWTH_FACTOR = 1.001
+# A new limit is the weighted sum of the old and the desired limit.
+RETAINED_FRACTION, ADOPTED_FRACTION = 0.9, 0.1
+DEFAULT_RATE_PER_S = 1000.0  # The rate of a destination without a rate limit in the endpoint list.
 MIN_LATENCY_S = 1e-6
 
 
--- a/juniperward/simulation/policies/oracle.py
+++ b/juniperward/simulation/policies/oracle.py
@@ -10,7 +10,7 @@
 from juniperward.simulation.observation import Observation
 from juniperward.simulation.policies.baseline import Baseline, DestinationQueue, QueuedMessage
 
-POLL_INTERVAL_S = 0.02  # between checks of destinations with waiting messages
+POLL_INTERVAL_S = 0.02  # The time between two checks of the destinations with waiting messages.
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
         """Read the state of the destinations from `observation`."""
         super().__init__(settings, seed)
         self._observation = observation
-        self._batches: dict[int, OpenBatch] = {}  # by endpoint
+        self._batches: dict[int, OpenBatch] = {}  # The open batches by endpoint.
         message_class = settings.classes[0]
         self._after_objective_s = message_class.deadline_s - message_class.latency_objective_s
 
--- a/juniperward/simulation/policies/simple.py
+++ b/juniperward/simulation/policies/simple.py
@@ -5,7 +5,7 @@
 from juniperward.scheduler.events import AttemptFinished, Outcome
 from juniperward.simulation.policies.baseline import Baseline, DestinationQueue
 
-CIRCUIT_OPEN_FAILURE_COUNT = 5  # consecutive failures that open the circuit breaker
+CIRCUIT_OPEN_FAILURE_COUNT = 5  # This many consecutive failures open the circuit breaker.
 CIRCUIT_OPEN_DURATION_S = 2.0
 
 
--- a/juniperward/simulation/recovery_budget.py
+++ b/juniperward/simulation/recovery_budget.py
@@ -15,12 +15,13 @@
 
 from juniperward.scheduler.settings import SchedulerSettings
 
-SLOW_START_FRACTION = 0.18  # part of the capacity that a destination has when it recovers
+SLOW_START_FRACTION = 0.18  # A destination that recovers starts with this fraction of its capacity.
 WARM_UP_S = 10.0
 OVERLOAD_MULTIPLE = 2.0
 OVERLOAD_SPAN_S = 3.0
 
-NOTIFIED_FRACTION_LIMIT = 2.0 / 3.0  # largest part of a crash's calls that notified forwarders may have sent
+# Notified forwarders may have sent at most this fraction of the calls that led to a crash.
+NOTIFIED_FRACTION_LIMIT = 2.0 / 3.0
 
 
 def with_chance_margin(calls: float) -> float:
--- a/juniperward/simulation/recovery_destination.py
+++ b/juniperward/simulation/recovery_destination.py
@@ -18,14 +18,19 @@
 from juniperward.simulation.timeline import Timeline
 
 MEAN_ONE_WAY_S = 0.002  # mean network delay in one direction
-NETWORK_FACTOR_RANGE = (0.7, 1.3)  # jitter, as factors of MEAN_ONE_WAY_S
-REJECTION_LATENCY_S = 0.001  # time at the destination of a rejection or an error
+# A network delay is MEAN_ONE_WAY_S times a random factor in this range.
+NETWORK_FACTOR_RANGE = (0.7, 1.3)
+# The destination takes this long to reject a call or to answer it with an error.
+REJECTION_LATENCY_S = 0.001
 MEAN_SERVICE_S = 0.06
 SERVICE_GAMMA_SHAPE = 4.0
-MAX_SLOWDOWN_FACTOR = 10.0  # bounds the service time in slow start
-EXTRA_MESSAGE_LATENCY_FRACTION = 0.1  # added to the service time by each message of a batch after the first
+# In slow start, the service time is at most this multiple of the usual one.
+MAX_SLOWDOWN_FACTOR = 10.0
+# Each message of a batch after the first adds this fraction to the service time.
+EXTRA_MESSAGE_LATENCY_FRACTION = 0.1
 MOSTLY_FAILING_FRACTION = 0.8
-RETRY_AFTER_RANGE_S = (0.2, 1.0)  # in rejections over the rate limit; half of them carry none
+# Half of the rejections over the rate limit carry a Retry-After, which is in this range.
+RETRY_AFTER_RANGE_S = (0.2, 1.0)
 MIN_RETRY_AFTER_S = 0.01
 RATE_LIMIT_WINDOW_S = 1.0
 
@@ -48,7 +53,8 @@
         self._case, self._parameters = parameters.case, parameters
         self._random, self._timeline, self._load = source, timeline, load
         self._budget = parameters.budget
-        self._accepted_at: deque[float] = deque()  # times of the calls that count against the rate limit
+        # The times of the calls that count against the rate limit.
+        self._accepted_at: deque[float] = deque()
         self._unanswered: list[SimulatedCall] = []
 
     @property
--- a/juniperward/simulation/scenario_generator.py
+++ b/juniperward/simulation/scenario_generator.py
@@ -29,7 +29,7 @@
     FaultKind.KILL,
 )
 MIN_DURATION_S = 5
-MAX_FAULT_START_FRACTION = 0.6  # faults start within this part of the scenario's duration
+MAX_FAULT_START_FRACTION = 0.6  # Faults start within this fraction of the scenario's duration.
 
 
 def message_of(text: str) -> Any:
--- a/juniperward/simulation/search.py
+++ b/juniperward/simulation/search.py
@@ -26,10 +26,10 @@
 )
 from juniperward.simulation.scenario_loader import FAULT_KIND_CODES, fault_messages
 
-POPULATION_SIZE = 8  # worst scenarios, from which new ones are mutated
-BATCH_SIZE = 16  # scenarios between two selections of the population
-GENERATED_FRACTION = 0.3  # part of the scenarios that is generated, not mutated
-RETAINED_REGRET_FRACTION = 0.8  # a reduced scenario must keep this part of the regret
+POPULATION_SIZE = 8  # New scenarios are mutated from this many of the worst ones.
+BATCH_SIZE = 16  # The number of scenarios between two selections of the population.
+GENERATED_FRACTION = 0.3  # The fraction of the scenarios that are generated instead of mutated.
+RETAINED_REGRET_FRACTION = 0.8  # A reduced scenario must keep this fraction of the regret.
 VIOLATION_REGRET = 10.0
 SEED_LIMIT = 10_000
 MAX_MINIMIZATION_RUNS = 120
--- a/juniperward/simulation/world.py
+++ b/juniperward/simulation/world.py
@@ -25,7 +25,7 @@
 from juniperward.simulation.scenario import Fault, FaultKind, Scenario
 from juniperward.simulation.timeline import Timeline
 
-DRAIN_TIME_S = 1.0  # run time after the last deadline, in which pending messages end
+DRAIN_TIME_S = 1.0  # A run lasts this long after the last deadline, so that pending messages end.
 
 
 class World:
