--- a/juniperward/dead_letters/redrive_safety.py
+++ b/juniperward/dead_letters/redrive_safety.py
@@ -15,16 +15,16 @@
 
 # Subtracted from the end of a deduplication window.
 WINDOW_MARGIN_S = 0.25
-# No redrive begins with less time left in the deduplication window.
+# No redrive begins with less time left to its deadline.
 MIN_WINDOW_LEFT_S = 0.5
 
 
 class RedriveSafety(StrEnum):
     """Whether a redrive could make a message take effect twice."""
 
-    SAFE = "safe"  # no attempt can have executed, or the message is idempotent
-    IN_WINDOW = "in window"  # an attempt may have executed; the destination still drops repeats
-    UNCERTAIN = "uncertain"  # an attempt may have executed; a repeat could take effect again
+    SAFE = "safe"  # No attempt can have executed, or the message is idempotent.
+    IN_WINDOW = "in window"  # An attempt may have executed; the destination still drops repeats.
+    UNCERTAIN = "uncertain"  # An attempt may have executed; a repeat could take effect again.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/simulation/forwarders.py
+++ b/juniperward/simulation/forwarders.py
@@ -34,7 +34,8 @@
 from juniperward.simulation.random_streams import RandomStreams
 from juniperward.simulation.timeline import Timeline
 
-AT_LIMIT_RETRY_AFTER_S = 1.0  # Retry-After of a rejection by a forwarder at its limit of pending messages
+# The Retry-After with which a forwarder rejects messages at its limit of pending messages.
+AT_LIMIT_RETRY_AFTER_S = 1.0
 # The journaled messages are resubmitted this long after their forwarder was killed.
 RESTART_DELAY_S = 1.0
 TIME_TOLERANCE_S = 1e-6
--- a/juniperward/simulation/random_streams.py
+++ b/juniperward/simulation/random_streams.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 BLOCK_SIZE = 4096
-MIN_VARIATION = 0.05  # smallest coefficient of variation of a random time
+MIN_VARIATION = 0.05  # The smallest coefficient of variation of a random time.
 
 
 class RandomStream:
--- a/juniperward/simulation/recovery_cases.py
+++ b/juniperward/simulation/recovery_cases.py
@@ -9,12 +9,14 @@
 class Outage(StrEnum):
     """How the destination fails; the values are labels in tables and part of the random seed."""
 
-    FAILING = "failing"  # answers each call with an error at once
-    MOSTLY_FAILING = "mostly failing"  # answers four of five calls with an error
-    UNRESPONSIVE = "silent"  # accepts calls and never answers; they are reset when it recovers
-    REJECTING = "shut"  # rejects each call
-    REJECTING_WITH_RETRY_AFTER = "shut, wait told"  # rejects each call; its Retry-After ends with the outage
-    DOWN = "down"  # refuses connections: no call reaches it
+    FAILING = "failing"  # The destination answers each call with an error at once.
+    MOSTLY_FAILING = "mostly failing"  # The destination answers four of five calls with an error.
+    # The destination accepts calls and does not answer; the calls are reset when it recovers.
+    UNRESPONSIVE = "silent"
+    REJECTING = "shut"  # The destination rejects each call.
+    # The destination rejects each call, with a Retry-After that ends with the outage.
+    REJECTING_WITH_RETRY_AFTER = "shut, wait told"
+    DOWN = "down"  # The destination refuses connections, so that no call reaches it.
 
 
 # The labels of a case's traits. They are part of the random seed: a changed label changes the runs.
--- a/juniperward/simulation/recovery_parameters.py
+++ b/juniperward/simulation/recovery_parameters.py
@@ -18,9 +18,9 @@
 
 OBJECTIVE = DeliveryObjective(latency_objective_s=3.0, deadline_s=12.0, late_weight=0.3)
 CAPACITY_CHOICES_PER_S = (6.0, 12.0, 25.0, 40.0)
-CAPACITY_TO_LIMIT_RANGE = (1.15, 1.6)  # ratio of a destination's capacity to its rate limit
+CAPACITY_TO_LIMIT_RANGE = (1.15, 1.6)  # The ratio of a destination's capacity to its rate limit.
 LISTED_RATE_ERROR_FRACTION = 0.2
-TRAFFIC_TO_LIMIT_RANGE = (0.5, 0.9)  # ratio of the traffic to the rate limit
+TRAFFIC_TO_LIMIT_RANGE = (0.5, 0.9)  # The ratio of the traffic to the rate limit.
 ENDPOINT_COUNT_CHOICES = (1, 2, 3)
 OUTAGE_START_RANGE_S = (6.0, 14.0)
 OUTAGE_DURATION_RANGE_S = (4.0, 12.0)
--- a/juniperward/simulation/report.py
+++ b/juniperward/simulation/report.py
@@ -27,7 +27,7 @@
 
 CHART_INCHES = (9, 2.6)
 REFERENCE_LINE_WIDTH, OTHER_LINE_WIDTH = 2.0, 0.9
-MIN_REQUESTED = 1e-9  # avoids a division by zero in seconds without messages
+MIN_REQUESTED = 1e-9  # Avoids a division by zero in seconds without messages.
 
 PAGE = """<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
--- a/juniperward/simulation/report_tables.py
+++ b/juniperward/simulation/report_tables.py
@@ -14,7 +14,7 @@
 from juniperward.simulation.result import Result
 
 REFERENCE_POLICY = "juniperward"
-BEST_UTILITY_TOLERANCE = 5e-5  # a utility this close to the best of its row counts as the best too
+BEST_UTILITY_TOLERANCE = 5e-5  # A utility this close to the best of its row counts as the best too.
 MIN_SHOWN_DIFFERENCE = 0.002  # Markdown tables leave out comparisons with a smaller difference
 
 
--- a/juniperward/simulation/scenario.py
+++ b/juniperward/simulation/scenario.py
@@ -16,13 +16,13 @@
     """Kinds of injected faults; the values are their names in the text format."""
 
     NONE = "NONE"
-    DOWN = "DOWN"  # connections are refused
-    FAILING = "FAILING"  # a fraction of the calls fails immediately
-    REJECTING = "SHUT"  # all calls are rejected
-    SLOW = "SLOW"  # calls take `magnitude` times as long
-    UNRESPONSIVE = "SILENT"  # calls get no answer
-    HOT = "HOT"  # the destination receives an additional fraction of all messages
-    KILL = "KILL"  # a fraction of the forwarders is killed, and restarted at the end of the fault
+    DOWN = "DOWN"  # Connections are refused.
+    FAILING = "FAILING"  # A fraction of the calls fails immediately.
+    REJECTING = "SHUT"  # All calls are rejected.
+    SLOW = "SLOW"  # Calls take `magnitude` times as long.
+    UNRESPONSIVE = "SILENT"  # Calls get no answer.
+    HOT = "HOT"  # The destination receives an additional fraction of all messages.
+    KILL = "KILL"  # A fraction of the forwarders is killed, and restarted at the end of the fault.
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperward/simulation/scenario_loader.py
+++ b/juniperward/simulation/scenario_loader.py
@@ -20,7 +20,7 @@
 from juniperward.simulation.scenario import DestinationGroup, Fault, FaultKind, Scenario, Traffic
 
 SCENARIOS_FOLDER = Path(__file__).parent.parent.parent / "scenarios"
-FAULTS_FIELD = "trouble"  # name of the field of faults in the format
+FAULTS_FIELD = "trouble"  # The name, in the format, of the field of faults.
 FAULT_MESSAGE = "Trouble"
 
 # Names in the format by field of DestinationGroup, Traffic and DeliveryObjective.
