--- a/juniperward/dead_letters/redrive_rate.py
+++ b/juniperward/dead_letters/redrive_rate.py
@@ -10,10 +10,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-# A failing destination without live messages gets one redrive per interval.
+# A failing destination without live messages gets one redrive per interval as a probe.
 PROBE_INTERVAL_S = 3.0
-RATE_LIFETIME_S = 10.0  # a rate that was not adjusted for longer starts again at its initial value
-MAX_ADJUSTMENT_INTERVAL_S = 1.0  # a longer interval adds no further tokens or increase
+# A rate that was not adjusted for longer starts again at its initial value.
+RATE_LIFETIME_S = 10.0
+# A longer time between two adjustments adds no further tokens and no further increase.
+MAX_ADJUSTMENT_INTERVAL_S = 1.0
 # After a decrease, the rate is neither decreased nor increased for this time.
 MIN_DECREASE_INTERVAL_S = 1.0
 HEALTH_FAILING, HEALTH_WARMING_UP = "failing", "warming"  # redrives are suspended in these states
--- a/juniperward/dead_letters/redriver.py
+++ b/juniperward/dead_letters/redriver.py
@@ -30,8 +30,9 @@
 from juniperward.dead_letters.store_errors import LeaseLostError
 from juniperward.scheduler.settings import Idempotency
 
-ROTATION_MODULUS = 1009  # a prime, so that every destination comes first in some round
-DEFAULT_TIME_LEFT_S = 20.0  # for classes without a setting
+ROTATION_MODULUS = 1009  # A prime, so that every destination comes first in some round.
+# The time left of a redrive if the settings have none for its message class.
+DEFAULT_TIME_LEFT_S = 20.0
 ACCEPTED_OR_UNKNOWN = (200, 202, NO_ANSWER)
 
 
@@ -77,7 +78,8 @@
         self.rates: dict[int, RedriveRate] = {}
         self._settler = RedriveSettler(store, fleet)
         self._candidates = Candidates(store)
-        self._rejected: set[int] = set()  # destinations with a rejection since their rate was adjusted
+        # The destinations with a rejection since their rate was adjusted.
+        self._rejected: set[int] = set()
         self._rotation = 0
 
     def round(self) -> Round:
